--- a/playhouse/__main__.py
+++ b/cairndale/__main__.py
@@ -1,4 +1,5 @@
-"""The program. A SIGHUP that comes while it is still being loaded ends no process: it is kept for later."""
+"""The program. A SIGHUP that comes while it is still being loaded ends no process: it is kept for
+later."""
 
 import signal
 import sys
@@ -7,7 +8,7 @@
 def main() -> int:
     hangups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
-    from playhouse.process import run  # takes far longer than all before
+    from cairndale.process import run  # takes far longer than all before
 
     return run(lambda: bool(hangups))
 
--- a/playhouse/rehearsal/operators.py
+++ b/cairndale/chaos/operators.py
@@ -1,5 +1,5 @@
-"""Those who give orders in a storm: many at once, on the same parent, with answers that are lost on their
-way, and the same orders again at any machine, also long after."""
+"""Those who give orders in a storm: many at once, on the same parent, with answers that are lost on
+their way, and the same orders again at any machine, also long after."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import struct
 from typing import Any
 
-from playhouse.rehearsal.records import Move, Order, Read, Record, Sending, Shown
-from playhouse.rehearsal.standins import parsed
-from playhouse.rehearsal.world import World
+from cairndale.chaos.records import Move, Order, Read, Record, Sending, Shown
+from cairndale.chaos.standins import parsed
+from cairndale.chaos.world import World
 
 MARK = "key-of-the-version"  # its tenant's name tells servers which order a request was taken by
 LOST = 0.25  # of answers that are lost on their way
@@ -26,13 +26,18 @@
 async def send(
     door: str, method: str, call: str, body: bytes, within: float, lost: float = -1.0
 ) -> tuple[int, bytes]:
-    """One call; a status of 0 is no clear answer. `lost`: s after which its answer, or its way there, is."""
+    """One call; a status of 0 is no clear answer. `lost`: s after which its answer, or its way
+    there, is."""
     host, _, port = door.rpartition(":")
     writer = None
     try:
         async with asyncio.timeout(within if lost < 0 else min(within, lost + 0.001)):
             reader, writer = await asyncio.open_connection(host, int(port))
-            lines = [f"{method} /-/{call} HTTP/1.1", f"Host: {door}", f"Content-Length: {len(body)}"]
+            lines = [
+                f"{method} /-/{call} HTTP/1.1",
+                f"Host: {door}",
+                f"Content-Length: {len(body)}",
+            ]
             writer.write("\r\n".join([*lines, "Connection: close", "", ""]).encode() + body)
             if lost >= 0:
                 await asyncio.sleep(within)
@@ -90,7 +95,13 @@
         return order
 
     def _route(self, number: int) -> dict[str, Any]:
-        common = {"host": "b.example", "deadline": "4000ms", "target_time": "1000ms", "tries": 2, "prio": 1}
+        common = {
+            "host": "b.example",
+            "deadline": "4000ms",
+            "target_time": "1000ms",
+            "tries": 2,
+            "prio": 1,
+        }
         common |= {"kind": "idempotent", "backend": "tiles"}
         return {"name": f"big-{number}", "pathPrefix": f"/big-{number}/"} | common
 
@@ -181,7 +192,8 @@
         return False
 
     async def zones(self, zone: str) -> None:
-        """A zone is evacuated and taken back, again and again. Taken back at the end in any case."""
+        """A zone is evacuated and taken back, again and again. Taken back at the end in any
+        case."""
         while self._loop.time() < self.until:
             await asyncio.sleep(random.uniform(0.2, 2.0))
             if await self._zone_order(f"Drain.Begin/{zone}"):
--- a/playhouse/rehearsal/records.py
+++ b/cairndale/chaos/records.py
@@ -1,4 +1,5 @@
-"""What the stand-ins of a storm wrote down: orders, reads, beats, requests. The judge looks at nothing else.
+"""What the stand-ins of a storm wrote down: orders, reads, beats, requests. The judge looks at
+nothing else.
 
 Times are seconds on the rehearsal's clock.
 """
@@ -8,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from playhouse.rehearsal.standins import Ledger
+from cairndale.chaos.standins import Ledger
 
 NEVER = float("inf")
 
@@ -130,7 +131,9 @@
     spans: list[Span] = field(default_factory=list)
     isolations: list[Isolation] = field(default_factory=list)
     said: list[Said] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)  # processes that ended by themselves, out of trouble
+    ended: list[str] = field(
+        default_factory=list
+    )  # processes that ended by themselves, out of trouble
 
     def taken(self) -> list[Order]:
         """Orders that were acknowledged or seen in force, in their order."""
--- a/playhouse/usher/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m playhouse.usher`: what an operator asks and orders, at any control ingress.
+"""`python -m cairndale.cli`: what an operator asks and orders, at any control ingress.
 
 Exit codes: 0 done, 1 refused, 2 wrong usage or unreadable input, 3 no ingress answered clearly.
 """
@@ -19,13 +19,15 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from playhouse.script.check import content_errors, order_errors
-from playhouse.settings import door
+from cairndale.configuration.validation import content_errors, order_errors
+from cairndale.settings import door
 
 WITHIN = 20.0  # s for a clear answer, over all tries
 ONE = 3.0  # s for one try
 DONE, REFUSED, USAGE, UNCLEAR = 0, 1, 2, 3
-AT = option("at", "a", "address of a control ingress; may be given several times", flag=False, multiple=True)
+AT = option(
+    "at", "a", "address of a control ingress; may be given several times", flag=False, multiple=True
+)
 JSON = option("json", None, "for programs: the answer as it came", flag=True)
 
 
@@ -68,7 +70,9 @@
             self.line_error(f"--at: {error}")
             return USAGE, None
         if not doors:
-            self.line_error("--at ADDRESS is missing: where a control ingress listens, as 10.1.0.11:8200")
+            self.line_error(
+                "--at ADDRESS is missing: where a control ingress listens, as 10.1.0.11:8200"
+            )
             return USAGE, None
         try:
             status, told = ask(doors, method, call, body)
@@ -82,7 +86,8 @@
         return DONE, told
 
     def load(self) -> dict[str, Any] | None:
-        """The JSON object in the file that is named; None once it was told what is wrong with it."""
+        """The JSON object in the file that is named; None once it was told what is wrong with
+        it."""
         name = self.argument("file")
         try:
             made = json.loads(Path(name).read_text())
@@ -106,11 +111,16 @@
             if told is not None:
                 self.line(json.dumps(told))
             return code
-        evacuated = ", ".join(f"{zone} ({orders})" for zone, orders in told["evacuated"].items()) or "none"
+        evacuated = (
+            ", ".join(f"{zone} ({orders})" for zone, orders in told["evacuated"].items()) or "none"
+        )
         self.line(
-            f"gen {told['gen']} (version {told['version']}), term {told['term']} held at {told['leader']}"
+            f"gen {told['gen']} (version {told['version']}), term {told['term']} held at "
+            f"{told['leader']}"
         )
-        roles = {role: [m[0] for m in told["members"] if m[2] == role] for role in ("voter", "learner")}
+        roles = {
+            role: [m[0] for m in told["members"] if m[2] == role] for role in ("voter", "learner")
+        }
         core = "; ".join(f"{role}s: {', '.join(doors) or 'none'}" for role, doors in roles.items())
         self.line(f"core: {core}; evacuated zones: {evacuated}")
         self._table(
@@ -122,7 +132,10 @@
         )
         self._table(
             ["server", "service", "zone", "state", "last heard"],
-            [[s["id"], s["service"], s["zone"], s["state"], f"{s['silent']} s"] for s in told["servers"]],
+            [
+                [s["id"], s["service"], s["zone"], s["state"], f"{s['silent']} s"]
+                for s in told["servers"]
+            ],
         )
         return code
 
@@ -190,7 +203,10 @@
         if told is not None:
             self.line("done")
             if told["orders"]:
-                self.line(f"orders that evacuate {zone}, each of which is to be taken back: {told['orders']}")
+                self.line(
+                    f"orders that evacuate {zone}, each of which is to be taken back: "
+                    f"{told['orders']}"
+                )
         return code
 
 
@@ -210,13 +226,15 @@
     name = "state"
     description = "What a core machine's disk holds, and what is wrong with it. Changes nothing."
     arguments: ClassVar[list[Argument]] = [argument("folder", "the machine's stateDir")]
-    options: ClassVar[list[Option]] = [option("config", None, "only the configuration in force", flag=True)]
+    options: ClassVar[list[Option]] = [
+        option("config", None, "only the configuration in force", flag=True)
+    ]
 
     def handle(self) -> int:
-        from playhouse.promptbook.applying import Applier
-        from playhouse.promptbook.store import Store, StoreError
-        from playhouse.script.state import State
-        from playhouse.script.stored import FormatError
+        from cairndale.configuration.serialization import FormatError
+        from cairndale.configuration.state import State
+        from cairndale.control.applier import Applier
+        from cairndale.raft.storage import Store, StoreError
 
         folder = Path(self.argument("folder"))
         if not (folder / "promptbook").is_dir():
@@ -245,10 +263,16 @@
             shown = [f"{m.door} ({m.disk})" for m in members if m.learner is learner]
             self.line(f"{role}: {', '.join(shown) or 'none'}")
         last = kept.entries[-1].index if kept.entries else kept.snapshot.index
-        self.line(f"snapshot at {kept.snapshot.index}, {len(kept.entries)} entries after it, to {last}")
+        self.line(
+            f"snapshot at {kept.snapshot.index}, {len(kept.entries)} entries after it, to {last}"
+        )
         evacuated = list(state.evacuated)
-        self.line(f"with all of them: gen {state.gen}, version {state.version}, evacuated {evacuated}")
-        self.line("an entry at the end may not be decided yet: a majority of the voters has to hold it")
+        self.line(
+            f"with all of them: gen {state.gen}, version {state.version}, evacuated {evacuated}"
+        )
+        self.line(
+            "an entry at the end may not be decided yet: a majority of the voters has to hold it"
+        )
         return DONE
 
 
--- a/playhouse/script/differences.py
+++ b/cairndale/configuration/delta.py
@@ -1,9 +1,8 @@
 """What changed of the configuration from one gen to the next: told in place of the whole content.
 
-A content is weighed by a sum over its items, whatever their order: the sum of their digests (64 bits) and of
-their texts' lengths. A difference names the gen and the digest before it and after it, so that who takes it
-finds out whether it fits.
-"""
+A content is weighed by a sum over its items, whatever their order: the sum of their digests (64
+bits) and of their texts' lengths. A difference names the gen and the digest before it and after it,
+so that who takes it finds out whether it fits."""
 
 from __future__ import annotations
 
@@ -17,7 +16,7 @@
 from marshal import dumps
 from typing import Any
 
-from playhouse.script.check import TABLES
+from cairndale.configuration.validation import TABLES
 
 KEPT = 256  # gens back to which differences are known
 ITEMS = 2_000  # that a difference may put or remove, over all its steps; for more the whole is told
@@ -28,7 +27,9 @@
 FIELDS = ""  # in the place of a table: what else a content says, each by its name as a list of one
 DIGESTS = 1 << 64
 
-Changes = dict[str, dict[str, Any]]  # by table and name: the item from now on, or None if it is gone
+Changes = dict[
+    str, dict[str, Any]
+]  # by table and name: the item from now on, or None if it is gone
 
 _text = json.JSONEncoder(separators=(",", ":"), sort_keys=True).encode
 
@@ -51,7 +52,9 @@
         try:
             made = json.loads(packer.decompress(self.change, MOST))
             sound = isinstance(made, dict) and made.keys() <= {*TABLES, FIELDS}
-            if not (packer.eof and sound and all(isinstance(named, dict) for named in made.values())):
+            if not (
+                packer.eof and sound and all(isinstance(named, dict) for named in made.values())
+            ):
                 raise DifferenceError("no difference, or not a whole one")
         except (ValueError, zlib.error) as error:
             raise DifferenceError(str(error)) from None
@@ -73,7 +76,11 @@
 
 def weighed(content: Mapping[str, Any]) -> Iterator[tuple[int, int]]:
     """Of each item."""
-    return (weight(table, name, item) for table in (*TABLES, FIELDS) for name, item in named(content, table))
+    return (
+        weight(table, name, item)
+        for table in (*TABLES, FIELDS)
+        for name, item in named(content, table)
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,8 +98,8 @@
 def comparing(
     before: Mapping[str, Any], after: Mapping[str, Any], order: Mapping[str, Any] | None
 ) -> Generator[None, None, Step | None]:
-    """In steps. `order`: the update that led from one to the other; without one they are compared whole.
-    None: too many items differ."""
+    """In steps. `order`: the update that led from one to the other; without one they are compared
+    whole. None: too many items differ."""
     changes: Changes = {}
     digest = size = count = 0
     for table in (*TABLES, FIELDS):
@@ -108,13 +115,18 @@
             if at % COMPARED == 0:
                 yield
             was = gone.pop(name, None)
-            if was is not None and dumps(was, 2) == dumps(item, 2):  # by type too: 1 and 1.0 are two texts
+            if was is not None and dumps(was, 2) == dumps(
+                item, 2
+            ):  # by type too: 1 and 1.0 are two texts
                 continue
             count += 1
             if count > ITEMS:
                 return None
             changes.setdefault(table, {})[name] = item
-            more, less = weight(table, name, item), (0, 0) if was is None else weight(table, name, was)
+            more, less = (
+                weight(table, name, item),
+                (0, 0) if was is None else weight(table, name, was),
+            )
             digest, size = digest + more[0] - less[0], size + more[1] - less[1]
         count += len(gone)
         if count > ITEMS:
@@ -138,18 +150,21 @@
 
 
 class History:
-    """The newest steps, alike at every member of the core that applied them, and what the content in force
-    weighs: counted a few items at a time, as nobody waits for it."""
+    """The newest steps, alike at every member of the core that applied them, and what the content
+    in force weighs: counted a few items at a time, as nobody waits for it."""
 
     def __init__(self) -> None:
         self._steps: deque[Step] = deque(maxlen=KEPT)
         self._digest = self._size = 0
         self._left: Iterator[tuple[int, int]] | None = None  # of what is being weighed
         self._weighed = False
-        self._made: dict[int, Difference | None] = {}  # by the gen that they begin at, up to the newest
+        self._made: dict[
+            int, Difference | None
+        ] = {}  # by the gen that they begin at, up to the newest
 
     def took(self, made: Step | None) -> None:
-        """Another content came in the place of the one before, by this step; None: that is not known."""
+        """Another content came in the place of the one before, by this step; None: that is not
+        known."""
         self._made = {}
         if made is None:
             self._steps.clear()
@@ -162,7 +177,8 @@
         self._digest, self._size = (self._digest + digest) % DIGESTS, self._size + size
 
     def weigh(self, content: Mapping[str, Any]) -> bool:
-        """Some more items of the content in force; True once all are. Before, no difference is known."""
+        """Some more items of the content in force; True once all are. Before, no difference is
+        known."""
         if not self._weighed:
             if self._left is None:
                 self._left, self._digest, self._size = weighed(content), 0, 0
--- a/playhouse/script/body.py
+++ b/cairndale/configuration/json_stream.py
@@ -1,8 +1,8 @@
-"""The body of a large call read as JSON in steps: to the same value as `json.loads`, or ValueError as well.
+"""The body of a large call read as JSON in steps: to the same value as `json.loads`, or ValueError
+as well.
 
-Objects at the top, and lists in them, are gone through here; an item of a list, and what lies deeper, is read
-at once.
-"""
+Objects at the top, and lists in them, are gone through here; an item of a list, and what lies
+deeper, is read at once."""
 
 from __future__ import annotations
 
@@ -47,7 +47,9 @@
             return False
         some = self._body[self._taken : self._taken + DECODED]
         self._taken += DECODED
-        self._held = self._held[self._at :] + self._decoder.decode(some, final=self._taken > len(self._body))
+        self._held = self._held[self._at :] + self._decoder.decode(
+            some, final=self._taken > len(self._body)
+        )
         self._at = 0
         return True
 
--- a/playhouse/script/playbill.py
+++ b/cairndale/configuration/route_table.py
@@ -9,10 +9,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironledge import interface as it
-from ironledge.interface import Repeat
-from playhouse.script.differences import DIGESTS, FIELDS, Difference, DifferenceError, named, weight
-from playhouse.settings import seconds
+from cairndale.configuration.delta import (
+    DIGESTS,
+    FIELDS,
+    Difference,
+    DifferenceError,
+    named,
+    weight,
+)
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.interface import Repeat
+from cairndale.settings import seconds
 
 TOKEN = re.compile(rb"[Tt][Oo][Kk][Ee][Nn] +([!-~]+)")
 DEADLINE, AIM = "30s", "1s"  # of a route that names none
@@ -32,7 +39,11 @@
     digest: int  # of what it was read from
 
     def service(self, rng: random.Random) -> str:
-        return self.services[0] if len(self.services) == 1 else rng.choices(self.services, self.weights)[0]
+        return (
+            self.services[0]
+            if len(self.services) == 1
+            else rng.choices(self.services, self.weights)[0]
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,12 +102,12 @@
 
 
 class Playbill:
-    """It changes item by item (`change`); whoever keeps what it found here knows by `gen` whether it may have
-    changed since."""
+    """It changes item by item (`change`); whoever keeps what it found here knows by `gen` whether
+    it may have changed since."""
 
     def __init__(self, content: dict[str, Any]) -> None:
         self.gen: int = content.get("gen", 0)
-        self.digest = 0  # as `playhouse.script.differences` has it
+        self.digest = 0  # as `cairndale.configuration.delta` has it
         self.hosts: dict[bytes, dict[bytes, Route]] = {}
         self.keys: dict[bytes, Tenant] = {}
         self.routes: dict[str, Route] = {}
@@ -107,8 +118,11 @@
         self._of_class: Counter[str] = Counter()  # how many are of each
         self.fields: dict[str, Field] = {}
         self._tables: dict[str, dict[str, Any]] = {
-            "routes": self.routes, "tenants": self.tenants, "backends": self.services, FIELDS: self.fields,
-        }  # fmt: skip
+            "routes": self.routes,
+            "tenants": self.tenants,
+            "backends": self.services,
+            FIELDS: self.fields,
+        }
         for table in self._tables:
             for name, raw in named(content, table):
                 if name in self._tables[table]:
@@ -122,7 +136,9 @@
     def change(self, told: Difference) -> Changed:
         """Whole or not at all. Raises DifferenceError where it does not fit."""
         if (told.before, told.digest_before) != (self.gen, self.digest):
-            raise DifferenceError(f"from gen {told.before}, where gen {self.gen} stands, or by its digest")
+            raise DifferenceError(
+                f"from gen {told.before}, where gen {self.gen} stands, or by its digest"
+            )
         changes, digest = told.changes(), self.digest
         made: list[tuple[str, str, Item | None]] = []
         try:
@@ -141,30 +157,45 @@
                 self._put(table, item)
         self.gen = told.gen
         now = [item for _, _, item in made]
-        return Changed([i for i in now if isinstance(i, Route)], [i for i in now if isinstance(i, Tenant)])
+        return Changed(
+            [i for i in now if isinstance(i, Route)], [i for i in now if isinstance(i, Tenant)]
+        )
 
     def _read(self, table: str, name: str, raw: Any) -> Item:
         digest = weight(table, name, raw)[0]
         match table:
             case "backends":
                 return Service(
-                    name, seconds(raw.get("warmup", "0s")), float(raw.get("warmupPerS", 0)),
-                    int(raw.get("maxConns", 0)), digest,
-                )  # fmt: skip
+                    name,
+                    seconds(raw.get("warmup", "0s")),
+                    float(raw.get("warmupPerS", 0)),
+                    int(raw.get("maxConns", 0)),
+                    digest,
+                )
             case "tenants":
                 return Tenant(
-                    name, int(raw.get("prio", 0)), float(raw.get("ratePerS") or 0),
-                    float(raw.get("burst") or 0), frozenset(raw.get("homeRegions") or ()),
-                    tuple(key.encode() for key in raw["apiKeys"]), digest,
-                )  # fmt: skip
+                    name,
+                    int(raw.get("prio", 0)),
+                    float(raw.get("ratePerS") or 0),
+                    float(raw.get("burst") or 0),
+                    frozenset(raw.get("homeRegions") or ()),
+                    tuple(key.encode() for key in raw["apiKeys"]),
+                    digest,
+                )
             case "routes":
                 split = raw.get("split") or [{"backend": raw["backend"], "weight": 1}]
                 return Route(
-                    name, self._cls(raw), tuple(p["backend"] for p in split),
-                    tuple(float(p["weight"]) for p in split), bool(raw.get("public")),
-                    frozenset(raw.get("homeRegions") or ()), int(raw.get("prio", 0)),
-                    raw["host"].lower().encode(), raw["pathPrefix"].encode(), digest,
-                )  # fmt: skip
+                    name,
+                    self._cls(raw),
+                    tuple(p["backend"] for p in split),
+                    tuple(float(p["weight"]) for p in split),
+                    bool(raw.get("public")),
+                    frozenset(raw.get("homeRegions") or ()),
+                    int(raw.get("prio", 0)),
+                    raw["host"].lower().encode(),
+                    raw["pathPrefix"].encode(),
+                    digest,
+                )
         return Field(name, raw[0], digest)
 
     def _put(self, table: str, item: Item) -> None:
@@ -205,7 +236,9 @@
         if known := self.classes.get(name):
             return known
         repeat = Repeat.SAFE if raw["kind"] == "idempotent" else Repeat.UNSAFE
-        return it.RequestClass(name, _us(aim), _us(deadline), repeat, late_worth=0.5, tries=max(1, tries))
+        return it.RequestClass(
+            name, _us(aim), _us(deadline), repeat, late_worth=0.5, tries=max(1, tries)
+        )
 
     def route(self, host: bytes, target: bytes) -> Route | None:
         """The one whose prefix is the longest that begins the path."""
--- a/playhouse/script/stored.py
+++ b/cairndale/configuration/serialization.py
@@ -1,10 +1,9 @@
 """The stored form of the state: a JSON object in parts that are made and read one at a time.
 
-One byte of format, then parts: four bytes of length, then a list of records (JSON, zlib). A record is
-`[path, value]`: at this path, a dict gets these members, a list these items more, anything else stands so.
-Whoever makes or reads it may pause after each part; a part is some 32 KiB of text, or one item that is
-larger. Format 1 is one whole JSON object (zlib).
-"""
+One byte of format, then parts: four bytes of length, then a list of records (JSON, zlib). A record
+is `[path, value]`: at this path, a dict gets these members, a list these items more, anything else
+stands so. Whoever makes or reads it may pause after each part; a part is some 32 KiB of text, or
+one item that is larger. Format 1 is one whole JSON object (zlib)."""
 
 from __future__ import annotations
 
--- a/playhouse/script/state.py
+++ b/cairndale/configuration/state.py
@@ -1,8 +1,7 @@
 """The state that the core agrees on: the configuration in force and the zones that are evacuated.
 
-A command is applied alike at every member of the core; what it leads to depends on the state and the
-command alone.
-"""
+A command is applied alike at every member of the core; what it leads to depends on the state and
+the command alone."""
 
 from __future__ import annotations
 
@@ -13,11 +12,12 @@
 from enum import Enum
 from typing import Any
 
-from playhouse.script import stored
-from playhouse.script.check import TABLES
-from playhouse.script.differences import History, comparing
+from cairndale.configuration import serialization
+from cairndale.configuration.delta import History, comparing
+from cairndale.configuration.validation import TABLES
 
-KNOWN = 20_000  # accepted calls that are remembered, so that one sent again is known: a day's changes
+# accepted calls that are remembered, so that one sent again is known: a day's changes
+KNOWN = 20_000
 CALLS = 4_096  # calls for zones that are
 MANY = 4_096  # items that one step goes through ...
 TOLD = 512  # ... and makes text of, for ingresses
@@ -39,7 +39,8 @@
 @dataclass(frozen=True, slots=True)
 class Command:
     verb: Verb
-    digest: str = ""  # of the call as it came, or the order that it belongs to, or the system's name
+    # of the call as it came, or the order that it belongs to, or the system's name
+    digest: str = ""
     order: dict[str, Any] = field(default_factory=dict)
     zone: str = ""
     names: tuple[str, ...] = ()  # of ingresses that may hold leases from here on ...
@@ -48,9 +49,14 @@
 
     def raw(self) -> dict[str, Any]:
         return {
-            "verb": self.verb.value, "digest": self.digest, "order": self.order, "zone": self.zone,
-            "names": list(self.names), "gone": list(self.gone), "call": self.call,
-        }  # fmt: skip
+            "verb": self.verb.value,
+            "digest": self.digest,
+            "order": self.order,
+            "zone": self.zone,
+            "names": list(self.names),
+            "gone": list(self.gone),
+            "call": self.call,
+        }
 
     def out(self) -> bytes:
         return zlib.compress(json.dumps(self.raw(), separators=(",", ":")).encode(), 6)
@@ -72,7 +78,9 @@
         )
 
 
-def updating(content: dict[str, Any], order: dict[str, Any]) -> Generator[None, None, dict[str, Any]]:
+def updating(
+    content: dict[str, Any], order: dict[str, Any]
+) -> Generator[None, None, dict[str, Any]]:
     """The configuration with items replaced by name, added behind, and removed; in steps."""
     made = {**content, "gen": order["gen"]}
     for table in TABLES:
@@ -123,10 +131,14 @@
     evacuated: dict[str, int] = field(default_factory=dict)  # zones, and by how many orders
     moves: dict[str, str] = field(default_factory=dict)  # the newest order for each zone
     version: int = 0  # counts what was applied; rises at every change
-    edges: list[str] = field(default_factory=list)  # ingresses that may hold leases, whoever has the duty
+    edges: list[str] = field(
+        default_factory=list
+    )  # ingresses that may hold leases, whoever has the duty
     known: dict[str, int] = field(default_factory=dict)  # digests of accepted calls, with their gen
     forgotten: int = -1  # the newest gen of a call that was accepted and is not known any longer
-    calls: dict[str, str] = field(default_factory=dict)  # calls for zones, and the order that each belongs to
+    calls: dict[str, str] = field(
+        default_factory=dict
+    )  # calls for zones, and the order that each belongs to
     system: str = ""  # its name: the first that was drawn
     # A gen, and its content as ingresses are told it.
     _told: tuple[int, bytes] = field(default=(-1, b""), compare=False, repr=False)
@@ -143,9 +155,9 @@
         return {name: value for name, value in command.order.items() if name != "parent"}
 
     def told(self) -> bytes:
-        """The content as ingresses are told it, made once for all of them: at once, if it was not told
-        before (`tell`)."""
-        stored.at_once(self.tell())
+        """The content as ingresses are told it, made once for all of them: at once, if it was not
+        told before (`tell`)."""
+        serialization.at_once(self.tell())
         return self._told[1]
 
     def tell(self) -> Generator[None, None, None]:
@@ -159,11 +171,12 @@
         return self._history
 
     def apply(self, command: Command) -> bool:
-        return stored.at_once(self.applying(command))
+        return serialization.at_once(self.applying(command))
 
     def applying(self, command: Command, tells: bool = False) -> Generator[None, None, bool]:
-        """In steps: until the last one all is as it was. False if it is void: another change came first, or
-        it is no news to the data plane. `tells`: what ingresses are told of it is made as well."""
+        """In steps: until the last one all is as it was. False if it is void: another change came
+        first, or it is no news to the data plane. `tells`: what ingresses are told of it is made as
+        well."""
         match command.verb:
             case Verb.REPLACE | Verb.UPDATE:
                 if command.order["parent"] != self.gen or command.order["gen"] <= self.gen:
@@ -209,7 +222,8 @@
             self.forgotten = max(self.forgotten, self.known.pop(next(iter(self.known))))
 
     def may_be_forgotten(self, gen: int) -> bool:
-        """It can no longer be known whether a call that is not known, for this gen, was accepted."""
+        """It can no longer be known whether a call that is not known, for this gen, was
+        accepted."""
         return gen <= self.forgotten
 
     def _is_first(self, command: Command) -> bool:
@@ -225,17 +239,18 @@
         return not again
 
     def raw(self) -> dict[str, Any]:
-        """As it is now, whatever is applied later: what is in it is replaced then, and not changed."""
+        """As it is now, whatever is applied later: what is in it is replaced then, and not
+        changed."""
         fields = {name: getattr(self, name) for name in self.__slots__ if not name.startswith("_")}
         return {n: v.copy() if isinstance(v, dict | list) else v for n, v in fields.items()}
 
     def out(self) -> bytes:
-        return stored.whole(self.raw())
+        return serialization.whole(self.raw())
 
     @classmethod
     def read(cls, data: bytes) -> State:
         """Raises FormatError."""
-        return cls.of(stored.read(data))
+        return cls.of(serialization.read(data))
 
     @classmethod
     def of(cls, raw: dict[str, Any]) -> State:
@@ -243,4 +258,4 @@
         try:
             return cls(**raw)
         except TypeError as error:
-            raise stored.FormatError(str(error)) from error
+            raise serialization.FormatError(str(error)) from error
--- a/playhouse/script/check.py
+++ b/cairndale/configuration/validation.py
@@ -8,7 +8,7 @@
 
 from schema import Optional
 
-from playhouse.fields import (
+from cairndale.field_rules import (
     NO_TIME,
     Fields,
     Rules,
@@ -20,7 +20,7 @@
     list_of,
     one_of,
 )
-from playhouse.settings import seconds
+from cairndale.settings import seconds
 
 KINDS = ("idempotent", "mutating")
 TABLES = ("routes", "backends", "tenants")
@@ -37,7 +37,9 @@
 
 def is_part(value: object) -> bool:
     """Of a split."""
-    return isinstance(value, dict) and is_text(value.get("backend")) and is_number(value.get("weight"))
+    return (
+        isinstance(value, dict) and is_text(value.get("backend")) and is_number(value.get("weight"))
+    )
 
 
 is_kind = one_of(*KINDS)
@@ -79,9 +81,12 @@
     },
 }
 WANTED = {  # what is told of a field that is not as it should be
-    "pathPrefix": "is no path that begins and ends with a slash", "kind": f"is none of {', '.join(KINDS)}",
-    "deadline": NO_TIME, "target_time": NO_TIME, "warmup": NO_TIME,
-}  # fmt: skip
+    "pathPrefix": "is no path that begins and ends with a slash",
+    "kind": f"is none of {', '.join(KINDS)}",
+    "deadline": NO_TIME,
+    "target_time": NO_TIME,
+    "warmup": NO_TIME,
+}
 FIELDS = {table: Fields(rules, WANTED) for table, rules in ITEMS.items()}
 
 
@@ -120,7 +125,9 @@
                 sound[table].append((at, item))
             if number % MANY == MANY - 1:
                 yield []
-        for some in _twice("this name", ((f"{at}.name", item["name"]) for at, item in sound[table])):
+        for some in _twice(
+            "this name", ((f"{at}.name", item["name"]) for at, item in sound[table])
+        ):
             errors += some
             yield []
     yield []
@@ -136,7 +143,9 @@
         if route.get("split") and not sum(part["weight"] for part in route["split"]) > 0:
             errors.append(f"{at}.split: no weight is over 0")
     places = ((at, (route["host"].lower(), route["pathPrefix"])) for at, route in sound["routes"])
-    keys = ((f"{at}.apiKeys", key) for at, tenant in sound["tenants"] for key in set(tenant["apiKeys"]))
+    keys = (
+        (f"{at}.apiKeys", key) for at, tenant in sound["tenants"] for key in set(tenant["apiKeys"])
+    )
     for some in chain(_twice("this host and prefix", places), _twice("one of these keys", keys)):
         errors += some
         yield []
@@ -178,7 +187,9 @@
             if table not in TABLES:
                 errors.append(f"{part}.{table}: is not known")
             elif not isinstance(items, list) or not all(isinstance(i, kind) for i in items):
-                errors.append(f"{part}.{table}: is no list of {'items' if kind is dict else 'names'}")
+                errors.append(
+                    f"{part}.{table}: is no list of {'items' if kind is dict else 'names'}"
+                )
             elif kind is dict and not all(isinstance(i.get("name"), str) for i in items):
                 errors.append(f"{part}.{table}: an item has no name")
     return errors
--- a/playhouse/reception.py
+++ b/cairndale/control/api.py
@@ -6,18 +6,18 @@
 import random
 from typing import Protocol
 
-from playhouse.callboard.collector import Collector
-from playhouse.company.roll import Roll
-from playhouse.errors import Code, SystemFailure
-from playhouse.foyer.lookup import lookup
-from playhouse.settings import Settings
-from playhouse.stagedoor.doors import Answer, told, wrong
-from playhouse.stagedoor.tree import CONTROL, FOYER, Wrong, match
-from playhouse.understudy.desk import Desk
-from playhouse.understudy.duty import Duty
-from playhouse.understudy.follower import BEAT, PASS_ON, WAY, Follower
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.reach import Reach
+from cairndale.control.follower import BEAT, PASS_ON, WAY, Follower
+from cairndale.control.leadership import Duty
+from cairndale.control.operations import Desk
+from cairndale.errors import Code, SystemFailure
+from cairndale.http_api.router import CONTROL, FOYER, Wrong, match
+from cairndale.http_api.server import Answer, told, wrong
+from cairndale.lookup.selection import lookup
+from cairndale.registry.heartbeats import Collector
+from cairndale.registry.nodes import Roll
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.settings import Settings
 
 PASS_LARGE = 2.5  # s for the leader to answer what is passed on to it with a body ...
 LARGE = 16 * 1024  # ... of so many bytes
@@ -73,7 +73,9 @@
             return told(200, self._nearer(body))
         if self._process.duty is None and self._follower.is_cut_off(now):
             return wrong(503, "out of contact")
-        if self._process.duty is None and (seen := self._collector.read(found.args["id"], body, now)):
+        if self._process.duty is None and (
+            seen := self._collector.read(found.args["id"], body, now)
+        ):
             try:
                 await self._follower.arrivals.say(seen)
             except SystemFailure as failure:
@@ -86,8 +88,9 @@
         return self._collector.nearer(body) if self.ready() else {}
 
     async def _settle(self, method: str, target: str, body: bytes, most: float = PASS_ON) -> Answer:
-        """Settled here if the duty is held here, else by its leader. Passing it on after it was settled here
-        in vain does no harm: it has an id, and configurations are known by what they are."""
+        """Settled here if the duty is held here, else by its leader. Passing it on after it was
+        settled here in vain does no harm: it has an id, and configurations are known by what they
+        are."""
         process, came, id = self._process, self._process.now(), f"{random.getrandbits(64):016x}"
         if process.duty and process.leads():
             try:
@@ -108,9 +111,14 @@
         return answer.outcome.status, answer.outcome.body
 
     def was_read(self, method: str, target: str, answer: Answer) -> None:
-        """Who gave an order for a zone has its answer: the same call is another order from now on."""
+        """Who gave an order for a zone has its answer: the same call is another order from now
+        on."""
         found = match(CONTROL, method, target)
-        if isinstance(found, Wrong) or found.call not in ("evacuate", "take back") or answer[0] != 200:
+        if (
+            isinstance(found, Wrong)
+            or found.call not in ("evacuate", "take back")
+            or answer[0] != 200
+        ):
             return
         process = self._process
         receipt = pb.Receipt(zone=found.args["zone"], order=json.loads(answer[1])["order"])
--- a/playhouse/promptbook/applying.py
+++ b/cairndale/control/applier.py
@@ -1,8 +1,8 @@
 """Delivered entries come into force, in order and in steps of which none holds the loop. Pure.
 
-A large command stands in the log in parts (`parts.py`) and is read as they are delivered; the last one
-decides. What becomes of it rests on the log alone: it is void, alike at all members, if its parts are not one
-after the other in one term, if it was given up, or if it is not as it was made.
+A large command stands in the log in parts (`parts.py`) and is read as they are delivered; the last
+one decides. What becomes of it rests on the log alone: it is void, alike at all members, if its
+parts are not one after the other in one term, if it was given up, or if it is not as it was made.
 """
 
 from __future__ import annotations
@@ -14,22 +14,25 @@
 from itertools import chain, islice
 from typing import Any
 
-from playhouse.promptbook import parts
-from playhouse.promptbook.messages import Entry, state_digest
-from playhouse.promptbook.upkeep import uncollected
-from playhouse.script import stored
-from playhouse.script.state import Command, State
+from cairndale.configuration import serialization
+from cairndale.configuration.state import Command, State
+from cairndale.control.snapshot_worker import uncollected
+from cairndale.raft import fragments
+from cairndale.raft.messages import Entry, state_digest
 
-LARGE = 64 * 1024  # bytes of a command in one entry, as earlier programs wrote it, that makes many objects
+LARGE = (
+    64 * 1024
+)  # bytes of a command in one entry, as earlier programs wrote it, that makes many objects
 
 
 def encoded(command: Command) -> bytes | Iterator[bytes]:
-    """As one entry's data, or that of several (`parts.cut`): a step of work each, empty ones only that."""
-    pieces = stored.parts(command.raw())
+    """As one entry's data, or that of several (`parts.cut`): a step of work each, empty ones only
+    that."""
+    pieces = serialization.parts(command.raw())
     begun = list(islice(pieces, 3))  # the format, and a second part if there is one
-    if len(begun) < 3 and len(data := command.out()) <= parts.PART:
+    if len(begun) < 3 and len(data := command.out()) <= fragments.PART:
         return data
-    return parts.cut(chain(begun, pieces))
+    return fragments.cut(chain(begun, pieces))
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,16 +48,17 @@
     count: int = 0
     raw: dict[str, Any] = field(default_factory=dict)
     digest: Any = field(default_factory=state_digest)
-    reading: stored.Reading = field(init=False)
+    reading: serialization.Reading = field(init=False)
 
     def __post_init__(self) -> None:
-        self.reading = stored.Reading(self.raw)
+        self.reading = serialization.Reading(self.raw)
 
 
 class Applier:
     def __init__(self, state: State, index: int = 0, term: int = 0) -> None:
         """The state as it is after the entry at this index, of this term."""
-        self.tells = False  # this one leads: what ingresses are told is there once an entry is in force
+        # this one leads: what ingresses are told is there once an entry is in force
+        self.tells = False
         self._queue: deque[Entry] = deque()
         self.restore(state, index, term)
 
@@ -79,13 +83,14 @@
         self._queue.extend(entries)
 
     def step(self) -> Applied | None:
-        """A step of work, where there is one; what has come into force with it, if it is an entry's last."""
+        """A step of work, where there is one; what has come into force with it, if it is an entry's
+        last."""
         if not self._queue:
             return None
         entry = self._queue[0]
         if self._work is None:
             self._work = self._applying(entry)
-        large = self._begun or len(entry.data) > LARGE or parts.is_part(entry.data)
+        large = self._begun or len(entry.data) > LARGE or fragments.is_part(entry.data)
         try:
             with uncollected() if large else contextlib.nullcontext():
                 next(self._work)
@@ -102,26 +107,26 @@
                 yield from self.state.tell()
         if not entry.data:
             return False
-        if parts.is_part(entry.data):
-            command = yield from self._gathered(parts.read(entry.data))
+        if fragments.is_part(entry.data):
+            command = yield from self._gathered(fragments.read(entry.data))
         else:
             command = Command.read(entry.data)
         return (yield from self.state.applying(command, self.tells)) if command else False
 
-    def _gathered(self, part: parts.Part) -> Generator[None, None, Command | None]:
+    def _gathered(self, part: fragments.Part) -> Generator[None, None, Command | None]:
         """The command whose last part this is."""
-        if part.number == 0 and part.kind is not parts.Kind.VOID:
+        if part.number == 0 and part.kind is not fragments.Kind.VOID:
             self._begun = _Begun()
         begun, self._begun = self._begun, None
-        if begun is None or part.kind is parts.Kind.VOID or part.number != begun.count:
+        if begun is None or part.kind is fragments.Kind.VOID or part.number != begun.count:
             return None
-        last = part.kind is parts.Kind.LAST
-        data = part.data[parts.DIGEST :] if last else part.data
+        last = part.kind is fragments.Kind.LAST
+        data = part.data[fragments.DIGEST :] if last else part.data
         begun.count += 1
         begun.digest.update(data)
         try:
             yield from begun.reading.feed(data)
-            if last and begun.digest.digest() == part.data[: parts.DIGEST]:
+            if last and begun.digest.digest() == part.data[: fragments.DIGEST]:
                 begun.reading.end()
                 return Command.of(begun.raw)
         except (ValueError, KeyError, TypeError):
--- a/playhouse/understudy/moves.py
+++ b/cairndale/control/evacuation_log.py
@@ -1,11 +1,10 @@
-"""Which calls for a zone are one order. An evacuation has neither a body nor a name: a second call may be
-the same operator's, who got no clear answer, or another's, whose evacuation stands until that one, too, is
-taken back.
+"""Which calls for a zone are one order. An evacuation has neither a body nor a name: a second call
+may be the same operator's, who got no clear answer, or another's, whose evacuation stands until
+that one, too, is taken back.
 
-A call is the same order as the one before it while that is not answered, or for a while after, unless whoever
-called is known to have had the answer. One call may come by two ways, and late: it has an id from where it
-came in, and an order has that of its first call.
-"""
+A call is the same order as the one before it while that is not answered, or for a while after,
+unless whoever called is known to have had the answer. One call may come by two ways, and late: it
+has an id from where it came in, and an order has that of its first call."""
 
 from __future__ import annotations
 
@@ -29,17 +28,19 @@
     """Times are seconds on the leader's clock."""
 
     def __init__(self, now: float, again: float, ever: bool) -> None:
-        """`again`: for how long an order without an answer may be sent anew. `ever`: another held the duty
-        before, and may have heard orders that are sent again here."""
+        """`again`: for how long an order without an answer may be sent anew. `ever`: another held
+        the duty before, and may have heard orders that are sent again here."""
         self._again, self._unknown = again, now + again if ever else now
         self._last: dict[str, _Order] = {}
         self._calls: dict[str, str] = {}  # ids of calls, and their orders
 
     def came(self, now: float, zone: str, verb: str, stands: bool, call: str = "") -> str:
-        """The order that a call belongs to, or nothing if there is nothing to be done. `stands`: the zone is
-        as the call wants it; `call`: its id. The call is to be `over` later."""
+        """The order that a call belongs to, or nothing if there is nothing to be done. `stands`:
+        the zone is as the call wants it; `call`: its id. The call is to be `over` later."""
         last = self._last.get(zone)
-        if call in self._calls:  # by another way: whatever has come since, it is the order that it was
+        if (
+            call in self._calls
+        ):  # by another way: whatever has come since, it is the order that it was
             if last and last.token == self._calls[call]:
                 last.open += 1
             return self._calls[call]
--- a/playhouse/understudy/follower.py
+++ b/cairndale/control/follower.py
@@ -1,9 +1,8 @@
 """What a core machine that does not lead hears of the leader, and whether it is in contact with it.
 
-In contact is: the leader, with a majority behind it, has answered something that was sent from here less than
-`CONTACT` of a server's beat ago. So whoever is cut off, in either direction, confirms one beat of a server's
-after the cut at most, and that one is told as soon as there is a way.
-"""
+In contact is: the leader, with a majority behind it, has answered something that was sent from here
+less than `CONTACT` of a server's beat ago. So whoever is cut off, in either direction, confirms one
+beat of a server's after the cut at most, and that one is told as soon as there is a way."""
 
 from __future__ import annotations
 
@@ -11,21 +10,22 @@
 import random
 from typing import Protocol
 
-from playhouse.callboard.board import Board
-from playhouse.callboard.collector import Collector
-from playhouse.company.roll import Roll
-from playhouse.errors import SystemFailure
-from playhouse.promptbook.messages import Member
-from playhouse.script.state import State
-from playhouse.settings import Settings, shown
-from playhouse.understudy.arrivals import Arrivals, Batch
-from playhouse.understudy.duty import Duty, server_in
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.links import Wings
-from playhouse.wings.reach import Reach
+from cairndale.configuration.state import State
+from cairndale.control.heartbeat_batch import Arrivals, Batch
+from cairndale.control.leadership import Duty, server_in
+from cairndale.errors import SystemFailure
+from cairndale.raft.messages import Member
+from cairndale.registry.endpoints import Board
+from cairndale.registry.heartbeats import Collector
+from cairndale.registry.nodes import Roll
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.peer import Wings
+from cairndale.settings import Settings, shown
 
 CONTACT = 2 / 3  # of a server's beat, or ...
-CONTACT_MOST = 1.0  # ... s, if that is less: under the beat that a server may take to call elsewhere
+# ... s, if that is less: under the beat that a server may take to call elsewhere
+CONTACT_MOST = 1.0
 REPORT = 0.5  # of that, between reports: with the way there and the answer it is renewed in time
 REPORT_WAIT = 0.7  # s for the leader's answer, after which the next goes by another way
 AGAIN = 0.5  # s that a failure speaks for what comes after it
@@ -64,7 +64,9 @@
         self._seen: tuple[str, int, int] = ("", 0, 0)  # epoch, servers, nodes
         self._answered = float("-inf")  # when the newest was sent that the leader has answered
         self._failed = float("-inf")  # when a call was last given up
-        self.arrivals = Arrivals(process.now, lambda: len(process.machine.members), self._tell_arrivals)
+        self.arrivals = Arrivals(
+            process.now, lambda: len(process.machine.members), self._tell_arrivals
+        )
 
     def span(self) -> float:
         return min(CONTACT_MOST, CONTACT * self._process.settings.heartbeat)
@@ -73,7 +75,8 @@
         return now - self._answered < self.span()
 
     def is_cut_off(self, now: float) -> bool:
-        """Out of contact, and a call to the leader was given up so lately that it need not be tried again."""
+        """Out of contact, and a call to the leader was given up so lately that it need not be tried
+        again."""
         return not self.in_contact(now) and now - self._failed < AGAIN
 
     async def call(self, envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
@@ -102,9 +105,15 @@
         settings = self._process.settings
         ctl = shown(settings.listen["ctl"]) if "ctl" in settings.listen else ""
         return pb.Node(
-            name=settings.name, life=self._process.wings.life, door=shown((settings.ip, settings.own_port)),
-            zone=settings.zone, region=settings.region, kind="core", ready=True, ctl=ctl,
-        )  # fmt: skip
+            name=settings.name,
+            life=self._process.wings.life,
+            door=shown((settings.ip, settings.own_port)),
+            zone=settings.zone,
+            region=settings.region,
+            kind="core",
+            ready=True,
+            ctl=ctl,
+        )
 
     async def asks(self) -> None:
         """News, for good."""
@@ -115,9 +124,14 @@
                 continue
             epoch, servers, nodes = self._seen
             ask = pb.Ask(
-                node=self._node(), epoch=epoch, script=process.state.version, gen=process.state.gen,
-                servers=servers, nodes=nodes, wait_ms=round(ASK_WAIT * 1000),
-            )  # fmt: skip
+                node=self._node(),
+                epoch=epoch,
+                script=process.state.version,
+                gen=process.state.gen,
+                servers=servers,
+                nodes=nodes,
+                wait_ms=round(ASK_WAIT * 1000),
+            )
             try:
                 answer = await self.call(pb.Envelope(ask=ask), 3.0, ASK_WAIT + 0.6)
             except SystemFailure:
@@ -125,7 +139,9 @@
                 continue
             if process.duty is None and answer.WhichOneof("body") == "cue":
                 self._take(answer.cue)
-                if answer.cue.script != process.state.version:  # its own log is behind: not at once again
+                if (
+                    answer.cue.script != process.state.version
+                ):  # its own log is behind: not at once again
                     await asyncio.sleep(0.05)
 
     def _take(self, cue: pb.Cue) -> None:
@@ -139,8 +155,9 @@
         self._seen = (cue.epoch, cue.servers, cue.nodes)
 
     async def reports(self) -> None:
-        """Beats that said nothing new are told of together, for good. What was not answered is kept, and
-        told again to whoever leads then. With nothing to tell, the answer alone is what counts."""
+        """Beats that said nothing new are told of together, for good. What was not answered is
+        kept, and told again to whoever leads then. With nothing to tell, the answer alone is what
+        counts."""
         process = self._process
         while True:
             await asyncio.sleep(REPORT * self.span() * random.uniform(0.8, 1.2))
--- a/playhouse/understudy/arrivals.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -1,22 +1,23 @@
-"""Beats that say something new, as they come to a core machine that does not lead: the leader is told of them
-together, and whoever sent one is answered once the leader has heard it with a majority behind it.
+"""Beats that say something new, as they come to a core machine that does not lead: the leader is
+told of them together, and whoever sent one is answered once the leader has heard it with a majority
+behind it.
 
-The first is told of at once; what comes soon after that goes together, so that after a start of all the
-leader is called so many times a second, and not once for each server.
-"""
+The first is told of at once; what comes soon after that goes together, so that after a start of all
+the leader is called so many times a second, and not once for each server."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from playhouse.callboard.board import STATES, Board, Seen
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.understudy.duty import server_in, server_out
-from playhouse.wings import cues_pb2 as pb
+from cairndale.control.leadership import server_in, server_out
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.registry.endpoints import STATES, Board, Seen
+from cairndale.rpc import protocol_pb2 as pb
 
-APART_EACH = 0.01  # s between two calls, for each core machine: the leader takes so many in all a second ...
+# s between two calls, for each core machine: the leader takes so many in all a second ...
+APART_EACH = 0.01
 APART_MOST = 0.25  # ... and no more than so many: a server waits a second for its answer
 MOST = 512  # beats in one call
 
@@ -51,10 +52,13 @@
     """Times are seconds on this process's clock."""
 
     def __init__(
-        self, now: Callable[[], float], cores: Callable[[], int], tell: Callable[[Batch], Awaitable[None]]
+        self,
+        now: Callable[[], float],
+        cores: Callable[[], int],
+        tell: Callable[[Batch], Awaitable[None]],
     ) -> None:
-        """`cores`: how many core machines there are; `tell` calls the leader, and raises SystemFailure where
-        it is not known to have heard."""
+        """`cores`: how many core machines there are; `tell` calls the leader, and raises
+        SystemFailure where it is not known to have heard."""
         self._now, self._cores, self._tell = now, cores, tell
         self._open: Batch | None = None  # not told yet
         self._told_at = float("-inf")
--- a/playhouse/understudy/repeats.py
+++ b/cairndale/control/idempotency.py
@@ -1,18 +1,19 @@
-"""Answers to calls that are not to be acted on twice: remembered for as long as a copy may arrive."""
+"""Answers to calls that are not to be acted on twice: remembered for as long as a copy may
+arrive."""
 
 from __future__ import annotations
 
-from playhouse.wings import cues_pb2 as pb
+from cairndale.rpc import protocol_pb2 as pb
 
-# A caller sends copies for 0.5 s, a peer waits 2 s for the answer to what it passes on, and bytes that nobody
-# acknowledges are given up after 1.5 s.
+# A caller sends copies for 0.5 s, a peer waits 2 s for the answer to what it passes on, and bytes
+# that nobody acknowledges are given up after 1.5 s.
 KEEP = 4.0  # s
 MOST = 4096  # answers; about 300 bytes each
 
 
 class Repeats:
-    """A copy that comes later than this, as from a peer that stood still, is taken for another call: units
-    are granted once more, to nobody. That wastes them and never exceeds a bound.
+    """A copy that comes later than this, as from a peer that stood still, is taken for another
+    call: units are granted once more, to nobody. That wastes them and never exceeds a bound.
 
     Times are seconds on the leader's clock."""
 
--- a/playhouse/understudy/duty.py
+++ b/cairndale/control/leadership.py
@@ -1,4 +1,5 @@
-"""What the leader of the duty knows and settles: servers, ingresses, units, and what is news to whom.
+"""What the leader of the duty knows and settles: servers, ingresses, units, and what is news to
+whom.
 
 A plain object without I/O; times are seconds on its process's clock.
 """
@@ -8,25 +9,27 @@
 from collections.abc import Iterable
 from typing import Any
 
-from playhouse.boxoffice.purse import FURTHER, LIFE, Purse, Whole, further, starts
-from playhouse.boxoffice.till import Till
-from playhouse.callboard.board import Board, Seen
-from playhouse.company.roll import LEASE, Roll
-from playhouse.errors import Code, SystemFailure
-from playhouse.script.state import State
-from playhouse.settings import Bounds, seconds
-from playhouse.understudy.moves import Moves
-from playhouse.understudy.repeats import Repeats
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.lists import packed
-
-SETTLE = 2.5  # beats after a start from nothing, until which servers that are not known may yet be there
+from cairndale.configuration.state import State
+from cairndale.control.evacuation_log import Moves
+from cairndale.control.idempotency import Repeats
+from cairndale.errors import Code, SystemFailure
+from cairndale.quota.budget_counter import FURTHER, LIFE, Purse, Whole, further, starts
+from cairndale.quota.quota_counter import Till
+from cairndale.registry.endpoints import Board, Seen
+from cairndale.registry.nodes import LEASE, Roll
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.compression import packed
+from cairndale.settings import Bounds, seconds
+
+# beats after a start from nothing, until which servers that are not known may yet be there
+SETTLE = 2.5
 WAIT = 1.0  # s, at the most, for which one that was dealt nothing is told to wait
 UNDER_WAY = 1.0  # s that beats usually take to get here, told together
 COUNTED = 20.0  # s that an ingress counts where shares are parted, after it was last here
 LOOK = 0.05  # s for which a look over all ingresses holds good: each costs their number
 PACKED = 0.2  # s for which lists that were packed hold good: so much longer a server counts as cold
-PACKED_EACH = 0.0007  # s, for each ingress, that those of changes do: half of what lies between two rounds
+# s, for each ingress, that those of changes do: half of what lies between two rounds
+PACKED_EACH = 0.0007
 LISTS = 64  # of them that are kept
 EXPIRE_EACH = 50e-6  # s, for each server, between looks for those that are silent
 
@@ -34,9 +37,16 @@
 def server_out(seen: Seen, now: float) -> pb.Server:
     cold = max(0, round((seen.cold_until - now) * 1000))
     return pb.Server(
-        id=seen.id, service=seen.service, addr=seen.addr, zone=seen.zone, gen=seen.gen,
-        capacity=seen.capacity, state=seen.state, cold_ms=cold, seq=seen.seq,
-    )  # fmt: skip
+        id=seen.id,
+        service=seen.service,
+        addr=seen.addr,
+        zone=seen.zone,
+        gen=seen.gen,
+        capacity=seen.capacity,
+        state=seen.state,
+        cold_ms=cold,
+        seq=seen.seq,
+    )
 
 
 def encoded(seen: Seen, now: float) -> bytes:
@@ -51,18 +61,34 @@
 
 def server_in(made: pb.Server, now: float) -> Seen:
     return Seen(
-        made.id, made.service, made.addr, made.zone, made.gen, made.capacity, made.state,
-        now + made.cold_ms / 1000, made.seq, now, made.state == "gone",
-    )  # fmt: skip
+        made.id,
+        made.service,
+        made.addr,
+        made.zone,
+        made.gen,
+        made.capacity,
+        made.state,
+        now + made.cold_ms / 1000,
+        made.seq,
+        now,
+        made.state == "gone",
+    )
 
 
 class Duty:
     def __init__(
-        self, term: int, now: float, ever: bool, board: Board, roll: Roll, edges: Iterable[str],
-        bounds: Bounds, beat: float,
-    ) -> None:  # fmt: skip
-        """`ever`: somebody may have held the duty before; `edges`: who may hold leases of theirs. `board`
-        and `roll` are as they were last heard."""
+        self,
+        term: int,
+        now: float,
+        ever: bool,
+        board: Board,
+        roll: Roll,
+        edges: Iterable[str],
+        bounds: Bounds,
+        beat: float,
+    ) -> None:
+        """`ever`: somebody may have held the duty before; `edges`: who may hold leases of theirs.
+        `board` and `roll` are as they were last heard."""
         self.term, self.began, self._beat = term, now, beat
         self.board, self.roll, self.till = board, roll, Till(now, bounds, ever)
         self.moves, self._repeats = Moves(now, bounds.ack, ever), Repeats()
@@ -70,9 +96,13 @@
         self._from_nothing, self._was_spent = not board.servers, False
         self._bounds, self.counting = bounds, not ever
         self._shared: dict[str, float] = {}  # ingresses of late, and until when they count
-        self._shared_at, self._shared_of = float("-inf"), -1  # when that was looked at, and by which roll
+        self._shared_at, self._shared_of = (
+            float("-inf"),
+            -1,
+        )  # when that was looked at, and by which roll
         self._looked_at = float("-inf")  # when it was counted who is out of touch
-        # By what those who ask have of servers and nodes: when it was packed, up to which numbers, and what.
+        # By what those who ask have of servers and nodes: when it was packed, up to which numbers,
+        # and what.
         self._lists: dict[tuple[int, int, bool], tuple[float, tuple[int, int], bytes]] = {}
         self._expired_at = float("-inf")
         self._state: State | None = None  # as it was last followed
@@ -82,8 +112,8 @@
         roll.begin(now, edges)
 
     def epoch(self, now: float) -> str:
-        """Numbers of boards and rolls mean something within one. It changes once all servers had time to say
-        that they are there: until then nobody is told that one is not."""
+        """Numbers of boards and rolls mean something within one. It changes once all servers had
+        time to say that they are there: until then nobody is told that one is not."""
         return f"{self.term}" if self.settled(now) else f"{self.term}~"
 
     def settled(self, now: float) -> bool:
@@ -112,9 +142,9 @@
         return self._count(now, anew=True) | self._expire(now)
 
     def _count(self, now: float, anew: bool = False) -> bool:
-        """Begins to count once all who may spend without it have been heard, or their leases are over: it may
-        be known then that nobody has spent anything. Where one that was heard has, it begins at once. True if
-        it begins now."""
+        """Begins to count once all who may spend without it have been heard, or their leases are
+        over: it may be known then that nobody has spent anything. Where one that was heard has, it
+        begins at once. True if it begins now."""
         if not anew and 0 <= now - self._looked_at < LOOK:
             return False
         self._looked_at = now
@@ -138,7 +168,9 @@
         return self.board.expire(now, self._beat) | self.roll.watch(now)
 
     def warmups(self, state: State) -> dict[str, float]:
-        return {b["name"]: seconds(b.get("warmup", "0s")) for b in state.content.get("backends", ())}
+        return {
+            b["name"]: seconds(b.get("warmup", "0s")) for b in state.content.get("backends", ())
+        }
 
     def shared_by(self, now: float) -> int:
         """Ingresses that static parts of a whole are counted over."""
@@ -151,7 +183,8 @@
         return max(1, len(self._shared))
 
     def units(self, now: float, call: pb.Envelope) -> pb.Envelope:
-        """The answer to a call for units of this term, the same to each copy. Raises SystemFailure."""
+        """The answer to a call for units of this term, the same to each copy. Raises
+        SystemFailure."""
         if call.term != self.term:
             raise SystemFailure(Code.STALE, f"meant for term {call.term}")
         if before := self._repeats.answer(now, call.origin, call.id):
@@ -167,16 +200,20 @@
         return answer
 
     def lease(self, now: float, lease: pb.Lease) -> float | None:
-        """What is left of a tenant's units; None: none are leased, as they are not counted yet or have no
-        bound."""
+        """What is left of a tenant's units; None: none are leased, as they are not counted yet or
+        have no bound."""
         self._count(now)
-        return self.till.lease(now, lease.tenant, lease.amount, lease.told) if self.counting else None
+        return (
+            self.till.lease(now, lease.tenant, lease.amount, lease.told) if self.counting else None
+        )
 
     def deal(self, now: float, deal: pb.Deal) -> pb.Dealt:
         wanted = {name: self._whole(name) for name in deal.whole}
         known = {name: whole for name, whole in wanted.items() if whole}
         wait = self.purse.deal(now, known) if len(known) == len(wanted) else WAIT
-        return pb.Dealt(all=not wait, life_ms=round(LIFE * 1000), wait_ms=round(min(wait, WAIT) * 1000))
+        return pb.Dealt(
+            all=not wait, life_ms=round(LIFE * 1000), wait_ms=round(min(wait, WAIT) * 1000)
+        )
 
     def _whole(self, name: str) -> Whole | None:
         kind, _, of = name.partition("/")
@@ -194,8 +231,8 @@
                 seen.seq, seen.heard_at = seq, max(seen.heard_at, now - max(0.0, age - UNDER_WAY))
 
     def asked(self, now: float, ask: pb.Ask) -> bool:
-        """True if it is news to others. Raises SystemFailure where who asks is not known, or has asked since:
-        this one was held up somewhere, and says nothing of now."""
+        """True if it is news to others. Raises SystemFailure where who asks is not known, or has
+        asked since: this one was held up somewhere, and says nothing of now."""
         if not ask.HasField("node"):
             known = self.roll.leases.get(ask.name)
             if known is None or known.node.life != ask.life or not known.node.door:
@@ -211,7 +248,9 @@
         held = self.roll.leases[ask.node.name]
         if held.idle_from == float("inf"):
             held.idle_from = now - ask.idle_ms / 1000
-            self._was_spent |= bool(ask.epoch) and ask.node.kind == "edge"  # told before, so it may spend
+            self._was_spent |= (
+                bool(ask.epoch) and ask.node.kind == "edge"
+            )  # told before, so it may spend
         held.current = ask.servers == self.board.number
         held.counting = is_of_term and ask.counting and self.counting
         news |= self._count(now, anew=first)
@@ -234,7 +273,8 @@
             if ask.gen != state.gen and ask.node.kind == "edge":  # others have the log
                 self._tell_content(cue, ask, state)
         of_term = ask.epoch in (cue.epoch, f"{self.term}~")
-        # Once all had time to say that they are there, an ingress need not be told again of those who were.
+        # Once all had time to say that they are there, an ingress need not be told again of those
+        # who were.
         cue.rest_gone = of_term and ask.epoch != cue.epoch and ask.node.kind == "edge"
         known = ask.epoch == cue.epoch or cue.rest_gone
         (cue.servers, cue.nodes), cue.lists = self._packed(
@@ -243,20 +283,24 @@
         return cue
 
     def _tell_content(self, cue: pb.Cue, ask: pb.Ask, state: State) -> None:
-        """What differs from the gen that an ingress has, where it takes that and it is known; else all."""
+        """What differs from the gen that an ingress has, where it takes that and it is known; else
+        all."""
         if ask.differences and (found := state.history.since(ask.gen)):
             cue.difference.CopyFrom(
                 pb.Difference(
-                    before=found.before, gen=found.gen, digest_before=found.digest_before,
-                    digest=found.digest, change=found.change,
+                    before=found.before,
+                    gen=found.gen,
+                    digest_before=found.digest_before,
+                    digest=found.digest,
+                    change=found.change,
                 )
-            )  # fmt: skip
+            )
         else:
             cue.has_content, cue.content = True, state.told()
 
     def renew(self, now: float, ask: pb.Ask) -> pb.Cue:
-        """What it knows stands, and its lease begins anew; news of servers, nodes and the configuration may
-        be kept for its next ask."""
+        """What it knows stands, and its lease begins anew; news of servers, nodes and the
+        configuration may be kept for its next ask."""
         cue = self._answer(now, ask, ask.epoch, ask.script, ask.gen)
         cue.servers, cue.nodes = ask.servers, ask.nodes
         return cue
@@ -266,19 +310,26 @@
         if held := self.roll.leases.get(ask.node.name):
             held.idle_until = min(held.idle_until, now)
         return pb.Cue(
-            epoch=epoch, lease_ms=round(LEASE * 1000), script=script, gen=gen,
-            share_of=self.shared_by(now), counting=self.counting,
+            epoch=epoch,
+            lease_ms=round(LEASE * 1000),
+            script=script,
+            gen=gen,
+            share_of=self.shared_by(now),
+            counting=self.counting,
             clock_ms=max(1, int((now - self.began) * 1000)),
-        )  # fmt: skip
+        )
 
     def _packed(self, now: float, servers: int, nodes: int) -> tuple[tuple[int, int], bytes]:
-        """Lists for all who have heard of servers and nodes up to these numbers (-1: of none in this term),
-        and up to which they tell. They are told for a while though there is news since: who hears them is
-        told that next, and all who are told in one round have the same numbers in the next."""
+        """Lists for all who have heard of servers and nodes up to these numbers (-1: of none in
+        this term), and up to which they tell. They are told for a while though there is news since:
+        who hears them is told that next, and all who are told in one round have the same numbers in
+        the next."""
         settled, of = self.settled(now), (self.board.number, self.roll.number)
         key = (servers, nodes, settled)
         at, upto, made = self._lists.get(key, (float("-inf"), of, b""))
-        holds = PACKED if min(servers, nodes) < 0 else min(PACKED, PACKED_EACH * self.shared_by(now))
+        holds = (
+            PACKED if min(servers, nodes) < 0 else min(PACKED, PACKED_EACH * self.shared_by(now))
+        )
         if not 0 <= now - at < (PACKED if upto == of else holds):
             part, upto = pb.Cue(servers_whole=servers < 0 and settled, nodes_whole=nodes < 0), of
             seen = self.board.since(max(0, servers)) if servers != of[0] else []
@@ -298,12 +349,16 @@
         """For operators."""
         nodes = [
             {
-                "name": n, "kind": h.node.kind, "zone": h.node.zone, "ready": h.node.ready,
-                "version": h.script, "current": h.current,
+                "name": n,
+                "kind": h.node.kind,
+                "zone": h.node.zone,
+                "ready": h.node.ready,
+                "version": h.script,
+                "current": h.current,
                 "lease_left": round(h.lease_end - now, 1),
             }
             for n, h in sorted(self.roll.leases.items())
-        ]  # fmt: skip
+        ]
         servers = [
             {
                 "id": s.id,
@@ -315,6 +370,10 @@
             for s in self.board.servers.values()
         ]
         return {
-            "term": self.term, "version": state.version, "gen": state.gen, "evacuated": state.evacuated,
-            "nodes": nodes, "servers": servers,
-        }  # fmt: skip
+            "term": self.term,
+            "version": state.version,
+            "gen": state.gen,
+            "evacuated": state.evacuated,
+            "nodes": nodes,
+            "servers": servers,
+        }
--- a/playhouse/core.py
+++ b/cairndale/control/node.py
@@ -1,5 +1,5 @@
-"""A core machine's process: its part of the promptbook, the duty while it holds it, and the calls of
-others."""
+"""A core machine's process: its part of the promptbook, the duty while it holds it, and the calls
+of others."""
 
 from __future__ import annotations
 
@@ -13,36 +13,33 @@
 from dataclasses import dataclass
 from typing import Any
 
-from playhouse.callboard.board import Board
-from playhouse.callboard.collector import Collector
-from playhouse.company.roll import Roll
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.promptbook import codec
-from playhouse.promptbook.applying import Applied, Applier, encoded
-from playhouse.promptbook.machine import Machine, founded, founder
-from playhouse.promptbook.messages import (
-    Member,
-    Step,
-)
-from playhouse.promptbook.parts import WINDOW, Kind, part
-from playhouse.promptbook.replica import Role
-from playhouse.promptbook.store import Store, StoreError
-from playhouse.promptbook.upkeep import Upkeep
-from playhouse.reception import Reception
-from playhouse.script.state import Command, State, Verb
-from playhouse.script.stored import FormatError
-from playhouse.settings import Settings, shown
-from playhouse.stagedoor.doors import Doors
-from playhouse.understudy.arrivals import hear
-from playhouse.understudy.contact import ReadIndex
-from playhouse.understudy.desk import Desk
-from playhouse.understudy.duty import Duty
-from playhouse.understudy.follower import Follower
-from playhouse.understudy.prompter import Prompter
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.links import Wings
-from playhouse.wings.reach import Reach
+from cairndale.configuration.serialization import FormatError
+from cairndale.configuration.state import Command, State, Verb
+from cairndale.control.api import Reception
+from cairndale.control.applier import Applied, Applier, encoded
+from cairndale.control.follower import Follower
+from cairndale.control.heartbeat_batch import hear
+from cairndale.control.leadership import Duty
+from cairndale.control.operations import Desk
+from cairndale.control.read_index import ReadIndex
+from cairndale.control.snapshot_worker import Upkeep
+from cairndale.control.watch_server import Prompter
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.http_api.server import Doors
+from cairndale.raft import codec
+from cairndale.raft.fragments import WINDOW, Kind, part
+from cairndale.raft.messages import Member, Step
+from cairndale.raft.node import Machine, founded, founder
+from cairndale.raft.replica import Role
+from cairndale.raft.storage import Store, StoreError
+from cairndale.registry.endpoints import Board
+from cairndale.registry.heartbeats import Collector
+from cairndale.registry.nodes import Roll
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.peer import Wings
+from cairndale.settings import Settings, shown
 
 TICK = 0.05  # s
 LEAVE = 1.0  # s for another to take over what this one holds, when it ends
@@ -92,15 +89,18 @@
         collector = Collector(settings, self.board, self.roll)
         self.follower = Follower(self, collector)
         self.reception = Reception(self, self.follower, collector)
-        self._web = [Doors(self.reception.control, self.reception.was_read), Doors(self.reception.foyer)]
+        self._web = [
+            Doors(self.reception.control, self.reception.was_read),
+            Doors(self.reception.foyer),
+        ]
         self._tasks: list[asyncio.Task[Any]] = []
         self.wings.system = self._store.system() or self.state.system
         self._named_in = 0  # the term in which this one has drawn the system's name
         self._known_members: tuple[Member, ...] = ()  # by object: roles and places are told as well
 
     def _begin(self, own: str) -> tuple[str, Any]:
-        """An empty disk is given a name. Only at the first start of all is it that of a founder: any other
-        is a new member's, whatever the disk before it knew."""
+        """An empty disk is given a name. Only at the first start of all is it that of a founder:
+        any other is a new member's, whatever the disk before it knew."""
         disk = self._store.disk()
         if disk:
             return disk, self._store.load()
@@ -174,7 +174,8 @@
             await asyncio.sleep(self.upkeep.work())
 
     def _write(self, step: Step) -> None:
-        """What is not on disk must not be said: where it cannot be put there this life ends, as by a kill."""
+        """What is not on disk must not be said: where it cannot be put there this life ends, as by
+        a kill."""
         try:
             self._store.write(step.writes)
         except StoreError as error:
@@ -201,7 +202,10 @@
             self.upkeep.install(step.received)
         if self.machine.members is not self._known_members:
             self._known_members = self.machine.members
-            voters, learners = self.machine.voters, [m.door for m in self._known_members if m.learner]
+            voters, learners = (
+                self.machine.voters,
+                [m.door for m in self._known_members if m.learner],
+            )
             note(Event.MEMBERS, "voters %s learners %s", [m.door for m in voters], learners)
         self._look_at_duty()
         self._read_index.look()
@@ -211,7 +215,8 @@
                 pending.future.set_exception(SystemFailure(Code.SILENT, "the term is over"))
 
     def _apply(self) -> None:
-        """What was delivered comes into force, in order; with the loop left to others now and then."""
+        """What was delivered comes into force, in order; with the loop left to others now and
+        then."""
         if self._applies or not self._applier.is_behind:
             return
         self._applies, until = True, time.perf_counter() + APPLY
@@ -238,7 +243,9 @@
 
     def _in_force(self, applied: Applied) -> None:
         entry = applied.entry
-        self._snapshot_due |= entry.index % ENTRIES == 0  # alike at all members: who leads next has the same
+        self._snapshot_due |= (
+            entry.index % ENTRIES == 0
+        )  # alike at all members: who leads next has the same
         if self._snapshot_due and self._applier.is_whole:
             self._snapshot_due = False
             self.upkeep.make(self.state.raw(), entry.index)
@@ -247,7 +254,9 @@
             if pending.term == entry.term:
                 pending.future.set_result(applied.changed)
             else:  # another's stands in its place; the same call may have come there by another way
-                pending.future.set_exception(SystemFailure(Code.SILENT, "another leader came first"))
+                pending.future.set_exception(
+                    SystemFailure(Code.SILENT, "another leader came first")
+                )
         if applied.changed:
             if self.duty:
                 self.duty.follow(self.state)
@@ -256,7 +265,9 @@
     def _look_at_name(self) -> None:
         """What the log says is the system's name, from the first entry on that says one."""
         if (name := self.state.system) and name != self.wings.system:
-            with contextlib.suppress(StoreError):  # a later life learns it from whom it dials, and the log
+            with contextlib.suppress(
+                StoreError
+            ):  # a later life learns it from whom it dials, and the log
                 self._store.name_system(name)
             self.wings.name_system(name)
 
@@ -292,9 +303,15 @@
                 e.opens and e.term < self.machine.term for e in self.machine.log
             )
             self.duty = Duty(
-                self.machine.term, now, ever, self.board, self.roll, self.state.edges, self.settings.bounds,
+                self.machine.term,
+                now,
+                ever,
+                self.board,
+                self.roll,
+                self.state.edges,
+                self.settings.bounds,
                 self.settings.heartbeat,
-            )  # fmt: skip
+            )
             self.duty.follow(self.state)
             note(Event.DUTY_BEGINS, "term %d", self.machine.term)
             self.publish()
@@ -316,12 +333,14 @@
                 await news.wait()
 
     def core_shown(self) -> dict[str, Any]:
-        members = [[m.door, m.disk, "learner" if m.learner else "voter"] for m in self.machine.members]
+        members = [
+            [m.door, m.disk, "learner" if m.learner else "voter"] for m in self.machine.members
+        ]
         return {"leader": self.me.door, "members": members}
 
     def held(self, term: int = 0) -> Duty:
-        """The duty, if it is held now, whatever was held when this call began, and if nobody has heard of a
-        later term."""
+        """The duty, if it is held now, whatever was held when this call began, and if nobody has
+        heard of a later term."""
         if self.duty is None or not self.leads() or self.duty.term < term:
             raise SystemFailure(Code.NOT_LEADER)
         return self.duty
@@ -357,7 +376,9 @@
                     return pb.Envelope(term=await self.hear(envelope.arrivals, envelope.term))
                 case "order":
                     term, order = self.held(envelope.term).term, envelope.order
-                    status, body = await self.desk.settle(order.method, order.path, order.body, order.id)
+                    status, body = await self.desk.settle(
+                        order.method, order.path, order.body, order.id
+                    )
                     return pb.Envelope(outcome=pb.Outcome(status=status, body=body), term=term)
         except SystemFailure as failure:
             if failure.code is not Code.NOT_LEADER:
@@ -368,8 +389,8 @@
         raise SystemFailure(Code.REFUSED, "not known here")
 
     async def hear(self, arrivals: pb.Arrivals, term: int = 0) -> int:
-        """Beats that say something new; the term in which they were heard, with a majority behind it. Raises
-        SystemFailure."""
+        """Beats that say something new; the term in which they were heard, with a majority behind
+        it. Raises SystemFailure."""
         duty, now = self.held(term), self.now()
         if hear(duty.board, arrivals, now):
             self.publish()
@@ -377,12 +398,14 @@
         return duty.term
 
     async def decide(self, command: Command) -> bool:
-        """True once a majority has it on disk and it is in force; False if it is void. Raises SystemFailure
-        where that is not known."""
+        """True once a majority has it on disk and it is in force; False if it is void. Raises
+        SystemFailure where that is not known."""
         made = encoded(command)
         if isinstance(made, bytes):
             return await self._outcome(self._propose(made, self.machine.term))
-        task = self._loop.create_task(self._decide_in_parts(made))  # goes on though nobody waits any longer
+        task = self._loop.create_task(
+            self._decide_in_parts(made)
+        )  # goes on though nobody waits any longer
         self._tasks.append(task)
         task.add_done_callback(self._tasks.remove)
         try:
@@ -408,7 +431,9 @@
                 for pending in ahead:
                     self._pending.pop(pending.index, None)
                     pending.future.cancel()
-                if self.machine.term == term:  # else there is a new one's first entry, which says the same
+                if (
+                    self.machine.term == term
+                ):  # else there is a new one's first entry, which says the same
                     self._do(self.machine.propose(self.now(), part(Kind.VOID, 0, b""))[1])
                 raise
             return applied
@@ -434,9 +459,11 @@
             if self._pending.get(pending.index) is pending:
                 del self._pending[pending.index]
 
-    async def confirm(self, called: float, term: int, decided: bool = False, at_once: bool = True) -> None:
-        """Until a majority has answered what was sent after `called`, in the term in which the state was
-        looked at, and what was decided by then is in force here; `decided`: and all that the log holds now
-        is. Raises SystemFailure."""
+    async def confirm(
+        self, called: float, term: int, decided: bool = False, at_once: bool = True
+    ) -> None:
+        """Until a majority has answered what was sent after `called`, in the term in which the
+        state was looked at, and what was decided by then is in force here; `decided`: and all that
+        the log holds now is. Raises SystemFailure."""
         index = self.machine.last if decided else self.machine.commit_index
         await self._read_index.confirm(called, term, index, at_once)
--- a/playhouse/understudy/desk.py
+++ b/cairndale/control/operations.py
@@ -1,9 +1,9 @@
 """What calls of servers and operators come to at the leader.
 
-One change is decided after the other; then all wait together until it is everywhere. Whatever is answered
-rests on contact with a majority after the call came (`understudy/contact.py`). A refusal is final: it is
-given only once all that this leader's log held is decided, for a reason that no later state takes back.
-"""
+One change is decided after the other; then all wait together until it is everywhere. Whatever is
+answered rests on contact with a majority after the call came (`understudy/contact.py`). A refusal
+is final: it is given only once all that this leader's log held is decided, for a reason that no
+later state takes back."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from hashlib import blake2b
 from typing import Any, Protocol, TypeVar
 
-from playhouse.callboard.board import BeatError, read_beat
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.promptbook.upkeep import uncollected
-from playhouse.script.body import LARGE, loads
-from playhouse.script.check import content_looks, order_errors
-from playhouse.script.state import REFUSED, Command, State, Verb
-from playhouse.settings import Settings
-from playhouse.stagedoor.doors import Answer, told, wrong
-from playhouse.stagedoor.tree import CONTROL, Wrong, match
-from playhouse.understudy.duty import Duty
+from cairndale.configuration.json_stream import LARGE, loads
+from cairndale.configuration.state import REFUSED, Command, State, Verb
+from cairndale.configuration.validation import content_looks, order_errors
+from cairndale.control.leadership import Duty
+from cairndale.control.snapshot_worker import uncollected
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.http_api.router import CONTROL, Wrong, match
+from cairndale.http_api.server import Answer, told, wrong
+from cairndale.registry.endpoints import BeatError, read_beat
+from cairndale.settings import Settings
 
 TURNS = 64  # changes that wait for the one before
 PARENT = 0.2  # s for which an order waits for the version that it builds on: that may be under way
@@ -32,11 +32,14 @@
 UNREAD = object()
 T = TypeVar("T")
 
-Change = Callable[[], Awaitable[tuple[Answer, int]]]  # the answer, and the version that is to be everywhere
+Change = Callable[
+    [], Awaitable[tuple[Answer, int]]
+]  # the answer, and the version that is to be everywhere
 
 
 async def in_turns(work: Generator[None, None, T], large: bool = False) -> T:
-    """What work in steps comes to; others get their turn after each. `large`: it makes many objects."""
+    """What work in steps comes to; others get their turn after each. `large`: it makes many
+    objects."""
     with uncollected() if large else contextlib.nullcontext():
         while True:
             try:
@@ -58,12 +61,14 @@
         """Raises SystemFailure where the duty is not held, or no longer."""
 
     async def decide(self, command: Command) -> bool:
-        """True once a majority has it on disk and it is in force; False if it is void. Raises SystemFailure
-        where that is not known."""
+        """True once a majority has it on disk and it is in force; False if it is void. Raises
+        SystemFailure where that is not known."""
 
-    async def confirm(self, called: float, term: int, decided: bool = False, at_once: bool = True) -> None:
-        """Until a majority has answered what was sent after `called`, in the term in which the state was
-        looked at; `decided`: and all that the log holds now is. Raises SystemFailure."""
+    async def confirm(
+        self, called: float, term: int, decided: bool = False, at_once: bool = True
+    ) -> None:
+        """Until a majority has answered what was sent after `called`, in the term in which the
+        state was looked at; `decided`: and all that the log holds now is. Raises SystemFailure."""
 
     async def news(self, within: float) -> None:
         """Until something has changed, or so many seconds."""
@@ -79,8 +84,8 @@
         self._turns = 0
 
     async def settle(self, method: str, target: str, body: bytes, id: str = "") -> Answer:
-        """`id`: of the call, from where it came in. Raises SystemFailure where the duty is not held, or no
-        longer."""
+        """`id`: of the call, from where it came in. Raises SystemFailure where the duty is not
+        held, or no longer."""
         found = match(CONTROL, method, target)
         if isinstance(found, Wrong):
             return wrong(found.status, found.why)
@@ -161,11 +166,20 @@
         return answer
 
     async def _parent_comes(self, order: Any) -> None:
-        parent, until = order.get("parent") if isinstance(order, dict) else None, self._leader.now() + PARENT
-        while isinstance(parent, int) and self._leader.state.gen < parent and self._leader.now() < until:
+        parent, until = (
+            order.get("parent") if isinstance(order, dict) else None,
+            self._leader.now() + PARENT,
+        )
+        while (
+            isinstance(parent, int)
+            and self._leader.state.gen < parent
+            and self._leader.now() < until
+        ):
             await self._leader.news(until - self._leader.now())
 
-    async def _configure(self, verb: Verb, digest: str, order: Any, called: float) -> tuple[Answer, int]:
+    async def _configure(
+        self, verb: Verb, digest: str, order: Any, called: float
+    ) -> tuple[Answer, int]:
         """Decides it, or finds out what became of it."""
         while True:
             term, state = self._leader.held().term, self._leader.state
@@ -186,11 +200,18 @@
                 note(Event.CONFIG_REFUSED, "%s", refusal[1].decode()[:300])
                 return refusal, 0
         if not await self._leader.decide(Command(verb, digest, order)):
-            known = self._leader.state.known.get(digest, REFUSED)  # it may have stood in the log before
+            known = self._leader.state.known.get(
+                digest, REFUSED
+            )  # it may have stood in the log before
             if known == REFUSED:
                 return wrong(412, "another change came first"), 0
             return told(200, {"gen": known}), self._leader.state.version
-        note(Event.CONFIG_TAKEN, "gen %d, version %d", self._leader.state.gen, self._leader.state.version)
+        note(
+            Event.CONFIG_TAKEN,
+            "gen %d, version %d",
+            self._leader.state.gen,
+            self._leader.state.version,
+        )
         return told(200, {"gen": order["gen"]}), self._leader.state.version
 
     async def _judge(self, verb: Verb, digest: str, order: Any, state: State) -> Answer | None:
@@ -224,9 +245,12 @@
         self._leader.held()
         return errors
 
-    # What was decided for a call needs no further contact: a majority took it in, in this term, since.
+    # What was decided for a call needs no further contact: a majority took it in, in this term,
+    # since.
 
-    async def _move(self, verb: Verb, zone: str, order: str, call: str, called: float) -> tuple[Answer, int]:
+    async def _move(
+        self, verb: Verb, zone: str, order: str, call: str, called: float
+    ) -> tuple[Answer, int]:
         duty, state = self._leader.held(), self._leader.state
         orders, begins = state.evacuated.get(zone, 0), verb is Verb.EVACUATE
         is_new = bool(order) and state.moves.get(zone) != order
@@ -238,7 +262,12 @@
         await self._leader.decide(Command(verb, order, zone=zone, call=call))
         if is_new:
             orders = self._leader.state.evacuated.get(zone, 0)
-            note(Event.ZONE_EVACUATED if begins else Event.ZONE_TAKEN_BACK, "%s, orders: %d", zone, orders)
+            note(
+                Event.ZONE_EVACUATED if begins else Event.ZONE_TAKEN_BACK,
+                "%s, orders: %d",
+                zone,
+                orders,
+            )
         return self._moved(zone, order), self._leader.state.version
 
     def _moved(self, zone: str, order: str) -> Answer:
@@ -261,7 +290,8 @@
             duty.moves.over(zone, order)
 
     async def _everywhere(self, version: int) -> None:
-        """Until every ingress serves by it, or has stopped as its lease is over. Raises SystemFailure."""
+        """Until every ingress serves by it, or has stopped as its lease is over. Raises
+        SystemFailure."""
         until = self._leader.now() + self._leader.settings.bounds.ack
         while not self._leader.held().roll.all_at(self._leader.now(), version):
             if self._leader.now() > until:
--- a/playhouse/understudy/contact.py
+++ b/cairndale/control/read_index.py
@@ -1,15 +1,16 @@
-"""The read index: an answer waits until a majority is known to have followed this leader after the call came.
+"""The read index: an answer waits until a majority is known to have followed this leader after the
+call came.
 
-Why that is enough. A majority answered, in this term, what was sent after the call had come. Whoever holds a
-later term needs the vote of one of them, which was given after its answer, so after the call: when the call
-came, nobody held a later term, and all that had been decided by then was decided by this leader or before its
-first entry. Its state holds all of that once it is applied as far as was decided when the call came. Nothing
-is asked of clocks but that this process's own does not go back, and a freeze at any line only makes the call
-longer.
+Why that is enough. A majority answered, in this term, what was sent after the call had come.
+Whoever holds a later term needs the vote of one of them, which was given after its answer, so after
+the call: when the call came, nobody held a later term, and all that had been decided by then was
+decided by this leader or before its first entry. Its state holds all of that once it is applied as
+far as was decided when the call came. Nothing is asked of clocks but that this process's own does
+not go back, and a freeze at any line only makes the call longer.
 
-A loop looks at its clock once a round. What was sent in the round of a call bears the call's time, and may
-have been sent before it, with a freeze between the two: so only what bears a later time counts.
-"""
+A loop looks at its clock once a round. What was sent in the round of a call bears the call's time,
+and may have been sent before it, with a freeze between the two: so only what bears a later time
+counts."""
 
 from __future__ import annotations
 
@@ -17,11 +18,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from playhouse.errors import Code, SystemFailure
-from playhouse.promptbook.messages import Step
+from cairndale.errors import Code, SystemFailure
+from cairndale.raft.messages import Step
 
 PATIENCE = 0.6  # s for a majority to answer: a leader without one has time left to pass a call on
-SOON = 0.002  # s after which a beat is sent for those who wait: it is to bear a later time than the call ...
+# s after which a beat is sent for those who wait: it is to bear a later time than the call ...
+SOON = 0.002
 APART = 0.01  # ... and so many at least after the last one
 
 
@@ -81,9 +83,10 @@
         return stand.leads and stand.contact > waiting.called and stand.applied >= waiting.index
 
     async def confirm(self, called: float, term: int, index: int = 0, at_once: bool = True) -> None:
-        """Until a majority has answered what was sent later than `called`, in the term in which the state was
-        looked at, and the log is in force up to `index`. `at_once`: a beat is sent for it, else the next one
-        is waited for. Raises SystemFailure: this one may hold the duty no longer."""
+        """Until a majority has answered what was sent later than `called`, in the term in which the
+        state was looked at, and the log is in force up to `index`. `at_once`: a beat is sent for
+        it, else the next one is waited for. Raises SystemFailure: this one may hold the duty no
+        longer."""
         waiting = _Waiting(called, term, index, asyncio.get_running_loop().create_future())
         if self._is_met(waiting, self._stand()):
             return
--- a/playhouse/promptbook/upkeep.py
+++ b/cairndale/control/snapshot_worker.py
@@ -1,8 +1,8 @@
-"""What would hold the loop if done at once, in steps: snapshots made, put on disk, read and installed.
+"""What would hold the loop if done at once, in steps: snapshots made, put on disk, read and
+installed.
 
-A job is a generator that pauses after each step. `step` takes the oldest job on; who runs it leaves the loop
-free in between (`pause`). Small states are done within the call that brings them.
-"""
+A job is a generator that pauses after each step. `step` takes the oldest job on; who runs it leaves
+the loop free in between (`pause`). Small states are done within the call that brings them."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from contextlib import contextmanager
 from typing import Any
 
-from playhouse.events import Event, note
-from playhouse.promptbook.machine import Machine
-from playhouse.promptbook.messages import KeepPart, Snapshot, Step, state_digest
-from playhouse.promptbook.store import Store, StoreError
-from playhouse.script import stored
-from playhouse.script.state import State
+from cairndale.configuration import serialization
+from cairndale.configuration.state import State
+from cairndale.events import Event, note
+from cairndale.raft.messages import KeepPart, Snapshot, Step, state_digest
+from cairndale.raft.node import Machine
+from cairndale.raft.storage import Store, StoreError
 
 AT_ONCE = 2  # steps that a small state takes
 STAGED = 64 * 1024  # bytes of a snapshot put on disk in one step
@@ -31,9 +31,9 @@
 
 @contextmanager
 def uncollected(stay: bool = True) -> Iterator[None]:
-    """For what makes many objects: the collector would look at all of them again and again, for 0.2 s each
-    time with 160,000 tenants. They have no cycles and are freed when their last holder goes; `stay`: they are
-    never looked at."""
+    """For what makes many objects: the collector would look at all of them again and again, for 0.2
+    s each time with 160,000 tenants. They have no cycles and are freed when their last holder goes;
+    `stay`: they are never looked at."""
     was = gc.isenabled()
     gc.disable()
     try:
@@ -47,7 +47,11 @@
 
 class Upkeep:
     def __init__(
-        self, store: Store, machine: Machine, carry: Callable[[Step], None], now: Callable[[], float]
+        self,
+        store: Store,
+        machine: Machine,
+        carry: Callable[[Step], None],
+        now: Callable[[], float],
     ) -> None:
         """`carry` carries out a step of the machine."""
         self._store, self._machine, self._carry, self._now = store, machine, carry, now
@@ -101,7 +105,7 @@
     def _making(self, raw: dict[str, Any], index: int) -> Job:
         try:
             made, digest = [], state_digest()
-            for part in stored.parts(raw):
+            for part in serialization.parts(raw):
                 made.append(part)
                 digest.update(part)
                 if len(made) > AT_ONCE:
@@ -124,16 +128,18 @@
         try:
             raw: dict[str, Any] = {}
             with uncollected():
-                for _ in stored.read_parts(snapshot.state, raw):
+                for _ in serialization.read_parts(snapshot.state, raw):
                     yield
             self.read = State.of(raw)
-        except stored.FormatError as error:
+        except serialization.FormatError as error:
             note(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
             return
         step = self._machine.install(self._now(), snapshot)
         self._carry(step)
         if step.restored:
-            note(Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state))
+            note(
+                Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state)
+            )
         yield from self._sweeping()
 
     def _sweeping(self, failed: bool = False) -> Job:
--- a/playhouse/understudy/prompter.py
+++ b/cairndale/control/watch_server.py
@@ -1,10 +1,10 @@
 """The leader's answers to asks: who is told what is new, when, and in which order.
 
-An ask is kept until there is news for it or its hold is over. Changes that come close together are told
-together, as each wakes all asks; what is told in a second is bounded, so that it neither fills the leader's
-link, behind which the log's beats would wait, nor its processor; those who have nothing come first. Whoever
-is not reached in time has its lease renewed and asks again: nothing that was made for it is thrown away.
-"""
+An ask is kept until there is news for it or its hold is over. Changes that come close together are
+told together, as each wakes all asks; what is told in a second is bounded, so that it neither fills
+the leader's link, behind which the log's beats would wait, nor its processor; those who have
+nothing come first. Whoever is not reached in time has its lease renewed and asks again: nothing
+that was made for it is thrown away."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from playhouse.errors import Code, SystemFailure
-from playhouse.script.state import Command, State, Verb
-from playhouse.understudy.duty import Duty
-from playhouse.wings import cues_pb2 as pb
+from cairndale.configuration.state import Command, State, Verb
+from cairndale.control.leadership import Duty
+from cairndale.errors import Code, SystemFailure
+from cairndale.rpc import protocol_pb2 as pb
 
 LONGEST = 5.0  # s, at the most, that an ask is kept
 LATE = 1.0  # s beyond its hold after which an ask is given up
-GATHER_EACH = 0.0015  # s, for each ingress, between two rounds in which all are told of servers and nodes ...
+# s, for each ingress, between two rounds in which all are told of servers and nodes ...
+GATHER_EACH = 0.0015
 GATHER_MOST = 0.5  # ... and no more than so many
 BYTES_PER_S = 7_500_000  # told in a second, over a while; half of a link of 120 Mbit/s ...
 BYTES = 400_000  # ... and at once
@@ -65,11 +66,15 @@
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
         self._kept: dict[_Kept, None] = {}  # in the order in which they came
-        self._newest: dict[str, _Kept] = {}  # by name: no other ask of the same one is waited for any longer
+        self._newest: dict[
+            str, _Kept
+        ] = {}  # by name: no other ask of the same one is waited for any longer
         self._ends: list[tuple[float, int, _Kept]] = []  # a heap
         self._ready: list[_Kept] = []  # there is news for these
         self._in_order = True  # they are
-        self._since: dict[str, float] = {}  # by name: when it first asked for what it has not been told yet
+        self._since: dict[
+            str, float
+        ] = {}  # by name: when it first asked for what it has not been told yet
         self._count = 0
         self._woken = asyncio.Event()
         self._changed = False  # since the last round
@@ -79,7 +84,9 @@
         self._joining: set[str] = set()
         self._enrolling = False
         self._enrolled = asyncio.Event()  # set when a round of enrolment is over
-        self._striking: set[str] = set()  # no lease is granted to these until it is known what became of that
+        self._striking: set[str] = (
+            set()
+        )  # no lease is granted to these until it is known what became of that
         self._edges: tuple[list[str], frozenset[str]] = ([], frozenset())
 
     def wake(self) -> None:
@@ -212,7 +219,8 @@
         return name in self._edges[1] and name not in self._striking
 
     async def _enrol(self, name: str) -> None:
-        """Who is to hold a lease is known to whoever may have the duty next. Raises SystemFailure."""
+        """Who is to hold a lease is known to whoever may have the duty next. Raises
+        SystemFailure."""
         while not self._is_enrolled(name):
             if name not in self._striking:
                 self._joining.add(name)
--- a/playhouse/stage/news.py
+++ b/cairndale/dataplane/config_client.py
@@ -1,8 +1,7 @@
 """What an ingress was told by the core's leader, and the lease by which it may serve by it.
 
-A plain object without I/O; times are seconds on the ingress's steady clock, but for `cold_until` (us, the
-engine's).
-"""
+A plain object without I/O; times are seconds on the ingress's steady clock, but for `cold_until`
+(us, the engine's)."""
 
 from __future__ import annotations
 
@@ -11,12 +10,12 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from playhouse.company.roll import LOST, PROMPT, hold
-from playhouse.script.differences import Difference, DifferenceError
-from playhouse.script.playbill import Changed as Items
-from playhouse.script.playbill import Playbill
-from playhouse.settings import DRIFT
-from playhouse.wings import cues_pb2 as pb
+from cairndale.configuration.delta import Difference, DifferenceError
+from cairndale.configuration.route_table import Changed as Items
+from cairndale.configuration.route_table import Playbill
+from cairndale.registry.nodes import LOST, PROMPT, hold
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.settings import DRIFT
 
 
 @dataclass(slots=True)
@@ -47,11 +46,18 @@
         self.lease_end = self.heard_at = float("-inf")
         self.settled = False  # in this life it has been told of all servers that there were
         self.edges = 0  # ingresses that shares are parted over; 0: never told, so none may be spent
-        self.seen: tuple[str, int, int, int, int] = ("", 0, 0, 0, 0)  # epoch, script, servers, nodes, gen
+        self.seen: tuple[str, int, int, int, int] = (
+            "",
+            0,
+            0,
+            0,
+            0,
+        )  # epoch, script, servers, nodes, gen
         self._counting, self._began = False, now
         self._alone_at = now  # when it last lost touch otherwise than by hearing nothing
         self._told_of: set[str] = set()  # servers, in the term of the newest cue
-        self._told: tuple[str, pb.Node] | None = None  # what the leader knows of it, and in which epoch
+        # what the leader knows of it, and in which epoch
+        self._told: tuple[str, pb.Node] | None = None
         self._wants_whole = False  # a difference did not fit
         self._clock = (0, 0.0)  # what the newest cue said of the leader's, in ms, and when it came
 
@@ -61,8 +67,8 @@
         return now < self.lease_end
 
     def in_touch(self, now: float) -> bool:
-        """The counter counts, and heard of this ingress so lately that it knows it does not spend by
-        itself."""
+        """The counter counts, and heard of this ingress so lately that it knows it does not spend
+        by itself."""
         return self._counting and now < self.heard_at + hold(self.edges) + LOST
 
     def lose_touch(self, now: float) -> None:
@@ -99,11 +105,17 @@
         """For what is news, which the leader may keep for `wait` s while there is none."""
         epoch, script, servers, nodes, gen = self.seen
         ask = pb.Ask(
-            epoch=epoch, script=script, gen=gen, servers=servers, nodes=nodes, wait_ms=round(wait * 1000),
-            counting=self._counting and now - self.heard_at <= PROMPT, clock_ms=self._clock_ms(now),
+            epoch=epoch,
+            script=script,
+            gen=gen,
+            servers=servers,
+            nodes=nodes,
+            wait_ms=round(wait * 1000),
+            counting=self._counting and now - self.heard_at <= PROMPT,
+            clock_ms=self._clock_ms(now),
             idle_ms=0 if self.edges else round((now - self._began) * 1000),
             differences=not self._wants_whole,
-        )  # fmt: skip
+        )
         if (epoch, node) == self._told:
             ask.name, ask.life = node.name, node.life
         else:
@@ -119,9 +131,9 @@
         return int(said + (now - came) * 1000 * (1 - DRIFT)) if said else 0
 
     def take(self, cue: pb.Cue, node: pb.Node, asked: float, now: float, us: int) -> Changed | None:
-        """`asked`: when, and by which `node`; `us`: the engine's clock now. None: it says nothing new enough,
-        as nothing goes back within a life. A difference that does not fit is dropped with all that came with
-        it, and the whole content is asked for next."""
+        """`asked`: when, and by which `node`; `us`: the engine's clock now. None: it says nothing
+        new enough, as nothing goes back within a life. A difference that does not fit is dropped
+        with all that came with it, and the whole content is asked for next."""
         if cue.script < self.seen[1]:
             return None
         items = None
@@ -161,18 +173,28 @@
             self._alone_at = now
         self._counting, self.settled = cue.counting, self.settled or cue.settled
         self.edges = cue.share_of if cue.counting else max(self.edges, cue.share_of)
-        self.seen, self._told = (cue.epoch, cue.script, cue.servers, cue.nodes, cue.gen), (cue.epoch, node)
+        self.seen, self._told = (
+            (cue.epoch, cue.script, cue.servers, cue.nodes, cue.gen),
+            (cue.epoch, node),
+        )
         self.heard_at, self._clock = now, (cue.clock_ms, now)
         self.lease_end = asked + cue.lease_ms / 1000 * (1 - DRIFT)
-        anew, bill = cue.servers_whole or cue.rest_gone or moved, cue.has_content or items is not None
+        anew, bill = (
+            cue.servers_whole or cue.rest_gone or moved,
+            cue.has_content or items is not None,
+        )
         return Changed(
-            bill, items,
-            bool(cue.server) or anew, None if anew else frozenset(server.id for server in cue.server),
+            bill,
+            items,
+            bool(cue.server) or anew,
+            None if anew else frozenset(server.id for server in cue.server),
             bool(cue.node) or bool(cue.node_gone) or cue.nodes_whole or bill,
-        )  # fmt: skip
+        )
 
     def _know_server(self, server: pb.Server, us: int) -> None:
         if server.state == "gone":
             self.servers.pop(server.id, None)
         else:
-            self.servers[server.id] = Known(server, us + server.cold_ms * 1000 if server.cold_ms else 0)
+            self.servers[server.id] = Known(
+                server, us + server.cold_ms * 1000 if server.cold_ms else 0
+            )
--- a/playhouse/stage/choice.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -1,8 +1,7 @@
 """Which server takes a request: near ones first, as far as their slots reach, then a stated spill.
 
-The module's fleet (`ironledge/choice.py`) with other rules, for what is known here: services, zones, slots.
-Costs are in usual answers' times. Times are microseconds.
-"""
+The endpoint pool of `cairndale.ingress.policy.endpoint_pool` with other rules, for what is known
+here: services, zones, slots. Costs are in usual answers' times. Times are microseconds."""
 
 from __future__ import annotations
 
@@ -10,21 +9,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from ironledge import interface as it
-from ironledge.choice import Backend, Fleet
-from ironledge.interface import Outcome
-from playhouse.boxoffice.purse import EVEN, FURTHER, STARTS
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
+from cairndale.ingress.policy.interface import Outcome
+from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
 
-ZONE, REGION = 0.5, 2.0  # what another zone and another region cost: the way there and the price of bytes
+ZONE, REGION = (
+    0.5,
+    2.0,
+)  # what another zone and another region cost: the way there and the price of bytes
 CROWD = 1.5  # of each request beyond this ingress's part of a server's slots, as parts of them
 NOISE = 0.15
-KEPT = 0.9  # of what further tries a service may get that are used: requests are counted where they were sent
+# of what further tries a service may get that are used: requests are counted where they were sent
+KEPT = 0.9
 
 
 @dataclass(slots=True)
 class Budget:
-    """Further tries at one service: earned by requests, up to this ingress's part of the slack; beyond these
-    each is dealt by the leader."""
+    """Further tries at one service: earned by requests, up to this ingress's part of the slack;
+    beyond these each is dealt by the leader."""
 
     tokens: float = 0.0
 
@@ -77,8 +80,8 @@
         self._denied.update(dict.fromkeys(units, until))
 
     def part(self, backend: Backend) -> float:
-        """This ingress's part of a server's slots: shared with those of its zone, or of all if there are
-        none."""
+        """This ingress's part of a server's slots: shared with those of its zone, or of all if
+        there are none."""
         there = self.place.edges_in.get(backend.info.zone, 0)
         near = there if backend.info.zone == self.place.zone else self.place.edges
         return max(1.0, backend.info.slots / max(1, near))
@@ -98,9 +101,13 @@
         return self._denied.get(unit, 0) > now
 
     def pick(
-        self, now: int, cls: int, allowed: Callable[[Backend], bool],
-        asked: it.RequestArrived | None = None, again: bool = False,
-    ) -> Backend | None:  # fmt: skip
+        self,
+        now: int,
+        cls: int,
+        allowed: Callable[[Backend], bool],
+        asked: it.RequestArrived | None = None,
+        again: bool = False,
+    ) -> Backend | None:
         if asked is None:
             return None
         budget = self.budgets.setdefault(asked.service, Budget())
--- a/playhouse/stage/tuning.py
+++ b/cairndale/dataplane/engine.py
@@ -1,5 +1,5 @@
-"""The engine and the module of `ironledge`, retuned by what changed alone: there are as many plans as
-tenants."""
+"""The engine and the module of `ironledge`, retuned by what changed alone: there are as many plans
+as tenants."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from dataclasses import replace
 from typing import Protocol, TypeVar
 
-from ironledge import interface as it
-from ironledge.brain import Gateway
-from ironledge.net.engine import Engine
+from cairndale.ingress.net.engine import Engine
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.engine import Gateway
 
 
 class Named(Protocol):
@@ -24,7 +24,8 @@
     numbers: Callable[[str], int]  # of plans, by name: for good
 
     def follow(self, settings: it.Settings) -> None:
-        """Accounts find their plans by number: a search for each would take the square of the tenants."""
+        """Accounts find their plans by number: a search for each would take the square of the
+        tenants."""
         accounts, self.accounts = self.accounts, {}
         super().follow(settings)
         self.accounts = accounts
@@ -33,18 +34,26 @@
 
 
 class TunedEngine(Engine):
-    """A name of a class or plan keeps its number for good, also while the configuration has it no longer: who
-    may be named at all is that one's affair."""
-
-    def adjust(self, fleet_size: int, classes: Iterable[it.RequestClass], plans: Iterable[it.Plan]) -> None:
-        """These in the place of those of the same names, or behind all; whatever else there is stands."""
+    """A name of a class or plan keeps its number for good, also while the configuration has it no
+    longer: who may be named at all is that one's affair."""
+
+    def adjust(
+        self, fleet_size: int, classes: Iterable[it.RequestClass], plans: Iterable[it.Plan]
+    ) -> None:
+        """These in the place of those of the same names, or behind all; whatever else there is
+        stands."""
         before = self.settings
         made = replace(
-            before, fleet_size=fleet_size,
+            before,
+            fleet_size=fleet_size,
             classes=_put(self.names.classes, before.classes, classes),
             plans=_put(self.names.plans, before.plans, plans),
-        )  # fmt: skip
-        if made.classes is before.classes and made.plans is before.plans and fleet_size == before.fleet_size:
+        )
+        if (
+            made.classes is before.classes
+            and made.plans is before.plans
+            and fleet_size == before.fleet_size
+        ):
             return
         self.settings, self.names.gateways = made, fleet_size
         self._post(it.SettingsChanged(made))
@@ -53,7 +62,9 @@
         return self.names.plans[name.encode()]
 
 
-def _put(numbers: dict[bytes, int], before: tuple[Kind, ...], items: Iterable[Kind]) -> tuple[Kind, ...]:
+def _put(
+    numbers: dict[bytes, int], before: tuple[Kind, ...], items: Iterable[Kind]
+) -> tuple[Kind, ...]:
     """The same object where nothing differs."""
     made: list[Kind] | None = None
     for item in items:
--- a/playhouse/stage/house.py
+++ b/cairndale/dataplane/node.py
@@ -6,44 +6,45 @@
 import random
 from typing import Any
 
-from ironledge import interface as it
-from ironledge.net.backends import Backends
-from ironledge.net.bodies import Memory
-from ironledge.net.clients import Listener
-from ironledge.net.discovery import Entry, Listing
-from ironledge.net.engine import Clock, Names
-from ironledge.net.http import MAX_BODY, MAX_HEAD
-from ironledge.net.sockets import Sockets
-from playhouse.boxoffice.purse import FURTHER
-from playhouse.boxoffice.till import EXPIRY, saved_most
-from playhouse.company.roll import HOLD_MOST, hold, patience
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.foyer.lookup import Lookups
-from playhouse.script.playbill import Changed, Playbill, Tenant
-from playhouse.settings import Settings, seconds, shown
-from playhouse.stage.choice import Rows
-from playhouse.stage.dialect import judge
-from playhouse.stage.news import Known, News
-from playhouse.stage.reading import Reading
-from playhouse.stage.tuning import TunedEngine, TunedGateway
-from playhouse.stage.units import LEASE_PATIENCE, Units
-from playhouse.stagedoor.doors import Answer, Doors, told, wrong
-from playhouse.stagedoor.tree import FOYER, READY, Wrong, match
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.links import Wings
-from playhouse.wings.reach import Reach
+from cairndale.configuration.route_table import Changed, Playbill, Tenant
+from cairndale.dataplane.config_client import Known, News
+from cairndale.dataplane.endpoint_selection import Rows
+from cairndale.dataplane.engine import TunedEngine, TunedGateway
+from cairndale.dataplane.quota_client import LEASE_PATIENCE, Units
+from cairndale.dataplane.request_router import Reading
+from cairndale.dataplane.upstream_protocol import judge
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.http_api.router import FOYER, READY, Wrong, match
+from cairndale.http_api.server import Answer, Doors, told, wrong
+from cairndale.ingress.net.backends import Backends
+from cairndale.ingress.net.bodies import Memory
+from cairndale.ingress.net.clients import Listener
+from cairndale.ingress.net.discovery import Entry, Listing
+from cairndale.ingress.net.engine import Clock, Names
+from cairndale.ingress.net.http import MAX_BODY, MAX_HEAD
+from cairndale.ingress.net.sockets import Sockets
+from cairndale.ingress.policy import interface as it
+from cairndale.lookup.selection import Lookups
+from cairndale.quota.budget_counter import FURTHER
+from cairndale.quota.quota_counter import EXPIRY, saved_most
+from cairndale.registry.nodes import HOLD_MOST, hold, patience
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.peer import Wings
+from cairndale.settings import Settings, seconds, shown
 
 ASK_WITHIN = 3.0  # s for an answer over all tries
 RETRY_AFTER = 300_000  # us that a refused client is told to wait: T0, d_0
 CONNECT = 400_000  # us for a connection to a server: a region is 40 ms away and back
 IDLE = 6_000_000  # us that an idle connection to a server is kept, if it does not say how long
 SERVER_UNACKED = 900  # ms without an acknowledgement after which a server counts as gone
-ACCEPTS_ON = (
-    0.9  # s before the end of the grace until which connections are taken after SIGTERM: old lists name it
-)
-ROOM = 1.5  # usual answers' times that a request wants to have before the end, to be begun after SIGTERM
-LATE = 2.8  # s after SIGTERM after which one is begun only if its time is over before the end: what was sent
+# s before the end of the grace until which connections are taken after SIGTERM: old lists name it
+ACCEPTS_ON = 0.9
+# usual answers' times that a request wants to have before the end, to be begun after SIGTERM
+ROOM = 1.5
+# s after SIGTERM after which one is begun only if its time is over before the end: what was sent
+LATE = 2.8
 # later than 3 s after SIGTERM must not be cut, however long its server takes
 END = 0.4  # s before the end of the grace by which all is answered
 NO_CLASS = it.RequestClass("none", 1_000_000, 30_000_000, it.Repeat.UNSAFE, late_worth=0.5)
@@ -67,7 +68,9 @@
         self.wings = Wings((settings.ip, settings.own_port), self._hear, self._handle)
         seeds = [shown(settings.core_door(seed)) for seed in settings.seeds]
         self.news = News(self._loop.time(), seeds)
-        self.reach = Reach(self.wings, lambda: self.news.cores, lambda: self.news.peers(self.wings.own))
+        self.reach = Reach(
+            self.wings, lambda: self.news.cores, lambda: self.news.peers(self.wings.own)
+        )
         self.wings.lost = self._lost
         self._lookups = Lookups(settings.name)
         self._leaving, self._until = False, float("inf")  # when it must be done, once it leaves
@@ -105,9 +108,14 @@
         assert isinstance(rows, Rows)
         self.rows = rows
         self.units = Units(
-            self.reach, self.clock.now, self.in_touch, self._named, lambda n: self._tenants.get(n, ""),
-            lambda name: t.rate if (t := self.bill.tenants.get(name)) else 0.0, rows.denied,
-        )  # fmt: skip
+            self.reach,
+            self.clock.now,
+            self.in_touch,
+            self._named,
+            lambda n: self._tenants.get(n, ""),
+            lambda name: t.rate if (t := self.bill.tenants.get(name)) else 0.0,
+            rows.denied,
+        )
         self.engine.lessor = self.engine.dealer = self.units
         self._set_place()
 
@@ -131,10 +139,16 @@
             expiry=round(EXPIRY * 0.95 * 1e6),
         )
         return it.Settings(
-            0, self._fleet_size(), self._zones.get(self.settings.zone, 0), 50_000,
-            (NO_CLASS,), (it.Plan("", 0.0, 0.0),), limits,
-            it.Safety(0, 0, 1.0, 1, 1.0, 1), counter,
-        )  # fmt: skip
+            0,
+            self._fleet_size(),
+            self._zones.get(self.settings.zone, 0),
+            50_000,
+            (NO_CLASS,),
+            (it.Plan("", 0.0, 0.0),),
+            limits,
+            it.Safety(0, 0, 1.0, 1, 1.0, 1),
+            counter,
+        )
 
     def _plan(self, tenant: Tenant) -> it.Plan:
         rate, burst = tenant.rate, tenant.burst
@@ -153,8 +167,8 @@
         self._tasks = [self._loop.create_task(self._asks())]
 
     async def stop(self) -> None:
-        """In order: out of what clients are told, then nothing new, then the end; nothing is broken off
-        while a server is at work and the grace lasts."""
+        """In order: out of what clients are told, then nothing new, then the end; nothing is broken
+        off while a server is at work and the grace lasts."""
         grace = self.settings.bounds.grace
         until = self._loop.time() + grace - END
         self._leaving = True
@@ -201,7 +215,8 @@
         return self.news.may_serve(self._loop.time())
 
     def may_begin(self, cls: int, timeout: int) -> bool:
-        """It can be answered before this process ends. `timeout`: us that it may take at the most."""
+        """It can be answered before this process ends. `timeout`: us that it may take at the
+        most."""
         now = self._loop.time()
         in_time = now < self._late or now + timeout / 1e6 < self._until
         return in_time and now + ROOM * self.rows.usual[cls] / 1e6 < self._until
@@ -230,7 +245,8 @@
         return self.news.in_touch(self._loop.time())
 
     def _alone_since(self) -> int:
-        """us since when it may spend without the counter, or a little later; now, while it may not."""
+        """us since when it may spend without the counter, or a little later; now, while it may
+        not."""
         now = self._loop.time()
         return self.clock.now() - round(max(0.0, now - self.news.alone_since(now)) * 1e6)
 
@@ -241,12 +257,14 @@
         return self._prepared() and self.may_serve() and not self._leaving
 
     def _prepared(self) -> bool:
-        """It has a configuration, and a server of each service that this names: clients sent here before
-        would be refused. A service without any is waited for no longer than servers take to say that they are
-        there."""
+        """It has a configuration, and a server of each service that this names: clients sent here
+        before would be refused. A service without any is waited for no longer than servers take to
+        say that they are there."""
         if not self.bill.gen or not self.rows.rows:
             return False
-        return self.news.settled or all(self.service(name) in self.rows.rows for name in self.bill.named)
+        return self.news.settled or all(
+            self.service(name) in self.rows.rows for name in self.bill.named
+        )
 
     def _lost(self, door: str) -> None:
         """The leader's connection has ended: there as well, or the leader has."""
@@ -269,7 +287,9 @@
         if found.call == "ready":
             return await self._ready_door(method, target, body)
         nodes, seen, most = self.news.nodes.values(), self.news.seen, self.settings.bounds.ttl_max
-        return self._lookups.answer(target, nodes, most, self.bill, (seen[0], seen[3], self.bill.gen))
+        return self._lookups.answer(
+            target, nodes, most, self.bill, (seen[0], seen[3], self.bill.gen)
+        )
 
     def _hear(self, envelope: pb.Envelope) -> None:
         """Nothing is told here unasked."""
@@ -282,14 +302,22 @@
     def _node(self) -> pb.Node:
         settings = self.settings
         return pb.Node(
-            name=settings.name, life=self.wings.life, door=self.wings.own,
-            http=shown(settings.listen["http"]), zone=settings.zone, region=settings.region, kind="edge",
-            ready=self._prepared(), leaving=self._leaving,
-        )  # fmt: skip
+            name=settings.name,
+            life=self.wings.life,
+            door=self.wings.own,
+            http=shown(settings.listen["http"]),
+            zone=settings.zone,
+            region=settings.region,
+            kind="edge",
+            ready=self._prepared(),
+            leaving=self._leaving,
+        )
 
     async def _asks(self) -> None:
         while True:
-            wait = hold(self.news.edges) if self.news.edges else HOLD_MOST  # at first it may take a while
+            wait = (
+                hold(self.news.edges) if self.news.edges else HOLD_MOST
+            )  # at first it may take a while
             node, asked = self._node(), self._loop.time()
             ask = pb.Envelope(ask=self.news.ask(node, asked, wait))
             try:
@@ -365,9 +393,11 @@
         server = known.server
         away = server.state != "ready" or server.zone in self.news.evacuated
         raw = {
-            "name": server.id, "address": server.addr, "zone": server.zone,
+            "name": server.id,
+            "address": server.addr,
+            "zone": server.zone,
             "status": "draining" if away else "up",
-        }  # fmt: skip
+        }
         return Standing(raw, server.service, server.capacity, known.cold_until)
 
     def _describe(self, entry: Entry, number: int) -> it.ListedBackend:
@@ -378,9 +408,19 @@
         zone = self._zones.get(entry.zone, -1)
         region = self._regions.get(self.settings.zones.get(entry.zone, ""), -1)
         return it.ListedBackend(
-            number, state, zone, 0, 0, 1.0, 0, number, self.service(entry.service), region, entry.capacity,
+            number,
+            state,
+            zone,
+            0,
+            0,
+            1.0,
+            0,
+            number,
+            self.service(entry.service),
+            region,
+            entry.capacity,
             entry.cold_until,
-        )  # fmt: skip
+        )
 
     def _named(self, kind: str, number: int) -> str:
         return self._service_names[number] if kind == FURTHER else self.engine.name_of(number)
--- a/playhouse/stage/units.py
+++ b/cairndale/dataplane/quota_client.py
@@ -1,5 +1,5 @@
-"""Units of quotas, further tries and starts at cold servers: asked of the leader of the duty as requests need
-them."""
+"""Units of quotas, further tries and starts at cold servers: asked of the leader of the duty as
+requests need them."""
 
 from __future__ import annotations
 
@@ -8,33 +8,39 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from ironledge import interface as it
-from ironledge.interface import Outcome
-from ironledge.net.engine import Answered
-from playhouse.errors import Code, SystemFailure
-from playhouse.settings import DRIFT
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.reach import Reach
+from cairndale.errors import Code, SystemFailure
+from cairndale.ingress.net.engine import Answered
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.interface import Outcome
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.settings import DRIFT
 
 LEASE_WAIT, LEASE_PATIENCE = 0.5, 0.2  # s for the counter's answer over all tries, and for one
 DEAL_WAIT = 0.2  # s for units to be dealt
 DENIED = 200_000  # us for which no unit is asked for where nobody answered
-LEASE_PAUSE = 0.03  # s, at the least, before it is asked again where it said no, or had nothing for now
+# s, at the least, before it is asked again where it said no, or had nothing for now
+LEASE_PAUSE = 0.03
 
 Denied = Callable[[tuple[it.Unit, ...], int, int], None]  # which, now, and until when
 
 
 class Units:
-    """The engine's lessor and dealer. Nothing of a call that nobody answered is used: copies of it may have
-    been granted, and lapse."""
+    """The engine's lessor and dealer. Nothing of a call that nobody answered is used: copies of it
+    may have been granted, and lapse."""
 
     def __init__(
-        self, reach: Reach, now: Callable[[], int], in_touch: Callable[[], bool],
-        name: Callable[[str, int], str], tenant: Callable[[int], str], rate: Callable[[str], float],
+        self,
+        reach: Reach,
+        now: Callable[[], int],
+        in_touch: Callable[[], bool],
+        name: Callable[[str, int], str],
+        tenant: Callable[[int], str],
+        rate: Callable[[str], float],
         denied: Denied,
-    ) -> None:  # fmt: skip
-        """`now`: us; `name`, `tenant`: of a unit's and a customer's number; `rate`: units a second that a
-        tenant's store refills by, 0 if it has none."""
+    ) -> None:
+        """`now`: us; `name`, `tenant`: of a unit's and a customer's number; `rate`: units a second
+        that a tenant's store refills by, 0 if it has none."""
         self._reach, self._now, self._in_touch = reach, now, in_touch
         self._name, self._tenant, self._rate, self._denied = name, tenant, rate, denied
         self.calls: set[asyncio.Task[None]] = set()  # under way
@@ -52,7 +58,9 @@
         deal = pb.Deal(whole=[f"{kind}/{self._name(kind, number)}" for kind, number in units])
         try:
             if self._in_touch():
-                answer = (await self._reach.call(pb.Envelope(deal=deal), DEAL_WAIT, DEAL_WAIT)).dealt
+                answer = (
+                    await self._reach.call(pb.Envelope(deal=deal), DEAL_WAIT, DEAL_WAIT)
+                ).dealt
                 until = asked + round(answer.life_ms * 1000 * (1 - DRIFT)) if answer.all else 0
                 wait = answer.wait_ms * 1000
         except SystemFailure:
@@ -66,8 +74,8 @@
         self._keep(self._lease(self._tenant(customer), amount, told, answered))
 
     async def _lease(self, tenant: str, amount: float, told: float, answered: Answered) -> None:
-        """Asks once more where the store was empty, but will hold a unit or more within a pause: a leader
-        that has just begun to count begins with empty stores."""
+        """Asks once more where the store was empty, but will hold a unit or more within a pause: a
+        leader that has just begun to count begins with empty stores."""
         asked = pb.Lease(tenant=tenant, amount=amount, told=told)
         try:
             left = await self._left(asked)
@@ -78,7 +86,9 @@
         except SystemFailure as failure:
             if failure.code not in (Code.SILENT, Code.UNREACHABLE):
                 await asyncio.sleep(LEASE_PAUSE)
-            answered(Outcome.RESET, 0.0)  # asked anew while there is time, or spent without the counter
+            answered(
+                Outcome.RESET, 0.0
+            )  # asked anew while there is time, or spent without the counter
             return
         answered(Outcome.OK, 0.0, left)
 
--- a/playhouse/stage/reading.py
+++ b/cairndale/dataplane/request_router.py
@@ -1,4 +1,5 @@
-"""What a client's request is for, by the configuration in force, and what a server is handed of it."""
+"""What a client's request is for, by the configuration in force, and what a server is handed of
+it."""
 
 from __future__ import annotations
 
@@ -7,12 +8,12 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ironledge import interface as it
-from ironledge.net.engine import Names, Wanted
-from ironledge.net.http import Message
-from ironledge.net.requests import BadRequest
-from playhouse.script.playbill import Playbill, Route, Tenant
-from playhouse.stage.dialect import head
+from cairndale.configuration.route_table import Playbill, Route, Tenant
+from cairndale.dataplane.upstream_protocol import head
+from cairndale.ingress.net.engine import Names, Wanted
+from cairndale.ingress.net.http import Message
+from cairndale.ingress.net.requests import BadRequest
+from cairndale.ingress.policy import interface as it
 
 ID = re.compile(rb"[!-~]{1,200}")
 MS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?")
@@ -65,16 +66,26 @@
         scene, headers = self._scene, message.headers
         if not scene.bill.gen or not scene.may_serve():
             raise BadRequest(503, "not in service", BACK)
-        host, target, key = headers.get(b"host", b""), message.target, headers.get(b"authorization", b"")
+        host, target, key = (
+            headers.get(b"host", b""),
+            message.target,
+            headers.get(b"authorization", b""),
+        )
         route, tenant = self.find(host, target, key)
         id = headers.get(b"x-request-id", b"")
         if not ID.fullmatch(id):
             raise BadRequest(400, "X-Request-Id is missing or invalid")
-        wait = MS.fullmatch(headers.get(b"x-deadline-ms", b"")) if b"x-deadline-ms" in headers else None
+        wait = (
+            MS.fullmatch(headers.get(b"x-deadline-ms", b""))
+            if b"x-deadline-ms" in headers
+            else None
+        )
         if wait is None and b"x-deadline-ms" in headers:
             raise BadRequest(400, "X-Deadline-Ms is no number")
         cls = names.classes[route.cls.name.encode()]
-        timeout = min(route.cls.deadline, round(float(wait[0]) * 1000) if wait else route.cls.deadline)
+        timeout = min(
+            route.cls.deadline, round(float(wait[0]) * 1000) if wait else route.cls.deadline
+        )
         if not scene.may_begin(cls, timeout):
             raise BadRequest(503, "about to end", AT_ONCE)
         service = route.service(self._rng)
@@ -86,7 +97,8 @@
         body, gen = message.body, scene.bill.gen
 
         def dress(server: str, left: int) -> bytes | None:
-            """The whole request, as its first byte is written; None if what allowed it holds no longer."""
+            """The whole request, as its first byte is written; None if what allowed it holds no
+            longer."""
             if not scene.may_serve() or not scene.stands(server, service):
                 return None
             if scene.bill.gen != gen:
@@ -95,18 +107,38 @@
                 except BadRequest:
                     return None
                 same = (tenant_now.name if tenant_now else "") == (tenant.name if tenant else "")
-                if not same or service not in route_now.services or route_now.cls.repeat != route.cls.repeat:
+                if (
+                    not same
+                    or service not in route_now.services
+                    or route_now.cls.repeat != route.cls.repeat
+                ):
                     return None
                 if homes_of(route_now, tenant_now) != homes:
                     return None
             fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
-                server.encode(), max(LEAST, left // 1000),
-            )  # fmt: skip
+                server.encode(),
+                max(LEAST, left // 1000),
+            )
             if tenant:
                 fields += b"X-Tenant: %b\r\n" % tenant.name.encode()
             return made + fields + b"\r\n" + body
 
         return Wanted(
-            id, cls, plan, customer, 1.0, scene.spread(), 0, timeout, began, False, b"", body, message.upload,
-            scene.service(service), regions, min(route.prio, tenant.prio) if tenant else route.prio, dress,
-        )  # fmt: skip
+            id,
+            cls,
+            plan,
+            customer,
+            1.0,
+            scene.spread(),
+            0,
+            timeout,
+            began,
+            False,
+            b"",
+            body,
+            message.upload,
+            scene.service(service),
+            regions,
+            min(route.prio, tenant.prio) if tenant else route.prio,
+            dress,
+        )
--- a/ironledge/directory/__main__.py
+++ b/cairndale/discovery/__main__.py
@@ -15,16 +15,27 @@
 
 import uvloop
 
-from ironledge.directory.leases import Leases
-from ironledge.directory.replica import Replica
-from ironledge.directory.service import CALLERS, Service
-from ironledge.directory.store import Store, Unusable
+from cairndale.discovery.leases import Leases
+from cairndale.discovery.replica import Replica
+from cairndale.discovery.service import CALLERS, Service
+from cairndale.discovery.store import Store, Unusable
 
 Address = tuple[str, int]
-OTHERS = 64  # descriptors that are neither callers nor watches: the loop's, the disk's, the leader's
-KEYS = {"data", "reads", "writes", "follow", "history", "watches", "lease_ms", "hold_share", "hold_window_s"}
-
-log = logging.getLogger("ironledge.directory")
+# descriptors that are neither callers nor watches: the loop's, the disk's, the leader's
+OTHERS = 64
+KEYS = {
+    "data",
+    "reads",
+    "writes",
+    "follow",
+    "history",
+    "watches",
+    "lease_ms",
+    "hold_share",
+    "hold_window_s",
+}
+
+log = logging.getLogger("cairndale.discovery")
 
 
 class ConfigError(Exception):
@@ -106,7 +117,9 @@
             loop.add_signal_handler(number, stop.set)
         service.start()
         replica.start()
-        log.info("reads on %s:%d, writes on %s:%d", config.reads[0], reads, config.writes[0], writes)
+        log.info(
+            "reads on %s:%d, writes on %s:%d", config.reads[0], reads, config.writes[0], writes
+        )
         log.info("%s, epoch %d, version %d", service.role, store.state.epoch, store.state.index)
         await stop.wait()
         await replica.stop()
@@ -116,7 +129,8 @@
 
 
 def allow_descriptors(wanted: int) -> None:
-    """Readers must not be able to take those that the disk needs: there are enough for all, or no start."""
+    """Readers must not be able to take those that the disk needs: there are enough for all, or no
+    start."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and hard < wanted:
         raise ConfigError(f"watches: {wanted} descriptors would be needed, and {hard} are allowed")
@@ -125,7 +139,8 @@
 
 
 def take_role(service: Service, store: Store, follow: Address | None) -> Replica:
-    """What the folder remembers goes before the configuration: promotions and depositions were explicit."""
+    """What the folder remembers goes before the configuration: promotions and depositions were
+    explicit."""
     kept, epoch = store.role, store.state.epoch
     if kept.get("leads") == epoch:
         if follow:
@@ -134,20 +149,24 @@
     if follow:
         store.keep_role(follows="{}:{}".format(*follow))
     elif "follows" in kept or "leads" in kept:
-        raise ConfigError("follow: missing, and the data folder is that of a follower never promoted")
+        raise ConfigError(
+            "follow: missing, and the data folder is that of a follower never promoted"
+        )
     elif kept.get("deposed", 0) > epoch:
         service.role, service.leader_at = "deposed", str(kept.get("leader", ""))
     return Replica(service, follow)
 
 
 def main() -> int:
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
-    parser = argparse.ArgumentParser(prog="python -m ironledge.directory", description=__doc__)
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s"
+    )
+    parser = argparse.ArgumentParser(prog="python -m cairndale.discovery", description=__doc__)
     parser.add_argument("config", help="the configuration file, JSON; see docs/directory.md")
     try:
         uvloop.run(serve(read_config(parser.parse_args().config)))
     except (ConfigError, Unusable, OSError) as error:
-        print(f"ironledge.directory: {error}", file=sys.stderr)
+        print(f"cairndale.discovery: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/ironledge/directory/leases.py
+++ b/cairndale/discovery/leases.py
@@ -1,10 +1,10 @@
-"""How long each registration holds. Pure: names and `now` in, names whose lease has run out as the answer.
+"""How long each registration holds. Pure: names and `now` in, names whose lease has run out as the
+answer.
 
-A lease that has run out is overdue for a third of its term before it is acted on, so that a fault that stops
-many renewals shows as what it is before the first server is taken off the list. Where a large share is
-overdue at once, the fault is likely the service's or the network's, and none is acted on (self-preservation);
-what is renewed or removed by a call meanwhile counts as ever.
-"""
+A lease that has run out is overdue for a third of its term before it is acted on, so that a fault
+that stops many renewals shows as what it is before the first server is taken off the list. Where a
+large share is overdue at once, the fault is likely the service's or the network's, and none is
+acted on (self-preservation); what is renewed or removed by a call meanwhile counts as ever."""
 
 from __future__ import annotations
 
@@ -47,7 +47,8 @@
         self._leases.pop(name, None)
 
     def begin(self, terms: dict[str, float], now: float) -> None:
-        """At a start or a promotion: what was renewed before is not known, so each gets a full term."""
+        """At a start or a promotion: what was renewed before is not known, so each gets a full
+        term."""
         self._leases = {name: Lease(term, now + term) for name, term in terms.items()}
         self._gone, self._looked, self.held_since = [], now, None
 
--- a/ironledge/directory/lines.py
+++ b/cairndale/discovery/lines.py
@@ -1,8 +1,8 @@
 """What a watch is told: the lines for a reader that holds some version. Pure.
 
-Three kinds of reader: `plain`, as PROTOCOL has it; `extended`, which names the lineage it holds and gets
-versions, epoch and removals that a snapshot could not otherwise show; `follow`, a replica, which gets all.
-"""
+Three kinds of reader: `plain`, as PROTOCOL has it; `extended`, which names the lineage it holds and
+gets versions, epoch and removals that a snapshot could not otherwise show; `follow`, a replica,
+which gets all."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from ironledge.directory.state import Server, State
+from cairndale.discovery.state import Server, State
 
-AGE_TOLD = 4000  # ms of a replica's silence from its leader, from which on extended readers are told
+# ms of a replica's silence from its leader, from which on extended readers are told
+AGE_TOLD = 4000
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,9 +49,10 @@
 def whole(state: State, reader: Reader, writes_at: str = "") -> Told:
     extended = reader.kind != "plain"
     what: dict[str, Any] = {
-        "index": state.index, "snapshot": True,
+        "index": state.index,
+        "snapshot": True,
         "endpoints": [s.listed(extended) for s in state.servers.values()],
-    } | _marks(state, reader)  # fmt: skip
+    } | _marks(state, reader)
     if extended:
         what["gone"] = list(state.gone.items())
     if reader.kind == "follow":
@@ -59,14 +61,16 @@
 
 
 def since(state: State, reader: Reader, index: int, writes_at: str = "") -> Told:
-    """What has changed after a version, or the whole list where that cannot be told. A follower hears with it
-    where writes go."""
+    """What has changed after a version, or the whole list where that cannot be told. A follower
+    hears with it where writes go."""
     another = reader.lineage is not None and reader.lineage != state.lineage
     if another or not state.knows(index, reader.epoch):
         return whole(state, reader, writes_at)
     extended, marks = reader.kind != "plain", _marks(state, reader)
     servers, removed, back = state.changes(index)
-    newer = index < state.index if reader.kind == "follow" else extended and reader.epoch != state.epoch
+    newer = (
+        index < state.index if reader.kind == "follow" else extended and reader.epoch != state.epoch
+    )
     if not (servers or removed or newer):
         return Told(b"", state.index, state.epoch, False)
     gone = [_removed(n, state.gone[n], extended) for n in removed]
@@ -75,15 +79,20 @@
         again = [_removed(n, state.gone[n], extended) for n in back]
         lines = _line({"index": index, "snapshot": False, "endpoints": again} | marks)
     what: dict[str, Any] = {
-        "index": state.index, "snapshot": False, "endpoints": gone + [s.listed(extended) for s in servers]
-    } | marks  # fmt: skip
+        "index": state.index,
+        "snapshot": False,
+        "endpoints": gone + [s.listed(extended) for s in servers],
+    } | marks
     if reader.kind == "follow":
         what["writes_at"] = writes_at
         what["record"] = {
-            "i": state.index, "e": state.epoch, "set": [asdict(s) for s in servers],
+            "i": state.index,
+            "e": state.epoch,
+            "set": [asdict(s) for s in servers],
             "gone": [(n, state.gone[n]) for n in removed + back],
-            "writes": [w for w in state.writes.values() if w[3] > index], "spans": state.spans,
-        }  # fmt: skip
+            "writes": [w for w in state.writes.values() if w[3] > index],
+            "spans": state.spans,
+        }
     return Told(lines + _line(what), state.index, state.epoch, False)
 
 
@@ -91,7 +100,12 @@
     """While nothing changes: an empty line, but for those that understand more."""
     if reader.kind == "plain" or (reader.kind == "extended" and age_ms < AGE_TOLD):
         return b"\n"
-    what: dict[str, Any] = {"index": state.index, "snapshot": False, "endpoints": [], "age_ms": age_ms}
+    what: dict[str, Any] = {
+        "index": state.index,
+        "snapshot": False,
+        "endpoints": [],
+        "age_ms": age_ms,
+    }
     if reader.kind == "follow":
         what["writes_at"] = writes_at
     return _line(what | _marks(state, reader))
