--- a/ironledge/directory/replica.py
+++ b/cairndale/discovery/replica.py
@@ -1,8 +1,8 @@
 """A follower: watches its leader, keeps what it is told as its own list, and can be promoted.
 
-How old its list may be it tells from questions of its own: a line may be long on its way, or wait here for
-the disk, but the version that the leader names when it is asked is, once it is held here, no older than the
-question.
+How old its list may be it tells from questions of its own: a line may be long on its way, or wait
+here for the disk, but the version that the leader names when it is asked is, once it is held here,
+no older than the question.
 
 `Following` decides, from lines, answers and `now`; `Replica` is its connections.
 """
@@ -21,8 +21,8 @@
 
 import httptools
 
-from ironledge.directory.service import Service
-from ironledge.directory.state import Broken, Record, State, record_from, state_from
+from cairndale.discovery.service import Service
+from cairndale.discovery.state import Broken, Record, State, record_from, state_from
 
 SILENT = 6.0  # s with no line: three beats
 BACK_OFF = (0.1, 2.0)  # s between tries: the first, the longest
@@ -49,10 +49,13 @@
     begun: float = 0.0
     sure_at: float | None = None  # the list here is at least as new as the leader's at that time
     asks: bool = True  # the leader answers questions: it is no older program
-    _pulses: deque[tuple[int, float]] = field(default_factory=deque)  # versions named, and sure of when
+    _pulses: deque[tuple[int, float]] = field(
+        default_factory=deque
+    )  # versions named, and sure of when
 
     def named(self, held: State, index: int, epoch: int, lineage: str, sure_at: float) -> None:
-        """The leader's answer: that version is as new as `sure_at`, when it was asked less its own age."""
+        """The leader's answer: that version is as new as `sure_at`, when it was asked less its own
+        age."""
         if (epoch, lineage) != (held.epoch, held.lineage):
             return  # the watch brings that list first
         self._pulses.append((index, sure_at))
@@ -60,7 +63,8 @@
             self._pulses.popleft()
 
     def age(self, held: State, now: float) -> float:
-        """s that the list here may be behind the leader's; of what an earlier process kept, it is a guess."""
+        """s that the list here may be behind the leader's; of what an earlier process kept, it is a
+        guess."""
         while self._pulses and self._pulses[0][0] <= held.index:
             sure_at = self._pulses.popleft()[1]
             self.sure_at = sure_at if self.sure_at is None else max(self.sure_at, sure_at)
@@ -69,7 +73,8 @@
         return UNHEARD + now - self.begun if self.sure_at is None else now - self.sure_at
 
     def hear(self, held: State, line: Any, now: float) -> State | Record | None:
-        """A list to take as a whole, a record to add, or nothing; Broken if it must not be followed."""
+        """A list to take as a whole, a record to add, or nothing; Broken if it must not be
+        followed."""
         try:
             index, epoch, lineage = int(line["index"]), int(line["epoch"]), str(line["lineage"])
             if lineage != held.lineage and held.index > 0:
@@ -87,7 +92,9 @@
             self.writes_at = str(line.get("writes_at", self.writes_at))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise Broken(f"a line that cannot be read: {error!r}") from None
-        if epoch != held.epoch:  # another leader: what the one before vouched for says nothing of its list
+        if (
+            epoch != held.epoch
+        ):  # another leader: what the one before vouched for says nothing of its list
             self._pulses.clear()
             self.sure_at, self.begun = None, now
         self.heard_at, self.leader_index = now, index
@@ -95,7 +102,8 @@
 
 
 class Replica:
-    """What a process does about its leader: follows one, or tells one that it leads no longer, or neither."""
+    """What a process does about its leader: follows one, or tells one that it leads no longer, or
+    neither."""
 
     def __init__(self, service: Service, leader: tuple[str, int] | None, deposes: str = "") -> None:
         self._loop = asyncio.get_running_loop()
@@ -136,7 +144,12 @@
         behind = max(0, following.leader_index - self.service.state.index)
         since = None if following.behind_since is None else round(now - following.behind_since, 1)
         age = math.ceil(self.age() * 1000) / 1000
-        told = {"versions_behind": behind, "behind_for_s": since, "heard_s_ago": heard, "age_s": age}
+        told = {
+            "versions_behind": behind,
+            "behind_for_s": since,
+            "heard_s_ago": heard,
+            "age_s": age,
+        }
         return {"follows": told}
 
     async def promote(self) -> None:
@@ -153,11 +166,17 @@
         told = {"lineage": state.lineage, "epoch": state.epoch, "leader": self.service.writes_at}
         body = json.dumps(told).encode()
         host, _, port = old.rpartition(":")
-        call = b"POST /depose HTTP/1.1\r\nHost: %b\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%b"
+        call = (
+            b"POST /depose HTTP/1.1\r\nHost: %b\r\nConnection: close\r\nContent-Length: "
+            b"%d\r\n\r\n%b"
+        )
         while True:
             try:
                 answer = await _ask(host, int(port), call % (old.encode(), len(body), body))
-                if answer.split()[1:2] in ([b"200"], [b"409"]):  # deposed, or of another list or epoch by now
+                if answer.split()[1:2] in (
+                    [b"200"],
+                    [b"409"],
+                ):  # deposed, or of another list or epoch by now
                     said = answer.partition(b"\r\n")[0].decode("latin-1")
                     log.info("the leader before, at %s, was told: %s", old, said)
                     return
@@ -173,7 +192,12 @@
             try:
                 await self._follow_once(host, port)
                 reason = "its watch ended"
-            except (OSError, httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError) as error:
+            except (
+                OSError,
+                httptools.HttpParserError,
+                httptools.HttpParserUpgrade,
+                ValueError,
+            ) as error:
                 reason = str(error) or "silent"
             except Broken as error:
                 reason = str(error)
@@ -187,7 +211,9 @@
             wait = min(2 * wait, BACK_OFF[1])
 
     async def _keep_asking(self, host: str, port: int) -> None:
-        call = f"GET /discovery/version HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n".encode()
+        call = (
+            f"GET /discovery/version HTTP/1.1\r\nHost: {host}:{port}\r\nConnection: close\r\n\r\n"
+        ).encode()
         while True:
             asked = self._loop.time()
             with contextlib.suppress(OSError, ValueError, KeyError, TypeError, IndexError):
@@ -232,7 +258,9 @@
         self.service.leader_at = following.writes_at
         if isinstance(new, State):
             if held.epoch < new.epoch and held.index > 0:
-                log.warning("epoch %d in place of %d: what only it held is dropped", new.epoch, held.epoch)
+                log.warning(
+                    "epoch %d in place of %d: what only it held is dropped", new.epoch, held.epoch
+                )
             await self._keep([], new)
         elif isinstance(new, Record):
             await self._keep([new], None)
--- a/ironledge/directory/service.py
+++ b/cairndale/discovery/service.py
@@ -1,4 +1,5 @@
-"""HTTP for readers, servers and operators, watches, and the one writer that all changes go through."""
+"""HTTP for readers, servers and operators, watches, and the one writer that all changes go
+through."""
 
 from __future__ import annotations
 
@@ -11,17 +12,18 @@
 from collections import deque
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
+from functools import partial
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
 import httptools
 
-from ironledge.directory import lines
-from ironledge.directory.leases import Leases
-from ironledge.directory.lines import Reader, Told
-from ironledge.directory.state import Broken, Call, Record, Refused, State, server_from
-from ironledge.directory.store import Store
-from ironledge.net.http import HttpConnection, Message, plain
+from cairndale.discovery import lines
+from cairndale.discovery.leases import Leases
+from cairndale.discovery.lines import Reader, Told
+from cairndale.discovery.state import Broken, Call, Record, Refused, State, server_from
+from cairndale.discovery.store import Store
+from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 BEAT = 2.0  # s between empty lines
 PATIENCE = 2.0  # s for a call to come whole, from connecting or from its first byte
@@ -94,7 +96,7 @@
     async def listen(self, reads: tuple[str, int], writes: tuple[str, int]) -> tuple[int, int]:
         ports: list[int] = []
         for make, address in ((ReadCaller, reads), (WriteCaller, writes)):
-            server = await self._loop.create_server(lambda make=make: make(self), *address, backlog=1024)  # type: ignore[misc]
+            server = await self._loop.create_server(partial(make, self), *address, backlog=1024)
             self._servers.append(server)
             ports.append(server.sockets[0].getsockname()[1])
         self.writes_at = f"{writes[0]}:{ports[1]}"
@@ -107,7 +109,8 @@
             self._tasks.append(self._loop.create_task(run()))
 
     async def stop(self) -> None:
-        """Takes nothing new, finishes the writes taken, and ends watches in order: readers go elsewhere."""
+        """Takes nothing new, finishes the writes taken, and ends watches in order: readers go
+        elsewhere."""
         for server in self._servers:
             server.close()
         async with self._turn:
@@ -156,7 +159,9 @@
     def must_lead(self) -> None:
         if self.role != "leader":
             status = 409 if self.role == "deposed" else 503
-            raise Refused(status, f"this is a {self.role}", epoch=self.state.epoch, leader=self.leader_at)
+            raise Refused(
+                status, f"this is a {self.role}", epoch=self.state.epoch, leader=self.leader_at
+            )
 
     async def _keep_writing(self) -> None:
         while True:
@@ -166,7 +171,9 @@
                 async with self._turn:
                     try:
                         await self._write_batch()
-                    except Exception:  # those who wait are told when their time is over; others go on
+                    except (
+                        Exception
+                    ):  # those who wait are told when their time is over; others go on
                         log.exception("while writing")
 
     async def _write_batch(self) -> None:
@@ -209,7 +216,8 @@
             self.changed()
 
     async def _durably(self, work: Callable[..., None], *args: Any) -> None:
-        """In a thread, and waited for even if whoever asked is cancelled: the store has one user."""
+        """In a thread, and waited for even if whoever asked is cancelled: the store has one
+        user."""
         task = self._loop.run_in_executor(None, work, *args)
         try:
             await asyncio.shield(task)
@@ -255,7 +263,8 @@
             record, work = self.state.promoted(), self.state.copy()
             work.apply(record)
             try:
-                # The role first: should this process end in between, it leads an epoch that never began.
+                # The role first: should this process end in between, it leads an epoch that never
+                # began.
                 await self._durably(lambda: self.store.keep_role(leads=record.epoch, deposes=old))
                 await self._durably(self.store.append, [record], work)
             except OSError as error:
@@ -326,7 +335,9 @@
         if (found := self._told.get((reader, index))) is None:
             if len(self._told) >= CACHED:
                 self._told.clear()
-            found = self._told[reader, index] = lines.since(self.state, reader, index, self.writes_at)
+            found = self._told[reader, index] = lines.since(
+                self.state, reader, index, self.writes_at
+            )
         return found
 
     def changed(self) -> None:
@@ -353,10 +364,16 @@
 
     def status(self) -> dict[str, Any]:
         now, state, store, held = self._loop.time(), self.state, self.store, self.leases.held_since
-        slowest = min((w.index for w in self.watches if w.stalled_since is None), default=state.index)
+        slowest = min(
+            (w.index for w in self.watches if w.stalled_since is None), default=state.index
+        )
         return {
-            "role": self.role, "lineage": state.lineage, "epoch": state.epoch, "index": state.index,
-            "servers": len(state.servers), "leader": self.leader_at or None,
+            "role": self.role,
+            "lineage": state.lineage,
+            "epoch": state.epoch,
+            "index": state.index,
+            "servers": len(state.servers),
+            "leader": self.leader_at or None,
             "watches": len(self.watches),
             "watches_stalled": sum(1 for w in self.watches if w.stalled_since is not None),
             "versions_behind": state.index - slowest,
@@ -366,20 +383,23 @@
             },
             "log": {"bytes": store.log_size, "cut_at_start": store.cut, "replayed": store.replayed},
             "counts": {name: getattr(self.counts, name) for name in Counts.__slots__},
-        } | self.more_status()  # fmt: skip
+        } | self.more_status()
 
     def servers(self) -> dict[str, Any]:
         now, shown = self._loop.time(), []
         for server in self.state.servers.values():
             left = self.leases.left(server.name, now)
-            lease = {"lease_ms": server.lease_ms, "lease_left_ms": None if left is None else int(left * 1000)}
+            lease = {
+                "lease_ms": server.lease_ms,
+                "lease_left_ms": None if left is None else int(left * 1000),
+            }
             shown.append(server.listed(True) | lease)
         return {"index": self.state.index, "epoch": self.state.epoch, "servers": shown}
 
 
 class Watch:
-    """One reader that is told of changes. What it has not read is bounded: while it is over that, nothing is
-    written, and once it has been read, all that changed meanwhile comes as one line."""
+    """One reader that is told of changes. What it has not read is bounded: while it is over that,
+    nothing is written, and once it has been read, all that changed meanwhile comes as one line."""
 
     def __init__(self, service: Service, caller: ReadCaller, reader: Reader, index: int) -> None:
         self.service, self.caller, self.reader, self.index = service, caller, reader, index
@@ -409,7 +429,9 @@
     def beat(self) -> None:
         if self.stalled_since is None:
             age = int(self.service.age() * 1000)
-            self._write(chunk(lines.beat(self.service.state, self.reader, age, self.service.writes_at)))
+            self._write(
+                chunk(lines.beat(self.service.state, self.reader, age, self.service.writes_at))
+            )
 
     def press(self, full: bool) -> None:
         if full:
@@ -429,7 +451,8 @@
 
 
 class DirectoryCaller(HttpConnection):
-    """One connection: one call at a time, each with its answer, and no more read than is answered."""
+    """One connection: one call at a time, each with its answer, and no more read than is
+    answered."""
 
     def __init__(self, service: Service) -> None:
         super().__init__(httptools.HttpRequestParser)
@@ -516,7 +539,9 @@
                 self.reply(200, answer, close)
         except Refused as error:
             self.refuse(error, close)
-        except Exception:  # whoever asked is owed an answer, and the next one is none the worse for it
+        except (
+            Exception
+        ):  # whoever asked is owed an answer, and the next one is none the worse for it
             log.exception("call of %s", self.peer())
             self.refuse(Refused(500, "failed here"), close=True)
         finally:
@@ -541,11 +566,15 @@
     def send(self, status: int, body: bytes, close: bool) -> None:
         if self._done or self.transport.is_closing():
             return
-        self.transport.write(plain(status, body, b"Content-Type: application/json\r\n", close=close))
+        self.transport.write(
+            plain(status, body, b"Content-Type: application/json\r\n", close=close)
+        )
         if not close:
             return
         self._done = True
-        if self._lost_framing:  # what still comes is dropped: closed at once, the answer would be lost
+        if (
+            self._lost_framing
+        ):  # what still comes is dropped: closed at once, the answer would be lost
             self.transport.write_eof()
             self.transport.resume_reading()
             self._wait(LINGER)
@@ -597,14 +626,17 @@
         return None
 
     def _version(self) -> dict[str, Any]:
-        """What is held here: a list of that version is no older than the call, but for `age_ms` more."""
+        """What is held here: a list of that version is no older than the call, but for `age_ms`
+        more."""
         service, state = self.service, self.service.state
         if not service.serves(Reader(kind="follow")):
             raise Refused(503, "nothing to tell here", leader=service.leader_at)
         return {
-            "index": state.index, "epoch": state.epoch, "lineage": state.lineage,
+            "index": state.index,
+            "epoch": state.epoch,
+            "lineage": state.lineage,
             "age_ms": math.ceil(service.age() * 1000),
-        }  # fmt: skip
+        }
 
     def data_received(self, data: bytes) -> None:
         if self._watch is None:
@@ -642,7 +674,11 @@
 
     async def call(self, message: Message) -> dict[str, Any] | None:
         path, _, _ = message.target.decode("latin-1").partition("?")
-        parts, method, service = path.strip("/").split("/"), message.method.decode("latin-1"), self.service
+        parts, method, service = (
+            path.strip("/").split("/"),
+            message.method.decode("latin-1"),
+            self.service,
+        )
         match method, parts:
             case "GET", ["status"]:
                 return service.status()
@@ -665,7 +701,9 @@
             case "POST", ["depose"]:
                 body = _body(message)
                 epoch, leader = body.get("epoch"), body.get("leader")
-                if not (isinstance(epoch, int) and isinstance(leader, str) and len(leader) <= MAX_ID):
+                if not (
+                    isinstance(epoch, int) and isinstance(leader, str) and len(leader) <= MAX_ID
+                ):
                     raise Refused(400, "epoch and leader are wanted")
                 await service.depose(str(body.get("lineage")), epoch, leader)
                 return {"deposed_by": epoch}
@@ -676,10 +714,16 @@
         raise Refused(404, "no such call")
 
     def _version(self, version: int) -> dict[str, Any]:
-        return {"version": version, "index": self.service.state.index, "epoch": self.service.state.epoch}
+        return {
+            "version": version,
+            "index": self.service.state.index,
+            "epoch": self.service.state.epoch,
+        }
 
     async def _write(self, message: Message, kind: str, name: str, **more: Any) -> dict[str, Any]:
-        id, match = (message.headers.get(n, b"").decode("latin-1") for n in (b"request-id", b"if-match"))
+        id, match = (
+            message.headers.get(n, b"").decode("latin-1") for n in (b"request-id", b"if-match")
+        )
         if len(id) > MAX_ID:
             raise Refused(400, "request-id: too long")
         expected = _number({"if-match": match.strip('"')}, "if-match") if match else None
--- a/ironledge/directory/state.py
+++ b/cairndale/discovery/state.py
@@ -1,8 +1,9 @@
-"""What the list service knows: every server with the version of its last change. Pure: calls in, records out.
+"""What the list service knows: every server with the version of its last change. Pure: calls in,
+records out.
 
-A record holds all that one version changed, so that a state is its records applied in order. Versions grow by
-one and are never used again; a promotion raises the epoch and leaps over what a deposed leader may give.
-"""
+A record holds all that one version changed, so that a state is its records applied in order.
+Versions grow by one and are never used again; a promotion raises the epoch and leaps over what a
+deposed leader may give."""
 
 from __future__ import annotations
 
@@ -14,7 +15,9 @@
 from typing import Any
 
 Span = tuple[int, int, int]  # an epoch: its number, its first version, its last
-Write = tuple[str, str, int, int]  # a call: its id, its digest, the version answered, the one it is in
+Write = tuple[
+    str, str, int, int
+]  # a call: its id, its digest, the version answered, the one it is in
 
 LEAP = 1 << 32  # versions that a promotion passes over: more than a deposed leader can give
 MAX_SERVERS = 10_000
@@ -72,16 +75,22 @@
     """A registration, checked as a whole: `body` as it came, `leases` the terms allowed."""
     if not NAME.fullmatch(name):
         raise Refused(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
-    wrong = sorted(body.keys() - {"address", "zone", "type", "group", "weight", "since_ms", "lease_ms"})
+    wrong = sorted(
+        body.keys() - {"address", "zone", "type", "group", "weight", "since_ms", "lease_ms"}
+    )
     if wrong:
         raise Refused(400, f"{wrong[0]}: not known here")
     weight = body.get("weight", 1.0)
     checks = {
         "address": _address(body.get("address")),
-        "zone": isinstance(body.get("zone", ""), str) and bool(WORD.fullmatch(body.get("zone", ""))),
-        "type": isinstance(body.get("type", ""), str) and bool(WORD.fullmatch(body.get("type", ""))),
+        "zone": isinstance(body.get("zone", ""), str)
+        and bool(WORD.fullmatch(body.get("zone", ""))),
+        "type": isinstance(body.get("type", ""), str)
+        and bool(WORD.fullmatch(body.get("type", ""))),
         "group": _whole(body.get("group", 0), 0, 1 << 31),
-        "weight": isinstance(weight, int | float) and not isinstance(weight, bool) and 0 < weight <= 1e6,
+        "weight": isinstance(weight, int | float)
+        and not isinstance(weight, bool)
+        and 0 < weight <= 1e6,
         "since_ms": _whole(body.get("since_ms", 0), 0, 1 << 53),
         "lease_ms": _whole(body.get("lease_ms"), *leases),
     }
@@ -93,7 +102,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A write. `id` makes it idempotent; `expected` is the version the server must have (0: none)."""
+    """A write. `id` makes it idempotent; `expected` is the version the server must have (0:
+    none)."""
 
     kind: str  # register, drain, remove
     name: str
@@ -109,7 +119,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One version: what it set and removed, which call asked for it, and the epoch it begins, if any."""
+    """One version: what it set and removed, which call asked for it, and the epoch it begins, if
+    any."""
 
     index: int
     epoch: int
@@ -138,7 +149,10 @@
             int(raw["e"]),
             tuple(Server(**s) for s in raw.get("set", ())),
             tuple((str(n), int(v)) for n, v in raw.get("gone", ())),
-            tuple((str(id), str(digest), int(v), int(at)) for id, digest, v, at in raw.get("writes", ())),
+            tuple(
+                (str(id), str(digest), int(v), int(at))
+                for id, digest, v, at in raw.get("writes", ())
+            ),
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]) if "spans" in raw else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
@@ -153,12 +167,16 @@
     floor: int = 0  # what has changed since an older version is no longer known
     history: int = 1024  # removals and writes that are remembered
     servers: dict[str, Server] = field(default_factory=dict)
-    gone: OrderedDict[str, int] = field(default_factory=OrderedDict)  # name: the version that removed it
+    gone: OrderedDict[str, int] = field(
+        default_factory=OrderedDict
+    )  # name: the version that removed it
     writes: OrderedDict[str, Write] = field(default_factory=OrderedDict)  # by id
     spans: tuple[Span, ...] = ()  # the epochs past
 
     def copy(self) -> State:
-        return replace(self, servers=dict(self.servers), gone=self.gone.copy(), writes=self.writes.copy())
+        return replace(
+            self, servers=dict(self.servers), gone=self.gone.copy(), writes=self.writes.copy()
+        )
 
     @property
     def begun(self) -> int:
@@ -168,7 +186,8 @@
     # Writes.
 
     def decide(self, call: Call) -> tuple[Record | None, int]:
-        """The record that carries the call out (None: nothing changes) and the version to answer with."""
+        """The record that carries the call out (None: nothing changes) and the version to answer
+        with."""
         if call.id and (done := self.writes.get(call.id)):
             if done[1] != call.digest():
                 raise Refused(409, "this id stands for another call")
@@ -193,7 +212,9 @@
         if same:
             return Record(index, self.epoch, writes=writes), answered
         if changed:
-            return Record(index, self.epoch, (replace(changed, version=index),), writes=writes), answered
+            return Record(
+                index, self.epoch, (replace(changed, version=index),), writes=writes
+            ), answered
         return Record(index, self.epoch, removed=((call.name, index),), writes=writes), answered
 
     def _register(self, held: Server | None, wanted: Server) -> Server:
@@ -213,7 +234,9 @@
 
     def apply(self, record: Record) -> None:
         if record.index <= self.index or record.epoch < self.epoch:
-            raise Broken(f"version {record.index} of epoch {record.epoch} after {self.index} of {self.epoch}")
+            raise Broken(
+                f"version {record.index} of epoch {record.epoch} after {self.index} of {self.epoch}"
+            )
         if record.epoch > self.epoch and record.spans is None:
             raise Broken(f"epoch {record.epoch} with no beginning")
         if record.spans is not None:
@@ -244,32 +267,49 @@
         return since >= self.begun and (epoch is None or epoch == self.epoch)
 
     def changes(self, since: int) -> tuple[list[Server], list[str], list[str]]:
-        """Servers set since, names removed since, and names that were removed and have come back since."""
+        """Servers set since, names removed since, and names that were removed and have come back
+        since."""
         names = [name for name, version in self.gone.items() if version > since]
-        servers = sorted((s for s in self.servers.values() if s.version > since), key=lambda s: s.version)
-        return servers, [n for n in names if n not in self.servers], [n for n in names if n in self.servers]
+        servers = sorted(
+            (s for s in self.servers.values() if s.version > since), key=lambda s: s.version
+        )
+        return (
+            servers,
+            [n for n in names if n not in self.servers],
+            [n for n in names if n in self.servers],
+        )
 
     # As a whole: for the snapshot, and for followers.
 
     def dump(self) -> dict[str, Any]:
         return {
-            "lineage": self.lineage, "epoch": self.epoch, "index": self.index, "floor": self.floor,
+            "lineage": self.lineage,
+            "epoch": self.epoch,
+            "index": self.index,
+            "floor": self.floor,
             "servers": [asdict(s) for s in self.servers.values()],
-            "gone": list(self.gone.items()), "spans": self.spans,
+            "gone": list(self.gone.items()),
+            "spans": self.spans,
             "writes": list(self.writes.values()),
-        }  # fmt: skip
+        }
 
 
 def state_from(raw: Any, history: int) -> State:
     try:
         pairs: Iterable[Any] = raw["gone"]
         state = State(
-            str(raw["lineage"]), int(raw["epoch"]), int(raw["index"]), int(raw["floor"]), history,
+            str(raw["lineage"]),
+            int(raw["epoch"]),
+            int(raw["index"]),
+            int(raw["floor"]),
+            history,
             {s["name"]: Server(**s) for s in raw["servers"]},
             OrderedDict((str(n), int(v)) for n, v in pairs),
-            OrderedDict((str(w[0]), (str(w[0]), str(w[1]), int(w[2]), int(w[3]))) for w in raw["writes"]),
+            OrderedDict(
+                (str(w[0]), (str(w[0]), str(w[1]), int(w[2]), int(w[3]))) for w in raw["writes"]
+            ),
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]),
-        )  # fmt: skip
+        )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise Broken(f"a list that cannot be read: {error!r}") from None
     while len(state.gone) > history:  # kept by a service with a longer one
--- a/ironledge/directory/store.py
+++ b/cairndale/discovery/store.py
@@ -1,11 +1,12 @@
-"""The list on disk: a snapshot, and a log of what came after it. A version exists once its frame is synced.
+"""The list on disk: a snapshot, and a log of what came after it. A version exists once its frame is
+synced.
 
     log frame: two bytes of mark, length, CRC-32 of length and payload, payload
     payload: JSON of the lineage, the version before, and the records synced together
 
-All records of one sync are one frame, so that whatever a crash leaves of it, no sound frame follows a broken
-one. A broken frame at the end is what a crash leaves; one with a sound frame after it is damage.
-"""
+All records of one sync are one frame, so that whatever a crash leaves of it, no sound frame follows
+a broken one. A broken frame at the end is what a crash leaves; one with a sound frame after it is
+damage."""
 
 from __future__ import annotations
 
@@ -20,10 +21,11 @@
 from typing import Any
 from zlib import crc32
 
-from ironledge.directory.state import Broken, Record, State, record_from, state_from
-from ironledge.durable import replace_file, sync_folder, write_all
+from cairndale.discovery.state import Broken, Record, State, record_from, state_from
+from cairndale.durable import replace_file, sync_folder, write_all
 
-MARK = b"\xc5\xd1"  # never within a payload, which is ASCII: where a frame begins can be found again
+# never within a payload, which is ASCII: where a frame begins can be found again
+MARK = b"\xc5\xd1"
 HEAD = struct.Struct(">2sII")
 MAX_FRAME = 64 * 1024 * 1024
 COMPACT = 4 * 1024 * 1024  # bytes of log that a snapshot is made after, at the least ...
@@ -50,7 +52,8 @@
 
 
 class Store:
-    """One data folder, open in one process. All calls are made from one thread at a time, and may block."""
+    """One data folder, open in one process. All calls are made from one thread at a time, and may
+    block."""
 
     def __init__(self, folder: Path, history: int = 1024) -> None:
         self._folder, self._history = folder, history
@@ -87,7 +90,9 @@
     # Reading.
 
     def _load(self) -> State:
-        if not self._snapshot.exists():  # a new folder: the log is made first, so that neither is ever alone
+        if (
+            not self._snapshot.exists()
+        ):  # a new folder: the log is made first, so that neither is ever alone
             if self._log.exists() and self._log.stat().st_size:
                 raise Unusable(f"{self._snapshot}: missing, though there is a log")
             replace_file(self._log, b"")
@@ -124,7 +129,9 @@
             payload = _read_frame(data, at)
             if payload is None:
                 if self._sound_after(data, at):
-                    raise Unusable(f"{self._log}: damaged at offset {at}, with sound records after it")
+                    raise Unusable(
+                        f"{self._log}: damaged at offset {at}, with sound records after it"
+                    )
                 return at
             try:
                 lineage, before, records = json.loads(payload)
@@ -161,7 +168,8 @@
     # Writing.
 
     def append(self, records: Sequence[Record], after: State) -> None:
-        """Returns once they are on disk; `after` is the state with them. On OSError none of them counts."""
+        """Returns once they are on disk; `after` is the state with them. On OSError none of them
+        counts."""
         payload = [self.state.lineage, self.state.index, [r.raw() for r in records]]
         frame = _frame(json.dumps(payload, separators=(",", ":")).encode())
         if self._sure and self.log_size > max(COMPACT, COMPACT_RATIO * self._snapshot_size):
@@ -187,7 +195,8 @@
         self.compact(state)
 
     def compact(self, state: State) -> None:
-        """The whole list as the snapshot, then an empty log. Between the two, the log holds what is old."""
+        """The whole list as the snapshot, then an empty log. Between the two, the log holds what is
+        old."""
         self._write_snapshot(state)
         self.state = state
         self._sure = False  # until the log that is written to is the one that will be read
--- a/playhouse/errors.py
+++ b/cairndale/errors.py
@@ -4,7 +4,7 @@
 
 from enum import Enum, IntEnum
 
-from ironledge.interface import Outcome
+from cairndale.ingress.policy.interface import Outcome
 
 
 class Code(IntEnum):
@@ -42,4 +42,8 @@
         """Of an attempt's outcome, as the module hears it."""
         if outcome is Outcome.OK:
             return cls.ANSWERED
-        return cls.UNSENT if outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT) else cls.SENT
+        return (
+            cls.UNSENT
+            if outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+            else cls.SENT
+        )
--- a/playhouse/events.py
+++ b/cairndale/events.py
@@ -41,7 +41,7 @@
 
 WARNINGS = (Event.FAILED, Event.NO_HOLDER, Event.DISK_FAILED, Event.SNAPSHOT_FAILED)
 
-_log = picologging.getLogger("playhouse")
+_log = picologging.getLogger("cairndale")
 
 
 def set_up() -> None:
--- a/playhouse/fields.py
+++ b/cairndale/field_rules.py
@@ -1,8 +1,7 @@
 """Objects of a JSON body held against rules, every error at once, each with its path.
 
-Rules are predicates: a schema composed of others takes ten times as long, which the thousands of routes of a
-large configuration add up to seconds at a small core machine.
-"""
+Rules are predicates: a schema composed of others takes ten times as long, which the thousands of
+routes of a large configuration add up to seconds at a small core machine."""
 
 from __future__ import annotations
 
@@ -11,9 +10,11 @@
 
 from schema import Optional, Schema, SchemaError
 
-from playhouse.settings import seconds
+from cairndale.settings import seconds
 
-Rules = dict[Any, Any]  # as Schema takes them: names, or Optional names; Optional(str): any other name
+Rules = dict[
+    Any, Any
+]  # as Schema takes them: names, or Optional names; Optional(str): any other name
 
 
 def is_time(value: object) -> bool:
@@ -30,7 +31,9 @@
 
 
 def is_number(value: object) -> bool:
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < float("inf")
+    return (
+        isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < float("inf")
+    )
 
 
 def is_truth(value: object) -> bool:
@@ -49,7 +52,8 @@
 
 
 class Fields:
-    """What stands in one kind of object. `wanted`: what is told of a field that is not as it should be."""
+    """What stands in one kind of object. `wanted`: what is told of a field that is not as it should
+    be."""
 
     def __init__(self, rules: Rules, wanted: Mapping[str, str]) -> None:
         self._rules, self._wanted = dict[str, Schema](), wanted
@@ -63,7 +67,8 @@
                 self._others = True
 
     def errors(self, at: str, item: Any) -> list[str]:
-        """A schema of the whole object would hold each name against each rule: seven times as long again."""
+        """A schema of the whole object would hold each name against each rule: seven times as long
+        again."""
         if not isinstance(item, dict):
             return [f"{at}: is no object"]
         errors = []
--- a/ironledge/members/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -1,4 +1,5 @@
-"""A member on its own: `python -m ironledge.members FILE`. It serves nothing but the word of who is there."""
+"""A member on its own: `python -m cairndale.gossip FILE`. It serves nothing but the word of who is
+there."""
 
 from __future__ import annotations
 
@@ -16,11 +17,11 @@
 import uvloop
 from msgspec import Meta, Struct, field
 
-from ironledge.front.checked import about, sound
-from ironledge.members.core import Timing
-from ironledge.members.shell import Config, Member, MemberError
-from ironledge.members.wire import NAME, Address
-from ironledge.net.http import HttpConnection, Message, plain
+from cairndale.gossip.core import Timing
+from cairndale.gossip.shell import Config, Member, MemberError
+from cairndale.gossip.wire import NAME, Address
+from cairndale.ingress.cli.checked import about, sound
+from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 Positive = Annotated[float, Meta(gt=0)]
 PATIENCE = 2.0  # s for an operator's call to come whole
@@ -29,13 +30,23 @@
 class Options(Struct, forbid_unknown_fields=True):
     """The file, TOML."""
 
-    name: Annotated[str, Meta(min_length=1, max_length=NAME), about("this member's, one in the fleet")]
-    fleet: Annotated[str, Meta(min_length=1, max_length=NAME), about("the fleet's; others are not heard")]
+    name: Annotated[
+        str, Meta(min_length=1, max_length=NAME), about("this member's, one in the fleet")
+    ]
+    fleet: Annotated[
+        str, Meta(min_length=1, max_length=NAME), about("the fleet's; others are not heard")
+    ]
     listen: Annotated[str, about("HOST:PORT, for UDP and TCP; others reach it there")]
     folder: Annotated[str, about("what it keeps over a restart")]
-    seeds: Annotated[list[str], about("HOST:PORT of members to join through")] = field(default_factory=list)
-    founds: Annotated[bool, about("begins a fleet where no seed answers: one member at most")] = False
-    key_file: Annotated[str, about("a file with the fleet's key; without one only loopback is heard")] = ""
+    seeds: Annotated[list[str], about("HOST:PORT of members to join through")] = field(
+        default_factory=list
+    )
+    founds: Annotated[bool, about("begins a fleet where no seed answers: one member at most")] = (
+        False
+    )
+    key_file: Annotated[
+        str, about("a file with the fleet's key; without one only loopback is heard")
+    ] = ""
     zone: Annotated[str, about("where it stands")] = ""
     ops: Annotated[str, about("HOST:PORT for operators; empty: none")] = ""
     period_s: Annotated[Positive, about("s between probes; all other times go with it")] = 1.0
@@ -55,9 +66,13 @@
     """All times in proportion to the period."""
     usual = Timing()
     return Timing(
-        period=period, timeout=usual.timeout * period, gossip=usual.gossip * period, sync=usual.sync * period,
-        heal=usual.heal * period, round=usual.round * period,
-    )  # fmt: skip
+        period=period,
+        timeout=usual.timeout * period,
+        gossip=usual.gossip * period,
+        sync=usual.sync * period,
+        heal=usual.heal * period,
+        round=usual.round * period,
+    )
 
 
 def read(path: Path) -> tuple[Config, Address | None]:
@@ -84,15 +99,26 @@
                 errors.append(f"key_file: {error.strerror}")
             if not errors and len(key) < 16:
                 errors.append(f"key_file: {len(key)} bytes, 16 or more are wanted")
-        if not found.key_file and "listen" in places and not ip_address(places["listen"][0]).is_loopback:
+        if (
+            not found.key_file
+            and "listen" in places
+            and not ip_address(places["listen"][0]).is_loopback
+        ):
             errors.append("key_file: is missing, and listen is not on loopback")
     if errors or not isinstance(found, Options):
         raise MemberError("\n".join(f"{path.name}: {e}" for e in errors))
     seeds = tuple(places[f"seeds[{n}]"] for n in range(len(found.seeds)))
     config = Config(
-        found.name, found.fleet, places["listen"], seeds, Path(found.folder), key, found.zone, found.founds,
+        found.name,
+        found.fleet,
+        places["listen"],
+        seeds,
+        Path(found.folder),
+        key,
+        found.zone,
+        found.founds,
         timing(found.period_s),
-    )  # fmt: skip
+    )
     return config, places.get("ops")
 
 
@@ -120,7 +146,9 @@
             case b"POST", "/members/remove":
                 name = query.removeprefix("name=")
                 good = query.startswith("name=") and self._member.remove(name)
-                self._answer(200 if good else 404, {"removed": name} if good else {"error": "no such member"})
+                self._answer(
+                    200 if good else 404, {"removed": name} if good else {"error": "no such member"}
+                )
             case _, "/members" | "/members/remove":
                 self._answer(405, {"error": "not with this method"})
             case _:
@@ -154,14 +182,16 @@
 
 
 def main() -> int:
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s"
+    )
     if len(sys.argv) != 2:
-        print("usage: python -m ironledge.members FILE", file=sys.stderr)
+        print("usage: python -m cairndale.gossip FILE", file=sys.stderr)
         return 2
     try:
         return 0 if uvloop.run(serve(*read(Path(sys.argv[1])))) else 1
     except (MemberError, OSError) as error:
-        print(f"ironledge.members: {error}", file=sys.stderr)
+        print(f"cairndale.gossip: {error}", file=sys.stderr)
         return 2 if isinstance(error, MemberError) else 1
 
 
--- a/ironledge/members/core.py
+++ b/cairndale/gossip/core.py
@@ -1,13 +1,13 @@
-"""One member, as a pure machine: what is heard and the time go in, what is to be said, asked, kept and told
-comes out.
+"""One member, as a pure machine: what is heard and the time go in, what is to be said, asked, kept
+and told comes out.
 
-Failures are detected as by SWIM (Das, Gupta and Motivala, DSN 2002): each period one member is probed, then
-through others; who does not answer is suspected, and can refute that with a higher incarnation; news
-travels on the probes. With Lifeguard's corrections (Dadgar, Phillips and Currey, DSN-W 2018): a member that
-is slow itself notices and waits longer, others that hear the probe late say so (nack), a suspicion lasts
-the shorter the more members share it, and who is suspected hears of it first. A member that stays suspect
-is reported by its observers; who belongs to the fleet is agreed on as a whole (`cuts.py`), so that all go
-through the same few views.
+Failures are detected as by SWIM (Das, Gupta and Motivala, DSN 2002): each period one member is
+probed, then through others; who does not answer is suspected, and can refute that with a higher
+incarnation; news travels on the probes. With Lifeguard's corrections (Dadgar, Phillips and Currey,
+DSN-W 2018): a member that is slow itself notices and waits longer, others that hear the probe late
+say so (nack), a suspicion lasts the shorter the more members share it, and who is suspected hears
+of it first. A member that stays suspect is reported by its observers; who belongs to the fleet is
+agreed on as a whole (`cuts.py`), so that all go through the same few views.
 
 Times are s on the caller's monotonic clock; nothing here reads one, or any wall clock.
 """
@@ -23,9 +23,9 @@
 
 from msgspec import Raw, Struct
 
-from ironledge.members.cuts import Acceptor, Alerts, Ballot, Promise, Proposal, wanted_cut
-from ironledge.members.standing import Standing, judged
-from ironledge.members.wire import (
+from cairndale.gossip.cuts import Acceptor, Alerts, Ballot, Promise, Proposal, wanted_cut
+from cairndale.gossip.standing import Standing, judged
+from cairndale.gossip.wire import (
     MAX_DATAGRAM,
     Address,
     Body,
@@ -58,21 +58,21 @@
     gossip: float = 0.2  # between news that are passed on beside probes
     fanout: int = 3  # members that they go to
     told: float = 3.0  # times log10 of the fleet that each news is passed on
-    suspicion: float = 4.0  # periods, times log10 of the fleet, that a suspicion shared by all lasts ...
+    # periods, times log10 of the fleet, that a suspicion shared by all lasts ...
+    suspicion: float = 4.0
     slack: float = 6.0  # ... and times as long one that nobody shares
     unwell: int = 8  # the most that a member's own health stretches its times by
     sync: float = 15.0  # between whole states exchanged with one member
     heal: float = 10.0  # between tries to reach one that is lost
     round: float = 1.0  # that a proposal waits for its majority, at the least
-    regain: float = (
-        6.0  # periods after most are reached again until a cut is proposed: many that seem lost are not
-    )
+    # periods after most are reached again until a cut is proposed: many that seem lost are not
+    regain: float = 6.0
     fresh: float = 5.0  # periods without any answer after which a member is unsure
 
 
 class Stored(Struct, frozen=True):
-    """What a member knows over a restart. Kept on disk, synced, before anything that follows from it is
-    said."""
+    """What a member knows over a restart. Kept on disk, synced, before anything that follows from
+    it is said."""
 
     name: str = ""
     seat: int = 0
@@ -162,7 +162,8 @@
     timing: Timing
     rng: random.Random
     seeds: tuple[Address, ...] = ()
-    founds: bool = False  # makes a view of its own where no seed answers: one member of a fleet at most
+    # makes a view of its own where no seed answers: one member of a fleet at most
+    founds: bool = False
     boot: int = 1
     incarnation: int = 1
     view: View | None = None
@@ -178,12 +179,16 @@
     _proposal: Proposal | None = None
     _rounds: int = 0
     _probes: dict[int, Probe] = field(default_factory=dict)
-    _helping: dict[int, tuple[str, int, float]] = field(default_factory=dict)  # own seq: for whom, their seq
+    _helping: dict[int, tuple[str, int, float]] = field(
+        default_factory=dict
+    )  # own seq: for whom, their seq
     _order: list[str] = field(default_factory=list)
     _queue: dict[tuple[str, str, str], Queued] = field(default_factory=dict)
     _joining: dict[str, Peer] = field(default_factory=dict)
     _left: set[str] = field(default_factory=set)
-    _differs: dict[str, float] = field(default_factory=dict)  # who was heard with another view, and when
+    _differs: dict[str, float] = field(
+        default_factory=dict
+    )  # who was heard with another view, and when
     _seq: int = 0
     _count: int = 0
     _timers: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
@@ -272,7 +277,8 @@
             del self._queue[max(self._queue, key=lambda k: self._queue[k].times)]
 
     def _news(self, room: int) -> tuple[Raw, ...]:
-        """What was told least goes first, as much as fits; what was told often enough is dropped."""
+        """What was told least goes first, as much as fits; what was told often enough is
+        dropped."""
         if not self._queue:
             return ()
         most = max(1, math.ceil(self.timing.told * math.log10(len(self.others) + 2)))
@@ -295,7 +301,13 @@
     def _keep(self) -> None:
         lost = tuple(self.lost.values())
         stored = Stored(
-            self.me.name, self.me.seat, self.boot, self.incarnation, self.view, self._acceptor.held, lost
+            self.me.name,
+            self.me.seat,
+            self.boot,
+            self.incarnation,
+            self.view,
+            self._acceptor.held,
+            lost,
         )
         self._out.append(Keep(stored))
 
@@ -326,11 +338,13 @@
 
     def _ping(self, seq: int) -> Body:
         view = self.view
-        return Body("ping", seq, view=view.number if view else 0, digest=view.digest if view else "")
+        return Body(
+            "ping", seq, view=view.number if view else 0, digest=view.digest if view else ""
+        )
 
     def _next(self) -> Known | None:
-        """Each in turn, in an order drawn anew for each round; who failed is tried on, as it may come
-        back."""
+        """Each in turn, in an order drawn anew for each round; who failed is tried on, as it may
+        come back."""
         while self._order:
             known = self.others.get(self._order.pop())
             if known is not None and known.state != LEFT:
@@ -354,7 +368,8 @@
         probe = self._probes.pop(seq, None)
         if probe is None or probe.answered:
             return
-        # Helpers that did not even say that they had no answer: it may be this member that hears nothing.
+        # Helpers that did not even say that they had no answer: it may be this member that hears
+        # nothing.
         self._ail(max(0, probe.asked - probe.nacks) if probe.asked else 1)
         known = self.others.get(probe.name)
         if known is not None:
@@ -421,7 +436,9 @@
         if helped is not None:
             asker = self.others.get(helped[0])
             if asker is not None:
-                self._send(asker.peer.address, Body("relayed", helped[1], incarnation=body.incarnation))
+                self._send(
+                    asker.peer.address, Body("relayed", helped[1], incarnation=body.incarnation)
+                )
             return
         probe = self._probes.pop(body.seq, None)
         if probe is None or probe.name != known.peer.name:
@@ -470,7 +487,9 @@
             if news.view == self.view.number and news.by == self.view.digest:
                 self._spread(news, raw)
                 self._decided(now, news.cut)
-            elif news.view > self.view.number and (source := self.others.get(news.name)) is not None:
+            elif (
+                news.view > self.view.number and (source := self.others.get(news.name)) is not None
+            ):
                 self._ask(source.peer.address)
 
     def _heard_state(self, now: float, news: News, raw: bytes | None = None) -> None:
@@ -479,9 +498,17 @@
                 self._refute(now, news.incarnation)
             return
         known = self.others.get(news.name)
-        if known is None or not 0 <= news.incarnation < TOP or news.incarnation > known.incarnation + LEAP:
+        if (
+            known is None
+            or not 0 <= news.incarnation < TOP
+            or news.incarnation > known.incarnation + LEAP
+        ):
             return
-        if news.kind == "suspect" and known.state == SUSPECT and news.incarnation == known.incarnation:
+        if (
+            news.kind == "suspect"
+            and known.state == SUSPECT
+            and news.incarnation == known.incarnation
+        ):
             suspicion = known.suspicion
             if (
                 suspicion is not None
@@ -527,7 +554,9 @@
 
     def _plan_failure(self, known: Known, suspicion: Suspicion) -> None:
         """Lifeguard's time-out: from long to short as more members share the suspicion."""
-        least = self.timing.suspicion * max(1.0, math.log10(len(self.others) + 1)) * self.timing.period
+        least = (
+            self.timing.suspicion * max(1.0, math.log10(len(self.others) + 1)) * self.timing.period
+        )
         share = math.log(len(suspicion.by)) / math.log(self.timing.helpers + 1)
         span = max(least, least * self.timing.slack - (least * self.timing.slack - least) * share)
         due = suspicion.since + span * (1 + self.health / 4)
@@ -536,7 +565,11 @@
     def _failed(self, now: float, known: Known, suspicion: Suspicion) -> None:
         if known.suspicion is not suspicion or known.state != SUSPECT:
             return
-        known.state, known.since, known.why = FAILED, now, f"suspect to {', '.join(sorted(suspicion.by))}"
+        known.state, known.since, known.why = (
+            FAILED,
+            now,
+            f"suspect to {', '.join(sorted(suspicion.by))}",
+        )
         known.suspicion = None
         self._alert(now, known)
 
@@ -552,7 +585,8 @@
     # Views.
 
     def _plan_proposal(self, now: float) -> None:
-        """Whoever comes first in the view's order proposes at once, others wait in case it is lost too."""
+        """Whoever comes first in the view's order proposes at once, others wait in case it is lost
+        too."""
         if self.view is None:
             return
         alive = [p.name for p in self.view.members if p.name == self.me.name or self._well(p.name)]
@@ -586,7 +620,9 @@
                 self._unstable_since = now
             if now - self._unstable_since < 10 * self.timing.period:
                 return None
-            sure |= {n for n in unsure if not self._well(n)}  # it stands so for good: others' word is enough
+            sure |= {
+                n for n in unsure if not self._well(n)
+            }  # it stands so for good: others' word is enough
         else:
             self._unstable_since = None
         leaving = {n for n in self._left if n in self.others}
@@ -602,14 +638,21 @@
             return
         cut = self._wanted(now)
         if cut is None:
-            if (self._alerts is not None and any(self._alerts.lost())) or self._joining or self._left:
+            if (
+                (self._alerts is not None and any(self._alerts.lost()))
+                or self._joining
+                or self._left
+            ):
                 self._propose_in(now, self.timing.period)
             return
         self._rounds = max(self._rounds, self._acceptor.of(view).promised[0]) + 1
         ballot = (self._rounds, self.me.name)
         self._proposal = Proposal(view, ballot, cut)
         self._broadcast(Body("prepare", view=view.number, digest=view.digest, ballot=ballot))
-        self._at(now + self.timing.round * self.rng.uniform(1, 2), lambda at: self._round_over(at, ballot))
+        self._at(
+            now + self.timing.round * self.rng.uniform(1, 2),
+            lambda at: self._round_over(at, ballot),
+        )
 
     def _broadcast(self, body: Body) -> None:
         for known in self.others.values():
@@ -652,17 +695,26 @@
 
     def _tally(self, name: str, body: Body) -> None:
         proposal, view = self._proposal, self.view
-        if proposal is None or view is None or body.ballot != proposal.ballot or body.digest != view.digest:
+        if (
+            proposal is None
+            or view is None
+            or body.ballot != proposal.ballot
+            or body.digest != view.digest
+        ):
             return
         if body.kind == "promise":
             cut = proposal.promised(name, body.held, body.cut)
             if cut is not None:
-                accept = Body("accept", view=view.number, digest=view.digest, ballot=proposal.ballot, cut=cut)
+                accept = Body(
+                    "accept", view=view.number, digest=view.digest, ballot=proposal.ballot, cut=cut
+                )
                 self._broadcast(accept)
             return
         decided = proposal.voted(name)
         if decided is not None:
-            self._spread(News("decided", self.me.name, by=view.digest, view=view.number, cut=decided))
+            self._spread(
+                News("decided", self.me.name, by=view.digest, view=view.number, cut=decided)
+            )
             self._chosen = decided
 
     def _decided(self, now: float, cut: Cut) -> None:
@@ -670,7 +722,8 @@
             self._adopt(now, self.view.without(cut), "agreed")
 
     def _adopt(self, now: float, view: View, why: str) -> None:
-        """A view that was agreed on. One without this member leaves it outside, to be admitted again."""
+        """A view that was agreed on. One without this member leaves it outside, to be admitted
+        again."""
         before = self.view
         self._proposal, self._unstable_since, self._rounds = None, None, 0
         self._differs.clear()
@@ -699,7 +752,9 @@
         added = tuple(n for n in members if n not in known_before)
         self._judge(now, tell=(added, tuple(gone)))
         if inside:
-            for known in self.others.values():  # who was failed in the view before is reported in this one
+            for (
+                known
+            ) in self.others.values():  # who was failed in the view before is reported in this one
                 if known.state == FAILED:
                     self._alert(now, known)
             if self._joining or self._left:
@@ -770,7 +825,12 @@
             return 0, "the name is mine"
         if held is not None and held == peer:
             return 0, ""
-        if held is not None and known is not None and known.state == ALIVE and held.address != peer.address:
+        if (
+            held is not None
+            and known is not None
+            and known.state == ALIVE
+            and held.address != peer.address
+        ):
             return 0, f"{peer.name} is there, at {held.host}:{held.port}"
         before = held or self.lost.get(peer.name)
         least = before.seat if before is not None else 0
@@ -813,7 +873,9 @@
 
     # Standing.
 
-    def _judge(self, now: float, tell: tuple[tuple[str, ...], tuple[str, ...]] | None = None) -> None:
+    def _judge(
+        self, now: float, tell: tuple[tuple[str, ...], tuple[str, ...]] | None = None
+    ) -> None:
         if self._chosen is not None:
             cut, self._chosen = self._chosen, None
             self._decided(now, cut)
@@ -826,10 +888,16 @@
         if 2 * (alive + suspect + 1) <= size:
             self._few_at = now
         found = judged(
-            size=size, alive=alive, suspect=suspect, lost=len(self.lost),
-            ill=self.health >= self.timing.unwell // 2, differs=2 * differs > len(self.others),
-            silent=bool(self.others) and self._answered_at < limit, now=now, answered_at=self._answered_at,
-        )  # fmt: skip
+            size=size,
+            alive=alive,
+            suspect=suspect,
+            lost=len(self.lost),
+            ill=self.health >= self.timing.unwell // 2,
+            differs=2 * differs > len(self.others),
+            silent=bool(self.others) and self._answered_at < limit,
+            now=now,
+            answered_at=self._answered_at,
+        )
         changed = found.word != self.standing.word
         self.standing = found
         if self.view is not None and (changed or tell):
@@ -842,12 +910,18 @@
         watched = self._alerts.watched_by if self._alerts is not None else {}
         rows = [
             {
-                "name": n, "address": f"{k.peer.host}:{k.peer.port}", "zone": k.peer.zone, "state": k.state,
-                "incarnation": k.incarnation, "since_s": round(now - k.since, 1), "why": k.why,
-                "observers": list(watched.get(n, ())), "trip_ms": round(k.trip * 1000, 2),
+                "name": n,
+                "address": f"{k.peer.host}:{k.peer.port}",
+                "zone": k.peer.zone,
+                "state": k.state,
+                "incarnation": k.incarnation,
+                "since_s": round(now - k.since, 1),
+                "why": k.why,
+                "observers": list(watched.get(n, ())),
+                "trip_ms": round(k.trip * 1000, 2),
             }
             for n, k in sorted(self.others.items())
-        ]  # fmt: skip
+        ]
         rows += [
             {"name": n, "address": f"{p.host}:{p.port}", "zone": p.zone, "state": "lost"}
             for n, p in sorted(self.lost.items())
--- a/ironledge/members/cuts.py
+++ b/cairndale/gossip/cuts.py
@@ -1,13 +1,13 @@
-"""Agreement on who belongs to the fleet: observers' alerts gathered into a cut, and one cut agreed on a view.
+"""Agreement on who belongs to the fleet: observers' alerts gathered into a cut, and one cut agreed
+on a view.
 
-The gathering is Rapid's (Suresh et al., Stable and Consistent Membership at Scale with Rapid, ATC 2018):
-each member has several observers, the next ones on as many rings; a member with many alerts is lost for
-sure, one with few is noise, and while one stands in between nothing is proposed, so that a whole cut is
-decided at once. The decision on a view is single-decree Paxos among its members (Lamport, The Part-Time
-Parliament, TOCS 1998); what an acceptor has promised is on disk before it says so, so that a member that
-starts again is bound by it. Rapid's fast round is left out: it needs three quarters of the members, and
-half of them may be what is lost.
-"""
+The gathering is Rapid's (Suresh et al., Stable and Consistent Membership at Scale with Rapid, ATC
+2018): each member has several observers, the next ones on as many rings; a member with many alerts
+is lost for sure, one with few is noise, and while one stands in between nothing is proposed, so
+that a whole cut is decided at once. The decision on a view is single-decree Paxos among its members
+(Lamport, The Part-Time Parliament, TOCS 1998); what an acceptor has promised is on disk before it
+says so, so that a member that starts again is bound by it. Rapid's fast round is left out: it needs
+three quarters of the members, and half of them may be what is lost."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 from msgspec import Struct
 
-from ironledge.members.wire import Cut, Peer, View, cut_of, removed
+from cairndale.gossip.wire import Cut, Peer, View, cut_of, removed
 
 RINGS = 8  # observers of a member, at the most
 HIGH, LOW = 0.75, 0.3  # shares of its observers' alerts: lost for sure, and not just noise
@@ -29,7 +29,8 @@
 
 
 def observers(view: View) -> dict[str, tuple[str, ...]]:
-    """Of each member: those that watch it, the one before it on each ring. The same at every member."""
+    """Of each member: those that watch it, the one before it on each ring. The same at every
+    member."""
     names = [p.name for p in view.members]
     rings = min(RINGS, len(names) - 1)
     found: dict[str, dict[str, None]] = {name: {} for name in names}
@@ -46,7 +47,9 @@
 
     view: View
     watched_by: dict[str, tuple[str, ...]] = field(init=False)
-    _alerts: dict[str, dict[str, int]] = field(default_factory=dict)  # by subject: observer, incarnation
+    _alerts: dict[str, dict[str, int]] = field(
+        default_factory=dict
+    )  # by subject: observer, incarnation
 
     def __post_init__(self) -> None:
         self.watched_by = observers(self.view)
@@ -68,11 +71,14 @@
             del own[observer]
 
     def counts(self) -> dict[str, tuple[int, int]]:
-        """Alerts of each subject, and its observers. An observer that is itself lost or nearly so cannot
-        tell: it counts as if it had."""
+        """Alerts of each subject, and its observers. An observer that is itself lost or nearly so
+        cannot tell: it counts as if it had."""
         low = {s for s, own in self._alerts.items() if len(own) >= self._low(s)}
         return {
-            subject: (len(own.keys() | (low & set(self.watched_by[subject]))), len(self.watched_by[subject]))
+            subject: (
+                len(own.keys() | (low & set(self.watched_by[subject]))),
+                len(self.watched_by[subject]),
+            )
             for subject, own in self._alerts.items()
             if own
         }
@@ -142,8 +148,8 @@
         return len(self.view.members) // 2 + 1
 
     def promised(self, name: str, held: Ballot, cut: Cut | None) -> Cut | None:
-        """The cut to put to the vote, at the promise that makes the majority: one that may have been accepted
-        before goes first."""
+        """The cut to put to the vote, at the promise that makes the majority: one that may have
+        been accepted before goes first."""
         if self.cut is not None or self.view.find(name) is None:
             return None
         self.promises[name] = held, cut
--- a/ironledge/members/shell.py
+++ b/cairndale/gossip/shell.py
@@ -1,5 +1,5 @@
-"""A member on sockets: datagrams over UDP, whole states over TCP at the same port, and what it keeps on
-disk."""
+"""A member on sockets: datagrams over UDP, whole states over TCP at the same port, and what it
+keeps on disk."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from ironledge.durable import replace_file
-from ironledge.members.core import Action, Ask, Changed, Core, Keep, Send, Stored, Timing, bounded
-from ironledge.members.wire import MAX_STATE, Address, Bad, Codec, Peer, State
+from cairndale.durable import replace_file
+from cairndale.gossip.core import Action, Ask, Changed, Core, Keep, Send, Stored, Timing, bounded
+from cairndale.gossip.wire import MAX_STATE, Address, Bad, Codec, Peer, State
 
 CONNECT = 1.0  # s for another member to take a connection
 EXCHANGE = 5.0  # s for a whole exchange of states
@@ -80,7 +80,9 @@
         config = self.config
         self._codec = Codec(config.fleet, config.key)
         peer = Peer(config.name, 0, *config.listen, config.zone)
-        self.core = Core(peer, config.fleet, config.timing, random.Random(), config.seeds, config.founds)
+        self.core = Core(
+            peer, config.fleet, config.timing, random.Random(), config.seeds, config.founds
+        )
 
     @property
     def _loop(self) -> asyncio.AbstractEventLoop:
@@ -159,8 +161,8 @@
         self._plan()
 
     def _keep(self, stored: Stored) -> None:
-        """Synced before anything else is said. Views change seldom: that the loop waits for the disk is the
-        price of an order that cannot be wrong."""
+        """Synced before anything else is said. Views change seldom: that the loop waits for the
+        disk is the price of an order that cannot be wrong."""
         try:
             replace_file(self.config.folder / FILE, msgspec.msgpack.encode(stored))
         except OSError as error:
@@ -172,9 +174,12 @@
         parts = [f"{len(changed.added)} came: {bounded(changed.added)}"] if changed.added else []
         parts += [f"{len(changed.gone)} went: {bounded(changed.gone)}"] if changed.gone else []
         log.info(
-            "members: view %d of %d, %s%s", view.number, len(view.members), standing.word,
+            "members: view %d of %d, %s%s",
+            view.number,
+            len(view.members),
+            standing.word,
             "; " + "; ".join(parts) if parts else "",
-        )  # fmt: skip
+        )
 
     def _plan(self) -> None:
         if self._timer:
@@ -244,12 +249,20 @@
         now, core = self._loop.time(), self.core
         view, standing = core.view, core.standing
         return {
-            "name": core.me.name, "standing": standing.word, "age_s": round(max(0.0, standing.age), 2),
-            "acts": standing.acts, "health": core.health, "incarnation": core.incarnation,
-            "view": view.number if view else 0, "digest": view.digest if view else "",
-            "size": len(view.members) if view else 0, "refused": core.refused or None,
-            "members": core.shown(now), "dropped": dict(core.counts), "pid": os.getpid(),
-        }  # fmt: skip
+            "name": core.me.name,
+            "standing": standing.word,
+            "age_s": round(max(0.0, standing.age), 2),
+            "acts": standing.acts,
+            "health": core.health,
+            "incarnation": core.incarnation,
+            "view": view.number if view else 0,
+            "digest": view.digest if view else "",
+            "size": len(view.members) if view else 0,
+            "refused": core.refused or None,
+            "members": core.shown(now),
+            "dropped": dict(core.counts),
+            "pid": os.getpid(),
+        }
 
 
 async def _read(reader: asyncio.StreamReader) -> bytes:
--- a/ironledge/members/wire.py
+++ b/cairndale/gossip/wire.py
@@ -1,10 +1,10 @@
-"""What members say to each other, and how it is told from what strangers say. MessagePack, by msgspec.
+"""What members say to each other, and how it is told from what strangers say. MessagePack, by
+msgspec.
 
-A datagram is a mark, a keyed digest (HMAC-SHA256, its first 16 bytes; zeros without a key) and a `Packet`.
-Each side knows its own version and reads the one before and the one after: unknown fields are ignored, and
-news that is passed on goes as the bytes it came in, so that what an older member does not know is not lost
-on its way.
-"""
+A datagram is a mark, a keyed digest (HMAC-SHA256, its first 16 bytes; zeros without a key) and a
+`Packet`. Each side knows its own version and reads the one before and the one after: unknown fields
+are ignored, and news that is passed on goes as the bytes it came in, so that what an older member
+does not know is not lost on its way."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 
 
 class Peer(Struct, frozen=True, array_like=True):
-    """A member as admitted. `seat` tells apart two that have had one name, of which the second knew nothing
-    of the first: what one has promised does not bind the other."""
+    """A member as admitted. `seat` tells apart two that have had one name, of which the second knew
+    nothing of the first: what one has promised does not bind the other."""
 
     name: str
     seat: int
@@ -95,10 +95,9 @@
 class News(Struct, frozen=True, omit_defaults=True):
     """What is rumoured of one member, or of the fleet.
 
-    `alive`, `suspect` and `left` are of an incarnation, `by` the one who says so; `alert` is an observer's
-    word that a member of view `view` has failed, `up` its word that it has not after all; `decided` is a
-    cut that was agreed on view `view`.
-    """
+    `alive`, `suspect` and `left` are of an incarnation, `by` the one who says so; `alert` is an
+    observer's word that a member of view `view` has failed, `up` its word that it has not after
+    all; `decided` is a cut that was agreed on view `view`."""
 
     kind: str
     name: str = ""
@@ -113,15 +112,19 @@
         """News of the same key takes the place of what was to be passed on before."""
         if self.kind in ("alive", "suspect", "left"):
             return "state", self.name, ""
-        return ("decided", str(self.view), "") if self.kind == "decided" else ("alert", self.name, self.by)
+        return (
+            ("decided", str(self.view), "")
+            if self.kind == "decided"
+            else ("alert", self.name, self.by)
+        )
 
 
 # Messages.
 
 
 class Body(Struct, frozen=True, omit_defaults=True):
-    """One message. `kind`: ping, ack, ask (to probe `name` for the sender), nack, news, prepare, promise,
-    accept, accepted. `seq` pairs an answer with its question."""
+    """One message. `kind`: ping, ack, ask (to probe `name` for the sender), nack, news, prepare,
+    promise, accept, accepted. `seq` pairs an answer with its question."""
 
     kind: str
     seq: int = 0
@@ -191,7 +194,8 @@
 
 @dataclass(slots=True)
 class Window:
-    """Which packets of a sender have come: each counts once, and those before its last start never again."""
+    """Which packets of a sender have come: each counts once, and those before its last start never
+    again."""
 
     boot: int = 0
     top: int = 0
--- a/playhouse/stagedoor/tree.py
+++ b/cairndale/http_api/router.py
@@ -1,4 +1,5 @@
-"""Calls of servers and operators as a tree of matchers: each looks at one part of a request and hands on."""
+"""Calls of servers and operators as a tree of matchers: each looks at one part of a request and
+hands on."""
 
 from __future__ import annotations
 
@@ -111,5 +112,7 @@
         )
     }
 )
-FOYER = Parts({"-": Parts({"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))})})
+FOYER = Parts(
+    {"-": Parts({"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))})}
+)
 READY = Parts({"-": Parts({"readyz": Method("GET", Call("ready"))})})
--- a/playhouse/stagedoor/doors.py
+++ b/cairndale/http_api/server.py
@@ -9,9 +9,9 @@
 
 import httptools
 
-from ironledge.net.http import HttpConnection, Message, plain
-from playhouse.settings import Door
-from playhouse.wings.frames import keep_short
+from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.rpc.framing import keep_short
+from cairndale.settings import Door
 
 MOST_BODY = 16 * 1024 * 1024
 MOST_OPEN = 1024
@@ -79,7 +79,8 @@
     def __init__(self, doors: Doors) -> None:
         super().__init__(httptools.HttpRequestParser)
         self._doors, self._busy = doors, False
-        self._said: tuple[str, str, Answer] | None = None  # the last answer, until it is known to be read
+        # the last answer, until it is known to be read
+        self._said: tuple[str, str, Answer] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -118,7 +119,9 @@
 
     async def _take(self, message: Message) -> None:
         method, target = message.method.decode("latin-1"), message.target.decode("latin-1")
-        for _ in range(2):  # what came with the call is read: after a freeze its caller may be long gone
+        for _ in range(
+            2
+        ):  # what came with the call is read: after a freeze its caller may be long gone
             await asyncio.sleep(0)
         if self.transport.is_closing():
             return
@@ -142,7 +145,9 @@
             self._doors.read(*said)
 
     def _say(self, status: int, body: bytes, keep: bool) -> None:
-        self.transport.write(plain(status, body, b"Content-Type: application/json\r\n", close=not keep))
+        self.transport.write(
+            plain(status, body, b"Content-Type: application/json\r\n", close=not keep)
+        )
         if keep:
             self._wait()
         elif self._doors.read and self._timer:
--- a/ironledge/__init__.py
+++ b/cairndale/ingress/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of an admission gateway for a service sold by plan."""
 
-from ironledge.brain import Gateway
+from cairndale.ingress.policy.engine import Gateway
 
 __all__ = ["Gateway"]
--- a/ironledge/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -18,19 +18,19 @@
 
 import uvloop
 
-from ironledge import interface as it
-from ironledge.brain import Gateway
-from ironledge.net.backends import Backends
-from ironledge.net.bodies import Memory
-from ironledge.net.clients import Listener
-from ironledge.net.config import Config, ConfigError, read_config
-from ironledge.net.counter import Counter
-from ironledge.net.discovery import Discovery, Held
-from ironledge.net.engine import Clock, Engine, Names
-from ironledge.net.handover import Claim, Offer
-from ironledge.net.ops import Maintenance, Ops
-from ironledge.net.requests import read_request
-from ironledge.net.sockets import Sockets
+from cairndale.ingress.net.backends import Backends
+from cairndale.ingress.net.bodies import Memory
+from cairndale.ingress.net.clients import Listener
+from cairndale.ingress.net.config import Config, ConfigError, read_config
+from cairndale.ingress.net.counter import Counter
+from cairndale.ingress.net.discovery import Discovery, Held
+from cairndale.ingress.net.engine import Clock, Engine, Names
+from cairndale.ingress.net.handover import Claim, Offer
+from cairndale.ingress.net.ops import Maintenance, Ops
+from cairndale.ingress.net.requests import read_request
+from cairndale.ingress.net.sockets import Sockets
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.engine import Gateway
 
 ACCEPTS_ON = 0.55  # s after SIGTERM: new connections go on coming for 0.4 s
 LONGEST_STOP = 3.0  # s: the longest deadline that the platform waits for, and ...
@@ -41,7 +41,7 @@
 KEPT = "ironledge-maintenance.json"  # in $TMPDIR
 NOWHERE = ("127.0.0.1", 0)  # where no discovery is watched
 
-log = logging.getLogger("ironledge")
+log = logging.getLogger("cairndale.ingress")
 
 
 Again = Callable[[Config], Config]  # reads the configuration anew, or raises ConfigError
@@ -81,7 +81,12 @@
         counter.start()
     settings, held = config.settings, Held(config.directory) if config.directory else None
     discovery = Discovery(
-        config.discovery or NOWHERE, config.known.index, engine.listed, settings.fleet_size, held, settings.me
+        config.discovery or NOWHERE,
+        config.known.index,
+        engine.listed,
+        settings.fleet_size,
+        held,
+        settings.me,
     )
     reader = config.request.reader() if config.request else None
     listener = Listener(engine, sockets, Memory(config.memory_mb), clock.now, reader)
@@ -126,7 +131,9 @@
     ops = Ops(engine, maintenance, serving, discovery.status, backends.figures, running)
     if look_on:
         look_on(Parts(engine, gateway, sockets, backends, discovery, ops))
-    ops_port = await ops.listen(*config.ops) if config.ops else 0  # before clients: /status says no till then
+    ops_port = (
+        await ops.listen(*config.ops) if config.ops else 0
+    )  # before clients: /status says no till then
     claim, index = await Claim.find(temporary / OFFERED), None
     if claim:
         if counter:
@@ -148,7 +155,9 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    if index is None:  # the configuration's list may be old: what drains must be known before clients come
+    if (
+        index is None
+    ):  # the configuration's list may be old: what drains must be known before clients come
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(discovery.word.wait(), settings.safety.drain_grace / 1e6)
     if claim:
@@ -160,7 +169,9 @@
     if config.ops:
         log.info("operators' calls on %s:%d", config.ops[0], ops_port)
     passed = asyncio.Event()
-    offer = Offer(temporary / OFFERED, engine, gateway, listener, sockets, discovery, maintenance, passed.set)
+    offer = Offer(
+        temporary / OFFERED, engine, gateway, listener, sockets, discovery, maintenance, passed.set
+    )
     offer.open()
     ends = [loop.create_task(event.wait()) for event in (stop, passed)]
     await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
@@ -210,12 +221,16 @@
                 await done.wait()
         except TimeoutError:
             engine.give_up()
-    while listener.connections and loop.time() < end + 0.1:  # the last answers are still being written
+    while (
+        listener.connections and loop.time() < end + 0.1
+    ):  # the last answers are still being written
         await asyncio.sleep(0.005)
 
 
 def main() -> int:
-    logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
+    logging.basicConfig(
+        stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s"
+    )
     try:
         config = read_config(os.environ.get("EDGE_CONFIG", ""))
         uvloop.run(serve(config))
--- a/ironledge/adapter.py
+++ b/cairndale/ingress/adapter.py
@@ -5,9 +5,9 @@
 import sys
 from typing import BinaryIO
 
-from ironledge import interface as it
-from ironledge.brain import Gateway
-from ironledge.wire import Created, Decoder, Stopped, WireError, encode_reply
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.wire import Created, Decoder, Stopped, WireError, encode_reply
 
 
 def _read_exactly(stream: BinaryIO, count: int, what: str) -> bytes:
--- a/ironledge/front/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -1,8 +1,7 @@
 """`ironledge`: run, check, configuration, operators' calls, the list service, the lab.
 
-Exit status: 0 done, 1 something failed or an answer was no, 2 a bad configuration or bad arguments, 130
-Ctrl-C.
-"""
+Exit status: 0 done, 1 something failed or an answer was no, 2 a bad configuration or bad arguments,
+130 Ctrl-C."""
 
 from __future__ import annotations
 
@@ -18,9 +17,9 @@
 
 import click
 
-from ironledge.front import read as reading
-from ironledge.front.model import Config, written
-from ironledge.front.schema import FIRST, reference, schema
+from cairndale.ingress.cli import read as reading
+from cairndale.ingress.cli.model import Config, written
+from cairndale.ingress.cli.schema import FIRST, reference, schema
 
 BAD, FAILED, STOPPED = 2, 1, 130
 CALL_TIMEOUT = 2.0  # s; an operators' call is answered within one
@@ -30,7 +29,7 @@
 
 def _version() -> str:
     try:
-        return version("ironledge")
+        return version("cairndale")
     except PackageNotFoundError:
         return "of a checkout"
 
@@ -62,9 +61,9 @@
     """Runs one ingress until SIGTERM; SIGHUP reads the configuration anew."""
     import uvloop
 
-    from ironledge.__main__ import Parts, serve
-    from ironledge.net.config import Config as Running
-    from ironledge.net.config import ConfigError, config_from
+    from cairndale.ingress.__main__ import Parts, serve
+    from cairndale.ingress.net.config import Config as Running
+    from cairndale.ingress.net.config import ConfigError, config_from
 
     found = reading.read(path, sets)
 
@@ -74,7 +73,7 @@
         except reading.ConfigErrors as error:
             raise ConfigError("; ".join(error.errors)) from None
 
-    from ironledge.observe import logs
+    from cairndale.ingress.observability import logs
 
     c = found.config
     writer = logs.begin(
@@ -93,7 +92,7 @@
     def look_on(parts: Parts) -> None:
         observers: list[Any] = []
         if c.metrics.on:
-            from ironledge.observe.metrics import Metrics
+            from cairndale.ingress.observability.metrics import Metrics
 
             metrics = Metrics(parts.engine, parts.sockets, lambda: parts.gateway.accounts.values())
             metrics.pools = parts.backends.figures
@@ -178,7 +177,11 @@
 @config.command()
 @click.argument("source", type=click.Path())
 @click.option(
-    "--to", "form", type=click.Choice(["toml", "json", "platform"]), default="toml", show_default=True
+    "--to",
+    "form",
+    type=click.Choice(["toml", "json", "platform"]),
+    default="toml",
+    show_default=True,
 )
 def convert(source: str, form: str) -> None:
     """Another form of a configuration: the platform's JSON as TOML, TOML as JSON, either as the
@@ -189,7 +192,9 @@
     if form == "toml":
         click.echo(tomli_w.dumps(written(found)), nl=False)
     else:
-        click.echo(json.dumps(written(found) if form == "json" else reading.platform(found), indent=1))
+        click.echo(
+            json.dumps(written(found) if form == "json" else reading.platform(found), indent=1)
+        )
 
 
 @config.command()
@@ -233,10 +238,17 @@
         said: Any = json.loads(text)
     except ValueError:
         said = text
-    return {"address": address, "ok": 200 <= answer.status < 300, "status": answer.status, "answer": said}
+    return {
+        "address": address,
+        "ok": 200 <= answer.status < 300,
+        "status": answer.status,
+        "answer": said,
+    }
 
 
-def _asked(addresses: tuple[str, ...], method: str, path: str, as_json: bool) -> list[dict[str, Any]]:
+def _asked(
+    addresses: tuple[str, ...], method: str, path: str, as_json: bool
+) -> list[dict[str, Any]]:
     with ThreadPoolExecutor(max_workers=min(32, len(addresses))) as pool:
         rows = list(pool.map(lambda a: _call(a, method, path), addresses))
     if as_json:
@@ -300,8 +312,12 @@
             "bound",
             "why",
         ]
-        lines = [[r["address"], *(s.get(k) for k in keys)] for r in rows if r["ok"] for s in r["answer"]]
-        _table(["ingress", *keys], lines + [[r["address"], r["answer"]] for r in rows if not r["ok"]])
+        lines = [
+            [r["address"], *(s.get(k) for k in keys)] for r in rows if r["ok"] for s in r["answer"]
+        ]
+        _table(
+            ["ingress", *keys], lines + [[r["address"], r["answer"]] for r in rows if not r["ok"]]
+        )
     _end(rows)
 
 
@@ -320,7 +336,9 @@
 
     def look() -> Table:
         said = _call(address, "GET", "/debug/requests")
-        table = Table("id", "class", "age, ms", "left, ms", "phase", "attempts", "servers", title=address)
+        table = Table(
+            "id", "class", "age, ms", "left, ms", "phase", "attempts", "servers", title=address
+        )
         for r in said["answer"] if said["ok"] else []:
             row = (
                 r["id"],
@@ -371,7 +389,10 @@
 
     rows = _asked(addresses, "POST", f"/maintenance/{what}?who={quote(server, safe='')}", as_json)
     if not as_json:
-        _table(["ingress", what, ""], [[r["address"], "yes" if r["ok"] else "no", r["answer"]] for r in rows])
+        _table(
+            ["ingress", what, ""],
+            [[r["address"], "yes" if r["ok"] else "no", r["answer"]] for r in rows],
+        )
     _end(rows)
 
 
@@ -382,30 +403,32 @@
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
 def directory(args: Sets) -> None:
     """The list service (see docs/directory.md)."""
-    _other("ironledge.directory", args)
+    _other("cairndale.discovery", args)
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
 def lab(args: Sets) -> None:
     """The lab: emulator, experiments, reports (see docs/lab.md)."""
-    _other("ironledge.lab", args)
+    _other("cairndale.lab", args)
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
 def demo(args: Sets) -> None:
     """Real ingresses amid stand-ins for half a minute."""
-    _other("ironledge.lab", ("demo", *args))
+    _other("cairndale.lab", ("demo", *args))
 
 
 def _other(module: str, args: Sets) -> None:
     import os
     from importlib.util import find_spec
 
-    if module == "ironledge.lab" and not all(map(find_spec, ("numpy", "matplotlib", "hdrh"))):
+    if module == "cairndale.lab" and not all(map(find_spec, ("numpy", "matplotlib", "hdrh"))):
         _stop(
-            "the lab's libraries are not there: pip install 'ironledge[lab]', or ./demo in a checkout", FAILED
+            "the lab's libraries are not there: pip install 'cairndale[lab]', or ./demo "
+            "in a checkout",
+            FAILED,
         )
 
     os.execv(sys.executable, [sys.executable, "-m", module, *args])
--- a/ironledge/front/checked.py
+++ b/cairndale/ingress/cli/checked.py
@@ -1,4 +1,5 @@
-"""Reading a file into msgspec structs with every error at once: key, what was found, what is allowed."""
+"""Reading a file into msgspec structs with every error at once: key, what was found, what is
+allowed."""
 
 from __future__ import annotations
 
@@ -41,8 +42,8 @@
 
 
 def sound(value: Any, kind: Any, where: str, errors: list[str], hook: Hook | None = None) -> Any:
-    """`value` as `kind`, or UNSET; all that is wrong goes to `errors` as `key: reason`, not the first
-    alone."""
+    """`value` as `kind`, or UNSET; all that is wrong goes to `errors` as `key: reason`, not the
+    first alone."""
     if (struct := struct_of(plain(kind))) is not None:
         if not isinstance(value, dict):
             errors.append(f"{where}: found {value!r}, a table is wanted")
@@ -50,7 +51,9 @@
         fields = {f.encode_name: f for f in msgspec.structs.fields(struct)}
         for key in sorted(value.keys() - fields.keys()):
             near = difflib.get_close_matches(key.lower(), fields, 1)
-            errors.append(f"{at(where, key)}: not known" + (f"; {near[0]!r} is meant?" if near else ""))
+            errors.append(
+                f"{at(where, key)}: not known" + (f"; {near[0]!r} is meant?" if near else "")
+            )
         made: dict[str, Any] = {}
         for key, field in fields.items():
             if key in value:
--- a/ironledge/front/read.py
+++ b/cairndale/ingress/cli/read.py
@@ -1,4 +1,5 @@
-"""`ironledge.toml` (or the same as JSON) into the model, and the model into what the ingress runs on."""
+"""`ironledge.toml` (or the same as JSON) into the model, and the model into what the ingress runs
+on."""
 
 from __future__ import annotations
 
@@ -13,9 +14,9 @@
 import msgspec
 from msgspec import Struct, UnsetType
 
-from ironledge.front.checked import at, line_of, list_of, plain, sound, struct_of
-from ironledge.front.model import Config, Duration, Size, hook, written
-from ironledge.net.requests import FieldError, read_timeout
+from cairndale.ingress.cli.checked import at, line_of, list_of, plain, sound, struct_of
+from cairndale.ingress.cli.model import Config, Duration, Size, hook, written
+from cairndale.ingress.net.requests import FieldError, read_timeout
 
 MOST = 4 << 20  # bytes of a configuration
 PREFIX = "IRONLEDGE_"
@@ -37,7 +38,8 @@
 
 
 def text_of(path: Path) -> str:
-    """The file's text. Raises ConfigErrors for a folder, a pipe, another encoding, too large a file."""
+    """The file's text. Raises ConfigErrors for a folder, a pipe, another encoding, too large a
+    file."""
     try:
         if path.exists() and not path.is_file():
             raise ConfigErrors([f"{path}: is no regular file"])
@@ -68,8 +70,8 @@
 
 
 def read(path: str, set_: tuple[str, ...] = (), env: Mapping[str, str] | None = None) -> Read:
-    """The file, then the environment (`IRONLEDGE_LIMITS__SOCKETS=512`), then `set_` (`limits.sockets=512`);
-    the later wins. Raises ConfigErrors with every error at once."""
+    """The file, then the environment (`IRONLEDGE_LIMITS__SOCKETS=512`), then `set_`
+    (`limits.sockets=512`); the later wins. Raises ConfigErrors with every error at once."""
     file = Path(path)
     text = text_of(file)
     raw = raw_of(file, text)
@@ -143,7 +145,11 @@
 
 def _field(kind: Any, key: str) -> Any:
     struct = struct_of(kind)
-    return next((f for f in msgspec.structs.fields(struct) if f.encode_name == key), None) if struct else None
+    return (
+        next((f for f in msgspec.structs.fields(struct) if f.encode_name == key), None)
+        if struct
+        else None
+    )
 
 
 def _crossed(c: Config) -> Iterator[str]:
@@ -156,7 +162,10 @@
         folded: dict[str, int] = {}
         for number, name in enumerate(names):
             if name.lower() in folded:
-                yield f"{what}[{number}].name: {name!r} stands for {what}[{folded[name.lower()]}] as well"
+                yield (
+                    f"{what}[{number}].name: {name!r} stands for "
+                    f"{what}[{folded[name.lower()]}] as well"
+                )
             folded.setdefault(name.lower(), number)
     paths: dict[str, int] = {}
     for number, kind in enumerate(c.class_):
@@ -176,7 +185,9 @@
             yield f"plan[{number}].burst: found {plan.burst:g}; with a rate no request fits under 1"
         if bool(plan.ceiling_rate) != bool(plan.ceiling_burst):
             yield f"plan[{number}].ceiling_rate: a ceiling has both a rate and a burst"
-        elif plan.ceiling_rate and (plan.ceiling_rate < plan.rate or plan.ceiling_burst < plan.burst):
+        elif plan.ceiling_rate and (
+            plan.ceiling_rate < plan.rate or plan.ceiling_burst < plan.burst
+        ):
             yield f"plan[{number}].ceiling_rate: the ceiling lies under the quota"
     for customer, name in c.customers.items():
         if name not in plans:
--- a/ironledge/front/schema.py
+++ b/cairndale/ingress/cli/schema.py
@@ -1,4 +1,5 @@
-"""What is generated from the model: a JSON Schema, the reference page, a commented file to begin with."""
+"""What is generated from the model: a JSON Schema, the reference page, a commented file to begin
+with."""
 
 from __future__ import annotations
 
@@ -7,8 +8,18 @@
 import msgspec
 from msgspec import NODEFAULT, Meta
 
-from ironledge.front.checked import described, list_of, plain, struct_of
-from ironledge.front.model import SIZES, SOURCES, TIMES, Address, Config, Duration, Size, Source, written
+from cairndale.ingress.cli.checked import described, list_of, plain, struct_of
+from cairndale.ingress.cli.model import (
+    SIZES,
+    SOURCES,
+    TIMES,
+    Address,
+    Config,
+    Duration,
+    Size,
+    Source,
+    written,
+)
 
 FORMS: dict[type, tuple[str, str]] = {
     Duration: (rf"^[0-9]+(\.[0-9]+)?\s*({'|'.join(TIMES)})$", 'a time, as `"250ms"`'),
@@ -28,7 +39,8 @@
 
 
 def schema(kind: Any = Config) -> dict[str, Any]:
-    """JSON Schema (2020-12) of a configuration; defaults as they stand in a file, with their units."""
+    """JSON Schema (2020-12) of a configuration; defaults as they stand in a file, with their
+    units."""
     top = {"$schema": "https://json-schema.org/draft/2020-12/schema"} if kind is Config else {}
     properties, required = {}, []
     for field in msgspec.structs.fields(kind):
@@ -54,7 +66,11 @@
     while hasattr(base, "__metadata__"):
         metas = [*(m for m in base.__metadata__ if isinstance(m, Meta)), *metas]
         base = get_args(base)[0]
-    kinds = [k for k in get_args(base) if k is not type(None)] if get_origin(base) is not Literal else []
+    kinds = (
+        [k for k in get_args(base) if k is not type(None)]
+        if get_origin(base) is not Literal
+        else []
+    )
     if type(None) in get_args(base):
         base = kinds[0]
     if get_origin(base) is Literal:
@@ -89,9 +105,12 @@
     lines = [
         "# Configuration reference",
         "",
-        "Made from the model by `ironledge config reference`; a test holds the two together. The file is",
-        "TOML, or the same as JSON where its name ends in `.json`. Tables in `[[ ]]` may come several times.",
-        "The environment (`IRONLEDGE_LIMITS__SOCKETS=512`) goes before the file, `--set limits.sockets=512`",
+        "Made from the model by `ironledge config reference`; a test holds the two "
+        "together. The file is",
+        "TOML, or the same as JSON where its name ends in `.json`. Tables in `[[ ]]` may "
+        "come several times.",
+        "The environment (`IRONLEDGE_LIMITS__SOCKETS=512`) goes before the file, `--set "
+        "limits.sockets=512`",
         "before both.",
         "",
     ]
@@ -99,13 +118,23 @@
     for key, hint, default, text in described(Config):
         table, _, name = key.rpartition(".")
         if table != section:
-            title = f"[[{table[:-2]}]]" if table.endswith("[]") else f"[{table}]" if table else "The top"
+            title = (
+                f"[[{table[:-2]}]]"
+                if table.endswith("[]")
+                else f"[{table}]"
+                if table
+                else "The top"
+            )
             optional = table in ("discovery", "counter")
-            lines += ["", f"## {title}", ""] + (["May be left out as a whole.", ""] if optional else [])
+            lines += ["", f"## {title}", ""] + (
+                ["May be left out as a whole.", ""] if optional else []
+            )
             lines += ["| key | | default | allowed |", "| --- | --- | --- | --- |"]
             section = table
         lines.append(
-            f"| `{name}` | {text} | {_default(default)} | {allowed(hint)} |".replace("| - |", "| (wanted) |")
+            f"| `{name}` | {text} | {_default(default)} | {allowed(hint)} |".replace(
+                "| - |", "| (wanted) |"
+            )
         )
     return "\n".join(lines) + "\n"
 
@@ -127,7 +156,7 @@
 name = "two"
 address = "127.0.0.1:9002"
 
-[[class]]                       # requests of one kind, by the beginning of their path; the longest wins
+[[class]]                       # requests of one kind, by the beginning of their path: the longest
 name = "all"
 path = "/"
 aim = "1s"                      # an answer within this is a good one
--- a/ironledge/estate.py
+++ b/cairndale/ingress/handover_state.py
@@ -1,4 +1,5 @@
-"""What the module knows, as plain values for the process that comes next; nothing is decided here."""
+"""What the module knows, as plain values for the process that comes next; nothing is decided
+here."""
 
 from __future__ import annotations
 
@@ -7,26 +8,42 @@
 from dataclasses import replace
 from typing import Any
 
-from ironledge.account import Account
-from ironledge.brain import Gateway
+from cairndale.ingress.policy.account import Account
+from cairndale.ingress.policy.engine import Gateway
 
 # What the next process takes over as it is, beside what is named there.
 ACCOUNT_KEYS = (
-    "spread", "level_at", "level", "share", "tokens", "rate", "chance", "heard_at", "usual", "demand_at",
-    "ceiling", "sure", "slot", "unheard", "back", "back_for",
-)  # fmt: skip
+    "spread",
+    "level_at",
+    "level",
+    "share",
+    "tokens",
+    "rate",
+    "chance",
+    "heard_at",
+    "usual",
+    "demand_at",
+    "ceiling",
+    "sure",
+    "slot",
+    "unheard",
+    "back",
+    "back_for",
+)
 BACKEND_KEYS = ("limit", "slow", "seen_at", "credit", "credit_at", "load", "load_at")
 FLEET_KEYS = ("usual", "typical", "more", "sends")
 
 
 def hand_over(gateway: Gateway) -> dict[str, Any]:
-    """What the next process needs to go on as one gateway with this. Leases and cold backends' budgets
-    go to it whole; of each ceiling's part one half stays, for what still comes in here."""
+    """What the next process needs to go on as one gateway with this. Leases and cold backends'
+    budgets go to it whole; of each ceiling's part one half stays, for what still comes in here."""
     accounts, backends = [], []
     for customer, a in gateway.accounts.items():
         a.ceiling, a.sure = a.ceiling / 2, a.sure / 2
         values = {key: getattr(a, key) for key in ACCOUNT_KEYS}
-        accounts.append([customer, gateway.settings.plans.index(a.plan), [list(s) for s in a.ring], values])
+        accounts.append(
+            [customer, gateway.settings.plans.index(a.plan), [list(s) for s in a.ring], values]
+        )
         a.tokens = 0.0
     for number, b in gateway.fleet.backends.items():
         backends.append([number, b.info.started, {key: getattr(b, key) for key in BACKEND_KEYS}])
@@ -48,11 +65,14 @@
 def take_over(
     gateway: Gateway, now: int, state: dict[str, Any], classes: Sequence[int], plans: Sequence[int]
 ) -> None:
-    """From the process before. `classes` and `plans` give this one's numbers for that one's; -1: none."""
+    """From the process before. `classes` and `plans` give this one's numbers for that one's; -1:
+    none."""
     accounts: dict[int, Account] = {}
     for customer, plan, ring, values in state["accounts"]:
         if plans[plan] >= 0:
-            made = Account(gateway.settings.plans[plans[plan]], values["spread"], gateway.slot_us, now)
+            made = Account(
+                gateway.settings.plans[plans[plan]], values["spread"], gateway.slot_us, now
+            )
             for key in ACCOUNT_KEYS:
                 setattr(made, key, values[key])
             made.ring = deque(ring)
@@ -73,4 +93,3 @@
                 known.slow[here] = values["slow"][there]
     gateway.crowd, gateway.call_at = state["gateway"]["crowd"], state["gateway"]["call_at"]
     gateway.accounts, gateway.began = accounts, state["gateway"]["began"]
-
--- a/ironledge/net/backends.py
+++ b/cairndale/ingress/net/backends.py
@@ -18,18 +18,21 @@
 
 import httptools
 
-from ironledge.interface import Outcome
-from ironledge.net.bodies import KERNEL
-from ironledge.net.discovery import Entry
-from ironledge.net.engine import Answer, Data, Flow
-from ironledge.net.http import HOP_BY_HOP, HttpConnection, Message
-from ironledge.net.pool import Action, Close, GiveUp, HandOut, Open, Options, Pool, Refuse
-from ironledge.net.sockets import Sockets
-
-IDLE_PART = 0.75  # of the time after which a backend closes an idle connection: ours is closed by then
+from cairndale.ingress.net.bodies import KERNEL
+from cairndale.ingress.net.discovery import Entry
+from cairndale.ingress.net.engine import Answer, Data, Flow
+from cairndale.ingress.net.http import HOP_BY_HOP, HttpConnection, Message
+from cairndale.ingress.net.pool import Action, Close, GiveUp, HandOut, Open, Options, Pool, Refuse
+from cairndale.ingress.net.sockets import Sockets
+from cairndale.ingress.policy.interface import Outcome
+
+# of the time after which a backend closes an idle connection: ours is closed by then
+IDLE_PART = 0.75
 SWEEP = 1.0  # s between looks for such connections
-GAP = 2.0  # s beyond that for which the process or the machine has stood still: every link is old then
-WARM_RATE = 5.0  # links a second opened ahead at a backend by all gateways together: handshakes cost it work
+# s beyond that for which the process or the machine has stood still: every link is old then
+GAP = 2.0
+# links a second opened ahead at a backend by all gateways together: handshakes cost it work
+WARM_RATE = 5.0
 PROBE_TIMEOUT = 0.25
 HELD = 0.05  # s that the first part of an answer of unknown length waits for the rest
 STALLED = 6.0  # s without another part of an answer, after which the backend is taken for gone
@@ -42,9 +45,10 @@
 
 async def _come_up(
     loop: asyncio.AbstractEventLoop, sock: socket.socket, address: tuple[str, int], within: float
-) -> None:  # fmt: skip
-    """The connection is begun at once, and is up when this returns; `within` s. One that is up when the time
-    is over counts: it was this process that stood still, not the backend. Raises OSError, TimeoutError."""
+) -> None:
+    """The connection is begun at once, and is up when this returns; `within` s. One that is up when
+    the time is over counts: it was this process that stood still, not the backend. Raises OSError,
+    TimeoutError."""
     try:
         socket.inet_pton(socket.AF_INET, address[0])
     except OSError:  # a name: others look it up meanwhile
@@ -122,8 +126,9 @@
 
 
 class Link(HttpConnection):
-    """One connection to a backend. The socket is ours, so that a send tells how much was written, a look
-    tells whether the connection still stands, and giving up takes effect before anything else is sent."""
+    """One connection to a backend. The socket is ours, so that a send tells how much was written, a
+    look tells whether the connection still stands, and giving up takes effect before anything else
+    is sent."""
 
     def __init__(self, pool: Server, sock: socket.socket) -> None:
         super().__init__(httptools.HttpResponseParser)
@@ -139,7 +144,8 @@
 
     def send(self, exchange: Exchange) -> None:
         if exchange.flow and exchange.flow.id and exchange.flow.id == self.answered:
-            self.drop()  # a second answer to the attempt before, still on its way, would count for this one
+            # a second answer to the attempt before, still on its way, would count for this one
+            self.drop()
             self.pool.ask(exchange)
             return
         data = exchange.data if isinstance(exchange.data, bytes) else exchange.data()
@@ -196,14 +202,16 @@
 
     def data_received(self, data: bytes) -> None:
         self.pool.heard_at = self.pool.now()
-        if self.exchange is None:  # nobody has asked: the rest of it would come under the next request
+        if (
+            self.exchange is None
+        ):  # nobody has asked: the rest of it would come under the next request
             self.drop()
         else:
             super().data_received(data)
 
     def headed(self, message: Message) -> None:
-        """An answer of unknown length may be short, and can be asked for again until some of it goes on; it
-        is not held for long, as it may be large and slow."""
+        """An answer of unknown length may be short, and can be asked for again until some of it
+        goes on; it is not held for long, as it may be large and slow."""
         served = self._answer(message).outcome is Outcome.OK
         if message.length is None and served and not message.in_parts:
             self._hold = asyncio.get_running_loop().call_later(HELD, self._held_long, message)
@@ -256,8 +264,9 @@
         self.exchange, self.answered = None, exchange.flow.id if exchange and exchange.flow else b""
         if kept := KEPT.search(message.headers.get(b"keep-alive", b"")):
             self.pool.kept(int(kept[1]))
-        # Answered before it had all been read, or more said than was asked for: a part of a message, what is
-        # none, or whole ones read along with this, which the next request would get for its answer.
+        # Answered before it had all been read, or more said than was asked for: a part of a
+        # message, what is none, or whole ones read along with this, which the next request would
+        # get for its answer.
         unsound = self.transport.get_write_buffer_size() > 0 or self._begun or self._lost_framing
         unsound = unsound or bool(self._hooks) or self.astray or not (exchange and exchange.whole)
         self.pool.rest(self, message.keep_alive and not unsound)
@@ -265,8 +274,8 @@
             exchange.end(answer)
 
     def _answer(self, message: Message) -> Answer:
-        """200 is served, and where answers are relayed all but those of a server that cannot serve now. MOOT:
-        another request's."""
+        """200 is served, and where answers are relayed all but those of a server that cannot serve
+        now. MOOT: another request's."""
         if judge := self.pool.judge:
             asked = self.exchange.data if self.exchange else b""
             answer = judge(message, asked if isinstance(asked, bytes) else b"")
@@ -278,10 +287,16 @@
         if self.keep_fields and status not in (502, 503, 504):
             named = {n.strip().lower() for n in headers.get(b"connection", b"").split(b",")}
             left = HOP_BY_HOP | named
-            fields = b"".join(b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left)
-            return Answer(Outcome.OK, message.body, length=message.length, status=status, fields=fields)
+            fields = b"".join(
+                b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left
+            )
+            return Answer(
+                Outcome.OK, message.body, length=message.length, status=status, fields=fields
+            )
         if status == 200:
-            return Answer(Outcome.OK, message.body, headers.get(b"content-type", b""), load, message.length)
+            return Answer(
+                Outcome.OK, message.body, headers.get(b"content-type", b""), load, message.length
+            )
         if status in (503, 504) and headers.get(b"not-started") == b"1":
             return Answer(Outcome.FULL, load=load)
         return Answer(Outcome.ERROR, load=load)  # nothing says that it never ran
@@ -310,14 +325,30 @@
     """The connections to one backend: its pool's decisions, carried out on sockets."""
 
     __slots__ = (
-        "_backends", "_dials", "_timer", "address", "heard_at", "held", "name", "pool", "stale", "started",
+        "_backends",
+        "_dials",
+        "_timer",
+        "address",
+        "heard_at",
+        "held",
+        "name",
+        "pool",
+        "stale",
+        "started",
         "up",
-    )  # fmt: skip
+    )
 
     def __init__(self, entry: Entry, backends: Backends, held: bool) -> None:
         self.name, self.address, self._backends = entry.name, entry.address, backends
-        self.up, self.held, self.started, self.stale = entry.status == "up", held, entry.since_us, False
-        self.pool = Pool(backends.options, backends.idle_for, backends.rng, ready=self.up and not held)
+        self.up, self.held, self.started, self.stale = (
+            entry.status == "up",
+            held,
+            entry.since_us,
+            False,
+        )
+        self.pool = Pool(
+            backends.options, backends.idle_for, backends.rng, ready=self.up and not held
+        )
         self.heard_at = -math.inf  # when anything came from it
         self._dials: dict[int, asyncio.Task[None]] = {}
         self._timer: asyncio.TimerHandle | None = None
@@ -406,7 +437,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL)
             if self._backends.unacked_ms:
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._backends.unacked_ms)
+                sock.setsockopt(
+                    socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._backends.unacked_ms
+                )
             await _come_up(loop, sock, self.address, self._backends.connect_timeout)
             link = made = Link(self, sock)
             await loop.create_connection(lambda: made, sock=sock)
@@ -421,7 +454,9 @@
                 self._backends.sockets.closed_to_server()
                 if sock:
                     sock.close()
-            elif not (up and wanted):  # it came up just as its time was over: its end is counted once
+            elif not (
+                up and wanted
+            ):  # it came up just as its time was over: its end is counted once
                 link.drop()
             if up and wanted and link and not link.dead:
                 self._do(self.pool.dialled(self.now(), dial, link))
@@ -465,24 +500,39 @@
         """For operators."""
         pool, counts = self.pool, self.pool.counts
         return {
-            "name": self.name, "open": pool.open(), "idle": len(pool.idle), "busy": len(pool.busy),
-            "waiting": len(pool.waiting), "dialling": len(pool.dials), "dials": counts.dials,
-            "dials_failed": counts.failed, "asked": counts.asked,
-            "reuse": round(counts.reused / max(1, counts.asked), 3), "stale_caught": counts.caught,
-            "stale_missed": counts.missed, "refused": counts.refused, "bound": pool.bound(),
-            "why": pool.why().value, "expected": round(pool.expected(self.now()), 1),
-        }  # fmt: skip
+            "name": self.name,
+            "open": pool.open(),
+            "idle": len(pool.idle),
+            "busy": len(pool.busy),
+            "waiting": len(pool.waiting),
+            "dialling": len(pool.dials),
+            "dials": counts.dials,
+            "dials_failed": counts.failed,
+            "asked": counts.asked,
+            "reuse": round(counts.reused / max(1, counts.asked), 3),
+            "stale_caught": counts.caught,
+            "stale_missed": counts.missed,
+            "refused": counts.refused,
+            "bound": pool.bound(),
+            "why": pool.why().value,
+            "expected": round(pool.expected(self.now()), 1),
+        }
 
 
 class Backends:
     def __init__(
-        self, sockets: Sockets, conn_idle_us: int, connect_timeout_us: int, options: Options | None = None,
+        self,
+        sockets: Sockets,
+        conn_idle_us: int,
+        connect_timeout_us: int,
+        options: Options | None = None,
         fleet_size: int = 1,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.sockets, self.options, self.rng = sockets, options or Options(), random.Random()
         self._pools: dict[int, Server] = {}
         self.relays = False  # answers go on whatever their status, with their fields
-        self.judge: Judge | None = None  # what an answer says, where that is not the platform's protocol
+        # what an answer says, where that is not the platform's protocol
+        self.judge: Judge | None = None
         self.strict = False  # from its first byte on a request counts as written, not from its last
         self.stalled = STALLED
         # without an acknowledgement, after which a link is given up; 0: the kernel's time
@@ -497,10 +547,17 @@
         self._tick()
 
     def tune(
-        self, conn_idle_us: int, connect_timeout_us: int, options: Options | None = None, fleet_size: int = 0
+        self,
+        conn_idle_us: int,
+        connect_timeout_us: int,
+        options: Options | None = None,
+        fleet_size: int = 0,
     ) -> None:
         """Other figures from now on, for what is open as well."""
-        self.idle_for, self.connect_timeout = conn_idle_us / 1e6 * IDLE_PART, connect_timeout_us / 1e6
+        self.idle_for, self.connect_timeout = (
+            conn_idle_us / 1e6 * IDLE_PART,
+            connect_timeout_us / 1e6,
+        )
         self.options, self._fleet = options or self.options, fleet_size or self._fleet
         for server in self._pools.values():
             server.pool.options, server.pool.idle_for = self.options, self.idle_for
@@ -533,7 +590,9 @@
             return
         server.up = entry.status == "up"
         server.pool.ready = server.ready
-        if entry.status != "removed":  # a new start or address: what was connected leads to the one before
+        if (
+            entry.status != "removed"
+        ):  # a new start or address: what was connected leads to the one before
             server.stale = server.address != entry.address or server.started != entry.since_us
             server.address, server.started = entry.address, entry.since_us
 
@@ -597,7 +656,9 @@
         now, wall = self._loop.time(), time.time()
         gap = max(now - self._ticked[0], abs(wall - self._ticked[1])) > SWEEP + GAP
         if gap:
-            log.info("stood still for %.0f s: idle connections are not trusted", now - self._ticked[0])
+            log.info(
+                "stood still for %.0f s: idle connections are not trusted", now - self._ticked[0]
+            )
         self._ticked = (now, wall)
         self._size()
         for server in list(self._pools.values()):
--- a/ironledge/net/bodies.py
+++ b/cairndale/ingress/net/bodies.py
@@ -1,4 +1,5 @@
-"""Bodies that pass through in parts: a request's on its way to a backend, and the memory all share."""
+"""Bodies that pass through in parts: a request's on its way to a backend, and the memory all
+share."""
 
 from __future__ import annotations
 
@@ -28,8 +29,9 @@
 
 
 class Upload:
-    """A request's body while it comes in. What no attempt has had yet is kept, and no more than a share: the
-    client is paused by `hold`. Once an attempt has had some of it, no other can have it whole."""
+    """A request's body while it comes in. What no attempt has had yet is kept, and no more than a
+    share: the client is paused by `hold`. Once an attempt has had some of it, no other can have it
+    whole."""
 
     def __init__(self, length: int | None, memory: Memory, hold: Callable[[bool], None]) -> None:
         self.length, self.whole, self.spent = length, False, False
@@ -78,7 +80,8 @@
         self._taker = None
 
     def discard(self) -> None:
-        """The request is over: what still comes is read and dropped, so that the client hears its answer."""
+        """The request is over: what still comes is read and dropped, so that the client hears its
+        answer."""
         self._unwanted, self._taker = True, None
         self._parts.clear()
         if not self.whole:
--- a/ironledge/net/clients.py
+++ b/cairndale/ingress/net/clients.py
@@ -11,13 +11,14 @@
 
 import httptools
 
-from ironledge.net.bodies import KERNEL, Memory, Upload
-from ironledge.net.engine import Answer, Engine, Exchange
-from ironledge.net.http import MAX_BODY, MAX_HEAD, HttpConnection, Message, plain, reason
-from ironledge.net.requests import BadRequest, Reader, read_request
-from ironledge.net.sockets import Sockets, unread
-
-HALF_SENT = 2.5  # s for a head, the first from connecting on: a client may take 2, peers are owed an end in 3
+from cairndale.ingress.net.bodies import KERNEL, Memory, Upload
+from cairndale.ingress.net.engine import Answer, Engine, Exchange
+from cairndale.ingress.net.http import MAX_BODY, MAX_HEAD, HttpConnection, Message, plain, reason
+from cairndale.ingress.net.requests import BadRequest, Reader, read_request
+from cairndale.ingress.net.sockets import Sockets, unread
+
+# s for a head, the first from connecting on: a client may take 2, peers are owed an end in 3
+HALF_SENT = 2.5
 SLOWEST = 32_000  # bytes of body a second, on average: a client may send 64 kB/s
 UNREAD = 8.0  # s without a byte taken of an answer that comes in parts
 GRACE = 0.5  # s that a connection with no whole request is kept even where room is short
@@ -41,14 +42,19 @@
         self.engine, self.sockets, self.memory, self.now = engine, sockets, memory, now
         self.read, self.relays = read or read_request, read is not None
         self.idle_for, self.head_for = IDLE, HALF_SENT
-        self.max_head, self.max_body = MAX_HEAD, MAX_BODY  # bytes of a request, from the next one on
+        self.max_head, self.max_body = (
+            MAX_HEAD,
+            MAX_BODY,
+        )  # bytes of a request, from the next one on
         self.up = b"/up"  # says whether it accepts; nothing where that has an address of its own
         self.stopping = False
         self._aside = False  # another process accepts, or is about to
-        # The longest idle first, with the clock since when. One that has carried nothing yet is not among
-        # them: its first request is on the way, and a client sends again only once.
+        # The longest idle first, with the clock since when. One that has carried nothing yet is not
+        # among them: its first request is on the way, and a client sends again only once.
         self.idle: dict[ClientConnection, int] = {}
-        self.partial: dict[ClientConnection, int] = {}  # the same for those whose request is not whole
+        self.partial: dict[
+            ClientConnection, int
+        ] = {}  # the same for those whose request is not whole
         self.connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._sweep: asyncio.TimerHandle | None = None
@@ -83,15 +89,21 @@
         return self.socket is not None and not self.stopping
 
     def pause(self) -> None:
-        """Accepting with no descriptor left would close what comes in, requests and all; in the listener's
-        line it waits for the moments until others are closed."""
+        """Accepting with no descriptor left would close what comes in, requests and all; in the
+        listener's line it waits for the moments until others are closed."""
         if self._server:
             self._server.close()
             self._server = None
 
     def resume(self) -> None:
         idle = self._resuming is None or self._resuming.done()
-        if self.socket and self._server is None and idle and not self._aside and not self.sockets.at_top():
+        if (
+            self.socket
+            and self._server is None
+            and idle
+            and not self._aside
+            and not self.sockets.at_top()
+        ):
             self._resuming = asyncio.get_running_loop().create_task(self._accept(self.socket))
 
     def step_aside(self, aside: bool) -> None:
@@ -100,15 +112,16 @@
         (self.pause if aside else self.resume)()
 
     def retire(self) -> None:
-        """Another process accepts from here on. What this one has accepted is owed its first request: only
-        those that have carried one are closed."""
+        """Another process accepts from here on. What this one has accepted is owed its first
+        request: only those that have carried one are closed."""
         self.begin_stop()
         if self.socket:
             self.socket.close()
             self.socket = None
 
     def begin_stop(self) -> None:
-        """New connections still come in; each is closed after its answer, and those that are idle now."""
+        """New connections still come in; each is closed after its answer, and those that are idle
+        now."""
         self.stopping = True
         for connection in list(self.idle):
             connection.close_if_quiet()
@@ -126,17 +139,20 @@
             connection.close_if_quiet()
 
     def _tick(self) -> None:
-        """A client that never finishes sending, or keeps a connection it does not use, would hold its
-        descriptor for good."""
+        """A client that never finishes sending, or keeps a connection it does not use, would hold
+        its descriptor for good."""
         now = self.now()
         for connection in list(self.connections):
             connection.close_if_stuck(now)
-        for connection in [c for c, since in self.idle.items() if since < now - int(self.idle_for * 1e6)]:
+        for connection in [
+            c for c, since in self.idle.items() if since < now - int(self.idle_for * 1e6)
+        ]:
             connection.close_if_quiet()
         self._sweep = asyncio.get_running_loop().call_later(LOOK, self._tick)
 
     def _evict(self) -> bool:
-        """Room for a request: idle connections go first, then those that have not come to send theirs."""
+        """Room for a request: idle connections go first, then those that have not come to send
+        theirs."""
         if any(connection.close_if_quiet() for connection in list(self.idle)):
             return True
         oldest = self.now() - int(GRACE * 1e6)
@@ -156,7 +172,8 @@
         self._waiting: deque[tuple[Message, int]] = deque()
         self._current: bytes | None = None  # id of the request that the engine has
         self._coming: Upload | None = None  # the body that comes in parts now
-        self._answered: Upload | None = None  # the body, if it still comes, of the request answered last
+        # the body, if it still comes, of the request answered last
+        self._answered: Upload | None = None
         self._keep = True
         self._minor = 1
         self._holds: set[str] = set()  # why nothing is read for now
@@ -245,7 +262,8 @@
             self._listener.memory.bodies -= 1
 
     def _hold(self, why: str, held: bool) -> None:
-        """What is not read waits in the socket and holds the client up; its time does not count meanwhile."""
+        """What is not read waits in the socket and holds the client up; its time does not count
+        meanwhile."""
         before = bool(self._holds)
         (self._holds.add if held else self._holds.discard)(why)
         if before == bool(self._holds) or self.transport.is_closing():
@@ -260,9 +278,12 @@
     def garbage(self, status: int) -> None:
         self._waiting.clear()
         self._keep = False
-        if self._current is None and not self.transport.is_closing():  # else the answer under way comes first
+        if (
+            self._current is None and not self.transport.is_closing()
+        ):  # else the answer under way comes first
             if self._answered and not self._answered.whole:
-                self.transport.close()  # it has its answer: only the rest of its body was still dropped
+                # it has its answer: only the rest of its body was still dropped
+                self.transport.close()
             else:
                 self._plain(status, b"not understood\n")
 
@@ -273,7 +294,9 @@
         due = self._began + int((self._listener.head_for + sent / SLOWEST) * 1e6)
         if self._holds or self in self._listener.idle or now < due:
             return
-        if self._current is not None and self._coming and not self._source:  # its body has stopped coming
+        if (
+            self._current is not None and self._coming and not self._source
+        ):  # its body has stopped coming
             current, self._current, self._answered = self._current, None, None
             self._engine.client_gone(current)
         if self._current is None:
@@ -288,7 +311,8 @@
             self.transport.abort()
 
     def close_if_quiet(self) -> bool:
-        """Closes it between requests; not if one waits unread in the socket, which would lose it."""
+        """Closes it between requests; not if one waits unread in the socket, which would lose
+        it."""
         quiet = self._current is None and not self._waiting and not self._begun
         if not quiet or self.transport.is_closing() or unread(self.transport):
             return False
@@ -297,7 +321,8 @@
         return True
 
     def give_way(self) -> bool:
-        """Closes it though a request may have begun, as long as none is whole, nor more of one unread."""
+        """Closes it though a request may have begun, as long as none is whole, nor more of one
+        unread."""
         whole = self._current is not None or self._waiting
         if whole or self.transport.is_closing() or unread(self.transport):
             return False
@@ -317,7 +342,9 @@
             self.refuse(0, status=503)
             return
         try:
-            wanted = self._listener.read(message, self._engine.names, self._engine.settings.classes, began)
+            wanted = self._listener.read(
+                message, self._engine.names, self._engine.settings.classes, began
+            )
         except BadRequest as error:
             self._write(error.status, _advice(error.retry_after), str(error).encode() + b"\n")
             return
@@ -369,7 +396,11 @@
             self._go_on(self._keeps())
 
     def _resume(self) -> None:
-        if self._waiting and self._current is None and not (self._full or self.transport.is_closing()):
+        if (
+            self._waiting
+            and self._current is None
+            and not (self._full or self.transport.is_closing())
+        ):
             self._next()
 
     # An answer that comes in parts.
@@ -401,7 +432,8 @@
         self._go_on(self._keeps())
 
     def break_off(self) -> None:
-        """The answer cannot be made whole: without its end, or with a reset, the client can tell."""
+        """The answer cannot be made whole: without its end, or with a reset, the client can
+        tell."""
         self._end_flow()
         self._current = None
         sock = self.transport.get_extra_info("socket")
@@ -420,7 +452,8 @@
             self._source.pause(True)
 
     def resume_writing(self) -> None:
-        """Answers wait for a client that has not taken those before: what it asks next is not begun."""
+        """Answers wait for a client that has not taken those before: what it asks next is not
+        begun."""
         self._full = False
         if self._source:
             self._source.pause(False)
--- a/ironledge/net/config.py
+++ b/cairndale/ingress/net/config.py
@@ -1,4 +1,5 @@
-"""The platform's configuration file, read and checked as a whole: at the start, and anew at SIGHUP."""
+"""The platform's configuration file, read and checked as a whole: at the start, and anew at
+SIGHUP."""
 
 from __future__ import annotations
 
@@ -8,12 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from ironledge import interface as it
-from ironledge.brain import check
-from ironledge.net.discovery import HOLD, SHRINK, Directory, Listing
-from ironledge.net.pool import Options
-from ironledge.net.requests import Fields
-from ironledge.wire import WireError, settings_from_json
+from cairndale.ingress.net.discovery import HOLD, SHRINK, Directory, Listing
+from cairndale.ingress.net.pool import Options
+from cairndale.ingress.net.requests import Fields
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.engine import check
+from cairndale.ingress.wire import WireError, settings_from_json
 
 Address = tuple[str, int]
 MAX_ADDRESSES = 32  # of the list service
@@ -49,7 +50,8 @@
 
 
 def _directory(raw: Any) -> Directory | None:
-    """Where the list service is, beside `discovery`; absent: the platform's discovery is all there is."""
+    """Where the list service is, beside `discovery`; absent: the platform's discovery is all there
+    is."""
     if raw is None:
         return None
     if not isinstance(raw, dict):
@@ -69,10 +71,12 @@
 
 
 POOL = {  # key of `pool`: field, least, most, whole
-    "age_s": ("age", 1, 86_400, False), "requests": ("requests", 1, 10**9, True),
-    "queue": ("queue", 0, 4096, True), "warm": ("warm", 0, 64, True),
+    "age_s": ("age", 1, 86_400, False),
+    "requests": ("requests", 1, 10**9, True),
+    "queue": ("queue", 0, 4096, True),
+    "warm": ("warm", 0, 64, True),
     "server_share": ("server_share", 0.05, 0.6, False),
-}  # fmt: skip
+}
 
 
 def _pool(raw: Any) -> Options:
@@ -113,8 +117,9 @@
 
 
 def _lacks(before: Any, now: Any, where: str) -> str:
-    """The first key that settings had and have no longer: a cut-off file may be sound JSON, and a default in
-    a missing key's place would be a rule that nobody set. Named things may come and go."""
+    """The first key that settings had and have no longer: a cut-off file may be sound JSON, and a
+    default in a missing key's place would be a rule that nobody set. Named things may come and
+    go."""
     if isinstance(before, dict):
         if not isinstance(now, dict):
             return where
@@ -134,8 +139,9 @@
 
 
 def read_config(path: str, before: Config | None = None) -> Config:
-    """The whole file, or ConfigError. Addresses in the environment hold at the start; a file that replaces
-    another names where discovery and the counter have moved, and has all that the first one had."""
+    """The whole file, or ConfigError. Addresses in the environment hold at the start; a file that
+    replaces another names where discovery and the counter have moved, and has all that the first
+    one had."""
     try:
         top = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
--- a/ironledge/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -1,4 +1,5 @@
-"""The counter's client: calls written one behind another on one connection, answers paired in their order."""
+"""The counter's client: calls written one behind another on one connection, answers paired in their
+order."""
 
 from __future__ import annotations
 
@@ -10,10 +11,11 @@
 from collections.abc import Callable
 from typing import cast
 
-from ironledge.interface import Outcome
+from cairndale.ingress.policy.interface import Outcome
 
 PING_EVERY = 2.5  # s: the counter closes what has stood idle for some 10 s or less
-SLACK = 0.05  # s that every time limit is longer on sockets: a crowded counter answers a little late
+# s that every time limit is longer on sockets: a crowded counter answers a little late
+SLACK = 0.05
 SILENT = 2.0  # s without the answer that is due, after which the connection is taken for dead
 BACK_OFF = (0.05, 1.0)  # s between tries to connect: the first, the longest
 CONNECT_TIMEOUT = 1.0
@@ -42,7 +44,8 @@
         self.address, self.timeout = address, timeout_us / 1e6 + SLACK
         self._line: CounterLine | None = None
         self._held: dict[Call, bytes] | None = None  # calls while a line that was well is made anew
-        self._left: CounterLine | None = None  # at the address before, with calls that may yet be answered
+        # at the address before, with calls that may yet be answered
+        self._left: CounterLine | None = None
         self._task: asyncio.Task[None] | None = None
         self.up = asyncio.Event()  # set from the first connection on
 
@@ -63,8 +66,8 @@
             self._line.timeout = self.timeout
 
     def move(self, address: tuple[str, int]) -> None:
-        """The counter is elsewhere from now on: new calls wait for a connection there, and those that are out
-        have their time for an answer."""
+        """The counter is elsewhere from now on: new calls wait for a connection there, and those
+        that are out have their time for an answer."""
         if address == self.address:
             return
         self.address, self._held = address, self._held or {}
@@ -81,7 +84,9 @@
         call, line = Call(answered, loop.time()), self._line
         if line and not line.transport.is_closing():
             line.call(text, call)
-        elif self._held is not None or (line and line.heard):  # it was well until now: the next is soon there
+        elif self._held is not None or (
+            line and line.heard
+        ):  # it was well until now: the next is soon there
             self._held = self._held or {}
             self._held[call] = text
             loop.call_at(call.at + self.timeout, self._give_up, call)
@@ -101,7 +106,9 @@
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT):
-                    _, line = await loop.create_connection(lambda: CounterLine(self.timeout), *self.address)
+                    _, line = await loop.create_connection(
+                        lambda: CounterLine(self.timeout), *self.address
+                    )
             except OSError:  # TimeoutError is one
                 for call in self._release():
                     call.end(Outcome.CONNECT_FAILED)
@@ -120,8 +127,8 @@
 
 
 class CounterLine(asyncio.Protocol):
-    """One connection. A call that has timed out keeps its place, so that its late answer is dropped and the
-    next is not taken for it."""
+    """One connection. A call that has timed out keeps its place, so that its late answer is dropped
+    and the next is not taken for it."""
 
     transport: asyncio.Transport
 
@@ -178,7 +185,9 @@
                 return False
         if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
             return False
-        if not self._calls or self._calls[0].ping != (word == b"pong"):  # out of step: nothing can be paired
+        if not self._calls or self._calls[0].ping != (
+            word == b"pong"
+        ):  # out of step: nothing can be paired
             return False
         self.heard = True
         self._calls.popleft().end(outcome, total)
@@ -186,7 +195,9 @@
 
     def _expire(self) -> None:
         now, self._timer = self._loop.time(), None
-        while self._timed and (self._timed[0].answered is None or now >= self._timed[0].at + self.timeout):
+        while self._timed and (
+            self._timed[0].answered is None or now >= self._timed[0].at + self.timeout
+        ):
             self._timed.popleft().end(Outcome.TIMEOUT)
         if self._timed and not self.closed.is_set():
             left = self._timed[0].at + self.timeout - now
--- a/ironledge/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -1,8 +1,9 @@
-"""The watch on the list of backends: opened from the version held, and anew when it ends or falls silent.
+"""The watch on the list of backends: opened from the version held, and anew when it ends or falls
+silent.
 
-With a `directory` in the configuration the list comes from one of several addresses of the list service, and
-`Held` decides what of it is taken; without, whatever the platform's discovery says is taken as it comes.
-"""
+With a `directory` in the configuration the list comes from one of several addresses of the list
+service, and `Held` decides what of it is taken; without, whatever the platform's discovery says is
+taken as it comes."""
 
 from __future__ import annotations
 
@@ -18,19 +19,28 @@
 
 import httptools
 
-from ironledge.net.http import MAX_HEAD
+from cairndale.ingress.net.http import MAX_HEAD
 
 SILENT = 6.0  # s with no line: three beats
 FIRST = 2.0  # s for the first line, where there are other addresses to turn to
 BACK_OFF = (0.1, 2.0)  # s between tries: the first, the longest
-CROWDED = 0.1  # s for each gateway of the fleet that tries are spread over once one was turned away ...
-DOUBLED = 3  # ... doubled so many times: the list's service is one for all, and works on calls given up too
+# s for each gateway of the fleet that tries are spread over once one was turned away ...
+CROWDED = 0.1
+# ... doubled so many times: the list's service is one for all, and works on calls given up too
+DOUBLED = 3
 CONNECT_TIMEOUT = 1.0
 MAX_LINE = 8 * 1024 * 1024
 LOOK = 1.0  # s at the least between looks at servers kept beyond the list
-OLD = 10.0  # s: a list older than that is spoken of, and a replica out of touch for that is left ...
-LEAVE_AGAIN = (30.0, 600.0)  # ... but no sooner than that after the last time, doubled up to the second
-SHRINK, HOLD = 0.5, 60.0  # what a whole list may lack at once, and s that more is kept, if not configured
+# s: a list older than that is spoken of, and a replica out of touch for that is left ...
+OLD = 10.0
+LEAVE_AGAIN = (
+    30.0,
+    600.0,
+)  # ... but no sooner than that after the last time, doubled up to the second
+SHRINK, HOLD = (
+    0.5,
+    60.0,
+)  # what a whole list may lack at once, and s that more is kept, if not configured
 GONE = 4096  # removals that are remembered, so that a replica that lags cannot undo them
 LEFT = 16  # lists of other lineages that are remembered as left
 
@@ -40,7 +50,17 @@
 class Entry:
     """A backend as discovery names it."""
 
-    __slots__ = ("address", "group", "kind", "name", "since_us", "status", "version", "weight", "zone")
+    __slots__ = (
+        "address",
+        "group",
+        "kind",
+        "name",
+        "since_us",
+        "status",
+        "version",
+        "weight",
+        "zone",
+    )
 
     def __init__(self, raw: dict[str, Any]) -> None:
         self.name, self.status = str(raw["name"]), str(raw["status"])
@@ -57,15 +77,22 @@
         if not math.isfinite(self.weight):
             raise ValueError(f"weight {self.weight} is no number")
         self.since_us = int(raw.get("since_ms", 0)) * 1000
-        self.version = int(raw["version"]) if "version" in raw else None  # of its last change, where told
+        self.version = (
+            int(raw["version"]) if "version" in raw else None
+        )  # of its last change, where told
 
     def raw(self) -> dict[str, Any]:
         """As discovery would name it."""
         raw: dict[str, Any] = {
-            "name": self.name, "address": "{}:{}".format(*self.address), "zone": self.zone, "type": self.kind,
-            "group": self.group, "status": self.status, "weight": self.weight,
+            "name": self.name,
+            "address": "{}:{}".format(*self.address),
+            "zone": self.zone,
+            "type": self.kind,
+            "group": self.group,
+            "status": self.status,
+            "weight": self.weight,
             "since_ms": self.since_us // 1000,
-        }  # fmt: skip
+        }
         return raw if self.version is None else raw | {"version": self.version}
 
     def same_start(self, other: Entry) -> bool:
@@ -76,8 +103,8 @@
 
 
 class Listing:
-    """The whole list, or the entries that changed. What the list service tells beyond PROTOCOL is None or
-    empty where another tells it."""
+    """The whole list, or the entries that changed. What the list service tells beyond PROTOCOL is
+    None or empty where another tells it."""
 
     __slots__ = ("age", "entries", "epoch", "gone", "index", "lineage", "whole")
 
@@ -110,7 +137,8 @@
     """The part of the configuration that names the list service."""
 
     addresses: tuple[tuple[str, int], ...]  # beside `discovery`
-    shrink: float = SHRINK  # the share of the servers up that a whole list may lack and be taken at once
+    # the share of the servers up that a whole list may lack and be taken at once
+    shrink: float = SHRINK
     hold: float = HOLD  # s that those missing beyond it are kept
 
 
@@ -118,10 +146,10 @@
 class Held:
     """The list held, and what a line may change of it. Pure.
 
-    Versions grow within a lineage, over its epochs: what is older than what is held is not taken, entry by
-    entry. A drain that was told holds until that server is told to be removed or has a new start or address.
-    A whole list that lacks too many servers, or all, is no news of their end: those missing are kept a while.
-    """
+    Versions grow within a lineage, over its epochs: what is older than what is held is not taken,
+    entry by entry. A drain that was told holds until that server is told to be removed or has a new
+    start or address. A whole list that lacks too many servers, or all, is no news of their end:
+    those missing are kept a while."""
 
     directory: Directory
     index: int = 0
@@ -130,7 +158,9 @@
     entries: dict[str, Entry] = field(default_factory=dict)
     gone: OrderedDict[str, int] = field(default_factory=OrderedDict)  # removed, with the version
     left: list[str] = field(default_factory=list)  # lineages
-    kept: dict[str, float] = field(default_factory=dict)  # missing from the last whole list, until when
+    kept: dict[str, float] = field(
+        default_factory=dict
+    )  # missing from the last whole list, until when
 
     def offer(self, told: Listing, now: float) -> Listing | None:
         """What changes by it, None if nothing does; Refused if it is not to be taken."""
@@ -148,7 +178,9 @@
             self._whole(told, now)
         for entry in told.entries:
             self._take(entry, told)
-        if not served and self._up_beside_kept():  # the first that came back: the others have as long again
+        if (
+            not served and self._up_beside_kept()
+        ):  # the first that came back: the others have as long again
             self.kept = dict.fromkeys(self.kept, now + self.directory.hold)
         while len(self.gone) > GONE:
             self.gone.popitem(last=False)
@@ -182,8 +214,10 @@
         if drastic and any(name not in self.kept for name in missing):
             log.warning(
                 "discovery: %d of %d servers are missing from the list; kept for %.0f s",
-                len(lost), len(up), self.directory.hold,
-            )  # fmt: skip
+                len(lost),
+                len(up),
+                self.directory.hold,
+            )
         for name in missing:
             if drastic or name in self.kept:
                 self.kept.setdefault(name, now + self.directory.hold)
@@ -217,7 +251,11 @@
             self.gone.move_to_end(name)
 
     def _changes(self, before: dict[str, Entry]) -> Listing | None:
-        lost = [Entry({"name": name, "status": "removed"}) for name in before if name not in self.entries]
+        lost = [
+            Entry({"name": name, "status": "removed"})
+            for name in before
+            if name not in self.entries
+        ]
         others = [entry for name, entry in self.entries.items() if before.get(name) is not entry]
         return Listing.of(self.index, lost + others, False) if lost or others else None
 
@@ -243,13 +281,18 @@
     def dump(self) -> dict[str, Any]:
         """For the process that comes next."""
         return {
-            "index": self.index, "epoch": self.epoch, "lineage": self.lineage, "left": self.left,
-            "gone": list(self.gone.items()), "endpoints": [e.raw() for e in self.entries.values()],
+            "index": self.index,
+            "epoch": self.epoch,
+            "lineage": self.lineage,
+            "left": self.left,
+            "gone": list(self.gone.items()),
+            "endpoints": [e.raw() for e in self.entries.values()],
             "kept": self.kept,  # the clock is the machine's: the next process reads the same
-        }  # fmt: skip
+        }
 
     def take_over(self, raw: dict[str, Any] | None, entries: list[dict[str, Any]]) -> None:
-        """From an earlier process, which may not have watched the list service: then only its list."""
+        """From an earlier process, which may not have watched the list service: then only its
+        list."""
         if raw is None:
             self.begin(Listing({"index": 0, "snapshot": True, "endpoints": entries}))
             return
@@ -261,7 +304,8 @@
 
 @dataclass(slots=True)
 class Addresses:
-    """Which address is watched, and how long to wait before the next try. Pure, but for the dice given."""
+    """Which address is watched, and how long to wait before the next try. Pure, but for the dice
+    given."""
 
     all: tuple[tuple[str, int], ...]
     at: int = 0
@@ -278,8 +322,9 @@
     def ended(
         self, heard: bool, turned_away: bool | None, uniform: Callable[[float, float], float]
     ) -> float:
-        """The watch is over, or never came to be (`turned_away` is None): the next address, and the seconds
-        until it is tried. A round over all is made without growing waits: others likely do not fail."""
+        """The watch is over, or never came to be (`turned_away` is None): the next address, and the
+        seconds until it is tried. A round over all is made without growing waits: others likely do
+        not fail."""
         if heard:
             self.failed = 0
         if turned_away is not None:
@@ -320,14 +365,18 @@
         self._heard_at, self._replica_age = self._loop.time(), 0.0
         self._speak_at, self._said = OLD, ""
         self._told_at: tuple[str, int] | None = None
-        self.word = asyncio.Event()  # set once it has said something, or a first try has come to nothing
+        self.word = (
+            asyncio.Event()
+        )  # set once it has said something, or a first try has come to nothing
         self._look_at(address, fleet_size)
 
     def _look_at(self, address: tuple[str, int], fleet_size: int) -> None:
         more = self.held.directory.addresses if self.held else ()
         every = tuple(dict.fromkeys((address, *more)))
         if every != self.addresses.all:
-            self.addresses = Addresses(every, self._me % len(every))  # a fleet begins at all of them alike
+            self.addresses = Addresses(
+                every, self._me % len(every)
+            )  # a fleet begins at all of them alike
         self.addresses.fleet_size = fleet_size
 
     def start(self, index: int | None = None) -> None:
@@ -348,8 +397,8 @@
         directory: Directory | None = None,
         entries: Iterable[Entry] = (),
     ) -> None:
-        """Discovery is elsewhere from now on: watches there from the version held. `entries` are those in
-        use, for when the list service takes the place of the platform's discovery."""
+        """Discovery is elsewhere from now on: watches there from the version held. `entries` are
+        those in use, for when the list service takes the place of the platform's discovery."""
         before, watched = self.addresses.all, self.held is not None
         if directory is None:
             self.held = None
@@ -368,11 +417,16 @@
         if self.held is None:
             return f"/discovery/hosts?watch=1&from={self.index}"
         held = self.held
-        index = held.index if held.lineage else 0  # a version of no lineage says nothing to the list service
-        return f"/discovery/hosts?watch=1&from={index}&epoch={held.epoch}&lineage={held.lineage or ''}"
+        index = (
+            held.index if held.lineage else 0
+        )  # a version of no lineage says nothing to the list service
+        return (
+            f"/discovery/hosts?watch=1&from={index}&epoch={held.epoch}&lineage={held.lineage or ''}"
+        )
 
     def told(self, line: bytes) -> None:
-        """A line of a watch, an empty one as well. What is not to be taken raises, and the watch ends."""
+        """A line of a watch, an empty one as well. What is not to be taken raises, and the watch
+        ends."""
         now = self._loop.time()
         if not line.strip():
             self._replica_age = 0.0
@@ -410,13 +464,20 @@
 
     def status(self) -> dict[str, Any]:
         held, (host, port) = self.held, self.addresses.current
-        status: dict[str, Any] = {"at": f"{host}:{port}", "index": self.index, "age_s": round(self.age(), 1)}
+        status: dict[str, Any] = {
+            "at": f"{host}:{port}",
+            "index": self.index,
+            "age_s": round(self.age(), 1),
+        }
         if held:
             status |= {
-                "lineage": held.lineage, "epoch": held.epoch, "servers": len(held.entries),
-                "kept": sorted(held.kept), "replica_out_of_touch_s": round(self._replica_age, 1),
+                "lineage": held.lineage,
+                "epoch": held.epoch,
+                "servers": len(held.entries),
+                "kept": sorted(held.kept),
+                "replica_out_of_touch_s": round(self._replica_age, 1),
                 "refused": self._said or None,
-            }  # fmt: skip
+            }
         return status
 
     def _speak_of_age(self) -> None:
@@ -497,7 +558,12 @@
         except Refused as error:
             self._discovery.refused(str(error))
             self.transport.abort()
-        except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError, RecursionError) as error:
+        except (
+            httptools.HttpParserError,
+            httptools.HttpParserUpgrade,
+            ValueError,
+            RecursionError,
+        ) as error:
             log.warning("discovery: %s", error)
             self.transport.abort()
 
@@ -507,7 +573,8 @@
         self.closed.set()
 
     def _check(self) -> None:
-        """A cut-off discovery says nothing and the connection stays open: missing beats are the only sign."""
+        """A cut-off discovery says nothing and the connection stays open: missing beats are the
+        only sign."""
         patience = SILENT if self.heard or len(self._discovery.addresses.all) < 2 else FIRST
         left = self._last + patience - self._loop.time()
         if left <= 0:
--- a/ironledge/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -1,5 +1,6 @@
-"""The only caller of Gateway.handle: owns requests, attempts, deadlines and timers, and turns actions into
-calls on the other files. It does for the module what the simulator does; it needs no sockets itself."""
+"""The only caller of Gateway.handle: owns requests, attempts, deadlines and timers, and turns
+actions into calls on the other files. It does for the module what the simulator does; it needs no
+sockets itself."""
 
 from __future__ import annotations
 
@@ -12,14 +13,18 @@
 from typing import Any, Protocol, TypeVar
 from zlib import crc32
 
-from ironledge import interface as it
-from ironledge.interface import Outcome
-from ironledge.net.bodies import Upload
-from ironledge.net.discovery import Entry, Listing
+from cairndale.ingress.net.bodies import Upload
+from cairndale.ingress.net.discovery import Entry, Listing
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.interface import Outcome
 
 ANSWER_MARGIN = 10_000  # us before the client's deadline by which its answer is on the way
 LAST_ATTEMPT = 15_000  # us before it by which no attempt is waited for any longer
-STATES = {"up": it.BackendState.READY, "draining": it.BackendState.DRAINING, "removed": it.BackendState.GONE}
+STATES = {
+    "up": it.BackendState.READY,
+    "draining": it.BackendState.DRAINING,
+    "removed": it.BackendState.GONE,
+}
 
 log = logging.getLogger(__name__)
 
@@ -28,8 +33,8 @@
 
 
 class Clock:
-    """Unix microseconds, the same at every ingress (the module names quota windows by it), read once and
-    carried on by the monotonic clock, so that it never goes back."""
+    """Unix microseconds, the same at every ingress (the module names quota windows by it), read
+    once and carried on by the monotonic clock, so that it never goes back."""
 
     def __init__(self) -> None:
         self._base = time.time_ns() // 1000 - time.monotonic_ns() // 1000
@@ -48,7 +53,8 @@
 
 class Exchange(Protocol):
     def abort(self) -> bool:
-        """Gives the attempt up; True if it may have run, False if its last byte was never written."""
+        """Gives the attempt up; True if it may have run, False if its last byte was never
+        written."""
 
     def pause(self, paused: bool) -> None:
         """Reads no more of the answer, or does again."""
@@ -69,7 +75,8 @@
 
 @dataclass(slots=True)
 class Flow:
-    """What an attempt takes of a request's body as it comes, and gives of its answer as that comes."""
+    """What an attempt takes of a request's body as it comes, and gives of its answer as that
+    comes."""
 
     upload: Upload | None
     opened: Callable[[Answer], bool]  # a large answer begins; False if nobody wants it any longer
@@ -91,13 +98,16 @@
     def send(
         self, backend: int, data: Data, ended: Callable[[Answer], None], flow: Flow | None = None
     ) -> Exchange:
-        """`data` may be made as its first byte is written; None then takes the attempt back, unsent."""
+        """`data` may be made as its first byte is written; None then takes the attempt back,
+        unsent."""
 
     def probe(self, backend: int, ended: Callable[[Answer], None]) -> None: ...
     def close_idle(self, backend: int) -> None: ...
 
 
-Dress = Callable[[str, int], bytes | None]  # a backend's name, us for its answer; None: not any longer
+Dress = Callable[
+    [str, int], bytes | None
+]  # a backend's name, us for its answer; None: not any longer
 
 
 class Answered(Protocol):
@@ -128,7 +138,8 @@
     def refuse(self, retry_after: int, status: int = 429) -> None: ...
     def fail(self, timed_out: bool) -> None: ...
     def begin(self, answer: Answer, source: Exchange) -> None:
-        """An answer that comes in parts: `more`, then `finish`, or `break_off` so that it can be told."""
+        """An answer that comes in parts: `more`, then `finish`, or `break_off` so that it can be
+        told."""
 
     def more(self, data: bytes) -> None: ...
     def finish(self) -> None: ...
@@ -155,7 +166,8 @@
     service: int = 0
     regions: frozenset[int] | None = None  # where it may be served; None: everywhere
     prio: int = 0
-    dress: Dress | None = None  # makes the whole of what goes to a backend, as its first byte is written
+    # makes the whole of what goes to a backend, as its first byte is written
+    dress: Dress | None = None
 
 
 class Attempt:
@@ -180,26 +192,38 @@
 
 class Request:
     __slots__ = (
-        "attempts", "client", "deadline", "limits", "number", "out", "over", "passing", "timer", "wanted",
-    )  # fmt: skip
+        "attempts",
+        "client",
+        "deadline",
+        "limits",
+        "number",
+        "out",
+        "over",
+        "passing",
+        "timer",
+        "wanted",
+    )
 
-    def __init__(self, number: int, wanted: Wanted, client: Client, deadline: int, limits: it.Limits) -> None:
+    def __init__(
+        self, number: int, wanted: Wanted, client: Client, deadline: int, limits: it.Limits
+    ) -> None:
         self.number, self.wanted, self.client, self.deadline = number, wanted, client, deadline
         self.limits = limits  # those it began with
         self.over, self.out = False, 0
-        self.passing: Attempt | None = None  # its answer goes on in parts: the last word, but not yet whole
+        # its answer goes on in parts: the last word, but not yet whole
+        self.passing: Attempt | None = None
         self.attempts: list[Attempt] = []
         self.timer: Timer | None = None
 
 
 class Observer(Protocol):
-    """Is told what comes of requests and attempts, where the configuration wants that (`ironledge/observe/`).
-    Nothing it does may wait."""
+    """Is told what comes of requests and attempts, where the configuration wants that
+    (`cairndale/ingress/observability/`). Nothing it does may wait."""
 
     def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
-        """A request is over: served, refused (firmly), advised (when to return), unheard (too late, or too
-        many open), failed, overdue, broken (its answer was cut off), left (the client did). `us` since its
-        first byte."""
+        """A request is over: served, refused (firmly), advised (when to return), unheard (too late,
+        or too many open), failed, overdue, broken (its answer was cut off), left (the client did).
+        `us` since its first byte."""
 
     def attempt(self, backend: int, outcome: Outcome, us: int) -> None: ...
     def counted(self, outcome: Outcome, us: int) -> None: ...
@@ -211,7 +235,12 @@
 
 class Engine:
     def __init__(
-        self, gateway: Decider, settings: it.Settings, names: Names, loop: Loop, now: Callable[[], int]
+        self,
+        gateway: Decider,
+        settings: it.Settings,
+        names: Names,
+        loop: Loop,
+        now: Callable[[], int],
     ) -> None:
         self.settings, self.names, self.now = settings, names, now
         self.servers: Servers
@@ -219,7 +248,8 @@
         self.lessor: Lessor | None = None  # in the counter's place
         self.dealer: Dealer | None = None
         self.observer: Observer | None = None
-        self.ends_passing = False  # an answer that still comes in parts at the deadline is broken off
+        # an answer that still comes in parts at the deadline is broken off
+        self.ends_passing = False
         self.idle: Callable[[], None] = lambda: None  # called when the last open request is over
         self.open = 0  # requests not yet answered
         self._gateway, self._loop = gateway, loop
@@ -244,7 +274,9 @@
         now = self.now()
         left = wanted.timeout - (now - wanted.began)
         if left <= ANSWER_MARGIN or 0 < self.settings.limits.max_open <= self.open:
-            client.refuse(0, self.refusals[1])  # nothing was sent: harmless, and the module never hears of it
+            client.refuse(
+                0, self.refusals[1]
+            )  # nothing was sent: harmless, and the module never hears of it
             if self.observer:
                 self.observer.request(wanted, "unheard", now - wanted.began, 0)
             return True
@@ -255,14 +287,26 @@
         if wanted.upload and not wanted.upload.whole:  # its time counts from the body's last byte
             wanted.upload.came = lambda: self._uploaded(request)
         else:
-            request.timer = self._loop.call_later((left - ANSWER_MARGIN) / 1e6, self._overdue, request)
+            request.timer = self._loop.call_later(
+                (left - ANSWER_MARGIN) / 1e6, self._overdue, request
+            )
         self._post(
             it.RequestArrived(
-                request.number, wanted.cls, wanted.plan, wanted.customer, wanted.units, left,
-                wanted.first, wanted.spread, wanted.is_retry, wanted.upload is not None,
-                wanted.service, wanted.regions, wanted.prio,
+                request.number,
+                wanted.cls,
+                wanted.plan,
+                wanted.customer,
+                wanted.units,
+                left,
+                wanted.first,
+                wanted.spread,
+                wanted.is_retry,
+                wanted.upload is not None,
+                wanted.service,
+                wanted.regions,
+                wanted.prio,
             )
-        )  # fmt: skip
+        )
         return True
 
     def client_gone(self, id: bytes) -> None:
@@ -275,7 +319,8 @@
             self._post(it.ClientGone(request.number))
 
     def listed(self, listing: Listing, kind: it.ListKind | None = None) -> None:
-        """The module hears first, then attempts are withdrawn: what it sends anew goes by the new list."""
+        """The module hears first, then attempts are withdrawn: what it sends anew goes by the new
+        list."""
         kind = kind or (it.ListKind.FULL if listing.whole else it.ListKind.DELTA)
         found = []
         for entry in listing.entries:
@@ -297,7 +342,8 @@
         return list(self._listed.values())
 
     def retune(self, settings: it.Settings, raw: dict[str, Any]) -> None:
-        """Other settings, in here and in the module at once. What is open ends by those it began with."""
+        """Other settings, in here and in the module at once. What is open ends by those it began
+        with."""
         before = self.settings
         self.settings = replace(
             settings,
@@ -308,7 +354,8 @@
         self._post(it.SettingsChanged(self.settings))
 
     def maintain(self, name: str, out: bool) -> bool:
-        """An operator's call, taken apart from the list; False if no backend of that name was ever listed."""
+        """An operator's call, taken apart from the list; False if no backend of that name was ever
+        listed."""
         if name not in self._backends:
             return False
         (self.maintained.add if out else self.maintained.discard)(name)
@@ -331,7 +378,9 @@
         return name in self._backends
 
     def can_serve(self) -> bool:
-        return any(e.status == "up" and e.name not in self.maintained for e in self._listed.values())
+        return any(
+            e.status == "up" and e.name not in self.maintained for e in self._listed.values()
+        )
 
     # Another process that takes over, or from which this one does.
 
@@ -346,8 +395,8 @@
         }
 
     def take_over(self, state: dict[str, Any], index: int) -> tuple[list[int], list[int]]:
-        """Instead of a first list. Backends keep their numbers; classes and plans are followed by name, to
-        the numbers that come back (-1: there is none)."""
+        """Instead of a first list. Backends keep their numbers; classes and plans are followed by
+        name, to the numbers that come back (-1: there is none)."""
         here = [c.name for c in self.settings.classes], [p.name for p in self.settings.plans]
         classes, plans = (
             [now.index(name) if name in now else -1 for name in before]
@@ -370,7 +419,9 @@
         return {"attempts": list(attempts.items()), "customers": list(customers.items())}
 
     def told_busy(self, busy: dict[str, list[tuple[int, int]]]) -> None:
-        attempts, customers = ({int(k): int(n) for k, n in busy[what]} for what in ("attempts", "customers"))
+        attempts, customers = (
+            {int(k): int(n) for k, n in busy[what]} for what in ("attempts", "customers")
+        )
         self._post(it.OtherBusy(attempts, customers))
 
     def give_up(self) -> None:
@@ -392,7 +443,8 @@
         self._drain()
 
     def _drain(self) -> None:
-        """What happens while actions are carried out waits its turn: the module is never entered twice."""
+        """What happens while actions are carried out waits its turn: the module is never entered
+        twice."""
         if self._busy:
             return
         self._busy = True
@@ -402,7 +454,9 @@
                 try:
                     for action in self._gateway.handle(self.now(), event):
                         self._carry_out(action)
-                except Exception:  # one event's failure must not end the process; deadlines answer the client
+                except (
+                    Exception
+                ):  # one event's failure must not end the process; deadlines answer the client
                     log.exception("while handling %s", type(event).__name__)
         finally:
             self._busy = False
@@ -460,11 +514,15 @@
             phase = "passing on" if request.passing else phase
             found.append(
                 {
-                    "id": request.wanted.id.decode("latin-1"), "age_ms": (now - request.wanted.began) // 1000,
-                    "class": self.settings.classes[request.wanted.cls].name, "phase": phase, "servers": out,
-                    "attempts": len(request.attempts), "left_ms": (request.deadline - now) // 1000,
+                    "id": request.wanted.id.decode("latin-1"),
+                    "age_ms": (now - request.wanted.began) // 1000,
+                    "class": self.settings.classes[request.wanted.cls].name,
+                    "phase": phase,
+                    "servers": out,
+                    "attempts": len(request.attempts),
+                    "left_ms": (request.deadline - now) // 1000,
                 }
-            )  # fmt: skip
+            )
         return found
 
     def _settle(self, request: Request) -> None:
@@ -482,7 +540,8 @@
             self.idle()
 
     def _forget(self, request: Request) -> None:
-        """The id is free again once nothing of the request is under way, whichever event ended it."""
+        """The id is free again once nothing of the request is under way, whichever event ended
+        it."""
         if request.over and request.out == 0 and request.number in self._requests:
             del self._requests[request.number], self._ids[request.wanted.id]
 
@@ -522,11 +581,13 @@
             self._ended(request, attempt, Answer(Outcome.MOOT))
         else:
             end, attempt.exchange = now + wait, Undealt()
-            self.dealer.deal(action.units, lambda until: self._dealt(request, attempt, action, end, until))
+            self.dealer.deal(
+                action.units, lambda until: self._dealt(request, attempt, action, end, until)
+            )
 
     def _dealt(
         self, request: Request, attempt: Attempt, action: it.SendAttempt, end: int, until: int
-    ) -> None:  # fmt: skip
+    ) -> None:
         if attempt.ended:
             return
         if not until:
@@ -535,9 +596,14 @@
             self._write(request, attempt, end, min(until, action.until or until))
 
     def _write(self, request: Request, attempt: Attempt, end: int, until: int) -> None:
-        """`end`: when its answer is to be there; `until`: when its first byte is written at the latest."""
+        """`end`: when its answer is to be there; `until`: when its first byte is written at the
+        latest."""
         wanted, wait = request.wanted, end - self.now()
-        data: Data = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (wanted.head, max(1, wait // 1000), wanted.body)
+        data: Data = b"%bRequest-Timeout: %dm\r\n\r\n%b" % (
+            wanted.head,
+            max(1, wait // 1000),
+            wanted.body,
+        )
         if dress := wanted.dress:
             name = self.name_of(attempt.backend)
 
@@ -552,18 +618,24 @@
         )
 
     def _uploaded(self, request: Request) -> None:
-        """The last byte of its body has come: its time counts from here, and that of the attempt with it."""
+        """The last byte of its body has come: its time counts from here, and that of the attempt
+        with it."""
         now, timeout = self.now(), request.wanted.timeout
         request.deadline = now + timeout
-        request.timer = self._loop.call_later((timeout - ANSWER_MARGIN) / 1e6, self._overdue, request)
+        request.timer = self._loop.call_later(
+            (timeout - ANSWER_MARGIN) / 1e6, self._overdue, request
+        )
         for attempt in request.attempts:
             if not attempt.ended:
                 attempt.sent = now
-                attempt.timer = self._loop.call_later(attempt.wait / 1e6, self._timed_out, request, attempt)
+                attempt.timer = self._loop.call_later(
+                    attempt.wait / 1e6, self._timed_out, request, attempt
+                )
         self._post(it.BodyCame(request.number, timeout))
 
     def _opened(self, request: Request, attempt: Attempt, answer: Answer) -> bool:
-        """A large answer begins: its first byte goes on at once, and no other attempt can answer any more."""
+        """A large answer begins: its first byte goes on at once, and no other attempt can answer
+        any more."""
         if request.over or attempt.ended or attempt.exchange is None:
             return False
         self._settle(request)
@@ -589,7 +661,9 @@
             if not attempt.ended and attempt.exchange:
                 self._give_up(request, attempt, attempt.exchange, Outcome.CANCELLED)
 
-    def _give_up(self, request: Request, attempt: Attempt, exchange: Exchange, ran: Outcome) -> None:
+    def _give_up(
+        self, request: Request, attempt: Attempt, exchange: Exchange, ran: Outcome
+    ) -> None:
         never = Outcome.MOOT if isinstance(exchange, Undealt) else Outcome.CONNECT_FAILED
         self._ended(request, attempt, Answer(ran if exchange.abort() else never))
 
@@ -621,9 +695,15 @@
         if self.observer:
             self.observer.attempt(attempt.backend, answer.outcome, latency)
         event = it.AttemptEnded(
-            request.number, attempt.number, attempt.backend, answer.outcome, latency, request.over, load,
+            request.number,
+            attempt.number,
+            attempt.backend,
+            answer.outcome,
+            latency,
+            request.over,
+            load,
             spent=upload is not None and upload.spent,
-        )  # fmt: skip
+        )
         self._post(event)
 
     # The rest.
@@ -659,7 +739,13 @@
     def _entry(self, entry: Entry, number: int) -> it.ListedBackend:
         zone, kind = self.names.zones.get(entry.zone, 0), self.names.kinds.get(entry.kind, 0)
         return it.ListedBackend(
-            number, STATES[entry.status], zone, entry.group, kind, entry.weight, entry.since_us,
+            number,
+            STATES[entry.status],
+            zone,
+            entry.group,
+            kind,
+            entry.weight,
+            entry.since_us,
             crc32(entry.name.encode(errors="surrogatepass")),  # a broken name is a name, too
         )
 
@@ -678,7 +764,9 @@
 class Names:
     """The settings' names for what the module knows by number."""
 
-    def __init__(self, settings: it.Settings, raw: dict[str, Any], named: it.Settings | None = None) -> None:
+    def __init__(
+        self, settings: it.Settings, raw: dict[str, Any], named: it.Settings | None = None
+    ) -> None:
         named = named or settings  # what clients may name: not the classes and plans dropped since
         classes, plans = set(named.classes), set(named.plans)
         self.classes = {c.name.encode(): n for n, c in enumerate(settings.classes) if c in classes}
@@ -692,7 +780,8 @@
         self._loads = len(settings.load_fields)
 
     def load(self, text: bytes) -> tuple[float, ...]:
-        """`inflight=7,queue=2` in the settings' order; nothing if a field is missing or is no number."""
+        """`inflight=7,queue=2` in the settings' order; nothing if a field is missing or is no
+        number."""
         found: list[float | None] = [None] * self._loads
         for part in text.split(b","):
             name, _, value = part.strip().partition(b"=")
--- a/ironledge/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -1,8 +1,8 @@
 """Passing an ingress on to the process that replaces it, over a Unix socket in $TMPDIR.
 
-The new process gets the listening socket itself, so that its queue is never dropped, and with its `take` all
-that the old one knows; from then on new connections are its own. Until the old one ends they tell each other
-what one ingress has to know: attempts out, descriptors held, operators' calls.
+The new process gets the listening socket itself, so that its queue is never dropped, and with its
+`take` all that the old one knows; from then on new connections are its own. Until the old one ends
+they tell each other what one ingress has to know: attempts out, descriptors held, operators' calls.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from pathlib import Path
 from typing import Any
 
-from ironledge import estate
-from ironledge.brain import Gateway
-from ironledge.net.clients import Listener
-from ironledge.net.discovery import Discovery
-from ironledge.net.engine import Engine
-from ironledge.net.ops import Maintenance
-from ironledge.net.sockets import Sockets
+from cairndale.ingress import handover_state
+from cairndale.ingress.net.clients import Listener
+from cairndale.ingress.net.discovery import Discovery
+from cairndale.ingress.net.engine import Engine
+from cairndale.ingress.net.ops import Maintenance
+from cairndale.ingress.net.sockets import Sockets
+from cairndale.ingress.policy.engine import Gateway
 
 VERSION = 1  # of what is handed over: of another kind of process, nothing is taken
 CALL_TIMEOUT = 1.0  # s for the old process to answer; it has nothing else to wait for
@@ -65,7 +65,8 @@
 
 
 class Offer:
-    """The old process's side: waits for the one that replaces it, and tells `passed` once that one serves."""
+    """The old process's side: waits for the one that replaces it, and tells `passed` once that one
+    serves."""
 
     def __init__(
         self,
@@ -152,18 +153,23 @@
     async def _pass_on(self, talk: Talk) -> None:
         """All or nothing: if the new process does not get as far as serving, this one goes on."""
         self._listener.step_aside(True)
-        state = self._engine.hand_over() | {"module": estate.hand_over(self._gateway)}
+        state = self._engine.hand_over() | {"module": handover_state.hand_over(self._gateway)}
         kept = self._sockets.cap
         self._sockets.cap = min(kept, self._sockets.open + OLD_SPARE)
         try:
             held = self._discovery.held.dump() if self._discovery.held else None
-            told = {"version": VERSION, "index": self._discovery.index, "held": held, "ingress": state}
+            told = {
+                "version": VERSION,
+                "index": self._discovery.index,
+                "held": held,
+                "ingress": state,
+            }
             talk.say(told | self._told())
             if await _line(talk.reader, TAKE_TIMEOUT) != "serving":
                 raise HandoverError("not understood")
         except HandoverError:
             self._sockets.cap = kept
-            estate.take_back(self._gateway, state["module"])
+            handover_state.take_back(self._gateway, state["module"])
             self._listener.step_aside(False)
             raise
 
@@ -216,10 +222,17 @@
             if discovery.held:
                 discovery.held.take_over(told.get("held"), state["entries"])
             classes, plans = engine.take_over(state, index)
-            estate.take_over(gateway, engine.now(), state["module"], classes, plans)
+            handover_state.take_over(gateway, engine.now(), state["module"], classes, plans)
             sockets.elsewhere = int(told["sockets"])
             engine.told_busy(told["busy"])
-        except (HandoverError, OSError, LookupError, TypeError, ValueError, AttributeError) as error:
+        except (
+            HandoverError,
+            OSError,
+            LookupError,
+            TypeError,
+            ValueError,
+            AttributeError,
+        ) as error:
             log.warning("nothing taken over: %r", error)
             self.stop()
             self._talk = None
@@ -230,7 +243,9 @@
         if self._talk:
             self._talk.say("serving")
             maintenance.changed = self._talk.maintained
-            self._task = asyncio.get_running_loop().create_task(self._hear(engine, sockets, maintenance))
+            self._task = asyncio.get_running_loop().create_task(
+                self._hear(engine, sockets, maintenance)
+            )
 
     async def _hear(self, engine: Engine, sockets: Sockets, maintenance: Maintenance) -> None:
         assert self._talk
--- a/ironledge/net/http.py
+++ b/cairndale/ingress/net/http.py
@@ -1,4 +1,5 @@
-"""HTTP/1.1 messages off a connection, within limits: what the client side and the backend side share."""
+"""HTTP/1.1 messages off a connection, within limits: what the client side and the backend side
+share."""
 
 from __future__ import annotations
 
@@ -9,24 +10,42 @@
 
 import httptools
 
-from ironledge.net.bodies import Upload
+from cairndale.ingress.net.bodies import Upload
 
 MAX_HEAD = 16 * 1024
 MAX_BODY = 64 * 1024 * 1024
 HOLD = 64 * 1024  # a body up to here is collected, and can be sent again or asked for again
 READ = 64 * 1024  # bytes read at once
 REASONS = {
-    200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-    409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests",
-    431: b"Request Header Fields Too Large", 500: b"Internal Server Error", 502: b"Bad Gateway",
-    503: b"Service Unavailable", 504: b"Gateway Timeout", 507: b"Insufficient Storage",
-}  # fmt: skip
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    500: b"Internal Server Error",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+    507: b"Insufficient Storage",
+}
 
 
 HOP_BY_HOP = {  # RFC 9110, 7.6.1, and what frames a message
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"proxy-authenticate", b"proxy-authorization", b"content-length",
-}  # fmt: skip
+    b"connection",
+    b"keep-alive",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"content-length",
+}
 BODILESS = (204, 304)  # their answers have no body, and no length of one
 
 
@@ -34,7 +53,9 @@
     if status not in REASONS:  # only where answers are relayed; the table of all costs every start
         from http import HTTPStatus
 
-        REASONS[status] = HTTPStatus(status).phrase.encode() if status in set(HTTPStatus) else b"Other"
+        REASONS[status] = (
+            HTTPStatus(status).phrase.encode() if status in set(HTTPStatus) else b"Other"
+        )
     return REASONS[status]
 
 
@@ -48,12 +69,22 @@
 
 
 class Message:
-    """A request (method, target) or an answer (status). Its body is there whole, or comes in parts."""
+    """A request (method, target) or an answer (status). Its body is there whole, or comes in
+    parts."""
 
     __slots__ = (
-        "body", "fields", "headers", "in_parts", "keep_alive", "length", "method", "minor", "status",
-        "target", "upload",
-    )  # fmt: skip
+        "body",
+        "fields",
+        "headers",
+        "in_parts",
+        "keep_alive",
+        "length",
+        "method",
+        "minor",
+        "status",
+        "target",
+        "upload",
+    )
 
     def __init__(self) -> None:
         self.method = b""
@@ -62,7 +93,8 @@
         self.minor = 1  # of HTTP/1's version
         self.headers: dict[bytes, bytes] = {}
         self.fields: list[tuple[bytes, bytes]] = []  # as they came, where they go on
-        self.length: int | None = None  # announced; None: chunked, or until the end of the connection
+        # announced; None: chunked, or until the end of the connection
+        self.length: int | None = None
         self.body = b""
         self.in_parts = False
         self.upload: Upload | None = None
@@ -70,14 +102,16 @@
 
 
 class HttpConnection(asyncio.BufferedProtocol):
-    """Reads messages. A small body is collected; a large one is handed on in parts, each as it comes. Hooks
-    are called once the parser has returned, so that an error in handling one is never mistaken for an error
-    in parsing it."""
+    """Reads messages. A small body is collected; a large one is handed on in parts, each as it
+    comes. Hooks are called once the parser has returned, so that an error in handling one is never
+    mistaken for an error in parsing it."""
 
     transport: asyncio.Transport
     keep_fields = False
     max_head, max_body = MAX_HEAD, MAX_BODY  # bytes that are taken
-    _read = memoryview(bytearray(READ))  # one for all: what has come is copied out before the next read
+    _read = memoryview(
+        bytearray(READ)
+    )  # one for all: what has come is copied out before the next read
 
     def __init__(self, parser: type[Any]) -> None:
         self._parser = parser(self)
@@ -146,7 +180,8 @@
             self.garbage(bad)
 
     def _run_hooks(self) -> None:
-        """What is still to be called is seen by those before it: more was read than they are about."""
+        """What is still to be called is seen by those before it: more was read than they are
+        about."""
         while self._hooks:
             hook, args = self._hooks.popleft()
             hook(*args)
@@ -154,7 +189,11 @@
     def ended_by_close(self) -> None:
         """At the sender's orderly end: a body with neither length nor chunks is whole now."""
         message = self._message
-        if not self._in_head and message.length is None and b"transfer-encoding" not in message.headers:
+        if (
+            not self._in_head
+            and message.length is None
+            and b"transfer-encoding" not in message.headers
+        ):
             message.keep_alive = False
             self.on_message_complete()
             self._run_hooks()
@@ -179,7 +218,9 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value) + 4
-        if not self._in_head:  # a trailer: read, and no more than a head's worth, but of no use here
+        if (
+            not self._in_head
+        ):  # a trailer: read, and no more than a head's worth, but of no use here
             self._fed += len(name) + len(value) + 4
             self._limit(self._fed, self.max_head, 431)
             return
@@ -193,7 +234,10 @@
 
     def on_headers_complete(self) -> None:
         message, self._in_head, self._fed, self._size = self._message, False, 0, 0
-        length, coding = message.headers.get(b"content-length"), message.headers.get(b"transfer-encoding")
+        length, coding = (
+            message.headers.get(b"content-length"),
+            message.headers.get(b"transfer-encoding"),
+        )
         if (length is not None and (coding is not None or not length.isdigit())) or (
             coding is not None and coding.strip().lower() != b"chunked"
         ):
--- a/ironledge/net/ops.py
+++ b/cairndale/ingress/net/ops.py
@@ -13,28 +13,38 @@
 
 import httptools
 
-from ironledge.net.engine import Engine
-from ironledge.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.engine import Engine
+from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 CALLERS = 8  # at once: of more, the one that has waited longest without a whole call gives way
 PATIENCE = 2.0  # s for a call to come whole
 MAX_ID = 256
 MOST_SHOWN = 200  # requests and tasks that a look inside tells of
 CALLS = {
-    "/status": b"GET", "/discovery": b"GET", "/pools": b"GET",
-    "/config": b"GET", "/metrics": b"GET", "/debug/requests": b"GET", "/debug/servers": b"GET",
-    "/debug/tasks": b"GET", "/maintenance/enter": b"POST", "/maintenance/exit": b"POST",
-}  # fmt: skip
+    "/status": b"GET",
+    "/discovery": b"GET",
+    "/pools": b"GET",
+    "/config": b"GET",
+    "/metrics": b"GET",
+    "/debug/requests": b"GET",
+    "/debug/servers": b"GET",
+    "/debug/tasks": b"GET",
+    "/maintenance/enter": b"POST",
+    "/maintenance/exit": b"POST",
+}
 
 log = logging.getLogger(__name__)
 
 
 class Maintenance:
-    """Backends that operators have taken out, by name; kept in a file, so that a new process knows them."""
+    """Backends that operators have taken out, by name; kept in a file, so that a new process knows
+    them."""
 
     def __init__(self, engine: Engine, path: Path) -> None:
         self._engine, self._path, self._turn = engine, path, asyncio.Lock()
-        self.changed: Callable[[str, bool], None] = lambda name, out: None  # told after each change made here
+        self.changed: Callable[[str, bool], None] = lambda name, out: (
+            None
+        )  # told after each change made here
 
     def recall(self) -> None:
         try:
@@ -49,7 +59,8 @@
         self._engine.recall(names)
 
     async def change(self, name: str, out: bool) -> None:
-        """Kept on file before it is acted on: once the operator hears yes, it outlives this process."""
+        """Kept on file before it is acted on: once the operator hears yes, it outlives this
+        process."""
         async with self._turn:
             names = self._engine.maintained | {name} if out else self._engine.maintained - {name}
             await asyncio.to_thread(self._keep, sorted(names))
@@ -75,9 +86,13 @@
     ) -> None:
         self._engine, self._maintenance, self._serving = engine, maintenance, serving
         self._shown: dict[str, Callable[[], Any]] = {
-            "/discovery": discovery, "/pools": pools, "/config": running, "/debug/servers": pools,
-            "/debug/requests": lambda: engine.open_requests(MOST_SHOWN), "/debug/tasks": _tasks,
-        }  # fmt: skip
+            "/discovery": discovery,
+            "/pools": pools,
+            "/config": running,
+            "/debug/servers": pools,
+            "/debug/requests": lambda: engine.open_requests(MOST_SHOWN),
+            "/debug/tasks": _tasks,
+        }
         self.metrics: Callable[[], bytes] | None = None
         self.callers: dict[Caller, None] = {}  # the longest waiting first
         self._server: asyncio.Server | None = None
@@ -164,7 +179,9 @@
     def received(self, message: Message) -> None:
         if not self._heard:
             self._heard = True
-            self._ops.callers.pop(self, None)  # a whole call is owed its answer, and never gives way
+            self._ops.callers.pop(
+                self, None
+            )  # a whole call is owed its answer, and never gives way
             self._ops.call(self, message)
 
     def garbage(self, status: int) -> None:
