--- a/ironledge/net/pool.py
+++ b/cairndale/ingress/net/pool.py
@@ -1,8 +1,9 @@
-"""The connections to one backend, as decisions: events and `now` in; open, hand out, refuse, close out.
+"""The connections to one backend, as decisions: events and `now` in; open, hand out, refuse, close
+out.
 
-No socket and no clock is touched here: backends.py carries the actions out. Times are seconds on one clock
-that never goes back. A link and an attempt are whatever the caller makes of them: they are only told apart.
-"""
+No socket and no clock is touched here: backends.py carries the actions out. Times are seconds on
+one clock that never goes back. A link and an attempt are whatever the caller makes of them: they
+are only told apart."""
 
 from __future__ import annotations
 
@@ -30,7 +31,8 @@
     requests: int = 10_000  # exchanges of a link's life
     queue: int = 64  # attempts that wait for a backend
     warm: int = 0  # links opened ahead where traffic is expected, a backend; 0: none
-    server_share: float = 0.3  # of the descriptors that are the backends' for sure, whatever clients hold
+    # of the descriptors that are the backends' for sure, whatever clients hold
+    server_share: float = 0.3
 
 
 class Why(Enum):
@@ -55,7 +57,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """This attempt gets no link here: it was never sent. `failed`: the backend is to blame, not the bound."""
+    """This attempt gets no link here: it was never sent. `failed`: the backend is to blame, not the
+    bound."""
 
     waiter: Any
     failed: bool
@@ -101,9 +104,9 @@
 class Pool:
     """Most recently used first, so that surplus links age out; one exchange a link.
 
-    Every attempt that finds no idle link waits; a dial is begun for it while the bound allows, and it gets
-    whichever comes first, a freed link or a finished dial. A dial that its attempt no longer needs stays.
-    """
+    Every attempt that finds no idle link waits; a dial is begun for it while the bound allows, and
+    it gets whichever comes first, a freed link or a finished dial. A dial that its attempt no
+    longer needs stays."""
 
     options: Options
     idle_for: float  # s that an idle link is taken for sound: the settings' idle time less a margin
@@ -144,8 +147,11 @@
 
     # Attempts.
 
-    def ask(self, now: float, waiter: Any, patience: float, sound: Callable[[Any], bool]) -> list[Action]:
-        """`patience`: s that the attempt has in all. `sound` looks whether an idle link still stands."""
+    def ask(
+        self, now: float, waiter: Any, patience: float, sound: Callable[[Any], bool]
+    ) -> list[Action]:
+        """`patience`: s that the attempt has in all. `sound` looks whether an idle link still
+        stands."""
         actions: list[Action] = []
         self.counts.asked += 1
         if not self.ready:
@@ -164,9 +170,7 @@
         self._dial_for_waiting(now, actions)
         return actions
 
-    def _take(
-        self, now: float, actions: list[Action], sound: Callable[[Any], bool]
-    ) -> Any | None:
+    def _take(self, now: float, actions: list[Action], sound: Callable[[Any], bool]) -> Any | None:
         while self.idle:
             link = self.idle.pop()
             state = self._links[link]
@@ -192,8 +196,11 @@
         actions.append(HandOut(waiter, link))
 
     def _dial_for_waiting(self, now: float, actions: list[Action]) -> None:
-        """A dial for each that waits, within the bound. With none busy there is always room for one."""
-        while len(self.dials) < len(self.waiting) and (self.open() < self.bound() or self._displace(actions)):
+        """A dial for each that waits, within the bound. With none busy there is always room for
+        one."""
+        while len(self.dials) < len(self.waiting) and (
+            self.open() < self.bound() or self._displace(actions)
+        ):
             self._open(actions)
 
     def _displace(self, actions: list[Action]) -> bool:
@@ -266,14 +273,20 @@
             self.idle.append(link)
 
     def _grow(self, now: float) -> None:
-        """Additive: after a while at the bound without another refusal there may be room for one more."""
-        if self.learned < self.top and self.open() >= self.bound() - 1 and now - self._grown_at >= GROW_EVERY:
+        """Additive: after a while at the bound without another refusal there may be room for one
+        more."""
+        if (
+            self.learned < self.top
+            and self.open() >= self.bound() - 1
+            and now - self._grown_at >= GROW_EVERY
+        ):
             self.learned, self._grown_at = self.learned + 1, now
             if self.learned >= self.top:
                 self.learned = math.inf
 
     def lost(self, now: float, link: Any, under_request: bool) -> list[Action]:
-        """A link has ended by itself. `under_request`: with a request out and nothing of an answer."""
+        """A link has ended by itself. `under_request`: with a request out and nothing of an
+        answer."""
         actions: list[Action] = []
         state = self._links.pop(link, None)
         if state is None:
@@ -290,7 +303,8 @@
         return actions
 
     def distrust(self, actions: list[Action]) -> None:
-        """The backend has failed without a word: the other idle links may lead to what is no longer there."""
+        """The backend has failed without a word: the other idle links may lead to what is no longer
+        there."""
         for link in self.idle:
             self._forget(link, actions)
         self.idle.clear()
@@ -302,7 +316,8 @@
     # Time, the list, the configuration.
 
     def tick(self, now: float, gap: bool = False) -> list[Action]:
-        """Each second or so. `gap`: the process or the machine has stood still, and every link is old."""
+        """Each second or so. `gap`: the process or the machine has stood still, and every link is
+        old."""
         actions: list[Action] = []
         oldest = now - self.idle_for
         kept = []
@@ -325,7 +340,8 @@
         return self.waiting[0][1] if self.waiting else math.inf
 
     def withdraw(self, ready: bool) -> list[Action]:
-        """Drained, out, moved or gone: nothing more is written there. Busy links end their exchange."""
+        """Drained, out, moved or gone: nothing more is written there. Busy links end their
+        exchange."""
         self.ready = ready
         actions: list[Action] = [GiveUp(dial) for dial in sorted(self.dials)]
         self.dials.clear()
@@ -352,7 +368,8 @@
         return actions
 
     def warm(self, now: float) -> list[Action]:
-        """One link ahead of its request, where the traffic of late would use it; requests come first."""
+        """One link ahead of its request, where the traffic of late would use it; requests come
+        first."""
         wanted = min(float(self.options.warm), math.ceil(self.expected(now)), self.bound())
         actions: list[Action] = []
         if self.ready and not self.waiting and self.open() < wanted:
--- a/ironledge/net/requests.py
+++ b/cairndale/ingress/net/requests.py
@@ -1,8 +1,9 @@
-"""What a client's request is for: customer, plan, class, time and units, found where the configuration says.
+"""What a client's request is for: customer, plan, class, time and units, found where the
+configuration says.
 
-Without `request` in the configuration that is the platform's protocol, to the letter. With it the ingress
-stands before any HTTP/1.1 servers: fields and answers go on as they came, whatever their status.
-"""
+Without `request` in the configuration that is the platform's protocol, to the letter. With it the
+ingress stands before any HTTP/1.1 servers: fields and answers go on as they came, whatever their
+status."""
 
 from __future__ import annotations
 
@@ -13,9 +14,9 @@
 from os import urandom
 from urllib.parse import parse_qs
 
-from ironledge import interface as it
-from ironledge.net.engine import Names, Wanted
-from ironledge.net.http import HOP_BY_HOP, Message
+from cairndale.ingress.net.engine import Names, Wanted
+from cairndale.ingress.net.http import HOP_BY_HOP, Message
+from cairndale.ingress.policy import interface as it
 
 ID = re.compile(rb"[!-~]{1,128}")
 CUSTOMER = re.compile(rb"(?:^|[;,])\s*customer=([0-9a-fA-F]{16})\s*(?=[;,]|$)")
@@ -40,7 +41,9 @@
         self.status, self.retry_after = status, retry_after  # us; 0: no advice
 
 
-def read_request(message: Message, names: Names, classes: Sequence[it.RequestClass], began: int) -> Wanted:
+def read_request(
+    message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
+) -> Wanted:
     """The client's request, or BadRequest: a plain 4xx tells the client what is wrong with it."""
     headers = message.headers
     if message.method not in (b"GET", b"POST"):
@@ -88,10 +91,19 @@
     """What a backend is told, up to the time left; the target and the id go on unchanged."""
     headers, body = message.headers, message.body
     host = headers.get(b"host", b"backend")
-    head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (message.method, message.target, host, id)
+    head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (
+        message.method,
+        message.target,
+        host,
+        id,
+    )
     if message.upload:
         length = message.upload.length
-        head += b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
+        head += (
+            b"Transfer-Encoding: chunked\r\n"
+            if length is None
+            else b"Content-Length: %d\r\n" % length
+        )
     elif body or message.method == b"POST":
         head += b"Content-Length: %d\r\n" % len(body)
     if kind := headers.get(b"content-type"):
@@ -100,10 +112,13 @@
 
 
 def read_timeout(text: bytes) -> int:
-    """us: `500m` and `500000u` as the platform has them, `500ms` and `5s` as people do. Raises FieldError."""
+    """us: `500m` and `500000u` as the platform has them, `500ms` and `5s` as people do. Raises
+    FieldError."""
     match = SECONDS.fullmatch(text)
     if match is None or not (found := round(float(match[1]) * PER[match[2]])):
-        raise FieldError(f"found {text.decode('latin-1')!r}; a time over 0 is wanted, as 500ms or 5s")
+        raise FieldError(
+            f"found {text.decode('latin-1')!r}; a time over 0 is wanted, as 500ms or 5s"
+        )
     return found
 
 
@@ -124,7 +139,9 @@
     @staticmethod
     def number(who: bytes) -> int:
         """A customer's number, alike at every ingress."""
-        from hashlib import blake2b  # loads OpenSSL: the platform's start, which has no use for it, would pay
+        from hashlib import (
+            blake2b,
+        )  # loads OpenSSL: the platform's start, which has no use for it, would pay
 
         return int.from_bytes(blake2b(who, digest_size=8).digest()) % MAX_CUSTOMER
 
@@ -158,12 +175,24 @@
         customer = self.number(who)
         spread = max(1, names.gateways)
         return Wanted(
-            id, cls, plan, customer, float(units), spread, 0, timeout, began, False, self._head(message, id),
-            message.body, message.upload,
-        )  # fmt: skip
+            id,
+            cls,
+            plan,
+            customer,
+            float(units),
+            spread,
+            0,
+            timeout,
+            began,
+            False,
+            self._head(message, id),
+            message.body,
+            message.upload,
+        )
 
     def _head(self, message: Message, id: bytes) -> bytes:
-        """All fields but those that belong to one connection, framing and the two that are written anew."""
+        """All fields but those that belong to one connection, framing and the two that are written
+        anew."""
         head = b"%b %b HTTP/1.1\r\nRequest-Id: %b\r\n" % (message.method, message.target, id)
         named = {n.strip().lower() for n in message.headers.get(b"connection", b"").split(b",")}
         left = HOP_BY_HOP | named | {b"request-id", b"request-timeout", b"expect"}
--- a/ironledge/net/sockets.py
+++ b/cairndale/ingress/net/sockets.py
@@ -11,7 +11,8 @@
 CAP = 0.8  # of the limit: connections are opened up to here ...
 CLIENT_SHARE = 0.4  # of these are the clients' for sure, and ...
 SERVER_SHARE = 0.3  # ... this part is for connections to backends, whatever clients hold
-TOP = 0.93  # ... and clients let in up to here, to be told no; then they wait in the listener's line
+# ... and clients let in up to here, to be told no; then they wait in the listener's line
+TOP = 0.93
 
 
 class Sockets:
@@ -27,11 +28,13 @@
     def tune(self, limit: int) -> None:
         self.cap, self.top = int(limit * CAP) - BASE, int(limit * TOP) - BASE
         self.for_servers = int(self.cap * self.server_share)  # theirs for sure, and ...
-        self.most_servers = int(self.cap * max(self.server_share, 1 - CLIENT_SHARE))  # ... all they may have
+        self.most_servers = int(
+            self.cap * max(self.server_share, 1 - CLIENT_SHARE)
+        )  # ... all they may have
 
     def on_crowded(self, evict: Callable[[], bool], first: bool = False) -> None:
-        """`evict` closes one idle connection, or returns False where there is none. Clients' go first: one to
-        a backend costs it work to make anew, and the next request time."""
+        """`evict` closes one idle connection, or returns False where there is none. Clients' go
+        first: one to a backend costs it work to make anew, and the next request time."""
         self._evict.insert(0 if first else len(self._evict), evict)
 
     def closed(self) -> None:
--- a/ironledge/observe/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -1,8 +1,9 @@
-"""Structured logs: each record an event with a stable name and fields, as key=value for people or as JSON.
+"""Structured logs: each record an event with a stable name and fields, as key=value for people or
+as JSON.
 
-Records go through a bounded queue to a thread that formats and writes; a full queue drops and counts, and
-never holds the loop. What stands in for a message is escaped, so that no line can be forged.
-"""
+Records go through a bounded queue to a thread that formats and writes; a full queue drops and
+counts, and never holds the loop. What stands in for a message is escaped, so that no line can be
+forged."""
 
 from __future__ import annotations
 
@@ -20,9 +21,11 @@
 
 import structlog
 
-from ironledge.interface import Outcome
-from ironledge.net.engine import Wanted
+from cairndale.ingress.net.engine import Wanted
+from cairndale.ingress.policy.interface import Outcome
 
+ROOT_LOGGER = "cairndale.ingress"
+FORMER_ROOT = "ironledge"
 REPEAT = 1.0  # s in which the same event is gathered
 FLOOD = 20  # lines of one event in that time from which on all of it is gathered
 FLUSH = 0.2  # s between looks for gathered events
@@ -43,7 +46,8 @@
 
 
 def stable(template: str) -> str:
-    """A name for an event, from what its message is made of: `maintenance_is` for `maintenance: %s is %s`."""
+    """A name for an event, from what its message is made of: `maintenance_is` for `maintenance: %s
+    is %s`."""
     words = re.findall(r"[A-Za-z]+", re.sub(r"%[-+ #0-9.]*[a-zA-Z]|'[^']*'", " ", template))
     return "_".join(w.lower() for w in words[:6]) or "event"
 
@@ -91,7 +95,9 @@
     def _open(self) -> None:
         if self.options.file:
             made = os.open(self.options.file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o640)
-            self._out = os.fdopen(made, "a", buffering=1, encoding="utf-8", errors="backslashreplace")
+            self._out = os.fdopen(
+                made, "a", buffering=1, encoding="utf-8", errors="backslashreplace"
+            )
 
     def _run(self) -> None:
         told = 0
@@ -108,13 +114,16 @@
                 self._gather(entry)
             self._flush(time.monotonic(), everything=entry is None)
             if self.dropped > told:
-                self._write({"level": "warning", "event": "log_dropped", "dropped": self.dropped - told})
+                self._write(
+                    {"level": "warning", "event": "log_dropped", "dropped": self.dropped - told}
+                )
                 told = self.dropped
             if entry is None:
                 return
 
     def _gather(self, entry: dict[str, Any]) -> None:
-        """The first of an event is written at once; those like it within a second as one, with a number."""
+        """The first of an event is written at once; those like it within a second as one, with a
+        number."""
         event, now = entry["event"], time.monotonic()
         if event == "request":  # the access log is sampled, never gathered
             self._write(entry)
@@ -157,7 +166,8 @@
 
 
 class Handler(logging.Handler):
-    """Where the program's records go: an event's name from its template, its text, its level and part."""
+    """Where the program's records go: an event's name from its template, its text, its level and
+    part."""
 
     def __init__(self, writer: Writer) -> None:
         super().__init__()
@@ -168,7 +178,7 @@
             "at": record.created,
             "level": record.levelname.lower(),
             "event": stable(str(record.msg)),
-            "logger": record.name.removeprefix("ironledge.") or "ironledge",
+            "logger": record.name.removeprefix(f"{ROOT_LOGGER}."),
             "message": record.getMessage(),
         }
         if record.exc_info:
@@ -229,6 +239,15 @@
             observer.counted(outcome, us)
 
 
+def logger_name(part: str) -> str:
+    """The logger of a part of the ingress, as `[log] levels` names it: `net.discovery`.
+
+    Settings files of before the packages moved may give the whole name, under the root it had then.
+    """
+    relative = "" if part == FORMER_ROOT else part.removeprefix(f"{FORMER_ROOT}.")
+    return f"{ROOT_LOGGER}.{relative}" if relative else ROOT_LOGGER
+
+
 def begin(options: Options, instance: str) -> Writer:
     """Takes all of the program's logging over. The caller stops the writer at the end."""
     writer = Writer(options, instance)
@@ -237,8 +256,6 @@
     root.handlers = [Handler(writer)]
     root.setLevel(options.level.upper())
     for part, level in options.levels:
-        logging.getLogger(part if part.startswith("ironledge") else f"ironledge.{part}").setLevel(
-            level.upper()
-        )
+        logging.getLogger(logger_name(part)).setLevel(level.upper())
     signal.signal(signal.SIGUSR1, lambda *_: writer.reopen())
     return writer
--- a/ironledge/observe/metrics.py
+++ b/cairndale/ingress/observability/metrics.py
@@ -1,5 +1,5 @@
-"""Metrics in Prometheus' form. Labels are names of the configuration and the program's own words: no
-customer, no id, no text of a peer is ever one."""
+"""Metrics in Prometheus' form. Labels are names of the configuration and the program's own words:
+no customer, no id, no text of a peer is ever one."""
 
 from __future__ import annotations
 
@@ -14,11 +14,25 @@
 from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-from ironledge.interface import Outcome
-from ironledge.net.engine import Engine, Wanted
-from ironledge.net.sockets import Sockets
-
-TIMES = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)  # s, of the histograms
+from cairndale.ingress.net.engine import Engine, Wanted
+from cairndale.ingress.net.sockets import Sockets
+from cairndale.ingress.policy.interface import Outcome
+
+TIMES = (
+    0.001,
+    0.0025,
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.25,
+    0.5,
+    1.0,
+    2.5,
+    5.0,
+    10.0,
+)  # s, of the histograms
 SHORT = (0.0005, 0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06)  # s, of a counter call
 LAG_EVERY = 0.25  # s between looks at how late the loop is
 SERVER_STATES = ("idle", "busy", "dialling", "waiting")
@@ -123,7 +137,9 @@
         """What is counted only when somebody asks."""
         engine, sockets = self._engine, self._sockets
         yield GaugeMetricFamily("ironledge_open_requests", "Requests under way", value=engine.open)
-        held = GaugeMetricFamily("ironledge_connections", "Descriptors held for connections", labels=["side"])
+        held = GaugeMetricFamily(
+            "ironledge_connections", "Descriptors held for connections", labels=["side"]
+        )
         held.add_metric(["servers"], sockets.servers)
         held.add_metric(["clients"], max(0, sockets.open - sockets.servers))
         yield held
@@ -151,9 +167,13 @@
             "ironledge_list_age_seconds", "Since discovery was last heard", value=self.list_age()
         )
         accounts = list(self._accounts())
-        yield GaugeMetricFamily("ironledge_accounts", "Customers that are known here", value=len(accounts))
+        yield GaugeMetricFamily(
+            "ironledge_accounts", "Customers that are known here", value=len(accounts)
+        )
         leased = sum(a.tokens for a in accounts)
-        yield GaugeMetricFamily("ironledge_leased_units", "Leased units that are left", value=leased)
+        yield GaugeMetricFamily(
+            "ironledge_leased_units", "Leased units that are left", value=leased
+        )
         booked = sum(1 for a in accounts if any(slot[1] > 0 for slot in a.ring))
         yield GaugeMetricFamily(
             "ironledge_rings_booked", "Customers with requests told to return", value=booked
--- /dev/null
+++ b/cairndale/ingress/policy/__init__.py
@@ -0,0 +1,2 @@
+"""Every decision of the ingress: admission, server selection, the life of a request. No I/O, no
+clock."""
--- a/ironledge/account.py
+++ b/cairndale/ingress/policy/account.py
@@ -1,4 +1,4 @@
-"""The customer's account: both stages of admission, leases of the counter. Types: ironledge/interface.py.
+"""The customer's account: both stages of admission, leases of the counter. Types: interface.py.
 
 All times are microseconds.
 """
@@ -12,19 +12,29 @@
 from dataclasses import dataclass, field
 from typing import Any, Generic, Protocol, TypeVar
 
-from ironledge import interface as it
-from ironledge.interface import Outcome
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.interface import Outcome
 
 SECOND = 1_000_000
-SHARE_SPAN = 0.4  # s of its part that a gateway may have saved up when it loses touch with a strict counter
-LEASE_LIFE = 1.0  # s of demand taken ahead: long enough to save calls, short enough not to strand units
-OFFSETS = (1, 3, 7)  # slots looked at: d_0, then doubling; N = 3 retries, a client's usual most; S = the last
-SPARE = 0.6  # part of the bound under which a fleet has room for second copies and paid units beyond a quota
+# s of its part that a gateway may have saved up when it loses touch with a strict counter
+SHARE_SPAN = 0.4
+# s of demand taken ahead: long enough to save calls, short enough not to strand units
+LEASE_LIFE = 1.0
+OFFSETS = (
+    1,
+    3,
+    7,
+)  # slots looked at: d_0, then doubling; N = 3 retries, a client's usual most; S = the last
+# part of the bound under which a fleet has room for second copies and paid units beyond a quota
+SPARE = 0.6
 CROWDED = 1.2  # calls turned away or unanswered of late: some in ten, and not just one
-TRIALS = 64.0  # calls a second by all gateways that are made while crowded though they could be saved
+# calls a second by all gateways that are made while crowded though they could be saved
+TRIALS = 64.0
 KNOWN = 4  # windows for which a total heard tells more of a customer than quota / spread
-WIDE = 12  # gateways a customer: with more, what one leases ahead is seldom spent, and few know of the store
-UNEVEN = 1.25  # even parts of a ceiling that one gateway's leases may take: the counter keeps the sum of all
+# gateways a customer: with more, what one leases ahead is seldom spent, and few know of the store
+WIDE = 12
+# even parts of a ceiling that one gateway's leases may take: the counter keeps the sum of all
+UNEVEN = 1.25
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 NAME_MIX = 0x9E3779B97F4A7C15  # odd 64-bit multiplier (golden ratio): spreads neighbouring numbers
 
@@ -50,7 +60,8 @@
 
 
 @dataclass(slots=True)
-class Account:  # a customer here: bucket of leased units, ring of slots, what is known of the shared store
+# a customer here: bucket of leased units, ring of slots, what is known of the shared store
+class Account:
     plan: it.Plan
     spread: int
     slot_us: int  # T0, and d_0: one slot
@@ -63,14 +74,19 @@
     heard_at: int = -60 * SECOND
     usual: float = 0.0  # lambda: units newly asked a second, averaged over the store's time to fill
     demand_at: int = 0
-    unheard: float = 0.0  # units spent that the counter has not been told of, less what has refilled since
+    # units spent that the counter has not been told of, less what has refilled since
+    unheard: float = 0.0
     back: float = 0.0  # units to be added back to one window's name
     back_for: int = 0
-    ceiling: float = 0.0  # left of this gateway's part of the hard ceiling, had it run for long: for leases
-    sure: float = 0.0  # the same if all was spent before a restart: for units the counter has not heard of
+    # left of this gateway's part of the hard ceiling, had it run for long: for leases
+    ceiling: float = 0.0
+    # the same if all was spent before a restart: for units the counter has not heard of
+    sure: float = 0.0
     window_us: int = SECOND
     slot: int = 0
-    ring: deque[list[float]] = field(default_factory=deque)  # slots, present first: A spare, B booked over
+    ring: deque[list[float]] = field(
+        default_factory=deque
+    )  # slots, present first: A spare, B booked over
     asking: bool = False
     open: int = 0  # attempts out
     elsewhere: int = 0  # and those out from the process that this one takes over from
@@ -84,7 +100,11 @@
         self.follow(self.plan)
 
     def follow(self, plan: it.Plan) -> None:
-        self.plan, self.level, self.share = plan, min(self.level, plan.burst), min(self.share, plan.burst)
+        self.plan, self.level, self.share = (
+            plan,
+            min(self.level, plan.burst),
+            min(self.share, plan.burst),
+        )
         if plan.rate:  # a store left alone for a window is full: nothing need be carried further
             self.window_us = max(SECOND, int(plan.burst / plan.rate * SECOND))
 
@@ -99,7 +119,9 @@
         gone = (now - before) / SECOND
         fill = self.window_us / SECOND
         self.usual = self.usual * math.exp(-gone / fill) + (0.0 if again else units / fill)
-        most = max(units, plan.rate * part * SHARE_SPAN if self.strict else plan.burst * part)  # one fits
+        most = max(
+            units, plan.rate * part * SHARE_SPAN if self.strict else plan.burst * part
+        )  # one fits
         if not self.saves and before < self.alone_since:
             self.share, before = 0.0, self.alone_since
         self.share = min(most, self.share + plan.rate * part * (now - before) / SECOND)
@@ -134,16 +156,21 @@
 
 
 class Admission(Generic[Asking]):
-    """Both stages, for every customer. What comes of a request is its life's (`brain.py`), which fills in
-    `send`, `end` and `used`."""
+    """Both stages, for every customer. What comes of a request is its life's (`brain.py`), which
+    fills in `send`, `end` and `used`."""
 
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.accounts: dict[int, Account] = {}
-        self.calls: dict[int, deque[tuple[Account, int, float, bool, float]]] = {}  # unanswered, by name
+        self.calls: dict[
+            int, deque[tuple[Account, int, float, bool, float]]
+        ] = {}  # unanswered, by name
         self.crowd, self.call_at, self.now = 1.0, -SECOND, 0
         self.retired = False  # another process has taken over; what is still open ends here
-        self.unasked, self.speaks = 0, 1.0  # requests since the last call, and how many a call speaks for
+        self.unasked, self.speaks = (
+            0,
+            1.0,
+        )  # requests since the last call, and how many a call speaks for
         self.actions: list[it.Action] = []
         self.in_touch: Callable[[], bool] = lambda: True  # whether the counter is there
         self.alone_since: Callable[[], int] = lambda: 0  # since when it is not; while it is, now
@@ -155,9 +182,15 @@
             account.follow(settings.plans[self.settings.plans.index(account.plan)])
         limits, self.settings = settings.limits, settings
         counter = settings.counter
-        self.pace = counter.timeout * settings.fleet_size / counter.calls_out  # us a call while not crowded
-        self.most = max(1.0, min(32.0, 1.5 * SECOND / max(1.0, self.pace)))  # a trial call a second or so
-        self.slot_us = limits.advises_retry * limits.max_retry_after or SECOND  # d_0, T0: longest wait heeded
+        self.pace = (
+            counter.timeout * settings.fleet_size / counter.calls_out
+        )  # us a call while not crowded
+        self.most = max(
+            1.0, min(32.0, 1.5 * SECOND / max(1.0, self.pace))
+        )  # a trial call a second or so
+        self.slot_us = (
+            limits.advises_retry * limits.max_retry_after or SECOND
+        )  # d_0, T0: longest wait heeded
 
     def send(self, request: Asking, leased: bool = False) -> bool:
         """Takes it on to a backend, or ends it; False if no attempt was begun."""
@@ -171,7 +204,8 @@
         raise NotImplementedError
 
     def admit(self, request: Asking, answered: bool = False) -> None:
-        """First stage. `answered`: the counter has just been heard, so what the bucket lacks is overflow."""
+        """First stage. `answered`: the counter has just been heard, so what the bucket lacks is
+        overflow."""
         account, units, counter = request.account, request.event.units, self.settings.counter
         plan, tight, late = account.plan, self.tight(account), self.late(request)
         late = late or not (counter.allowed and self.in_touch())
@@ -181,17 +215,27 @@
         if 0 < counter.expiry < self.now - account.leased_at:
             account.tokens = 0.0  # the counter takes them for spent
         if plan.max_open and account.open + account.elsewhere >= plan.max_open:
-            self.overflow(request)  # the cap on attempts at once: beyond the quota whatever the store holds
+            self.overflow(
+                request
+            )  # the cap on attempts at once: beyond the quota whatever the store holds
         elif not plan.rate or (account.tokens >= units and not account.waiting):
             account.level, account.level_at = account.bound(self.now), self.now
-            request.until = account.leased_at + counter.expiry if plan.rate and counter.expiry else 0
+            request.until = (
+                account.leased_at + counter.expiry if plan.rate and counter.expiry else 0
+            )
             account.tokens -= units if self.send(request, leased=True) else 0.0
         elif not answered and self.saves_call(account, units):
             self.send_unheard(request)
         elif answered or (not tight and account.bound(self.now) + account.tokens < units):
-            self.overflow(request)  # the store cannot hold it, whatever the siblings did: no call needed
-        elif late or (tight and (known or request.event.is_retry or plan.beyond_earns > plan.beyond_costs)):
-            self.admit_unheard(request)  # no counter or time, calls enough made, or none to spare for this
+            self.overflow(
+                request
+            )  # the store cannot hold it, whatever the siblings did: no call needed
+        elif late or (
+            tight and (known or request.event.is_retry or plan.beyond_earns > plan.beyond_costs)
+        ):
+            self.admit_unheard(
+                request
+            )  # no counter or time, calls enough made, or none to spare for this
         else:
             account.waiting.append(request)
             if not account.asking:
@@ -203,10 +247,14 @@
     def part(self, account: Account) -> float:  # of the store's room that one lease may take ahead
         return self.settings.counter.part or 1 / (2 * account.spread)
 
-    def tight(self, account: Account) -> bool:  # the counter is crowded, the customer's gateways are many
+    def tight(
+        self, account: Account
+    ) -> bool:  # the counter is crowded, the customer's gateways are many
         return self.crowd > CROWDED and account.spread > WIDE
 
-    def admit_unheard(self, request: Asking) -> None:  # without a call: a part, by a draw if under one
+    def admit_unheard(
+        self, request: Asking
+    ) -> None:  # without a call: a part, by a draw if under one
         account, units = request.account, request.event.units
         strict = self.settings.counter.strict
         if strict and self.in_touch():
@@ -225,10 +273,14 @@
             self.send_unheard(request)
 
     def saves_call(self, account: Account, units: float) -> bool:
-        """Crowded: what this gateway's own part covers needs no call, but for one where others leave room."""
+        """Crowded: what this gateway's own part covers needs no call, but for one where others
+        leave room."""
         if self.settings.counter.strict:
             return False
-        needed = self.crowd > CROWDED and self.now - self.call_at < self.settings.fleet_size * SECOND / TRIALS
+        needed = (
+            self.crowd > CROWDED
+            and self.now - self.call_at < self.settings.fleet_size * SECOND / TRIALS
+        )
         sure = not account.plan.ceiling_rate or account.sure >= units
         return needed and sure and min(account.share, account.bound(self.now)) >= units
 
@@ -237,14 +289,21 @@
         room, expiry = account.bound(self.now), self.settings.counter.expiry
         request.until = self.now + expiry if expiry else 0
         if self.send(request):
-            account.share, account.unheard = max(0.0, account.share - units), account.unheard + units
+            account.share, account.unheard = (
+                max(0.0, account.share - units),
+                account.unheard + units,
+            )
             account.level, account.level_at = room - units, self.now
 
     def ask(self, account: Account, customer: int) -> None:  # a lease: what waits, and demand ahead
         room, units = account.bound(self.now), sum(r.event.units for r in account.waiting)
         need = max(0.0, min(units - account.tokens, room))
-        ahead = min(max(account.usual * LEASE_LIFE, units) * self.crowd, (room - need) * self.part(account))
-        ahead = 0.0 if self.retired else ahead  # the customer's next requests come to the other process
+        ahead = min(
+            max(account.usual * LEASE_LIFE, units) * self.crowd, (room - need) * self.part(account)
+        )
+        ahead = (
+            0.0 if self.retired else ahead
+        )  # the customer's next requests come to the other process
         self.speaks, self.unasked = self.speaks + 0.1 * (1 + self.unasked - self.speaks), 0
         need *= self.speaks if self.tight(account) else 1.0
         account.asking, window = True, self.now // account.window_us
@@ -257,13 +316,16 @@
         self.call(account, name, start, amount, True, told, customer)
 
     def call(
-        self, account: Account, name: int, start: int, amount: float, lease: bool, told: float = 0.0,
+        self, account: Account, name: int, start: int, amount: float, lease: bool,
+        told: float = 0.0,
         customer: int = 0,
     ) -> None:  # fmt: skip
         ttl = min(60 * SECOND, 2 * account.window_us)
         self.actions.append(it.AddToCounter(name, amount + told, ttl, customer, told))
         self.calls.setdefault(name, deque()).append((account, start, amount, lease, told))
-        self.call_at = int(max(self.call_at, self.now - SECOND / self.crowd) + self.pace * self.crowd)
+        self.call_at = int(
+            max(self.call_at, self.now - SECOND / self.crowd) + self.pace * self.crowd
+        )
 
     def count_answered(self, event: it.CountAnswered) -> None:
         if not (queue := self.calls.pop(event.name, None)):
@@ -271,10 +333,17 @@
         account, start, amount, lease, told = queue.popleft()
         self.calls.update({event.name: queue} if queue else {})
         heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        # Counter slow, silent, refusing, crowded: fewer calls out, rarer, for more; quota / spread meanwhile.
-        # Harms a customer whose traffic all comes through one gateway: it waits longer for its units.
-        broken = event.outcome is Outcome.RESET  # its connection broke: that says nothing of a crowd
-        self.crowd = max(1.0, self.crowd * 0.95) if heard else min(self.most, self.crowd * (1.5 - broken / 2))
+        # Counter slow, silent, refusing, crowded: fewer calls out, rarer, for more; quota / spread
+        # meanwhile. Harms a customer whose traffic all comes through one gateway: it waits longer
+        # for its units.
+        broken = (
+            event.outcome is Outcome.RESET
+        )  # its connection broke: that says nothing of a crowd
+        self.crowd = (
+            max(1.0, self.crowd * 0.95)
+            if heard
+            else min(self.most, self.crowd * (1.5 - broken / 2))
+        )
         if not lease:
             return
         waiting, account.waiting, account.asking = account.waiting, [], False
@@ -288,18 +357,28 @@
         raw, upper = plan.burst + due - event.total, account.bound(self.now) - amount
         if event.left is not None:  # the counter keeps the store, and gave back what went past it
             level, over = event.left, min(amount, max(0.0, -event.left))
-        elif self.tight(account):  # nothing is added back: the total tells what is asked, a draw gives some
+        elif self.tight(
+            account
+        ):  # nothing is added back: the total tells what is asked, a draw gives some
             need = min(amount, sum(r.event.units for r in waiting))
-            past = event.total - plan.burst / 2  # the store was as likely full as empty when the window began
+            past = (
+                event.total - plan.burst / 2
+            )  # the store was as likely full as empty when the window began
             account.chance, account.heard_at = 1.0 if past <= due else due / past, self.now
-            level, over = plan.burst, amount - need if self.rng.random() < account.chance else amount
+            level, over = (
+                plan.burst,
+                amount - need if self.rng.random() < account.chance else amount,
+            )
         else:
-            # Units the counter does not know of: burst spent before this window, time spent full, a flush,
-            # use by share while it was silent. Put back where demand matters; harms if two do so at once.
+            # Units the counter does not know of: burst spent before this window, time spent full, a
+            # flush, use by share while it was silent. Put back where demand matters; harms if two
+            # do so at once.
             unknown = raw - upper if account.usual * account.spread > plan.rate else 0.0
             unknown, level = unknown if unknown > plan.burst / 8 else 0.0, min(raw, upper)
             over = min(amount, max(0.0, -level))  # past the allowance: that part is added back
-            if unknown != over and self.crowd > CROWDED:  # with the next call, if it comes in this window
+            if (
+                unknown != over and self.crowd > CROWDED
+            ):  # with the next call, if it comes in this window
                 account.back, account.back_for = unknown - over, event.name
             elif unknown != over:
                 self.call(account, event.name, start, unknown - over, False)
@@ -320,7 +399,9 @@
     def overflow(self, request: Asking) -> None:  # second stage: retry-after, or a firm refusal
         plan = request.account.plan
         if plan.beyond_earns > plan.beyond_costs and self.used() < SPARE:
-            self.send(request)  # the plan pays for service beyond its quota while the fleet has room to spare
+            self.send(
+                request
+            )  # the plan pays for service beyond its quota while the fleet has room to spare
         else:
             wait = request.account.book(self.now, request.event.units)
             self.end(request, it.Refuse(request.event.request, wait))
--- a/ironledge/choice.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The choice of a server: warmth, slowness, bounds on what is out. Types: ironledge/interface.py.
+"""The choice of a server: warmth, slowness, bounds on what is out. Types: interface.py.
 
 All times are microseconds.
 """
@@ -10,19 +10,25 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from ironledge import interface as it
-from ironledge.account import SECOND, mixed
-from ironledge.interface import BackendState, ListKind, Outcome
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.account import SECOND, mixed
+from cairndale.ingress.policy.interface import BackendState, ListKind, Outcome
 
 FIRST_LIMIT = 16.0  # attempts out at a backend by all gateways to begin with: a few a core
-TARGET = 0.19  # latency, as a share of the aim, at which a backend counts as full: tails run four times that
-COLD_PART = 0.8  # of the cold budget that is used: requests differ in work, and lists come at different times
+# latency, as a share of the aim, at which a backend counts as full: tails run four times that
+TARGET = 0.19
+# of the cold budget that is used: requests differ in work, and lists come at different times
+COLD_PART = 0.8
 FAILED = 4.0  # times the usual latency: what an error or no answer is taken for
 WEIGH_EVERY = SECOND // 4  # us between looks at how much of the fleet is warm
 MEMORY = 5.0  # s that a backend's slowness is remembered: some tens of answers; longer if few come
-LOOK = 16  # backends looked at for a request: all of a small fleet, of a large one enough to find a good one
-STRAY = 2.5  # times the usual latency of its own backends, from which a gateway of many looks at others
-GOLDEN = (math.sqrt(5) - 1) / 2  # multiples of it are evenly spread over a circle, neighbours far apart
+# backends looked at for a request: all of a small fleet, of a large one enough to find a good one
+LOOK = 16
+# times the usual latency of its own backends, from which a gateway of many looks at others
+STRAY = 2.5
+GOLDEN = (
+    math.sqrt(5) - 1
+) / 2  # multiples of it are evenly spread over a circle, neighbours far apart
 BROKEN = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
@@ -30,7 +36,9 @@
 class Backend:
     info: it.ListedBackend
     limit: float = 0.0  # attempts out at once
-    slow: list[float] = field(default_factory=list)  # by class: latency over the usual; FAILED if none came
+    slow: list[float] = field(
+        default_factory=list
+    )  # by class: latency over the usual; FAILED if none came
     out: int = 0
     elsewhere: int = 0  # attempts out from the process that this one takes over from
     seen_at: int = 0  # its last answer, or the lack of one
@@ -45,7 +53,9 @@
         self.settings, self.rng = settings, rng
         self.backends: dict[int, Backend] = {}
         self.ready: list[Backend] = []
-        self.own: list[Backend] = []  # of these, the ones that this gateway keeps to while they serve it well
+        self.own: list[
+            Backend
+        ] = []  # of these, the ones that this gateway keeps to while they serve it well
         self.withdrawn: set[int] = set()  # taken out by operators, apart from what is listed
         self.returned: dict[int, int] = {}  # put back by operators: cold as if started then
         self.usual: list[float] = []  # usual latency of an answer, by class
@@ -55,7 +65,9 @@
         self.retired = False  # another process has taken over, the cold backends' budgets too
         self.follow(settings)
 
-    def follow(self, settings: it.Settings) -> None:  # classes keep their numbers; new ones come behind
+    def follow(
+        self, settings: it.Settings
+    ) -> None:  # classes keep their numbers; new ones come behind
         self.settings, self.even = settings, FIRST_LIMIT / settings.fleet_size
         self.first = self.even
         self.sort_out()
@@ -64,9 +76,13 @@
         for backend in self.backends.values():
             backend.slow += [1.0] * new
 
-    def used(self) -> float:  # the part out of what may be out at all backends: one at each jams them
+    def used(
+        self,
+    ) -> float:  # the part out of what may be out at all backends: one at each jams them
         fails = min((t for t, u in zip(self.typical, self.usual, strict=True) if u), default=1.0)
-        pooled = (1 + self.even * len(self.ready) / 2) / fails + self.more  # less if every class fails
+        pooled = (
+            1 + self.even * len(self.ready) / 2
+        ) / fails + self.more  # less if every class fails
         room = pooled if self.even < 1 else sum(b.limit for b in self.ready)
         return (self.out + self.elsewhere) / max(1.0, room)
 
@@ -87,17 +103,23 @@
 
     def sort_out(self) -> None:
         fit = (b for b in self.backends.values() if b.info.id not in self.withdrawn)
-        self.ready, self.weighed_at = [b for b in fit if b.info.state is BackendState.READY], -SECOND
+        self.ready, self.weighed_at = (
+            [b for b in fit if b.info.state is BackendState.READY],
+            -SECOND,
+        )
         self.own, self.first = self.ready, self.even
         if self.even < 1 and len(self.ready) > LOOK:
-            # Many gateways: an arc of the ring of all, even over them, so that each opens few connections
-            # and sees its own often. Harms where an arc is bad as a whole: then others are looked at too.
+            # Many gateways: an arc of the ring of all, even over them, so that each opens few
+            # connections and sees its own often. Harms where an arc is bad as a whole: then others
+            # are looked at too.
             ring = sorted(self.ready, key=lambda b: mixed(b.info.key or b.info.id))
             start = int(self.settings.me * GOLDEN % 1 * len(ring))
             self.own = (ring + ring)[start : start + LOOK]
             self.first = self.even * len(ring) / LOOK
 
-    def begin(self, backend: Backend) -> None:  # as new; its sends are earned out of step with the siblings'
+    def begin(
+        self, backend: Backend
+    ) -> None:  # as new; its sends are earned out of step with the siblings'
         backend.limit, backend.slow = self.first, self.typical[:]
         backend.credit, backend.credit_at = max(self.rng.random(), min(1.0, self.first)), self.sends
 
@@ -106,13 +128,17 @@
             self.withdrawn.add(event.backend)
         elif event.backend in self.withdrawn:
             self.withdrawn.discard(event.backend)
-            self.returned[event.backend] = now  # it was restarted meanwhile, whatever the list knows of that
+            self.returned[event.backend] = (
+                now  # it was restarted meanwhile, whatever the list knows of that
+            )
             if known := self.backends.get(event.backend):
                 known.info = replace(known.info, started=now)
                 self.begin(known)
         self.sort_out()
 
-    def warmth(self, backend: Backend, now: int) -> float:  # the part of its capacity it has for sure
+    def warmth(
+        self, backend: Backend, now: int
+    ) -> float:  # the part of its capacity it has for sure
         safety, started = self.settings.safety, backend.info.started
         grown = (now - started) / max(1, safety.ramp_time) if started > 0 else 1.0
         return min(1.0, safety.cold_share + (1 - safety.cold_share) * max(0.0, grown))
@@ -125,9 +151,16 @@
         if now - self.weighed_at > WEIGH_EVERY:
             self.weighed_at, self.weighed = now, sum(self.warmth(b, now) for b in self.own)
 
-    def cold_room(self, backend: Backend, warmth: float) -> bool:  # slow start: earned by sends to others
-        times, even = COLD_PART * self.settings.safety.tip_multiple, len(self.own) / max(0.01, self.weighed)
-        if self.even < 1:  # many gateways' sends fall together by chance: half, and more the less is warm
+    def cold_room(
+        self, backend: Backend, warmth: float
+    ) -> bool:  # slow start: earned by sends to others
+        times, even = (
+            COLD_PART * self.settings.safety.tip_multiple,
+            len(self.own) / max(0.01, self.weighed),
+        )
+        if (
+            self.even < 1
+        ):  # many gateways' sends fall together by chance: half, and more the less is warm
             times = max(1.0, times * min(1.0, even / 2))
         earned = times * warmth * (self.sends - backend.credit_at)
         backend.credit, backend.credit_at = min(2.0, backend.credit + earned), self.sends
@@ -144,7 +177,9 @@
         if self.used() < 1:
             best, best_cost = self.cheapest(now, cls, allowed, self.own)
             if len(self.own) < len(self.ready) and best_cost > STRAY * self.typical[cls]:
-                warm = [b for b in self.ready if self.warmth(b, now) == 1]  # the cold budgets are their own's
+                warm = [
+                    b for b in self.ready if self.warmth(b, now) == 1
+                ]  # the cold budgets are their own's
                 other, cost = self.cheapest(now, cls, allowed, warm)
                 best = other if cost < best_cost else best
         self.sends += 1 / max(1, len(self.own))
@@ -161,7 +196,9 @@
     ) -> tuple[Backend | None, float]:
         best, best_cost, far = None, math.inf, self.settings.cross_zone_price > 0
         some = self.rng.sample(among, min(LOOK, len(among)))
-        fresh = {b.info.id: b.load for b in some if now - b.load_at < SECOND}  # older reports tell nothing
+        fresh = {
+            b.info.id: b.load for b in some if now - b.load_at < SECOND
+        }  # older reports tell nothing
         mean = sum(fresh.values()) / max(1, len(fresh)) or 1.0
         for backend in some:
             warmth = max(0.01, self.warmth(backend, now))
@@ -170,8 +207,12 @@
             if full or not allowed(backend) or (warmth < 1 and not self.cold_room(backend, warmth)):
                 continue
             slow = self.slowness(backend, cls, now)
-            load = out / warmth + self.rng.expovariate(1.0) + fresh.get(backend.info.id, mean) / mean
-            cost = max(0.0, load - 1) * slow / max(backend.info.weight, 1e-3) + slow  # idle ones: by weight
+            load = (
+                out / warmth + self.rng.expovariate(1.0) + fresh.get(backend.info.id, mean) / mean
+            )
+            cost = (
+                max(0.0, load - 1) * slow / max(backend.info.weight, 1e-3) + slow
+            )  # idle ones: by weight
             cost *= 1.1 if far and backend.info.zone != self.settings.zone else 1.0  # breaks ties
             if cost < best_cost:
                 best, best_cost = backend, cost
@@ -187,13 +228,18 @@
             backend.slow[cls] = self.slowness(backend, cls, now) * 0.8 + took * 0.2
             self.typical[cls] += 0.05 * (took - self.typical[cls])
             backend.seen_at = now
-        if outcome is Outcome.FULL:  # jammed, or draining before the list says so: idle as it looks, no place
-            backend.slow = [self.slowness(backend, n, now) * 0.5 + FAILED for n in range(len(backend.slow))]
+        if (
+            outcome is Outcome.FULL
+        ):  # jammed, or draining before the list says so: idle as it looks, no place
+            backend.slow = [
+                self.slowness(backend, n, now) * 0.5 + FAILED for n in range(len(backend.slow))
+            ]
             backend.seen_at = now
         if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
             backend.slow = [3 * FAILED for _ in backend.slow]  # down, whatever the class
         # The bound follows latency: up while used and answers come well within the aim, else down.
-        # Covers overload, slow and thrashing backends; starves one whose own work exceeds the target.
+        # Covers overload, slow and thrashing backends; starves one whose own work exceeds the
+        # target.
         step = 0.5 * max(-2.0, 1 - latency / (TARGET * self.settings.classes[cls].aim))
         step = -1.0 if outcome in (Outcome.TIMEOUT, Outcome.FULL) else step
         used = backend.out + 1 >= 0.7 * backend.limit * self.warmth(backend, now)
--- a/ironledge/brain.py
+++ b/cairndale/ingress/policy/engine.py
@@ -1,8 +1,7 @@
-"""Every decision of the gateway. Types, settings, events and actions: ironledge/interface.py.
+"""Every decision of the gateway. Types, settings, events and actions: interface.py.
 
-Here is the life of a request; the customer's account is in account.py, the choice of a server in choice.py.
-All times are microseconds.
-"""
+Here is the life of a request; the customer's account is in account.py, the choice of a server in
+choice.py. All times are microseconds."""
 
 from __future__ import annotations
 
@@ -10,10 +9,10 @@
 import random
 from dataclasses import dataclass, field
 
-from ironledge import interface as it
-from ironledge.account import NEVER_RAN, SECOND, SPARE, Account, Admission
-from ironledge.choice import Backend, Fleet
-from ironledge.interface import ListKind, Outcome, Repeat, Scope
+from cairndale.ingress.policy import interface as it
+from cairndale.ingress.policy.account import NEVER_RAN, SECOND, SPARE, Account, Admission
+from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
+from cairndale.ingress.policy.interface import ListKind, Outcome, Repeat, Scope
 
 NEVER_CAME = (Outcome.CONNECT_FAILED, Outcome.MOOT)
 BUSY = ("queue", "inflight", "util")  # reports that grow with what a backend has to do
@@ -81,7 +80,11 @@
             case it.AttemptEnded():
                 self.attempt_ended(event)
             case it.TimerFired(token):
-                if (request := self.requests.get(token)) and request.attempts and self.fleet.used() < SPARE:
+                if (
+                    (request := self.requests.get(token))
+                    and request.attempts
+                    and self.fleet.used() < SPARE
+                ):
                     self.send(request)  # a second copy, only while backends have room for it
             case it.CountAnswered():
                 self.count_answered(event)
@@ -104,12 +107,16 @@
                     request.cut, request.end = self.span(request.cls, left)
         if now - self.swept_at > SECOND:  # idle accounts go once their store must be full again
             self.swept_at = now
-            self.accounts = {c: a for c, a in self.accounts.items() if now - a.demand_at < 8 * a.window_us}
+            self.accounts = {
+                c: a for c, a in self.accounts.items() if now - a.demand_at < 8 * a.window_us
+            }
         return self.actions
 
     def arrived(self, event: it.RequestArrived) -> None:
         s, account = self.settings, self.accounts.get(event.customer)
-        valid = event.cls < len(s.classes) and event.plan < len(s.plans) and 0 <= event.units < math.inf
+        valid = (
+            event.cls < len(s.classes) and event.plan < len(s.plans) and 0 <= event.units < math.inf
+        )
         if event.request in self.requests or not valid or event.time_left <= 0:
             self.actions += [] if event.request in self.requests else [it.Refuse(event.request)]
             return
@@ -132,20 +139,29 @@
         account.arrive(self.now, event.units, event.is_retry, self.retired)
         self.admit(request)
 
-    def span(self, cls: it.RequestClass, left: int) -> tuple[int, int]:  # until when it is worth what
+    def span(
+        self, cls: it.RequestClass, left: int
+    ) -> tuple[int, int]:  # until when it is worth what
         span = cls.deadline if cls.late_worth >= 0.5 or cls.aim_stretch > 0 else cls.aim
         return self.now + min(left, span), self.now + min(left, span + cls.aim)
 
     def may_send(self, request: Request, backend: Backend) -> bool:
-        """What may have run is repeated only if safe, or keyed within the scope and memory of its keys."""
+        """What may have run is repeated only if safe, or keyed within the scope and memory of its
+        keys."""
         ran, cls, alone = request.ran(), request.cls, not request.limits.may_duplicate
         if any(a.out and (a.backend is backend or alone) for a in request.attempts):
             return False
         if ran is None or cls.repeat is Repeat.SAFE:
             return True
         here, there, sent, tick = backend.info, ran.backend.info, ran.sent, self.settings.tick
-        same = {Scope.ALL: True, Scope.ZONE: here.zone == there.zone, Scope.CELL: here.cell == there.cell}
-        return cls.repeat is Repeat.KEYED and same[cls.scope] and self.now + tick < sent + cls.memory
+        same = {
+            Scope.ALL: True,
+            Scope.ZONE: here.zone == there.zone,
+            Scope.CELL: here.cell == there.cell,
+        }
+        return (
+            cls.repeat is Repeat.KEYED and same[cls.scope] and self.now + tick < sent + cls.memory
+        )
 
     def send(self, request: Request, leased: bool = False) -> bool:
         event, account, cls, first = request.event, request.account, request.cls, request.fresh
@@ -153,12 +169,18 @@
         over = len(request.attempts) >= limits.max_attempts or self.now >= request.cut
         seen = sum(1 for a in request.attempts if a.arrived)
         over = over or 0 < cls.tries <= seen
-        if limits.patient and not first:  # another try that can hardly end in time is work for nothing
+        if (
+            limits.patient and not first
+        ):  # another try that can hardly end in time is work for nothing
             over = over or request.cut - self.now < self.fleet.usual[event.cls] / 2
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
             over = over or (account.ceiling if leased else account.sure) < event.units
-        backend = None if over else self.fleet.pick(
-            self.now, event.cls, lambda b: self.may_send(request, b), event, seen > 0
+        backend = (
+            None
+            if over
+            else self.fleet.pick(
+                self.now, event.cls, lambda b: self.may_send(request, b), event, seen > 0
+            )
         )
         if backend is None:
             if first:
@@ -166,8 +188,14 @@
             return False
         spent = event.units if first else 0.0
         account.ceiling, account.sure = account.ceiling - spent, account.sure - spent
-        number, left, timeout = len(request.attempts), request.cut - self.now, request.end - self.now
-        patience = int(max(4 * (self.fleet.usual[event.cls] or cls.aim / 6), cls.aim / 3))  # older: stuck
+        number, left, timeout = (
+            len(request.attempts),
+            request.cut - self.now,
+            request.end - self.now,
+        )
+        patience = int(
+            max(4 * (self.fleet.usual[event.cls] or cls.aim / 6), cls.aim / 3)
+        )  # older: stuck
         more = not limits.patient and cls.repeat is not Repeat.UNSAFE and not event.in_parts
         more = more and number + 1 < limits.max_attempts
         if more and limits.may_duplicate and patience < left:
@@ -176,7 +204,9 @@
             timeout = patience
         until = 0 if seen else request.until
         self.actions.append(
-            it.SendAttempt(event.request, backend.info.id, max(1, timeout), until, self.fleet.owes())
+            it.SendAttempt(
+                event.request, backend.info.id, max(1, timeout), until, self.fleet.owes()
+            )
         )
         request.attempts.append(Attempt(backend, self.now))
         request.fresh = False
@@ -198,9 +228,16 @@
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         attempt.arrived = event.outcome not in NEVER_CAME
         if not attempt.begun:
-            self.fleet.ended(attempt.backend, self.now, request.event.cls, event.outcome, event.latency)
-        for load in [v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY]:
-            attempt.backend.load, attempt.backend.load_at = load if 0 <= load < 1e6 else 0.0, self.now
+            self.fleet.ended(
+                attempt.backend, self.now, request.event.cls, event.outcome, event.latency
+            )
+        for load in [
+            v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY
+        ]:
+            attempt.backend.load, attempt.backend.load_at = (
+                load if 0 <= load < 1e6 else 0.0,
+                self.now,
+            )
         if self.settings.settles and event.outcome is Outcome.OK and event.billed > 0:
             account.tokens -= event.billed - request.event.units
         if event.final:
@@ -208,7 +245,8 @@
         if event.request not in self.requests or any(a.out for a in request.attempts):
             return
         if 0 < request.until < self.now and not any(a.arrived for a in request.attempts):
-            request.fresh = True  # what it was admitted by is over, and no backend saw it: it asks anew
+            # what it was admitted by is over, and no backend saw it: it asks anew
+            request.fresh = True
             self.admit(request)
             return
         if not event.spent and self.send(request):
@@ -222,7 +260,8 @@
         self.end(request, answer)
 
     def stream_started(self, event: it.StreamStarted) -> None:
-        """The answer is certain, and the backend's work done: how long the client reads tells no load."""
+        """The answer is certain, and the backend's work done: how long the client reads tells no
+        load."""
         if flown := self.flying.get((event.request, event.attempt)):
             flown[1].begun, cls = True, flown[0].event.cls
             self.fleet.ended(flown[1].backend, self.now, cls, Outcome.OK, event.latency)
--- a/ironledge/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -1,8 +1,7 @@
 """Settings, events and actions of a gateway: types only.
 
-Times are whole microseconds; `now` and every moment are on one clock that never goes back. An opaque integer
-names a backend, a request, a customer, a timer.
-"""
+Times are whole microseconds; `now` and every moment are on one clock that never goes back. An
+opaque integer names a backend, a request, a customer, a timer."""
 
 from __future__ import annotations
 
@@ -78,8 +77,8 @@
     ceiling_rate: float = 0.0  # hard ceiling; 0: none
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
-    # Units, one for each, that all gateways together may have saved up while in touch with a strict counter;
-    # where they would be more, each begins to save once it has lost touch.
+    # Units, one for each, that all gateways together may have saved up while in touch with a strict
+    # counter; where they would be more, each begins to save once it has lost touch.
     saved_most: float = math.inf
 
 
@@ -94,7 +93,8 @@
     max_retry_after: int = 0  # the longest wait a client follows
     connect_timeout: int = 250_000
     max_open: int = 0
-    patient: bool = False  # a silent attempt is waited for: the links tell of a backend that is gone
+    # a silent attempt is waited for: the links tell of a backend that is gone
+    patient: bool = False
     promises: bool = False  # a refusal says that the request has not run, and when to come back
 
 
@@ -114,8 +114,10 @@
     allowed: bool = False
     timeout: int = 0
     price: float = 0.0
-    calls_out: float = 64.0  # calls in its time-out by all gateways: more than a healthy one has waiting
-    part: float = 0.0  # of a store's room that a lease may take ahead; 0: by the gateways a customer has
+    # calls in its time-out by all gateways: more than a healthy one has waiting
+    calls_out: float = 64.0
+    # of a store's room that a lease may take ahead; 0: by the gateways a customer has
+    part: float = 0.0
     # while it is in touch no unit is spent but those it leased, and none is told of later
     strict: bool = False
     expiry: int = 0  # us after which the counter takes leased units for spent; 0: never
@@ -186,7 +188,8 @@
     final: bool  # the request is over
     load: tuple[float, ...] = ()
     billed: float = 0.0
-    spent: bool = False  # some of a body that came in parts has gone to it: no other attempt can have it
+    # some of a body that came in parts has gone to it: no other attempt can have it
+    spent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -221,7 +224,8 @@
     outcome: Outcome
     total: float
     latency: int
-    left: float | None = None  # in the store, where the counter keeps that; under 0: past its allowance
+    # in the store, where the counter keeps that; under 0: past its allowance
+    left: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -233,15 +237,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings from now on. Classes and plans keep their numbers; those dropped keep their place, as
-    open requests end by the rules they began with."""
+    """Other settings from now on. Classes and plans keep their numbers; those dropped keep their
+    place, as open requests end by the rules they began with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceChanged:
-    """Operators take a backend out of service or put it back, whatever the list says of it meanwhile."""
+    """Operators take a backend out of service or put it back, whatever the list says of it
+    meanwhile."""
 
     backend: int
     out: bool
@@ -249,7 +254,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherBusy:
-    """Attempts out from the process that this one takes over from; together they are one gateway."""
+    """Attempts out from the process that this one takes over from; together they are one
+    gateway."""
 
     attempts: dict[int, int]  # by backend
     customers: dict[int, int]
@@ -288,7 +294,9 @@
 
 # Actions
 
-Unit = tuple[str, int]  # of a whole that all gateways share: its kind, and the service or backend it is of
+Unit = tuple[
+    str, int
+]  # of a whole that all gateways share: its kind, and the service or backend it is of
 
 
 @dataclass(frozen=True, slots=True)
@@ -296,8 +304,11 @@
     request: int
     backend: int
     timeout: int  # 0: until the client quits
-    until: int = 0  # its first byte is written by then or never: what it was admitted by ends; 0: any time
-    units: tuple[Unit, ...] = ()  # the shared wholes of which it must be dealt one before it is written
+    # its first byte is written by then or never: what it was admitted by ends; 0: any time
+    until: int = 0
+    units: tuple[
+        Unit, ...
+    ] = ()  # the shared wholes of which it must be dealt one before it is written
 
 
 @dataclass(frozen=True, slots=True)
--- a/ironledge/wire.py
+++ b/cairndale/ingress/wire.py
@@ -1,4 +1,5 @@
-"""Bytes of the simulator's wire to and from the types of interface.py. Every wire word lives here."""
+"""Bytes of the simulator's wire to and from the types of interface.py. Every wire word lives
+here."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ironledge import interface as it
+from cairndale.ingress.policy import interface as it
 
 
 class WireError(Exception):
@@ -220,7 +221,9 @@
             if code == 7:
                 instance = fields[0]
             elif code == 8:
-                self._pages[fields[0]] = _entries(_cut(tail, fields[1], fields[2] * _ENTRY, "Page.records"))
+                self._pages[fields[0]] = _entries(
+                    _cut(tail, fields[1], fields[2] * _ENTRY, "Page.records")
+                )
             elif instance is None:
                 raise WireError(f"{_NAMES[code]}: no Context before it")
             else:
@@ -231,13 +234,23 @@
         if code == 5:
             request, plan, bits, units, first, spread, left, customer, cls = f
             return it.RequestArrived(
-                request, cls, plan, customer, units, left, _whole(first), _whole(spread), bool(bits & 2)
+                request,
+                cls,
+                plan,
+                customer,
+                units,
+                left,
+                _whole(first),
+                _whole(spread),
+                bool(bits & 2),
             )
         if code == 11:
             outcome = _look_up(_OUTCOMES, f[3], "Verdict.code")
             backend = int.from_bytes(f[2], "little")
             load = _load(f[8], f[9:])
-            return it.AttemptEnded(f[0], f[1], backend, outcome, f[4], bool(f[5]), load, float(f[7]))
+            return it.AttemptEnded(
+                f[0], f[1], backend, outcome, f[4], bool(f[5]), load, float(f[7])
+            )
         if code == 6:
             return it.TimerFired(f[0])
         if code == 1:
@@ -252,7 +265,9 @@
             return it.BackendsListed(kind, f[1], entries)
         if code == 10:
             outcome = _look_up(_OUTCOMES, f[1], "Pong.code")
-            return it.ProbeAnswered(int.from_bytes(f[0], "little"), outcome, f[2], _load(f[3], f[4:]))
+            return it.ProbeAnswered(
+                int.from_bytes(f[0], "little"), outcome, f[2], _load(f[3], f[4:])
+            )
         if code == 9:
             return it.StreamStarted(f[0], f[1], int.from_bytes(f[2], "little"), f[3])
         if code == 4:
@@ -264,7 +279,9 @@
 
 def _cut(tail: memoryview, offset: int, length: int, what: str) -> memoryview:
     if offset + length > len(tail):
-        raise WireError(f"{what}: bytes {offset} to {offset + length} lie outside the tail of {len(tail)}")
+        raise WireError(
+            f"{what}: bytes {offset} to {offset + length} lie outside the tail of {len(tail)}"
+        )
     return tail[offset : offset + length]
 
 
@@ -273,7 +290,9 @@
     for mode, cell, zone, started, weight, backend, kind in _ENTRY_FORMAT.iter_unpack(data):
         state = _look_up(_STATES, mode, "Page.mode")
         found.append(
-            it.ListedBackend(int.from_bytes(backend, "little"), state, zone, cell, kind, weight, started)
+            it.ListedBackend(
+                int.from_bytes(backend, "little"), state, zone, cell, kind, weight, started
+            )
         )
     return tuple(found)
 
@@ -287,7 +306,9 @@
             records.append(struct.pack("<HI", 14, instance).ljust(_ACTION, b"\0"))
             records.extend(_record(a, tail).ljust(_ACTION, b"\0") for a in actions)
     body = b"".join(records)
-    head = _REPLY_HEAD.pack(_REPLY_HEAD.size - _LENGTH.size + len(body) + len(tail), len(records), number)
+    head = _REPLY_HEAD.pack(
+        _REPLY_HEAD.size - _LENGTH.size + len(body) + len(tail), len(records), number
+    )
     return head + body + bytes(tail)
 
 
--- a/ironledge/lab/faults/__init__.py
+++ b/cairndale/lab/faults/__init__.py
@@ -1,1 +1,2 @@
-"""The fault lab: real processes, relays and wrappers that put faults between them, schedules, and a judge."""
+"""The fault lab: real processes, relays and wrappers that put faults between them, schedules, and a
+judge."""
--- a/ironledge/lab/faults/cost.py
+++ b/cairndale/lab/faults/cost.py
@@ -1,4 +1,5 @@
-"""What a relay costs: round trips and bytes a second through one with no fault on it, beside none."""
+"""What a relay costs: round trips and bytes a second through one with no fault on it, beside
+none."""
 
 from __future__ import annotations
 
@@ -10,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from ironledge.lab.faults.relay import Front
-from ironledge.lab.live.ports import HOST
-from ironledge.lab.live.worker import Piped
+from cairndale.lab.faults.relay import Front
+from cairndale.lab.live.ports import HOST
+from cairndale.lab.live.worker import Piped
 
 SIZE = 100  # bytes of a message
 BULK = 64 << 20  # bytes
--- a/ironledge/lab/faults/launch.py
+++ b/cairndale/lab/faults/launch.py
@@ -1,9 +1,10 @@
-"""Runs a program of this project with the lab around it: `python -m ironledge.lab.faults.launch SPEC`.
+"""Runs a program of this project with the lab around it: `python -m cairndale.lab.faults.launch
+SPEC`.
 
-The program itself is as it is. What it asks of the machine goes by what the lab says: where it connects to
-(routes through relays), what the clocks show, and what the disk does. None of it can be set in the program's
-own configuration. A *plant* puts a known defect into the program, so that the judge can be seen to find it.
-"""
+The program itself is as it is. What it asks of the machine goes by what the lab says: where it
+connects to (routes through relays), what the clocks show, and what the disk does. None of it can be
+set in the program's own configuration. A *plant* puts a known defect into the program, so that the
+judge can be seen to find it."""
 
 from __future__ import annotations
 
@@ -25,8 +26,8 @@
 import msgspec
 import uvloop
 
-from ironledge.lab.faults.plants import PLANTS
-from ironledge.lab.live.ports import HOST
+from cairndale.lab.faults.plants import PLANTS
+from cairndale.lab.live.ports import HOST
 
 CONTROL = struct.Struct("<qdqdqq")  # see Control
 FULL, FAILING = 1, 2
@@ -35,7 +36,8 @@
 
 
 class Launch(msgspec.Struct):
-    """What the wrapper is told. Addresses are `HOST:PORT` as the program knows them; ports are relays'."""
+    """What the wrapper is told. Addresses are `HOST:PORT` as the program knows them; ports are
+    relays'."""
 
     module: str
     argv: list[str]
@@ -48,7 +50,8 @@
 
 
 class Control:
-    """A few words in a file that the lab writes and this process reads, with no call between them."""
+    """A few words in a file that the lab writes and this process reads, with no call between
+    them."""
 
     def __init__(self, path: Path, create: bool = False) -> None:
         if create:
@@ -57,8 +60,9 @@
             self._map = mmap.mmap(file.fileno(), CONTROL.size)
 
     def read(self) -> tuple[int, float, int, float, int, int]:
-        """us that the wall clock is off, rate of both clocks, what the disk does, ms of each sync, and the
-        number of syncs after which the process is killed (0: none) of those counted so far."""
+        """us that the wall clock is off, rate of both clocks, what the disk does, ms of each sync,
+        and the number of syncs after which the process is killed (0: none) of those counted so
+        far."""
         return CONTROL.unpack(self._map[:])
 
     def change(self, **fields: float) -> None:
@@ -129,7 +133,8 @@
 
 
 def cut_power(folder: Path, synced: Path) -> int:
-    """What a loss of power leaves of a folder: of each file, what was synced. The bytes that were lost."""
+    """What a loss of power leaves of a folder: of each file, what was synced. The bytes that were
+    lost."""
     kept = {}
     if synced.exists():
         for line in synced.read_text().splitlines():
@@ -146,7 +151,8 @@
 
 
 class Routed(asyncio.DatagramProtocol):
-    """A datagram endpoint of the program: it names peers by their own addresses, the wire by relays'."""
+    """A datagram endpoint of the program: it names peers by their own addresses, the wire by
+    relays'."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, routes: dict[str, int]) -> None:
         self._inner = inner
--- a/ironledge/lab/faults/links.py
+++ b/cairndale/lab/faults/links.py
@@ -37,7 +37,8 @@
 
 
 def together(several: Iterable[Conditions]) -> Conditions:
-    """Of faults that lie on one link at once: delays add up, the narrowest rate holds, chances are apart."""
+    """Of faults that lie on one link at once: delays add up, the narrowest rate holds, chances are
+    apart."""
     made = CLEAR
     for one in several:
         made = Conditions(
@@ -70,7 +71,8 @@
 
 
 def mangled(data: bytes, on: Conditions, rng: random.Random) -> list[tuple[float, bytes]]:
-    """What becomes of a datagram: s that each copy is held back beside the link's delay, and its bytes."""
+    """What becomes of a datagram: s that each copy is held back beside the link's delay, and its
+    bytes."""
     if on.cut or rng.random() < on.loss:
         return []
     found = []
--- a/ironledge/lab/faults/plants.py
+++ b/cairndale/lab/faults/plants.py
@@ -10,7 +10,7 @@
 
 def unsynced_answer(disk: Any) -> None:
     """Writes are answered before they are on disk."""
-    from ironledge.directory.store import Store
+    from cairndale.discovery.store import Store
 
     append = Store.append
 
@@ -26,7 +26,7 @@
 
 def early_follower(disk: Any) -> None:
     """A follower says yes to writes on its own."""
-    from ironledge.directory.service import Service
+    from cairndale.discovery.service import Service
 
     lead = Service.must_lead
 
@@ -39,7 +39,7 @@
 
 def unfenced_owner(disk: Any) -> None:
     """A leader that is told of its successor says yes and goes on."""
-    from ironledge.directory.service import Service
+    from cairndale.discovery.service import Service
 
     async def ignored(self: Service, lineage: str, epoch: int, leader: str) -> None:
         return None
@@ -49,14 +49,14 @@
 
 def young_reads(disk: Any) -> None:
     """A follower says of its list that it is fresh, however long it has not heard its leader."""
-    from ironledge.directory.replica import Following
+    from cairndale.discovery.replica import Following
 
     Following.age = lambda self, held, now: 0.0  # type: ignore[method-assign]
 
 
 def forgotten_ids(disk: Any) -> None:
     """A write that is repeated with its id is carried out again."""
-    from ironledge.directory.state import State
+    from cairndale.discovery.state import State
 
     decide = State.decide
 
@@ -69,8 +69,8 @@
 
 def sent_again(disk: Any) -> None:
     """An ingress sends what takes effect again a second time when an attempt was reset."""
-    from ironledge import wire
-    from ironledge.interface import Repeat
+    from cairndale.ingress import wire
+    from cairndale.ingress.policy.interface import Repeat
 
     wire._REPEATS["fragile"] = Repeat.SAFE
 
