--- a/ironledge/lab/troubles.py
+++ b/cairndale/lab/troubles.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ironledge.lab.draw import SECOND, Day
-from ironledge.lab.scenario import Trouble
+from cairndale.lab.draw import SECOND, Day
+from cairndale.lab.scenario import Trouble
 
 GATEWAYS = frozenset({"kill", "restart", "stop", "go_on", "terminate", "upgrade", "reload"})
 
@@ -68,7 +68,9 @@
         case "release":
             steps = max(1, int((end - begin) / max(1, step_us)))
             for position, server in enumerate(some):
-                yield Step(begin + position * steps // max(1, len(some)) * step_us, "replace", server)
+                yield Step(
+                    begin + position * steps // max(1, len(some)) * step_us, "replace", server
+                )
         case "drain":
             yield from both("drain", "undrain")
         case "discovery_down":
--- a/ironledge/lab/world/network.py
+++ b/cairndale/lab/world/network.py
@@ -24,7 +24,8 @@
         return a == b or not (a in self.cut or b in self.cut)
 
     def way(self, a: int, b: int, draw: float) -> int:
-        """us from zone a to zone b; `draw` in [0, 1). Ask `linked` first: what is cut off says nothing."""
+        """us from zone a to zone b; `draw` in [0, 1). Ask `linked` first: what is cut off says
+        nothing."""
         return self._late(self.same if a == b else self.cross, draw)
 
     def to_client(self, draw: float) -> int:
--- a/playhouse/foyer/lookup.py
+++ b/cairndale/lookup/selection.py
@@ -1,6 +1,7 @@
-"""Which ingresses a client is sent to: those ready in its region, else all that are, else those about to
-stop. Where routes of the host have homes, another region comes in only if it is a home, as long as one there
-or in the client's region serves: bodies must not go elsewhere because a list said so."""
+"""Which ingresses a client is sent to: those ready in its region, else all that are, else those
+about to stop. Where routes of the host have homes, another region comes in only if it is a home, as
+long as one there or in the client's region serves: bodies must not go elsewhere because a list said
+so."""
 
 from __future__ import annotations
 
@@ -8,9 +9,9 @@
 from hashlib import blake2b
 from urllib.parse import parse_qs
 
-from playhouse.script.playbill import Playbill
-from playhouse.stagedoor.doors import Answer, told, wrong
-from playhouse.wings import cues_pb2 as pb
+from cairndale.configuration.route_table import Playbill
+from cairndale.http_api.server import Answer, told, wrong
+from cairndale.rpc import protocol_pb2 as pb
 
 MOST = 64
 TTL = 1.5  # s at the most: how long one that has left is still called
@@ -18,7 +19,8 @@
 
 
 def homes_of(bill: Playbill | None, host: str) -> frozenset[str]:
-    """Regions in which all routes of the host that have homes have one; empty: nothing binds them."""
+    """Regions in which all routes of the host that have homes have one; empty: nothing binds
+    them."""
     routes = bill.hosts.get(host.lower().encode(), {}).values() if bill else ()
     homes = [route.homes for route in routes if route.homes]
     return frozenset.intersection(*homes) if homes else frozenset()
@@ -33,7 +35,10 @@
 
 def _near(nodes: Iterable[pb.Node], region: str, zone: str, homes: frozenset[str]) -> set[str]:
     edges = [n for n in nodes if n.kind == "edge" and n.http]
-    ready, leaving = [n for n in edges if n.ready and not n.leaving], [n for n in edges if n.leaving]
+    ready, leaving = (
+        [n for n in edges if n.ready and not n.leaving],
+        [n for n in edges if n.leaving],
+    )
     near = [n for n in ready if n.region == region] or [n for n in ready if n.zone == zone]
     near = near or [n for n in ready if n.region in homes]
     near = near or [n for n in leaving if homes and n.region in homes | {region}]
@@ -44,11 +49,15 @@
 
 
 def lookup(
-    target: str, nodes: Iterable[pb.Node], ttl_max: float, bill: Playbill | None = None, own: str = ""
+    target: str,
+    nodes: Iterable[pb.Node],
+    ttl_max: float,
+    bill: Playbill | None = None,
+    own: str = "",
 ) -> Answer:
-    """`ttl_max` in s; `bill`: the configuration, where it is known. Of more than MOST, who answers by the
-    name of `own` tells others than who answers by another, and the same from answer to answer: clients that
-    ask different ones go to all of them."""
+    """`ttl_max` in s; `bill`: the configuration, where it is known. Of more than MOST, who answers
+    by the name of `own` tells others than who answers by another, and the same from answer to
+    answer: clients that ask different ones go to all of them."""
     region, zone, name = _asked(target)
     addrs = _near(nodes, region, zone, homes_of(bill, name))
     if not addrs:
@@ -60,14 +69,20 @@
 
 
 class Lookups:
-    """Answers by one name, kept while the nodes are the same: to make one takes a look at all of them."""
+    """Answers by one name, kept while the nodes are the same: to make one takes a look at all of
+    them."""
 
     def __init__(self, own: str) -> None:
         self._own, self._version = own, object()
         self._kept: dict[tuple[str, str, str, float], Answer] = {}
 
     def answer(
-        self, target: str, nodes: Iterable[pb.Node], ttl_max: float, bill: Playbill | None, version: object
+        self,
+        target: str,
+        nodes: Iterable[pb.Node],
+        ttl_max: float,
+        bill: Playbill | None,
+        version: object,
     ) -> Answer:
         """`version` is another one when the nodes or the configuration are others."""
         if version != self._version or len(self._kept) >= KEPT:
--- a/playhouse/process.py
+++ b/cairndale/process.py
@@ -1,5 +1,5 @@
-"""One process of the system: reads its settings, takes the parts that its machine is there for, runs until
-SIGTERM. Changed settings (SIGHUP) are told to the parts."""
+"""One process of the system: reads its settings, takes the parts that its machine is there for,
+runs until SIGTERM. Changed settings (SIGHUP) are told to the parts."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 import uvloop
 
-from playhouse.events import Event, note, set_up
-from playhouse.promptbook.store import StoreError
-from playhouse.settings import Settings, SettingsError, read
+from cairndale.events import Event, note, set_up
+from cairndale.raft.storage import StoreError
+from cairndale.settings import Settings, SettingsError, read
 
 SETTINGS = "CAIRNDALE_CONFIG"
 
@@ -26,15 +26,15 @@
 
 
 async def play(settings: Settings, hung_up: Callable[[], bool] = bool) -> None:
-    """A machine with a disk holds the state, one that clients reach carries the traffic; one may do both.
-    `hung_up`: whether the settings file has changed since this process began."""
+    """A machine with a disk holds the state, one that clients reach carries the traffic; one may do
+    both. `hung_up`: whether the settings file has changed since this process began."""
     parts: list[Part] = []
     if settings.state is not None:
-        from playhouse.core import Core
+        from cairndale.control.node import Core
 
         parts.append(Core(settings))
     if "edge" in settings.serves:
-        from playhouse.stage.house import House
+        from cairndale.dataplane.node import House
 
         parts.append(House(settings))
     stop = asyncio.Event()
--- a/playhouse/boxoffice/purse.py
+++ b/cairndale/quota/budget_counter.py
@@ -1,20 +1,20 @@
 """Units of wholes that slide over a window: further tries at a service, starts at a cold server.
 
-Each whole is `size` units in any window of `window` seconds, over all ingresses. Units are dealt one by one,
-as a request needs them, and are used within `LIFE` or never: what is used in a window was dealt in it or in
-the `LIFE` before. A store of `most` units that refills at `rate` keeps the bound, as
+Each whole is `size` units in any window of `window` seconds, over all ingresses. Units are dealt
+one by one, as a request needs them, and are used within `LIFE` or never: what is used in a window
+was dealt in it or in the `LIFE` before. A store of `most` units that refills at `rate` keeps the
+bound, as
 
     most + rate * (window + LIFE) <= size
 
-A later leader of the duty, who does not know what was dealt before, begins with empty stores: over both
-leaders the same sum holds.
-"""
+A later leader of the duty, who does not know what was dealt before, begins with empty stores: over
+both leaders the same sum holds."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from playhouse.settings import Bounds
+from cairndale.settings import Bounds
 
 LIFE = 0.3  # s from the ask on: a request goes out as soon as it is dealt its units
 SAVED = 0.25  # of a whole, that a store can save up
@@ -39,7 +39,8 @@
 
 
 def further(bounds: Bounds) -> Whole:
-    """Tries at a service beyond the first of each request, but for those that are earned and kept evenly."""
+    """Tries at a service beyond the first of each request, but for those that are earned and kept
+    evenly."""
     return Whole(DEALT * bounds.retry_slack, bounds.retry_window)
 
 
@@ -76,7 +77,10 @@
         stores = {name: self._store(now, name, whole) for name, whole in wanted.items()}
         short = [(1 - stores[n].level, whole) for n, whole in wanted.items() if stores[n].level < 1]
         if short:
-            return max(max(0.01, lack / whole.rate) if whole.rate else whole.window for lack, whole in short)
+            return max(
+                max(0.01, lack / whole.rate) if whole.rate else whole.window
+                for lack, whole in short
+            )
         for store in stores.values():
             store.level -= 1
         if len(self._stores) > KEPT:
--- a/playhouse/promptbook/codec.py
+++ b/cairndale/raft/codec.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from playhouse.promptbook.messages import (
+from cairndale.raft.messages import (
     AppendEntries,
     AppendReply,
     Entry,
@@ -20,12 +20,13 @@
     TimeoutNow,
     VoteReply,
 )
-from playhouse.wings import cues_pb2 as pb
+from cairndale.rpc import protocol_pb2 as pb
 
 
 def _members_out(members: Iterable[Member]) -> list[pb.Member]:
     return [
-        pb.Member(door=m.door, disk=m.disk, zone=m.zone, region=m.region, learner=m.learner) for m in members
+        pb.Member(door=m.door, disk=m.disk, zone=m.zone, region=m.region, learner=m.learner)
+        for m in members
     ]
 
 
@@ -63,9 +64,12 @@
 
 def _head_pb(head: SnapshotHead) -> pb.InstallSnapshot:
     return pb.InstallSnapshot(
-        index=head.index, at_term=head.term, members=_members_out(head.members), size=head.size,
+        index=head.index,
+        at_term=head.term,
+        members=_members_out(head.members),
+        size=head.size,
         digest=head.digest,
-    )  # fmt: skip
+    )
 
 
 def _head_of(made: pb.InstallSnapshot) -> SnapshotHead:
@@ -90,28 +94,39 @@
 def message_out(message: Message) -> pb.LogMessage:
     sender = message.sender
     made = pb.LogMessage(term=message.term, sender=pb.Member(door=sender.door, disk=sender.disk))
-    if isinstance(message, Join | Leave):  # the others are sent often: whom they come from is enough
+    if isinstance(
+        message, Join | Leave
+    ):  # the others are sent often: whom they come from is enough
         made.sender.zone, made.sender.region = sender.zone, sender.region
     match message:
         case RequestVote():
             made.request_vote.CopyFrom(
                 pb.RequestVote(
-                    pre_vote=message.pre_vote, last_index=message.last_index, last_term=message.last_term,
+                    pre_vote=message.pre_vote,
+                    last_index=message.last_index,
+                    last_term=message.last_term,
                     transfer=message.transfer,
                 )
-            )  # fmt: skip
+            )
         case VoteReply():
-            made.vote_reply.CopyFrom(pb.VoteReply(pre_vote=message.pre_vote, granted=message.granted))
+            made.vote_reply.CopyFrom(
+                pb.VoteReply(pre_vote=message.pre_vote, granted=message.granted)
+            )
         case AppendEntries():
             entries = [_entry_pb(e) for e in message.entries]
             made.append_entries.CopyFrom(
                 pb.AppendEntries(
-                    prev_index=message.prev_index, prev_term=message.prev_term, entries=entries,
-                    commit_index=message.commit_index, sent=message.sent,
+                    prev_index=message.prev_index,
+                    prev_term=message.prev_term,
+                    entries=entries,
+                    commit_index=message.commit_index,
+                    sent=message.sent,
                 )
-            )  # fmt: skip
+            )
         case AppendReply():
-            made.append_reply.CopyFrom(pb.AppendReply(ok=message.ok, match=message.match, sent=message.sent))
+            made.append_reply.CopyFrom(
+                pb.AppendReply(ok=message.ok, match=message.match, sent=message.sent)
+            )
         case InstallSnapshot():
             part = _head_pb(message.head)
             part.offset, part.data, part.checksum = message.offset, message.data, message.checksum
@@ -142,7 +157,9 @@
         case "append_entries":
             a = made.append_entries
             entries = tuple(_entry_of(e) for e in a.entries)
-            return AppendEntries(term, sender, a.prev_index, a.prev_term, entries, a.commit_index, a.sent)
+            return AppendEntries(
+                term, sender, a.prev_index, a.prev_term, entries, a.commit_index, a.sent
+            )
         case "append_reply":
             return AppendReply(
                 term, sender, made.append_reply.ok, made.append_reply.match, made.append_reply.sent
--- a/playhouse/promptbook/compaction.py
+++ b/cairndale/raft/compaction.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from playhouse.promptbook.messages import (
+from cairndale.raft.messages import (
     AppendEntries,
     AppendReply,
     InstallSnapshot,
@@ -12,8 +12,8 @@
     SnapshotReply,
     Step,
 )
-from playhouse.promptbook.replica import Progress, Replica, Role
-from playhouse.promptbook.snapshot import Incoming, Tail, messages, offer, still_serves
+from cairndale.raft.replica import Progress, Replica, Role
+from cairndale.raft.snapshot_transfer import Incoming, Tail, messages, offer, still_serves
 
 
 class Compaction(Replica):
@@ -27,8 +27,8 @@
         return Snapshot(index, self.term_at(index), members, state, digest)
 
     def compact(self, made: Snapshot | bytes) -> Step:
-        """A snapshot, or the state after all that was delivered, takes the place of the entries that led to
-        it. Nothing, if a newer one is here already."""
+        """A snapshot, or the state after all that was delivered, takes the place of the entries
+        that led to it. Nothing, if a newer one is here already."""
         step = Step()
         made = self.snapshot(self.commit_index, made) if isinstance(made, bytes) else made
         if made.index <= self.base.index:
@@ -82,8 +82,12 @@
     def install(self, now: float, made: Snapshot) -> Step:
         """One that was received, and whose state has been read, takes the place of what is here."""
         step = Step()
-        if self.role is not Role.LEADER and (made.index > self.commit_index or not self.base.members):
-            follows = self.base.members and self.term_at(made.index) == made.term  # the log goes on from it
+        if self.role is not Role.LEADER and (
+            made.index > self.commit_index or not self.base.members
+        ):
+            follows = (
+                self.base.members and self.term_at(made.index) == made.term
+            )  # the log goes on from it
             self.log = self.log[made.index - self.base.index :] if follows else []
             self.base, self.commit_index, self.tail = made, made.index, Tail()
             self._look_up_members()
--- a/playhouse/promptbook/election.py
+++ b/cairndale/raft/election.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from playhouse.promptbook.messages import (
+from cairndale.raft.messages import (
     Entry,
     HardState,
     Member,
@@ -11,7 +11,7 @@
     TimeoutNow,
     VoteReply,
 )
-from playhouse.promptbook.replica import Progress, Replica, Role
+from cairndale.raft.replica import Progress, Replica, Role
 
 
 class Election(Replica):
@@ -33,17 +33,21 @@
         self._count(now, step)
 
     def _vote_requested(self, now: float, step: Step, message: RequestVote) -> None:
-        """Answered by whoever is asked: the candidate's log says who votes, and may be ahead of this one."""
+        """Answered by whoever is asked: the candidate's log says who votes, and may be ahead of
+        this one."""
         follows = self.role is Role.LEADER and not self._handed and now < self.lease_end(now)
-        follows = follows or (self.role is not Role.LEADER and now - self.heard_at < self.times.quiet)
-        # The promise was to give no other a vote. Who it was to asks only in a new life, the old one is
-        # over; or it has given its lease up, and asked for this.
+        follows = follows or (
+            self.role is not Role.LEADER and now - self.heard_at < self.times.quiet
+        )
+        # The promise was to give no other a vote. Who it was to asks only in a new life, the old
+        # one is over; or it has given its lease up, and asked for this.
         released = self.voted_for == message.sender.disk or message.transfer
         follows = follows and not (self.role is not Role.LEADER and released)
         current = (message.last_term, message.last_index) >= (self.term_at(self.last), self.last)
         if message.pre_vote:
             granted = message.term > self.term and current and not follows
-            # A no tells the term here: whoever lags behind it has to ask above it to be heard at all.
+            # A no tells the term here: whoever lags behind it has to ask above it to be heard at
+            # all.
             term = message.term if granted else self.term
             step.sends.append((message.sender.door, VoteReply(term, self.me, True, granted)))
             return
@@ -51,7 +55,9 @@
             return  # a majority promised the leader this span: that is what its lease rests on
         if message.term > self.term:
             self._become_follower(now, step, message.term, None)
-        granted = message.term == self.term and current and self.voted_for in ("", message.sender.disk)
+        granted = (
+            message.term == self.term and current and self.voted_for in ("", message.sender.disk)
+        )
         granted = granted and self.role is Role.FOLLOWER
         if granted:
             self.voted_for = message.sender.disk
@@ -94,16 +100,18 @@
     # A leader that leaves, or does not vote any longer.
 
     def _hand_over(self, now: float, step: Step) -> None:
-        """To a voter that holds all there is. The lease is given up before that one is asked, for this term
-        for good: so those who promised to follow may vote for it at once."""
+        """To a voter that holds all there is. The lease is given up before that one is asked, for
+        this term for good: so those who promised to follow may vote for it at once."""
         if now - self._handed_at < 2 * self.times.beat:
             return
         able = [
             p
             for p in self.peers.values()
-            if p.member in self._voters and p.match == self.last and now - p.acked < self.times.fit
+            if p.member in self._voters
+            and p.match == self.last
+            and now - p.acked < self.times.fit
             and now - p.leaving_at > self.times.fit
-        ]  # fmt: skip
+        ]
         if able:
             best = max(able, key=lambda p: (p.acked, p.member))
             best.acked = float("-inf")  # the next time, if there is one, it is another's turn
--- a/playhouse/promptbook/parts.py
+++ b/cairndale/raft/fragments.py
@@ -1,9 +1,9 @@
 """A large command's form in the log: parts, an entry each, of which the last decides. Pure.
 
-A part begins with a mark that no whole command begins with (that is zlib's `x`), its kind, its number in the
-command, and a CRC of all else in it. The data of the last one stand behind the digest of all parts' data.
-Parts of one command follow one another in one term; entries of others may stand between them.
-"""
+A part begins with a mark that no whole command begins with (that is zlib's `x`), its kind, its
+number in the command, and a CRC of all else in it. The data of the last one stand behind the digest
+of all parts' data. Parts of one command follow one another in one term; entries of others may stand
+between them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,13 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-from playhouse.promptbook.messages import state_digest
+from cairndale.raft.messages import state_digest
 
-PART = 16 * 1024  # bytes of an entry's data at the most: two are one append, so that a beat waits for no more
-WINDOW = 4  # parts that are not in force yet, while one more is appended: others' commands get in between
+PART = (
+    16 * 1024
+)  # bytes of an entry's data at the most: two are one append, so that a beat waits for no more
+# parts that are not in force yet, while one more is appended: others' commands get in between
+WINDOW = 4
 MARK = 2
 _HEAD, _CRC, DIGEST = struct.Struct(">BBI"), struct.Struct(">I"), 16
 ROOM = PART - _HEAD.size - _CRC.size  # bytes in one part
@@ -69,7 +72,8 @@
 
 
 def cut(stream: Iterable[bytes]) -> Iterator[bytes]:
-    """The data of one entry after the other. Empty: only a pause, after each piece of the stream."""
+    """The data of one entry after the other. Empty: only a pause, after each piece of the
+    stream."""
     digest, held, number = state_digest(), bytearray(), 0
     for piece in stream:
         digest.update(piece)
--- a/playhouse/promptbook/membership.py
+++ b/cairndale/raft/membership.py
@@ -1,17 +1,16 @@
 """Changes of the configuration: who comes, who leaves, who votes.
 
-A change is one entry, appended by the leader once its term's first entry and the change before are decided.
-Who joins is given the log first; once it holds all that was decided, it is a learner, and votes from the
-configuration on that says so.
-"""
+A change is one entry, appended by the leader once its term's first entry and the change before are
+decided. Who joins is given the log first; once it holds all that was decided, it is a learner, and
+votes from the configuration on that says so."""
 
 from __future__ import annotations
 
 from dataclasses import astuple, replace
 
-from playhouse.promptbook.messages import Entry, Join, Leave, Member, Step
-from playhouse.promptbook.replica import Progress, Replica, Role
-from playhouse.promptbook.voters import next_voters
+from cairndale.raft.messages import Entry, Join, Leave, Member, Step
+from cairndale.raft.replica import Progress, Replica, Role
+from cairndale.raft.voters import next_voters
 
 JOINING = 32  # that are given the log and are no members yet
 SILENT = 8  # learners that are silent and still known
@@ -48,8 +47,14 @@
     def _joining(self, now: float, step: Step, message: Join) -> None:
         if self.role is not Role.LEADER:
             held = next((m for m in self._members if m.disk == self.voted_for), None)
-            if held and held.door == message.sender.door and held != message.sender and self.is_member():
-                # The last leader's disk is gone, and the life that held the term with it: nobody holds it.
+            if (
+                held
+                and held.door == message.sender.door
+                and held != message.sender
+                and self.is_member()
+            ):
+                # The last leader's disk is gone, and the life that held the term with it: nobody
+                # holds it.
                 self.heard_at = float("-inf")
                 self._due = min(self._due, now + self.times.soon * self.rng.random())
             if self.leader and self.leader != message.sender:
@@ -63,7 +68,8 @@
                     del self.peers[disk]
             if sum(p.member not in self._members for p in self.peers.values()) >= JOINING:
                 return
-            # From the snapshot on, if it is the founders' alone: who came before it, only that tells.
+            # From the snapshot on, if it is the founders' alone: who came before it, only that
+            # tells.
             self.peers[message.sender.disk] = Progress(message.sender, 0, since=now)
             self._send(now, step, self.peers[message.sender.disk])
         peer = self.peers[message.sender.disk]
@@ -87,7 +93,9 @@
         members = self._next_members(now)
         if [astuple(m) for m in members] == [astuple(m) for m in self._members]:
             return
-        gone = [m for m in self._members if m not in members and any(m.door == o.door for o in members)]
+        gone = [
+            m for m in self._members if m not in members and any(m.door == o.door for o in members)
+        ]
         self._append_entry(now, step, Entry(self.last + 1, self.term, members=members))
         for member in gone:  # another disk stands at its door
             self.peers.pop(member.disk, None)
@@ -99,16 +107,22 @@
     def _next_members(self, now: float) -> tuple[Member, ...]:
         times, peers = self.times, self.peers
         here = {m.disk: m for m in self._members}
-        for peer in peers.values():  # those that came, each in the place of the one at its door before
+        for (
+            peer
+        ) in peers.values():  # those that came, each in the place of the one at its door before
             level = peer.match >= self.commit_index > 0 and now - peer.level_at < times.fit
             if peer.member.disk not in here and level and peer.leaving_at == float("-inf"):
                 before = [m for m in here.values() if m.door == peer.member.door]
                 for member in before:
                     del here[member.disk]
-                here[peer.member.disk] = replace(peer.member, learner=all(m.learner for m in before))
+                here[peer.member.disk] = replace(
+                    peer.member, learner=all(m.learner for m in before)
+                )
         leaving = {d for d in here if d in peers and now - peers[d].leaving_at < times.fit}
         silent = {d: peers[d].silent(now) for d in here if d in peers}
-        aside = sorted((d for d, m in here.items() if m.learner and d in silent), key=lambda d: silent[d])
+        aside = sorted(
+            (d for d, m in here.items() if m.learner and d in silent), key=lambda d: silent[d]
+        )
         still = sum(silent[d] <= times.silent for d in aside)
         for place, disk in enumerate(aside):
             if disk in leaving or silent[disk] > times.forget or place >= still + SILENT:
@@ -131,7 +145,8 @@
         return tuple(sorted(m for m in members if not (m.learner and m.disk in leaving)))
 
     def _prune(self, now: float) -> None:
-        """Forgets those who neither belong to the configuration nor answer, and places of others."""
+        """Forgets those who neither belong to the configuration nor answer, and places of
+        others."""
         known = {m.disk for m in (*self._members, *(() if self._is_settled() else self._before))}
         for disk, peer in list(self.peers.items()):
             if disk not in known and peer.silent(now) > 2 * self.times.silent:
--- a/playhouse/promptbook/messages.py
+++ b/cairndale/raft/messages.py
@@ -8,13 +8,16 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """A door and a disk: with another disk it is another member; not so with another place or role."""
+    """A door and a disk: with another disk it is another member; not so with another place or
+    role."""
 
     door: str  # host:port
     disk: str  # drawn anew for each disk
     zone: str = field(default="", compare=False)  # empty: not told yet
     region: str = field(default="", compare=False)
-    learner: bool = field(default=False, compare=False)  # is given the log, and counts in no majority
+    learner: bool = field(
+        default=False, compare=False
+    )  # is given the log, and counts in no majority
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +25,9 @@
     index: int
     term: int
     data: bytes = b""
-    members: tuple[Member, ...] = ()  # the configuration from here on, if any are named: voters, learners
+    members: tuple[
+        Member, ...
+    ] = ()  # the configuration from here on, if any are named: voters, learners
     opens: bool = False  # the first of its term
 
 
@@ -63,7 +68,8 @@
     voted_for: str = ""  # the disk that this one's vote went to in that term
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)  # those after the snapshot
-    incoming: tuple[SnapshotHead, bytes] | None = None  # the first parts of one that is being received
+    # the first parts of one that is being received
+    incoming: tuple[SnapshotHead, bytes] | None = None
 
 
 # What members say to one another.
@@ -154,9 +160,16 @@
 
 
 Message = (
-    RequestVote | VoteReply | AppendEntries | AppendReply | InstallSnapshot | SnapshotReply
-    | Join | Leave | TimeoutNow
-)  # fmt: skip
+    RequestVote
+    | VoteReply
+    | AppendEntries
+    | AppendReply
+    | InstallSnapshot
+    | SnapshotReply
+    | Join
+    | Leave
+    | TimeoutNow
+)
 
 
 # What a disk is to keep.
--- a/playhouse/promptbook/machine.py
+++ b/cairndale/raft/node.py
@@ -1,26 +1,25 @@
 """The core's log as a pure machine: inputs in, what to write, send and deliver out.
 
-One leader a term appends; the others follow it. A change of term stops delivery, trims what only a minority
-of the old term holds, and goes on. An entry is delivered once a majority of the voters has it on disk. A
-member is a door and a disk: one whose disk was wiped is another member, and its vote counts for nothing
-until the others have taken it in, which they do with a majority of their own. `replica.py` has what is known
-and whose word counts, `election.py` the elections, `membership.py` the changes of the configuration,
-`compaction.py` the snapshots; here is the log.
+One leader a term appends; the others follow it. A change of term stops delivery, trims what only a
+minority of the old term holds, and goes on. An entry is delivered once a majority of the voters has
+it on disk. A member is a door and a disk: one whose disk was wiped is another member, and its vote
+counts for nothing until the others have taken it in, which they do with a majority of their own.
+`replica.py` has what is known and whose word counts, `election.py` the elections, `membership.py`
+the changes of the configuration, `compaction.py` the snapshots; here is the log.
 
-Times are seconds on a clock that never goes back; nothing here depends on the time of day. The caller
-carries a `Step` out in order: writes, synced; then sends; then deliveries.
-"""
+Times are seconds on a clock that never goes back; nothing here depends on the time of day. The
+caller carries a `Step` out in order: writes, synced; then sends; then deliveries."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from itertools import takewhile
 
-from playhouse.promptbook import parts
-from playhouse.promptbook.compaction import Compaction
-from playhouse.promptbook.election import Election
-from playhouse.promptbook.membership import Membership
-from playhouse.promptbook.messages import (
+from cairndale.raft import fragments
+from cairndale.raft.compaction import Compaction
+from cairndale.raft.election import Election
+from cairndale.raft.membership import Membership
+from cairndale.raft.messages import (
     AppendEntries,
     AppendReply,
     Entry,
@@ -39,9 +38,11 @@
     TimeoutNow,
     VoteReply,
 )
-from playhouse.promptbook.replica import Progress, Role
+from cairndale.raft.replica import Progress, Role
 
-BATCH = 2 * parts.PART  # bytes of entries in one append, as beats wait for it; more in one entry of old only
+# Bytes of entries in one append, as heartbeats wait for it; one entry of earlier programs may be
+# larger.
+BATCH = 2 * fragments.PART
 
 
 class Machine(Election, Membership, Compaction):
@@ -55,7 +56,9 @@
             if not self.is_out():
                 self._ask(now, step, Leave(self.term, self.me))
         elif not self.is_member():
-            self._ask_in(now, step)  # though it is heard: that may be meant for the disk that was here before
+            self._ask_in(
+                now, step
+            )  # though it is heard: that may be meant for the disk that was here before
         else:
             if now - self.heard_at > self.times.unheard or not self._place_is_told():
                 self._ask_in(now, step)  # that it is a member may never have been decided
@@ -64,25 +67,39 @@
         return step
 
     def _tick_leader(self, now: float, step: Step) -> None:
-        if now >= self.lease_end(now) + self.times.quiet and now - self.changed_at > 2 * self.times.quiet:
-            self._become_follower(now, step, self.term, None)  # nobody follows: others may be better off
-        elif not self._opened and now - self.changed_at > self.times.open and not self._catches_up(now):
+        if (
+            now >= self.lease_end(now) + self.times.quiet
+            and now - self.changed_at > 2 * self.times.quiet
+        ):
+            self._become_follower(
+                now, step, self.term, None
+            )  # nobody follows: others may be better off
+        elif (
+            not self._opened
+            and now - self.changed_at > self.times.open
+            and not self._catches_up(now)
+        ):
             self._become_follower(now, step, self.term, None)  # followed, and nothing is decided
             self._due += 2 * self.times.quiet
         elif self._handed and now - self.changed_at > self.times.hand_over:
-            self._become_follower(now, step, self.term, None)  # nobody has taken it: whoever can, may
+            self._become_follower(
+                now, step, self.term, None
+            )  # nobody has taken it: whoever can, may
         else:
             if self._handed or self.leaving or (self._opened and not self.may_stand()):
                 self._hand_over(now, step)
             if now >= self._beat_at:
                 self._beat(now, step)
-            if now >= self._change_at:  # whether or not beats were sent meanwhile, as each entry does
+            if (
+                now >= self._change_at
+            ):  # whether or not beats were sent meanwhile, as each entry does
                 self._change_at = now + self.times.beat
                 self._prune(now)
                 self._take_in(now, step)
 
     def propose(self, now: float, data: bytes) -> tuple[int, Step]:
-        """Appends; the index, or 0 if this one does not hold the term. Delivery tells what became of it."""
+        """Appends; the index, or 0 if this one does not hold the term. Delivery tells what became
+        of it."""
         step = Step()
         if self.role is not Role.LEADER or self._handed or self.leaving:
             return 0, step
@@ -141,7 +158,8 @@
             return
         peer.transfer = None
         entries: list[Entry] = []
-        # Sent again only to who has answered something later: one that is away would have its way filled.
+        # Sent again only to who has answered something later: one that is away would have its way
+        # filled.
         lost = now - peer.out_at >= self.times.again and peer.acked >= peer.out_at
         if peer.out_at < 0 or lost:
             size = 0
@@ -154,7 +172,13 @@
             peer.out_at = now if entries else -1.0
         before = peer.next - 1
         message = AppendEntries(
-            self.term, self.me, before, self.term_at(before), tuple(entries), self.commit_index, sent
+            self.term,
+            self.me,
+            before,
+            self.term_at(before),
+            tuple(entries),
+            self.commit_index,
+            sent,
         )
         step.sends.append((peer.member.door, message))
 
@@ -164,7 +188,9 @@
         if message.ok and max(peer.match, message.match) >= self.commit_index:
             peer.level_at = now
         if not message.ok:
-            if peer.next:  # else it is to have the snapshot first, whatever was meant for the disk before it
+            if (
+                peer.next
+            ):  # else it is to have the snapshot first, whatever was meant for the disk before it
                 peer.next, peer.out_at = max(1, min(message.match + 1, peer.next - 1)), -1.0
             self._send(now, step, peer)
             return
@@ -179,7 +205,9 @@
 
     def _held(self, index: int, among: tuple[Member, ...]) -> bool:
         """A majority of these has it on disk."""
-        have = sum(1 for m in among if m == self.me or ((p := self.peers.get(m.disk)) and p.match >= index))
+        have = sum(
+            1 for m in among if m == self.me or ((p := self.peers.get(m.disk)) and p.match >= index)
+        )
         return have > len(among) // 2
 
     def _advance(self, now: float, step: Step) -> None:
@@ -203,12 +231,21 @@
     def _heard(self, now: float, step: Step, message: AppendEntries | InstallSnapshot) -> bool:
         if message.term < self.term or (message.term == self.term and self.role is Role.LEADER):
             step.sends.append(
-                (message.sender.door, AppendReply(self.term, self.me, False, self.last, message.sent))
+                (
+                    message.sender.door,
+                    AppendReply(self.term, self.me, False, self.last, message.sent),
+                )
             )
             return False
-        if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != message.sender:
+        if (
+            message.term > self.term
+            or self.role is not Role.FOLLOWER
+            or self.leader != message.sender
+        ):
             self._become_follower(now, step, message.term, message.sender)
-        if self.voted_for != message.sender.disk:  # whom its promises are to is known after a start as well
+        if (
+            self.voted_for != message.sender.disk
+        ):  # whom its promises are to is known after a start as well
             self.voted_for = message.sender.disk
             step.writes.append(HardState(self.term, self.voted_for))
         self.heard_at = now
@@ -219,13 +256,19 @@
         if not self._heard(now, step, message):
             return
         entries, before, before_term = list(message.entries), message.prev_index, message.prev_term
-        sound = list(takewhile(lambda entry: parts.is_sound(entry.data), entries))
+        sound = list(takewhile(lambda entry: fragments.is_sound(entry.data), entries))
         if len(sound) < len(entries):
             step.spoilt, entries = f"entry {entries[len(sound)].index}: not as it was made", sound
-        while entries and before < self.base.index:  # covered by the snapshot: delivered, so the same
+        while (
+            entries and before < self.base.index
+        ):  # covered by the snapshot: delivered, so the same
             before, before_term = entries[0].index, entries[0].term
             entries.pop(0)
-        fits = before <= self.base.index if before < self.base.index else self.term_at(before) == before_term
+        fits = (
+            before <= self.base.index
+            if before < self.base.index
+            else self.term_at(before) == before_term
+        )
         if not fits:
             hint = min(self.last, before - 1)
             step.sends.append(
@@ -241,7 +284,9 @@
                 self._look_up_members()
                 break
         match = max(match, entries[-1].index) if entries else match
-        step.sends.append((message.sender.door, AppendReply(self.term, self.me, True, match, message.sent)))
+        step.sends.append(
+            (message.sender.door, AppendReply(self.term, self.me, True, match, message.sent))
+        )
         if (upto := min(message.commit_index, match)) > self.commit_index:
             self._deliver(upto, step)
 
@@ -252,5 +297,6 @@
 
 
 def founder(door: str) -> Member:
-    """Who stands at a door at the first start of all: known to the others before they have spoken."""
+    """Who stands at a door at the first start of all: known to the others before they have
+    spoken."""
     return Member(door, f"first-{door}")
--- a/playhouse/promptbook/replica.py
+++ b/cairndale/raft/replica.py
@@ -1,9 +1,10 @@
-"""What a member of the core knows of the log, the others and its own role; whose word makes a majority.
+"""What a member of the core knows of the log, the others and its own role; whose word makes a
+majority.
 
-The configuration, an entry of the log, names voters and learners and holds from where it stands in the log,
-decided or not. While the newest is not known to be decided, a majority of the voters before it has to say yes
-as well, to votes, commits and the lease. One at a time: the one before the newest is decided.
-"""
+The configuration, an entry of the log, names voters and learners and holds from where it stands in
+the log, decided or not. While the newest is not known to be decided, a majority of the voters
+before it has to say yes as well, to votes, commits and the lease. One at a time: the one before the
+newest is decided."""
 
 from __future__ import annotations
 
@@ -12,9 +13,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from playhouse.promptbook.messages import AppendReply, Entry, Kept, Member, SnapshotReply, Step
-from playhouse.promptbook.snapshot import Incoming, Tail, Transfer
-from playhouse.promptbook.voters import Tolerance
+from cairndale.raft.messages import AppendReply, Entry, Kept, Member, SnapshotReply, Step
+from cairndale.raft.snapshot_transfer import Incoming, Tail, Transfer
+from cairndale.raft.voters import Tolerance
 
 
 class Role(Enum):
@@ -28,7 +29,8 @@
 class Times:
     quiet: float = 0.5  # s without the leader before which nobody gives another a vote
     beat: float = 0.15
-    turn: float = 0.05  # s that each waits longer than the one before it: two at once would split the votes
+    # s that each waits longer than the one before it: two at once would split the votes
+    turn: float = 0.05
     soon: float = 0.1  # s that they spread over where the last leader's life is known to be over
     again: float = 0.4  # s after which an append that was not answered is sent again
     join: float = 0.3
@@ -66,9 +68,15 @@
 
 class Replica:
     def __init__(
-        self, me: Member, kept: Kept, now: float, rng: random.Random, times: Times | None = None,
-        doors: Iterable[str] = (), tolerance: Tolerance | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        me: Member,
+        kept: Kept,
+        now: float,
+        rng: random.Random,
+        times: Times | None = None,
+        doors: Iterable[str] = (),
+        tolerance: Tolerance | None = None,
+    ) -> None:
         """`doors`: where other members may be, for one that is none yet."""
         self.me, self.rng, self.times, self.doors = me, rng, times or Times(), tuple(doors)
         self.tolerance = tolerance or Tolerance()
@@ -91,20 +99,24 @@
         self._voters: tuple[Member, ...] = ()
         self._voters_before: tuple[Member, ...] = ()
         self._places: dict[str, Member] = {me.disk: me}  # by disk, as it was told
-        self._left_as_it_is: object = None  # what the choice of voters came from, when nothing was to change
+        # what the choice of voters came from, when nothing was to change
+        self._left_as_it_is: object = None
         self._votes: set[str] = set()
         self._opened = False  # an entry of the term that this one holds was delivered
         self._handed_at = float("-inf")  # when another was last asked to take this term's place
         self._handed = False  # this term's lease was given up, for good
-        self._beat_at = self._join_at = self._change_at = now  # _change_at: when changes are looked at
-        self.heard_at = (
-            now  # a start counts: what was promised to a leader before it, is not known any longer
+        self._beat_at = self._join_at = self._change_at = (
+            now  # _change_at: when changes are looked at
         )
+        # a start counts: what was promised to a leader before it, is not known any longer
+        self.heard_at = now
         self._due = 0.0
         self._soon_until = float("-inf")
         self._look_up_members()
         self._reset_election_timer(now)
-        if kept.voted_for == me.disk:  # it may have held this term: the promises of that life were to itself
+        if (
+            kept.voted_for == me.disk
+        ):  # it may have held this term: the promises of that life were to itself
             self._due, self._soon_until = now, now + 3 * self.times.quiet
 
     # What is known.
@@ -139,28 +151,35 @@
         return self.contact(now) + self.times.lease
 
     def contact(self, now: float) -> float:
-        """The newest time of which it is sure that a majority has answered, in this term, what was sent at
-        it or after it: a read index rests on that."""
+        """The newest time of which it is sure that a majority has answered, in this term, what was
+        sent at it or after it: a read index rests on that."""
         return min(self._followed(now, voters) for voters in self._quorums())
 
     def _followed(self, now: float, voters: tuple[Member, ...]) -> float:
         """When the newest beat was sent that a majority of these has answered."""
         acked = sorted(
-            (now if m == self.me else self.peers[m.disk].acked if m.disk in self.peers else float("-inf"))
+            (
+                now
+                if m == self.me
+                else self.peers[m.disk].acked
+                if m.disk in self.peers
+                else float("-inf")
+            )
             for m in voters
         )
         return acked[(len(acked) - 1) // 2] if acked else float("-inf")
 
     def wants_snapshot(self) -> bool:
-        """Who the members are is decided, and only the log says so: after a start nobody would know that it
-        is, and those before them would be asked as well, of whom one disk is gone."""
+        """Who the members are is decided, and only the log says so: after a start nobody would know
+        that it is, and those before them would be asked as well, of whom one disk is gone."""
         return self.base.index < self._members_at <= self.commit_index
 
     def is_member(self) -> bool:
         return self.me in self._members
 
     def may_stand(self) -> bool:
-        """Votes by the newest configuration, or by the one before while that may still be in force."""
+        """Votes by the newest configuration, or by the one before while that may still be in
+        force."""
         return any(self.me in voters for voters in self._quorums())
 
     def _is_settled(self) -> bool:
@@ -190,10 +209,15 @@
     def _reset_election_timer(self, now: float) -> None:
         others = [m for m in self._voters if m != self.leader]
         turn = others.index(self.me) if self.me in others else len(others)
-        self._due = now + 1.05 * self.times.quiet + self.times.turn * (turn + 0.4 * self.rng.random())
+        self._due = (
+            now + 1.05 * self.times.quiet + self.times.turn * (turn + 0.4 * self.rng.random())
+        )
 
-    def _replier(self, now: float, step: Step, message: AppendReply | SnapshotReply) -> Progress | None:
-        """Who has answered this leader, in the term that it holds; None where it is nobody that counts."""
+    def _replier(
+        self, now: float, step: Step, message: AppendReply | SnapshotReply
+    ) -> Progress | None:
+        """Who has answered this leader, in the term that it holds; None where it is nobody that
+        counts."""
         if message.term > self.term:
             self._become_follower(now, step, message.term, None)
             return None
--- a/playhouse/promptbook/snapshot.py
+++ b/cairndale/raft/snapshot_transfer.py
@@ -1,9 +1,10 @@
-"""Install snapshot: a snapshot cut in parts and sent by the leader, put together by a follower. Pure.
+"""Install snapshot: a snapshot cut in parts and sent by the leader, put together by a follower.
+Pure.
 
-At most `WINDOW` parts are on their way, so that a beat is never behind more than these; what is wanted next
-comes with each answer, so that sending goes on where it was after a cut, a change of the leader to one that
-has the same snapshot, or a restart of either side. Only a whole snapshot whose digest agrees is handed on.
-"""
+At most `WINDOW` parts are on their way, so that a beat is never behind more than these; what is
+wanted next comes with each answer, so that sending goes on where it was after a cut, a change of
+the leader to one that has the same snapshot, or a restart of either side. Only a whole snapshot
+whose digest agrees is handed on."""
 
 from __future__ import annotations
 
@@ -11,7 +12,7 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from playhouse.promptbook.messages import (
+from cairndale.raft.messages import (
     Entry,
     InstallSnapshot,
     KeepPart,
@@ -54,7 +55,9 @@
         while self._sent < self.head.size and self._sent - self._wanted < WINDOW * PART:
             if self._sent == self._wanted:
                 self._at = now
-            data = self.snapshot.state[self._sent : min(self._sent + PART, self._wanted + WINDOW * PART)]
+            data = self.snapshot.state[
+                self._sent : min(self._sent + PART, self._wanted + WINDOW * PART)
+            ]
             made.append((self._sent, data))
             self._sent += len(data)
         return made
@@ -62,8 +65,8 @@
     def replied(self, now: float, index: int, wanted: int) -> None:
         if index != self.head.index or not 0 <= wanted <= self.head.size or wanted == self._wanted:
             return
-        # Less than before: a part was dropped there, or it is an answer that was late, and the next sets it
-        # right.
+        # Less than before: a part was dropped there, or it is an answer that was late, and the next
+        # sets it right.
         self._sent = max(self._sent, wanted) if wanted > self._wanted else wanted
         self._wanted, self._at, self._wait = wanted, now, AGAIN[0]
 
@@ -98,7 +101,9 @@
         self._term = message.term
         taken = Taken(len(self._data))
         if zlib.crc32(data) != message.checksum or message.offset + len(data) > head.size:
-            taken.dropped = f"part at {message.offset} of the snapshot at {head.index}: not as it was sent"
+            taken.dropped = (
+                f"part at {message.offset} of the snapshot at {head.index}: not as it was sent"
+            )
             return taken
         if data and message.offset == len(self._data):
             self._data += data
@@ -108,7 +113,9 @@
         if len(self._data) == head.size and not self._handed_on:
             if (self._digest or state_digest()).digest() == head.digest:
                 self._handed_on = True
-                taken.whole = Snapshot(head.index, head.term, head.members, bytes(self._data), head.digest)
+                taken.whole = Snapshot(
+                    head.index, head.term, head.members, bytes(self._data), head.digest
+                )
             else:
                 taken.dropped = f"the snapshot at {head.index}: the digest does not agree"
                 self._begin()
@@ -121,7 +128,8 @@
 
 
 class Tail:
-    """Delivered entries that a snapshot has taken the place of: who is a little behind is sent these."""
+    """Delivered entries that a snapshot has taken the place of: who is a little behind is sent
+    these."""
 
     def __init__(self) -> None:
         self._entries: list[Entry] = []
@@ -142,8 +150,8 @@
         return self._entries[index - self._before[0] - 1].term if self.covers(index) else -1
 
     def add(self, base: Snapshot, entries: Iterable[Entry], sending: bool) -> None:
-        """Entries after this snapshot, which another takes the place of. `sending`: an older one is on its
-        way to somebody, who wants what comes after it."""
+        """Entries after this snapshot, which another takes the place of. `sending`: an older one is
+        on its way to somebody, who wants what comes after it."""
         if not self._entries:
             self._before = (base.index, base.term)
         for entry in entries:
@@ -166,8 +174,8 @@
 
 
 def offer(now: float, transfers: Iterable[Transfer], base: Snapshot, tail: Tail) -> Transfer:
-    """What one that has none is sent: what is on its way to others already, if it serves, so that few are
-    held in memory."""
+    """What one that has none is sent: what is on its way to others already, if it serves, so that
+    few are held in memory."""
     for other in transfers:
         if tail.covers(other.head.index + 1):
             return Transfer(other.snapshot, now)
@@ -175,8 +183,8 @@
 
 
 def still_serves(transfer: Transfer, now: float, base: Snapshot, tail: Tail) -> bool:
-    """It is sent to its end though there is a newer one, else one that is renewed faster than it is sent
-    would never arrive; but not where nothing moves and what follows it is gone."""
+    """It is sent to its end though there is a newer one, else one that is renewed faster than it is
+    sent would never arrive; but not where nothing moves and what follows it is gone."""
     followed = transfer.snapshot is base or tail.covers(transfer.head.index + 1)
     return followed or not transfer.is_stalled(now)
 
--- a/playhouse/promptbook/store.py
+++ b/cairndale/raft/storage.py
@@ -1,8 +1,9 @@
-"""What a member of the core keeps on disk, in lmdb: its disk's name, its promise, snapshot and entries.
+"""What a member of the core keeps on disk, in lmdb: its disk's name, its promise, snapshot and
+entries.
 
-A snapshot stands in parts under a generation of its own. `snapshot` in `meta` points at the one in force;
-another is put beside it, part by part, and takes its place in one transaction once it is whole.
-"""
+A snapshot stands in parts under a generation of its own. `snapshot` in `meta` points at the one in
+force; another is put beside it, part by part, and takes its place in one transaction once it is
+whole."""
 
 from __future__ import annotations
 
@@ -14,8 +15,8 @@
 import lmdb
 from google.protobuf.message import DecodeError
 
-from playhouse.promptbook import codec, parts
-from playhouse.promptbook.messages import (
+from cairndale.raft import codec, fragments
+from cairndale.raft.messages import (
     HardState,
     KeepEntries,
     KeepPart,
@@ -44,12 +45,15 @@
 
 class Store:
     def __init__(self, folder: Path, look: bool = False, room: int = ROOM) -> None:
-        """`look`: nothing is changed, and nothing made where there is nothing. Raises StoreError."""
+        """`look`: nothing is changed, and nothing made where there is nothing. Raises
+        StoreError."""
         if not look:
             folder.mkdir(parents=True, exist_ok=True)
         try:
             path = str(folder / "promptbook")
-            self._env = lmdb.open(path, map_size=room, max_dbs=3, lock=False, readonly=look, create=not look)
+            self._env = lmdb.open(
+                path, map_size=room, max_dbs=3, lock=False, readonly=look, create=not look
+            )
             self._meta = self._env.open_db(b"meta", create=not look)
             self._entries = self._env.open_db(b"entries", create=not look)
             with self._env.begin(self._meta) as read:
@@ -78,7 +82,11 @@
             with self._env.begin(write=True) as change:
                 change.put(b"format", FORMAT, db=self._meta)
                 change.put(b"disk", disk.encode(), db=self._meta)
-                change.put(b"promise", struct.pack(">Q", kept.term) + kept.voted_for.encode(), db=self._meta)
+                change.put(
+                    b"promise",
+                    struct.pack(">Q", kept.term) + kept.voted_for.encode(),
+                    db=self._meta,
+                )
                 self._put_whole(change, kept.snapshot)
         except lmdb.Error as error:
             raise StoreError(str(error)) from error
@@ -136,7 +144,7 @@
                     due = kept.snapshot.index + len(kept.entries) + 1
                     if entry.index != due or struct.unpack(">Q", key)[0] != due:
                         raise StoreError(f"entry {entry.index} stands where another is due")
-                    if not parts.is_sound(entry.data):
+                    if not fragments.is_sound(entry.data):
                         raise StoreError(f"entry {entry.index} is not as it was written")
                     kept.entries.append(entry)
         return kept
@@ -154,7 +162,8 @@
     # Writing.
 
     def write(self, writes: Iterable[Write]) -> None:
-        """All of them at once; synced when this returns. Raises StoreError, and nothing is changed."""
+        """All of them at once; synced when this returns. Raises StoreError, and nothing is
+        changed."""
         try:
             with self._env.begin(write=True) as change:
                 for write in writes:
@@ -200,7 +209,9 @@
     def _next(self, change: lmdb.Transaction) -> bytes:
         """A generation that no other snapshot ever had while anything of it may be left."""
         used = [self._pointer(change, name) for name in (b"snapshot", MADE, RECEIVED)]
-        highest = max((struct.unpack(">Q", pointer[:8])[0] for pointer in used if pointer), default=0)
+        highest = max(
+            (struct.unpack(">Q", pointer[:8])[0] for pointer in used if pointer), default=0
+        )
         with change.cursor(self._parts) as cursor:
             if cursor.last():
                 highest = max(highest, struct.unpack(">Q", cursor.key()[:8])[0])
@@ -211,7 +222,11 @@
         wanted = codec.head_out(head)
         for slot in (MADE, RECEIVED):
             pointer = self._pointer(change, slot)
-            if pointer and pointer[8:] == wanted and len(self._read(change, pointer)[1]) == head.size:
+            if (
+                pointer
+                and pointer[8:] == wanted
+                and len(self._read(change, pointer)[1]) == head.size
+            ):
                 change.put(b"snapshot", pointer, db=self._meta)
                 change.delete(slot, db=self._meta)
                 return True
@@ -233,8 +248,8 @@
             raise StoreError(f"cannot be written: {error!r}") from error
 
     def sweep(self) -> bool:
-        """Removes some of what no pointer leads to any longer: parts, and entries that the snapshot took the
-        place of. False if nothing is left. Raises StoreError."""
+        """Removes some of what no pointer leads to any longer: parts, and entries that the snapshot
+        took the place of. False if nothing is left. Raises StoreError."""
         try:
             with self._env.begin(write=True) as change:
                 used = [self._pointer(change, name) for name in (b"snapshot", MADE, RECEIVED)]
--- a/playhouse/promptbook/voters.py
+++ b/cairndale/raft/voters.py
@@ -1,5 +1,5 @@
-"""Which members of the core are to vote: an odd number, spread over zones and regions so that what may be
-lost leaves a majority. Pure; who is lost or up to date is the caller's to say."""
+"""Which members of the core are to vote: an odd number, spread over zones and regions so that what
+may be lost leaves a majority. Pure; who is lost or up to date is the caller's to say."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass
 
-from playhouse.promptbook.messages import Member
+from cairndale.raft.messages import Member
 
-LEAST = 5  # voters, where there are as many: one more may be lost while the first one's place is taken
+# voters, where there are as many: one more may be lost while the first one's place is taken
+LEAST = 5
 MOST = 9  # a change waits for a majority of them
 SWAPS = 2  # at once, for the sake of the spread
 
@@ -36,7 +37,8 @@
 
 
 def shortfall(voters: Sequence[Member], lost: Collection[str], tolerance: Tolerance) -> int:
-    """How many voters a majority lacks after the worst loss, with those disks lost already; 0: none."""
+    """How many voters a majority lacks after the worst loss, with those disks lost already; 0:
+    none."""
     live = [m for m in voters if m.disk not in lost]
     worst = max(
         min(tolerance.nodes, len(live)),
@@ -46,7 +48,9 @@
     return max(0, len(voters) // 2 + 1 - (len(live) - worst))
 
 
-def _crowd(member: Member, among: Iterable[Member], tolerance: Tolerance) -> tuple[int, int, int, str]:
+def _crowd(
+    member: Member, among: Iterable[Member], tolerance: Tolerance
+) -> tuple[int, int, int, str]:
     """How many share its places; the fewer, the better it spreads them."""
     zone = region = 0
     for other in among:
@@ -72,8 +76,8 @@
 
 
 def wanted(members: Collection[Member], tolerance: Tolerance) -> int:
-    """How many voters there are to be, an odd number: LEAST or more if that bears the tolerance, else fewer
-    that do, else what the number of members gives."""
+    """How many voters there are to be, an odd number: LEAST or more if that bears the tolerance,
+    else fewer that do, else what the number of members gives."""
     needed = 2 * tolerance.nodes + 1
     least, most = max(needed, LEAST), max(1, len(members) - 1 + len(members) % 2)
     more, fewer = range(min(least, most), min(MOST, most) + 1, 2), range(least - 2, needed - 1, -2)
@@ -85,15 +89,20 @@
 
 
 def next_voters(
-    members: Collection[Member], fit: Collection[str], steady: Collection[str], lost: Collection[str],
-    leaving: Collection[str], keep: str, tolerance: Tolerance,
-) -> frozenset[str]:  # fmt: skip
-    """The disks that are to vote from the next configuration on; those of now, where nothing is better.
-
-    `fit`: disks that are up to date; `steady`: of those heard for as long as it takes to call one lost;
-    `lost`: of members that were silent for so long; `leaving`: of those that said so; `keep`: the leader's,
-    which stays. No set that bears less takes the place of another.
-    """
+    members: Collection[Member],
+    fit: Collection[str],
+    steady: Collection[str],
+    lost: Collection[str],
+    leaving: Collection[str],
+    keep: str,
+    tolerance: Tolerance,
+) -> frozenset[str]:
+    """The disks that are to vote from the next configuration on; those of now, where nothing is
+    better.
+
+    `fit`: disks that are up to date; `steady`: of those heard for as long as it takes to call one
+    lost; `lost`: of members that were silent for so long; `leaving`: of those that said so; `keep`:
+    the leader's, which stays. No set that bears less takes the place of another."""
     away = frozenset((*lost, *leaving))
     before = [m for m in members if not m.learner]
     spare = [m for m in members if m.learner and m.disk in fit and m.disk not in away]
@@ -117,10 +126,14 @@
         now = voters
         spare[:] = [m for m in spare if m not in now]
 
-    for one in sorted((m for m in before if m.disk in away), key=lambda m: (m.disk not in leaving, m)):
+    for one in sorted(
+        (m for m in before if m.disk in away), key=lambda m: (m.disk not in leaving, m)
+    ):
         if one.disk != keep and (other := swapped(one)):
             take(other)
-    for one in [m for m in now if m.disk in leaving and m.disk != keep]:  # nobody can take its place
+    for one in [
+        m for m in now if m.disk in leaving and m.disk != keep
+    ]:  # nobody can take its place
         rest = [m for m in now if m != one]
         if rest and (lacks(rest) < lacks(now) or len(now) > most):
             take(rest)
--- a/playhouse/callboard/board.py
+++ b/cairndale/registry/endpoints.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from playhouse.settings import seconds
+from cairndale.settings import seconds
 
 STATES = ("ready", "draining", "gone")
 MISSED = 3  # beats in a row after which a server is taken for gone
@@ -32,12 +32,16 @@
     heard_at: float
     ended: bool = False  # it said so itself: no word of it counts any longer
     changed: int = 0  # the board's number at its last change
-    told: tuple[int, bytes] = (-1, b"")  # at which change, and how others are told of it while it is not cold
+    told: tuple[int, bytes] = (
+        -1,
+        b"",
+    )  # at which change, and how others are told of it while it is not cold
 
     def plain(self, told: Seen) -> bool:
         """A later word that says nothing which the data plane would have to hear."""
         same = all(
-            getattr(self, n) == getattr(told, n) for n in ("service", "addr", "zone", "capacity", "state")
+            getattr(self, n) == getattr(told, n)
+            for n in ("service", "addr", "zone", "capacity", "state")
         )
         return same and told.cold_until <= max(self.cold_until, told.heard_at) + 0.3
 
@@ -75,11 +79,17 @@
         errors.append(f"status.warmupLeft: {error}")
         cold = now
     made = Seen(
-        id, part(details, "details.", "backend", str), addr, part(details, "details.", "zone", str),
+        id,
+        part(details, "details.", "backend", str),
+        addr,
+        part(details, "details.", "zone", str),
         str(details.get("gen", "")) if isinstance(details, dict) else "",
-        part(details, "details.", "capacity", int, 1), state, cold,
-        part(status, "status.", "seq", int, 0, 1 << 62), now,
-    )  # fmt: skip
+        part(details, "details.", "capacity", int, 1),
+        state,
+        cold,
+        part(status, "status.", "seq", int, 0, 1 << 62),
+        now,
+    )
     if errors:
         raise BeatError(errors)
     return made
@@ -132,7 +142,8 @@
         return True
 
     def expire(self, now: float, beat: float) -> bool:
-        """Those silent for too long are gone, until they are heard again; those long gone are forgotten."""
+        """Those silent for too long are gone, until they are heard again; those long gone are
+        forgotten."""
         news = False
         for id, seen in list(self.servers.items()):
             silent = now - seen.heard_at
--- a/playhouse/callboard/collector.py
+++ b/cairndale/registry/heartbeats.py
@@ -1,13 +1,14 @@
-"""Beats that come to one that does not lead: those that say nothing new are told to the leader together."""
+"""Beats that come to one that does not lead: those that say nothing new are told to the leader
+together."""
 
 from __future__ import annotations
 
 import json
 
-from playhouse.callboard.board import Board, Seen, read_beat
-from playhouse.company.roll import Roll
-from playhouse.settings import Settings
-from playhouse.wings import cues_pb2 as pb
+from cairndale.registry.endpoints import Board, Seen, read_beat
+from cairndale.registry.nodes import Roll
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.settings import Settings
 
 
 class Collector:
@@ -15,11 +16,13 @@
 
     def __init__(self, settings: Settings, board: Board, roll: Roll) -> None:
         self._settings, self._board, self._roll = settings, board, roll
-        self._beats: dict[str, tuple[int, float]] = {}  # by server: seq, and when it came; not told for sure
+        self._beats: dict[
+            str, tuple[int, float]
+        ] = {}  # by server: seq, and when it came; not told for sure
 
     def nearer(self, body: bytes) -> dict[str, str]:
-        """Where a server's later beats are to go, if that is not here: they are the most of what crosses
-        zones. Only those that the leader has heard of late are named."""
+        """Where a server's later beats are to go, if that is not here: they are the most of what
+        crosses zones. Only those that the leader has heard of late are named."""
         zone = json.loads(body)["details"]["zone"]
         region = self._settings.zones.get(zone, "")
         if zone == self._settings.zone:
@@ -52,7 +55,9 @@
         """What is to be told to the leader."""
         self._beats = {id: beat for id, beat in self._beats.items() if id in self._board.servers}
         ages = [round((now - came) * 1000) for _, came in self._beats.values()]
-        return pb.Beats(id=list(self._beats), seq=[seq for seq, _ in self._beats.values()], age_ms=ages)
+        return pb.Beats(
+            id=list(self._beats), seq=[seq for seq, _ in self._beats.values()], age_ms=ages
+        )
 
     def told(self, beats: pb.Beats) -> None:
         """A leader has answered that it has heard this."""
--- a/playhouse/company/roll.py
+++ b/cairndale/registry/nodes.py
@@ -1,28 +1,32 @@
-"""Which ingresses there are: each holds a lease at the duty's leader and is a member while it renews it.
+"""Which ingresses there are: each holds a lease at the duty's leader and is a member while it
+renews it.
 
-Times are seconds on the leader's clock. A lease runs for its leader from when it asked, here from the
-answer on: so it has ended there before it ends here.
-"""
+Times are seconds on the leader's clock. A lease runs for its leader from when it asked, here from
+the answer on: so it has ended there before it ends here."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from playhouse.wings import cues_pb2 as pb
+from cairndale.rpc import protocol_pb2 as pb
 
 LEASE = 4.5  # s: shorter than `ack`, as an acknowledgement waits for those silent to have stopped
 MISSED = 0.8  # s without a word after which clients are no longer sent there
 HOLD = 0.25  # s that an ask may be kept while there is no news, or ...
 HOLD_EACH = 0.015  # ... so many for each ingress, if that is more, up to ...
-HOLD_MOST = 1.0  # ... this: two in a row, an answer that is waited for and the search for another leader
+# ... this: two in a row, an answer that is waited for and the search for another leader
+HOLD_MOST = 1.0
 # take less than a lease. Beyond HOLD_MOST / HOLD_EACH ingresses the leader pays in asks a second.
 ASK_LAG = 0.35  # s beyond the hold that an answer is waited for ...
-LAG_PART = 0.5  # ... and this part of what the hold is beyond HOLD: with many, answers are larger, and queue
-HEARD = 0.25  # s beyond that after which an ingress may be out of touch, as far as its leader can tell ...
+# ... and this part of what the hold is beyond HOLD: with many, answers are larger, and queue
+LAG_PART = 0.5
+# s beyond that after which an ingress may be out of touch, as far as its leader can tell ...
+HEARD = 0.25
 FRESH = 0.05  # s between an ask and its coming within which it counts as made when it came
 PROMPT = 0.05  # s from a cue to the next ask within which that says that who asks is in touch
-LOST = 0.4  # ... and after which it is, as it sees it itself: over HEARD + FRESH + PROMPT, with a margin
+# ... and after which it is, as it sees it itself: over HEARD + FRESH + PROMPT, with a margin
+LOST = 0.4
 
 
 def hold(edges: int) -> float:
@@ -31,7 +35,8 @@
 
 
 def patience(wait: float) -> float:
-    """s that who asks waits for an answer that may be kept for `wait`, before it looks for another leader."""
+    """s that who asks waits for an answer that may be kept for `wait`, before it looks for another
+    leader."""
     return wait + ASK_LAG + LAG_PART * max(0.0, wait - HOLD)
 
 
@@ -56,7 +61,9 @@
         self.leases: dict[str, NodeLease] = {}  # by name
         self.number = 0  # rises with every change of who is here
         self.joined = 0  # rises with every name that is new
-        self._changed: dict[str, int] = {}  # by name, of those no longer known as well; the newest last
+        self._changed: dict[
+            str, int
+        ] = {}  # by name, of those no longer known as well; the newest last
 
     def _change(self, name: str) -> None:
         self.number += 1
@@ -68,19 +75,24 @@
         for name in names:
             if name not in self.leases:
                 unheard = pb.Node(name=name, kind="edge")
-                self.leases[name] = NodeLease(unheard, now + LEASE, float("-inf"), float("-inf"), -1)
+                self.leases[name] = NodeLease(
+                    unheard, now + LEASE, float("-inf"), float("-inf"), -1
+                )
                 self.joined += 1
         for held in self.leases.values():
             held.lease_end, held.script = now + LEASE, -1
             held.asked_at = held.made_at = float("-inf")
-            if held.here:  # as the last leader knew it: clients are sent there until it is missed here
+            if (
+                held.here
+            ):  # as the last leader knew it: clients are sent there until it is missed here
                 held.heard_at = now
             held.counting = False
             held.idle_from = held.idle_until = float("inf")
 
     def was_held_up(self, now: float, node: pb.Node, made: float | None) -> bool:
-        """An ask that says nothing of now: a later one of the same life has come before it, or a lease that
-        began with it would be over. `made`: when, at the earliest; None: it has not heard of this term."""
+        """An ask that says nothing of now: a later one of the same life has come before it, or a
+        lease that began with it would be over. `made`: when, at the earliest; None: it has not
+        heard of this term."""
         known = self.leases.get(node.name)
         before = known.made_at if known and known.node.life == node.life else float("-inf")
         return before > float("-inf") if made is None else made < before or now - made > LEASE
@@ -98,7 +110,9 @@
             self.joined += 1
             return True
         news = known.node != node or not known.here
-        new_life = known.node.life != node.life  # a machine runs one life of a role: the one before is over
+        new_life = (
+            known.node.life != node.life
+        )  # a machine runs one life of a role: the one before is over
         known.script = script if new_life else max(known.script, script)
         known.node, known.heard_at, known.waiting, known.here = node, now, True, True
         known.asked_at, known.made_at = asked, made_at
@@ -107,8 +121,8 @@
         return news
 
     def watch(self, now: float) -> bool:
-        """Those not heard for a while are not here; those whose lease is long over are forgotten. True if
-        it is news."""
+        """Those not heard for a while are not here; those whose lease is long over are forgotten.
+        True if it is news."""
         before = self.number
         for name, held in list(self.leases.items()):
             if held.here and not held.waiting and now - held.heard_at >= MISSED:
@@ -127,7 +141,9 @@
         return sum(
             1
             for h in self.leases.values()
-            if not (h.counting and h.asked_at >= since) and h.lease_end >= now and h.node.kind == "edge"
+            if not (h.counting and h.asked_at >= since)
+            and h.lease_end >= now
+            and h.node.kind == "edge"
         )
 
     def idle(self, now: float) -> float:
@@ -153,7 +169,9 @@
     def all_at(self, now: float, script: int) -> bool:
         """Nobody can serve by an older version any longer."""
         return all(
-            h.script >= script for h in self.leases.values() if h.lease_end >= now and h.node.kind == "edge"
+            h.script >= script
+            for h in self.leases.values()
+            if h.lease_end >= now and h.node.kind == "edge"
         )
 
     def here(self) -> list[pb.Node]:
--- a/playhouse/wings/lists.py
+++ b/cairndale/rpc/compression.py
@@ -1,4 +1,5 @@
-"""Lists of servers and nodes inside a cue: encoded and packed once for all who are told the same."""
+"""Lists of servers and nodes inside a cue: encoded and packed once for all who are told the
+same."""
 
 from __future__ import annotations
 
@@ -6,7 +7,7 @@
 
 from google.protobuf.message import DecodeError
 
-from playhouse.wings import cues_pb2 as pb
+from cairndale.rpc import protocol_pb2 as pb
 
 MOST = 64 * 1024 * 1024  # bytes of lists that are unpacked
 LEVEL = 1  # names and addresses look alike: more work saves little
--- a/playhouse/wings/frames.py
+++ b/cairndale/rpc/framing.py
@@ -1,9 +1,10 @@
-"""One connection between two processes of the system: lengths, frames, and the hello that names both ends.
+"""One connection between two processes of the system: lengths, frames, and the hello that names
+both ends.
 
-The first frame each way is a hello: format, system, life and door of who sends it, and whom it is meant for.
-It goes out together with the first call, so that it costs no round trip. What is not understood, of another
-system, or meant for another, ends the connection before anything is acted upon.
-"""
+The first frame each way is a hello: format, system, life and door of who sends it, and whom it is
+meant for. It goes out together with the first call, so that it costs no round trip. What is not
+understood, of another system, or meant for another, ends the connection before anything is acted
+upon."""
 
 from __future__ import annotations
 
@@ -15,7 +16,7 @@
 
 from google.protobuf.message import DecodeError
 
-from playhouse.wings import cues_pb2 as pb
+from cairndale.rpc import protocol_pb2 as pb
 
 FORMAT = 1  # of frames
 MOST = 32 * 1024 * 1024  # bytes of a frame
@@ -63,7 +64,8 @@
         self.heard_at = 0.0
         self.peer: pb.Hello | None = None  # who is at the other end, as it said itself
         self.was_greeted = False  # its first hello was heard
-        self.is_strange = False  # it named a system while we knew of none: what it says unasked is not heard
+        # it named a system while we knew of none: what it says unasked is not heard
+        self.is_strange = False
         self._has_greeted = False
         self._expiry: asyncio.TimerHandle | None = None
 
@@ -114,7 +116,8 @@
         del self._buffer[:at]
 
     def _hear_hello(self, envelope: pb.Envelope) -> bool:
-        """False if the connection has ended over it. A later one may only bring the system's name."""
+        """False if the connection has ended over it. A later one may only bring the system's
+        name."""
         if not envelope.HasField("hello"):
             self._process.garbled(self, "no hello")
             return False
--- a/playhouse/wings/reach.py
+++ b/cairndale/rpc/leader_client.py
@@ -1,4 +1,5 @@
-"""How the leader of the duty is found and called: straight, or passed on by a peer where the way is cut."""
+"""How the leader of the duty is found and called: straight, or passed on by a peer where the way is
+cut."""
 
 from __future__ import annotations
 
@@ -6,12 +7,12 @@
 import random
 from collections.abc import Callable
 
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.kinds import KINDS, Repeat
-from playhouse.wings.links import Wings
-from playhouse.wings.lists import unpack
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.call_kinds import KINDS, Repeat
+from cairndale.rpc.compression import unpack
+from cairndale.rpc.peer import Wings
 
 AVOID = (1.0, 8.0)  # s that a door that did not answer is gone around: at first, and at most
 PAUSE = (0.03, 0.12)  # s between tries while nobody holds the duty
@@ -19,12 +20,19 @@
 
 
 class Reach:
-    def __init__(self, wings: Wings, cores: Callable[[], list[str]], peers: Callable[[], list[str]]) -> None:
+    def __init__(
+        self, wings: Wings, cores: Callable[[], list[str]], peers: Callable[[], list[str]]
+    ) -> None:
         """`cores`: doors where the duty may be held; `peers`: those that may pass calls on."""
         self._wings, self._cores, self._peers = wings, cores, peers
         self.hint = ""
-        self._turn, self._id = random.getrandbits(16), 0  # those that start together do not all dial the same
-        self._bad: dict[str, tuple[float, float]] = {}  # by door: until when, and for how long that was
+        self._turn, self._id = (
+            random.getrandbits(16),
+            0,
+        )  # those that start together do not all dial the same
+        self._bad: dict[
+            str, tuple[float, float]
+        ] = {}  # by door: until when, and for how long that was
 
     def _next(self) -> str:
         cores = [d for d in self._cores() if d != self._wings.own]
@@ -55,18 +63,23 @@
             self._wings.tell(self.hint, envelope)
 
     async def _rest(self, pause: float, end: float) -> None:
-        """Not beyond the end of the call: whoever waits for it is to hear in time that it failed."""
+        """Not beyond the end of the call: whoever waits for it is to hear in time that it
+        failed."""
         await asyncio.sleep(min(pause, max(0.0, end - self._wings.now())))
 
     async def call(self, envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
         """The leader's answer, in `within` seconds over all tries and `patience` for one. Raises
-        SystemFailure. The call may reach the leader more than once, and late: `KINDS` says what each kind
-        bears that by. A word of an older leader than one that was heard is no answer."""
+        SystemFailure. The call may reach the leader more than once, and late: `KINDS` says what
+        each kind bears that by. A word of an older leader than one that was heard is no answer."""
         kind = KINDS[envelope.WhichOneof("body") or ""]
         if kind.repeat is Repeat.REMEMBERED:
             self._id += 1
             envelope.id = self._id
-        end, wings, failure = self._wings.now() + within, self._wings, SystemFailure(Code.UNREACHABLE)
+        end, wings, failure = (
+            self._wings.now() + within,
+            self._wings,
+            SystemFailure(Code.UNREACHABLE),
+        )
         for _ in range(TRIES):
             now = wings.now()
             if now >= end:
@@ -102,7 +115,9 @@
                 continue
             try:
                 unpack(answer.cue)
-            except ValueError as error:  # whoever leads has said something: it is asked anew, not believed
+            except (
+                ValueError
+            ) as error:  # whoever leads has said something: it is asked anew, not believed
                 note(Event.GARBLED_FRAME, "%s: %s", door, error)
                 failure = SystemFailure(Code.SILENT, str(error))
                 await self._rest(random.uniform(*PAUSE), end)
--- a/playhouse/wings/listener.py
+++ b/cairndale/rpc/listener.py
@@ -1,8 +1,7 @@
 """A listening socket of which many connections are taken in one turn of the event loop.
 
-The loop's own server takes one a turn. A process that many call has long turns, so after a start of all its
-queue would be full of connections whose callers have given up before they are taken.
-"""
+The loop's own server takes one a turn. A process that many call has long turns, so after a start of
+all its queue would be full of connections whose callers have given up before they are taken."""
 
 from __future__ import annotations
 
@@ -11,10 +10,11 @@
 import socket
 from collections.abc import Callable
 
-from playhouse.events import Event, note
-from playhouse.settings import Door
+from cairndale.events import Event, note
+from cairndale.settings import Door
 
-BACKLOG = 4096  # connections that wait to be taken: an opening packet that is dropped is sent again after 1 s
+# connections that wait to be taken: an opening packet that is dropped is sent again after 1 s
+BACKLOG = 4096
 EACH_TURN = 32  # connections taken, before others have theirs
 PAUSE = 0.2  # s in which none is taken, after one could not be: no descriptor is free
 
--- a/playhouse/wings/links.py
+++ b/cairndale/rpc/peer.py
@@ -1,10 +1,10 @@
-"""Connections between the system's own processes: calls with answers, passing on for who is cut off.
+"""Connections between the system's own processes: calls with answers, passing on for who is cut
+off.
 
-A call that fails says whether the other side may have acted on it (`SystemFailure.may_have_run`). An answer
-is taken on the connection that its call went out on, which leads to one life of one process, and on no
-other. Every wait is limited, every queue bounded; a connection on which nothing is acknowledged is given up,
-as behind a cut it would hang.
-"""
+A call that fails says whether the other side may have acted on it (`SystemFailure.may_have_run`).
+An answer is taken on the connection that its call went out on, which leads to one life of one
+process, and on no other. Every wait is limited, every queue bounded; a connection on which nothing
+is acknowledged is given up, as behind a cut it would hang."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from playhouse.errors import Code, SystemFailure
-from playhouse.events import Event, note
-from playhouse.settings import Door, shown
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.frames import FORMAT, Frames
-from playhouse.wings.kinds import Fence
-from playhouse.wings.listener import Listener
+from cairndale.errors import Code, SystemFailure
+from cairndale.events import Event, note
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.call_kinds import Fence
+from cairndale.rpc.framing import FORMAT, Frames
+from cairndale.rpc.listener import Listener
+from cairndale.settings import Door, shown
 
-DIAL = 0.3  # s for a connection to come up: what goes to a machine that is dark is not sent again for seconds
+# s for a connection to come up: what goes to a machine that is dark is not sent again for seconds
+DIAL = 0.3
 PAUSE = (0.05, 0.4)  # s between dials of a door that fail: the first, the longest
-CALLERS = 16_384  # calls of others that are worked on at once: an ask of each ingress is kept, and after a
+# calls of others that are worked on at once: an ask of each ingress is kept, and after a
+CALLERS = 16_384
 # start of all one of each of their lives before
-BEGUN = 32  # calls of others that are begun in one turn of the loop: a leader's own beats are due in each
+# calls of others that are begun in one turn of the loop: a leader's own beats are due in each
+BEGUN = 32
 DIALLED = 256  # envelopes that wait for one connection to come up
 PASSED = 2.0  # s for the answer to a call that is passed on
 REMARK = 5.0  # s between two lines of the log about the same kind of foreign word
@@ -50,7 +53,9 @@
         self._loop = asyncio.get_running_loop()
         self._made: dict[str, Frames] = {}  # by the door they lead to
         self._dials: dict[str, asyncio.Task[None]] = {}
-        self._pause: dict[str, tuple[float, float]] = {}  # by door: not before, and the pause after that
+        self._pause: dict[
+            str, tuple[float, float]
+        ] = {}  # by door: not before, and the pause after that
         self._all: set[Frames] = set()
         self._queued: dict[str, list[pb.Envelope]] = {}  # until a dial is up
         self._calls: dict[int, _Waiting] = {}
@@ -58,10 +63,16 @@
         self.life = f"{random.getrandbits(48):x}"
         self.system = ""  # its name, once it is known
         self.fence = Fence()
-        self._remarks: dict[Event, tuple[float, int]] = {}  # not before when, and how many were left out
-        self.lost: Callable[[str], None] = lambda door: None  # told when a connection to a door has ended
+        self._remarks: dict[
+            Event, tuple[float, int]
+        ] = {}  # not before when, and how many were left out
+        self.lost: Callable[[str], None] = lambda door: (
+            None
+        )  # told when a connection to a door has ended
         self._tasks: set[asyncio.Task[None]] = set()
-        self._come: deque[tuple[Frames, pb.Envelope]] = deque()  # calls of others that are not begun yet
+        self._come: deque[tuple[Frames, pb.Envelope]] = (
+            deque()
+        )  # calls of others that are not begun yet
         self._turn: asyncio.Handle | None = None  # the next one in which some of them are
         self._server: Listener | None = None
         self.counts: dict[str, int] = {}  # of what was refused, by why
@@ -89,8 +100,8 @@
         self._all.add(frames)
 
     def greeted(self, frames: Frames) -> bool:
-        """Who has no name for its system yet may be new to this one. Who has none itself learns it from those
-        it dialled: it was told of them."""
+        """Who has no name for its system yet may be new to this one. Who has none itself learns it
+        from those it dialled: it was told of them."""
         peer = frames.peer
         assert peer
         if peer.format != FORMAT:
@@ -111,7 +122,8 @@
         return True
 
     def name_system(self, name: str) -> None:
-        """The name is known from now on: all who are connected hear of it, and who is of another is left."""
+        """The name is known from now on: all who are connected hear of it, and who is of another is
+        left."""
         if name == self.system:
             return
         self.system = name
@@ -137,7 +149,9 @@
         """A leader's word of an older term than one that was heard: nothing is to come of it."""
         if envelope.fault or self.fence.admits(envelope.term):
             return False
-        self._refuse("outdated", Event.OLD_TERM, f"{envelope.term} at {door}, after {self.fence.newest}")
+        self._refuse(
+            "outdated", Event.OLD_TERM, f"{envelope.term} at {door}, after {self.fence.newest}"
+        )
         return True
 
     def _refuse(self, what: str, event: Event, why: str) -> None:
@@ -152,7 +166,9 @@
 
     def closed(self, frames: Frames) -> None:
         self._all.discard(frames)
-        if frames.door and frames.peer is None:  # it was not let in, or nobody is there: not dialled at once
+        if (
+            frames.door and frames.peer is None
+        ):  # it was not let in, or nobody is there: not dialled at once
             self._pause_dials(frames.door)
         if frames.door and self._made.get(frames.door) is frames:
             del self._made[frames.door]
@@ -165,7 +181,9 @@
         host, _, port = door.rpartition(":")
         try:
             async with asyncio.timeout(DIAL):
-                _, made = await self._loop.create_connection(lambda: self.frames(self, door), host, int(port))
+                _, made = await self._loop.create_connection(
+                    lambda: self.frames(self, door), host, int(port)
+                )
             if made.transport is None:  # it came up and ended before this went on
                 raise ConnectionResetError
         except (OSError, TimeoutError):
@@ -217,7 +235,9 @@
     def came(self, frames: Frames, envelope: pb.Envelope) -> None:
         if envelope.answer:
             waiting = self._calls.get(envelope.call)
-            if waiting is None or waiting.frames is not frames:  # late, or by one that was not asked
+            if (
+                waiting is None or waiting.frames is not frames
+            ):  # late, or by one that was not asked
                 self.counts["unasked"] = self.counts.get("unasked", 0) + 1
             elif not waiting.future.done():
                 waiting.future.set_result(envelope)
--- a/playhouse/extras/__init__.py
+++ b/cairndale/scale/__init__.py
@@ -1,1 +1,2 @@
-"""A scale run: hollow ingresses and servers beside real core processes, and what each role costs by size."""
+"""A scale run: hollow ingresses and servers beside real core processes, and what each role costs by
+size."""
--- a/playhouse/extras/__main__.py
+++ b/cairndale/scale/__main__.py
@@ -1,4 +1,5 @@
-"""`./demo scale`: a run of one size, and what each role cost in it. It ends by itself and leaves nothing."""
+"""`./demo scale`: a run of one size, and what each role cost in it. It ends by itself and leaves
+nothing."""
 
 from __future__ import annotations
 
@@ -16,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
-from ironledge.lab.stopping import heed_ctrl_c, run_until_stopped
-from playhouse.extras.run import Run
-from playhouse.extras.sizes import Size, errors_of, memory_of_machine_mb
-from playhouse.rehearsal.world import ROOT
+from cairndale.chaos.world import ROOT
+from cairndale.lab.stopping import heed_ctrl_c, run_until_stopped
+from cairndale.scale.run import Run
+from cairndale.scale.sizes import Size, errors_of, memory_of_machine_mb
 
 TIMES = ("p50", "p99", "last")
 LONGEST = 600.0  # s that a whole run may take beyond its measured stretch
@@ -33,7 +34,9 @@
         parser.add_argument(name, type=kind, default=field.default, help=f"default {field.default}")
     parser.add_argument("--json", type=Path, help="where the figures go as JSON as well")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--steady", action="store_true", help="measure only, bring no trouble about")
+    parser.add_argument(
+        "--steady", action="store_true", help="measure only, bring no trouble about"
+    )
     given = parser.parse_args(arguments)
     return Size(**{field.name: getattr(given, field.name) for field in fields(Size)}), given
 
@@ -47,11 +50,14 @@
     for role, row in told["roles"].items():
         lines.append(
             f"{role:17s}{row['processes']:4d}{row['cpu']:8.3f}{row['mb']:7.0f}{row['messages_out']:9.1f}"
-            f"{row['bytes_out'] / 1000:10.1f}{row['bytes_in'] / 1000:9.1f}{1000 * row['late_p50']:10.2f}"
+            f"{row['bytes_out'] / 1000:10.1f}{row['bytes_in'] / 1000:9.1f}"
+            f"{1000 * row['late_p50']:10.2f}"
             f"{1000 * row['late_p99']:8.2f}{1000 * row['late_most']:9.1f}"
         )
     made, hollow = told["changes"], told["hollow"]
-    acked, served = (" ".join(f"{made[f'{kind}_{at}']:.3f}" for at in TIMES) for kind in ("acked", "served"))
+    acked, served = (
+        " ".join(f"{made[f'{kind}_{at}']:.3f}" for at in TIMES) for kind in ("acked", "served")
+    )
     lines += [
         f"{made['count']} orders, {told['refused']} more without a clear answer",
         f"s to the acknowledgement, p50 p99 last: {acked}",
@@ -62,14 +68,17 @@
     ]
     if found := told["look-ups"]:
         lines.append(
-            f"{found['count']} look-ups, {found['failed']} more failed: {1e6 * found['cpu_each']:.0f} us and "
+            f"{found['count']} look-ups, {found['failed']} more failed: "
+            f"{1e6 * found['cpu_each']:.0f} us and "
             f"{found['bytes_in']:.0f} bytes each, {found['addresses']} addresses at the most"
         )
     return "\n".join(lines)
 
 
 def commit() -> str:
-    found = subprocess.run(("git", "rev-parse", "--short", "HEAD"), cwd=ROOT, capture_output=True, text=True)
+    found = subprocess.run(
+        ("git", "rev-parse", "--short", "HEAD"), cwd=ROOT, capture_output=True, text=True
+    )
     return found.stdout.strip() or "unknown"
 
 
@@ -121,7 +130,11 @@
         except (OSError, TimeoutError) as error:
             print(f"the run was given up: {error or 'it took too long'}", file=sys.stderr)
             return 1
-    machine = {"processors": os.cpu_count(), "load_before": before[0], "load_after": os.getloadavg()[0]}
+    machine = {
+        "processors": os.cpu_count(),
+        "load_before": before[0],
+        "load_after": os.getloadavg()[0],
+    }
     told |= {"size": asdict(size), "commit": at, "seed": given.seed, "machine": machine}
     print(table(told))
     if given.json:
--- a/playhouse/extras/content.py
+++ b/cairndale/scale/content.py
@@ -17,20 +17,27 @@
         "gen": gen,
         "routes": [
             {
-                "name": f"r{n}", "host": f"h{n % 97}.example", "pathPrefix": f"/p{n}/",
-                "kind": "idempotent" if n % 3 else "mutating", "deadline": "4000ms",
+                "name": f"r{n}",
+                "host": f"h{n % 97}.example",
+                "pathPrefix": f"/p{n}/",
+                "kind": "idempotent" if n % 3 else "mutating",
+                "deadline": "4000ms",
                 "target_time": f"{1000 + turn % 1000 if n == turn % routes else 1000}ms",
-                "tries": 2, "prio": n % 3, "backend": f"s{n % services}",
+                "tries": 2,
+                "prio": n % 3,
+                "backend": f"s{n % services}",
             }
             for n in range(routes)
         ],
-        "backends": [{"name": f"s{n}", "healthPath": "/h", "maxConns": 100} for n in range(services)],
+        "backends": [
+            {"name": f"s{n}", "healthPath": "/h", "maxConns": 100} for n in range(services)
+        ],
         "limits": {"headerTimeout": "3000ms", "idleTimeout": "15000ms"},
         "tenants": [
             {"name": f"t{n}", "apiKeys": [key(n)], "ratePerS": 100, "burst": 100}
             for n in range(tenants)
         ],
-    }  # fmt: skip
+    }
 
 
 def turned(gen: int, parent: int, routes: int, services: int, turn: int) -> dict[str, Any]:
--- a/playhouse/extras/fit.py
+++ b/cairndale/scale/fit.py
@@ -13,11 +13,13 @@
 
     factor: float
     power: float
-    error: float  # standard error of the power; without bound where two points leave nothing to tell it by
+    # standard error of the power; without bound where two points leave nothing to tell it by
+    error: float
     residuals: tuple[float, ...]  # of each point, as log(value / fitted)
 
     def at(self, size: float) -> tuple[float, float, float]:
-        """The value at a size, and from where to where it lies by two errors of the power and the spread."""
+        """The value at a size, and from where to where it lies by two errors of the power and the
+        spread."""
         middle = self.factor * size**self.power
         spread = max((abs(r) for r in self.residuals), default=0.0)
         off = 2 * self.error * log(max(size, 2.0)) + spread
--- a/playhouse/extras/floor.py
+++ b/cairndale/scale/floor.py
@@ -1,4 +1,5 @@
-"""`python -m playhouse.extras.floor FILE`: what the gauge itself costs a process that does nothing else."""
+"""`python -m cairndale.scale.floor FILE`: what the gauge itself costs a process that does nothing
+else."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 import tempfile
 from pathlib import Path
 
-from playhouse.extras.node import Node
+from cairndale.scale.node import Node
 
 SPAN = 10.0  # s
 
--- a/playhouse/extras/gauge.py
+++ b/cairndale/scale/gauge.py
@@ -1,4 +1,5 @@
-"""What a process costs: frames and bytes by kind, processor time, memory, and how late its event loop is.
+"""What a process costs: frames and bytes by kind, processor time, memory, and how late its event
+loop is.
 
 Bytes are those of the frames and the calls themselves, without what TCP and IP add.
 """
@@ -10,9 +11,9 @@
 from collections import Counter
 from typing import Any
 
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.frames import Frames
-from playhouse.wings.links import Wings
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.framing import Frames
+from cairndale.rpc.peer import Wings
 
 STEP = 0.01  # s between looks at the event loop
 MOST = 200_000  # looks that are kept
@@ -67,23 +68,30 @@
         span = max(1e-6, time.monotonic() - self._at)
         late = sorted(self.late) or [0.0]
         return {
-            "span": span, "cpu": (time.process_time() - self._cpu) / span,
-            "waited": (waited_s() - self._waited) / span, "mb": most_mb(),
-            "bytes_out": self.bytes_out / span, "bytes_in": self.bytes_in / span,
+            "span": span,
+            "cpu": (time.process_time() - self._cpu) / span,
+            "waited": (waited_s() - self._waited) / span,
+            "mb": most_mb(),
+            "bytes_out": self.bytes_out / span,
+            "bytes_in": self.bytes_in / span,
             "messages_out": (sum(self.out.values()) + self.requests) / span,
             "kinds": {kind: n / span for kind, n in self.out.items()},
-            "late_p50": quantile(late, 0.5), "late_p99": quantile(late, 0.99), "late_most": late[-1],
-        }  # fmt: skip
+            "late_p50": quantile(late, 0.5),
+            "late_p99": quantile(late, 0.99),
+            "late_most": late[-1],
+        }
 
 
 def waited_s() -> float:
-    """s that this process's main thread was ready to run and had no processor, as others had them all."""
+    """s that this process's main thread was ready to run and had no processor, as others had them
+    all."""
     with open("/proc/self/schedstat") as told:
         return int(told.read().split()[1]) / 1e9
 
 
 def most_mb() -> float:
-    """The most memory this process has held. `getrusage` would tell of its parent's where that was more."""
+    """The most memory this process has held. `getrusage` would tell of its parent's where that was
+    more."""
     with open("/proc/self/status") as status:
         return next(int(line.split()[1]) for line in status if line.startswith("VmHWM:")) / 1024
 
--- a/playhouse/extras/node.py
+++ b/cairndale/scale/node.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from playhouse.rehearsal.world import ROOT
+from cairndale.chaos.world import ROOT
 
 
 class Node:
@@ -20,12 +20,22 @@
         self._turn, self._killed = asyncio.Lock(), False
 
     @classmethod
-    async def begin(cls, name: str, folder: Path, arguments: list[str], env: dict[str, str]) -> Node:
+    async def begin(
+        cls, name: str, folder: Path, arguments: list[str], env: dict[str, str]
+    ) -> Node:
         with open(folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "playhouse.extras.worker", *arguments, stdin=PIPE, stdout=PIPE,
-                stderr=log, cwd=ROOT, env=env, limit=1 << 26,
-            )  # fmt: skip
+                sys.executable,
+                "-m",
+                "cairndale.scale.worker",
+                *arguments,
+                stdin=PIPE,
+                stdout=PIPE,
+                stderr=log,
+                cwd=ROOT,
+                env=env,
+                limit=1 << 26,
+            )
         return cls(name, process)
 
     async def say(self, order: dict[str, Any], within: float = 30.0) -> dict[str, Any]:
--- a/playhouse/extras/pages.py
+++ b/cairndale/scale/pages.py
@@ -1,7 +1,8 @@
-"""`python -m playhouse.extras.pages`: tables and plot of `docs/CAPACITY.md`, from the runs that are kept.
+"""`python -m cairndale.scale.pages`: tables and plot of `docs/CAPACITY.md`, from the runs that are
+kept.
 
-A table stands between two lines, `<!-- table NAME -->` and `<!-- end NAME -->`; what was between is replaced.
-"""
+A table stands between two lines, `<!-- table NAME -->` and `<!-- end NAME -->`; what was between is
+replaced."""
 
 from __future__ import annotations
 
@@ -12,11 +13,11 @@
 from pathlib import Path
 from typing import Any
 
-from playhouse.extras import planned, sums, tables
-from playhouse.extras.planned import FOLDER
-from playhouse.extras.sums import TARGET, Slope, Told
-from playhouse.extras.tables import FAR, UNITS, name_of
-from playhouse.rehearsal.world import ROOT
+from cairndale.chaos.world import ROOT
+from cairndale.scale import planned, sums, tables
+from cairndale.scale.planned import FOLDER
+from cairndale.scale.sums import TARGET, Slope, Told
+from cairndale.scale.tables import FAR, UNITS, name_of
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 TABLES: dict[str, Callable[[dict[str, Told]], str]] = {
--- a/playhouse/extras/planned.py
+++ b/cairndale/scale/planned.py
@@ -1,22 +1,23 @@
-"""Tables of what was not run: sums for the size, what would carry it, and what the sweep measured."""
+"""Tables of what was not run: sums for the size, what would carry it, and what the sweep
+measured."""
 
 from __future__ import annotations
 
 import json
 from typing import Any
 
-from playhouse.company.roll import hold
-from playhouse.extras import sums
-from playhouse.extras.content import key
-from playhouse.extras.run import BEAT, LEASES
-from playhouse.extras.sums import TARGET, Contents, Told
-from playhouse.extras.sweeps import sweeps
-from playhouse.extras.tables import UNITS, ranged, shown, table
-from playhouse.foyer.lookup import TTL
-from playhouse.rehearsal.world import ROOT
-from playhouse.understudy.prompter import BYTES_PER_S
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.lists import packed
+from cairndale.chaos.world import ROOT
+from cairndale.control.watch_server import BYTES_PER_S
+from cairndale.lookup.selection import TTL
+from cairndale.registry.nodes import hold
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.compression import packed
+from cairndale.scale import sums
+from cairndale.scale.content import key
+from cairndale.scale.run import BEAT, LEASES
+from cairndale.scale.sums import TARGET, Contents, Told
+from cairndale.scale.sweeps import sweeps
+from cairndale.scale.tables import UNITS, ranged, shown, table
 
 FOLDER = ROOT / "docs" / "capacity"
 RENEWED = 1.5  # s between renewals of a lease, as it might be with a lease of 4.5
@@ -46,7 +47,11 @@
         )
     )
     rows.append(
-        ("it told whole to every ingress, GB a change", shown(contents.told * n / 1e9), f"times {n:,}")
+        (
+            "it told whole to every ingress, GB a change",
+            shown(contents.told * n / 1e9),
+            f"times {n:,}",
+        )
     )
     rows.append(
         (
@@ -59,24 +64,44 @@
     each = sums.value(base, "hollow servers", "bytes_out") / beats
     back = sums.value(base, "hollow servers", "bytes_in") / beats
     rate = sums.beats_per_s(TARGET["servers"])
-    rows.append(("one heartbeat, bytes out and back", f"{each:.0f} and {back:.0f}", f"`{sums.BASE}`"))
+    rows.append(
+        ("one heartbeat, bytes out and back", f"{each:.0f} and {back:.0f}", f"`{sums.BASE}`")
+    )
     rows.append(("heartbeats a second of all servers", shown(rate), f"one each {BEAT} s"))
     rows.append(("so in at all cores, MB/s", shown(each * rate / 1e6), ""))
     rows.append(("messages a second out of one hollow ingress", shown(asks), f"`{sums.BASE}`"))
     for edges in (30, 100, 300, 1000, n):
         rows.append(
-            (f"an ask's hold at {edges:,} ingresses, s", shown(hold(edges)), "by its rule; a lease is 4.5")
+            (
+                f"an ask's hold at {edges:,} ingresses, s",
+                shown(hold(edges)),
+                "by its rule; a lease is 4.5",
+            )
         )
     failures = sums.a_day([sums.FAILED_A_DAY, sums.RESTARTS_A_DAY])
     rows.append(
-        ("processes that come or go, one each so many seconds", shown(1 / failures), "57 and 10,000 a day")
+        (
+            "processes that come or go, one each so many seconds",
+            shown(1 / failures),
+            "57 and 10,000 a day",
+        )
+    )
+    rows.append(
+        (
+            "words of it to all ingresses, messages/s",
+            shown(2 * failures * n),
+            "gone and back, told to each",
+        )
     )
     rows.append(
-        ("words of it to all ingresses, messages/s", shown(2 * failures * n), "gone and back, told to each")
+        ("ingresses that a zone takes along", shown(n / sums.ZONES), f"of {sums.ZONES} zones")
     )
-    rows.append(("ingresses that a zone takes along", shown(n / sums.ZONES), f"of {sums.ZONES} zones"))
     rows.append(
-        ("ingresses that a region takes along", shown(n / sums.REGIONS), f"of {sums.REGIONS} regions")
+        (
+            "ingresses that a region takes along",
+            shown(n / sums.REGIONS),
+            f"of {sums.REGIONS} regions",
+        )
     )
     rows += _lists_of_all()
     rows += _look_ups(kept)
@@ -89,22 +114,30 @@
     for count in (1000, 3000, TARGET["ingresses"]):
         nodes = [
             pb.Node(
-                name=f"hollow-{n}", life=key(n)[:12], door=f"10.{n // 250}.{n % 250}.1:7601",
-                http=f"10.{n // 250}.{n % 250}.1:7602", zone=f"z{n % 26}", region=f"r{n % 8}", kind="edge",
+                name=f"hollow-{n}",
+                life=key(n)[:12],
+                door=f"10.{n // 250}.{n % 250}.1:7601",
+                http=f"10.{n // 250}.{n % 250}.1:7602",
+                zone=f"z{n % 26}",
+                region=f"r{n % 8}",
+                kind="edge",
                 ready=True,
             )
             for n in range(count)
-        ]  # fmt: skip
+        ]
         size = len(packed(pb.Cue(node=nodes)))
         what = f"all ingresses told of to one, KB, at {count:,}"
         rows.append((what, shown(size / 1e3), "made up here and packed"))
         within = shown(size * count / BYTES_PER_S)
-        rows.append(("... told whole to all as they return, s", within, f"at {BYTES_PER_S / 1e6:g} MB/s"))
+        rows.append(
+            ("... told whole to all as they return, s", within, f"at {BYTES_PER_S / 1e6:g} MB/s")
+        )
     return rows
 
 
 def _look_ups(kept: dict[str, Told]) -> list[tuple[str, str, str]]:
-    """At the size, if each client makes one request a second and looks up as often as it is told to."""
+    """At the size, if each client makes one request a second and looks up as often as it is told
+    to."""
     n, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
     found = sums.look_ups(kept)
     for ttl, what in ((TTL, "as it is told now"), (5.0, "the most that counts")):
@@ -113,19 +146,33 @@
         rows.append(("... at each ingress, evenly spread", shown(rate / n), f"by {n:,}"))
         if found:
             cores = ranged(found.fit.at(n), rate / n)
-            rows.append(("... in cores of each ingress", cores, "by the slope of one's cost; extrapolated"))
+            rows.append(
+                ("... in cores of each ingress", cores, "by the slope of one's cost; extrapolated")
+            )
     return rows
 
 
 def mechanisms_table(kept: dict[str, Told]) -> str:
     """What would carry the size, by the same slopes and sums."""
-    n, a_second, rows = TARGET["ingresses"], sums.CHANGES_A_DAY / sums.DAY, list[tuple[str, str, str]]()
+    n, a_second, rows = (
+        TARGET["ingresses"],
+        sums.CHANGES_A_DAY / sums.DAY,
+        list[tuple[str, str, str]](),
+    )
     whole, route = Contents.of(TARGET).told, sums.changed_route_bytes()
-    rows.append(("differences: one changed route, bytes packed", shown(route), f"instead of {shown(whole)}"))
     rows.append(
-        ("... to every ingress, MB a change", shown(route * n / 1e6), f"instead of {shown(whole * n / 1e6)}")
+        ("differences: one changed route, bytes packed", shown(route), f"instead of {shown(whole)}")
+    )
+    rows.append(
+        (
+            "... to every ingress, MB a change",
+            shown(route * n / 1e6),
+            f"instead of {shown(whole * n / 1e6)}",
+        )
+    )
+    rows.append(
+        ("... KB/s an ingress at the day's mean", f"{route * a_second / 1e3:.3f}", "15 are allowed")
     )
-    rows.append(("... KB/s an ingress at the day's mean", f"{route * a_second / 1e3:.3f}", "15 are allowed"))
     for regions, what in ((sums.REGIONS, "one relay a region"), (sums.ZONES, "one relay a zone")):
         for role, cost in (("leader", "cpu"), ("leader", "bytes_out")):
             found = sums.furthest(kept, role, cost)
@@ -157,12 +204,20 @@
     rows.append(("... renewed in groups, one a zone", shown(sums.ZONES / RENEWED), "the same"))
     leases = LEASES * n
     rows.append(
-        ("leases of units a second, in one counter", shown(leases), f"{LEASES:g} an ingress, assumed")
+        (
+            "leases of units a second, in one counter",
+            shown(leases),
+            f"{LEASES:g} an ingress, assumed",
+        )
     )
     rows.append(("... in eleven shards, each", shown(leases / sums.MACHINES), "by tenant"))
     beats = sums.beats_per_s(TARGET["servers"])
     rows.append(
-        ("heartbeats a second at each of eleven machines", shown(beats / sums.MACHINES), "evenly spread")
+        (
+            "heartbeats a second at each of eleven machines",
+            shown(beats / sums.MACHINES),
+            "evenly spread",
+        )
     )
     if found := sums.slope(kept, "servers", "follower", "cpu"):
         share = (kept[sums.BASE]["size"]["cores"] - 1) / sums.MACHINES
@@ -179,7 +234,12 @@
 def sweep_table(kept: dict[str, Told]) -> str:
     """What both measured, side by side: the scale run's busiest core machine is its leader."""
     shared = (
-        ("busiest core machine, cores", "core: processor %", 0.01, lambda t: t["roles"]["leader"]["cpu"]),
+        (
+            "busiest core machine, cores",
+            "core: processor %",
+            0.01,
+            lambda t: t["roles"]["leader"]["cpu"],
+        ),
         ("busiest core machine, KB/s both ways", "core: kB a second", 1.0, _both_ways),
         ("an order acknowledged, s, longest", "config acked, ms", 1e-3, _acked),
         ("after a kill of all, s", "serving after all were killed, ms", 1e-3, _after_all),
