--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -39,14 +39,14 @@
 def _instead(call: str, answer: Any) -> None:
     """`answer` may give one of its own, from the process and the body, to each call whose path
     begins so."""
-    reception = _module("cairndale.control.api").Reception
-    control = reception.control
+    api = _module("cairndale.control.api").ControlApi
+    control = api.control
 
     async def held(self: Any, method: str, target: str, body: bytes) -> Any:
         own = answer(self._process, body) if target.startswith(f"/-/{call}") else None
         return own or await control(self, method, target, body)
 
-    reception.control = held
+    api.control = held
 
 
 def own_reads() -> None:
@@ -137,20 +137,20 @@
         else:
             taken(self, frames, envelope)
 
-    taken = links.Wings.came
-    links.Wings.came = came
+    taken = links.RpcPeer.came
+    links.RpcPeer.came = came
 
 
 def old_words() -> None:
     """An older leader's word is obeyed like any."""
-    _module("cairndale.rpc.peer").Wings.outdated = lambda self, envelope, door: False
-    news = _module("cairndale.dataplane.config_client").News
+    _module("cairndale.rpc.peer").RpcPeer.outdated = lambda self, envelope, address: False
+    news = _module("cairndale.dataplane.config_client").ConfigClient
     take = news.take
 
-    def obey(self: Any, cue: Any, *more: Any) -> Any:
-        epoch, script, servers, nodes, gen = self.seen
-        self.seen = (epoch, min(script, cue.script), servers, nodes, gen)
-        return take(self, cue, *more)
+    def obey(self: Any, watch_response: Any, *more: Any) -> Any:
+        epoch, config_version, servers, nodes, gen = self.seen
+        self.seen = (epoch, min(config_version, watch_response.config_version), servers, nodes, gen)
+        return take(self, watch_response, *more)
 
     news.take = obey
 
@@ -158,5 +158,5 @@
 def foreign_words() -> None:
     """Whoever stands at a door is talked to, of whatever system, and what it says as a leader is
     obeyed."""
-    _module("cairndale.rpc.peer").Wings.greeted = lambda self, frames: True
+    _module("cairndale.rpc.peer").RpcPeer.greeted = lambda self, frames: True
     old_words()
--- a/cairndale/chaos/faults.py
+++ b/cairndale/chaos/faults.py
@@ -50,11 +50,11 @@
 
     async def learners(self) -> list[str]:
         """Core machines that carry the log and do not vote, as far as the leader says."""
-        doors: set[str] = set()
+        addresses: set[str] = set()
         with contextlib.suppress(TimeoutError, KeyError):
             _, shown = await self.world.order("GET", "Fleet.Show", within=1.5)
-            doors = {m[0] for m in shown["members"] if m[2:] == ["learner"]}
-        return [n for n in self.cores() if self.world.own(self.world.machines[n]) in doors]
+            addresses = {m[0] for m in shown["members"] if m[2:] == ["learner"]}
+        return [n for n in self.cores() if self.world.own(self.world.machines[n]) in addresses]
 
     async def follower(self) -> str:
         leader = await self.leader()
@@ -105,8 +105,8 @@
                 await asyncio.sleep(span)
             finally:
                 if off and ways == "both":
-                    door = self.world.door(self.world.machines[victim], 1)
-                    self.record.isolations.append(Isolation(door, begun, self._loop.time()))
+                    address = self.world.address(self.world.machines[victim], 1)
+                    self.record.isolations.append(Isolation(address, begun, self._loop.time()))
                 self.world.heal(pairs)
 
     async def down(
@@ -176,8 +176,11 @@
             machines[victim].here = False
             await asyncio.sleep(self.rng.uniform(0.2, 1.0))
             machines[new].here, machines[new].zone = True, machines[victim].zone
-            running = [world.door(machines[n], 1) for n in self.cores() if n != new]
-            seeds = [*self.rng.sample(running, min(2, len(running))), world.door(machines[new], 1)]
+            running = [world.address(machines[n], 1) for n in self.cores() if n != new]
+            seeds = [
+                *self.rng.sample(running, min(2, len(running))),
+                world.address(machines[new], 1),
+            ]
             self.rng.shuffle(seeds)
             world.seeds = seeds
             world.start(new)
--- a/cairndale/chaos/judge.py
+++ b/cairndale/chaos/judge.py
@@ -48,7 +48,7 @@
                 else "was refused, and taken"
             )
             wrong.append(
-                f"{order.mark}: {how} ({refusal.status} from {refusal.door}, "
+                f"{order.mark}: {how} ({refusal.status} from {refusal.address}, "
                 f"{refusal.sent - order.sent:.2f} s after it was first sent)"
             )
             break
@@ -190,21 +190,23 @@
 def alone(record: Record) -> list[str]:
     """One that has no contact for long confirms nothing."""
     wrong = []
-    said = [(b.door, f"a beat of {b.server}", b.sent, b.heard) for b in record.ledger.beats]
-    said += [(r.door, f"a read of {r.gen}", r.sent, r.heard) for r in record.reads]
+    said = [(b.address, f"a beat of {b.server}", b.sent, b.heard) for b in record.ledger.beats]
+    said += [(r.address, f"a read of {r.gen}", r.sent, r.heard) for r in record.reads]
     said += [
-        (s.door, f"{o.mark} with {s.status}", s.sent, s.heard)
+        (s.address, f"{o.mark} with {s.status}", s.sent, s.heard)
         for o in record.orders.values()
         for s in o.sendings
         if s.status
     ]
-    said += [(s.door, s.what, s.sent, s.heard) for s in record.said]
+    said += [(s.address, s.what, s.sent, s.heard) for s in record.said]
     for one in record.isolations:
-        mine = [s for s in said if s[0] == one.door and s[2] > one.begin + ALONE and s[3] < one.end]
+        mine = [
+            s for s in said if s[0] == one.address and s[2] > one.begin + ALONE and s[3] < one.end
+        ]
         if mine:
             span, after = one.end - one.begin, mine[0][2] - one.begin
             wrong.append(
-                f"{one.door} hears nobody for {span:.0f} s, and after {after:.1f} s "
+                f"{one.address} hears nobody for {span:.0f} s, and after {after:.1f} s "
                 f"it answered {mine[0][1]} (so {len(mine)} times)"
             )
     return wrong
--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -46,12 +46,12 @@
 
 def early_ack() -> None:
     """A configuration is acknowledged before every ingress serves by it."""
-    from cairndale.control.operations import Desk
+    from cairndale.control.operations import OperationHandler
 
-    async def at_once(self: Desk, version: int) -> None:
+    async def at_once(self: OperationHandler, version: int) -> None:
         return
 
-    Desk._everywhere = at_once  # type: ignore[method-assign]
+    OperationHandler._everywhere = at_once  # type: ignore[method-assign]
 
 
 def broken_promise() -> None:
@@ -85,27 +85,27 @@
 
 def going_back() -> None:
     """News of an older version is taken as well."""
-    from cairndale.dataplane.config_client import News
+    from cairndale.dataplane.config_client import ConfigClient
 
-    take = News.take
+    take = ConfigClient.take
 
-    def older(self: News, *args: Any) -> Any:
+    def older(self: ConfigClient, *args: Any) -> Any:
         epoch, _, servers, nodes, gen = self.seen
         self.seen = (epoch, 0, servers, nodes, gen)
         return take(self, *args)
 
-    News.take = older  # type: ignore[method-assign, assignment]
+    ConfigClient.take = older  # type: ignore[method-assign, assignment]
 
 
 def unkept_lease() -> None:
     """An ingress serves on when its lease is over, and a change does not wait for those it did not
     hear."""
-    from cairndale.dataplane.node import House
-    from cairndale.registry.nodes import Roll
+    from cairndale.dataplane.node import DataPlaneNode
+    from cairndale.registry.nodes import NodeRegistry
 
-    House.may_serve = lambda self: True  # type: ignore[method-assign]
-    Roll.all_at = lambda self, now, script: all(  # type: ignore[method-assign]
-        held.script >= script
+    DataPlaneNode.may_serve = lambda self: True  # type: ignore[method-assign]
+    NodeRegistry.all_at = lambda self, now, config_version: all(  # type: ignore[method-assign]
+        held.config_version >= config_version
         for held in self.leases.values()
         if held.here and held.node.kind == "edge"
     )
@@ -113,26 +113,26 @@
 
 def free_starts() -> None:
     """Requests to cold servers are not dealt."""
-    from cairndale.dataplane.endpoint_selection import Rows
+    from cairndale.dataplane.endpoint_selection import EndpointSelector
 
-    Rows.owes = lambda self: ()  # type: ignore[method-assign]
+    EndpointSelector.owes = lambda self: ()  # type: ignore[method-assign]
 
 
 def free_tries() -> None:
     """Further tries cost nothing."""
-    from cairndale.dataplane.endpoint_selection import Budget, Rows
+    from cairndale.dataplane.endpoint_selection import EndpointSelector, RetryBudget
 
-    pick = Rows.pick
+    pick = EndpointSelector.pick
 
-    def free(self: Rows, *args: Any, **named: Any) -> Any:
-        self.budgets = {service: Budget(2.0) for service in self.rows}
+    def free(self: EndpointSelector, *args: Any, **named: Any) -> Any:
+        self.budgets = {service: RetryBudget(2.0) for service in self.rows}
         return pick(self, *args, **named)
 
-    Rows.pick = free  # type: ignore[method-assign]
+    EndpointSelector.pick = free  # type: ignore[method-assign]
 
 
 def generous_counter() -> None:
     """All that is asked for is leased."""
-    from cairndale.quota.quota_counter import Till
+    from cairndale.quota.quota_counter import QuotaCounter
 
-    Till.lease = lambda self, now, tenant, amount, told: 0.0  # type: ignore[method-assign]
+    QuotaCounter.lease = lambda self, now, tenant, amount, told: 0.0  # type: ignore[method-assign]
--- a/cairndale/chaos/operators.py
+++ b/cairndale/chaos/operators.py
@@ -24,18 +24,18 @@
 
 
 async def send(
-    door: str, method: str, call: str, body: bytes, within: float, lost: float = -1.0
+    address: str, method: str, call: str, body: bytes, within: float, lost: float = -1.0
 ) -> tuple[int, bytes]:
     """One call; a status of 0 is no clear answer. `lost`: s after which its answer, or its way
     there, is."""
-    host, _, port = door.rpartition(":")
+    host, _, port = address.rpartition(":")
     writer = None
     try:
         async with asyncio.timeout(within if lost < 0 else min(within, lost + 0.001)):
             reader, writer = await asyncio.open_connection(host, int(port))
             lines = [
                 f"{method} /-/{call} HTTP/1.1",
-                f"Host: {door}",
+                f"Host: {address}",
                 f"Content-Length: {len(body)}",
             ]
             writer.write("\r\n".join([*lines, "Connection: close", "", ""]).encode() + body)
@@ -105,15 +105,15 @@
         common |= {"kind": "idempotent", "backend": "tiles"}
         return {"name": f"big-{number}", "pathPrefix": f"/big-{number}/"} | common
 
-    async def give(self, order: Order, door: str = "", loses: float = 0.0) -> int:
+    async def give(self, order: Order, address: str = "", loses: float = 0.0) -> int:
         """Sends it once."""
-        door = door or self._door()
+        address = address or self._door()
         lost = random.uniform(0.0, 0.15) if random.random() < loses else -1.0
         within = LONG if random.random() < 0.05 else PATIENCE
         body, sent = json.dumps(order.body).encode(), self._loop.time()
-        mine = Sending(door, sent, float("inf"), 0)
+        mine = Sending(address, sent, float("inf"), 0)
         order.sendings.append(mine)
-        mine.status, _ = await send(door, "POST", order.call, body, within, lost)
+        mine.status, _ = await send(address, "POST", order.call, body, within, lost)
         mine.heard = self._loop.time()
         if mine.status == 200:
             self._now_in_force(order.gen, order.mark)
@@ -148,15 +148,15 @@
 
     # Reads.
 
-    async def read(self, door: str) -> Read | None:
+    async def read(self, address: str) -> Read | None:
         sent = self._loop.time()
         within = LONG if random.random() < 0.2 else PATIENCE
-        status, told = await send(door, "GET", "Config.Read", b"", within)
+        status, told = await send(address, "GET", "Config.Read", b"", within)
         if status not in (200, 404):
             return None
         content: dict[str, Any] = json.loads(told) if status == 200 else {"gen": 0, "tenants": []}
         mark = next((t["name"] for t in content["tenants"] if MARK in t["apiKeys"]), "")
-        found = Read(door, sent, self._loop.time(), content["gen"], mark)
+        found = Read(address, sent, self._loop.time(), content["gen"], mark)
         self.record.reads.append(found)
         self._now_in_force(found.gen, found.mark)
         return found
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -28,7 +28,7 @@
 class Sending:
     """One time that an order was sent; a status of 0: no clear answer."""
 
-    door: str
+    address: str
     sent: float
     heard: float
     status: int
@@ -63,7 +63,7 @@
 class Read:
     """A configuration that was read; `gen` 0: there is none."""
 
-    door: str
+    address: str
     sent: float
     heard: float
     gen: int
@@ -104,7 +104,7 @@
 class Isolation:
     """One that none of its own could reach, nor it them."""
 
-    door: str
+    address: str
     begin: float
     end: float
 
@@ -113,7 +113,7 @@
 class Said:
     """A clear answer of one machine to a call that it can't answer alone."""
 
-    door: str
+    address: str
     what: str
     sent: float
     heard: float
--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -48,8 +48,10 @@
         pairs = [
             (a, b) for a in self.machines.values() for b in self.machines.values() if a is not b
         ]
-        doors = {f"{a.name}>{b.name}": self.own(b).rpartition(":") for a, b in pairs}
-        self.relay.tell(tcp=[[pair, host, int(port)] for pair, (host, _, port) in doors.items()])
+        addresses = {f"{a.name}>{b.name}": self.own(b).rpartition(":") for a, b in pairs}
+        self.relay.tell(
+            tcp=[[pair, host, int(port)] for pair, (host, _, port) in addresses.items()]
+        )
         await self.relayed
         await super().begin()
 
--- a/cairndale/chaos/standins.py
+++ b/cairndale/chaos/standins.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from cairndale.http_api.server import Whole
+from cairndale.http_api.server import BufferedConnection
 from cairndale.ingress.net.http import Message, plain
 
 BEAT_WAIT = 1.0  # s for the answer to a beat; then the next ingress is called
@@ -50,7 +50,7 @@
 
     server: str
     state: str
-    door: str
+    address: str
     sent: float
     heard: float
 
@@ -128,14 +128,16 @@
             "status": {"state": self.state, "seq": self.seq, "warmupLeft": f"{left * 1000:.0f}ms"},
         }
         loop, near, self.near = asyncio.get_running_loop(), self.near, ""
-        for door in [*([near] if near else []), *random.sample(self.control, len(self.control))]:
+        for address in [*([near] if near else []), *random.sample(self.control, len(self.control))]:
             sent = loop.time()
             with contextlib.suppress(OSError, TimeoutError, ValueError):
                 async with asyncio.timeout(BEAT_WAIT):
-                    status, told = await ask(door, "POST", f"/-/{call}", json.dumps(body).encode())
+                    status, told = await ask(
+                        address, "POST", f"/-/{call}", json.dumps(body).encode()
+                    )
                 if 200 <= status < 300:
                     self.ledger.beats.append(
-                        Beat(self.id, body["status"]["state"], door, sent, loop.time())
+                        Beat(self.id, body["status"]["state"], address, sent, loop.time())
                     )
                     self.near = (
                         json.loads(told or b"{}").get("beatUrl", "").removeprefix("http://") or near
@@ -145,7 +147,7 @@
         return False
 
 
-class Connection(Whole):
+class Connection(BufferedConnection):
     def __init__(self, server: Server) -> None:
         super().__init__(httptools.HttpRequestParser)
         self.server = server
@@ -218,7 +220,7 @@
 
 
 async def ask(
-    door: str,
+    address: str,
     method: str,
     target: str,
     body: bytes = b"",
@@ -227,11 +229,11 @@
 ) -> tuple[int, bytes]:
     """One call on a connection of its own. `count` is told the bytes that went out and that came
     in. Raises OSError, or ValueError for what is no whole answer."""
-    host, _, port = door.rpartition(":")
+    host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         lines = [f"{method} {target} HTTP/1.1", f"Content-Length: {len(body)}", "Connection: close"]
-        named = {"Host": door} | (headers or {})
+        named = {"Host": address} | (headers or {})
         lines += [f"{name}: {value}" for name, value in named.items()]
         whole = "\r\n".join([*lines, "", ""]).encode() + body
         writer.write(whole)
--- a/cairndale/chaos/storm.py
+++ b/cairndale/chaos/storm.py
@@ -126,15 +126,15 @@
         """Whether core machines say that they are."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            for door in list(self.control):
+            for address in list(self.control):
                 sent = loop.time()
                 try:
                     async with asyncio.timeout(0.5):
-                        status, _ = await ask(door, "GET", "/-/readyz")
+                        status, _ = await ask(address, "GET", "/-/readyz")
                 except (OSError, TimeoutError, ValueError):
                     continue
                 if status == 200:
-                    self.record.said.append(Said(door, "that it is ready", sent, loop.time()))
+                    self.record.said.append(Said(address, "that it is ready", sent, loop.time()))
             await asyncio.sleep(0.3)
 
     # The play.
@@ -217,12 +217,12 @@
                 while (await self.request("GET", "/tiles/1", at=self.edge(name))).status != 200:
                     await asyncio.sleep(0.1)
         read: Read | None = None
-        for door in self.control:  # each knows what is in force, or where to ask
+        for address in self.control:  # each knows what is in force, or where to ask
             sent, read = loop.time(), None
             while read is None and loop.time() < sent + HEALED:
-                read = await operators.read(door)
+                read = await operators.read(address)
             if read is None:
-                raise TimeoutError(f"no read at {door}")
+                raise TimeoutError(f"no read at {address}")
         assert read
         last = Found(read.gen, read.sent, read.heard)
         _, shown = await self.order("GET", "Fleet.Show", within=HEALED)
@@ -242,7 +242,7 @@
         while True:
             _, shown = await self.order("GET", "Fleet.Show", within=HEALED)
             voters = [m[0] for m in shown["members"] if m[2:] != ["learner"]]
-            away = [door for door in voters if door not in here]
+            away = [address for address in voters if address not in here]
             if not away and len(voters) % 2 and len(voters) >= min(self.plan.cores, LEAST):
                 return []
             if loop.time() > until:
--- a/cairndale/chaos/world.py
+++ b/cairndale/chaos/world.py
@@ -111,11 +111,11 @@
 
     # Addresses: ctl, dir, http and readyz follow the ports that processes have among themselves.
 
-    def door(self, machine: Machine, which: int) -> str:
+    def address(self, machine: Machine, which: int) -> str:
         return f"{machine.ip}:{self.base + 8 + which}"
 
     def relist(self) -> None:
-        self.control[:] = [self.door(m, 1) for m in self.machines.values() if m.core and m.here]
+        self.control[:] = [self.address(m, 1) for m in self.machines.values() if m.core and m.here]
 
     def settings(self, machine: Machine) -> dict[str, Any]:
         listen = {"ctl": 1} if machine.core else {"dir": 2, "http": 3, "readyz": 4}
@@ -123,7 +123,7 @@
         return {
             "self": {
                 "hostname": machine.name,
-                "role": "core" if machine.core else "stage",
+                "role": "control" if machine.core else "dataplane",
                 "serves": ["ctl"] if machine.core else ["edge", "dir"],
                 "ip": machine.ip,
                 "zone": machine.zone,
@@ -134,10 +134,10 @@
                 "limits": {"memMb": 300, "nofile": 1024},
             },
             "network": {
-                "listen": {name: self.door(machine, which) for name, which in listen.items()},
+                "listen": {name: self.address(machine, which) for name, which in listen.items()},
                 "portRange": [self.base, self.base + 7],
                 "zones": ZONES,
-                "peers": [self.door(machine, 1)] if machine.foreign else self.seeds,
+                "peers": [self.address(machine, 1)] if machine.foreign else self.seeds,
             },
             "infra": {"heartbeat": "300ms"},
             "sla": {
@@ -284,10 +284,10 @@
         body = json.dumps(raw).encode() if raw is not None else b""
         async with asyncio.timeout(within):
             while True:
-                for door in random.sample(self.control, len(self.control)):
+                for address in random.sample(self.control, len(self.control)):
                     try:
                         async with asyncio.timeout(patience):
-                            status, answer = await ask(door, method, f"/-/{call}", body)
+                            status, answer = await ask(address, method, f"/-/{call}", body)
                     except (OSError, ValueError, TimeoutError):
                         continue
                     if status < 500:
@@ -329,7 +329,7 @@
         try:
             async with asyncio.timeout(1.0):
                 status, _ = await ask(
-                    self.door(machine, 1 if machine.core else 4), "GET", "/-/readyz"
+                    self.address(machine, 1 if machine.core else 4), "GET", "/-/readyz"
                 )
         except (OSError, ValueError, TimeoutError):
             return False
@@ -342,9 +342,9 @@
             if not machine.core and machine.process:
                 try:
                     async with asyncio.timeout(1.0):
-                        door = self.door(machine, 2)
+                        address = self.address(machine, 2)
                         status, body = await ask(
-                            door, "GET", f"/-/lookup?name=a.example&region={region}&zone=x"
+                            address, "GET", f"/-/lookup?name=a.example&region={region}&zone=x"
                         )
                 except (OSError, ValueError, TimeoutError):
                     continue
@@ -363,17 +363,17 @@
         **headers: str,
     ) -> Heard:
         """One try, at any ingress that clients are told of or at the one named."""
-        doors = [at] if at else await self.look_up(random.choice(["north", "south"]))
+        addresses = [at] if at else await self.look_up(random.choice(["north", "south"]))
         sent = asyncio.get_running_loop().time()
         made = Heard(f"{random.getrandbits(64):016x}", method, 0, path=path, sent=sent)
         fields = {"Host": "a.example", "X-Request-Id": made.request, "X-Deadline-Ms": "3000"}
         fields |= {"Authorization": f"Token {key}"} if key else {}
         fields |= {name.replace("_", "-"): value for name, value in headers.items()}
-        if doors:
+        if addresses:
             try:
                 async with asyncio.timeout(4.0):
                     made.status, made.body = await ask(
-                        random.choice(doors), method, path, body, fields
+                        random.choice(addresses), method, path, body, fields
                     )
             except (OSError, ValueError, TimeoutError):
                 pass
@@ -381,7 +381,7 @@
         return made
 
     def edge(self, name: str) -> str:
-        return self.door(self.machines[name], 3)
+        return self.address(self.machines[name], 3)
 
     # Judging.
 
--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -20,7 +20,7 @@
 from cleo.io.inputs.option import Option
 
 from cairndale.configuration.validation import content_errors, order_errors
-from cairndale.settings import door
+from cairndale.settings import address
 
 WITHIN = 20.0  # s for a clear answer, over all tries
 ONE = 3.0  # s for one try
@@ -35,11 +35,13 @@
     pass
 
 
-def ask(doors: list[tuple[str, int]], method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
+def ask(
+    addresses: list[tuple[str, int]], method: str, call: str, body: bytes = b""
+) -> tuple[int, Any]:
     """The first clear answer: the same call goes to the next ingress after a failure or a 5xx."""
     until, said, pause = time.monotonic() + WITHIN, "no address", 0.1
-    while doors and time.monotonic() < until:
-        for host, port in random.sample(doors, len(doors)):
+    while addresses and time.monotonic() < until:
+        for host, port in random.sample(addresses, len(addresses)):
             connection = http.client.HTTPConnection(host, port, timeout=ONE)
             try:
                 connection.request(method, f"/-/{call}", body, {"Content-Type": "application/json"})
@@ -60,22 +62,22 @@
 class Call(Command):
     """What all of them share."""
 
-    def doors(self) -> list[tuple[str, int]]:
-        return [door(text) for text in self.option("at")]
+    def addresses(self) -> list[tuple[str, int]]:
+        return [address(text) for text in self.option("at")]
 
     def run_call(self, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
         try:
-            doors = self.doors()
+            addresses = self.addresses()
         except ValueError as error:
             self.line_error(f"--at: {error}")
             return USAGE, None
-        if not doors:
+        if not addresses:
             self.line_error(
                 "--at ADDRESS is missing: where a control ingress listens, as 10.1.0.11:8200"
             )
             return USAGE, None
         try:
-            status, told = ask(doors, method, call, body)
+            status, told = ask(addresses, method, call, body)
         except Unclear as error:
             self.line_error(f"no clear answer: {error}; what was ordered may yet come into force")
             return UNCLEAR, None
@@ -121,7 +123,9 @@
         roles = {
             role: [m[0] for m in told["members"] if m[2] == role] for role in ("voter", "learner")
         }
-        core = "; ".join(f"{role}s: {', '.join(doors) or 'none'}" for role, doors in roles.items())
+        core = "; ".join(
+            f"{role}s: {', '.join(addresses) or 'none'}" for role, addresses in roles.items()
+        )
         self.line(f"core: {core}; evacuated zones: {evacuated}")
         self._table(
             ["ingress", "kind", "zone", "ready", "version", "lease left"],
@@ -234,18 +238,18 @@
         from cairndale.configuration.serialization import FormatError
         from cairndale.configuration.state import State
         from cairndale.control.applier import Applier
-        from cairndale.raft.storage import Store, StoreError
+        from cairndale.raft.storage import RaftStorage, StorageError
 
         folder = Path(self.argument("folder"))
         if not (folder / "promptbook").is_dir():
             self.line_error(f"{folder}: holds no promptbook")
             return USAGE
         try:
-            store = Store(folder, look=True)
+            store = RaftStorage(folder, look=True)
             disk, kept = store.disk(), store.load()
             store.close()
             state = State.read(kept.snapshot.state)
-        except (StoreError, FormatError) as error:
+        except (StorageError, FormatError) as error:
             self.line_error(f"{folder}: {error}")
             return REFUSED
         applier = Applier(state)
@@ -260,7 +264,7 @@
             members = entry.members or members
         self.line(f"disk {disk}; term {kept.term}, promised to {kept.voted_for or 'nobody'}")
         for role, learner in (("voters", False), ("learners", True)):
-            shown = [f"{m.door} ({m.disk})" for m in members if m.learner is learner]
+            shown = [f"{m.address} ({m.disk})" for m in members if m.learner is learner]
             self.line(f"{role}: {', '.join(shown) or 'none'}")
         last = kept.entries[-1].index if kept.entries else kept.snapshot.index
         self.line(
--- a/cairndale/configuration/delta.py
+++ b/cairndale/configuration/delta.py
@@ -34,12 +34,12 @@
 _text = json.JSONEncoder(separators=(",", ":"), sort_keys=True).encode
 
 
-class DifferenceError(ValueError):
+class DeltaError(ValueError):
     """A difference that does not fit what it is to be applied to."""
 
 
 @dataclass(frozen=True, slots=True)
-class Difference:
+class ConfigDelta:
     before: int  # gen
     gen: int
     digest_before: int
@@ -55,9 +55,9 @@
             if not (
                 packer.eof and sound and all(isinstance(named, dict) for named in made.values())
             ):
-                raise DifferenceError("no difference, or not a whole one")
+                raise DeltaError("no difference, or not a whole one")
         except (ValueError, zlib.error) as error:
-            raise DifferenceError(str(error)) from None
+            raise DeltaError(str(error)) from None
         return dict(made)
 
 
@@ -84,7 +84,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class GenerationChange:
     """From one gen to the next."""
 
     before: int
@@ -97,7 +97,7 @@
 
 def comparing(
     before: Mapping[str, Any], after: Mapping[str, Any], order: Mapping[str, Any] | None
-) -> Generator[None, None, Step | None]:
+) -> Generator[None, None, GenerationChange | None]:
     """In steps. `order`: the update that led from one to the other; without one they are compared
     whole. None: too many items differ."""
     changes: Changes = {}
@@ -135,7 +135,7 @@
             changes.setdefault(table, {})[name] = None
             less = weight(table, name, was)
             digest, size = digest - less[0], size - less[1]
-    return Step(before.get("gen", 0), after["gen"], changes, digest, size, count)
+    return GenerationChange(before.get("gen", 0), after["gen"], changes, digest, size, count)
 
 
 def _picking(
@@ -154,15 +154,15 @@
     in force weighs: counted a few items at a time, as nobody waits for it."""
 
     def __init__(self) -> None:
-        self._steps: deque[Step] = deque(maxlen=KEPT)
+        self._steps: deque[GenerationChange] = deque(maxlen=KEPT)
         self._digest = self._size = 0
         self._left: Iterator[tuple[int, int]] | None = None  # of what is being weighed
         self._weighed = False
         self._made: dict[
-            int, Difference | None
+            int, ConfigDelta | None
         ] = {}  # by the gen that they begin at, up to the newest
 
-    def took(self, made: Step | None) -> None:
+    def took(self, made: GenerationChange | None) -> None:
         """Another content came in the place of the one before, by this step; None: that is not
         known."""
         self._made = {}
@@ -188,13 +188,13 @@
             self._made = {}
         return self._weighed
 
-    def since(self, gen: int) -> Difference | None:
+    def since(self, gen: int) -> ConfigDelta | None:
         """From there to the newest; None: not known, or not worth it."""
         if gen not in self._made:
             self._made[gen] = self._since(gen) if self._weighed else None
         return self._made[gen]
 
-    def _since(self, gen: int) -> Difference | None:
+    def _since(self, gen: int) -> ConfigDelta | None:
         steps = list(self._steps)
         at = next((n for n, one in enumerate(steps) if one.before == gen), len(steps))
         if at == len(steps) or sum(one.count for one in steps[at:]) > ITEMS:
@@ -203,7 +203,7 @@
         if len(text) * PART > self._size:
             return None
         before = (self._digest - sum(one.digest for one in steps[at:])) % DIGESTS
-        return Difference(gen, steps[-1].gen, before, self._digest, zlib.compress(text, 6))
+        return ConfigDelta(gen, steps[-1].gen, before, self._digest, zlib.compress(text, 6))
 
 
 def merge(some: Iterable[Changes]) -> Changes:
--- a/cairndale/configuration/route_table.py
+++ b/cairndale/configuration/route_table.py
@@ -12,8 +12,8 @@
 from cairndale.configuration.delta import (
     DIGESTS,
     FIELDS,
-    Difference,
-    DifferenceError,
+    ConfigDelta,
+    DeltaError,
     named,
     weight,
 )
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
+class TableChange:
     """Items that stand otherwise than before, as they are now."""
 
     routes: list[Route]
@@ -101,7 +101,7 @@
             del counts[name]
 
 
-class Playbill:
+class RouteTable:
     """It changes item by item (`change`); whoever keeps what it found here knows by `gen` whether
     it may have changed since."""
 
@@ -133,10 +133,10 @@
     def limits(self) -> dict[str, Any]:
         return self.fields["limits"].value if "limits" in self.fields else {}
 
-    def change(self, told: Difference) -> Changed:
+    def change(self, told: ConfigDelta) -> TableChange:
         """Whole or not at all. Raises DifferenceError where it does not fit."""
         if (told.before, told.digest_before) != (self.gen, self.digest):
-            raise DifferenceError(
+            raise DeltaError(
                 f"from gen {told.before}, where gen {self.gen} stands, or by its digest"
             )
         changes, digest = told.changes(), self.digest
@@ -148,16 +148,16 @@
                     made.append((table, name, item))
                     digest += _digest(item) - _digest(self._tables[table].get(name))
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-            raise DifferenceError(f"{name!r} in {table!r}: {error!r}") from None
+            raise DeltaError(f"{name!r} in {table!r}: {error!r}") from None
         if digest % DIGESTS != told.digest:
-            raise DifferenceError(f"gen {told.gen}: another digest than was told")
+            raise DeltaError(f"gen {told.gen}: another digest than was told")
         for table, name, item in made:
             self._drop(table, name)
             if item is not None:
                 self._put(table, item)
         self.gen = told.gen
         now = [item for _, _, item in made]
-        return Changed(
+        return TableChange(
             [i for i in now if isinstance(i, Route)], [i for i in now if isinstance(i, Tenant)]
         )
 
--- a/cairndale/configuration/serialization.py
+++ b/cairndale/configuration/serialization.py
@@ -73,7 +73,7 @@
         yield _text([path, value])
 
 
-class Reading:
+class StateReader:
     """Fills `raw` from the stored form as it comes, cut anywhere."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
@@ -121,7 +121,7 @@
         except (ValueError, TypeError, zlib.error) as error:
             raise FormatError(repr(error)) from error
         return
-    reading = Reading(raw)
+    reading = StateReader(raw)
     yield from reading.feed(data)
     reading.end()
 
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -35,7 +35,7 @@
     return isinstance(value, str) and value.startswith("/")
 
 
-def is_part(value: object) -> bool:
+def is_fragment(value: object) -> bool:
     """Of a split."""
     return (
         isinstance(value, dict) and is_text(value.get("backend")) and is_number(value.get("weight"))
@@ -58,7 +58,7 @@
         Optional("tries"): is_whole,
         Optional("public"): is_truth,
         Optional("backend"): is_text,
-        Optional("split"): list_of(is_part),
+        Optional("split"): list_of(is_fragment),
         Optional("homeRegions"): are_names,
         Optional(str): object,
     },
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -7,16 +7,16 @@
 from typing import Protocol
 
 from cairndale.control.follower import BEAT, PASS_ON, WAY, Follower
-from cairndale.control.leadership import Duty
-from cairndale.control.operations import Desk
-from cairndale.errors import Code, SystemFailure
-from cairndale.http_api.router import CONTROL, FOYER, Wrong, match
+from cairndale.control.leadership import Leadership
+from cairndale.control.operations import OperationHandler
+from cairndale.errors import CallError, NotLeaderError
+from cairndale.http_api.router import CONTROL_ROUTES, LOOKUP_ROUTES, RouteFailure, match
 from cairndale.http_api.server import Answer, told, wrong
 from cairndale.lookup.selection import lookup
-from cairndale.registry.heartbeats import Collector
-from cairndale.registry.nodes import Roll
+from cairndale.registry.heartbeats import HeartbeatCollector
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import Settings
 
 PASS_LARGE = 2.5  # s for the leader to answer what is passed on to it with a body ...
@@ -25,60 +25,62 @@
 
 class Process(Protocol):
     settings: Settings
-    roll: Roll
-    desk: Desk
-    reach: Reach
-    duty: Duty | None
+    node_registry: NodeRegistry
+    operations: OperationHandler
+    leader_client: LeaderClient
+    leadership: Leadership | None
 
     def now(self) -> float: ...
     def leads(self) -> bool: ...
 
 
-class Reception:
-    def __init__(self, process: Process, follower: Follower, collector: Collector) -> None:
+class ControlApi:
+    def __init__(self, process: Process, follower: Follower, collector: HeartbeatCollector) -> None:
         self._process, self._follower, self._collector = process, follower, collector
 
     def ready(self) -> bool:
         """A majority is behind it, or behind the leader that it is in contact with."""
         process = self._process
-        return process.leads() if process.duty else self._follower.in_contact(process.now())
+        return process.leads() if process.leadership else self._follower.in_contact(process.now())
 
     def _ready(self) -> Answer:
         ready = self.ready()
         return told(200 if ready else 503, {"ready": ready})
 
-    async def foyer(self, method: str, target: str, body: bytes) -> Answer:
+    async def lookup_api(self, method: str, target: str, body: bytes) -> Answer:
         """Calls of clients, at `dir`."""
-        found = match(FOYER, method, target)
-        if isinstance(found, Wrong):
+        found = match(LOOKUP_ROUTES, method, target)
+        if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
         if found.call == "ready":
             return self._ready()
         if not self.ready():
             return wrong(503, "out of contact")
-        return lookup(target, self._process.roll.here(), self._process.settings.bounds.ttl_max)
+        return lookup(
+            target, self._process.node_registry.here(), self._process.settings.bounds.ttl_max
+        )
 
     async def control(self, method: str, target: str, body: bytes) -> Answer:
         """Calls of servers and operators, at `ctl`."""
-        found = match(CONTROL, method, target)
-        if isinstance(found, Wrong):
+        found = match(CONTROL_ROUTES, method, target)
+        if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
         if found.call == "ready":
             return self._ready()
         if found.call != "beat":
             return await self._settle(method, target, body)
         now = self._process.now()
-        plain = self._process.duty is None and self._follower.in_contact(now)
+        plain = self._process.leadership is None and self._follower.in_contact(now)
         if plain and self._collector.plain(found.args["id"], body, now):
             return told(200, self._nearer(body))
-        if self._process.duty is None and self._follower.is_cut_off(now):
+        if self._process.leadership is None and self._follower.is_cut_off(now):
             return wrong(503, "out of contact")
-        if self._process.duty is None and (
+        if self._process.leadership is None and (
             seen := self._collector.read(found.args["id"], body, now)
         ):
             try:
                 await self._follower.arrivals.say(seen)
-            except SystemFailure as failure:
+            except CallError as failure:
                 return wrong(503, str(failure))
             return told(200, self._nearer(body))
         status, answer = await self._settle(method, target, body, BEAT)
@@ -92,37 +94,41 @@
         settled here in vain does no harm: it has an id, and configurations are known by what they
         are."""
         process, came, id = self._process, self._process.now(), f"{random.getrandbits(64):016x}"
-        if process.duty and process.leads():
+        if process.leadership and process.leads():
             try:
-                return await process.desk.settle(method, target, body, id)
-            except SystemFailure as failure:
-                if failure.code is not Code.NOT_LEADER:
+                return await process.operations.settle(method, target, body, id)
+            except CallError as failure:
+                if not isinstance(failure, NotLeaderError):
                     return wrong(503, str(failure))
-        order = pb.Order(method=method, path=target, body=body, id=id)
+        order = pb.OperationRequest(method=method, path=target, body=body, id=id)
         within = came + PASS_ON - process.now()
         if self._follower.in_contact(process.now()):
             patience = within = within if len(body) < LARGE else PASS_LARGE
         else:
             within, patience = min(most, within), WAY
         try:
-            answer = await self._follower.call(pb.Envelope(order=order), within, patience)
-        except SystemFailure as failure:
+            answer = await self._follower.call(
+                pb.Envelope(operation_request=order), within, patience
+            )
+        except CallError as failure:
             return wrong(503, str(failure))
-        return answer.outcome.status, answer.outcome.body
+        return answer.operation_response.status, answer.operation_response.body
 
     def was_read(self, method: str, target: str, answer: Answer) -> None:
         """Who gave an order for a zone has its answer: the same call is another order from now
         on."""
-        found = match(CONTROL, method, target)
+        found = match(CONTROL_ROUTES, method, target)
         if (
-            isinstance(found, Wrong)
+            isinstance(found, RouteFailure)
             or found.call not in ("evacuate", "take back")
             or answer[0] != 200
         ):
             return
         process = self._process
-        receipt = pb.Receipt(zone=found.args["zone"], order=json.loads(answer[1])["order"])
-        if process.duty:
-            process.duty.moves.read(receipt.zone, receipt.order)
-        elif process.reach.hint:
-            process.reach.tell(pb.Envelope(receipt=receipt))
+        receipt = pb.EvacuationReceipt(
+            zone=found.args["zone"], order=json.loads(answer[1])["order"]
+        )
+        if process.leadership:
+            process.leadership.moves.read(receipt.zone, receipt.order)
+        elif process.leader_client.hint:
+            process.leader_client.tell(pb.Envelope(evacuation_receipt=receipt))
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -36,22 +36,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedEntry:
     entry: Entry
     changed: bool  # the state is another one for it
 
 
 @dataclass(slots=True)
-class _Begun:
+class _PartialCommand:
     """A command of which not all parts have come."""
 
     count: int = 0
     raw: dict[str, Any] = field(default_factory=dict)
     digest: Any = field(default_factory=state_digest)
-    reading: serialization.Reading = field(init=False)
+    reading: serialization.StateReader = field(init=False)
 
     def __post_init__(self) -> None:
-        self.reading = serialization.Reading(self.raw)
+        self.reading = serialization.StateReader(self.raw)
 
 
 class Applier:
@@ -67,7 +67,7 @@
         self.state, self.index, self.term = state, index, term
         self._queue.clear()
         self._work: Generator[None, None, bool] | None = None
-        self._begun: _Begun | None = None
+        self._begun: _PartialCommand | None = None
 
     @property
     def is_behind(self) -> bool:
@@ -82,7 +82,7 @@
     def take(self, entries: Iterable[Entry]) -> None:
         self._queue.extend(entries)
 
-    def step(self) -> Applied | None:
+    def step(self) -> AppliedEntry | None:
         """A step of work, where there is one; what has come into force with it, if it is an entry's
         last."""
         if not self._queue:
@@ -90,14 +90,14 @@
         entry = self._queue[0]
         if self._work is None:
             self._work = self._applying(entry)
-        large = self._begun or len(entry.data) > LARGE or fragments.is_part(entry.data)
+        large = self._begun or len(entry.data) > LARGE or fragments.is_fragment(entry.data)
         try:
             with uncollected() if large else contextlib.nullcontext():
                 next(self._work)
         except StopIteration as ended:
             self._queue.popleft()
             self._work, self.index, self.term = None, entry.index, entry.term
-            return Applied(entry, ended.value)
+            return AppliedEntry(entry, ended.value)
         return None
 
     def _applying(self, entry: Entry) -> Generator[None, None, bool]:
@@ -107,20 +107,20 @@
                 yield from self.state.tell()
         if not entry.data:
             return False
-        if fragments.is_part(entry.data):
+        if fragments.is_fragment(entry.data):
             command = yield from self._gathered(fragments.read(entry.data))
         else:
             command = Command.read(entry.data)
         return (yield from self.state.applying(command, self.tells)) if command else False
 
-    def _gathered(self, part: fragments.Part) -> Generator[None, None, Command | None]:
+    def _gathered(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
         """The command whose last part this is."""
-        if part.number == 0 and part.kind is not fragments.Kind.VOID:
-            self._begun = _Begun()
+        if part.number == 0 and part.kind is not fragments.FragmentKind.VOID:
+            self._begun = _PartialCommand()
         begun, self._begun = self._begun, None
-        if begun is None or part.kind is fragments.Kind.VOID or part.number != begun.count:
+        if begun is None or part.kind is fragments.FragmentKind.VOID or part.number != begun.count:
             return None
-        last = part.kind is fragments.Kind.LAST
+        last = part.kind is fragments.FragmentKind.LAST
         data = part.data[fragments.DIGEST :] if last else part.data
         begun.count += 1
         begun.digest.update(data)
--- a/cairndale/control/evacuation_log.py
+++ b/cairndale/control/evacuation_log.py
@@ -24,7 +24,7 @@
 CALLS = 1024  # that are remembered here; the state that is agreed on remembers more
 
 
-class Moves:
+class EvacuationLog:
     """Times are seconds on the leader's clock."""
 
     def __init__(self, now: float, again: float, ever: bool) -> None:
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -11,17 +11,17 @@
 from typing import Protocol
 
 from cairndale.configuration.state import State
-from cairndale.control.heartbeat_batch import Arrivals, Batch
-from cairndale.control.leadership import Duty, server_in
-from cairndale.errors import SystemFailure
+from cairndale.control.heartbeat_batch import Arrivals, HeartbeatBatch
+from cairndale.control.leadership import Leadership, server_in
+from cairndale.errors import CallError
 from cairndale.raft.messages import Member
-from cairndale.registry.endpoints import Board
-from cairndale.registry.heartbeats import Collector
-from cairndale.registry.nodes import Roll
+from cairndale.registry.endpoints import EndpointRegistry
+from cairndale.registry.heartbeats import HeartbeatCollector
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
-from cairndale.rpc.peer import Wings
-from cairndale.settings import Settings, shown
+from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.peer import RpcPeer
+from cairndale.settings import Settings, format_address
 
 CONTACT = 2 / 3  # of a server's beat, or ...
 # ... s, if that is less: under the beat that a server may take to call elsewhere
@@ -43,23 +43,23 @@
 class Process(Protocol):
     settings: Settings
     state: State
-    board: Board
-    roll: Roll
-    wings: Wings
-    reach: Reach
-    duty: Duty | None
+    endpoint_registry: EndpointRegistry
+    node_registry: NodeRegistry
+    rpc_peer: RpcPeer
+    leader_client: LeaderClient
+    leadership: Leadership | None
 
     @property
     def machine(self) -> Log: ...
     def now(self) -> float: ...
-    async def hear(self, arrivals: pb.Arrivals, term: int = 0) -> int:
-        """At the leader. Raises SystemFailure."""
+    async def hear(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
+        """At the leader. Raises CallError."""
 
 
 class Follower:
     """Times are seconds on this process's clock."""
 
-    def __init__(self, process: Process, collector: Collector) -> None:
+    def __init__(self, process: Process, collector: HeartbeatCollector) -> None:
         self._process, self._collector = process, collector
         self._seen: tuple[str, int, int] = ("", 0, 0)  # epoch, servers, nodes
         self._answered = float("-inf")  # when the newest was sent that the leader has answered
@@ -80,34 +80,36 @@
         return not self.in_contact(now) and now - self._failed < AGAIN
 
     async def call(self, envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
-        """The leader's answer. Raises SystemFailure."""
+        """The leader's answer. Raises CallError."""
         sent = self._process.now()
         try:
-            answer = await self._process.reach.call(envelope, within, patience)
-        except SystemFailure:
+            answer = await self._process.leader_client.call(envelope, within, patience)
+        except CallError:
             self._failed = self._process.now()
             raise
         self._answered = max(self._answered, sent)
         return answer
 
-    async def _tell_arrivals(self, batch: Batch) -> None:
-        """Within the time of the beat that came first. Raises SystemFailure."""
+    async def _tell_arrivals(self, batch: HeartbeatBatch) -> None:
+        """Within the time of the beat that came first. Raises CallError."""
         process, now = self._process, self._process.now()
         arrivals = batch.out(now)
-        if process.duty:  # this one leads by now
+        if process.leadership:  # this one leads by now
             await process.hear(arrivals)
             return
         is_in_contact = self.in_contact(now)
         within = batch.began + (PASS_ON if is_in_contact else BEAT) - now
-        await self.call(pb.Envelope(arrivals=arrivals), within, within if is_in_contact else WAY)
+        await self.call(
+            pb.Envelope(endpoint_report=arrivals), within, within if is_in_contact else WAY
+        )
 
     def _node(self) -> pb.Node:
         settings = self._process.settings
-        ctl = shown(settings.listen["ctl"]) if "ctl" in settings.listen else ""
+        ctl = format_address(settings.listen["ctl"]) if "ctl" in settings.listen else ""
         return pb.Node(
             name=settings.name,
-            life=self._process.wings.life,
-            door=shown((settings.ip, settings.own_port)),
+            life=self._process.rpc_peer.life,
+            address=format_address((settings.ip, settings.own_port)),
             zone=settings.zone,
             region=settings.region,
             kind="core",
@@ -119,40 +121,48 @@
         """News, for good."""
         process = self._process
         while True:
-            if process.duty:
+            if process.leadership:
                 await asyncio.sleep(0.2)
                 continue
             epoch, servers, nodes = self._seen
-            ask = pb.Ask(
+            ask = pb.WatchRequest(
                 node=self._node(),
                 epoch=epoch,
-                script=process.state.version,
+                config_version=process.state.version,
                 gen=process.state.gen,
                 servers=servers,
                 nodes=nodes,
                 wait_ms=round(ASK_WAIT * 1000),
             )
             try:
-                answer = await self.call(pb.Envelope(ask=ask), 3.0, ASK_WAIT + 0.6)
-            except SystemFailure:
+                answer = await self.call(pb.Envelope(watch_request=ask), 3.0, ASK_WAIT + 0.6)
+            except CallError:
                 await asyncio.sleep(0.1)
                 continue
-            if process.duty is None and answer.WhichOneof("body") == "cue":
-                self._take(answer.cue)
+            if process.leadership is None and answer.WhichOneof("body") == "watch_response":
+                self._take(answer.watch_response)
                 if (
-                    answer.cue.script != process.state.version
+                    answer.watch_response.config_version != process.state.version
                 ):  # its own log is behind: not at once again
                     await asyncio.sleep(0.05)
 
-    def _take(self, cue: pb.Cue) -> None:
+    def _take(self, watch_response: pb.WatchResponse) -> None:
         process, now = self._process, self._process.now()
-        seen = [server_in(s, now) for s in cue.server]
-        if cue.servers != self._seen[1] or cue.servers_whole:
-            process.board.take(seen, cue.servers, cue.servers_whole)
-        process.roll.take(cue.node, cue.node_gone, cue.nodes_whole, now, cue.nodes)
-        for known in process.board.servers.values():
+        seen = [server_in(s, now) for s in watch_response.server]
+        if watch_response.servers != self._seen[1] or watch_response.servers_whole:
+            process.endpoint_registry.take(
+                seen, watch_response.servers, watch_response.servers_whole
+            )
+        process.node_registry.take(
+            watch_response.node,
+            watch_response.node_gone,
+            watch_response.nodes_whole,
+            now,
+            watch_response.nodes,
+        )
+        for known in process.endpoint_registry.servers.values():
             known.heard_at = now
-        self._seen = (cue.epoch, cue.servers, cue.nodes)
+        self._seen = (watch_response.epoch, watch_response.servers, watch_response.nodes)
 
     async def reports(self) -> None:
         """Beats that said nothing new are told of together, for good. What was not answered is
@@ -162,12 +172,12 @@
         while True:
             await asyncio.sleep(REPORT * self.span() * random.uniform(0.8, 1.2))
             beats = self._collector.report(process.now())
-            if process.duty:
-                process.duty.beats(process.now(), beats)
+            if process.leadership:
+                process.leadership.beats(process.now(), beats)
                 self._collector.told(beats)
                 continue
             try:
-                await self.call(pb.Envelope(beats=beats), REPORT_WAIT, REPORT_WAIT)
-            except SystemFailure:
+                await self.call(pb.Envelope(heartbeat_report=beats), REPORT_WAIT, REPORT_WAIT)
+            except CallError:
                 continue
             self._collector.told(beats)
--- a/cairndale/control/heartbeat_batch.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -11,9 +11,9 @@
 from collections.abc import Awaitable, Callable
 
 from cairndale.control.leadership import server_in, server_out
-from cairndale.errors import Code, SystemFailure
-from cairndale.events import Event, note
-from cairndale.registry.endpoints import STATES, Board, Seen
+from cairndale.errors import CallError, QueueFullError
+from cairndale.events import Event, log_event
+from cairndale.registry.endpoints import STATES, Endpoint, EndpointRegistry
 from cairndale.rpc import protocol_pb2 as pb
 
 # s between two calls, for each core machine: the leader takes so many in all a second ...
@@ -27,25 +27,27 @@
     return min(APART_MOST, APART_EACH * cores)
 
 
-def hear(board: Board, arrivals: pb.Arrivals, now: float) -> bool:
+def hear(endpoint_registry: EndpointRegistry, arrivals: pb.EndpointReport, now: float) -> bool:
     """At the leader. True if there is news for the data plane."""
     told = [server_in(server, now) for server in arrivals.server if server.state in STATES[:2]]
-    news = [seen for seen in told if board.beat(seen)]
+    news = [seen for seen in told if endpoint_registry.beat(seen)]
     if news:
-        note(Event.SERVER_NEWS, "%s", ", ".join(f"{s.id} {s.service} {s.state}" for s in news))
+        log_event(
+            Event.ENDPOINTS_CHANGED, "%s", ", ".join(f"{s.id} {s.service} {s.state}" for s in news)
+        )
     return bool(news)
 
 
-class Batch:
+class HeartbeatBatch:
     """What is told in one call."""
 
     def __init__(self, now: float) -> None:
         self.began = now
-        self.beats: list[Seen] = []
+        self.beats: list[Endpoint] = []
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def out(self, now: float) -> pb.Arrivals:
-        return pb.Arrivals(server=[server_out(seen, now) for seen in self.beats])
+    def out(self, now: float) -> pb.EndpointReport:
+        return pb.EndpointReport(server=[server_out(seen, now) for seen in self.beats])
 
 
 class Arrivals:
@@ -55,37 +57,37 @@
         self,
         now: Callable[[], float],
         cores: Callable[[], int],
-        tell: Callable[[Batch], Awaitable[None]],
+        tell: Callable[[HeartbeatBatch], Awaitable[None]],
     ) -> None:
         """`cores`: how many core machines there are; `tell` calls the leader, and raises
-        SystemFailure where it is not known to have heard."""
+        CallError where it is not known to have heard."""
         self._now, self._cores, self._tell = now, cores, tell
-        self._open: Batch | None = None  # not told yet
+        self._open: HeartbeatBatch | None = None  # not told yet
         self._told_at = float("-inf")
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def say(self, seen: Seen) -> None:
-        """Until the leader has heard it. Raises SystemFailure."""
+    async def say(self, seen: Endpoint) -> None:
+        """Until the leader has heard it. Raises CallError."""
         batch, now = self._open, self._now()
         if batch is None:
-            batch = self._open = Batch(now)
+            batch = self._open = HeartbeatBatch(now)
             wait = max(0.0, self._told_at + apart(self._cores()) - now)
             asyncio.get_running_loop().call_later(wait, self._go, batch)
         if len(batch.beats) >= MOST:
-            raise SystemFailure(Code.FULL, "too many servers at once")
+            raise QueueFullError("too many servers at once")
         batch.beats.append(seen)
         await asyncio.shield(batch.done)
 
-    def _go(self, batch: Batch) -> None:
+    def _go(self, batch: HeartbeatBatch) -> None:
         self._open, self._told_at = None, self._now()
         task = asyncio.get_running_loop().create_task(self._end(batch))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _end(self, batch: Batch) -> None:
+    async def _end(self, batch: HeartbeatBatch) -> None:
         try:
             await self._tell(batch)
-        except SystemFailure as failure:
+        except CallError as failure:
             batch.done.set_exception(failure)
             batch.done.exception()  # nobody may wait for it any longer
         else:
--- a/cairndale/control/idempotency.py
+++ b/cairndale/control/idempotency.py
@@ -11,7 +11,7 @@
 MOST = 4096  # answers; about 300 bytes each
 
 
-class Repeats:
+class IdempotencyCache:
     """A copy that comes later than this, as from a peer that stood still, is taken for another
     call: units are granted once more, to nobody. That wastes them and never exceeds a bound.
 
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -10,13 +10,13 @@
 from typing import Any
 
 from cairndale.configuration.state import State
-from cairndale.control.evacuation_log import Moves
-from cairndale.control.idempotency import Repeats
-from cairndale.errors import Code, SystemFailure
-from cairndale.quota.budget_counter import FURTHER, LIFE, Purse, Whole, further, starts
-from cairndale.quota.quota_counter import Till
-from cairndale.registry.endpoints import Board, Seen
-from cairndale.registry.nodes import LEASE, Roll
+from cairndale.control.evacuation_log import EvacuationLog
+from cairndale.control.idempotency import IdempotencyCache
+from cairndale.errors import RejectedError, StaleCallError
+from cairndale.quota.budget_counter import FURTHER, LIFE, Budget, BudgetCounter, further, starts
+from cairndale.quota.quota_counter import QuotaCounter
+from cairndale.registry.endpoints import Endpoint, EndpointRegistry
+from cairndale.registry.nodes import LEASE, NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
 from cairndale.settings import Bounds, seconds
@@ -34,9 +34,9 @@
 EXPIRE_EACH = 50e-6  # s, for each server, between looks for those that are silent
 
 
-def server_out(seen: Seen, now: float) -> pb.Server:
+def server_out(seen: Endpoint, now: float) -> pb.Endpoint:
     cold = max(0, round((seen.cold_until - now) * 1000))
-    return pb.Server(
+    return pb.Endpoint(
         id=seen.id,
         service=seen.service,
         addr=seen.addr,
@@ -49,18 +49,18 @@
     )
 
 
-def encoded(seen: Seen, now: float) -> bytes:
+def encoded(seen: Endpoint, now: float) -> bytes:
     """`server_out` as it stands in a cue, made once for each change of one that is not cold."""
     if seen.told[0] == seen.changed and seen.cold_until <= now:
         return seen.told[1]
-    made = pb.Cue(server=[server_out(seen, now)]).SerializeToString()
+    made = pb.WatchResponse(server=[server_out(seen, now)]).SerializeToString()
     if seen.cold_until <= now:
         seen.told = (seen.changed, made)
     return made
 
 
-def server_in(made: pb.Server, now: float) -> Seen:
-    return Seen(
+def server_in(made: pb.Endpoint, now: float) -> Endpoint:
+    return Endpoint(
         made.id,
         made.service,
         made.addr,
@@ -75,14 +75,14 @@
     )
 
 
-class Duty:
+class Leadership:
     def __init__(
         self,
         term: int,
         now: float,
         ever: bool,
-        board: Board,
-        roll: Roll,
+        endpoint_registry: EndpointRegistry,
+        node_registry: NodeRegistry,
         edges: Iterable[str],
         bounds: Bounds,
         beat: float,
@@ -90,10 +90,14 @@
         """`ever`: somebody may have held the duty before; `edges`: who may hold leases of theirs.
         `board` and `roll` are as they were last heard."""
         self.term, self.began, self._beat = term, now, beat
-        self.board, self.roll, self.till = board, roll, Till(now, bounds, ever)
-        self.moves, self._repeats = Moves(now, bounds.ack, ever), Repeats()
-        self.purse, self._warm_per_s = Purse(now, ever), dict[str, float]()
-        self._from_nothing, self._was_spent = not board.servers, False
+        self.endpoint_registry, self.node_registry, self.quota_counter = (
+            endpoint_registry,
+            node_registry,
+            QuotaCounter(now, bounds, ever),
+        )
+        self.moves, self._repeats = EvacuationLog(now, bounds.ack, ever), IdempotencyCache()
+        self.budget_counter, self._warm_per_s = BudgetCounter(now, ever), dict[str, float]()
+        self._from_nothing, self._was_spent = not endpoint_registry.servers, False
         self._bounds, self.counting = bounds, not ever
         self._shared: dict[str, float] = {}  # ingresses of late, and until when they count
         self._shared_at, self._shared_of = (
@@ -107,9 +111,9 @@
         self._expired_at = float("-inf")
         self._state: State | None = None  # as it was last followed
         self._followed: tuple[Any, Any] = (None, None)  # its tenants and backends, by object
-        for seen in board.servers.values():
+        for seen in endpoint_registry.servers.values():
             seen.heard_at = now
-        roll.begin(now, edges)
+        node_registry.begin(now, edges)
 
     def epoch(self, now: float) -> str:
         """Numbers of boards and rolls mean something within one. It changes once all servers had
@@ -125,7 +129,7 @@
         tenants, backends = (state.content.get(table, ()) for table in ("tenants", "backends"))
         self._followed = tenants, backends
         if tenants is not before[0]:
-            self.till.quotas(
+            self.quota_counter.quotas(
                 {
                     t["name"]: (float(t["ratePerS"]), float(t.get("burst") or 0))
                     for t in tenants
@@ -150,22 +154,25 @@
         self._looked_at = now
         edges = self.shared_by(now)
         if self.counting:
-            self.till.silent(now, self.roll.silent(now, edges), edges)
+            self.quota_counter.silent(now, self.node_registry.silent(now, edges), edges)
             return False
-        if self._was_spent or self.roll.all_heard(now):
-            quotas, self.till = self.till, Till(now, self._bounds, idle=self.roll.idle(now))
-            self.till.follow(quotas)
+        if self._was_spent or self.node_registry.all_heard(now):
+            quotas, self.quota_counter = (
+                self.quota_counter,
+                QuotaCounter(now, self._bounds, idle=self.node_registry.idle(now)),
+            )
+            self.quota_counter.follow(quotas)
             self.counting = True
-            self.till.silent(now, self.roll.silent(now, edges), edges)
+            self.quota_counter.silent(now, self.node_registry.silent(now, edges), edges)
         return self.counting
 
     def _expire(self, now: float) -> bool:
         if not self.settled(now):
-            return self.roll.watch(now)
-        if now - self._expired_at < EXPIRE_EACH * len(self.board.servers):
-            return self.roll.watch(now)
+            return self.node_registry.watch(now)
+        if now - self._expired_at < EXPIRE_EACH * len(self.endpoint_registry.servers):
+            return self.node_registry.watch(now)
         self._expired_at = now
-        return self.board.expire(now, self._beat) | self.roll.watch(now)
+        return self.endpoint_registry.expire(now, self._beat) | self.node_registry.watch(now)
 
     def warmups(self, state: State) -> dict[str, float]:
         return {
@@ -174,9 +181,9 @@
 
     def shared_by(self, now: float) -> int:
         """Ingresses that static parts of a whole are counted over."""
-        if self._shared_of != self.roll.joined or not 0 <= now - self._shared_at < LOOK:
-            self._shared_at, self._shared_of = now, self.roll.joined
-            for held in self.roll.leases.values():
+        if self._shared_of != self.node_registry.joined or not 0 <= now - self._shared_at < LOOK:
+            self._shared_at, self._shared_of = now, self.node_registry.joined
+            for held in self.node_registry.leases.values():
                 if held.node.kind == "edge":
                     self._shared[held.node.name] = now + COUNTED
             self._shared = {name: until for name, until in self._shared.items() if until > now}
@@ -184,110 +191,118 @@
 
     def units(self, now: float, call: pb.Envelope) -> pb.Envelope:
         """The answer to a call for units of this term, the same to each copy. Raises
-        SystemFailure."""
+        CallError."""
         if call.term != self.term:
-            raise SystemFailure(Code.STALE, f"meant for term {call.term}")
+            raise StaleCallError(f"meant for term {call.term}")
         if before := self._repeats.answer(now, call.origin, call.id):
             return before
         answer = pb.Envelope(term=self.term)
-        if call.HasField("deal"):
-            answer.dealt.CopyFrom(self.deal(now, call.deal))
-        elif (left := self.lease(now, call.lease)) is not None:
-            answer.leased.left = left
+        if call.HasField("budget_request"):
+            answer.budget_response.CopyFrom(self.deal(now, call.budget_request))
+        elif (left := self.lease(now, call.quota_request)) is not None:
+            answer.quota_response.left = left
         else:
-            raise SystemFailure(Code.REFUSED)
+            raise RejectedError()
         self._repeats.keep(now, call.origin, call.id, answer)
         return answer
 
-    def lease(self, now: float, lease: pb.Lease) -> float | None:
+    def lease(self, now: float, lease: pb.QuotaRequest) -> float | None:
         """What is left of a tenant's units; None: none are leased, as they are not counted yet or
         have no bound."""
         self._count(now)
         return (
-            self.till.lease(now, lease.tenant, lease.amount, lease.told) if self.counting else None
+            self.quota_counter.lease(now, lease.tenant, lease.amount, lease.told)
+            if self.counting
+            else None
         )
 
-    def deal(self, now: float, deal: pb.Deal) -> pb.Dealt:
+    def deal(self, now: float, deal: pb.BudgetRequest) -> pb.BudgetResponse:
         wanted = {name: self._whole(name) for name in deal.whole}
         known = {name: whole for name, whole in wanted.items() if whole}
-        wait = self.purse.deal(now, known) if len(known) == len(wanted) else WAIT
-        return pb.Dealt(
+        wait = self.budget_counter.deal(now, known) if len(known) == len(wanted) else WAIT
+        return pb.BudgetResponse(
             all=not wait, life_ms=round(LIFE * 1000), wait_ms=round(min(wait, WAIT) * 1000)
         )
 
-    def _whole(self, name: str) -> Whole | None:
+    def _whole(self, name: str) -> Budget | None:
         kind, _, of = name.partition("/")
         if kind == FURTHER:
             return further(self._bounds) if of in self._warm_per_s else None
-        seen = self.board.servers.get(of)
+        seen = self.endpoint_registry.servers.get(of)
         return starts(self._bounds, self._warm_per_s.get(seen.service, 0.0)) if seen else None
 
-    def beats(self, now: float, beats: pb.Beats) -> None:
+    def beats(self, now: float, beats: pb.HeartbeatReport) -> None:
         """Of servers that said nothing new to one that does not lead, so many ms ago."""
         for number, (id, seq) in enumerate(zip(beats.id, beats.seq, strict=False)):
-            seen = self.board.servers.get(id)
+            seen = self.endpoint_registry.servers.get(id)
             if seen and seen.state == "ready" and seq > seen.seq:
                 age = beats.age_ms[number] / 1000 if number < len(beats.age_ms) else 0.0
                 seen.seq, seen.heard_at = seq, max(seen.heard_at, now - max(0.0, age - UNDER_WAY))
 
-    def asked(self, now: float, ask: pb.Ask) -> bool:
-        """True if it is news to others. Raises SystemFailure where who asks is not known, or has
+    def asked(self, now: float, ask: pb.WatchRequest) -> bool:
+        """True if it is news to others. Raises CallError where who asks is not known, or has
         asked since: this one was held up somewhere, and says nothing of now."""
         if not ask.HasField("node"):
-            known = self.roll.leases.get(ask.name)
-            if known is None or known.node.life != ask.life or not known.node.door:
-                raise SystemFailure(Code.STALE)
+            known = self.node_registry.leases.get(ask.name)
+            if known is None or known.node.life != ask.life or not known.node.address:
+                raise StaleCallError()
             ask.node.CopyFrom(known.node)
-        known = self.roll.leases.get(ask.node.name)
+        known = self.node_registry.leases.get(ask.node.name)
         first = known is None or known.asked_at == float("-inf")  # since the duty began
         is_of_term = ask.epoch.rstrip("~") == f"{self.term}"
         made = min(now, self.began + ask.clock_ms / 1000) if is_of_term and ask.clock_ms else None
-        if self.roll.was_held_up(now, ask.node, made):
-            raise SystemFailure(Code.STALE, "held up")
-        news = self.roll.ask(now, ask.node, ask.script, made)
-        held = self.roll.leases[ask.node.name]
+        if self.node_registry.was_held_up(now, ask.node, made):
+            raise StaleCallError("held up")
+        news = self.node_registry.ask(now, ask.node, ask.config_version, made)
+        held = self.node_registry.leases[ask.node.name]
         if held.idle_from == float("inf"):
             held.idle_from = now - ask.idle_ms / 1000
             self._was_spent |= (
                 bool(ask.epoch) and ask.node.kind == "edge"
             )  # told before, so it may spend
-        held.current = ask.servers == self.board.number
+        held.current = ask.servers == self.endpoint_registry.number
         held.counting = is_of_term and ask.counting and self.counting
         news |= self._count(now, anew=first)
         return news
 
-    def has_news(self, now: float, ask: pb.Ask, state: State) -> bool:
-        if ask.epoch != self.epoch(now) or ask.script != state.version:
+    def has_news(self, now: float, ask: pb.WatchRequest, state: State) -> bool:
+        if ask.epoch != self.epoch(now) or ask.config_version != state.version:
             return True
         if ask.node.kind == "edge" and ask.counting != self.counting:
             return True
-        return ask.servers != self.board.number or ask.nodes != self.roll.number
+        return (
+            ask.servers != self.endpoint_registry.number or ask.nodes != self.node_registry.number
+        )
 
-    def cue(self, now: float, ask: pb.Ask, state: State) -> pb.Cue:
+    def watch_response(self, now: float, ask: pb.WatchRequest, state: State) -> pb.WatchResponse:
         """The news for who asks, and its lease, which begins now."""
-        cue = self._answer(now, ask, self.epoch(now), state.version, state.gen)
-        cue.settled = self.settled(now)
-        if ask.script != state.version:
-            cue.evacuated.extend(state.evacuated)
-            cue.has_script = True
+        watch_response = self._answer(now, ask, self.epoch(now), state.version, state.gen)
+        watch_response.settled = self.settled(now)
+        if ask.config_version != state.version:
+            watch_response.evacuated.extend(state.evacuated)
+            watch_response.has_config_version = True
             if ask.gen != state.gen and ask.node.kind == "edge":  # others have the log
-                self._tell_content(cue, ask, state)
-        of_term = ask.epoch in (cue.epoch, f"{self.term}~")
+                self._tell_content(watch_response, ask, state)
+        of_term = ask.epoch in (watch_response.epoch, f"{self.term}~")
         # Once all had time to say that they are there, an ingress need not be told again of those
         # who were.
-        cue.rest_gone = of_term and ask.epoch != cue.epoch and ask.node.kind == "edge"
-        known = ask.epoch == cue.epoch or cue.rest_gone
-        (cue.servers, cue.nodes), cue.lists = self._packed(
+        watch_response.rest_gone = (
+            of_term and ask.epoch != watch_response.epoch and ask.node.kind == "edge"
+        )
+        known = ask.epoch == watch_response.epoch or watch_response.rest_gone
+        (watch_response.servers, watch_response.nodes), watch_response.lists = self._packed(
             now, ask.servers if known else -1, ask.nodes if of_term else -1
         )
-        return cue
+        return watch_response
 
-    def _tell_content(self, cue: pb.Cue, ask: pb.Ask, state: State) -> None:
+    def _tell_content(
+        self, watch_response: pb.WatchResponse, ask: pb.WatchRequest, state: State
+    ) -> None:
         """What differs from the gen that an ingress has, where it takes that and it is known; else
         all."""
         if ask.differences and (found := state.history.since(ask.gen)):
-            cue.difference.CopyFrom(
-                pb.Difference(
+            watch_response.difference.CopyFrom(
+                pb.ConfigDelta(
                     before=found.before,
                     gen=found.gen,
                     digest_before=found.digest_before,
@@ -296,23 +311,25 @@
                 )
             )
         else:
-            cue.has_content, cue.content = True, state.told()
+            watch_response.has_content, watch_response.content = True, state.told()
 
-    def renew(self, now: float, ask: pb.Ask) -> pb.Cue:
+    def renew(self, now: float, ask: pb.WatchRequest) -> pb.WatchResponse:
         """What it knows stands, and its lease begins anew; news of servers, nodes and the
         configuration may be kept for its next ask."""
-        cue = self._answer(now, ask, ask.epoch, ask.script, ask.gen)
-        cue.servers, cue.nodes = ask.servers, ask.nodes
-        return cue
-
-    def _answer(self, now: float, ask: pb.Ask, epoch: str, script: int, gen: int) -> pb.Cue:
-        self.roll.answered(now, ask.node.name)
-        if held := self.roll.leases.get(ask.node.name):
+        watch_response = self._answer(now, ask, ask.epoch, ask.config_version, ask.gen)
+        watch_response.servers, watch_response.nodes = ask.servers, ask.nodes
+        return watch_response
+
+    def _answer(
+        self, now: float, ask: pb.WatchRequest, epoch: str, config_version: int, gen: int
+    ) -> pb.WatchResponse:
+        self.node_registry.answered(now, ask.node.name)
+        if held := self.node_registry.leases.get(ask.node.name):
             held.idle_until = min(held.idle_until, now)
-        return pb.Cue(
+        return pb.WatchResponse(
             epoch=epoch,
             lease_ms=round(LEASE * 1000),
-            script=script,
+            config_version=config_version,
             gen=gen,
             share_of=self.shared_by(now),
             counting=self.counting,
@@ -324,19 +341,26 @@
         this term), and up to which they tell. They are told for a while though there is news since:
         who hears them is told that next, and all who are told in one round have the same numbers in
         the next."""
-        settled, of = self.settled(now), (self.board.number, self.roll.number)
+        settled, of = self.settled(now), (self.endpoint_registry.number, self.node_registry.number)
         key = (servers, nodes, settled)
         at, upto, made = self._lists.get(key, (float("-inf"), of, b""))
         holds = (
             PACKED if min(servers, nodes) < 0 else min(PACKED, PACKED_EACH * self.shared_by(now))
         )
         if not 0 <= now - at < (PACKED if upto == of else holds):
-            part, upto = pb.Cue(servers_whole=servers < 0 and settled, nodes_whole=nodes < 0), of
-            seen = self.board.since(max(0, servers)) if servers != of[0] else []
+            part, upto = (
+                pb.WatchResponse(servers_whole=servers < 0 and settled, nodes_whole=nodes < 0),
+                of,
+            )
+            seen = self.endpoint_registry.since(max(0, servers)) if servers != of[0] else []
             seen = [s for s in seen if servers >= 0 or s.state != "gone" or s.ended]
             part.MergeFromString(b"".join([encoded(s, now) for s in seen]))
             if nodes != of[1]:
-                here, gone = self.roll.since(nodes) if nodes >= 0 else (self.roll.here(), [])
+                here, gone = (
+                    self.node_registry.since(nodes)
+                    if nodes >= 0
+                    else (self.node_registry.here(), [])
+                )
                 part.node.extend(here)
                 part.node_gone.extend(gone)
             made = packed(part)
@@ -353,11 +377,11 @@
                 "kind": h.node.kind,
                 "zone": h.node.zone,
                 "ready": h.node.ready,
-                "version": h.script,
+                "version": h.config_version,
                 "current": h.current,
                 "lease_left": round(h.lease_end - now, 1),
             }
-            for n, h in sorted(self.roll.leases.items())
+            for n, h in sorted(self.node_registry.leases.items())
         ]
         servers = [
             {
@@ -367,7 +391,7 @@
                 "state": s.state,
                 "silent": round(now - s.heard_at, 1),
             }
-            for s in self.board.servers.values()
+            for s in self.endpoint_registry.servers.values()
         ]
         return {
             "term": self.term,
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -15,31 +15,31 @@
 
 from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control.api import Reception
-from cairndale.control.applier import Applied, Applier, encoded
+from cairndale.control.api import ControlApi
+from cairndale.control.applier import AppliedEntry, Applier, encoded
 from cairndale.control.follower import Follower
 from cairndale.control.heartbeat_batch import hear
-from cairndale.control.leadership import Duty
-from cairndale.control.operations import Desk
+from cairndale.control.leadership import Leadership
+from cairndale.control.operations import OperationHandler
 from cairndale.control.read_index import ReadIndex
-from cairndale.control.snapshot_worker import Upkeep
-from cairndale.control.watch_server import Prompter
-from cairndale.errors import Code, SystemFailure
-from cairndale.events import Event, note
-from cairndale.http_api.server import Doors
+from cairndale.control.snapshot_worker import SnapshotWorker
+from cairndale.control.watch_server import WatchServer
+from cairndale.errors import CallError, CallTimeoutError, FaultCode, NotLeaderError, RejectedError
+from cairndale.events import Event, log_event
+from cairndale.http_api.server import HttpServer
 from cairndale.raft import codec
-from cairndale.raft.fragments import WINDOW, Kind, part
-from cairndale.raft.messages import Member, Step
-from cairndale.raft.node import Machine, founded, founder
+from cairndale.raft.fragments import WINDOW, FragmentKind, part
+from cairndale.raft.messages import Member, Ready
+from cairndale.raft.node import RaftNode, founded, founder
 from cairndale.raft.replica import Role
-from cairndale.raft.storage import Store, StoreError
-from cairndale.registry.endpoints import Board
-from cairndale.registry.heartbeats import Collector
-from cairndale.registry.nodes import Roll
+from cairndale.raft.storage import RaftStorage, StorageError
+from cairndale.registry.endpoints import EndpointRegistry
+from cairndale.registry.heartbeats import HeartbeatCollector
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
-from cairndale.rpc.peer import Wings
-from cairndale.settings import Settings, shown
+from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.peer import RpcPeer
+from cairndale.settings import Settings, format_address
 
 TICK = 0.05  # s
 LEAVE = 1.0  # s for another to take over what this one holds, when it ends
@@ -56,45 +56,49 @@
     future: asyncio.Future[bool]
 
 
-class Core:
+class ControlNode:
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self._loop = asyncio.get_running_loop()
         assert settings.state is not None
-        self._store = Store(settings.state)
+        self._store = RaftStorage(settings.state)
         own = (settings.ip, settings.own_port)
-        self.wings = Wings(own, self._hear, self._handle)
-        self._doors = [shown(settings.core_door(seed)) for seed in settings.seeds]
-        disk, kept = self._begin(shown(own))
-        self.me = Member(shown(own), disk, settings.zone, settings.region)
+        self.rpc_peer = RpcPeer(own, self._hear, self._handle)
+        self._addresses = [format_address(settings.core_address(seed)) for seed in settings.seeds]
+        disk, kept = self._begin(format_address(own))
+        self.me = Member(format_address(own), disk, settings.zone, settings.region)
         rng = random.Random(random.getrandbits(64))
-        self.machine = Machine(
-            self.me, kept, self.now(), rng, doors=self._doors, tolerance=settings.tolerance
+        self.machine = RaftNode(
+            self.me, kept, self.now(), rng, addresses=self._addresses, tolerance=settings.tolerance
         )
         try:
             self.state = State.read(kept.snapshot.state)
         except FormatError as error:
-            raise StoreError(f"the state cannot be read: {error}") from error
-        self.upkeep = Upkeep(self._store, self.machine, self._do, self.now)
-        self.board, self.roll = Board(), Roll()
-        self.duty: Duty | None = None
+            raise StorageError(f"the state cannot be read: {error}") from error
+        self.snapshot_worker = SnapshotWorker(self._store, self.machine, self._do, self.now)
+        self.endpoint_registry, self.node_registry = EndpointRegistry(), NodeRegistry()
+        self.leadership: Leadership | None = None
         self._applier = Applier(self.state, kept.snapshot.index, kept.snapshot.term)
         self._applies = False  # it does, or is about to go on with it
         self._snapshot_due = False  # since an entry within a command's parts
         self._one_in_parts = asyncio.Lock()
         self._pending: dict[int, Pending] = {}
         self._news = asyncio.Event()
-        self.reach = Reach(self.wings, self._cores, self._peers)
-        self._read_index, self.prompter, self.desk = ReadIndex(self), Prompter(self), Desk(self)
-        collector = Collector(settings, self.board, self.roll)
+        self.leader_client = LeaderClient(self.rpc_peer, self._cores, self._peers)
+        self._read_index, self.watch_server, self.operations = (
+            ReadIndex(self),
+            WatchServer(self),
+            OperationHandler(self),
+        )
+        collector = HeartbeatCollector(settings, self.endpoint_registry, self.node_registry)
         self.follower = Follower(self, collector)
-        self.reception = Reception(self, self.follower, collector)
+        self.api = ControlApi(self, self.follower, collector)
         self._web = [
-            Doors(self.reception.control, self.reception.was_read),
-            Doors(self.reception.foyer),
+            HttpServer(self.api.control, self.api.was_read),
+            HttpServer(self.api.lookup_api),
         ]
         self._tasks: list[asyncio.Task[Any]] = []
-        self.wings.system = self._store.system() or self.state.system
+        self.rpc_peer.system = self._store.system() or self.state.system
         self._named_in = 0  # the term in which this one has drawn the system's name
         self._known_members: tuple[Member, ...] = ()  # by object: roles and places are told as well
 
@@ -104,46 +108,50 @@
         disk = self._store.disk()
         if disk:
             return disk, self._store.load()
-        first = self.settings.bootstrap and own in self._doors
+        first = self.settings.bootstrap and own in self._addresses
         disk = founder(own).disk if first else f"{random.SystemRandom().getrandbits(64):016x}"
-        kept = founded(founder(door) for door in self._doors) if first else founded(())
+        kept = founded(founder(address) for address in self._addresses) if first else founded(())
         self._store.begin(disk, kept)
-        note(Event.DISK_NAMED, "%s", disk)
+        log_event(Event.DISK_NAMED, "%s", disk)
         return disk, kept
 
     def now(self) -> float:
         return self._loop.time()
 
     def _cores(self) -> list[str]:
-        return list(dict.fromkeys([*(m.door for m in self.machine.voters), *self._doors]))
+        return list(dict.fromkeys([*(m.address for m in self.machine.voters), *self._addresses]))
 
     def _peers(self) -> list[str]:
-        return [held.node.door for held in self.roll.leases.values() if held.node.kind == "edge"]
+        return [
+            held.node.address
+            for held in self.node_registry.leases.values()
+            if held.node.kind == "edge"
+        ]
 
-    def resettle(self, settings: Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed: other seeds."""
         self.settings = settings
-        self._doors = [shown(settings.core_door(seed)) for seed in settings.seeds]
-        self.machine.doors, self.machine.tolerance = tuple(self._doors), settings.tolerance
+        self._addresses = [format_address(settings.core_address(seed)) for seed in settings.seeds]
+        self.machine.addresses, self.machine.tolerance = tuple(self._addresses), settings.tolerance
 
     async def start(self) -> None:
-        await self.wings.listen()
+        await self.rpc_peer.listen()
         listen = self.settings.listen
-        for doors, name in zip(self._web, ("ctl", "dir"), strict=True):
+        for addresses, name in zip(self._web, ("ctl", "dir"), strict=True):
             if name in listen:
-                await doors.listen(listen[name])
+                await addresses.listen(listen[name])
         works = [self._ticks, self._upkeep, self.follower.asks, self.follower.reports]
-        works += [self.prompter.run, self.prompter.strike]
+        works += [self.watch_server.run, self.watch_server.strike]
         self._tasks = [self._loop.create_task(work()) for work in works]
 
     async def stop(self) -> None:
-        for doors in self._web:
-            doors.stop()
+        for addresses in self._web:
+            addresses.stop()
         await self._leave()
         await asyncio.sleep(0.2)
         for task in self._tasks:
             task.cancel()
-        self.wings.stop()
+        self.rpc_peer.stop()
         self._store.close()
 
     # The promptbook.
@@ -155,64 +163,64 @@
         while not self.machine.is_out() and self.now() < until:
             await asyncio.sleep(TICK)
         leads = self.machine.role is Role.LEADER
-        note(Event.LEAVING, "leads %s, votes %s", leads, self.machine.may_stand())
+        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.machine.may_stand())
 
     async def _ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK)
             try:
                 self._do(self.machine.tick(self.now()))
-                if self.duty and self.duty.tick(self.now()):
+                if self.leadership and self.leadership.tick(self.now()):
                     self.publish()
                 self._draw_name()
             except Exception as error:
-                note(Event.FAILED, "tick: %r", error)
+                log_event(Event.FAILED, "tick: %r", error)
                 raise
 
     async def _upkeep(self) -> None:
         while True:
-            await asyncio.sleep(self.upkeep.work())
+            await asyncio.sleep(self.snapshot_worker.work())
 
-    def _write(self, step: Step) -> None:
+    def _write(self, step: Ready) -> None:
         """What is not on disk must not be said: where it cannot be put there this life ends, as by
         a kill."""
         try:
             self._store.write(step.writes)
-        except StoreError as error:
-            note(Event.DISK_FAILED, "%s", error)
+        except StorageError as error:
+            log_event(Event.DISK_FAILED, "%s", error)
             os._exit(1)
 
-    def _do(self, step: Step) -> None:
+    def _do(self, step: Ready) -> None:
         """Carries a step out, in order: on disk, to the others, then here."""
         if step.writes:
             self._write(step)
-        for door, message in step.sends:
-            self.wings.tell(door, pb.Envelope(log_message=codec.message_out(message)))
+        for address, message in step.sends:
+            self.rpc_peer.tell(address, pb.Envelope(log_message=codec.message_out(message)))
         if step.dropped:
-            note(Event.SNAPSHOT_DROPPED, "%s", step.dropped)
+            log_event(Event.SNAPSHOT_DROPPED, "%s", step.dropped)
         if step.spoilt:
-            note(Event.ENTRY_DROPPED, "%s", step.spoilt)
+            log_event(Event.ENTRY_DROPPED, "%s", step.spoilt)
         if step.restored:
-            self.state = self.upkeep.read
+            self.state = self.snapshot_worker.read
             self._applier.restore(self.state, step.restored.index, step.restored.term)
             self._snapshot_due = False
         self._applier.take(step.delivered)
         self._apply()
         if step.received:
-            self.upkeep.install(step.received)
+            self.snapshot_worker.install(step.received)
         if self.machine.members is not self._known_members:
             self._known_members = self.machine.members
             voters, learners = (
                 self.machine.voters,
-                [m.door for m in self._known_members if m.learner],
+                [m.address for m in self._known_members if m.learner],
             )
-            note(Event.MEMBERS, "voters %s learners %s", [m.door for m in voters], learners)
-        self._look_at_duty()
+            log_event(Event.MEMBERS, "voters %s learners %s", [m.address for m in voters], learners)
+        self._update_leadership()
         self._read_index.look()
         for pending in self._pending.values():
             over = pending.term != self.machine.term or self.machine.leader != self.me
             if over and not pending.future.done():
-                pending.future.set_exception(SystemFailure(Code.SILENT, "the term is over"))
+                pending.future.set_exception(CallTimeoutError("the term is over"))
 
     def _apply(self) -> None:
         """What was delivered comes into force, in order; with the loop left to others now and
@@ -228,7 +236,7 @@
             more = self._applier.is_behind and time.perf_counter() < until
         self._look_at_name()
         if self._applier.is_whole and self._is_long():
-            self.upkeep.make(self.state.raw(), self._applier.index)
+            self.snapshot_worker.make(self.state.raw(), self._applier.index)
         if self._applier.is_behind:
             self._leave_the_loop(self._apply_more)
         else:
@@ -239,46 +247,44 @@
 
     def _apply_more(self) -> None:
         self._applies = False
-        self._do(Step())
+        self._do(Ready())
 
-    def _in_force(self, applied: Applied) -> None:
+    def _in_force(self, applied: AppliedEntry) -> None:
         entry = applied.entry
         self._snapshot_due |= (
             entry.index % ENTRIES == 0
         )  # alike at all members: who leads next has the same
         if self._snapshot_due and self._applier.is_whole:
             self._snapshot_due = False
-            self.upkeep.make(self.state.raw(), entry.index)
+            self.snapshot_worker.make(self.state.raw(), entry.index)
         pending = self._pending.pop(entry.index, None)
         if pending and not pending.future.done():
             if pending.term == entry.term:
                 pending.future.set_result(applied.changed)
             else:  # another's stands in its place; the same call may have come there by another way
-                pending.future.set_exception(
-                    SystemFailure(Code.SILENT, "another leader came first")
-                )
+                pending.future.set_exception(CallTimeoutError("another leader came first"))
         if applied.changed:
-            if self.duty:
-                self.duty.follow(self.state)
+            if self.leadership:
+                self.leadership.follow(self.state)
             self.publish()
 
     def _look_at_name(self) -> None:
         """What the log says is the system's name, from the first entry on that says one."""
-        if (name := self.state.system) and name != self.wings.system:
+        if (name := self.state.system) and name != self.rpc_peer.system:
             with contextlib.suppress(
-                StoreError
+                StorageError
             ):  # a later life learns it from whom it dials, and the log
                 self._store.name_system(name)
-            self.wings.name_system(name)
+            self.rpc_peer.name_system(name)
 
     def _draw_name(self) -> None:
-        if not self.state.system and self.duty and self._named_in != self.duty.term:
-            self._named_in = self.duty.term
-            name = self.wings.system or f"{random.SystemRandom().getrandbits(64):016x}"
+        if not self.state.system and self.leadership and self._named_in != self.leadership.term:
+            self._named_in = self.leadership.term
+            name = self.rpc_peer.system or f"{random.SystemRandom().getrandbits(64):016x}"
             _, step = self.machine.propose(self.now(), Command(Verb.NAME, digest=name).out())
             self._do(step)
 
-    def carry_out(self, step: Step) -> None:
+    def carry_out(self, step: Ready) -> None:
         self._do(step)
 
     def leads(self) -> bool:
@@ -294,36 +300,36 @@
         many = len(log) >= 2 * ENTRIES
         return self.machine.wants_snapshot() or many or sum(len(e.data) for e in log) >= BYTES
 
-    def _look_at_duty(self) -> None:
+    def _update_leadership(self) -> None:
         now, leads = self.now(), self.leads()
         if self.machine.leader:
-            self.wings.fence.admits(self.machine.term)
-        if leads and (self.duty is None or self.duty.term != self.machine.term):
+            self.rpc_peer.fence.admits(self.machine.term)
+        if leads and (self.leadership is None or self.leadership.term != self.machine.term):
             ever = self.machine.base.index > 0 or any(
                 e.opens and e.term < self.machine.term for e in self.machine.log
             )
-            self.duty = Duty(
+            self.leadership = Leadership(
                 self.machine.term,
                 now,
                 ever,
-                self.board,
-                self.roll,
+                self.endpoint_registry,
+                self.node_registry,
                 self.state.edges,
                 self.settings.bounds,
                 self.settings.heartbeat,
             )
-            self.duty.follow(self.state)
-            note(Event.DUTY_BEGINS, "term %d", self.machine.term)
+            self.leadership.follow(self.state)
+            log_event(Event.LEADERSHIP_BEGINS, "term %d", self.machine.term)
             self.publish()
-        elif self.duty and not leads:
-            note(Event.DUTY_ENDS, "term %d", self.duty.term)
-            self.duty = None
+        elif self.leadership and not leads:
+            log_event(Event.LEADERSHIP_ENDS, "term %d", self.leadership.term)
+            self.leadership = None
             self.publish()
 
     def publish(self) -> None:
         news, self._news = self._news, asyncio.Event()
         news.set()
-        self.prompter.wake()
+        self.watch_server.wake()
 
     async def news(self, within: float) -> None:
         """Until something has changed, or so many seconds."""
@@ -334,16 +340,16 @@
 
     def core_shown(self) -> dict[str, Any]:
         members = [
-            [m.door, m.disk, "learner" if m.learner else "voter"] for m in self.machine.members
+            [m.address, m.disk, "learner" if m.learner else "voter"] for m in self.machine.members
         ]
-        return {"leader": self.me.door, "members": members}
+        return {"leader": self.me.address, "members": members}
 
-    def held(self, term: int = 0) -> Duty:
+    def held(self, term: int = 0) -> Leadership:
         """The duty, if it is held now, whatever was held when this call began, and if nobody has
         heard of a later term."""
-        if self.duty is None or not self.leads() or self.duty.term < term:
-            raise SystemFailure(Code.NOT_LEADER)
-        return self.duty
+        if self.leadership is None or not self.leads() or self.leadership.term < term:
+            raise NotLeaderError()
+        return self.leadership
 
     # What other processes say.
 
@@ -355,51 +361,57 @@
                 except ValueError:
                     return
                 self._do(self.machine.received(self.now(), message))
-            case "receipt" if self.duty and self.duty.term == envelope.term:
-                self.duty.moves.read(envelope.receipt.zone, envelope.receipt.order)
+            case "evacuation_receipt" if self.leadership and self.leadership.term == envelope.term:
+                self.leadership.moves.read(
+                    envelope.evacuation_receipt.zone, envelope.evacuation_receipt.order
+                )
 
     async def _handle(self, envelope: pb.Envelope) -> pb.Envelope:
         try:
             match envelope.WhichOneof("body"):
-                case "ask":
+                case "watch_request":
                     self.held(envelope.term)
-                    cue = await self.prompter.ask(envelope.ask)
-                    return pb.Envelope(cue=cue, term=self.held().term)
-                case "lease" | "deal":
+                    watch_response = await self.watch_server.ask(envelope.watch_request)
+                    return pb.Envelope(watch_response=watch_response, term=self.held().term)
+                case "quota_request" | "budget_request":
                     return self.held(envelope.term).units(self.now(), envelope)
-                case "beats":
-                    duty, now = self.held(envelope.term), self.now()
-                    duty.beats(now, envelope.beats)
-                    await self.confirm(now, duty.term, at_once=False)
-                    return pb.Envelope(term=duty.term)
-                case "arrivals":
-                    return pb.Envelope(term=await self.hear(envelope.arrivals, envelope.term))
-                case "order":
-                    term, order = self.held(envelope.term).term, envelope.order
-                    status, body = await self.desk.settle(
+                case "heartbeat_report":
+                    leadership, now = self.held(envelope.term), self.now()
+                    leadership.beats(now, envelope.heartbeat_report)
+                    await self.confirm(now, leadership.term, at_once=False)
+                    return pb.Envelope(term=leadership.term)
+                case "endpoint_report":
+                    return pb.Envelope(
+                        term=await self.hear(envelope.endpoint_report, envelope.term)
+                    )
+                case "operation_request":
+                    term, order = self.held(envelope.term).term, envelope.operation_request
+                    status, body = await self.operations.settle(
                         order.method, order.path, order.body, order.id
                     )
-                    return pb.Envelope(outcome=pb.Outcome(status=status, body=body), term=term)
-        except SystemFailure as failure:
-            if failure.code is not Code.NOT_LEADER:
+                    return pb.Envelope(
+                        operation_response=pb.OperationResponse(status=status, body=body), term=term
+                    )
+        except CallError as failure:
+            if not isinstance(failure, NotLeaderError):
                 raise
             leader = self.machine.leader
-            hint = leader.door if leader and leader != self.me else ""
-            return pb.Envelope(fault=Code.NOT_LEADER, pass_to=hint)
-        raise SystemFailure(Code.REFUSED, "not known here")
+            hint = leader.address if leader and leader != self.me else ""
+            return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=hint)
+        raise RejectedError("not known here")
 
-    async def hear(self, arrivals: pb.Arrivals, term: int = 0) -> int:
+    async def hear(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
         """Beats that say something new; the term in which they were heard, with a majority behind
-        it. Raises SystemFailure."""
-        duty, now = self.held(term), self.now()
-        if hear(duty.board, arrivals, now):
+        it. Raises CallError."""
+        leadership, now = self.held(term), self.now()
+        if hear(leadership.endpoint_registry, arrivals, now):
             self.publish()
-        await self.confirm(now, duty.term, at_once=False)
-        return duty.term
+        await self.confirm(now, leadership.term, at_once=False)
+        return leadership.term
 
     async def decide(self, command: Command) -> bool:
         """True once a majority has it on disk and it is in force; False if it is void. Raises
-        SystemFailure where that is not known."""
+        CallError where that is not known."""
         made = encoded(command)
         if isinstance(made, bytes):
             return await self._outcome(self._propose(made, self.machine.term))
@@ -413,7 +425,7 @@
         except asyncio.CancelledError:
             if not task.cancelled():
                 raise
-            raise SystemFailure(Code.SILENT, "this process ends") from None
+            raise CallTimeoutError("this process ends") from None
 
     async def _decide_in_parts(self, made: Iterator[bytes]) -> bool:
         async with self._one_in_parts:
@@ -427,24 +439,24 @@
                         ahead.append(self._propose(data, term))
                 for pending in ahead:
                     applied = await self._outcome(pending)
-            except SystemFailure:
+            except CallError:
                 for pending in ahead:
                     self._pending.pop(pending.index, None)
                     pending.future.cancel()
                 if (
                     self.machine.term == term
                 ):  # else there is a new one's first entry, which says the same
-                    self._do(self.machine.propose(self.now(), part(Kind.VOID, 0, b""))[1])
+                    self._do(self.machine.propose(self.now(), part(FragmentKind.VOID, 0, b""))[1])
                 raise
             return applied
 
     def _propose(self, data: bytes, term: int) -> Pending:
-        """Raises SystemFailure where this one does not hold that term, or no longer."""
-        step, index = Step(), 0
+        """Raises CallError where this one does not hold that term, or no longer."""
+        step, index = Ready(), 0
         if self.machine.term == term:
             index, step = self.machine.propose(self.now(), data)
         if not index:
-            raise SystemFailure(Code.NOT_LEADER)
+            raise NotLeaderError()
         pending = self._pending[index] = Pending(index, term, self._loop.create_future())
         self._do(step)
         return pending
@@ -454,7 +466,7 @@
             async with asyncio.timeout(DECIDE):
                 return await pending.future
         except TimeoutError:
-            raise SystemFailure(Code.SILENT, "no majority has it yet") from None
+            raise CallTimeoutError("no majority has it yet") from None
         finally:
             if self._pending.get(pending.index) is pending:
                 del self._pending[pending.index]
@@ -464,6 +476,6 @@
     ) -> None:
         """Until a majority has answered what was sent after `called`, in the term in which the
         state was looked at, and what was decided by then is in force here; `decided`: and all that
-        the log holds now is. Raises SystemFailure."""
+        the log holds now is. Raises CallError."""
         index = self.machine.last if decided else self.machine.commit_index
         await self._read_index.confirm(called, term, index, at_once)
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -17,13 +17,13 @@
 from cairndale.configuration.json_stream import LARGE, loads
 from cairndale.configuration.state import REFUSED, Command, State, Verb
 from cairndale.configuration.validation import content_looks, order_errors
-from cairndale.control.leadership import Duty
+from cairndale.control.leadership import Leadership
 from cairndale.control.snapshot_worker import uncollected
-from cairndale.errors import Code, SystemFailure
-from cairndale.events import Event, note
-from cairndale.http_api.router import CONTROL, Wrong, match
+from cairndale.errors import CallTimeoutError, StaleCallError
+from cairndale.events import Event, log_event
+from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, match
 from cairndale.http_api.server import Answer, told, wrong
-from cairndale.registry.endpoints import BeatError, read_beat
+from cairndale.registry.endpoints import HeartbeatError, read_heartbeat
 from cairndale.settings import Settings
 
 TURNS = 64  # changes that wait for the one before
@@ -57,18 +57,18 @@
     state: State
 
     def now(self) -> float: ...
-    def held(self) -> Duty:
-        """Raises SystemFailure where the duty is not held, or no longer."""
+    def held(self) -> Leadership:
+        """Raises CallError where the duty is not held, or no longer."""
 
     async def decide(self, command: Command) -> bool:
         """True once a majority has it on disk and it is in force; False if it is void. Raises
-        SystemFailure where that is not known."""
+        CallError where that is not known."""
 
     async def confirm(
         self, called: float, term: int, decided: bool = False, at_once: bool = True
     ) -> None:
         """Until a majority has answered what was sent after `called`, in the term in which the
-        state was looked at; `decided`: and all that the log holds now is. Raises SystemFailure."""
+        state was looked at; `decided`: and all that the log holds now is. Raises CallError."""
 
     async def news(self, within: float) -> None:
         """Until something has changed, or so many seconds."""
@@ -77,19 +77,19 @@
     def core_shown(self) -> dict[str, Any]: ...
 
 
-class Desk:
+class OperationHandler:
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
         self._turn = asyncio.Lock()
         self._turns = 0
 
     async def settle(self, method: str, target: str, body: bytes, id: str = "") -> Answer:
-        """`id`: of the call, from where it came in. Raises SystemFailure where the duty is not
+        """`id`: of the call, from where it came in. Raises CallError where the duty is not
         held, or no longer."""
-        found = match(CONTROL, method, target)
-        if isinstance(found, Wrong):
+        found = match(CONTROL_ROUTES, method, target)
+        if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
-        duty, now = self._leader.held(), self._leader.now()
+        leadership, now = self._leader.held(), self._leader.now()
         match found.call:
             case "replace" | "update":
                 verb = Verb.REPLACE if found.call == "replace" else Verb.UPDATE
@@ -98,10 +98,10 @@
                 verb = Verb.EVACUATE if found.call == "evacuate" else Verb.TAKE_BACK
                 return await self._ordered(verb, found.args["zone"], id)
             case "beat" | "end":
-                answer = self._heard(duty, found.call, found.args["id"], body, now)
-                await self._leader.confirm(now, duty.term, at_once=False)
+                answer = self._heard(leadership, found.call, found.args["id"], body, now)
+                await self._leader.confirm(now, leadership.term, at_once=False)
                 return answer
-        await self._leader.confirm(now, duty.term)
+        await self._leader.confirm(now, leadership.term)
         state = self._leader.state
         match found.call:
             case "read" if state.gen:
@@ -109,23 +109,25 @@
             case "read":
                 return wrong(404, "no configuration yet")
             case "show":
-                return told(200, duty.show(self._leader.now(), state) | self._leader.core_shown())
+                return told(
+                    200, leadership.show(self._leader.now(), state) | self._leader.core_shown()
+                )
         return wrong(404, "no such call")
 
-    def _heard(self, duty: Duty, call: str, id: str, body: bytes, now: float) -> Answer:
+    def _heard(self, leadership: Leadership, call: str, id: str, body: bytes, now: float) -> Answer:
         if call == "end":
-            if duty.board.end(id, now):
-                note(Event.SERVER_NEWS, "%s gone", id)
+            if leadership.endpoint_registry.end(id, now):
+                log_event(Event.ENDPOINTS_CHANGED, "%s gone", id)
                 self._leader.publish()
             return told(200, {})
         try:
-            seen = read_beat(id, json.loads(body), now)
-        except BeatError as error:
+            seen = read_heartbeat(id, json.loads(body), now)
+        except HeartbeatError as error:
             return wrong(400, *error.errors)
         except ValueError as error:
             return wrong(400, f"not JSON: {error}")
-        if duty.board.beat(seen):
-            note(Event.SERVER_NEWS, "%s %s %s", seen.id, seen.service, seen.state)
+        if leadership.endpoint_registry.beat(seen):
+            log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", seen.id, seen.service, seen.state)
             self._leader.publish()
         return told(200, {})
 
@@ -189,7 +191,7 @@
                 await self._leader.confirm(called, term)
                 return told(200, {"gen": known}), self._leader.state.version
             if order is UNREAD:
-                raise SystemFailure(Code.STALE, "it was known, and is forgotten now")
+                raise StaleCallError("it was known, and is forgotten now")
             judged_on = state.gen
             refusal = await self._judge(verb, digest, order, state)
             if refusal is None:
@@ -197,7 +199,7 @@
             await self._leader.confirm(called, term, decided=True)
             state = self._leader.state
             if state.gen == judged_on and digest not in state.known:
-                note(Event.CONFIG_REFUSED, "%s", refusal[1].decode()[:300])
+                log_event(Event.CONFIG_REJECTED, "%s", refusal[1].decode()[:300])
                 return refusal, 0
         if not await self._leader.decide(Command(verb, digest, order)):
             known = self._leader.state.known.get(
@@ -206,8 +208,8 @@
             if known == REFUSED:
                 return wrong(412, "another change came first"), 0
             return told(200, {"gen": known}), self._leader.state.version
-        note(
-            Event.CONFIG_TAKEN,
+        log_event(
+            Event.CONFIG_ACCEPTED,
             "gen %d, version %d",
             self._leader.state.gen,
             self._leader.state.version,
@@ -215,7 +217,7 @@
         return told(200, {"gen": order["gen"]}), self._leader.state.version
 
     async def _judge(self, verb: Verb, digest: str, order: Any, state: State) -> Answer | None:
-        """A refusal, or nothing. Raises SystemFailure where nothing can be said for sure."""
+        """A refusal, or nothing. Raises CallError where nothing can be said for sure."""
         whole = verb is Verb.REPLACE
         errors = order_errors(order, whole, 0)
         if errors:
@@ -224,10 +226,10 @@
         if parent < gen and state.may_be_forgotten(gen):
             if whole and (found := await self._content_errors(state, Command(verb, "", order))):
                 return wrong(400, *found)
-            raise SystemFailure(Code.STALE, "so old that it is not known what became of it")
+            raise StaleCallError("so old that it is not known what became of it")
         if parent > in_force:  # a state that has it may come: the refusal is to stand there as well
             if await self._leader.decide(Command(Verb.REFUSE, digest)):
-                raise SystemFailure(Code.SILENT)
+                raise CallTimeoutError()
             return wrong(412, f"parent: {parent} is not {in_force}, which is in force")
         errors = order_errors(order, whole, in_force)
         if parent != in_force:
@@ -251,19 +253,19 @@
     async def _move(
         self, verb: Verb, zone: str, order: str, call: str, called: float
     ) -> tuple[Answer, int]:
-        duty, state = self._leader.held(), self._leader.state
+        leadership, state = self._leader.held(), self._leader.state
         orders, begins = state.evacuated.get(zone, 0), verb is Verb.EVACUATE
         is_new = bool(order) and state.moves.get(zone) != order
         if not call and not (is_new and (orders or begins)):
-            await self._leader.confirm(called, duty.term)
+            await self._leader.confirm(called, leadership.term)
             return self._moved(zone, order), state.version
         if is_new and not begins and orders == 1:
-            duty.board.chill(zone, self._leader.now(), duty.warmups(state))
+            leadership.endpoint_registry.chill(zone, self._leader.now(), leadership.warmups(state))
         await self._leader.decide(Command(verb, order, zone=zone, call=call))
         if is_new:
             orders = self._leader.state.evacuated.get(zone, 0)
-            note(
-                Event.ZONE_EVACUATED if begins else Event.ZONE_TAKEN_BACK,
+            log_event(
+                Event.ZONE_EVACUATED if begins else Event.ZONE_RESTORED,
                 "%s, orders: %d",
                 zone,
                 orders,
@@ -275,25 +277,25 @@
         return told(200, {"zone": zone, "order": order, "orders": orders})
 
     async def _ordered(self, verb: Verb, zone: str, call: str) -> Answer:
-        duty, now, state = self._leader.held(), self._leader.now(), self._leader.state
+        leadership, now, state = self._leader.held(), self._leader.now(), self._leader.state
         if zone not in self._leader.settings.zones:
             return await self._refused(now, wrong(404, f"no zone {zone!r}"))
         if call in state.calls:  # it has come by another way
-            await self._leader.confirm(now, duty.term)
+            await self._leader.confirm(now, leadership.term)
             await self._everywhere(state.version)
             return self._moved(zone, state.calls[call])
         stands = (zone in state.evacuated) == (verb is Verb.EVACUATE)
-        order = duty.moves.came(now, zone, verb.value, stands, call)
+        order = leadership.moves.came(now, zone, verb.value, stands, call)
         try:
             return await self._in_turn(lambda: self._move(verb, zone, order, call, now))
         finally:
-            duty.moves.over(zone, order)
+            leadership.moves.over(zone, order)
 
     async def _everywhere(self, version: int) -> None:
         """Until every ingress serves by it, or has stopped as its lease is over. Raises
-        SystemFailure."""
+        CallError."""
         until = self._leader.now() + self._leader.settings.bounds.ack
-        while not self._leader.held().roll.all_at(self._leader.now(), version):
+        while not self._leader.held().node_registry.all_at(self._leader.now(), version):
             if self._leader.now() > until:
-                raise SystemFailure(Code.SILENT, "some ingresses have not got it yet")
+                raise CallTimeoutError("some ingresses have not got it yet")
             await self._leader.news(0.03)
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cairndale.errors import Code, SystemFailure
-from cairndale.raft.messages import Step
+from cairndale.errors import CallError, NotLeaderError
+from cairndale.raft.messages import Ready
 
 PATIENCE = 0.6  # s for a majority to answer: a leader without one has time left to pass a call on
 # s after which a beat is sent for those who wait: it is to bear a later time than the call ...
@@ -34,7 +34,7 @@
 
     def leads(self, now: float) -> bool: ...
     def contact(self, now: float) -> float: ...
-    def hurry(self, now: float, apart: float) -> Step: ...
+    def hurry(self, now: float, apart: float) -> Ready: ...
 
 
 class Process(Protocol):
@@ -46,7 +46,7 @@
         """Up to which entry the log is in force here."""
 
     def now(self) -> float: ...
-    def carry_out(self, step: Step) -> None: ...
+    def carry_out(self, step: Ready) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,13 +79,13 @@
 
     def _is_met(self, waiting: _Waiting, stand: _Stand) -> bool:
         if stand.term != waiting.term:
-            raise SystemFailure(Code.NOT_LEADER)
+            raise NotLeaderError()
         return stand.leads and stand.contact > waiting.called and stand.applied >= waiting.index
 
     async def confirm(self, called: float, term: int, index: int = 0, at_once: bool = True) -> None:
         """Until a majority has answered what was sent later than `called`, in the term in which the
         state was looked at, and the log is in force up to `index`. `at_once`: a beat is sent for
-        it, else the next one is waited for. Raises SystemFailure: this one may hold the duty no
+        it, else the next one is waited for. Raises CallError: this one may hold the duty no
         longer."""
         waiting = _Waiting(called, term, index, asyncio.get_running_loop().create_future())
         if self._is_met(waiting, self._stand()):
@@ -97,7 +97,7 @@
             async with asyncio.timeout(PATIENCE):
                 await waiting.future
         except TimeoutError:
-            raise SystemFailure(Code.NOT_LEADER, "no majority has answered") from None
+            raise NotLeaderError("no majority has answered") from None
         finally:
             self._waiting.discard(waiting)
 
@@ -129,5 +129,5 @@
             try:
                 if self._is_met(waiting, stand):
                     waiting.future.set_result(None)
-            except SystemFailure as failure:
+            except CallError as failure:
                 waiting.future.set_exception(failure)
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -15,10 +15,10 @@
 
 from cairndale.configuration import serialization
 from cairndale.configuration.state import State
-from cairndale.events import Event, note
-from cairndale.raft.messages import KeepPart, Snapshot, Step, state_digest
-from cairndale.raft.node import Machine
-from cairndale.raft.storage import Store, StoreError
+from cairndale.events import Event, log_event
+from cairndale.raft.messages import Ready, SaveSnapshotChunk, Snapshot, state_digest
+from cairndale.raft.node import RaftNode
+from cairndale.raft.storage import RaftStorage, StorageError
 
 AT_ONCE = 2  # steps that a small state takes
 STAGED = 64 * 1024  # bytes of a snapshot put on disk in one step
@@ -45,12 +45,12 @@
             gc.enable()
 
 
-class Upkeep:
+class SnapshotWorker:
     def __init__(
         self,
-        store: Store,
-        machine: Machine,
-        carry: Callable[[Step], None],
+        store: RaftStorage,
+        machine: RaftNode,
+        carry: Callable[[Ready], None],
         now: Callable[[], float],
     ) -> None:
         """`carry` carries out a step of the machine."""
@@ -81,8 +81,8 @@
             next(job)
         except StopIteration:
             return False
-        except StoreError as error:  # what has to be on disk is not among this
-            note(Event.SNAPSHOT_FAILED, "%s", error)
+        except StorageError as error:  # what has to be on disk is not among this
+            log_event(Event.SNAPSHOT_FAILED, "%s", error)
             self._not_before = self._now() + RETRY
             self._jobs.append(self._sweeping(failed=True))
             return False
@@ -117,7 +117,7 @@
                 for at in range(0, len(snapshot.state), STAGED):
                     yield
                     piece = snapshot.state[at : at + STAGED]
-                    self._store.write([KeepPart(snapshot.head, at, piece, received=False)])
+                    self._store.write([SaveSnapshotChunk(snapshot.head, at, piece, received=False)])
                 yield
             self._carry(self._machine.compact(snapshot))
         finally:
@@ -132,12 +132,12 @@
                     yield
             self.read = State.of(raw)
         except serialization.FormatError as error:
-            note(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
+            log_event(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
             return
         step = self._machine.install(self._now(), snapshot)
         self._carry(step)
         if step.restored:
-            note(
+            log_event(
                 Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state)
             )
         yield from self._sweeping()
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -16,8 +16,8 @@
 from typing import Protocol
 
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control.leadership import Duty
-from cairndale.errors import Code, SystemFailure
+from cairndale.control.leadership import Leadership
+from cairndale.errors import CallError, CallTimeoutError, QueueFullError, StaleCallError
 from cairndale.rpc import protocol_pb2 as pb
 
 LONGEST = 5.0  # s, at the most, that an ask is kept
@@ -37,14 +37,14 @@
     """The process whose duty it is, if it is."""
 
     state: State
-    duty: Duty | None
+    leadership: Leadership | None
 
     def now(self) -> float: ...
-    def held(self) -> Duty:
-        """Raises SystemFailure where the duty is not held, or no longer."""
+    def held(self) -> Leadership:
+        """Raises CallError where the duty is not held, or no longer."""
 
     async def decide(self, command: Command) -> bool:
-        """Raises SystemFailure where it is not known what became of it."""
+        """Raises CallError where it is not known what became of it."""
 
     def publish(self) -> None: ...
 
@@ -55,22 +55,22 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Kept:
-    ask: pb.Ask
+class _PendingWatch:
+    ask: pb.WatchRequest
     until: float
     since: float  # when it first asked for what it has not been told yet
-    future: asyncio.Future[pb.Cue]
+    future: asyncio.Future[pb.WatchResponse]
 
 
-class Prompter:
+class WatchServer:
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
-        self._kept: dict[_Kept, None] = {}  # in the order in which they came
+        self._kept: dict[_PendingWatch, None] = {}  # in the order in which they came
         self._newest: dict[
-            str, _Kept
+            str, _PendingWatch
         ] = {}  # by name: no other ask of the same one is waited for any longer
-        self._ends: list[tuple[float, int, _Kept]] = []  # a heap
-        self._ready: list[_Kept] = []  # there is news for these
+        self._ends: list[tuple[float, int, _PendingWatch]] = []  # a heap
+        self._ready: list[_PendingWatch] = []  # there is news for these
         self._in_order = True  # they are
         self._since: dict[
             str, float
@@ -94,29 +94,29 @@
         self._changed = True
         self._woken.set()
 
-    async def ask(self, ask: pb.Ask) -> pb.Cue:
-        """Raises SystemFailure."""
+    async def ask(self, ask: pb.WatchRequest) -> pb.WatchResponse:
+        """Raises CallError."""
         leader = self._leader
         leader.held()
         if not ask.HasField("node") or ask.node.kind == "edge":
             await self._enrol(ask.name or ask.node.name)
-        duty, now = leader.held(), leader.now()
-        if duty.asked(now, ask):
+        leadership, now = leader.held(), leader.now()
+        if leadership.asked(now, ask):
             leader.publish()
         until = now + min(LONGEST, ask.wait_ms / 1000)
         since = self._since.setdefault(ask.node.name, now)
-        kept = _Kept(ask, until, since, asyncio.get_running_loop().create_future())
+        kept = _PendingWatch(ask, until, since, asyncio.get_running_loop().create_future())
         self._kept[kept] = None
         if (before := self._newest.get(ask.node.name)) and not before.future.done():
-            before.future.set_exception(SystemFailure(Code.STALE, "asked anew"))
+            before.future.set_exception(StaleCallError("asked anew"))
         self._newest[ask.node.name] = kept
         self._count += 1
         heapq.heappush(self._ends, (until, self._count, kept))
-        if self._is_urgent(duty, ask, now):
+        if self._is_urgent(leadership, ask, now):
             self._ready.append(kept)
             self._in_order = False
             self._woken.set()
-        elif duty.has_news(now, ask, leader.state):
+        elif leadership.has_news(now, ask, leader.state):
             self.wake()
         elif self._ends[0][2] is kept:
             self._woken.set()
@@ -124,15 +124,17 @@
             async with asyncio.timeout(until - now + LATE):
                 return await kept.future
         except TimeoutError:
-            raise SystemFailure(Code.FULL, "too many ask") from None
+            raise QueueFullError("too many ask") from None
         finally:
             self._kept.pop(kept, None)
             if self._newest.get(ask.node.name) is kept:
                 del self._newest[ask.node.name]
 
-    def _is_urgent(self, duty: Duty, ask: pb.Ask, now: float) -> bool:
+    def _is_urgent(self, leadership: Leadership, ask: pb.WatchRequest, now: float) -> bool:
         """It knows nothing of this term, or another configuration than the one in force."""
-        return ask.epoch != duty.epoch(now) or ask.script != self._leader.state.version
+        return (
+            ask.epoch != leadership.epoch(now) or ask.config_version != self._leader.state.version
+        )
 
     async def run(self) -> None:
         while True:
@@ -149,19 +151,19 @@
         """Answers whom it is time to; the seconds until the next turn, if nothing changes."""
         now = self._leader.now()
         try:
-            duty = self._leader.held()
-        except SystemFailure as failure:
+            leadership = self._leader.held()
+        except CallError as failure:
             for kept in self._kept:
                 if not kept.future.done():
-                    kept.future.set_exception(SystemFailure(failure.code))
+                    kept.future.set_exception(type(failure)())
             self._ready, self._ends, self._since = [], [], {}
             self._told = ("", -1, False)
             return LONGEST
-        self._look(duty, now)
+        self._look(leadership, now)
         self._room = min(BYTES, self._room + (now - max(self._room_at, now - 1.0)) * BYTES_PER_S)
         self._room_at = now
         waits = [LONGEST]
-        if self._ready and self._answer(duty, now):
+        if self._ready and self._answer(leadership, now):
             waits.append(0.0)
         elif self._ready:
             waits.append(max(0.001, -self._room / BYTES_PER_S))
@@ -172,26 +174,28 @@
             if not kept.future.done():
                 if kept not in ready:
                     self._since.pop(kept.ask.node.name, None)
-                kept.future.set_result(duty.renew(now, kept.ask))
+                kept.future.set_result(leadership.renew(now, kept.ask))
         if self._ends:
             waits.append(max(0.001, self._ends[0][0] - now))
         if self._changed:
-            waits.append(max(0.001, self._round_at + gather(duty.shared_by(now)) - now))
+            waits.append(max(0.001, self._round_at + gather(leadership.shared_by(now)) - now))
         return min(waits)
 
-    def _look(self, duty: Duty, now: float) -> None:
+    def _look(self, leadership: Leadership, now: float) -> None:
         """Sorts out for whom there is news, once for all changes of a while."""
-        told = (duty.epoch(now), self._leader.state.version, duty.counting)
+        told = (leadership.epoch(now), self._leader.state.version, leadership.counting)
         if told == self._told and not (
-            self._changed and now >= self._round_at + gather(duty.shared_by(now))
+            self._changed and now >= self._round_at + gather(leadership.shared_by(now))
         ):
             return
         self._told, self._changed, self._round_at = told, False, now
         state = self._leader.state
-        news = [k for k in self._kept if not k.future.done() and duty.has_news(now, k.ask, state)]
+        news = [
+            k for k in self._kept if not k.future.done() and leadership.has_news(now, k.ask, state)
+        ]
         self._ready, self._in_order = news, False
 
-    def _answer(self, duty: Duty, now: float) -> bool:
+    def _answer(self, leadership: Leadership, now: float) -> bool:
         """Some of those that are ready; True if others may be answered at once."""
         if not self._in_order:
             self._ready.sort(key=lambda kept: (kept.ask.epoch != "", kept.since))
@@ -201,10 +205,10 @@
             if self._room <= 0 or at >= AT_ONCE:
                 break
             if not kept.future.done():
-                cue = duty.cue(now, kept.ask, self._leader.state)
-                self._room -= cue.ByteSize()
+                watch_response = leadership.watch_response(now, kept.ask, self._leader.state)
+                self._room -= watch_response.ByteSize()
                 self._since.pop(kept.ask.node.name, None)
-                kept.future.set_result(cue)
+                kept.future.set_result(watch_response)
         else:
             at = len(self._ready)
         del self._ready[:at]
@@ -220,7 +224,7 @@
 
     async def _enrol(self, name: str) -> None:
         """Who is to hold a lease is known to whoever may have the duty next. Raises
-        SystemFailure."""
+        CallError."""
         while not self._is_enrolled(name):
             if name not in self._striking:
                 self._joining.add(name)
@@ -229,7 +233,7 @@
                     async with asyncio.timeout(ENROLLED):
                         await self._enrolled.wait()
                 except TimeoutError:
-                    raise SystemFailure(Code.SILENT, "not enrolled yet") from None
+                    raise CallTimeoutError("not enrolled yet") from None
             else:
                 await self._enrol_all()
             self._leader.held()
@@ -253,10 +257,12 @@
         """Those long gone are enrolled no longer."""
         while True:
             await asyncio.sleep(STRIKE * random.uniform(0.8, 1.2))
-            if duty := self._leader.duty:
-                gone = tuple(n for n in self._leader.state.edges if n not in duty.roll.leases)
+            if leadership := self._leader.leadership:
+                gone = tuple(
+                    n for n in self._leader.state.edges if n not in leadership.node_registry.leases
+                )
                 self._striking = set(gone)
-                with contextlib.suppress(SystemFailure):
+                with contextlib.suppress(CallError):
                     if gone:
                         await self._leader.decide(Command(Verb.ENROL, gone=gone))
                         self._striking = set()
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -10,36 +10,35 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from cairndale.configuration.delta import Difference, DifferenceError
-from cairndale.configuration.route_table import Changed as Items
-from cairndale.configuration.route_table import Playbill
+from cairndale.configuration.delta import ConfigDelta, DeltaError
+from cairndale.configuration.route_table import RouteTable, TableChange
 from cairndale.registry.nodes import LOST, PROMPT, hold
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import DRIFT
 
 
 @dataclass(slots=True)
-class Known:
-    server: pb.Server
+class KnownEndpoint:
+    server: pb.Endpoint
     cold_until: int  # us
 
 
 @dataclass(slots=True)
-class Changed:
+class ConfigUpdate:
     """What a cue has changed."""
 
-    bill: bool = False
-    items: Items | None = None  # of the bill; None: all of it may be otherwise
+    route_table: bool = False
+    items: TableChange | None = None  # of the bill; None: all of it may be otherwise
     servers: bool = False
     named: frozenset[str] | None = None  # of the servers; None: all of them may be
     place: bool = False
     dropped: str = ""  # nothing was taken: why
 
 
-class News:
+class ConfigClient:
     def __init__(self, now: float, cores: Iterable[str]) -> None:
-        self.bill = Playbill({})
-        self.servers: dict[str, Known] = {}
+        self.route_table = RouteTable({})
+        self.servers: dict[str, KnownEndpoint] = {}
         self.nodes: dict[str, pb.Node] = {}  # those here, by name
         self.cores = list(cores)  # doors of every one ever told of
         self.evacuated: frozenset[str] = frozenset()
@@ -92,21 +91,21 @@
         return known.server.zone not in self.evacuated
 
     def peers(self, own: str) -> list[str]:
-        return [n.door for n in self.nodes.values() if n.kind == "edge" and n.door != own]
+        return [n.address for n in self.nodes.values() if n.kind == "edge" and n.address != own]
 
-    def know_cores(self, doors: Iterable[str]) -> None:
-        for door in doors:
-            if door not in self.cores:
-                self.cores.append(door)
+    def know_cores(self, addresses: Iterable[str]) -> None:
+        for address in addresses:
+            if address not in self.cores:
+                self.cores.append(address)
 
     # Asking, and being told.
 
-    def ask(self, node: pb.Node, now: float, wait: float) -> pb.Ask:
+    def ask(self, node: pb.Node, now: float, wait: float) -> pb.WatchRequest:
         """For what is news, which the leader may keep for `wait` s while there is none."""
-        epoch, script, servers, nodes, gen = self.seen
-        ask = pb.Ask(
+        epoch, config_version, servers, nodes, gen = self.seen
+        ask = pb.WatchRequest(
             epoch=epoch,
-            script=script,
+            config_version=config_version,
             gen=gen,
             servers=servers,
             nodes=nodes,
@@ -130,71 +129,95 @@
         said, came = self._clock
         return int(said + (now - came) * 1000 * (1 - DRIFT)) if said else 0
 
-    def take(self, cue: pb.Cue, node: pb.Node, asked: float, now: float, us: int) -> Changed | None:
+    def take(
+        self, watch_response: pb.WatchResponse, node: pb.Node, asked: float, now: float, us: int
+    ) -> ConfigUpdate | None:
         """`asked`: when, and by which `node`; `us`: the engine's clock now. None: it says nothing
         new enough, as nothing goes back within a life. A difference that does not fit is dropped
         with all that came with it, and the whole content is asked for next."""
-        if cue.script < self.seen[1]:
+        if watch_response.config_version < self.seen[1]:
             return None
         items = None
-        if cue.HasField("difference"):
-            told = cue.difference
+        if watch_response.HasField("difference"):
+            told = watch_response.difference
             try:
-                if told.gen != cue.gen:
-                    raise DifferenceError(f"to gen {told.gen}, and not to gen {cue.gen}")
-                items = self.bill.change(
-                    Difference(told.before, told.gen, told.digest_before, told.digest, told.change)
+                if told.gen != watch_response.gen:
+                    raise DeltaError(f"to gen {told.gen}, and not to gen {watch_response.gen}")
+                items = self.route_table.change(
+                    ConfigDelta(told.before, told.gen, told.digest_before, told.digest, told.change)
                 )
-            except DifferenceError as error:
+            except DeltaError as error:
                 self._wants_whole = True
-                return Changed(dropped=str(error))
-        elif cue.has_content:
-            self.bill = Playbill(json.loads(zlib.decompress(cue.content)) if cue.content else {})
+                return ConfigUpdate(dropped=str(error))
+        elif watch_response.has_content:
+            self.route_table = RouteTable(
+                json.loads(zlib.decompress(watch_response.content))
+                if watch_response.content
+                else {}
+            )
             self._wants_whole = False
-        moved = cue.has_script and self.evacuated != frozenset(cue.evacuated)
+        moved = watch_response.has_config_version and self.evacuated != frozenset(
+            watch_response.evacuated
+        )
         if moved:
-            self.evacuated = frozenset(cue.evacuated)
-        if cue.servers_whole:
+            self.evacuated = frozenset(watch_response.evacuated)
+        if watch_response.servers_whole:
             self.servers = {}
-        if cue.epoch.rstrip("~") != self.seen[0].rstrip("~"):
+        if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
             self._told_of = set()
-        self._told_of.update(server.id for server in cue.server)
-        if cue.rest_gone:
+        self._told_of.update(server.id for server in watch_response.server)
+        if watch_response.rest_gone:
             self.servers = {id: known for id, known in self.servers.items() if id in self._told_of}
-        for server in cue.server:
+        for server in watch_response.server:
             self._know_server(server, us)
-        if cue.nodes_whole:
+        if watch_response.nodes_whole:
             self.nodes = {}
-        for name in cue.node_gone:
+        for name in watch_response.node_gone:
             self.nodes.pop(name, None)
-        self.nodes.update((n.name, n) for n in cue.node)
-        self.know_cores(n.door for n in cue.node if n.kind == "core")
-        if self._counting and not cue.counting:
+        self.nodes.update((n.name, n) for n in watch_response.node)
+        self.know_cores(n.address for n in watch_response.node if n.kind == "core")
+        if self._counting and not watch_response.counting:
             self._alone_at = now
-        self._counting, self.settled = cue.counting, self.settled or cue.settled
-        self.edges = cue.share_of if cue.counting else max(self.edges, cue.share_of)
+        self._counting, self.settled = (
+            watch_response.counting,
+            self.settled or watch_response.settled,
+        )
+        self.edges = (
+            watch_response.share_of
+            if watch_response.counting
+            else max(self.edges, watch_response.share_of)
+        )
         self.seen, self._told = (
-            (cue.epoch, cue.script, cue.servers, cue.nodes, cue.gen),
-            (cue.epoch, node),
+            (
+                watch_response.epoch,
+                watch_response.config_version,
+                watch_response.servers,
+                watch_response.nodes,
+                watch_response.gen,
+            ),
+            (watch_response.epoch, node),
         )
-        self.heard_at, self._clock = now, (cue.clock_ms, now)
-        self.lease_end = asked + cue.lease_ms / 1000 * (1 - DRIFT)
-        anew, bill = (
-            cue.servers_whole or cue.rest_gone or moved,
-            cue.has_content or items is not None,
+        self.heard_at, self._clock = now, (watch_response.clock_ms, now)
+        self.lease_end = asked + watch_response.lease_ms / 1000 * (1 - DRIFT)
+        anew, route_table = (
+            watch_response.servers_whole or watch_response.rest_gone or moved,
+            watch_response.has_content or items is not None,
         )
-        return Changed(
-            bill,
+        return ConfigUpdate(
+            route_table,
             items,
-            bool(cue.server) or anew,
-            None if anew else frozenset(server.id for server in cue.server),
-            bool(cue.node) or bool(cue.node_gone) or cue.nodes_whole or bill,
+            bool(watch_response.server) or anew,
+            None if anew else frozenset(server.id for server in watch_response.server),
+            bool(watch_response.node)
+            or bool(watch_response.node_gone)
+            or watch_response.nodes_whole
+            or route_table,
         )
 
-    def _know_server(self, server: pb.Server, us: int) -> None:
+    def _know_server(self, server: pb.Endpoint, us: int) -> None:
         if server.state == "gone":
             self.servers.pop(server.id, None)
         else:
-            self.servers[server.id] = Known(
+            self.servers[server.id] = KnownEndpoint(
                 server, us + server.cold_ms * 1000 if server.cold_ms else 0
             )
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Budget:
+class RetryBudget:
     """Further tries at one service: earned by requests, up to this ingress's part of the slack;
     beyond these each is dealt by the leader."""
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Place:
+class Placement:
     """Where this ingress stands, and what it shares with others."""
 
     zone: int = -1
@@ -44,11 +44,11 @@
     slack: float = 0.0
 
 
-class Rows(Fleet):
+class EndpointSelector(Fleet):
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
-        self.place = Place()
+        self.place = Placement()
         self.rows: dict[int, list[Backend]] = {}  # those ready, by service
-        self.budgets: dict[int, Budget] = {}
+        self.budgets: dict[int, RetryBudget] = {}
         self._owes: tuple[it.Unit, ...] = ()
         self._denied: dict[it.Unit, int] = {}  # until when none is dealt
         self._slots = 0.0  # this ingress's part of all slots
@@ -110,9 +110,9 @@
     ) -> Backend | None:
         if asked is None:
             return None
-        budget = self.budgets.setdefault(asked.service, Budget())
-        dealt = again and budget.tokens < 1
-        if dealt and self.is_denied((FURTHER, asked.service), now):
+        budget = self.budgets.setdefault(asked.service, RetryBudget())
+        needs_grant = again and budget.tokens < 1
+        if needs_grant and self.is_denied((FURTHER, asked.service), now):
             return None
         best, best_cost = None, float("inf")
         for backend in self.rows.get(asked.service, ()):
@@ -128,9 +128,9 @@
         if best is None:
             return None
         cold = best.info.cold_until > now
-        self._owes = ((FURTHER, asked.service),) * dealt + ((STARTS, best.info.id),) * cold
+        self._owes = ((FURTHER, asked.service),) * needs_grant + ((STARTS, best.info.id),) * cold
         if again:
-            budget.tokens -= not dealt
+            budget.tokens -= not needs_grant
         else:
             most = EVEN * self.place.slack / self.place.edges
             budget.tokens = min(most if most >= 1 else 0.0, budget.tokens + KEPT * self.place.ratio)
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -20,7 +20,7 @@
 Kind = TypeVar("Kind", bound=Named)
 
 
-class TunedGateway(Gateway):
+class ReconfigurablePolicy(Gateway):
     numbers: Callable[[str], int]  # of plans, by name: for good
 
     def follow(self, settings: it.Settings) -> None:
@@ -33,7 +33,7 @@
             account.follow(settings.plans[self.numbers(account.plan.name)])
 
 
-class TunedEngine(Engine):
+class ReconfigurableEngine(Engine):
     """A name of a class or plan keeps its number for good, also while the configuration has it no
     longer: who may be named at all is that one's affair."""
 
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -6,17 +6,17 @@
 import random
 from typing import Any
 
-from cairndale.configuration.route_table import Changed, Playbill, Tenant
-from cairndale.dataplane.config_client import Known, News
-from cairndale.dataplane.endpoint_selection import Rows
-from cairndale.dataplane.engine import TunedEngine, TunedGateway
-from cairndale.dataplane.quota_client import LEASE_PATIENCE, Units
-from cairndale.dataplane.request_router import Reading
+from cairndale.configuration.route_table import RouteTable, TableChange, Tenant
+from cairndale.dataplane.config_client import ConfigClient, KnownEndpoint
+from cairndale.dataplane.endpoint_selection import EndpointSelector
+from cairndale.dataplane.engine import ReconfigurableEngine, ReconfigurablePolicy
+from cairndale.dataplane.quota_client import LEASE_PATIENCE, QuotaClient
+from cairndale.dataplane.request_router import RequestRouter
 from cairndale.dataplane.upstream_protocol import judge
-from cairndale.errors import Code, SystemFailure
-from cairndale.events import Event, note
-from cairndale.http_api.router import FOYER, READY, Wrong, match
-from cairndale.http_api.server import Answer, Doors, told, wrong
+from cairndale.errors import CallError, RejectedError
+from cairndale.events import Event, log_event
+from cairndale.http_api.router import LOOKUP_ROUTES, READY, RouteFailure, match
+from cairndale.http_api.server import Answer, HttpServer, told, wrong
 from cairndale.ingress.net.backends import Backends
 from cairndale.ingress.net.bodies import Memory
 from cairndale.ingress.net.clients import Listener
@@ -30,9 +30,9 @@
 from cairndale.quota.quota_counter import EXPIRY, saved_most
 from cairndale.registry.nodes import HOLD_MOST, hold, patience
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
-from cairndale.rpc.peer import Wings
-from cairndale.settings import Settings, seconds, shown
+from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.peer import RpcPeer
+from cairndale.settings import Settings, format_address, seconds
 
 ASK_WITHIN = 3.0  # s for an answer over all tries
 RETRY_AFTER = 300_000  # us that a refused client is told to wait: T0, d_0
@@ -50,7 +50,7 @@
 NO_CLASS = it.RequestClass("none", 1_000_000, 30_000_000, it.Repeat.UNSAFE, late_worth=0.5)
 
 
-class Standing(Entry):
+class ListedEndpoint(Entry):
     """A server, as the core tells of it."""
 
     __slots__ = ("capacity", "cold_until", "service")
@@ -60,18 +60,18 @@
         self.service, self.capacity, self.cold_until = service, capacity, cold_until
 
 
-class House:
+class DataPlaneNode:
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self._loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.wings = Wings((settings.ip, settings.own_port), self._hear, self._handle)
-        seeds = [shown(settings.core_door(seed)) for seed in settings.seeds]
-        self.news = News(self._loop.time(), seeds)
-        self.reach = Reach(
-            self.wings, lambda: self.news.cores, lambda: self.news.peers(self.wings.own)
+        self.rpc_peer = RpcPeer((settings.ip, settings.own_port), self._hear, self._handle)
+        seeds = [format_address(settings.core_address(seed)) for seed in settings.seeds]
+        self.news = ConfigClient(self._loop.time(), seeds)
+        self.leader_client = LeaderClient(
+            self.rpc_peer, lambda: self.news.cores, lambda: self.news.peers(self.rpc_peer.own)
         )
-        self.wings.lost = self._lost
+        self.rpc_peer.lost = self._lost
         self._lookups = Lookups(settings.name)
         self._leaving, self._until = False, float("inf")  # when it must be done, once it leaves
         self._late = float("inf")  # from when on it begins only what is over by then in any case
@@ -82,16 +82,18 @@
         self._customers: dict[str, int] = {}
         self._tenants: dict[int, str] = {}
         self._tasks: list[asyncio.Task[Any]] = []
-        self._readyz, self._dir = Doors(self._ready_door), Doors(self._foyer)
+        self._readyz, self._dir = HttpServer(self._ready_door), HttpServer(self._lookup_api)
         self._stage()
 
     def _stage(self) -> None:
         settings = self.settings
         first = self._first_settings()
-        self.gateway = TunedGateway(first, random.getrandbits(32), Rows)
+        self.gateway = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
         self.gateway.in_touch, self.gateway.alone_since = self.in_touch, self._alone_since
         self.sockets = Sockets(settings.descriptors - 200)
-        self.engine = TunedEngine(self.gateway, first, Names(first, {}), self._loop, self.clock.now)
+        self.engine = ReconfigurableEngine(
+            self.gateway, first, Names(first, {}), self._loop, self.clock.now
+        )
         self.gateway.numbers = self.engine.number_of_plan
         self.engine.refusals, self.engine.ends_passing = (429, 503), True
         self.engine.describe = self._describe
@@ -100,20 +102,20 @@
         self.backends.stalled = float("inf")
         self.backends.unacked_ms = SERVER_UNACKED
         self.engine.servers = self.backends
-        reading = Reading(self, random.Random(), self.clock.now)
+        reading = RequestRouter(self, random.Random(), self.clock.now)
         memory = Memory(settings.memory_mb / 2)
         self.listener = Listener(self.engine, self.sockets, memory, self.clock.now, reading)
         self.listener.up = b""
         rows = self.gateway.fleet
-        assert isinstance(rows, Rows)
+        assert isinstance(rows, EndpointSelector)
         self.rows = rows
-        self.units = Units(
-            self.reach,
+        self.units = QuotaClient(
+            self.leader_client,
             self.clock.now,
             self.in_touch,
             self._named,
             lambda n: self._tenants.get(n, ""),
-            lambda name: t.rate if (t := self.bill.tenants.get(name)) else 0.0,
+            lambda name: t.rate if (t := self.route_table.tenants.get(name)) else 0.0,
             rows.denied,
         )
         self.engine.lessor = self.engine.dealer = self.units
@@ -159,7 +161,7 @@
         return max(1, self.news.edges)
 
     async def start(self) -> None:
-        await self.wings.listen()
+        await self.rpc_peer.listen()
         await self._readyz.listen(self.settings.listen["readyz"])
         if "dir" in self.settings.listen:
             await self._dir.listen(self.settings.listen["dir"])
@@ -192,22 +194,22 @@
             task.cancel()
         self._readyz.stop()
         self._dir.stop()
-        self.wings.stop()
+        self.rpc_peer.stop()
         self.backends.stop()
 
     async def _say_leaving(self) -> None:
         while True:
-            ask = pb.Envelope(ask=self.news.ask(self._node(), self._loop.time(), 0.0))
+            ask = pb.Envelope(watch_request=self.news.ask(self._node(), self._loop.time(), 0.0))
             try:
-                await self.reach.call(ask, ASK_WITHIN, 1.0)
+                await self.leader_client.call(ask, ASK_WITHIN, 1.0)
                 return
-            except SystemFailure:
+            except CallError:
                 await asyncio.sleep(0.2)
 
-    def resettle(self, settings: Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed: other seeds; those told of before stay known."""
         self.settings = settings
-        self.news.know_cores(shown(settings.core_door(seed)) for seed in settings.seeds)
+        self.news.know_cores(format_address(settings.core_address(seed)) for seed in settings.seeds)
 
     # What is known, for those who ask at the moment they act.
 
@@ -238,8 +240,8 @@
         return self.news.edges or 1_000_000
 
     @property
-    def bill(self) -> Playbill:
-        return self.news.bill
+    def route_table(self) -> RouteTable:
+        return self.news.route_table
 
     def in_touch(self) -> bool:
         return self.news.in_touch(self._loop.time())
@@ -260,42 +262,44 @@
         """It has a configuration, and a server of each service that this names: clients sent here
         before would be refused. A service without any is waited for no longer than servers take to
         say that they are there."""
-        if not self.bill.gen or not self.rows.rows:
+        if not self.route_table.gen or not self.rows.rows:
             return False
         return self.news.settled or all(
-            self.service(name) in self.rows.rows for name in self.bill.named
+            self.service(name) in self.rows.rows for name in self.route_table.named
         )
 
-    def _lost(self, door: str) -> None:
+    def _lost(self, address: str) -> None:
         """The leader's connection has ended: there as well, or the leader has."""
-        if door == self.reach.hint:
+        if address == self.leader_client.hint:
             self.news.lose_touch(self._loop.time())
 
     # Doors.
 
     async def _ready_door(self, method: str, target: str, body: bytes) -> Answer:
         found = match(READY, method, target)
-        if isinstance(found, Wrong):
+        if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
-        return told(200 if self.ready() else 503, {"ready": self.ready(), "gen": self.bill.gen})
+        return told(
+            200 if self.ready() else 503, {"ready": self.ready(), "gen": self.route_table.gen}
+        )
 
-    async def _foyer(self, method: str, target: str, body: bytes) -> Answer:
+    async def _lookup_api(self, method: str, target: str, body: bytes) -> Answer:
         """Goes on without a core, by what was last told."""
-        found = match(FOYER, method, target)
-        if isinstance(found, Wrong):
+        found = match(LOOKUP_ROUTES, method, target)
+        if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
         if found.call == "ready":
             return await self._ready_door(method, target, body)
         nodes, seen, most = self.news.nodes.values(), self.news.seen, self.settings.bounds.ttl_max
         return self._lookups.answer(
-            target, nodes, most, self.bill, (seen[0], seen[3], self.bill.gen)
+            target, nodes, most, self.route_table, (seen[0], seen[3], self.route_table.gen)
         )
 
     def _hear(self, envelope: pb.Envelope) -> None:
         """Nothing is told here unasked."""
 
     async def _handle(self, envelope: pb.Envelope) -> pb.Envelope:
-        raise SystemFailure(Code.REFUSED, "only passed on here")
+        raise RejectedError("only passed on here")
 
     # News.
 
@@ -303,9 +307,9 @@
         settings = self.settings
         return pb.Node(
             name=settings.name,
-            life=self.wings.life,
-            door=self.wings.own,
-            http=shown(settings.listen["http"]),
+            life=self.rpc_peer.life,
+            address=self.rpc_peer.own,
+            http=format_address(settings.listen["http"]),
             zone=settings.zone,
             region=settings.region,
             kind="edge",
@@ -319,48 +323,50 @@
                 hold(self.news.edges) if self.news.edges else HOLD_MOST
             )  # at first it may take a while
             node, asked = self._node(), self._loop.time()
-            ask = pb.Envelope(ask=self.news.ask(node, asked, wait))
+            ask = pb.Envelope(watch_request=self.news.ask(node, asked, wait))
             try:
-                answer = await self.reach.call(ask, ASK_WITHIN, patience(wait))
-            except SystemFailure as failure:
+                answer = await self.leader_client.call(ask, ASK_WITHIN, patience(wait))
+            except CallError as failure:
                 self.news.unanswered()
                 if not self.may_serve():
-                    note(Event.NO_HOLDER, "%s", failure)
+                    log_event(Event.NO_LEADER, "%s", failure)
                 await asyncio.sleep(random.uniform(0.05, 0.15))
                 continue
-            if answer.WhichOneof("body") == "cue":
+            if answer.WhichOneof("body") == "watch_response":
                 try:
-                    self._apply(answer.cue, node, asked)
+                    self._apply(answer.watch_response, node, asked)
                 except Exception as error:
-                    note(Event.FAILED, "cue: %r", error)
+                    log_event(Event.FAILED, "cue: %r", error)
                     raise
             if self._leaving:
                 await asyncio.sleep(0.5)
 
-    def _apply(self, cue: pb.Cue, node: pb.Node, asked: float) -> None:
-        changed = self.news.take(cue, node, asked, self._loop.time(), self.clock.now())
+    def _apply(self, watch_response: pb.WatchResponse, node: pb.Node, asked: float) -> None:
+        changed = self.news.take(watch_response, node, asked, self._loop.time(), self.clock.now())
         if changed is None:
             return
         if changed.dropped:
-            note(Event.DIFFERENCE_DROPPED, "%s", changed.dropped)
+            log_event(Event.DELTA_DROPPED, "%s", changed.dropped)
             return
-        if changed.bill:
-            self._take_bill(self.news.bill, changed.items)
+        if changed.route_table:
+            self._take_bill(self.news.route_table, changed.items)
         if changed.place:
             self._set_place()
         if changed.servers:
             self._list_servers(changed.named)
 
-    def _take_bill(self, bill: Playbill, items: Changed | None) -> None:
-        limits = bill.limits
+    def _take_bill(self, route_table: RouteTable, items: TableChange | None) -> None:
+        limits = route_table.limits
         self.listener.idle_for = seconds(limits.get("idleTimeout", "15s"))
         self.listener.head_for = seconds(limits.get("headerTimeout", "3s"))
         self.listener.max_head = max(MAX_HEAD, limits.get("maxHeaderBytes", 0))
         self.listener.max_body = max(MAX_BODY, limits.get("maxBodyBytes", 0))
-        classes = bill.classes.values() if items is None else [route.cls for route in items.routes]
-        tenants = bill.tenants.values() if items is None else items.tenants
+        classes = (
+            route_table.classes.values() if items is None else [route.cls for route in items.routes]
+        )
+        tenants = route_table.tenants.values() if items is None else items.tenants
         self.engine.adjust(self._fleet_size(), classes, [self._plan(tenant) for tenant in tenants])
-        note(Event.NEWS_APPLIED, "gen %d", bill.gen)
+        log_event(Event.CONFIG_APPLIED, "gen %d", route_table.gen)
 
     def _set_place(self) -> None:
         bounds, place = self.settings.bounds, self.rows.place
@@ -384,12 +390,12 @@
                     entries.append(self._standing(servers[id]))
                     continue
             except ValueError as error:
-                note(Event.FAILED, "server %s: %s", id, error)
+                log_event(Event.FAILED, "server %s: %s", id, error)
             if self.engine.knows(id):
-                entries.append(Standing({"name": id, "status": "removed"}, "", 0, 0))
+                entries.append(ListedEndpoint({"name": id, "status": "removed"}, "", 0, 0))
         self.engine.listed(Listing.of(self.news.seen[2], entries, named is None))
 
-    def _standing(self, known: Known) -> Standing:
+    def _standing(self, known: KnownEndpoint) -> ListedEndpoint:
         server = known.server
         away = server.state != "ready" or server.zone in self.news.evacuated
         raw = {
@@ -398,10 +404,10 @@
             "zone": server.zone,
             "status": "draining" if away else "up",
         }
-        return Standing(raw, server.service, server.capacity, known.cold_until)
+        return ListedEndpoint(raw, server.service, server.capacity, known.cold_until)
 
     def _describe(self, entry: Entry, number: int) -> it.ListedBackend:
-        assert isinstance(entry, Standing)
+        assert isinstance(entry, ListedEndpoint)
         if entry.status == "removed":
             return it.ListedBackend(number, it.BackendState.GONE, -1, 0, 0, 1.0, 0, number)
         state = it.BackendState.READY if entry.status == "up" else it.BackendState.DRAINING
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-from cairndale.errors import Code, SystemFailure
+from cairndale.errors import CallError, CallTimeoutError, UnreachableError
 from cairndale.ingress.net.engine import Answered
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import DRIFT
 
 LEASE_WAIT, LEASE_PATIENCE = 0.5, 0.2  # s for the counter's answer over all tries, and for one
@@ -25,13 +25,13 @@
 Denied = Callable[[tuple[it.Unit, ...], int, int], None]  # which, now, and until when
 
 
-class Units:
+class QuotaClient:
     """The engine's lessor and dealer. Nothing of a call that nobody answered is used: copies of it
     may have been granted, and lapse."""
 
     def __init__(
         self,
-        reach: Reach,
+        leader_client: LeaderClient,
         now: Callable[[], int],
         in_touch: Callable[[], bool],
         name: Callable[[str, int], str],
@@ -41,7 +41,7 @@
     ) -> None:
         """`now`: us; `name`, `tenant`: of a unit's and a customer's number; `rate`: units a second
         that a tenant's store refills by, 0 if it has none."""
-        self._reach, self._now, self._in_touch = reach, now, in_touch
+        self._leader_client, self._now, self._in_touch = leader_client, now, in_touch
         self._name, self._tenant, self._rate, self._denied = name, tenant, rate, denied
         self.calls: set[asyncio.Task[None]] = set()  # under way
 
@@ -50,25 +50,29 @@
         self.calls.add(task)
         task.add_done_callback(self.calls.discard)
 
-    def deal(self, units: tuple[it.Unit, ...], dealt: Callable[[int], None]) -> None:
-        self._keep(self._deal(units, dealt))
+    def deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
+        self._keep(self._deal(units, on_granted))
 
-    async def _deal(self, units: tuple[it.Unit, ...], dealt: Callable[[int], None]) -> None:
+    async def _deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
         asked, until, wait = self._now(), 0, DENIED
-        deal = pb.Deal(whole=[f"{kind}/{self._name(kind, number)}" for kind, number in units])
+        deal = pb.BudgetRequest(
+            whole=[f"{kind}/{self._name(kind, number)}" for kind, number in units]
+        )
         try:
             if self._in_touch():
                 answer = (
-                    await self._reach.call(pb.Envelope(deal=deal), DEAL_WAIT, DEAL_WAIT)
-                ).dealt
+                    await self._leader_client.call(
+                        pb.Envelope(budget_request=deal), DEAL_WAIT, DEAL_WAIT
+                    )
+                ).budget_response
                 until = asked + round(answer.life_ms * 1000 * (1 - DRIFT)) if answer.all else 0
                 wait = answer.wait_ms * 1000
-        except SystemFailure:
+        except CallError:
             pass
         if not until:
             now = self._now()
             self._denied(units, now, now + wait)
-        dealt(until)
+        on_granted(until)
 
     def lease(self, customer: int, amount: float, told: float, answered: Answered) -> None:
         self._keep(self._lease(self._tenant(customer), amount, told, answered))
@@ -76,23 +80,24 @@
     async def _lease(self, tenant: str, amount: float, told: float, answered: Answered) -> None:
         """Asks once more where the store was empty, but will hold a unit or more within a pause: a
         leader that has just begun to count begins with empty stores."""
-        asked = pb.Lease(tenant=tenant, amount=amount, told=told)
+        asked = pb.QuotaRequest(tenant=tenant, amount=amount, told=told)
         try:
             left = await self._left(asked)
             if left <= -amount < 0 and self._rate(tenant) * LEASE_PAUSE >= 1:
                 await asyncio.sleep(LEASE_PAUSE * random.uniform(1.0, 1.3))
                 asked.told = 0.0  # heard
                 left = await self._left(asked)
-        except SystemFailure as failure:
-            if failure.code not in (Code.SILENT, Code.UNREACHABLE):
+        except CallError as failure:
+            if not isinstance(failure, CallTimeoutError | UnreachableError):
                 await asyncio.sleep(LEASE_PAUSE)
-            answered(
-                Outcome.RESET, 0.0
-            )  # asked anew while there is time, or spent without the counter
+            # Asked anew while there is time, or spent without the counter.
+            answered(Outcome.RESET, 0.0)
             return
         answered(Outcome.OK, 0.0, left)
 
-    async def _left(self, asked: pb.Lease) -> float:
-        """In the store; under 0 by what was not granted. Raises SystemFailure."""
-        answer = await self._reach.call(pb.Envelope(lease=asked), LEASE_WAIT, LEASE_PATIENCE)
-        return answer.leased.left
+    async def _left(self, asked: pb.QuotaRequest) -> float:
+        """In the store; under 0 by what was not granted. Raises CallError."""
+        answer = await self._leader_client.call(
+            pb.Envelope(quota_request=asked), LEASE_WAIT, LEASE_PATIENCE
+        )
+        return answer.quota_response.left
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from cairndale.configuration.route_table import Playbill, Route, Tenant
+from cairndale.configuration.route_table import Route, RouteTable, Tenant
 from cairndale.dataplane.upstream_protocol import head
 from cairndale.ingress.net.engine import Names, Wanted
 from cairndale.ingress.net.http import Message
@@ -22,11 +22,11 @@
 LEAST = 1  # ms that a server is told it has
 
 
-class Scene(Protocol):
+class RoutingContext(Protocol):
     """What the data plane knows at the moment."""
 
     @property
-    def bill(self) -> Playbill: ...
+    def route_table(self) -> RouteTable: ...
     def may_serve(self) -> bool: ...
     def may_begin(self, cls: int, timeout: int) -> bool: ...
     def service(self, name: str) -> int: ...
@@ -43,19 +43,19 @@
     return frozenset.intersection(*both) if both else None
 
 
-class Reading:
-    def __init__(self, scene: Scene, rng: random.Random, now: Callable[[], int]) -> None:
+class RequestRouter:
+    def __init__(self, scene: RoutingContext, rng: random.Random, now: Callable[[], int]) -> None:
         self._scene, self._rng, self._now = scene, rng, now
 
     def find(self, host: bytes, target: bytes, key: bytes) -> tuple[Route, Tenant | None]:
         """Raises BadRequest where the configuration in force does not allow it."""
-        bill = self._scene.bill
-        route = bill.route(host, target)
+        route_table = self._scene.route_table
+        route = route_table.route(host, target)
         if route is None:
             raise BadRequest(404, "no route")
-        if route.public or not bill.tenants:
+        if route.public or not route_table.tenants:
             return route, None
-        tenant = bill.tenant(key)
+        tenant = route_table.tenant(key)
         if tenant is None:
             raise BadRequest(401, "the key is unknown")
         return route, tenant
@@ -64,7 +64,7 @@
         self, message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
     ) -> Wanted:
         scene, headers = self._scene, message.headers
-        if not scene.bill.gen or not scene.may_serve():
+        if not scene.route_table.gen or not scene.may_serve():
             raise BadRequest(503, "not in service", BACK)
         host, target, key = (
             headers.get(b"host", b""),
@@ -94,14 +94,14 @@
         plan = names.plans[tenant.name.encode()] if tenant else names.plans[b""]
         customer = scene.customer(tenant.name) if tenant else 0
         made = head(message, id)
-        body, gen = message.body, scene.bill.gen
+        body, gen = message.body, scene.route_table.gen
 
         def dress(server: str, left: int) -> bytes | None:
             """The whole request, as its first byte is written; None if what allowed it holds no
             longer."""
             if not scene.may_serve() or not scene.stands(server, service):
                 return None
-            if scene.bill.gen != gen:
+            if scene.route_table.gen != gen:
                 try:
                     route_now, tenant_now = self.find(host, target, key)
                 except BadRequest:
--- a/cairndale/errors.py
+++ b/cairndale/errors.py
@@ -1,33 +1,106 @@
-"""Failures with codes, and the verdict on whether a request may have run."""
+"""Errors of calls between the system's own processes; whether a request may have run.
+
+Each cause has a class of its own under `CallError`. The class carries the code that stands for the
+cause on the wire (`Envelope.fault`) and says whether the other side may have acted on the call.
+"""
 
 from __future__ import annotations
 
 from enum import Enum, IntEnum
+from typing import ClassVar
 
 from cairndale.ingress.policy.interface import Outcome
 
 
-class Code(IntEnum):
-    """What went wrong between the system's own processes."""
+class FaultCode(IntEnum):
+    """The cause of a failed call, as it stands in `Envelope.fault`; the protocol's numbers."""
+
+    UNREACHABLE = 1
+    TIMED_OUT = 2
+    NOT_LEADER = 3
+    QUEUE_FULL = 4
+    REJECTED = 5
+    STALE = 6
+
+
+class CallError(Exception):
+    """A call to another process of the system failed.
+
+    Attributes:
+        code: the cause, as it is told to other processes.
+        label: how the cause is named in answers to operators and servers.
+        may_have_run: whether the receiver may have acted on the call all the same.
+    """
+
+    code: ClassVar[FaultCode]
+    label: ClassVar[str]
+    may_have_run: ClassVar[bool] = False
+
+    def __init__(self, detail: str = "") -> None:
+        super().__init__(f"{self.label}: {detail}" if detail else self.label)
+
+
+class UnreachableError(CallError):
+    """No connection came up, or none in time: the call was not sent."""
+
+    code = FaultCode.UNREACHABLE
+    label = "unreachable"
+
+
+class CallTimeoutError(CallError):
+    """The call was sent, and no answer came in time."""
+
+    code = FaultCode.TIMED_OUT
+    label = "silent"
+    may_have_run = True
+
+
+class NotLeaderError(CallError):
+    """The receiver does not lead, or can no longer be sure that it does."""
+
+    code = FaultCode.NOT_LEADER
+    label = "not_leader"
+
+
+class QueueFullError(CallError):
+    """A bounded queue has no room for the call."""
+
+    code = FaultCode.QUEUE_FULL
+    label = "full"
+
+
+class RejectedError(CallError):
+    """The receiver does not take calls of this kind, or not this one."""
+
+    code = FaultCode.REJECTED
+    label = "refused"
+
+
+class StaleCallError(CallError):
+    """The call belongs to a term or an incarnation of a process that is over."""
 
-    UNREACHABLE = 1  # no connection, or none in time: the call was not taken
-    SILENT = 2  # it was sent, and no answer came in time
-    NOT_LEADER = 3  # who was asked does not hold the duty
-    FULL = 4  # a bounded queue is
-    REFUSED = 5
-    STALE = 6  # what was asked belongs to a life or term that is over
+    code = FaultCode.STALE
+    label = "stale"
 
 
-class SystemFailure(Exception):
-    """A failure with its code; `may_have_run` where the other side may have acted all the same."""
+_CLASSES: dict[int, type[CallError]] = {
+    error.code: error
+    for error in (
+        UnreachableError,
+        CallTimeoutError,
+        NotLeaderError,
+        QueueFullError,
+        RejectedError,
+        StaleCallError,
+    )
+}
 
-    def __init__(self, code: Code, what: str = "") -> None:
-        super().__init__(f"{code.name.lower()}{': ' if what else ''}{what}")
-        self.code = code
 
-    @property
-    def may_have_run(self) -> bool:
-        return self.code is Code.SILENT
+def error_for_code(code: int, detail: str = "") -> CallError:
+    """The error that a code from the wire stands for. Raises ValueError for an unknown code."""
+    if code not in _CLASSES:
+        raise ValueError(f"{code} is not a valid FaultCode")
+    return _CLASSES[code](detail)
 
 
 class Verdict(Enum):
@@ -39,11 +112,8 @@
 
     @classmethod
     def of(cls, outcome: Outcome) -> Verdict:
-        """Of an attempt's outcome, as the module hears it."""
+        """The verdict on an attempt that ended with this outcome."""
         if outcome is Outcome.OK:
             return cls.ANSWERED
-        return (
-            cls.UNSENT
-            if outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-            else cls.SENT
-        )
+        not_sent = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return cls.UNSENT if outcome in not_sent else cls.SENT
--- a/cairndale/events.py
+++ b/cairndale/events.py
@@ -21,36 +21,36 @@
     SNAPSHOT_DROPPED = 122
     SNAPSHOT_INSTALLED = 123
     ENTRY_DROPPED = 124
-    DUTY_BEGINS = 200
-    DUTY_ENDS = 201
+    LEADERSHIP_BEGINS = 200
+    LEADERSHIP_ENDS = 201
     MEMBERS = 202
     LEAVING = 203
-    CONFIG_TAKEN = 300
-    CONFIG_REFUSED = 301
+    CONFIG_ACCEPTED = 300
+    CONFIG_REJECTED = 301
     ZONE_EVACUATED = 302
-    ZONE_TAKEN_BACK = 303
-    SERVER_NEWS = 400
-    NEWS_APPLIED = 502
-    NO_HOLDER = 503
-    DIFFERENCE_DROPPED = 504
+    ZONE_RESTORED = 303
+    ENDPOINTS_CHANGED = 400
+    CONFIG_APPLIED = 502
+    NO_LEADER = 503
+    DELTA_DROPPED = 504
     GARBLED_FRAME = 600
     FOREIGN_PEER = 601
     OLD_TERM = 602
     FAILED = 900
 
 
-WARNINGS = (Event.FAILED, Event.NO_HOLDER, Event.DISK_FAILED, Event.SNAPSHOT_FAILED)
+WARNINGS = (Event.FAILED, Event.NO_LEADER, Event.DISK_FAILED, Event.SNAPSHOT_FAILED)
 
 _log = picologging.getLogger("cairndale")
 
 
-def set_up() -> None:
+def set_up_logging() -> None:
     handler = picologging.StreamHandler(sys.stderr)
     handler.setFormatter(picologging.Formatter("%(levelname)s %(message)s"))
     _log.addHandler(handler)
     _log.setLevel(picologging.INFO)
 
 
-def note(event: Event, text: str, *args: object) -> None:
+def log_event(event: Event, text: str, *args: object) -> None:
     level = picologging.WARNING if event in WARNINGS else picologging.INFO
     _log.log(level, f"{event.value} {event.name.lower()}: {text}", *args)
--- a/cairndale/http_api/router.py
+++ b/cairndale/http_api/router.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class Request:
     """A call as it came: what is left of its path, and what was found in it so far."""
 
     method: str
@@ -20,82 +20,84 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class RouteMatch:
     call: str
     args: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
+class RouteFailure:
     status: int
     why: str
 
 
-Match = Found | Wrong
+RouteResult = RouteMatch | RouteFailure
 
 
-class Matcher:
-    def match(self, asked: Asked) -> Match:
+class RouteMatcher:
+    def match(self, asked: Request) -> RouteResult:
         raise NotImplementedError
 
 
 @dataclass(frozen=True, slots=True)
-class Call(Matcher):
+class Call(RouteMatcher):
     """A leaf: nothing may be left."""
 
     name: str
 
-    def match(self, asked: Asked) -> Match:
-        return Wrong(404, "no such call") if asked.path else Found(self.name, asked.found)
+    def match(self, asked: Request) -> RouteResult:
+        return (
+            RouteFailure(404, "no such call") if asked.path else RouteMatch(self.name, asked.found)
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Method(Matcher):
+class Method(RouteMatcher):
     name: str
-    then: Matcher
+    then: RouteMatcher
 
-    def match(self, asked: Asked) -> Match:
+    def match(self, asked: Request) -> RouteResult:
         found = self.then.match(asked)
-        if isinstance(found, Found) and asked.method != self.name:
-            return Wrong(405, f"only {self.name} is known here")
+        if isinstance(found, RouteMatch) and asked.method != self.name:
+            return RouteFailure(405, f"only {self.name} is known here")
         return found
 
 
 @dataclass(frozen=True, slots=True)
-class Name(Matcher):
+class Name(RouteMatcher):
     """The next part of the path is a name, whatever it is."""
 
     key: str
-    then: Matcher
+    then: RouteMatcher
 
-    def match(self, asked: Asked) -> Match:
+    def match(self, asked: Request) -> RouteResult:
         part, _, rest = asked.path.removeprefix("/").partition("/")
         name = unquote(part)
         if not name or len(name) > MOST_NAME:
-            return Wrong(404, f"the {self.key} is missing or too long")
+            return RouteFailure(404, f"the {self.key} is missing or too long")
         return self.then.match(
-            Asked(asked.method, "/" + rest if rest else "", asked.found | {self.key: name})
+            Request(asked.method, "/" + rest if rest else "", asked.found | {self.key: name})
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Parts(Matcher):
+class Parts(RouteMatcher):
     """The next part of the path says where to go on."""
 
-    then: Mapping[str, Matcher]
+    then: Mapping[str, RouteMatcher]
 
-    def match(self, asked: Asked) -> Match:
+    def match(self, asked: Request) -> RouteResult:
         part, _, rest = asked.path.removeprefix("/").partition("/")
         if (further := self.then.get(part)) is None:
-            return Wrong(404, "no such call")
-        return further.match(Asked(asked.method, "/" + rest if rest else "", asked.found))
+            return RouteFailure(404, "no such call")
+        return further.match(Request(asked.method, "/" + rest if rest else "", asked.found))
 
 
-def match(tree: Matcher, method: str, target: str) -> Match:
-    return tree.match(Asked(method, target.partition("?")[0]))
+def match(tree: RouteMatcher, method: str, target: str) -> RouteResult:
+    return tree.match(Request(method, target.partition("?")[0]))
 
 
-CONTROL = Parts(
+CONTROL_ROUTES = Parts(
     {
         "-": Parts(
             {
@@ -112,7 +114,7 @@
         )
     }
 )
-FOYER = Parts(
+LOOKUP_ROUTES = Parts(
     {"-": Parts({"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))})}
 )
 READY = Parts({"-": Parts({"readyz": Method("GET", Call("ready"))})})
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -11,7 +11,7 @@
 
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 from cairndale.rpc.framing import keep_short
-from cairndale.settings import Door
+from cairndale.settings import Address
 
 MOST_BODY = 16 * 1024 * 1024
 MOST_OPEN = 1024
@@ -32,18 +32,18 @@
     return told(status, {"errors": list(errors)})
 
 
-class Doors:
+class HttpServer:
     def __init__(self, take: Take, read: Read | None = None) -> None:
         """`read` is told of each answer that its caller has had for sure."""
         self.take, self.read = take, read
-        self.open: set[Visitor] = set()
+        self.open: set[ApiConnection] = set()
         self.closing = False
         self._server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def listen(self, at: Door) -> None:
+    async def listen(self, at: Address) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Visitor(self), *at, backlog=512)
+        self._server = await loop.create_server(lambda: ApiConnection(self), *at, backlog=512)
 
     def stop(self) -> None:
         self.closing = True
@@ -53,7 +53,7 @@
             visitor.transport.close()
 
 
-class Whole(HttpConnection):
+class BufferedConnection(HttpConnection):
     """Takes requests whose bodies are collected, up to a size."""
 
     _came: list[bytes]
@@ -75,10 +75,10 @@
         self.received(message)
 
 
-class Visitor(Whole):
-    def __init__(self, doors: Doors) -> None:
+class ApiConnection(BufferedConnection):
+    def __init__(self, addresses: HttpServer) -> None:
         super().__init__(httptools.HttpRequestParser)
-        self._doors, self._busy = doors, False
+        self._addresses, self._busy = addresses, False
         # the last answer, until it is known to be read
         self._said: tuple[str, str, Answer] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -87,14 +87,14 @@
         super().connection_made(transport)
         if sock := transport.get_extra_info("socket"):
             keep_short(sock, 5000)
-        self._doors.open.add(self)
-        if len(self._doors.open) > MOST_OPEN:
+        self._addresses.open.add(self)
+        if len(self._addresses.open) > MOST_OPEN:
             self.transport.abort()
             return
         self._wait()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._doors.open.discard(self)
+        self._addresses.open.discard(self)
         if self._timer:
             self._timer.cancel()
 
@@ -114,8 +114,8 @@
         self._was_read()
         self._busy = True
         task = asyncio.get_running_loop().create_task(self._take(message))
-        self._doors.tasks.add(task)
-        task.add_done_callback(self._doors.tasks.discard)
+        self._addresses.tasks.add(task)
+        task.add_done_callback(self._addresses.tasks.discard)
 
     async def _take(self, message: Message) -> None:
         method, target = message.method.decode("latin-1"), message.target.decode("latin-1")
@@ -127,13 +127,13 @@
             return
         try:
             async with asyncio.timeout(TOLD):
-                status, body = await self._doors.take(method, target, message.body)
+                status, body = await self._addresses.take(method, target, message.body)
         except TimeoutError:
             status, body = wrong(503, "no answer in time")
         self._busy = False
         if not self.transport.is_closing():
             self._said = (method, target, (status, body))
-            self._say(status, body, message.keep_alive and not self._doors.closing)
+            self._say(status, body, message.keep_alive and not self._addresses.closing)
 
     def eof_received(self) -> None:
         """In order, and after the answer: whoever sends that has had it."""
@@ -141,8 +141,8 @@
 
     def _was_read(self) -> None:
         said, self._said = self._said, None
-        if said and self._doors.read:
-            self._doors.read(*said)
+        if said and self._addresses.read:
+            self._addresses.read(*said)
 
     def _say(self, status: int, body: bytes, keep: bool) -> None:
         self.transport.write(
@@ -150,7 +150,7 @@
         )
         if keep:
             self._wait()
-        elif self._doors.read and self._timer:
+        elif self._addresses.read and self._timer:
             self.transport.write_eof()
             self._timer.cancel()
             self._timer = asyncio.get_running_loop().call_later(LINGER, self.transport.close)
--- a/cairndale/lookup/selection.py
+++ b/cairndale/lookup/selection.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 from urllib.parse import parse_qs
 
-from cairndale.configuration.route_table import Playbill
+from cairndale.configuration.route_table import RouteTable
 from cairndale.http_api.server import Answer, told, wrong
 from cairndale.rpc import protocol_pb2 as pb
 
@@ -18,10 +18,10 @@
 KEPT = 1024  # answers
 
 
-def homes_of(bill: Playbill | None, host: str) -> frozenset[str]:
+def homes_of(route_table: RouteTable | None, host: str) -> frozenset[str]:
     """Regions in which all routes of the host that have homes have one; empty: nothing binds
     them."""
-    routes = bill.hosts.get(host.lower().encode(), {}).values() if bill else ()
+    routes = route_table.hosts.get(host.lower().encode(), {}).values() if route_table else ()
     homes = [route.homes for route in routes if route.homes]
     return frozenset.intersection(*homes) if homes else frozenset()
 
@@ -52,14 +52,14 @@
     target: str,
     nodes: Iterable[pb.Node],
     ttl_max: float,
-    bill: Playbill | None = None,
+    route_table: RouteTable | None = None,
     own: str = "",
 ) -> Answer:
     """`ttl_max` in s; `bill`: the configuration, where it is known. Of more than MOST, who answers
     by the name of `own` tells others than who answers by another, and the same from answer to
     answer: clients that ask different ones go to all of them."""
     region, zone, name = _asked(target)
-    addrs = _near(nodes, region, zone, homes_of(bill, name))
+    addrs = _near(nodes, region, zone, homes_of(route_table, name))
     if not addrs:
         return wrong(503, "no ingress is ready")
     if len(addrs) > MOST:
@@ -81,7 +81,7 @@
         target: str,
         nodes: Iterable[pb.Node],
         ttl_max: float,
-        bill: Playbill | None,
+        route_table: RouteTable | None,
         version: object,
     ) -> Answer:
         """`version` is another one when the nodes or the configuration are others."""
@@ -89,5 +89,5 @@
             self._version, self._kept = version, {}
         key = (*_asked(target), ttl_max)
         if key not in self._kept:
-            self._kept[key] = lookup(target, nodes, ttl_max, bill, self._own)
+            self._kept[key] = lookup(target, nodes, ttl_max, route_table, self._own)
         return self._kept[key]
--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -12,31 +12,31 @@
 
 import uvloop
 
-from cairndale.events import Event, note, set_up
-from cairndale.raft.storage import StoreError
+from cairndale.events import Event, log_event, set_up_logging
+from cairndale.raft.storage import StorageError
 from cairndale.settings import Settings, SettingsError, read
 
 SETTINGS = "CAIRNDALE_CONFIG"
 
 
-class Part(Protocol):
+class NodeRole(Protocol):
     async def start(self) -> None: ...
     async def stop(self) -> None: ...
-    def resettle(self, settings: Settings) -> None: ...
+    def reconfigure(self, settings: Settings) -> None: ...
 
 
 async def play(settings: Settings, hung_up: Callable[[], bool] = bool) -> None:
     """A machine with a disk holds the state, one that clients reach carries the traffic; one may do
     both. `hung_up`: whether the settings file has changed since this process began."""
-    parts: list[Part] = []
+    parts: list[NodeRole] = []
     if settings.state is not None:
-        from cairndale.control.node import Core
+        from cairndale.control.node import ControlNode
 
-        parts.append(Core(settings))
+        parts.append(ControlNode(settings))
     if "edge" in settings.serves:
-        from cairndale.dataplane.node import House
+        from cairndale.dataplane.node import DataPlaneNode
 
-        parts.append(House(settings))
+        parts.append(DataPlaneNode(settings))
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
@@ -44,11 +44,11 @@
         try:
             now = read(os.environ.get(SETTINGS, ""))
         except SettingsError as error:
-            note(Event.SETTINGS_WRONG, "the settings stay as they were: %s", error)
+            log_event(Event.SETTINGS_WRONG, "the settings stay as they were: %s", error)
             return
-        note(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in now.seeds))
+        log_event(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in now.seeds))
         for part in parts:
-            part.resettle(now)
+            part.reconfigure(now)
 
     loop.add_signal_handler(signal.SIGHUP, reread)
     if hung_up():
@@ -59,23 +59,23 @@
         await part.start()
     gc.collect()
     gc.freeze()
-    note(Event.STARTED, "%s as %s", settings.name, settings.role)
+    log_event(Event.STARTED, "%s as %s", settings.name, settings.role)
     await stop.wait()
-    note(Event.STOPPING, "%s", settings.name)
+    log_event(Event.STOPPING, "%s", settings.name)
     await asyncio.gather(*(part.stop() for part in parts))
-    note(Event.ENDED, "%s", settings.name)
+    log_event(Event.ENDED, "%s", settings.name)
 
 
 def run(hung_up: Callable[[], bool]) -> int:
     """The exit status."""
-    set_up()
+    set_up_logging()
     try:
         uvloop.run(play(read(os.environ.get(SETTINGS, "")), hung_up))
     except SettingsError as error:
         for line in error.errors:
-            note(Event.SETTINGS_WRONG, "%s", line)
+            log_event(Event.SETTINGS_WRONG, "%s", line)
         return 1
-    except (StoreError, OSError) as error:
-        note(Event.DISK_UNREADABLE, "%s", error)
+    except (StorageError, OSError) as error:
+        log_event(Event.DISK_UNREADABLE, "%s", error)
         return 1
     return 0
--- a/cairndale/quota/budget_counter.py
+++ b/cairndale/quota/budget_counter.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class Budget:
     size: float  # units in a window
     window: float  # s
 
@@ -38,41 +38,41 @@
         return max(0.0, (self.size - self.most) / (self.window + LIFE))
 
 
-def further(bounds: Bounds) -> Whole:
+def further(bounds: Bounds) -> Budget:
     """Tries at a service beyond the first of each request, but for those that are earned and kept
     evenly."""
-    return Whole(DEALT * bounds.retry_slack, bounds.retry_window)
+    return Budget(DEALT * bounds.retry_slack, bounds.retry_window)
 
 
-def starts(bounds: Bounds, per_s: float) -> Whole:
+def starts(bounds: Bounds, per_s: float) -> Budget:
     """Requests that a cold server bears, which handles `per_s` a second."""
-    return Whole(per_s * bounds.warmup_overrun + bounds.warmup_slack - 1, 1.0)
+    return Budget(per_s * bounds.warmup_overrun + bounds.warmup_slack - 1, 1.0)
 
 
 @dataclass(slots=True)
-class _Store:
+class _TokenStore:
     level: float
     at: float
 
 
-class Purse:
+class BudgetCounter:
     """Times are seconds on the leader's clock."""
 
     def __init__(self, now: float, ever: bool) -> None:
         """`ever`: another may have dealt units of the same wholes before."""
         self._began, self._ever = now, ever
-        self._stores: dict[str, _Store] = {}
+        self._stores: dict[str, _TokenStore] = {}
 
-    def _store(self, now: float, name: str, whole: Whole) -> _Store:
+    def _store(self, now: float, name: str, whole: Budget) -> _TokenStore:
         store = self._stores.get(name)
         if store is None:
             level = whole.rate * (now - self._began) if self._ever else whole.most
-            store = self._stores[name] = _Store(level, now)
+            store = self._stores[name] = _TokenStore(level, now)
         store.level = min(whole.most, store.level + whole.rate * max(0.0, now - store.at))
         store.at = max(store.at, now)
         return store
 
-    def deal(self, now: float, wanted: dict[str, Whole]) -> float:
+    def deal(self, now: float, wanted: dict[str, Budget]) -> float:
         """One unit of each of these, or of none: 0, or the seconds until there may be some."""
         stores = {name: self._store(now, name, whole) for name, whole in wanted.items()}
         short = [(1 - stores[n].level, whole) for n, whole in wanted.items() if stores[n].level < 1]
--- a/cairndale/quota/quota_counter.py
+++ b/cairndale/quota/quota_counter.py
@@ -54,12 +54,12 @@
 
 
 @dataclass(slots=True)
-class Store:
+class TokenStore:
     level: float
     at: float  # of the till's refill time
 
 
-class Till:
+class QuotaCounter:
     def __init__(self, now: float, bounds: Bounds, ever: bool = True, idle: float = 0.0) -> None:
         """`ever`: somebody may have leased units before, who has paid from stores that nobody knows
         now. `idle`: s before now in which nobody spent anything: stores have refilled for so
@@ -72,7 +72,7 @@
             1.0,
             0.0,
         )  # s of refill at the whole rate, since the beginning
-        self._stores: dict[str, Store] = {}
+        self._stores: dict[str, TokenStore] = {}
         self._quotas: dict[str, tuple[float, float]] = {}
 
     def quotas(self, quotas: dict[str, tuple[float, float]]) -> None:
@@ -80,7 +80,7 @@
         self._quotas = quotas
         self._stores = {tenant: s for tenant, s in self._stores.items() if tenant in quotas}
 
-    def follow(self, before: Till) -> None:
+    def follow(self, before: QuotaCounter) -> None:
         """The same quotas, with stores of its own."""
         self._quotas = before._quotas
 
@@ -109,7 +109,7 @@
         most = room(rate, burst, self._bounds, self._edges, self._fewest, self._silent)
         time = self._refilled(now)
         store = self._stores.setdefault(
-            tenant, Store(min(most, rate * self._idle) if self._ever else most, 0.0)
+            tenant, TokenStore(min(most, rate * self._idle) if self._ever else most, 0.0)
         )
         store.level = min(most, store.level + rate * (time - store.at))
         store.at = time
--- a/cairndale/raft/codec.py
+++ b/cairndale/raft/codec.py
@@ -25,13 +25,13 @@
 
 def _members_out(members: Iterable[Member]) -> list[pb.Member]:
     return [
-        pb.Member(door=m.door, disk=m.disk, zone=m.zone, region=m.region, learner=m.learner)
+        pb.Member(address=m.address, disk=m.disk, zone=m.zone, region=m.region, learner=m.learner)
         for m in members
     ]
 
 
 def _member(made: pb.Member) -> Member:
-    return Member(made.door, made.disk, made.zone, made.region, made.learner)
+    return Member(made.address, made.disk, made.zone, made.region, made.learner)
 
 
 def _members_in(members: Iterable[pb.Member]) -> tuple[Member, ...]:
@@ -93,7 +93,9 @@
 
 def message_out(message: Message) -> pb.LogMessage:
     sender = message.sender
-    made = pb.LogMessage(term=message.term, sender=pb.Member(door=sender.door, disk=sender.disk))
+    made = pb.LogMessage(
+        term=message.term, sender=pb.Member(address=sender.address, disk=sender.disk)
+    )
     if isinstance(
         message, Join | Leave
     ):  # the others are sent often: whom they come from is enough
