--- a/tests/test_playhouse_frames.py
+++ b/tests/test_playhouse_frames.py
@@ -18,24 +18,24 @@
 
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.control import idempotency
-from cairndale.control.leadership import Duty
-from cairndale.control.node import Core
-from cairndale.dataplane.config_client import News
-from cairndale.errors import Code, SystemFailure
+from cairndale.control.leadership import Leadership
+from cairndale.control.node import ControlNode
+from cairndale.dataplane.config_client import ConfigClient
+from cairndale.errors import CallError, CallTimeoutError, FaultCode, RejectedError
 from cairndale.events import Event
 from cairndale.quota.budget_counter import starts
 from cairndale.registry import nodes
-from cairndale.registry.endpoints import Board, Seen
-from cairndale.registry.nodes import LEASE, LOST, Roll
+from cairndale.registry.endpoints import Endpoint, EndpointRegistry
+from cairndale.registry.nodes import LEASE, LOST, NodeRegistry
 from cairndale.rpc import leader_client, peer
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.call_kinds import KINDS, Fence, Repeat
-from cairndale.rpc.framing import FORMAT, HELLO_MOST, Frames
-from cairndale.rpc.leader_client import Reach
-from cairndale.rpc.peer import Wings
+from cairndale.rpc.call_kinds import KINDS, DuplicateSafety, TermFence
+from cairndale.rpc.framing import FORMAT, HELLO_MOST, FramedConnection
+from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds, checked
 from tests.test_playhouse_control import SETTINGS
-from tests.test_playhouse_wings import HOST, free, order, wings
+from tests.test_playhouse_wings import HOST, free, order, rpc_peer
 
 HERE, OTHER = "0123456789abcdef", "fedcba9876543210"
 
@@ -46,7 +46,8 @@
 
 
 def hello(to: str, **fields: Any) -> pb.Envelope:
-    made = {"format": FORMAT, "system": HERE, "life": "b", "door": "127.0.0.1:1", "to": to} | fields
+    made = {"format": FORMAT, "system": HERE, "life": "b", "address": "127.0.0.1:1", "to": to}
+    made |= fields
     return pb.Envelope(hello=pb.Hello(**made))
 
 
@@ -74,8 +75,8 @@
         return False
 
     @classmethod
-    async def dial(cls, door: str) -> Raw:
-        host, _, port = door.rpartition(":")
+    async def dial(cls, address: str) -> Raw:
+        host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
 
@@ -100,7 +101,10 @@
 def outcome(envelope: pb.Envelope, body: bytes, **fields: Any) -> pb.Envelope:
     """An answer to that call."""
     return pb.Envelope(
-        call=envelope.call, answer=True, outcome=pb.Outcome(status=200, body=body), **fields
+        call=envelope.call,
+        answer=True,
+        operation_response=pb.OperationResponse(status=200, body=body),
+        **fields,
     )
 
 
@@ -108,36 +112,36 @@
 
 
 async def test_an_answer_is_taken_on_the_connection_that_its_call_went_out_on() -> None:
-    async with wings() as ours, raw_server() as (door, came):
+    async with rpc_peer() as ours, raw_server() as (address, came):
         ours.system = HERE
-        call = asyncio.create_task(ours.call(door, order(), 5.0))
+        call = asyncio.create_task(ours.call(address, order(), 5.0))
         asked = await came.get()
-        assert (said := (await asked.read()).hello).to == door and said.life == ours.life
+        assert (said := (await asked.read()).hello).to == address and said.life == ours.life
         sent = await asked.read()  # together with the hello: it waits for no answer to that
         stranger = await Raw.dial(ours.own)
         stranger.write(hello(ours.own), outcome(sent, b"by another process"))
         await until(lambda: ours.counts.get("unasked") == 1)
         assert not call.done()
-        asked.write(hello("", door=door), outcome(sent, b"by who was asked"))
-        assert (await call).outcome.body == b"by who was asked"
+        asked.write(hello("", address=address), outcome(sent, b"by who was asked"))
+        assert (await call).operation_response.body == b"by who was asked"
         stranger.writer.close()
 
 
 async def test_a_late_answer_of_a_life_before_is_not_taken_on_a_newer_connection() -> None:
-    async with wings() as ours, raw_server() as (door, came):
-        with pytest.raises(SystemFailure) as silent:
-            await asyncio.gather(ours.call(door, order(), 5.0), end_first(came))
-        assert silent.value.code is Code.SILENT and silent.value.may_have_run
+    async with rpc_peer() as ours, raw_server() as (address, came):
+        with pytest.raises(CallError) as silent:
+            await asyncio.gather(ours.call(address, order(), 5.0), end_first(came))
+        assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
         ours._pause.clear()
-        call = asyncio.create_task(ours.call(door, order(), 5.0))
+        call = asyncio.create_task(ours.call(address, order(), 5.0))
         second = await came.get()
         await second.read()
         sent = await second.read()
-        second.write(hello("", door=door), outcome(pb.Envelope(call=sent.call - 1), b"late"))
+        second.write(hello("", address=address), outcome(pb.Envelope(call=sent.call - 1), b"late"))
         await until(lambda: ours.counts.get("unasked") == 1)
-        second.write(hello("", door=door, life="c"), outcome(sent, b"of another life"))
+        second.write(hello("", address=address, life="c"), outcome(sent, b"of another life"))
         with pytest.raises(
-            SystemFailure
+            CallError
         ):  # the connection's life cannot change: what follows is not heard
             await call
         assert ours.counts["garbled"] == 1
@@ -151,7 +155,7 @@
 
 
 async def test_two_lives_neither_share_a_name_nor_count_their_calls_alike() -> None:
-    lives = [Wings((HOST, 1), lambda envelope: None, cast(Any, None)) for _ in range(20)]
+    lives = [RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)) for _ in range(20)]
     assert len({w.life for w in lives}) == len({w._next >> 8 for w in lives}) == 20
 
 
@@ -160,7 +164,7 @@
 FOREIGN = {
     "another format": [hello("", format=FORMAT + 1)],
     "no life": [hello("", life="")],
-    "no door": [hello("", door="")],
+    "no door": [hello("", address="")],
     "meant for another": [hello("10.9.9.9:7600")],
     "meant for nobody": [hello("nobody")],
     "another system": [hello("", system=OTHER)],
@@ -175,8 +179,8 @@
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     noted = list[Event]()
-    monkeypatch.setattr(peer, "note", lambda event, *args: noted.append(event))
-    async with wings() as ours, wings() as friend:
+    monkeypatch.setattr(peer, "log_event", lambda event, *args: noted.append(event))
+    async with rpc_peer() as ours, rpc_peer() as friend:
         ours.system = friend.system = HERE
         heard = list[pb.Envelope]()
         ours._hear = heard.append
@@ -195,27 +199,27 @@
             Event.FOREIGN_PEER,
             Event.GARBLED_FRAME,
         )  # one in 5 s
-        assert (await friend.call(ours.own, order(), 2.0)).outcome.status == 200
+        assert (await friend.call(ours.own, order(), 2.0)).operation_response.status == 200
 
 
 async def test_a_foreign_process_at_a_reused_door_is_left_and_not_dialled_at_once() -> None:
-    async with wings() as ours, raw_server() as (door, came):
+    async with rpc_peer() as ours, raw_server() as (address, came):
         ours.system = HERE
-        call = asyncio.create_task(ours.call(door, order(), 5.0))
+        call = asyncio.create_task(ours.call(address, order(), 5.0))
         raw = await came.get()
         await raw.read()
         sent = await raw.read()
-        raw.write(hello("", system=OTHER, door=door), outcome(sent, b"foreign"))
-        with pytest.raises(SystemFailure) as broken:
+        raw.write(hello("", system=OTHER, address=address), outcome(sent, b"foreign"))
+        with pytest.raises(CallError) as broken:
             await call
         assert broken.value.may_have_run and ours.counts["foreign"] == 1
-        with pytest.raises(SystemFailure) as paused:
-            await ours.call(door, order(), 5.0)
-        assert paused.value.code is Code.UNREACHABLE and came.empty()
+        with pytest.raises(CallError) as paused:
+            await ours.call(address, order(), 5.0)
+        assert paused.value.code is FaultCode.UNREACHABLE and came.empty()
 
 
 async def test_a_name_is_learnt_from_who_was_dialled_and_from_nobody_else() -> None:
-    async with wings() as ours, wings() as named:
+    async with rpc_peer() as ours, rpc_peer() as named:
         heard = list[pb.Envelope]()
         ours._hear = heard.append
         named.system = OTHER
@@ -225,11 +229,11 @@
         assert ours.system == "" and heard == []
         assert (
             await named.call(ours.own, order(), 2.0)
-        ).outcome.status == 200  # asked, it may answer
-        async with wings() as seed:
+        ).operation_response.status == 200  # asked, it may answer
+        async with rpc_peer() as seed:
             assert (
                 await ours.call(seed.own, order(), 2.0)
-            ).outcome.status == 200 and ours.system == ""
+            ).operation_response.status == 200 and ours.system == ""
             seed.name_system(HERE)  # drawn while they were connected
             await until(lambda: ours.system == HERE)
             assert ours.counts.get("foreign") == 1  # the other system's was left then
@@ -249,15 +253,15 @@
     def now(self) -> float:
         return 0.0
 
-    def opened(self, frames: Frames) -> None: ...
-    def closed(self, frames: Frames) -> None: ...
-    def greeted(self, frames: Frames) -> bool:
+    def opened(self, frames: FramedConnection) -> None: ...
+    def closed(self, frames: FramedConnection) -> None: ...
+    def greeted(self, frames: FramedConnection) -> bool:
         return True
 
-    def came(self, frames: Frames, envelope: pb.Envelope) -> None:
+    def came(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
         self.came_in.append(envelope.SerializeToString())
 
-    def garbled(self, frames: Frames, why: str) -> None:
+    def garbled(self, frames: FramedConnection, why: str) -> None:
         self.bad += 1
         frames.drop()
 
@@ -299,7 +303,7 @@
         except Exception:
             return came, 1
         if envelope.HasField("hello"):
-            now = (envelope.hello.life, envelope.hello.door)
+            now = (envelope.hello.life, envelope.hello.address)
             if greeted and now != life:
                 return came, 1
             greeted, life = True, now
@@ -312,7 +316,11 @@
 
 GOOD = [
     framed(e)
-    for e in (order("x"), outcome(order(), b"y"), pb.Envelope(call=7, ask=pb.Ask(script=3)))
+    for e in (
+        order("x"),
+        outcome(order(), b"y"),
+        pb.Envelope(call=7, watch_request=pb.WatchRequest(config_version=3)),
+    )
 ]
 PIECES = st.one_of(
     st.sampled_from(
@@ -330,7 +338,7 @@
 ) -> None:
     data = (framed(hello("t")) if greets else b"") + b"".join(pieces)
     process, wire = Ends(), Wire()
-    frames = Frames(process, "127.0.0.1:1")
+    frames = FramedConnection(process, "127.0.0.1:1")
     frames.connection_made(cast(Any, wire))
     rest, sizes = data, [*cuts, len(data) + 1]
     for size in sizes:
@@ -351,40 +359,44 @@
 
 def leader(term: int, body: bytes) -> Any:
     async def answer(envelope: pb.Envelope) -> pb.Envelope:
-        return pb.Envelope(term=term, outcome=pb.Outcome(status=200, body=body))
+        return pb.Envelope(
+            term=term, operation_response=pb.OperationResponse(status=200, body=body)
+        )
 
     return answer
 
 
 async def test_an_old_leaders_word_after_a_newer_one_is_refused_also_through_a_peer() -> None:
     async with (
-        wings() as ours,
-        wings() as old,
-        wings() as new,
-        wings() as peer,
-        wings() as heard_both,
+        rpc_peer() as ours,
+        rpc_peer() as old,
+        rpc_peer() as new,
+        rpc_peer() as peer,
+        rpc_peer() as heard_both,
     ):
         old._handle, new._handle = leader(4, b"old"), leader(5, b"new")
-        ask = Reach(ours, lambda: [new.own], lambda: [peer.own])
-        assert (await ask.call(order(), 2.0, 1.0)).outcome.body == b"new" and ours.fence.newest == 5
+        ask = LeaderClient(ours, lambda: [new.own], lambda: [peer.own])
+        assert (
+            await ask.call(order(), 2.0, 1.0)
+        ).operation_response.body == b"new" and ours.fence.newest == 5
         ask.hint = old.own
-        assert (await ask.call(order(), 2.0, 1.0)).outcome.body == b"new"
+        assert (await ask.call(order(), 2.0, 1.0)).operation_response.body == b"new"
         assert ours.counts["outdated"] == 1 and ask.hint == new.own
         ask.hint, ask._bad[old.own] = (
             old.own,
             (ours.now() + 9, 9.0),
         )  # the way there is cut: by the peer
-        assert (await ask.call(order(), 2.0, 1.0)).outcome.body == b"new" and ours.counts[
-            "outdated"
-        ] == 2
+        assert (
+            await ask.call(order(), 2.0, 1.0)
+        ).operation_response.body == b"new" and ours.counts["outdated"] == 2
         heard_both.fence.newest = 5
         passed = order()
         passed.pass_to = old.own
         with pytest.raises(
-            SystemFailure
+            CallError
         ) as refused:  # a peer that has heard the newer passes no older on
             await peer.call(heard_both.own, passed, 2.0)
-        assert refused.value.code is Code.SILENT and refused.value.may_have_run
+        assert refused.value.code is FaultCode.TIMED_OUT and refused.value.may_have_run
 
 
 WORDS = st.lists(st.tuples(st.integers(1, 6), st.booleans()), max_size=12)
@@ -397,25 +409,31 @@
     come."""
 
     async def play() -> None:
-        ours = Wings((HOST, 1), lambda envelope: None, cast(Any, None))
+        ours = RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None))
         left, acted, terms = list(words), list[int](), list[int]()
 
-        async def call(door: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
+        async def call(address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
             assert envelope.term == max(terms, default=0)  # the leader is told what was heard
             if not left:
-                raise SystemFailure(Code.REFUSED)
+                raise RejectedError()
             term, by_peer = left.pop(0)
             ask._bad = {"core:1": (ours.now() + 9, 9.0)} if by_peer else {}
             if term >= max(terms, default=0):
                 terms.append(term)
-            return pb.Envelope(term=term, leased=pb.Leased(left=term))
+            return pb.Envelope(term=term, quota_response=pb.QuotaResponse(left=term))
 
         ours.call = call  # type: ignore[method-assign]
-        ask = Reach(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
+        ask = LeaderClient(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
         while left:
             try:
-                acted.append((await ask.call(pb.Envelope(lease=pb.Lease(amount=1)), 5.0, 5.0)).term)
-            except SystemFailure:
+                acted.append(
+                    (
+                        await ask.call(
+                            pb.Envelope(quota_request=pb.QuotaRequest(amount=1)), 5.0, 5.0
+                        )
+                    ).term
+                )
+            except CallError:
                 break
         assert acted == terms
 
@@ -426,44 +444,44 @@
     kinds = {field.name for field in pb.Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
     assert kinds == KINDS.keys()
     assert {n for n, kind in KINDS.items() if kind.leader} == {
-        n for n, kind in KINDS.items() if kind.repeat is Repeat.ANSWER
+        n for n, kind in KINDS.items() if kind.repeat is DuplicateSafety.ANSWER
     }
-    ours, sent = Wings((HOST, 1), lambda envelope: None, cast(Any, None)), list[pb.Envelope]()
+    ours, sent = RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)), list[pb.Envelope]()
 
-    async def call(door: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
+    async def call(address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
         sent.append(envelope)
-        raise SystemFailure(Code.SILENT if len(sent) % 3 else Code.REFUSED)
+        raise CallTimeoutError() if len(sent) % 3 else RejectedError()
 
     ours.call = call  # type: ignore[method-assign]
-    ask = Reach(ours, lambda: ["core:1"], list)
+    ask = LeaderClient(ours, lambda: ["core:1"], list)
     for envelope in (
-        pb.Envelope(deal=pb.Deal()),
-        pb.Envelope(lease=pb.Lease()),
-        pb.Envelope(ask=pb.Ask()),
+        pb.Envelope(budget_request=pb.BudgetRequest()),
+        pb.Envelope(quota_request=pb.QuotaRequest()),
+        pb.Envelope(watch_request=pb.WatchRequest()),
     ):
-        with pytest.raises(SystemFailure):
+        with pytest.raises(CallError):
             await ask.call(envelope, 5.0, 5.0)
     assert [e.id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # alike on every copy
 
 
-async def core(folder: Path, **fields: Any) -> Core:
+async def core(folder: Path, **fields: Any) -> ControlNode:
     """A core of one that holds the duty; its loops do not run."""
     port = free()
     raw = {name: dict(part) for name, part in SETTINGS.items()}
     raw["self"] |= {"ip": HOST, "stateDir": str(folder), "serves": [], "bootstrap": True}
     raw["network"] |= {"portRange": [port, port + 9], "peers": [f"{HOST}:9"], "listen": {}}
-    made = Core(checked(raw))
+    made = ControlNode(checked(raw))
     return made
 
 
-async def lead(made: Core) -> int:
+async def lead(made: ControlNode) -> int:
     async with asyncio.timeout(10):
-        while not (made.duty and made.wings.system):
+        while not (made.leadership and made.rpc_peer.system):
             made._do(made.machine.tick(made.now()))
             made._draw_name()
             await asyncio.sleep(0.005)
-    assert made.duty
-    return made.duty.term
+    assert made.leadership
+    return made.leadership.term
 
 
 async def test_a_full_disk_does_not_keep_a_core_from_its_systems_name(tmp_path: Path) -> None:
@@ -477,7 +495,7 @@
     made.state.system = HERE
     cast(Any, made._store)._env = Full()
     made._look_at_name()
-    assert made.wings.system == HERE
+    assert made.rpc_peer.system == HERE
     cast(Any, made._store)._env = env
     assert made._store.system() == ""
     made._store.close()
@@ -488,62 +506,78 @@
 ) -> None:
     made = await core(tmp_path)
     term = await lead(made)
-    assert made.duty
-    seen = Seen("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, made.now())
-    made.duty.board.beat(seen)
+    assert made.leadership
+    seen = Endpoint("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, made.now())
+    made.leadership.endpoint_registry.beat(seen)
     for said, seq, then in ((term + 1, 7, 1), (term - 1, 8, 8), (term, 9, 9), (term, 5, 9)):
-        beats = pb.Envelope(term=said, beats=pb.Beats(id=["i"], seq=[seq], age_ms=[3000]))
+        beats = pb.Envelope(
+            term=said, heartbeat_report=pb.HeartbeatReport(id=["i"], seq=[seq], age_ms=[3000])
+        )
         before, answer = seen.heard_at, asyncio.create_task(made._handle(beats))
         while not answer.done():
             made._do(made.machine.tick(made.now()))
             await asyncio.sleep(0.005)
         # What a leader before has not answered is told to this one, and is a word of the server's.
-        assert seen.seq == then and (answer.result().fault == Code.NOT_LEADER) == (said > term)
+        assert seen.seq == then and (answer.result().fault == FaultCode.NOT_LEADER) == (said > term)
         assert seen.heard_at == before  # that it is late counts
-    lease = pb.Lease(tenant="t", amount=1)
-    for said, code in ((term - 1, Code.STALE), (term, Code.REFUSED)):  # the last has no such tenant
-        with pytest.raises(SystemFailure) as failure:
-            await made._handle(pb.Envelope(term=said, lease=lease))
+    lease = pb.QuotaRequest(tenant="t", amount=1)
+    # The last has no such tenant.
+    for said, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
+        with pytest.raises(CallError) as failure:
+            await made._handle(pb.Envelope(term=said, quota_request=lease))
         assert failure.value.code is code
     kinds = (
-        pb.Envelope(lease=lease),
-        pb.Envelope(deal=pb.Deal()),
-        pb.Envelope(ask=pb.Ask()),
-        pb.Envelope(order=pb.Order(method="GET", path="/-/Fleet.Show")),
+        pb.Envelope(quota_request=lease),
+        pb.Envelope(budget_request=pb.BudgetRequest()),
+        pb.Envelope(watch_request=pb.WatchRequest()),
+        pb.Envelope(operation_request=pb.OperationRequest(method="GET", path="/-/Fleet.Show")),
     )
     for envelope in kinds:
         envelope.term = term + 1  # who calls has heard of a later leader: this one is over
-        assert (await made._handle(envelope)).fault == Code.NOT_LEADER
+        assert (await made._handle(envelope)).fault == FaultCode.NOT_LEADER
     envelope.term = term
-    assert (await made._handle(envelope)).term == term == made.wings.fence.newest
-    name = made.wings.system
-    made.wings.stop()
+    assert (await made._handle(envelope)).term == term == made.rpc_peer.fence.newest
+    name = made.rpc_peer.system
+    made.rpc_peer.stop()
     made._store.close()
     again = await core(tmp_path)
-    assert again.wings.system == name and len(name) == 16
+    assert again.rpc_peer.system == name and len(name) == 16
     again._store.close()
 
 
 # Copies.
 
 
-def duty(term: int = 3, began: float = 100.0) -> Duty:
-    state, board = State(), Board()
+def leadership(term: int = 3, began: float = 100.0) -> Leadership:
+    state, endpoint_registry = State(), EndpointRegistry()
     tenants = [{"name": "t", "apiKeys": ["k"], "ratePerS": 10.0, "burst": 100}]
     content = {"gen": 1, "parent": 0, "routes": [], "tenants": tenants}
     state.apply(
         Command(Verb.REPLACE, "d", content | {"backends": [{"name": "s", "warmupPerS": 5.3}]})
     )
-    board.beat(Seen("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, began))
-    made = Duty(term, began, False, board, Roll(), [], Bounds(quota_slack=20, warmup_slack=5), 1.5)
+    endpoint_registry.beat(Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, began))
+    made = Leadership(
+        term,
+        began,
+        False,
+        endpoint_registry,
+        NodeRegistry(),
+        [],
+        Bounds(quota_slack=20, warmup_slack=5),
+        1.5,
+    )
     made.follow(state)
     return made
 
 
 def unit_call(id: int, origin: str = "a", term: int = 3, deal: bool = False) -> pb.Envelope:
     if deal:
-        return pb.Envelope(id=id, origin=origin, term=term, deal=pb.Deal(whole=["starts/i"]))
-    return pb.Envelope(id=id, origin=origin, term=term, lease=pb.Lease(tenant="t", amount=10))
+        return pb.Envelope(
+            id=id, origin=origin, term=term, budget_request=pb.BudgetRequest(whole=["starts/i"])
+        )
+    return pb.Envelope(
+        id=id, origin=origin, term=term, quota_request=pb.QuotaRequest(tenant="t", amount=10)
+    )
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -552,7 +586,7 @@
     calls: list[tuple[bool, int, str]],
 ) -> None:
     """The model keeps every answer for good, and counts each call once, at another duty."""
-    made, plain = duty(), duty()
+    made, plain = leadership(), leadership()
     answers: dict[tuple[int, str], pb.Envelope] = {}
     now = 100.0
     for deal, id, origin in calls:
@@ -566,49 +600,52 @@
 
 
 def test_copies_are_known_for_as_long_as_they_may_come_and_no_more_than_so_many() -> None:
-    made = duty()
+    made = leadership()
     call = unit_call(1)
-    call.lease.amount = 80
+    call.quota_request.amount = 80
     first = made.units(100.0, call)
     assert made.units(100.0 + idempotency.KEEP - 0.01, call) == first
     assert made.units(100.0 + idempotency.KEEP, call) != first  # wasted, and bounded
     for id in range(2, 2 * idempotency.MOST):
         made.units(105.0, unit_call(id))
     assert len(made._repeats._answers) <= idempotency.MOST
-    with pytest.raises(SystemFailure) as stale:
+    with pytest.raises(CallError) as stale:
         made.units(105.0, unit_call(1, term=2))
-    assert stale.value.code is Code.STALE
+    assert stale.value.code is FaultCode.STALE
     size = starts(Bounds(warmup_slack=5), 5.3).most
-    dealt = [made.units(105.0, unit_call(9000 + n, deal=True)).dealt.all for n in range(10)]
-    assert dealt.count(True) == int(size)  # another id is another unit
+    granted = [
+        made.units(105.0, unit_call(9000 + n, deal=True)).budget_response.all for n in range(10)
+    ]
+    assert granted.count(True) == int(size)  # another id is another unit
 
 
-def asks(made: Duty, now: float, clock: int, epoch: str = "3", life: str = "1") -> None:
-    node = pb.Node(name="e", life=life, kind="edge", door="d", http="h")
-    ask = pb.Ask(node=node, epoch=epoch, clock_ms=clock, counting=True)
+def asks(made: Leadership, now: float, clock: int, epoch: str = "3", life: str = "1") -> None:
+    node = pb.Node(name="e", life=life, kind="edge", address="d", http="h")
+    ask = pb.WatchRequest(node=node, epoch=epoch, clock_ms=clock, counting=True)
     made.asked(now, ask)
 
 
 def test_a_copy_of_an_ask_that_was_held_up_is_no_sign_of_life() -> None:
     """A frozen peer passes it on whenever it thaws: who asked spends its own part of the quotas by
     then."""
-    made = duty()
+    made = leadership()
     asks(made, 100.0, 0, "")
-    held = made.roll.leases["e"]
-    made.cue(100.2, pb.Ask(node=held.node), State())
+    held = made.node_registry.leases["e"]
+    made.watch_response(100.2, pb.WatchRequest(node=held.node), State())
     assert not held.counting  # it has not heard yet that this term counts
     asks(made, 100.3, 290)
     assert held.counting and held.asked_at == 100.3
     asks(made, 100.32, 290)  # the same one by another way, soon
     asks(made, 101.0, 700)
-    assert held.asked_at == 100.7 and made.roll.silent(100.7 + 0.25 + LOST, 1) == 1
+    assert held.asked_at == 100.7 and made.node_registry.silent(100.7 + 0.25 + LOST, 1) == 1
     for now, clock, epoch in ((101.1, 290, "3"), (101.1, 0, ""), (110.0, 900, "3")):
-        with pytest.raises(SystemFailure) as stale:
+        with pytest.raises(CallError) as stale:
             asks(made, now, clock, epoch)
-        assert stale.value.code is Code.STALE and held.heard_at == 101.0
+        assert stale.value.code is FaultCode.STALE and held.heard_at == 101.0
     asks(made, 101.2, 0, "", life="2")  # another life has heard nothing yet
     assert (
-        made.roll.leases["e"].node.life == "2" and made.roll.leases["e"].lease_end <= 101.2 + LEASE
+        made.node_registry.leases["e"].node.life == "2"
+        and made.node_registry.leases["e"].lease_end <= 101.2 + LEASE
     )
 
 
@@ -616,21 +653,23 @@
     """One that is sent again after a silence would count as in touch while its sender no longer
     is."""
     assert nodes.HEARD + nodes.FRESH + nodes.PROMPT < LOST
-    news, node = News(0.0, []), pb.Node(name="e", life="1")
-    news.take(pb.Cue(epoch="3", counting=True, clock_ms=5000, lease_ms=4500), node, 9.9, 10.0, 0)
+    news, node = ConfigClient(0.0, []), pb.Node(name="e", life="1")
+    news.take(
+        pb.WatchResponse(epoch="3", counting=True, clock_ms=5000, lease_ms=4500), node, 9.9, 10.0, 0
+    )
     prompt, late = news.ask(node, 10.01, 0.25), news.ask(node, 10.3, 0.25)
     assert prompt.counting and not late.counting and news.in_touch(10.3)
     assert prompt.name == "e" and not prompt.HasField("node")
     assert 5000 < prompt.clock_ms <= 5010 and 5290 <= late.clock_ms < 5300  # never ahead
-    assert news.take(pb.Cue(epoch="3", script=1), node, 11.0, 11.0, 0)
+    assert news.take(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
     assert (
-        news.take(pb.Cue(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
+        news.take(pb.WatchResponse(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
         and news.heard_at == 11.0
     )
 
 
 def test_a_fence_never_goes_back() -> None:
-    rng, fence, newest = random.Random(4), Fence(), 0
+    rng, fence, newest = random.Random(4), TermFence(), 0
     for _ in range(500):
         term = rng.randint(0, 30)
         assert fence.admits(term) == (term >= newest)
--- a/tests/test_playhouse_house.py
+++ b/tests/test_playhouse_house.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from cairndale.dataplane.node import House
-from cairndale.errors import Code, SystemFailure
+from cairndale.dataplane.node import DataPlaneNode
+from cairndale.errors import CallTimeoutError
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import FURTHER, STARTS
 from cairndale.rpc import protocol_pb2 as pb
@@ -20,13 +20,15 @@
 from tests.test_playhouse_control import SETTINGS, content, route
 
 
-def cue(epoch: str, servers: dict[str, str], **fields: Any) -> pb.Cue:
+def watch_response(epoch: str, servers: dict[str, str], **fields: Any) -> pb.WatchResponse:
     """News of servers by name and service, on top of what was told before."""
     told = [
-        pb.Server(id=id, service=service, addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
+        pb.Endpoint(id=id, service=service, addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
         for id, service in servers.items()
     ]
-    return pb.Cue(epoch=epoch, lease_ms=4500, script=1, server=told, share_of=1, **fields)
+    return pb.WatchResponse(
+        epoch=epoch, lease_ms=4500, config_version=1, server=told, share_of=1, **fields
+    )
 
 
 async def test_an_ingress_is_ready_once_it_knows_a_server_of_each_service_or_all_had_time() -> None:
@@ -40,27 +42,33 @@
         ],
         backends=[{"name": "s1"}, {"name": "s2"}, {"name": "unused"}],
     )
-    script = zlib.compress(json.dumps(made).encode())
+    config_version = zlib.compress(json.dumps(made).encode())
     for last, settled in (({"j": "s2"}, False), ({}, True)):
-        house = House(checked(SETTINGS))
+        house = DataPlaneNode(checked(SETTINGS))
         now = house._loop.time()
-        house._apply(cue("1~", {}, has_content=True, content=script), house._node(), now)
+        house._apply(
+            watch_response("1~", {}, has_content=True, content=config_version), house._node(), now
+        )
         assert not house.ready() and not house._node().ready
-        house._apply(cue("1~", {"i": "s1"}), house._node(), now)
+        house._apply(watch_response("1~", {"i": "s1"}), house._node(), now)
         assert not house.ready() and not house._node().ready
-        house._apply(cue("1" if settled else "1~", last, settled=settled), house._node(), now)
+        house._apply(
+            watch_response("1" if settled else "1~", last, settled=settled), house._node(), now
+        )
         assert house.ready() and house._node().ready
         house._apply(
-            cue("2~", {}), house._node(), now
+            watch_response("2~", {}), house._node(), now
         )  # a later leader, who has not heard of all yet
         assert house.ready()
         house.backends.stop()
 
 
-def house_in_touch(**fields: Any) -> House:
-    house = House(checked(SETTINGS))
-    script = zlib.compress(json.dumps(content(**fields)).encode())
-    told = cue("1", {"i": "s1"}, has_content=True, content=script, counting=True, settled=True)
+def house_in_touch(**fields: Any) -> DataPlaneNode:
+    house = DataPlaneNode(checked(SETTINGS))
+    config_version = zlib.compress(json.dumps(content(**fields)).encode())
+    told = watch_response(
+        "1", {"i": "s1"}, has_content=True, content=config_version, counting=True, settled=True
+    )
     house._apply(told, house._node(), house._loop.time())
     return house
 
@@ -84,13 +92,13 @@
     ]  # of two units: none, both, none twice, one, none
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
-        lease = envelope.lease
+        lease = envelope.quota_request
         asked.append((lease.tenant, lease.amount, lease.told))
         if (left := lefts.pop(0)) is None:
-            raise SystemFailure(Code.SILENT)
-        return pb.Envelope(leased=pb.Leased(left=left))
+            raise CallTimeoutError()
+        return pb.Envelope(quota_response=pb.QuotaResponse(left=left))
 
-    house.reach.call = call  # type: ignore[method-assign]
+    house.leader_client.call = call  # type: ignore[method-assign]
     for tenant in ("fast", "fast", "fast", "slow", "fast"):
         customer = house.customer(tenant)
         house.units.lease(
@@ -106,42 +114,47 @@
 
 async def test_units_are_asked_for_by_name_and_a_no_holds_for_a_while() -> None:
     house = house_in_touch()
-    asked, dealt = list[pb.Deal](), list[int]()
-    answers: list[pb.Dealt | None] = [
-        pb.Dealt(all=True, life_ms=300),
-        pb.Dealt(wait_ms=700),
+    asked, granted = list[pb.BudgetRequest](), list[int]()
+    answers: list[pb.BudgetResponse | None] = [
+        pb.BudgetResponse(all=True, life_ms=300),
+        pb.BudgetResponse(wait_ms=700),
         None,
-        pb.Dealt(all=True, life_ms=300),
+        pb.BudgetResponse(all=True, life_ms=300),
     ]
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
-        asked.append(envelope.deal)
+        asked.append(envelope.budget_request)
         if (answer := answers.pop(0)) is None:
-            raise SystemFailure(Code.SILENT)
-        return pb.Envelope(dealt=answer)
+            raise CallTimeoutError()
+        return pb.Envelope(budget_response=answer)
 
-    house.reach.call = call  # type: ignore[method-assign]
+    house.leader_client.call = call  # type: ignore[method-assign]
     units = ((FURTHER, house.service("s1")), (STARTS, 1))
     began = house.clock.now()
     for _ in range(3):
-        house.units.deal(units, dealt.append)
+        house.units.deal(units, granted.append)
         await asyncio.gather(*house.units.calls)
     assert [list(deal.whole) for deal in asked] == [["further/s1", "starts/i"]] * 3
-    assert began < dealt[0] <= house.clock.now() + 300_000 and dealt[1:] == [0, 0]
+    assert began < granted[0] <= house.clock.now() + 300_000 and granted[1:] == [
+        0,
+        0,
+    ]
     assert house.rows.is_denied(units[0], began + 150_000)
     house.news.heard_at = float("-inf")  # out of touch: nothing is asked for
-    house.units.deal(units, dealt.append)
+    house.units.deal(units, granted.append)
     await asyncio.gather(*house.units.calls)
-    assert len(asked) == 3 and dealt[3] == 0
+    assert len(asked) == 3 and granted[3] == 0
     house.backends.stop()
 
 
 async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
     """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
-    house = House(checked(SETTINGS))
-    script = zlib.compress(json.dumps(content()).encode())
+    house = DataPlaneNode(checked(SETTINGS))
+    config_version = zlib.compress(json.dumps(content()).encode())
     house._apply(
-        cue("1", {"i": "s1"}, has_content=True, content=script), house._node(), house._loop.time()
+        watch_response("1", {"i": "s1"}, has_content=True, content=config_version),
+        house._node(),
+        house._loop.time(),
     )
     began, at = house._loop.time(), 0.0
     house._loop = clock = Mock(wraps=house._loop)
@@ -163,17 +176,17 @@
     house.backends.stop()
 
 
-async def serving(server: PeerServer, **fields: Any) -> tuple[House, int]:
+async def serving(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
     """An ingress in front of that server, with units for whoever asks; and the port that clients
     call."""
-    house = House(checked(SETTINGS))
+    house = DataPlaneNode(checked(SETTINGS))
     made = content(routes=[route(deadline="60s")], **fields)
-    told = cue(
+    told = watch_response(
         "1", {}, has_content=True, content=zlib.compress(json.dumps(made).encode()), counting=True
     )
     address = f"{HOST}:{server.port}"
     told.server.append(
-        pb.Server(id="i", service="s1", addr=address, zone="z", capacity=2, state="ready")
+        pb.Endpoint(id="i", service="s1", addr=address, zone="z", capacity=2, state="ready")
     )
     house._apply(told, house._node(), house._loop.time())
     lessor = house.engine.lessor = Mock()
--- a/tests/test_playhouse_judge.py
+++ b/tests/test_playhouse_judge.py
@@ -227,10 +227,10 @@
 # Servers, and those that hear nobody.
 
 
-def beating(made: Record, begin: float, end: float, door: str = "a") -> None:
+def beating(made: Record, begin: float, end: float, address: str = "a") -> None:
     for n in range(round((end - begin) / 0.3)):
         at = begin + n * 0.3
-        made.ledger.beats.append(Beat("s", "ready", door, at, at + 0.01))
+        made.ledger.beats.append(Beat("s", "ready", address, at, at + 0.01))
 
 
 def showing(made: Record, out: list[tuple[float, float]]) -> None:
@@ -270,7 +270,7 @@
     made = record()
     made.isolations.append(Isolation("a", 10, 30))
     beating(made, 0, 14)
-    beating(made, 14, 29, door="b")
+    beating(made, 14, 29, address="b")
     made.reads.append(Read("a", 29.5, 30.5, 1))  # answered when it was over
     assert judge.alone(made) == []
     order(made, 1, 0, (20, 21, 412))
--- a/tests/test_playhouse_membership.py
+++ b/tests/test_playhouse_membership.py
@@ -10,8 +10,8 @@
 import pytest
 
 from cairndale.raft import codec, membership
-from cairndale.raft.messages import Member, Message, Step, TimeoutNow
-from cairndale.raft.node import Machine, founded
+from cairndale.raft.messages import Member, Message, Ready, TimeoutNow
+from cairndale.raft.node import RaftNode, founded
 from cairndale.raft.replica import Role
 from cairndale.raft.voters import LEAST, Tolerance, next_voters, shortfall, spread, wanted
 from cairndale.rpc import protocol_pb2 as pb
@@ -178,43 +178,48 @@
         self.led_at, self.without = 0.0, 0.0
         super().__init__(seed, names)
 
-    def start(self, door: str) -> None:
+    def start(self, address: str) -> None:
         me, rng = (
-            Member(door, self.disks[door].disk, *self.places[door]),
+            Member(address, self.disks[address].disk, *self.places[address]),
             random.Random(self.rng.random()),
         )
-        others = sorted(d for d in self.machines if d != door)
-        doors = self.rng.sample(others, min(3, len(others))) if self.now else SEEDS
-        made = self.machines[door] = self.machine(
-            me, self.disks[door].load(), self.now, rng, doors=doors, tolerance=self.tolerance
+        others = sorted(d for d in self.machines if d != address)
+        addresses = self.rng.sample(others, min(3, len(others))) if self.now else SEEDS
+        made = self.machines[address] = self.machine(
+            me,
+            self.disks[address].load(),
+            self.now,
+            rng,
+            addresses=addresses,
+            tolerance=self.tolerance,
         )
-        self.delivered[door] = made.commit_index
-        self.later(0.0, lambda: self.tick(door, made))
+        self.delivered[address] = made.commit_index
+        self.later(0.0, lambda: self.tick(address, made))
 
-    def do(self, door: str, step: Step) -> None:
-        super().do(door, step)
-        if self.machines[door].leads(self.now):
+    def do(self, address: str, step: Ready) -> None:
+        super().do(address, step)
+        if self.machines[address].leads(self.now):
             self.led_at = self.now
 
     def pass_on(self, sender: str, to: str, message: Message) -> None:
         if (
-            message.sender.door in self.machines
-            and self.machines[message.sender.door].me == message.sender
+            message.sender.address in self.machines
+            and self.machines[message.sender.address].me == message.sender
         ):
             super().pass_on(sender, to, message)  # what a machine said that is gone may be lost
 
-    def remove(self, door: str) -> tuple[str, str]:
-        self.kill(door)
-        self.doors.remove(door)
-        return self.places[door]
+    def remove(self, address: str) -> tuple[str, str]:
+        self.kill(address)
+        self.addresses.remove(address)
+        return self.places[address]
 
     def come(self, place: tuple[str, str]) -> None:
         """A new machine, with an empty disk, at a door that nobody had before."""
         self.made += 1
-        door = f"new{self.made}:1"
-        self.places[door], self.disks[door] = place, Disk(f"disk{self.made}", founded(()))
-        self.doors.append(door)
-        self.start(door)
+        address = f"new{self.made}:1"
+        self.places[address], self.disks[address] = place, Disk(f"disk{self.made}", founded(()))
+        self.addresses.append(address)
+        self.start(address)
 
     def watch(self, seconds: float) -> None:
         """Nobody leads for a short time only."""
@@ -226,13 +231,13 @@
                 f"nobody leads at {self.now:.1f} s, after {self.made} machines"
             )
 
-    def leader(self) -> Machine:
+    def leader(self) -> RaftNode:
         return next(m for m in self.machines.values() if m.leads(self.now))
 
     def victim(self) -> str:
         """The leader as often as not."""
         leads = [d for d, m in self.machines.items() if m.leads(self.now)]
-        return leads[0] if leads and self.rng.random() < 0.5 else self.rng.choice(self.doors)
+        return leads[0] if leads and self.rng.random() < 0.5 else self.rng.choice(self.addresses)
 
     def lose(self) -> None:
         """One machine is gone for good, and another comes elsewhere."""
@@ -243,14 +248,14 @@
 
     def trouble(self) -> None:
         """One of those that run is away for a while, or has lost its disk."""
-        door = self.victim()
+        address = self.victim()
         kind = self.rng.choice(("kill", "wipe", "freeze", "cut"))
         if kind == "freeze":
-            self.frozen[door] = []
+            self.frozen[address] = []
         elif kind == "cut":
-            self.cut = {frozenset((door, other)) for other in self.doors if other != door}
+            self.cut = {frozenset((address, other)) for other in self.addresses if other != address}
         else:
-            (self.kill if kind == "kill" else self.wipe)(door)
+            (self.kill if kind == "kill" else self.wipe)(address)
         self.watch(self.rng.uniform(0.3, 2.5))
         self.heal()
 
@@ -264,9 +269,9 @@
 
     def check(self, count: int) -> None:
         leader = self.leader()
-        assert len(leader.voters) == count, [m.door for m in leader.voters]
+        assert len(leader.voters) == count, [m.address for m in leader.voters]
         assert set(leader.voters) <= {m.me for m in self.machines.values()}, "a voter that is gone"
-        assert len(leader.members) <= len(self.doors) + KNOWN + 1
+        assert len(leader.members) <= len(self.addresses) + KNOWN + 1
         assert bears(list(leader.voters), self.tolerance)
 
 
@@ -328,8 +333,8 @@
         assert machine.is_out() and site.leader() is not machine, "not out within a second"
         assert site.leader().term == term + led, "nobody but its successor stood"
         assert machine.me not in site.leader().voters and len(site.leader().voters) == 5, voted
-        site.kill(machine.me.door)
-        site.start(machine.me.door)
+        site.kill(machine.me.address)
+        site.start(machine.me.address)
         site.watch(SYNC_TIME)
         assert machine.me in site.leader().members
         site.check(5)
@@ -345,8 +350,8 @@
     site.run(1.0)
     assert site.leader() is not leader and leader.me in site.leader().voters
     assert leader.propose(site.now, b"late")[0] == 0
-    site.kill(leader.me.door)
-    site.start(leader.me.door)
+    site.kill(leader.me.address)
+    site.start(leader.me.address)
     site.run(1.0)
     site.check(5)
 
@@ -359,13 +364,13 @@
     site.watch(4.0)
     old = site.leader()
     voter = next(m for m in site.leader().voters if m != old.me)
-    site.frozen = {old.me.door: [], voter.door: []}
+    site.frozen = {old.me.address: [], voter.address: []}
     site.watch(away)
     leader = site.leader()
     assert not {old.me, voter} & set(leader.voters) and (voter in leader.members) == (away < 60.0)
     site.heal()
     site.watch(4.0)
-    assert site.leader() is leader and leader.term == site.machines[voter.door].term
+    assert site.leader() is leader and leader.term == site.machines[voter.address].term
     assert {old.me, voter} <= set(leader.members)
     site.check(5)
 
@@ -376,13 +381,13 @@
     for _ in range(3):
         old = site.victim()
         site.places["moved:1"], site.disks["moved:1"] = site.remove(old), site.disks[old]
-        site.doors.append("moved:1")
+        site.addresses.append("moved:1")
         site.start("moved:1")
         site.watch(SYNC_TIME)
         site.check(5)
         assert len(site.leader().members) == 5
         site.places[old], site.disks[old] = site.remove("moved:1"), site.disks["moved:1"]
-        site.doors.append(old)
+        site.addresses.append(old)
         site.start(old)
         site.watch(SYNC_TIME)
         site.check(5)
@@ -394,12 +399,14 @@
     leader = site.leader()
     other, third = [m for m in site.machines.values() if m is not leader][:2]
     for message in (TimeoutNow(leader.term - 1, leader.me), TimeoutNow(leader.term, third.me)):
-        assert other.received(site.now, message) == Step()
+        assert other.received(site.now, message) == Ready()
     assert other.received(site.now, TimeoutNow(leader.term, leader.me)).sends
 
 
 def test_older_disks_name_voters_only() -> None:
-    older = pb.Entry(index=3, term=2, members=[pb.Member(door="a:1", disk="x")]).SerializeToString()
+    older = pb.Entry(
+        index=3, term=2, members=[pb.Member(address="a:1", disk="x")]
+    ).SerializeToString()
     assert repr(codec.entry_in(older).members) == repr((Member("a:1", "x", "", "", False),))
 
 
@@ -411,25 +418,25 @@
         leader.leave()
         while leader._handed_at < 0:
             site.run(0.01)
-        site.frozen[leader.me.door] = []
+        site.frozen[leader.me.address] = []
         site.watch(1.5)
         assert site.leader() is not leader and not leader.leads(site.now)
 
 
-class NeverReplaces(Machine):
+class NeverReplaces(RaftNode):
     def _may_change(self) -> bool:
         return super()._may_change() and self.commit_index < 30
 
 
-class KeepsItsLease(Machine):
+class KeepsItsLease(RaftNode):
     """Goes on as leader while it asks another to take its place."""
 
-    def _hand_over(self, now: float, step: Step) -> None:
+    def _hand_over(self, now: float, step: Ready) -> None:
         super()._hand_over(now, step)
         self._handed = False
 
 
-class ForgetsNobody(Machine):
+class ForgetsNobody(RaftNode):
     def _prune(self, now: float) -> None:
         self.times = replace(self.times, forget=1e9)
         membership.SILENT = 1000
@@ -454,13 +461,13 @@
 
     def ask() -> None:
         site.say()
-        for door, machine in list(site.machines.items()):
-            site.do(door, machine.hurry(site.now, 0.01))
+        for address, machine in list(site.machines.items()):
+            site.do(address, machine.hurry(site.now, 0.01))
         site.later(0.03, ask)
 
     site.run(6.0)
-    lost = next(m.door for m in site.leader().voters if m != site.leader().me)
+    lost = next(m.address for m in site.leader().voters if m != site.leader().me)
     site.later(0.0, ask)
     site.remove(lost)
     site.watch(SYNC_TIME)
-    assert len(site.leader().voters) == 5 and lost not in [m.door for m in site.leader().voters]
+    assert len(site.leader().voters) == 5 and lost not in [m.address for m in site.leader().voters]
--- a/tests/test_playhouse_parts.py
+++ b/tests/test_playhouse_parts.py
@@ -17,17 +17,17 @@
 
 import cairndale.control.node
 from cairndale.configuration import json_stream, serialization
-from cairndale.configuration import state as script
+from cairndale.configuration import state as config_version
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.control import applier
 from cairndale.control.applier import Applier, encoded
-from cairndale.control.node import Core
+from cairndale.control.node import ControlNode
 from cairndale.raft import fragments
-from cairndale.raft.fragments import Kind
-from cairndale.raft.messages import AppendEntries, AppendReply, Entry, KeepEntries, Member
-from cairndale.raft.node import BATCH, Machine, founded
+from cairndale.raft.fragments import FragmentKind
+from cairndale.raft.messages import AppendEntries, AppendReply, Entry, Member, SaveEntries
+from cairndale.raft.node import BATCH, RaftNode, founded
 from cairndale.raft.replica import Role
-from cairndale.raft.storage import Store, StoreError
+from cairndale.raft.storage import RaftStorage, StorageError
 from tests.serving_world import World, configuration, in_memory, play
 from tests.test_playhouse_serving import History, first, operator, read
 from tests.test_playhouse_snapshots import Kill, Killed
@@ -100,7 +100,8 @@
     assert Command.read(small) == update
     many = sum(1 for _ in applier.state.applying(update))
     assert (
-        many >= 20_000 // script.MANY and applier.state.content["tenants"][7] == tenants(5, 1, 7)[0]
+        many >= 20_000 // config_version.MANY
+        and applier.state.content["tenants"][7] == tenants(5, 1, 7)[0]
     )
     item = {"name": "t", "apiKeys": [random.Random(1).randbytes(40_000).hex()]}
     one = Command(Verb.REPLACE, "d", {"gen": 1, "parent": 0, "tenants": [item]})
@@ -123,9 +124,9 @@
                 made = rng.choice((made[:at], rest, made[:at] + made[at + 1 :], made[:at] + made))
             elif kind < 0.5:
                 last = fragments.read(made[-1])
-                made[-1] = fragments.part(Kind.LAST, last.number, spoils(last.data, 0))
+                made[-1] = fragments.part(FragmentKind.LAST, last.number, spoils(last.data, 0))
             elif kind < 0.6:
-                made.insert(at, fragments.part(Kind.VOID, 0, b""))
+                made.insert(at, fragments.part(FragmentKind.VOID, 0, b""))
             for part in made:
                 data.append(part)
                 if rng.random() < 0.2:
@@ -139,17 +140,19 @@
     """At each last part, all before it are looked at anew."""
     state = State()
     for at, entry in enumerate(log):
-        if entry.data and not fragments.is_part(entry.data):
+        if entry.data and not fragments.is_fragment(entry.data):
             state.apply(Command.read(entry.data))
         if (
-            not fragments.is_part(entry.data)
-            or (last := fragments.read(entry.data)).kind is not Kind.LAST
+            not fragments.is_fragment(entry.data)
+            or (last := fragments.read(entry.data)).kind is not FragmentKind.LAST
         ):
             continue
         opened = max((n for n in range(at) if log[n].opens), default=0)
-        before = [fragments.read(e.data) for e in log[opened:at] if fragments.is_part(e.data)]
+        before = [fragments.read(e.data) for e in log[opened:at] if fragments.is_fragment(e.data)]
         found = before[max(0, len(before) - last.number) :]
-        if [(p.kind, p.number) for p in found] == [(Kind.MORE, n) for n in range(last.number)]:
+        if [(p.kind, p.number) for p in found] == [
+            (FragmentKind.MORE, n) for n in range(last.number)
+        ]:
             whole = b"".join(p.data for p in found) + last.data[fragments.DIGEST :]
             if fragments.state_digest(whole).digest() == last.data[: fragments.DIGEST]:
                 state.apply(Command.of(serialization.read(whole)))
@@ -182,17 +185,19 @@
     assert sum(compare(seed) for seed in range(300)) > 100
 
 
-def reads(change: Callable[[Applier, fragments.Part], fragments.Part | None]) -> type[Applier]:
+def reads(
+    change: Callable[[Applier, fragments.Fragment], fragments.Fragment | None],
+) -> type[Applier]:
     class Planted(Applier):
-        def _gathered(self, part: fragments.Part) -> Generator[None, None, Command | None]:
+        def _gathered(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
             changed = change(self, part)
             return (yield from super()._gathered(changed)) if changed else None
 
     return Planted
 
 
-def no_digest(applier: Applier, part: fragments.Part) -> fragments.Part:
-    if part.kind is not Kind.LAST:
+def no_digest(applier: Applier, part: fragments.Fragment) -> fragments.Fragment:
+    if part.kind is not FragmentKind.LAST:
         return part
     digest = (
         applier._begun.digest if applier._begun and part.number else fragments.state_digest()
@@ -201,7 +206,7 @@
     return replace(part, data=digest.digest() + part.data[fragments.DIGEST :])
 
 
-def neither_number(applier: Applier, part: fragments.Part) -> fragments.Part:
+def neither_number(applier: Applier, part: fragments.Fragment) -> fragments.Fragment:
     """Each of the two alone finds a part that is missing."""
     number = applier._begun.count if applier._begun and part.number else part.number
     return replace(no_digest(applier, part), number=number)
@@ -219,7 +224,7 @@
 PLANTED = {
     "digest": reads(no_digest),
     "number": reads(neither_number),
-    "void": reads(lambda applier, part: None if part.kind is Kind.VOID else part),
+    "void": reads(lambda applier, part: None if part.kind is FragmentKind.VOID else part),
     "opens": StaysOpen,
 }
 
@@ -241,17 +246,17 @@
     whole = plain_reading(log)
     assert len(log) > 3
     for after in range(100):
-        store = Store(tmp_path / str(after))
+        store = RaftStorage(tmp_path / str(after))
         store.begin("x", founded([ME]))
         env, store._env = store._env, Killed(store._env, after)
         try:
             for entry in log:
-                store.write([KeepEntries(entry.index, (entry,))])
+                store.write([SaveEntries(entry.index, (entry,))])
         except Kill:
             pass
         finally:
             env.close()
-        kept = Store(tmp_path / str(after)).load()
+        kept = RaftStorage(tmp_path / str(after)).load()
         assert kept.entries == log[:after]
         assert in_force(kept.entries).state == (whole if after == len(log) else State())
         if after == len(log):
@@ -259,10 +264,10 @@
 
 
 def test_a_part_that_a_disk_has_spoilt_is_told(tmp_path: Path) -> None:
-    store = Store(tmp_path)
+    store = RaftStorage(tmp_path)
     store.begin("x", founded([ME]))
-    store.write([KeepEntries(1, (Entry(1, 1, spoils(whole_or_parts(replaced(1, 0))[0])),))])
-    with pytest.raises(StoreError, match="entry 1 is not as it was written"):
+    store.write([SaveEntries(1, (Entry(1, 1, spoils(whole_or_parts(replaced(1, 0))[0])),))])
+    with pytest.raises(StorageError, match="entry 1 is not as it was written"):
         store.load()
 
 
@@ -271,7 +276,7 @@
 ) -> None:
     log = [Entry(n, 1, data) for n, data in enumerate(whole_or_parts(replaced(1, 0, 9_000)), 1)]
     came = (log[0], replace(log[1], data=spoils(log[1].data)), log[2])
-    machine = Machine(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
+    machine = RaftNode(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
     for entries, match in ((came, 1), (tuple(log), len(log))):
         step = machine.received(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, entries, 0, 7))
         (reply,) = (m for _, m in step.sends if isinstance(m, AppendReply))
@@ -280,7 +285,7 @@
         )
     assert machine.log == log
     monkeypatch.setattr(fragments, "is_sound", lambda data: True)
-    machine = Machine(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
+    machine = RaftNode(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
     machine.received(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, came, 0, 7))
     assert machine.last == 3  # the plant is seen: what is spoilt is acknowledged
 
@@ -293,17 +298,19 @@
     in_memory(monkeypatch)
 
 
-def slow(monkeypatch: pytest.MonkeyPatch, who: Callable[[Core], bool], pause: float = 0.1) -> None:
+def slow(
+    monkeypatch: pytest.MonkeyPatch, who: Callable[[ControlNode], bool], pause: float = 0.1
+) -> None:
     """These take so many s between two steps of what they apply."""
 
-    def leave(self: Core, more: Callable[[], None]) -> None:
+    def leave(self: ControlNode, more: Callable[[], None]) -> None:
         self._loop.call_later(pause if who(self) else 0.0, more)
 
-    monkeypatch.setattr(Core, "_leave_the_loop", leave)
+    monkeypatch.setattr(ControlNode, "_leave_the_loop", leave)
     monkeypatch.setattr(cairndale.control.node, "APPLY", 0.0)
 
 
-async def begun(count: int = 6_000) -> tuple[World, History, Core]:
+async def begun(count: int = 6_000) -> tuple[World, History, ControlNode]:
     """A configuration in force, and a large one to come."""
     world, history = World(Path("parts")), first()
     await world.begin()
@@ -323,13 +330,13 @@
     return State.read(state)
 
 
-def log_of(core: Core) -> list[Entry]:
+def log_of(core: ControlNode) -> list[Entry]:
     return [*core.machine.tail._entries, *core.machine.log]
 
 
-def told(core: Core) -> list[fragments.Part]:
+def told(core: ControlNode) -> list[fragments.Fragment]:
     """The parts in its log."""
-    return [fragments.read(e.data) for e in log_of(core) if fragments.is_part(e.data)]
+    return [fragments.read(e.data) for e in log_of(core) if fragments.is_fragment(e.data)]
 
 
 async def amid_a_snapshot() -> None:
@@ -350,7 +357,9 @@
     host, log = leader.settings.ip, leader.machine
     task = asyncio.create_task(world.call(host, "POST", "Config.Replace", history.sent[2][1]))
     await world.until(
-        lambda: any(p.kind is Kind.LAST for p in told(leader)) and log.commit_index == log.last
+        lambda: (
+            any(p.kind is FragmentKind.LAST for p in told(leader)) and log.commit_index == log.last
+        )
     )
     assert leader.state.gen == 1 and leader._applier.index < log.commit_index
     _, body = await world.call(host, "GET", "Config.Read")
@@ -361,7 +370,7 @@
 async def leader_behind(quick: set[str]) -> None:
     """Acknowledged by a leader that ends at once; who leads next has yet to apply it."""
     world, history, leader = await begun(12_000)
-    quick.add(leader.me.door)
+    quick.add(leader.me.address)
     assert await operator(world, history, 2, [leader.settings.ip]) == 200
     await world.crash(leader.settings.ip)
     assert max(c.state.gen for c in world.cores.values()) == 1
@@ -377,7 +386,7 @@
     world, history, leader = await begun(15_000)
     task = asyncio.create_task(operator(world, history, 2, world.hosts))
     await world.until(lambda: len(told(leader)) >= 3)
-    assert told(leader)[-1].kind is Kind.MORE
+    assert told(leader)[-1].kind is FragmentKind.MORE
     await world.crash(leader.settings.ip)
     assert await task == 200
     assert list((await alike(world)).known.values()) == [1, 2]
@@ -402,7 +411,7 @@
         assert await operator(world, history, 2, world.hosts) == 200
         assert len((await alike(world)).content["tenants"]) == 6_000
         *before, last = (p.kind for p in told(leader))
-        assert last is Kind.LAST and {*before} == {Kind.MORE} and len(before) > 2
+        assert last is FragmentKind.LAST and {*before} == {FragmentKind.MORE} and len(before) > 2
         assert max(len(e.data) for c in world.cores.values() for e in log_of(c)) <= fragments.PART
 
     play(scene())
@@ -423,7 +432,7 @@
 ) -> None:
     slow(monkeypatch, lambda core: core.machine.role is Role.LEADER, 0.02)
     play(read_amid())
-    monkeypatch.setattr(Core, "applied", lambda self: self.machine.commit_index)
+    monkeypatch.setattr(ControlNode, "applied", lambda self: self.machine.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
         play(read_amid())
 
@@ -432,10 +441,10 @@
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     quick: set[str] = set()
-    slow(monkeypatch, lambda core: core.me.door not in quick)
+    slow(monkeypatch, lambda core: core.me.address not in quick)
     play(leader_behind(quick))
-    monkeypatch.setattr(Core, "leads", lambda self: self.machine.leads(self.now()))
-    monkeypatch.setattr(Core, "applied", lambda self: self.machine.commit_index)
+    monkeypatch.setattr(ControlNode, "leads", lambda self: self.machine.leads(self.now()))
+    monkeypatch.setattr(ControlNode, "applied", lambda self: self.machine.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
         play(leader_behind(quick))
 
--- a/tests/test_playhouse_promptbook.py
+++ b/tests/test_playhouse_promptbook.py
@@ -22,23 +22,23 @@
     HardState,
     InstallSnapshot,
     Join,
-    KeepEntries,
-    KeepPart,
-    KeepSnapshot,
-    Kept,
     Leave,
     Member,
     Message,
+    PersistedState,
+    Ready,
     RequestVote,
+    SaveEntries,
+    SaveSnapshot,
+    SaveSnapshotChunk,
     Snapshot,
     SnapshotReply,
-    Step,
     TimeoutNow,
     VoteReply,
     Write,
 )
-from cairndale.raft.node import Machine, founded, founder
-from cairndale.raft.storage import Store, StoreError
+from cairndale.raft.node import RaftNode, founded, founder
+from cairndale.raft.storage import RaftStorage, StorageError
 
 SEEDS = ["a:1", "b:1", "c:1"]
 DOORS = [*SEEDS, "d:1", "e:1"]
@@ -47,7 +47,7 @@
 class Disk:
     """What was synced, and by nobody but this plain reading of the writes."""
 
-    def __init__(self, disk: str, kept: Kept) -> None:
+    def __init__(self, disk: str, kept: PersistedState) -> None:
         self.disk, self.kept = disk, kept
 
     def write(self, writes: list[Write]) -> None:
@@ -56,14 +56,14 @@
             match write:
                 case HardState(term, voted_for):
                     kept.term, kept.voted_for = term, voted_for
-                case KeepEntries(first, entries):
+                case SaveEntries(first, entries):
                     kept.entries = [e for e in kept.entries if e.index < first] + list(entries)
-                case KeepPart(head, offset, data, received=True):
+                case SaveSnapshotChunk(head, offset, data, received=True):
                     kept.incoming = (
                         head,
                         kept.incoming[1] + data if kept.incoming and offset else data,
                     )
-                case KeepSnapshot(snapshot, alone):
+                case SaveSnapshot(snapshot, alone):
                     if kept.incoming and kept.incoming[0].index <= snapshot.index:
                         kept.incoming = None
                     kept.entries = (
@@ -71,74 +71,78 @@
                     )
                     kept.snapshot = snapshot
 
-    def load(self) -> Kept:
+    def load(self) -> PersistedState:
         kept = self.kept
-        return Kept(kept.term, kept.voted_for, kept.snapshot, list(kept.entries), kept.incoming)
+        return PersistedState(
+            kept.term, kept.voted_for, kept.snapshot, list(kept.entries), kept.incoming
+        )
 
 
 class World:
     """Machines under one seed. `order` is the plain model: what was delivered, place by place."""
 
-    machine: type[Machine] = Machine
+    machine: type[RaftNode] = RaftNode
 
-    def __init__(self, seed: int, doors: list[str] = DOORS) -> None:
-        self.doors = doors
+    def __init__(self, seed: int, addresses: list[str] = DOORS) -> None:
+        self.addresses = addresses
         self.rng, self.now, self.count = random.Random(seed), 0.0, 0
         self.queue: list[tuple[float, int, Any]] = []
         self.disks: dict[str, Disk] = {}
-        self.machines: dict[str, Machine] = {}
+        self.machines: dict[str, RaftNode] = {}
         self.delivered: dict[str, int] = {}
         self.order: dict[int, tuple[int, bytes]] = {}
         self.acked: set[bytes] = set()
         self.cut: set[frozenset[str]] = set()
         self.frozen: dict[str, list[Any]] = {}
         self.words = 0
-        for door in self.doors:
-            first = door in SEEDS
+        for address in self.addresses:
+            first = address in SEEDS
             kept = founded(founder(d) for d in SEEDS) if first else founded(())
-            self.disks[door] = Disk(founder(door).disk if first else f"new-{door}", kept)
-            self.start(door)
+            self.disks[address] = Disk(founder(address).disk if first else f"new-{address}", kept)
+            self.start(address)
 
     def later(self, wait: float, what: Any) -> None:
         self.count += 1
         heapq.heappush(self.queue, (self.now + wait, self.count, what))
 
-    def start(self, door: str) -> None:
-        disk = self.disks[door]
-        me, rng = Member(door, disk.disk), random.Random(self.rng.random())
-        made = self.machines[door] = self.machine(me, disk.load(), self.now, rng, doors=SEEDS)
-        self.delivered[door] = made.commit_index
-        self.later(0.0, lambda: self.tick(door, made))
-
-    def tick(self, door: str, made: Machine) -> None:
-        if self.machines.get(door) is made:
-            if door not in self.frozen:
-                self.do(door, made.tick(self.now))
-            self.later(0.05 * self.rng.uniform(0.9, 1.1), lambda: self.tick(door, made))
-
-    def do(self, door: str, step: Step) -> None:
-        self.disks[door].write(step.writes)
+    def start(self, address: str) -> None:
+        disk = self.disks[address]
+        me, rng = Member(address, disk.disk), random.Random(self.rng.random())
+        made = self.machines[address] = self.machine(
+            me, disk.load(), self.now, rng, addresses=SEEDS
+        )
+        self.delivered[address] = made.commit_index
+        self.later(0.0, lambda: self.tick(address, made))
+
+    def tick(self, address: str, made: RaftNode) -> None:
+        if self.machines.get(address) is made:
+            if address not in self.frozen:
+                self.do(address, made.tick(self.now))
+            self.later(0.05 * self.rng.uniform(0.9, 1.1), lambda: self.tick(address, made))
+
+    def do(self, address: str, step: Ready) -> None:
+        self.disks[address].write(step.writes)
         for to, message in step.sends:
             if self.rng.random() < 0.98:
                 self.later(
                     self.rng.uniform(0.001, 0.03),
-                    lambda to=to, message=message: self.pass_on(door, to, message),
+                    lambda to=to, message=message: self.pass_on(address, to, message),
                 )
         if step.restored:
-            self.delivered[door] = step.restored.index
+            self.delivered[address] = step.restored.index
             assert step.restored.index == int(step.restored.state or b"0")
-        machine = self.machines[door]
+        machine = self.machines[address]
         for entry in step.delivered:
-            assert entry.index == self.delivered[door] + 1
-            self.delivered[door] = entry.index
+            assert entry.index == self.delivered[address] + 1
+            self.delivered[address] = entry.index
             known = self.order.setdefault(entry.index, (entry.term, entry.data))
             assert known == (entry.term, entry.data), "two orders"
             if machine.role.value == "leader" and entry.term == machine.term and entry.data:
                 self.acked.add(entry.data)
         if step.delivered and (len(machine.log) > 12 or machine.wants_snapshot()):
-            self.do(door, machine.compact(b"%d" % self.delivered[door]))
+            self.do(address, machine.compact(b"%d" % self.delivered[address]))
         if step.received:
-            self.do(door, machine.install(self.now, step.received))
+            self.do(address, machine.install(self.now, step.received))
         leaders = [d for d, m in self.machines.items() if m.leads(self.now)]
         assert len(leaders) <= 1, "two hold the duty"
 
@@ -161,38 +165,38 @@
 
     # What happens to them.
 
-    def kill(self, door: str) -> None:
-        self.machines.pop(door, None)
-        self.frozen.pop(door, None)
+    def kill(self, address: str) -> None:
+        self.machines.pop(address, None)
+        self.frozen.pop(address, None)
 
-    def wipe(self, door: str) -> None:
-        self.kill(door)
-        self.disks[door] = Disk(f"wiped-{self.rng.random()}", founded(()))
+    def wipe(self, address: str) -> None:
+        self.kill(address)
+        self.disks[address] = Disk(f"wiped-{self.rng.random()}", founded(()))
 
-    def thaw(self, door: str) -> None:
-        messages = self.frozen.pop(door, [])
+    def thaw(self, address: str) -> None:
+        messages = self.frozen.pop(address, [])
         for message in messages:
-            if door in self.machines:
-                self.do(door, self.machines[door].received(self.now, message))
+            if address in self.machines:
+                self.do(address, self.machines[address].received(self.now, message))
 
     def say(self) -> None:
-        for door, machine in list(self.machines.items()):
-            if machine.role.value == "leader" and door not in self.frozen:
+        for address, machine in list(self.machines.items()):
+            if machine.role.value == "leader" and address not in self.frozen:
                 self.words += 1
                 _, step = machine.propose(self.now, b"w%d" % self.words)
-                self.do(door, step)
+                self.do(address, step)
 
     def heal(self) -> None:
         self.cut.clear()
-        for door in list(self.frozen):
-            self.thaw(door)
-        for door in self.doors:
-            if door not in self.machines:
-                self.start(door)
+        for address in list(self.frozen):
+            self.thaw(address)
+        for address in self.addresses:
+            if address not in self.machines:
+                self.start(address)
 
     def whole(self) -> bool:
         """All are voters with the disks that they have now, and each knows all that was decided."""
-        voters = {Member(d, self.disks[d].disk) for d in self.doors}
+        voters = {Member(d, self.disks[d].disk) for d in self.addresses}
         leader = next((m for m in self.machines.values() if m.leads(self.now)), None)
         return leader is not None and all(
             set(m.voters) == voters and m.commit_index == m.last == leader.last
@@ -208,15 +212,16 @@
         ("kill", "kill all", "leader", "wipe", "cut", "alone", "freeze", "wipe after ack", "none")
     )
     leader = next(
-        (d for d, m in world.machines.items() if m.role.value == "leader"), rng.choice(world.doors)
+        (d for d, m in world.machines.items() if m.role.value == "leader"),
+        rng.choice(world.addresses),
     )
-    one = rng.choice(world.doors)
+    one = rng.choice(world.addresses)
     if kind == "kill":
-        for door in rng.sample(world.doors, rng.randint(1, 3)):
-            world.kill(door)
+        for address in rng.sample(world.addresses, rng.randint(1, 3)):
+            world.kill(address)
     elif kind == "kill all":
-        for door in world.doors:
-            world.kill(door)
+        for address in world.addresses:
+            world.kill(address)
     elif kind == "leader":
         world.say()
         world.kill(leader)
@@ -226,14 +231,14 @@
             world.run(0.05)
         world.wipe(leader if rng.random() < 0.5 else one)
         if rng.random() < 0.5:
-            for door in world.doors:  # and all others lose power
-                world.kill(door)
+            for address in world.addresses:  # and all others lose power
+                world.kill(address)
     elif kind == "cut":
-        side = set(rng.sample(world.doors, len(world.doors) // 2))
-        world.cut = {frozenset((a, b)) for a in side for b in set(world.doors) - side}
+        side = set(rng.sample(world.addresses, len(world.addresses) // 2))
+        world.cut = {frozenset((a, b)) for a in side for b in set(world.addresses) - side}
     elif kind == "alone":  # and what it is told then is on its disk only
         world.say()
-        world.cut = {frozenset((leader, b)) for b in world.doors if b != leader}
+        world.cut = {frozenset((leader, b)) for b in world.addresses if b != leader}
         world.say()
     elif kind == "freeze":
         world.frozen[leader] = []
@@ -247,8 +252,8 @@
             world.run(world.rng.uniform(0.02, 0.8))
             world.say()
         if world.rng.random() < 0.5:
-            for door in list(world.frozen):
-                world.thaw(door)
+            for address in list(world.frozen):
+                world.thaw(address)
         world.heal()
         for _ in range(200):
             if world.whole():
@@ -278,10 +283,10 @@
     world.start("b:1")
     world.run(3.0)
     assert world.whole()
-    for door in SEEDS:
-        world.kill(door)
-    for door in SEEDS[1:]:
-        world.start(door)
+    for address in SEEDS:
+        world.kill(address)
+    for address in SEEDS[1:]:
+        world.start(address)
     world.run(2.0)
     assert any(m.leads(world.now) for m in world.machines.values())
 
@@ -311,16 +316,18 @@
 
 def test_a_holder_that_never_gets_anything_decided_makes_room() -> None:
     """Of three disks one was exchanged, and does not know who came before it."""
-    before = tuple(founder(door) for door in SEEDS)
+    before = tuple(founder(address) for address in SEEDS)
     members = (before[0], Member("b:1", "new"), before[2])
     entries = [Entry(1, 1, opens=True), Entry(2, 1, members=members)]
-    disks = {d: Kept(1, "new", Snapshot(0, 0, before), list(entries)) for d in SEEDS}
+    disks = {d: PersistedState(1, "new", Snapshot(0, 0, before), list(entries)) for d in SEEDS}
     disks["b:1"].snapshot = Snapshot()
-    machines = {m.door: Machine(m, disks[m.door], 0.0, random.Random(m.door)) for m in members}
+    machines = {
+        m.address: RaftNode(m, disks[m.address], 0.0, random.Random(m.address)) for m in members
+    }
     now, messages, held = 0.0, list[tuple[str, Message]](), set[str]()
     for _ in range(300):
         now += 0.05
-        steps = [machines[door].received(now, message) for door, message in messages]
+        steps = [machines[address].received(now, message) for address, message in messages]
         steps += [machine.tick(now) for machine in machines.values()]
         messages = [sent for step in steps for sent in step.sends]
         held |= {d for d, m in machines.items() if m.leads(now)}
@@ -330,18 +337,20 @@
 def test_a_longer_log_in_an_older_view_is_not_kept_out_for_good() -> None:
     """Storm 5013: one ahead in terms and behind in its log, one the other way round; neither could
     win."""
-    members = tuple(founder(door) for door in SEEDS)
+    members = tuple(founder(address) for address in SEEDS)
     entries = [Entry(1, 1, opens=True), Entry(2, 1, b"said")]
     disks = {
-        "a:1": Kept(2, "", Snapshot(0, 0, members), entries),
-        "b:1": Kept(7, founder("b:1").disk, Snapshot(0, 0, members), entries[:1]),
+        "a:1": PersistedState(2, "", Snapshot(0, 0, members), entries),
+        "b:1": PersistedState(7, founder("b:1").disk, Snapshot(0, 0, members), entries[:1]),
     }
-    machines = {d: Machine(founder(d), k, 0.0, random.Random(d)) for d, k in disks.items()}
+    machines = {d: RaftNode(founder(d), k, 0.0, random.Random(d)) for d, k in disks.items()}
     now, messages = 0.0, list[tuple[str, Message]]()
     for _ in range(200):
         now += 0.05
         steps = [
-            machines[door].received(now, message) for door, message in messages if door in machines
+            machines[address].received(now, message)
+            for address, message in messages
+            if address in machines
         ]
         steps += [machine.tick(now) for machine in machines.values()]
         messages = [sent for step in steps for sent in step.sends]
@@ -349,38 +358,42 @@
     assert machines["b:1"].log[1].data == b"said"
 
 
-class AckEarly(Machine):
+class AckEarly(RaftNode):
     def _held(self, index: int, among: tuple[Member, ...]) -> bool:
         return True
 
 
-class WipedVotes(Machine):
+class WipedVotes(RaftNode):
     """Takes a vote for its door's, whatever disk it comes from, and votes with an empty disk."""
 
-    def _vote_replied(self, now: float, step: Step, message: VoteReply) -> None:
-        same = next((m for m in self.members if m.door == message.sender.door), message.sender)
+    def _vote_replied(self, now: float, step: Ready, message: VoteReply) -> None:
+        same = next(
+            (m for m in self.members if m.address == message.sender.address), message.sender
+        )
         super()._vote_replied(now, step, replace(message, sender=same))
 
-    def _append_replied(self, now: float, step: Step, message: AppendReply) -> None:
-        same = next((m for m in self.members if m.door == message.sender.door), message.sender)
+    def _append_replied(self, now: float, step: Ready, message: AppendReply) -> None:
+        same = next(
+            (m for m in self.members if m.address == message.sender.address), message.sender
+        )
         super()._append_replied(now, step, replace(message, sender=same))
 
-    def _vote_requested(self, now: float, step: Step, message: RequestVote) -> None:
+    def _vote_requested(self, now: float, step: Ready, message: RequestVote) -> None:
         super()._vote_requested(now, step, message)
 
 
-class NeverTrims(Machine):
-    def _append_entries(self, now: float, step: Step, message: AppendEntries) -> None:
+class NeverTrims(RaftNode):
+    def _append_entries(self, now: float, step: Ready, message: AppendEntries) -> None:
         fresh = tuple(e for e in message.entries if e.index > self.last)
         super()._append_entries(
             now, step, replace(message, entries=fresh) if message.entries and not fresh else message
         )
 
 
-class TakesOld(Machine):
+class TakesOld(RaftNode):
     """What the leader of a term that is over says, is taken and answered all the same."""
 
-    def received(self, now: float, message: Message) -> Step:
+    def received(self, now: float, message: Message) -> Ready:
         old = (
             isinstance(message, AppendEntries)
             and message.term < self.term
@@ -394,21 +407,21 @@
         return step
 
 
-class NoPromise(Machine):
+class NoPromise(RaftNode):
     """Gives its vote though it hears the leader."""
 
-    def _vote_requested(self, now: float, step: Step, message: RequestVote) -> None:
+    def _vote_requested(self, now: float, step: Ready, message: RequestVote) -> None:
         self.heard_at = float("-inf")
         super()._vote_requested(now, step, message)
 
-    def tick(self, now: float) -> Step:
+    def tick(self, now: float) -> Ready:
         if self.role.value == "follower" and self.rng.random() < 0.05:
             self._due = now
         return super().tick(now)
 
 
 @pytest.mark.parametrize("planted", [AckEarly, WipedVotes, NeverTrims, TakesOld, NoPromise])
-def test_planted_defects_are_seen(planted: type[Machine]) -> None:
+def test_planted_defects_are_seen(planted: type[RaftNode]) -> None:
     def found(seed: int) -> bool:
         world = World.__new__(World)
         world.machine = planted
@@ -454,55 +467,55 @@
 
 
 def test_a_disk_gives_back_what_was_written_and_refuses_what_it_cannot_read(tmp_path: Path) -> None:
-    store = Store(tmp_path)
+    store = RaftStorage(tmp_path)
     assert store.disk() == ""
     plain = Disk("x", founded([Member("a:1", "x")]))
     store.begin("x", plain.load())
     entries = tuple(Entry(n, 1 + n // 5, b"%d" % n) for n in range(1, 10))
     snapshot = Snapshot(4, 1, (Member("a:1", "x"),), b"four")
     for writes in (
-        [HardState(2, "y"), KeepEntries(1, entries)],
-        [KeepEntries(8, (Entry(8, 3, b"other"),))],
-        [KeepSnapshot(snapshot, False)],
+        [HardState(2, "y"), SaveEntries(1, entries)],
+        [SaveEntries(8, (Entry(8, 3, b"other"),))],
+        [SaveSnapshot(snapshot, False)],
     ):
         store.write(writes)  # type: ignore[arg-type]
         plain.write(writes)  # type: ignore[arg-type]
         assert store.load() == plain.load()
     store.close()
-    again = Store(tmp_path)
+    again = RaftStorage(tmp_path)
     assert again.disk() == "x" and again.load() == plain.load()
-    again.write([KeepSnapshot(Snapshot(20, 4), True)])
+    again.write([SaveSnapshot(Snapshot(20, 4), True)])
     assert again.load().entries == []
-    again.write([KeepEntries(23, (Entry(23, 4),))])  # a gap: entries in between are missing
-    with pytest.raises(StoreError):
+    again.write([SaveEntries(23, (Entry(23, 4),))])  # a gap: entries in between are missing
+    with pytest.raises(StorageError):
         again.load()
     again.close()
 
 
 def test_a_damaged_disk_is_told_from_an_empty_one(tmp_path: Path) -> None:
-    store = Store(tmp_path)
+    store = RaftStorage(tmp_path)
     store.begin("x", founded([Member("a:1", "x")]))
-    store.write([KeepEntries(1, (Entry(1, 1, b"d"),))])
+    store.write([SaveEntries(1, (Entry(1, 1, b"d"),))])
     with store._env.begin(write=True) as change:
         change.put((1).to_bytes(8, "big"), b"\xff\xff not an entry", db=store._entries)
     assert store.disk() == "x"
-    with pytest.raises(StoreError, match="cannot be read"):
+    with pytest.raises(StorageError, match="cannot be read"):
         store.load()
     store.close()
     data = tmp_path / "promptbook/data.mdb"
     data.write_bytes(b"\0" * 100 + data.read_bytes()[100:])
-    with pytest.raises(StoreError):
-        Store(tmp_path)
+    with pytest.raises(StorageError):
+        RaftStorage(tmp_path)
 
 
 def test_an_operator_reads_the_state_without_changing_it(tmp_path: Path) -> None:
     content = {"gen": 5, "routes": [], "backends": [], "tenants": []}
-    store = Store(tmp_path)
+    store = RaftStorage(tmp_path)
     state = State()
     assert state.apply(Command(Verb.REPLACE, "d", content | {"parent": 0}))
     members = (Member("a:1", "x"), Member("b:1", "y", "zone", "region", learner=True))
-    store.begin("x", Kept(2, "x", Snapshot(3, 1, members, state.out())))
-    store.write([KeepEntries(4, (Entry(4, 2, Command(Verb.EVACUATE, zone="z").out()),))])
+    store.begin("x", PersistedState(2, "x", Snapshot(3, 1, members, state.out())))
+    store.write([SaveEntries(4, (Entry(4, 2, Command(Verb.EVACUATE, zone="z").out()),))])
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
     shown = CommandTester(Look())
--- a/tests/test_playhouse_request.py
+++ b/tests/test_playhouse_request.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cairndale.dataplane.endpoint_selection import Place, Rows
+from cairndale.dataplane.endpoint_selection import EndpointSelector, Placement
 from cairndale.errors import Verdict
 from cairndale.ingress.net.discovery import Entry, Listing
 from cairndale.ingress.net.engine import Answer, Data, Engine, Flow, Names, Wanted
@@ -88,7 +88,7 @@
     leased: list[int] = field(
         default_factory=list
     )  # until when each unit of the tenant's may be spent
-    dealt: dict[it.Unit, list[int]] = field(
+    granted: dict[it.Unit, list[int]] = field(
         default_factory=dict
     )  # likewise, of wholes that are shared
     saved: float = 0.0  # further tries that requests have earned here
@@ -104,10 +104,10 @@
         self.sent = list[Sent]()
         self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
         self.model, self.asked = Model(), 0
-        self.gateway = gateway(SETTINGS, 1, Rows)
+        self.gateway = gateway(SETTINGS, 1, EndpointSelector)
         rows = self.gateway.fleet
-        assert isinstance(rows, Rows)
-        rows.place = Place(0, 0, 20, {0: 20}, 0.2, 60.0)
+        assert isinstance(rows, EndpointSelector)
+        rows.place = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
         self.rows = rows
         self.engine = Engine(self.gateway, SETTINGS, Names(SETTINGS, {}), self, lambda: self.time)
         self.engine.servers, self.engine.lessor, self.engine.refusals = self, self, (429, 503)
@@ -141,17 +141,17 @@
         self.model.leased += [self.time + SETTINGS.counter.expiry] * int(granted)
         answered(Outcome.OK, 0.0, 5.0 - amount)
 
-    def deal(self, units: tuple[it.Unit, ...], dealt: Callable[[int], None]) -> None:
-        self.deals.append((units, dealt))
+    def deal(self, units: tuple[it.Unit, ...], granted: Callable[[int], None]) -> None:
+        self.deals.append((units, granted))
 
     def deal_out(self, which: int, some: bool) -> None:
         if self.deals:
-            units, dealt = self.deals.pop(which % len(self.deals))
+            units, granted = self.deals.pop(which % len(self.deals))
             if not some:
                 self.rows.denied(units, self.time, self.time + DEALT)
             for unit in units * some:
-                self.model.dealt.setdefault(unit, []).append(self.time + DEALT)
-            dealt((self.time + DEALT) * some)
+                self.model.granted.setdefault(unit, []).append(self.time + DEALT)
+            granted((self.time + DEALT) * some)
 
     def send(
         self, backend: int, data: Data, ended: Callable[[Answer], None], flow: Flow | None = None
@@ -171,13 +171,13 @@
         if model.quota[sent.request] and not again:
             use(model.leased, self.time)
         if sent.backend == 1 and self.rows.backends[1].info.cold_until:
-            use(model.dealt.get((STARTS, 1), []), self.time)
+            use(model.granted.get((STARTS, 1), []), self.time)
         if not again:
             model.saved = min(EVEN * 60.0 / 20, model.saved + 0.2)
         elif model.saved >= 1:
             model.saved -= 1
         else:
-            use(model.dealt.get((FURTHER, 1), []), self.time)
+            use(model.granted.get((FURTHER, 1), []), self.time)
 
     def ask(self, cls: int, quota: bool = False) -> None:
         self.asked += 1
--- a/tests/test_playhouse_return.py
+++ b/tests/test_playhouse_return.py
@@ -18,20 +18,20 @@
 import uvloop
 
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control import leadership as duties
+from cairndale.control import leadership as leadership_module
 from cairndale.control import watch_server as prompting
-from cairndale.control.leadership import Duty
-from cairndale.control.watch_server import Prompter
-from cairndale.errors import Code, SystemFailure
+from cairndale.control.leadership import Leadership
+from cairndale.control.watch_server import WatchServer
+from cairndale.errors import CallError, FaultCode, NotLeaderError
 from cairndale.registry import nodes
-from cairndale.registry.endpoints import Board, Seen
-from cairndale.registry.nodes import HEARD, HOLD_MOST, LEASE, LOST, Roll, hold, patience
+from cairndale.registry.endpoints import Endpoint, EndpointRegistry
+from cairndale.registry.nodes import HEARD, HOLD_MOST, LEASE, LOST, NodeRegistry, hold, patience
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed, unpack
-from cairndale.rpc.framing import Frames
-from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.framing import FramedConnection
+from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.listener import Listener
-from cairndale.rpc.peer import Wings
+from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds
 
 SHARE = 0.279  # of a core, that the leader has
@@ -81,20 +81,20 @@
     async def asks(self) -> None:
         await asyncio.sleep(0.3 * self.world.rng.random())
         while True:
-            epoch, script, servers, nodes, gen = self.seen
+            epoch, config_version, servers, nodes, gen = self.seen
             node = pb.Node(
                 name=self.name,
                 life=self.life,
-                door=self.name,
+                address=self.name,
                 http="1.2.3.4:80",
                 zone="zone",
                 kind="edge",
             )
             wait = hold(self.edges) if self.edges else HOLD_MOST
-            ask = pb.Ask(
+            ask = pb.WatchRequest(
                 node=node,
                 epoch=epoch,
-                script=script,
+                config_version=config_version,
                 gen=gen,
                 servers=servers,
                 nodes=nodes,
@@ -109,22 +109,30 @@
                 continue
             self.take(call.result(), asked)
 
-    def take(self, cue: pb.Cue, asked: float) -> None:
-        unpack(cue)
-        if cue.epoch.rstrip("~") != self.seen[0].rstrip("~"):
+    def take(self, watch_response: pb.WatchResponse, asked: float) -> None:
+        unpack(watch_response)
+        if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
             self.of_term = set()
-        if cue.servers_whole:
+        if watch_response.servers_whole:
             self.servers = {}
-        if cue.nodes_whole:
+        if watch_response.nodes_whole:
             self.nodes = set()
-        self.of_term |= {s.id for s in cue.server}
-        if cue.rest_gone:
+        self.of_term |= {s.id for s in watch_response.server}
+        if watch_response.rest_gone:
             self.servers = {id: state for id, state in self.servers.items() if id in self.of_term}
-        for server in cue.server:
+        for server in watch_response.server:
             self.servers[server.id] = server.state
-        self.nodes = (self.nodes - set(cue.node_gone)) | {n.name for n in cue.node}
-        self.seen = (cue.epoch, cue.script, cue.servers, cue.nodes, cue.gen)
-        self.edges, self.lease_end = max(self.edges, cue.share_of), asked + LEASE * 0.98
+        self.nodes = (self.nodes - set(watch_response.node_gone)) | {
+            n.name for n in watch_response.node
+        }
+        self.seen = (
+            watch_response.epoch,
+            watch_response.config_version,
+            watch_response.servers,
+            watch_response.nodes,
+            watch_response.gen,
+        )
+        self.edges, self.lease_end = max(self.edges, watch_response.share_of), asked + LEASE * 0.98
 
     @property
     def ready(self) -> set[str]:
@@ -142,8 +150,8 @@
         )
         names = tuple(f"e{n}" for n in range(ingresses))
         self.state.apply(Command(Verb.ENROL, names=names))
-        self.duty: Duty | None = None
-        self.prompter = Prompter(self)
+        self.leadership: Leadership | None = None
+        self.watch_server = WatchServer(self)
         self.up = {
             f"i{n}": self.rng.random() * BEAT for n in range(servers)
         }  # phases of their beats
@@ -151,7 +159,8 @@
         # s, the longest that what the leader sends has waited behind what it sent before
         self.behind = 0.0
         self.tasks = [
-            self.loop.create_task(work()) for work in (self.prompter.run, self.ticks, self.beats)
+            self.loop.create_task(work())
+            for work in (self.watch_server.run, self.ticks, self.beats)
         ]
         self.begin()
         self.ingresses = {name: Ingress(self, name) for name in names}
@@ -159,44 +168,51 @@
     def begin(self) -> None:
         """A leader who knows nothing."""
         self.term += 1
-        self.duty = Duty(
-            self.term, self.now(), True, Board(), Roll(), self.state.edges, Bounds(), BEAT
+        self.leadership = Leadership(
+            self.term,
+            self.now(),
+            True,
+            EndpointRegistry(),
+            NodeRegistry(),
+            self.state.edges,
+            Bounds(),
+            BEAT,
         )
-        self.duty.follow(self.state)
+        self.leadership.follow(self.state)
 
     # The leader, as `Prompter` knows it.
 
     def now(self) -> float:
         return self.loop.time()
 
-    def held(self) -> Duty:
-        if self.duty is None:
-            raise SystemFailure(Code.NOT_LEADER)
-        return self.duty
+    def held(self) -> Leadership:
+        if self.leadership is None:
+            raise NotLeaderError()
+        return self.leadership
 
     async def decide(self, command: Command) -> bool:
         await asyncio.sleep(0.06)
         return self.state.apply(command)
 
     def publish(self) -> None:
-        self.prompter.wake()
+        self.watch_server.wake()
 
     def work(self, seconds: float) -> None:
         """Nothing else runs meanwhile."""
         assert isinstance(self.loop, Virtual)
         self.loop.jump.now += seconds / SHARE
 
-    async def call(self, ingress: Ingress, ask: pb.Ask) -> pb.Cue:
+    async def call(self, ingress: Ingress, ask: pb.WatchRequest) -> pb.WatchResponse:
         await asyncio.sleep(WAY)
         self.work(FRAME)
-        cue = await self.prompter.ask(ask)
-        data = cue.SerializeToString()
+        watch_response = await self.watch_server.ask(ask)
+        data = watch_response.SerializeToString()
         self.bytes, ingress.bytes = self.bytes + len(data), ingress.bytes + len(data)
         self.sent_at = max(self.sent_at, self.now()) + len(data) / LINK
         self.behind = max(self.behind, self.sent_at - self.now())
         ingress.free_at = max(ingress.free_at, self.sent_at) + len(data) / THIN
         await asyncio.sleep(ingress.free_at - self.now() + WAY)
-        return pb.Cue.FromString(data)
+        return pb.WatchResponse.FromString(data)
 
     async def ticks(self) -> None:
         while True:
@@ -215,13 +231,13 @@
             due = [i for i, at in self.up.items() if (now - at) // BEAT > (heard - at) // BEAT]
             heard = now
             for id in due:
-                known = self.held().board.servers.get(id)
+                known = self.held().endpoint_registry.servers.get(id)
                 self.work(FRAME if known is None or known.state != "ready" else FRAME / 50)
                 zone = f"z{int(id[1:]) % 9}"
-                told = Seen(
+                told = Endpoint(
                     id, "s", f"10.0.0.{id[1:]}:80", zone, "g", 6, "ready", 0.0, int(now * 1e3), now
                 )
-                if self.held().board.beat(told):
+                if self.held().endpoint_registry.beat(told):
                     self.publish()
 
     def returned(self) -> bool:
@@ -259,9 +275,9 @@
                 task.cancel()
             failures = await asyncio.gather(*rest, return_exceptions=True)
         for failure in failures:  # a call that nobody waits for any longer may fail
-            assert isinstance(failure, asyncio.CancelledError | SystemFailure | pb.Cue | None), (
-                failure
-            )
+            assert isinstance(
+                failure, asyncio.CancelledError | CallError | pb.WatchResponse | None
+            ), failure
         return world
 
     try:
@@ -273,20 +289,29 @@
 @contextmanager
 def charged(world: World, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """What the leader does takes its time."""
-    server_out, silent, whole, pack = duties.server_out, Roll.silent, Duty.cue, duties.packed
+    server_out, silent, whole, pack = (
+        leadership_module.server_out,
+        NodeRegistry.silent,
+        Leadership.watch_response,
+        leadership_module.packed,
+    )
 
     def charge(seconds: float, done: Any) -> Any:
         world.work(seconds)
         return done
 
-    def of(self: Roll, now: float, edges: int) -> int:
+    def of(self: NodeRegistry, now: float, edges: int) -> int:
         return int(charge(3 * LOOK * len(self.leases), silent(self, now, edges)))
 
     with monkeypatch.context() as patch:
-        patch.setattr(duties, "server_out", lambda *args: charge(SERVER, server_out(*args)))
-        patch.setattr(duties, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part)))
-        patch.setattr(Roll, "silent", of)
-        patch.setattr(Duty, "cue", lambda *args: charge(FRAME, whole(*args)))
+        patch.setattr(
+            leadership_module, "server_out", lambda *args: charge(SERVER, server_out(*args))
+        )
+        patch.setattr(
+            leadership_module, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part))
+        )
+        patch.setattr(NodeRegistry, "silent", of)
+        patch.setattr(Leadership, "watch_response", lambda *args: charge(FRAME, whole(*args)))
         yield
 
 
@@ -341,10 +366,12 @@
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
         world.bytes, told, began = 0, [], world.now()
-        whole = Duty.cue
-        monkeypatch.setattr(Duty, "cue", lambda *args: (told.append(args), whole(*args))[1])
+        whole = Leadership.watch_response
+        monkeypatch.setattr(
+            Leadership, "watch_response", lambda *args: (told.append(args), whole(*args))[1]
+        )
         for number in range(100):
-            world.held().board.end(f"i{number}", world.now())
+            world.held().endpoint_registry.end(f"i{number}", world.now())
             del world.up[f"i{number}"]
             world.publish()
             await asyncio.sleep(0.02)
@@ -382,16 +409,16 @@
     async def told(world: World) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
-        turns, turn = list[float](), Prompter.turn
+        turns, turn = list[float](), WatchServer.turn
 
-        def timed(self: Prompter) -> float:
+        def timed(self: WatchServer) -> float:
             before = world.now()
             wait = turn(self)
             turns.append(world.now() - before)
             return wait
 
-        monkeypatch.setattr(Prompter, "turn", timed)
-        world.held().board.end("i0", world.now())
+        monkeypatch.setattr(WatchServer, "turn", timed)
+        world.held().endpoint_registry.end("i0", world.now())
         del world.up["i0"]
         world.publish()
         await world.until(world.returned, 1.5)
@@ -423,7 +450,7 @@
         assert hold(edges) + patience(hold(edges)) < 0.62 * LEASE
         assert hold(edges) + LOST < LEASE / 2
         assert hold(edges) >= nodes.HOLD
-    assert HEARD + duties.LOOK < LOST
+    assert HEARD + leadership_module.LOOK < LOST
 
 
 def test_who_cannot_be_told_yet_keeps_its_lease_and_is_told_later(
@@ -448,11 +475,11 @@
     async def dialled(many: int) -> int:
         taken, turns = list[asyncio.BaseTransport](), 0
 
-        class Taken(asyncio.Protocol):
+        class ReceiveResult(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 taken.append(transport)
 
-        listener = Listener(("127.0.0.1", 0), Taken)
+        listener = Listener(("127.0.0.1", 0), ReceiveResult)
         at = listener._socket.getsockname()
         callers = [socket.create_connection(at) for _ in range(many)]
         while len(taken) < many:
@@ -473,20 +500,27 @@
 
     async def kept() -> list[pb.Envelope]:
         async def handle(envelope: pb.Envelope) -> pb.Envelope:
-            if envelope.HasField("ask"):
+            if envelope.HasField("watch_request"):
                 await asyncio.sleep(1.0)
             return pb.Envelope()
 
-        wings, said = Wings(("10.0.0.1", 1), lambda envelope: None, handle), list[pb.Envelope]()
-        frames = cast(Frames, SimpleNamespace(peer=None, write=said.append))
+        rpc_peer, said = (
+            RpcPeer(("10.0.0.1", 1), lambda envelope: None, handle),
+            list[pb.Envelope](),
+        )
+        frames = cast(FramedConnection, SimpleNamespace(peer=None, write=said.append))
         for number in range(2 * 6300):
-            wings.came(frames, pb.Envelope(call=number + 1, ask=pb.Ask(name="e")))
-        wings.came(frames, pb.Envelope(call=1 << 20, lease=pb.Lease(tenant="t")))
+            rpc_peer.came(
+                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+            )
+        rpc_peer.came(frames, pb.Envelope(call=1 << 20, quota_request=pb.QuotaRequest(tenant="t")))
         await asyncio.sleep(0.5)
         answered = list(said)
         for number in range(20_000):  # and there is a bound
-            wings.came(frames, pb.Envelope(call=number + 1, ask=pb.Ask(name="e")))
-        assert any(answer.fault == Code.FULL for answer in said)
+            rpc_peer.came(
+                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+            )
+        assert any(answer.fault == FaultCode.QUEUE_FULL for answer in said)
         await asyncio.sleep(2.0)
         return answered
 
@@ -509,10 +543,12 @@
             begun.append((turn, envelope.call))
             return pb.Envelope()
 
-        wings = Wings(("10.0.0.1", 1), lambda envelope: None, handle)
-        frames = cast(Frames, SimpleNamespace(peer=None, write=lambda envelope: True))
+        rpc_peer = RpcPeer(("10.0.0.1", 1), lambda envelope: None, handle)
+        frames = cast(FramedConnection, SimpleNamespace(peer=None, write=lambda envelope: True))
         for number in range(1000):
-            wings.came(frames, pb.Envelope(call=number + 1, ask=pb.Ask(name="e")))
+            rpc_peer.came(
+                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+            )
         while len(begun) < 1000:
             await asyncio.sleep(0)
             turn += 1
@@ -523,9 +559,11 @@
 
 
 def test_those_that_start_together_dial_different_machines() -> None:
-    wings = cast(Wings, SimpleNamespace(own="e"))
-    made = [Reach(wings, lambda: [f"c{n}" for n in range(5)], lambda: []) for _ in range(200)]
-    assert Counter(reach._next() for reach in made).most_common(1)[0][1] < 90
+    rpc_peer = cast(RpcPeer, SimpleNamespace(own="e"))
+    made = [
+        LeaderClient(rpc_peer, lambda: [f"c{n}" for n in range(5)], lambda: []) for _ in range(200)
+    ]
+    assert Counter(leader_client._next() for leader_client in made).most_common(1)[0][1] < 90
 
 
 def test_ingresses_are_counted_in_a_return_without_a_look_at_all_for_each() -> None:
@@ -538,18 +576,18 @@
             self.looks += 1
             return super().values()
 
-    rng, roll, names = random.Random(4), Roll(), [f"e{n}" for n in range(300)]
-    looked = roll.leases = Looked()
-    duty = Duty(1, 0.0, True, Board(), roll, names, Bounds(), BEAT)
-    counted = {name: duties.COUNTED for name in names}
+    rng, node_registry, names = random.Random(4), NodeRegistry(), [f"e{n}" for n in range(300)]
+    looked = node_registry.leases = Looked()
+    leadership = Leadership(1, 0.0, True, EndpointRegistry(), node_registry, names, Bounds(), BEAT)
+    counted = {name: leadership_module.COUNTED for name in names}
     for turn in range(600):
         now, looked.looks = 0.001 * turn, 0
         name = rng.choice(names) if turn % 100 else f"new{turn}"
-        roll.ask(now, pb.Node(name=name, life=f"{turn}", kind="edge"), 0)
-        counted[name] = now + duties.COUNTED
-        before = duty._shared_at
-        assert duty.shared_by(now) == len(counted)
-        assert looked.looks == 0 or name.startswith("new") or now - before >= duties.LOOK
+        node_registry.ask(now, pb.Node(name=name, life=f"{turn}", kind="edge"), 0)
+        counted[name] = now + leadership_module.COUNTED
+        before = leadership._shared_at
+        assert leadership.shared_by(now) == len(counted)
+        assert looked.looks == 0 or name.startswith("new") or now - before >= leadership_module.LOOK
 
 
 def test_long_lists_are_not_made_anew_for_each_that_returns(
@@ -557,31 +595,39 @@
 ) -> None:
     """While 1,000 come back, each of which changes the roll: told by it as it was a little before,
     and all told in the end what a plain reader of the roll finds."""
-    made, pack = list[int](), duties.packed
+    made, pack = list[int](), leadership_module.packed
     monkeypatch.setattr(
-        duties, "packed", lambda part: (made.append(part.ByteSize()), pack(part))[1]
+        leadership_module, "packed", lambda part: (made.append(part.ByteSize()), pack(part))[1]
     )
-    roll, board, state, now = Roll(), Board(), State(), 10.0
-    duty = Duty(1, 0.0, True, board, roll, [], Bounds(), BEAT)
+    node_registry, endpoint_registry, state, now = NodeRegistry(), EndpointRegistry(), State(), 10.0
+    leadership = Leadership(1, 0.0, True, endpoint_registry, node_registry, [], Bounds(), BEAT)
 
     def node(number: int, life: int) -> pb.Node:
-        return pb.Node(name=f"e{number}", life=f"{life}", door=f"10.0.{number}:1", kind="edge")
+        return pb.Node(name=f"e{number}", life=f"{life}", address=f"10.0.{number}:1", kind="edge")
 
     for number in range(1000):
-        roll.ask(0.0, node(number, 1), 0)
-    known = roll.number
-    nodes = {h.node.name: h.node.life for h in roll.leases.values()}
+        node_registry.ask(0.0, node(number, 1), 0)
+    known = node_registry.number
+    nodes = {h.node.name: h.node.life for h in node_registry.leases.values()}
     for number in range(1000):
         now += 0.001
-        roll.ask(now, node(number, 2), 0)
-        cue = duty.cue(now, pb.Ask(epoch=duty.epoch(now), nodes=known, node=node(number, 2)), state)
-    assert len(made) < 120 and cue.nodes > known
-    unpack(cue)
-    nodes |= {n.name: n.life for n in cue.node}
-    cue = duty.cue(now, pb.Ask(epoch=duty.epoch(now), nodes=cue.nodes, node=node(0, 2)), state)
-    unpack(cue)
-    nodes |= {n.name: n.life for n in cue.node}
-    assert nodes == {h.node.name: h.node.life for h in roll.leases.values()}
+        node_registry.ask(now, node(number, 2), 0)
+        watch_response = leadership.watch_response(
+            now,
+            pb.WatchRequest(epoch=leadership.epoch(now), nodes=known, node=node(number, 2)),
+            state,
+        )
+    assert len(made) < 120 and watch_response.nodes > known
+    unpack(watch_response)
+    nodes |= {n.name: n.life for n in watch_response.node}
+    watch_response = leadership.watch_response(
+        now,
+        pb.WatchRequest(epoch=leadership.epoch(now), nodes=watch_response.nodes, node=node(0, 2)),
+        state,
+    )
+    unpack(watch_response)
+    nodes |= {n.name: n.life for n in watch_response.node}
+    assert nodes == {h.node.name: h.node.life for h in node_registry.leases.values()}
 
 
 def test_who_asks_anew_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -590,37 +636,43 @@
     async def anew(world: World) -> None:
         await world.until(world.returned, 8.0)
         node, told, whole = (
-            pb.Node(name="e0", life="x", door="e0", kind="edge"),
+            pb.Node(name="e0", life="x", address="e0", kind="edge"),
             list[str](),
-            Duty.cue,
+            Leadership.watch_response,
         )
         monkeypatch.setattr(
-            Duty, "cue", lambda *args: (told.append(args[2].node.life), whole(*args))[1]
+            Leadership,
+            "watch_response",
+            lambda *args: (told.append(args[2].node.life), whole(*args))[1],
         )
-        monkeypatch.setattr(world.prompter, "_room", -1e9)
+        monkeypatch.setattr(world.watch_server, "_room", -1e9)
         world.ingresses["e0"].task.cancel()
         asks = []
         for _ in range(3):
-            asks.append(asyncio.create_task(world.prompter.ask(pb.Ask(node=node, wait_ms=1000))))
+            asks.append(
+                asyncio.create_task(
+                    world.watch_server.ask(pb.WatchRequest(node=node, wait_ms=1000))
+                )
+            )
             await asyncio.sleep(0.1)
         assert [task.done() for task in asks] == [True, True, False]
         assert all("asked anew" in str(task.exception()) for task in asks[:2])
-        world.prompter._room = prompting.BYTES
+        world.watch_server._room = prompting.BYTES
         world.publish()
-        assert (await asks[2]).has_script and told.count("x") == 1
+        assert (await asks[2]).has_config_version and told.count("x") == 1
 
     play(10, 10, anew, monkeypatch)
 
 
 def test_lists_that_were_packed_come_out_as_they_were() -> None:
-    part = pb.Cue(servers_whole=True, node_gone=["e1"], node=[pb.Node(name="e2")])
-    part.server.extend(pb.Server(id=f"i{n}", seq=n) for n in range(300))
-    cue = pb.Cue(epoch="1", lists=packed(part))
-    unpack(cue)
-    assert cue == pb.Cue(epoch="1") or len(cue.server) == 300
-    cue.ClearField("epoch")
-    assert cue == part
-    assert packed(pb.Cue()) == b""
+    part = pb.WatchResponse(servers_whole=True, node_gone=["e1"], node=[pb.Node(name="e2")])
+    part.server.extend(pb.Endpoint(id=f"i{n}", seq=n) for n in range(300))
+    watch_response = pb.WatchResponse(epoch="1", lists=packed(part))
+    unpack(watch_response)
+    assert watch_response == pb.WatchResponse(epoch="1") or len(watch_response.server) == 300
+    watch_response.ClearField("epoch")
+    assert watch_response == part
+    assert packed(pb.WatchResponse()) == b""
     for broken in (b"x", packed(part)[:-5], packed(part)[:20] + b"y" * 40):
         with pytest.raises(ValueError, match="packed lists"):
-            unpack(pb.Cue(lists=broken))
+            unpack(pb.WatchResponse(lists=broken))
--- a/tests/test_playhouse_serving.py
+++ b/tests/test_playhouse_serving.py
@@ -19,13 +19,13 @@
 import cairndale.configuration.state
 from cairndale.configuration.state import REFUSED, Command, State, Verb
 from cairndale.control.follower import Follower
-from cairndale.control.leadership import Duty
-from cairndale.control.operations import Desk
+from cairndale.control.leadership import Leadership
+from cairndale.control.operations import OperationHandler
 from cairndale.control.read_index import ReadIndex
 from cairndale.http_api.server import wrong
-from cairndale.registry.endpoints import Board, read_beat
-from cairndale.registry.heartbeats import Collector
-from cairndale.registry.nodes import Roll
+from cairndale.registry.endpoints import EndpointRegistry, read_heartbeat
+from cairndale.registry.heartbeats import HeartbeatCollector
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import checked
 from tests.serving_world import World, configuration, in_memory, play
@@ -173,10 +173,10 @@
     began = now()
     while True:
         for core in world.cores.values():
-            if core.duty and core.leads():
+            if core.leadership and core.leads():
                 seen += [
                     f"{s.id} gone at {now() - began:.1f} s"
-                    for s in core.board.servers.values()
+                    for s in core.endpoint_registry.servers.values()
                     if s.state == "gone"
                 ]
         await asyncio.sleep(0.1)
@@ -217,7 +217,7 @@
         await asyncio.sleep(1.5)
         status, _ = await world.call(victim, "GET", "readyz")
         assert status == 503 and (await world.beat(victim, "s0", 999, "z9")) == 503
-        assert (await world.cores[victim].reception.foyer("GET", "/-/lookup?region=r1", b""))[
+        assert (await world.cores[victim].api.lookup_api("GET", "/-/lookup?region=r1", b""))[
             0
         ] == 503
     while now() < began + 20.0:
@@ -295,13 +295,13 @@
         target = f"/-/{call}/{zone}"
         try:
             async with asyncio.timeout(1.0):
-                answer = await world.cores[host].reception.control("POST", target, b"")
+                answer = await world.cores[host].api.control("POST", target, b"")
         except TimeoutError:
             continue
         if answer[0] == 200:
             leader = world.leader()
-            if leader and leader.duty:  # the receipt came
-                leader.duty.moves.read(zone, json.loads(answer[1])["order"])
+            if leader and leader.leadership:  # the receipt came
+                leader.leadership.moves.read(zone, json.loads(answer[1])["order"])
             return
         hosts = [*hosts, *world.hosts]
         await asyncio.sleep(0.05)
@@ -351,14 +351,16 @@
         found.append("old state was shown")
     leader = world.leader()
     assert leader
-    if asked[2].result() == 200 and "s1" not in leader.board.servers:
+    if asked[2].result() == 200 and "s1" not in leader.endpoint_registry.servers:
         found.append("a beat was confirmed that no leader knows")
 
 
 def is_append(sender: str, takers: set[str], envelope: pb.Envelope, receiver: str) -> bool:
     line = envelope.log_message
     return (
-        line.sender.door == sender and bool(line.append_entries.entries) and receiver not in takers
+        line.sender.address == sender
+        and bool(line.append_entries.entries)
+        and receiver not in takers
     )
 
 
@@ -376,7 +378,7 @@
         assert leader
         host, others = leader.settings.ip, [h for h in world.hosts if h != leader.settings.ip]
         takers = {f"{h}:7600" for h in others[: far or 0]}  # with these and itself, no majority
-        world.net.loses = partial(is_append, leader.me.door, takers)
+        world.net.loses = partial(is_append, leader.me.address, takers)
         assert await order(world, history, host, 2) == 0
         if (
             far is None
@@ -547,7 +549,9 @@
     world, history = World(Path("eight")), History()
     await world.begin()
     world.net.twice = True
-    world.net.loses = lambda e, to: e.WhichOneof("body") == "outcome" and random.random() < 0.3
+    world.net.loses = lambda e, to: (
+        e.WhichOneof("body") == "operation_response" and random.random() < 0.3
+    )
     history.sent[1] = 0, configuration(1, 0)
     assert await operator(world, history, 1, world.hosts) == 200
     gens = iter(range(2, 10_000))
@@ -645,11 +649,11 @@
 
 
 async def test_what_no_leader_has_answered_is_kept_and_told_with_its_age() -> None:
-    board, roll = Board(), Roll()
+    endpoint_registry, node_registry = EndpointRegistry(), NodeRegistry()
     settings = checked(SETTINGS)
-    collector = Collector(settings, board, roll)
+    collector = HeartbeatCollector(settings, endpoint_registry, node_registry)
     for id in ("i", "j"):
-        board.beat(read_beat(id, beat(1), 0.0))
+        endpoint_registry.beat(read_heartbeat(id, beat(1), 0.0))
     assert not collector.plain("k", json.dumps(beat(2)).encode(), 1.0)  # nobody knows it here
     for id, seq, at in (("i", 2, 1.0), ("j", 2, 1.2), ("i", 3, 2.5)):
         assert collector.plain(id, json.dumps(beat(seq)).encode(), at)
@@ -659,12 +663,17 @@
     assert collector.plain("i", json.dumps(beat(4)).encode(), 3.2)
     collector.told(lost)
     assert list(collector.report(3.3).id) == ["i"] and list(collector.report(3.3).seq) == [4]
-    board.servers.clear()
+    endpoint_registry.servers.clear()
     assert not collector.report(3.4).id
-    duty = Duty(1, 100.0, False, Board(), Roll(), [], settings.bounds, 1.5)
-    duty.board.beat(read_beat("i", beat(1), 96.0))
-    duty.beats(100.0, pb.Beats(id=["i", "x"], seq=[3, 1], age_ms=[3000, 0]))
-    assert duty.board.servers["i"].heard_at == 98.0 and "x" not in duty.board.servers
+    leadership = Leadership(
+        1, 100.0, False, EndpointRegistry(), NodeRegistry(), [], settings.bounds, 1.5
+    )
+    leadership.endpoint_registry.beat(read_heartbeat("i", beat(1), 96.0))
+    leadership.beats(100.0, pb.HeartbeatReport(id=["i", "x"], seq=[3, 1], age_ms=[3000, 0]))
+    assert (
+        leadership.endpoint_registry.servers["i"].heard_at == 98.0
+        and "x" not in leadership.endpoint_registry.servers
+    )
 
 
 def test_who_is_cut_off_is_not_named_to_servers() -> None:
@@ -724,9 +733,9 @@
 def void_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is void in the log is refused, though its first copy may have been taken there before
     it."""
-    configure = Desk._configure
+    configure = OperationHandler._configure
 
-    async def refused(self: Desk, *args: Any) -> Any:
+    async def refused(self: OperationHandler, *args: Any) -> Any:
         decide, void = self._leader.decide, list[Command]()
 
         async def noted(command: Command) -> bool:
@@ -741,7 +750,7 @@
             self._leader.decide = decide  # type: ignore[method-assign]
         return (wrong(412, "another change came first"), 0) if void else answer
 
-    monkeypatch.setattr(Desk, "_configure", refused)
+    monkeypatch.setattr(OperationHandler, "_configure", refused)
 
 
 def unsaid_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -766,9 +775,11 @@
 
 def nameless(monkeypatch: pytest.MonkeyPatch) -> None:
     """A call for a zone has no id."""
-    settle = Desk.settle
+    settle = OperationHandler.settle
     monkeypatch.setattr(
-        Desk, "settle", lambda self, method, target, body, id="": settle(self, method, target, body)
+        OperationHandler,
+        "settle",
+        lambda self, method, target, body, id="": settle(self, method, target, body),
     )
 
 
@@ -815,17 +826,17 @@
     leader = world.leader()
     assert leader
     lost = leader.settings.ip
-    door = lost if by == "leader" else random.choice([h for h in world.hosts if h != lost])
+    address = lost if by == "leader" else random.choice([h for h in world.hosts if h != lost])
     status = 0
     while status != 200:
-        status, _ = await world.call(door, "POST", "Instances.Deregister/s9")
+        status, _ = await world.call(address, "POST", "Instances.Deregister/s9")
     await world.crash(lost)
     await world.until(lambda: world.leader() is not None)
     taken_over = now()
     while now() < taken_over + 6.0:
         if (
             (held := world.leader())
-            and (known := held.board.servers.get("s9"))
+            and (known := held.endpoint_registry.servers.get("s9"))
             and known.state == "ready"
         ):
             broken.append(f"ready {now() - taken_over:.1f} s after the takeover")
--- a/tests/test_playhouse_snapshots.py
+++ b/tests/test_playhouse_snapshots.py
@@ -17,24 +17,31 @@
 from cairndale.configuration import serialization
 from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control.snapshot_worker import RETRY, STAGED, Upkeep
+from cairndale.control.snapshot_worker import RETRY, STAGED, SnapshotWorker
 from cairndale.raft import codec
 from cairndale.raft.messages import (
     Entry,
     InstallSnapshot,
-    KeepEntries,
-    KeepPart,
-    KeepSnapshot,
-    Kept,
     Member,
+    PersistedState,
+    Ready,
+    SaveEntries,
+    SaveSnapshot,
+    SaveSnapshotChunk,
     Snapshot,
-    Step,
     Write,
     state_digest,
 )
-from cairndale.raft.node import Machine, founded, founder
-from cairndale.raft.snapshot_transfer import PART, WINDOW, Incoming, Taken, Transfer, messages
-from cairndale.raft.storage import MADE, Store, StoreError
+from cairndale.raft.node import RaftNode, founded, founder
+from cairndale.raft.snapshot_transfer import (
+    PART,
+    WINDOW,
+    ReceiveResult,
+    SnapshotReceiver,
+    SnapshotTransfer,
+    messages,
+)
+from cairndale.raft.storage import MADE, RaftStorage, StorageError
 
 ME = Member("a:1", "x")
 
@@ -113,7 +120,7 @@
 
 
 def send(
-    seed: int, made: type[Incoming], garbled: bool = False
+    seed: int, made: type[SnapshotReceiver], garbled: bool = False
 ) -> tuple[Snapshot, Snapshot | None, float]:
     """What is handed on, and after how long; the receiver and the sender start anew now and
     then."""
@@ -122,7 +129,7 @@
         plain(seed, random.Random(seed).randint(0, 6) * 9000 + seed),
         0.0,
     )
-    incoming, disk, out = made(), bytearray(), Transfer(sent, 0.0)
+    incoming, disk, out = made(), bytearray(), SnapshotTransfer(sent, 0.0)
     way: list[tuple[float, Any]] = []
     while now < 300.0:
         now += 0.05
@@ -142,7 +149,7 @@
                 message = replace(message, data=data, checksum=checksum)
             taken = incoming.take(message)
             for write in taken.writes:
-                assert isinstance(write, KeepPart)
+                assert isinstance(write, SaveSnapshotChunk)
                 disk[write.offset :] = write.data
             if taken.whole:
                 return sent, taken.whole, now
@@ -151,19 +158,19 @@
         if rng.random() < 0.01:
             incoming = made((sent.head, bytes(disk)))
         if rng.random() < 0.01:
-            out, way = Transfer(sent, now), []
+            out, way = SnapshotTransfer(sent, now), []
     return sent, None, now
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_what_is_handed_on_is_what_was_sent(seed: int) -> None:
     for garbled in (False, True):
-        sent, got, _ = send(seed, Incoming, garbled)
+        sent, got, _ = send(seed, SnapshotReceiver, garbled)
         assert got == sent, "another one, or none"
 
 
-class NoDigest(Incoming):
-    def take(self, message: InstallSnapshot) -> Taken:
+class NoDigest(SnapshotReceiver):
+    def take(self, message: InstallSnapshot) -> ReceiveResult:
         if self._data and len(self._data) + len(message.data) == message.head.size:
             self._digest = state_digest(bytes(self._data) + message.data)
             message = replace(message, head=replace(message.head, digest=self._digest.digest()))
@@ -178,9 +185,9 @@
 
 
 def test_a_newer_one_takes_the_place_and_what_is_late_of_the_older_does_not() -> None:
-    old, new, incoming = plain(1, 3 * PART), plain(2, 3 * PART, index=9), Incoming()
-    first = list(messages(3, ME, Transfer(old, 0.0), 0.0, beat=True))
-    second = list(messages(3, ME, Transfer(new, 0.0), 0.0, beat=True))
+    old, new, incoming = plain(1, 3 * PART), plain(2, 3 * PART, index=9), SnapshotReceiver()
+    first = list(messages(3, ME, SnapshotTransfer(old, 0.0), 0.0, beat=True))
+    second = list(messages(3, ME, SnapshotTransfer(new, 0.0), 0.0, beat=True))
     assert [incoming.take(m).wanted for m in (first[0], second[0], first[1], second[1])] == [
         PART,
         PART,
@@ -195,12 +202,12 @@
     """What was said to be on disk is not given up for a snapshot that came late."""
     log = [Entry(n, 1, b"%d" % n, opens=n == 1) for n in range(1, 21)]
     for kept, last in ((Snapshot(10, 1, (ME,), b"s"), 20), (Snapshot(10, 2, (ME,), b"s"), 10)):
-        made = Machine(
-            founder("b:1"), Kept(1, "", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1)
+        made = RaftNode(
+            founder("b:1"), PersistedState(1, "", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1)
         )
         step = made.install(1.0, kept)
         assert made.last == last and made.commit_index == 10 and step.restored == kept
-        assert step.writes == [KeepSnapshot(kept, alone=last == 10)]
+        assert step.writes == [SaveSnapshot(kept, alone=last == 10)]
 
 
 # On disk.
@@ -213,18 +220,21 @@
 OLD = Snapshot(4, 1, (ME,), b"old state")
 
 
-def disk(folder: Path, made: type[Store] = Store) -> Store:
+def disk(folder: Path, made: type[RaftStorage] = RaftStorage) -> RaftStorage:
     store = made(folder)
     store.begin("x", founded([ME]))
-    store.write([KeepEntries(1, entries(1, 30))])
-    store.write([KeepSnapshot(OLD, False)])
+    store.write([SaveEntries(1, entries(1, 30))])
+    store.write([SaveSnapshot(OLD, False)])
     return store
 
 
 def install(new: Snapshot, alone: bool) -> list[list[Write]]:
     size = len(new.state)
-    parts = [KeepPart(new.head, at, new.state[at : at + PART], True) for at in range(0, size, PART)]
-    return [*([part] for part in parts), [KeepSnapshot(new, alone)]]
+    parts = [
+        SaveSnapshotChunk(new.head, at, new.state[at : at + PART], True)
+        for at in range(0, size, PART)
+    ]
+    return [*([part] for part in parts), [SaveSnapshot(new, alone)]]
 
 
 class Kill(Exception):
@@ -275,7 +285,7 @@
         return self._env.__exit__(*why)
 
 
-def kills(folder: Path, made: type[Store], alone: bool) -> int:
+def kills(folder: Path, made: type[RaftStorage], alone: bool) -> int:
     """Power is lost before each change of an install: what is there then is the old state or the
     new one."""
     new = plain(5, 3 * PART + 5, index=20)
@@ -284,7 +294,7 @@
     for after in range(200):
         store = disk(folder / f"{alone}{after}", made)
         whole, env = store.load(), store._env
-        wanted = Kept(0, "", new, [] if alone else list(entries(21, 30)))
+        wanted = PersistedState(0, "", new, [] if alone else list(entries(21, 30)))
         store._env = Killed(env, after)
         try:
             for writes in install(new, alone):
@@ -299,7 +309,7 @@
             return after
         finally:
             env.close()
-        again = Store(folder / f"{alone}{after}")
+        again = RaftStorage(folder / f"{alone}{after}")
         found = again.load()
         assert replace(found, incoming=None) in (whole, wanted), (
             f"neither old nor new after {after}"
@@ -318,33 +328,33 @@
 
 
 def test_power_lost_at_each_change_of_an_install(tmp_path: Path) -> None:
-    assert kills(tmp_path, Store, alone=False) > 10
-    assert kills(tmp_path, Store, alone=True) > 10
+    assert kills(tmp_path, RaftStorage, alone=False) > 10
+    assert kills(tmp_path, RaftStorage, alone=True) > 10
 
 
-class PointsEarly(Store):
+class PointsEarly(RaftStorage):
     """To a snapshot of which some parts are there."""
 
     def _write(self, change: Any, write: Write) -> None:
         super()._write(change, write)
-        if isinstance(write, KeepPart) and write.offset:
+        if isinstance(write, SaveSnapshotChunk) and write.offset:
             change.put(b"snapshot", self._pointer(change, b"received") or b"", db=self._meta)
 
 
-class TrimsEarly(Store):
+class TrimsEarly(RaftStorage):
     """The entries that a snapshot is to take the place of, before it is whole."""
 
     def _write(self, change: Any, write: Write) -> None:
         super()._write(change, write)
-        if isinstance(write, KeepPart):
+        if isinstance(write, SaveSnapshotChunk):
             with change.cursor(self._entries) as cursor:
                 while cursor.first() and int.from_bytes(cursor.key(), "big") <= write.head.index:
                     cursor.delete()
 
 
 @pytest.mark.parametrize("planted", [PointsEarly, TrimsEarly])
-def test_planted_defects_of_the_disk_are_seen(planted: type[Store], tmp_path: Path) -> None:
-    with pytest.raises((AssertionError, StoreError)):
+def test_planted_defects_of_the_disk_are_seen(planted: type[RaftStorage], tmp_path: Path) -> None:
+    with pytest.raises((AssertionError, StorageError)):
         kills(tmp_path, planted, alone=False)
 
 
@@ -352,10 +362,10 @@
     new, store = plain(6, 5 * PART, index=20), disk(tmp_path)
     for writes in install(new, True)[:3]:
         store.write(writes)
-    store.write([KeepSnapshot(Snapshot(9, 1, (ME,), b"made here meanwhile"), False)])
+    store.write([SaveSnapshot(Snapshot(9, 1, (ME,), b"made here meanwhile"), False)])
     store.close()
-    kept = Store(tmp_path).load()
-    incoming = Incoming(kept.incoming)
+    kept = RaftStorage(tmp_path).load()
+    incoming = SnapshotReceiver(kept.incoming)
     probe = InstallSnapshot(3, ME, new.head, 0, b"", 0, 0)
     assert incoming.take(probe).wanted == 3 * PART
 
@@ -372,18 +382,18 @@
         change.drop(store._parts)
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
-    look = Store(tmp_path, look=True)
+    look = RaftStorage(tmp_path, look=True)
     assert look.disk() == "x" and look.load() == kept
     look.close()
     assert (tmp_path / "promptbook/data.mdb").read_bytes() == before
     for _ in range(2):
-        store = Store(tmp_path)
+        store = RaftStorage(tmp_path)
         assert store.disk() == "x" and store.load() == kept
         store.close()
-    store = Store(tmp_path)
+    store = RaftStorage(tmp_path)
     with store._env.begin(write=True) as change:
         change.put(b"format", b"3", db=store._meta)
-    with pytest.raises(StoreError, match="format"):
+    with pytest.raises(StorageError, match="format"):
         store.disk()
 
 
@@ -393,49 +403,51 @@
         cursor = change.cursor(store._parts)
         assert cursor.last()
         change.put(cursor.key(), b"bad state", db=store._parts)
-    with pytest.raises(StoreError, match="not as it was written"):
+    with pytest.raises(StorageError, match="not as it was written"):
         store.load()
 
 
 class Steps:
     """A member's disk and state, and its upkeep, taken on by hand."""
 
-    def __init__(self, store: Store, state: State) -> None:
+    def __init__(self, store: RaftStorage, state: State) -> None:
         self.now, self.state = 0.0, state
         log = list(entries(1, 9))
-        store.begin("x", Kept(1, "", Snapshot(0, 0, (ME,)), []))
-        store.write([KeepEntries(1, tuple(log))])
-        self.machine = Machine(ME, Kept(1, "x", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1))
+        store.begin("x", PersistedState(1, "", Snapshot(0, 0, (ME,)), []))
+        store.write([SaveEntries(1, tuple(log))])
+        self.machine = RaftNode(
+            ME, PersistedState(1, "x", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1)
+        )
         self.machine.commit_index = 9
         self.store, self.sizes = store, list[int]()
-        self.upkeep = Upkeep(store, self.machine, self.do, lambda: self.now)
+        self.snapshot_worker = SnapshotWorker(store, self.machine, self.do, lambda: self.now)
 
-    def do(self, step: Step) -> None:
+    def do(self, step: Ready) -> None:
         self.store.write(step.writes)
 
     def run(self) -> int:
         for count in range(100_000):
-            if not self.upkeep.step():
+            if not self.snapshot_worker.step():
                 return count
         raise AssertionError("no end")
 
 
 def test_a_snapshot_is_made_in_steps_while_changes_go_on(tmp_path: Path, monkeypatch: Any) -> None:
     state = grown(7, tenants=20_000)
-    before, store = state.out(), Store(tmp_path)
+    before, store = state.out(), RaftStorage(tmp_path)
     steps = Steps(store, state)
     written: list[int] = []
     write = store.write
 
     def counted(writes: Any) -> None:
-        written.append(sum(len(w.data) for w in writes if isinstance(w, KeepPart)))
+        written.append(sum(len(w.data) for w in writes if isinstance(w, SaveSnapshotChunk)))
         write(writes)
 
     monkeypatch.setattr(store, "write", counted)
-    steps.upkeep.make(state.raw(), 9)
+    steps.snapshot_worker.make(state.raw(), 9)
     state.apply(Command(Verb.EVACUATE, "meanwhile", zone="z"))
     steps.machine.log.append(Entry(10, 1, b"10"))
-    store.write([KeepEntries(10, (Entry(10, 1, b"10"),))])
+    store.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
     assert steps.machine.base.index == 0 and store.load().snapshot.index == 0
     assert steps.run() > 10 and max(written) <= STAGED
     kept = store.load()
@@ -448,20 +460,20 @@
 
 
 def test_a_full_disk_keeps_its_old_snapshot_and_the_log_goes_on(tmp_path: Path, capfd: Any) -> None:
-    store = Store(tmp_path, room=512 * 1024)
+    store = RaftStorage(tmp_path, room=512 * 1024)
     steps = Steps(store, grown(8, tenants=30_000))
     for n in range(3):
         steps.now += 2 * RETRY
-        steps.upkeep.make(steps.state.raw(), 9)
+        steps.snapshot_worker.make(steps.state.raw(), 9)
         steps.run()
         index = 10 + n
-        store.write([KeepEntries(index, (Entry(index, 1, b"on"),))])
+        store.write([SaveEntries(index, (Entry(index, 1, b"on"),))])
         kept = store.load()
         assert (
             kept.snapshot.index == steps.machine.base.index == 0 and kept.entries[-1].index == index
         )
     steps.now += 2 * RETRY
-    steps.upkeep.make(State().raw(), 9)
+    steps.snapshot_worker.make(State().raw(), 9)
     steps.run()
     assert store.load().snapshot.index == 9
 
@@ -473,16 +485,16 @@
 import resource, sys
 from pathlib import Path
 from cairndale import events
-from cairndale.control.node import Core
+from cairndale.control.node import ControlNode
 from cairndale.raft.messages import *
-from cairndale.raft.storage import Store
-events.set_up()
-core = Core.__new__(Core)
-core._store = Store(Path(sys.argv[1]))
-core._store.begin("x", Kept(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
+from cairndale.raft.storage import RaftStorage
+events.set_up_logging()
+core = ControlNode.__new__(ControlNode)
+core._store = RaftStorage(Path(sys.argv[1]))
+core._store.begin("x", PersistedState(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
 resource.setrlimit(resource.RLIMIT_FSIZE, (300_000, 300_000))
 for n in range(1, 1000):
-    core._write(Step(writes=[KeepEntries(n, (Entry(n, 1, b"x" * 2000),))]))
+    core._write(Ready(writes=[SaveEntries(n, (Entry(n, 1, b"x" * 2000),))]))
     print(n, flush=True)
 """
     ran = subprocess.run(
@@ -490,5 +502,5 @@
     )
     assert ran.returncode == 1 and "120 disk_failed" in ran.stderr, ran.stderr
     said = int(ran.stdout.split()[-1])
-    kept = Store(tmp_path).load()
+    kept = RaftStorage(tmp_path).load()
     assert said > 10 and len(kept.entries) == said and kept.snapshot.index == 0
--- a/tests/test_playhouse_stagedoor.py
+++ b/tests/test_playhouse_stagedoor.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from cairndale.chaos.standins import ask
-from cairndale.http_api.server import Answer, Doors, told
+from cairndale.http_api.server import Answer, HttpServer, told
 
 CALL = (
     b"POST /-/Drain.Begin/north-a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: "
@@ -25,11 +25,11 @@
         taken.append(target)
         return told(200, {})
 
-    doors = Doors(take)
+    addresses = HttpServer(take)
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         at = probe.getsockname()
-    await doors.listen(at)
+    await addresses.listen(at)
     caller = socket.create_connection(at)  # nothing of it is read until this function waits
     caller.sendall(CALL)
     if end:
@@ -38,7 +38,7 @@
         0
     ] == 200  # comes after it, and is answered
     caller.close()
-    doors.stop()
+    addresses.stop()
     return taken
 
 
--- a/tests/test_playhouse_states.py
+++ b/tests/test_playhouse_states.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from cairndale.raft.messages import AppendReply, KeepEntries, Kept, Member, Message, Step
-from cairndale.raft.node import Machine, Role, founded, founder
+from cairndale.raft.messages import AppendReply, Member, Message, PersistedState, Ready, SaveEntries
+from cairndale.raft.node import RaftNode, Role, founded, founder
 
 DOORS = ("a", "b", "c")
 FULL = 2  # messages on one way; more are lost, which a network may do
@@ -32,8 +32,8 @@
 class State:
     """All that there is: machines, their disks, what is under way, what is still to be done."""
 
-    machines: dict[str, Machine]
-    disks: dict[str, Kept]
+    machines: dict[str, RaftNode]
+    disks: dict[str, PersistedState]
     ways: dict[tuple[str, str], tuple[Message, ...]] = field(default_factory=dict)
     order: dict[int, tuple[int, bytes]] = field(default_factory=dict)
     left: dict[str, int] = field(default_factory=dict)
@@ -71,21 +71,21 @@
     return replace(message, sent=0) if hasattr(message, "sent") else message
 
 
-def do(state: State, door: str, step: Step) -> None:
-    kept = state.disks[door]
-    machine = state.machines[door]
+def do(state: State, address: str, step: Ready) -> None:
+    kept = state.disks[address]
+    machine = state.machines[address]
     if step.writes:
         kept.term, kept.voted_for, kept.snapshot = machine.term, machine.voted_for, machine.base
         kept.entries = list(machine.log)
     for peer in machine.peers.values():
         peer.since = -1.0  # time is left out: whoever is to be known for a while, has been
     for to, message in step.sends:
-        queue = state.ways.get((door, to), ())
+        queue = state.ways.get((address, to), ())
         if len(queue) < FULL:
-            state.ways[door, to] = (*queue, message)
+            state.ways[address, to] = (*queue, message)
     if machine.role is Role.LEADER:
         changes = [
-            e for w in step.writes if isinstance(w, KeepEntries) for e in w.entries if e.members
+            e for w in step.writes if isinstance(w, SaveEntries) for e in w.entries if e.members
         ]
         first = next((e.index for e in machine.log if e.opens and e.term == machine.term), 0)
         earlier = [e.index for e in machine.log if e.members][:-1]
@@ -97,11 +97,11 @@
         known = state.order.setdefault(entry.index, (entry.term, entry.data))
         assert known == (entry.term, entry.data), "two orders"
     if step.received:
-        do(state, door, machine.install(1.0, step.received))
+        do(state, address, machine.install(1.0, step.received))
 
 
-def begin(made: type[Machine], me: Member, kept: Kept) -> Machine:
-    machine = made(me, kept, 0.0, Half(), doors=DOORS)  # type: ignore[arg-type]
+def begin(made: type[RaftNode], me: Member, kept: PersistedState) -> RaftNode:
+    machine = made(me, kept, 0.0, Half(), addresses=DOORS)  # type: ignore[arg-type]
     machine.heard_at = float("-inf")  # time is left out: whoever might have waited long enough, has
     return machine
 
@@ -109,7 +109,7 @@
 Deed = Callable[[State], None]
 
 
-def deeds(made: type[Machine], state: State) -> list[Deed]:
+def deeds(made: type[RaftNode], state: State) -> list[Deed]:
     """All that can happen next."""
     found: list[Deed] = []
 
@@ -123,88 +123,88 @@
 
         return deed
 
-    def request_vote(door: str) -> Deed:
+    def request_vote(address: str) -> Deed:
         def deed(state: State) -> None:
-            step = Step()
+            step = Ready()
             state.left["term"] -= 1
-            state.machines[door]._campaign(1.0, step, pre_vote=False)
-            do(state, door, step)
+            state.machines[address]._campaign(1.0, step, pre_vote=False)
+            do(state, address, step)
 
         return deed
 
-    def join(door: str) -> Deed:
+    def join(address: str) -> Deed:
         def deed(state: State) -> None:
-            state.machines[door]._join_at = 0.0
-            do(state, door, state.machines[door].tick(1.0))
+            state.machines[address]._join_at = 0.0
+            do(state, address, state.machines[address].tick(1.0))
 
         return deed
 
-    def say(door: str) -> Deed:
+    def say(address: str) -> Deed:
         def deed(state: State) -> None:
             state.left["say"] -= 1
-            do(state, door, state.machines[door].propose(1.0, b"said")[1])
+            do(state, address, state.machines[address].propose(1.0, b"said")[1])
 
         return deed
 
-    def beat(door: str) -> Deed:
+    def beat(address: str) -> Deed:
         def deed(state: State) -> None:
-            step = Step()
-            for peer in state.machines[door].peers.values():
+            step = Ready()
+            for peer in state.machines[address].peers.values():
                 peer.out_at = -1.0
-            state.machines[door]._beat(1.0, step)
-            do(state, door, step)
+            state.machines[address]._beat(1.0, step)
+            do(state, address, step)
 
         return deed
 
-    def end(door: str, what: str) -> Deed:
+    def end(address: str, what: str) -> Deed:
         def deed(state: State) -> None:
             state.left[what] -= 1
-            me = state.machines[door].me
+            me = state.machines[address].me
             if what == "wipe":
-                state.disks[door], me = founded(()), Member(door, "wiped")
-            state.machines[door] = begin(made, me, copy.deepcopy(state.disks[door]))
+                state.disks[address], me = founded(()), Member(address, "wiped")
+            state.machines[address] = begin(made, me, copy.deepcopy(state.disks[address]))
             for way in state.ways:
-                if door in way:  # its connections are gone, and what was on them
+                if address in way:  # its connections are gone, and what was on them
                     state.ways[way] = ()
 
         return deed
 
     found += [hear(way) for way, queue in state.ways.items() if queue]
 
-    def silent(door: str, other: str) -> Deed:
+    def silent(address: str, other: str) -> Deed:
         """The leader has heard nothing of another for long, and looks who is to vote."""
 
         def deed(state: State) -> None:
-            step, machine = Step(), state.machines[door]
+            step, machine = Ready(), state.machines[address]
             state.left["silent"] -= 1
             machine.peers[other].acked, machine.peers[other].since = float("-inf"), -100.0
             machine._take_in(1.0, step)
-            do(state, door, step)
+            do(state, address, step)
 
         return deed
 
-    for door, machine in state.machines.items():
-        quiet = not any(queue for (sender, _), queue in state.ways.items() if sender == door)
+    for address, machine in state.machines.items():
+        quiet = not any(queue for (sender, _), queue in state.ways.items() if sender == address)
         if state.left["term"] and machine.may_stand() and machine.role is not Role.LEADER:
-            found.append(request_vote(door))
+            found.append(request_vote(address))
         if not machine.is_member() and quiet:
-            found.append(join(door))
+            found.append(join(address))
         if state.left["say"] and machine.role is Role.LEADER:
-            found.append(say(door))
+            found.append(say(address))
         if machine.role is Role.LEADER and quiet:
-            found.append(beat(door))
+            found.append(beat(address))
         if state.left["silent"] and machine.role is Role.LEADER:
             found += [
-                silent(door, d) for d, p in machine.peers.items() if p.member in machine.voters
+                silent(address, d) for d, p in machine.peers.items() if p.member in machine.voters
             ]
-        found += [end(door, what) for what in ("crash", "wipe") if state.left[what]]
+        found += [end(address, what) for what in ("crash", "wipe") if state.left[what]]
     return found
 
 
-def opened(made: type[Machine]) -> State:
+def opened(made: type[RaftNode]) -> State:
     """A holds the first term, and all have heard of that."""
-    members = [founder(door) for door in DOORS]
-    disks = {door: founded(members) for door in DOORS}
+    members = [founder(address) for address in DOORS]
+    disks = {address: founded(members) for address in DOORS}
     machines = {d: begin(made, founder(d), copy.deepcopy(disks[d])) for d in DOORS}
     state = State(
         machines, disks, {}, {}, {"term": 1, "say": 0, "crash": 0, "wipe": 0, "silent": 0}
@@ -216,23 +216,23 @@
     return state
 
 
-def with_learner(made: type[Machine]) -> State:
+def with_learner(made: type[RaftNode]) -> State:
     """D has joined and holds all that there is: if a voter is silent, it steps in. With E there
     would be five voters."""
     state = opened(made)
-    for door in ("d", "e"):
-        state.disks[door] = founded(())
-        state.machines[door] = begin(made, Member(door, "new"), founded(()))
+    for address in ("d", "e"):
+        state.disks[address] = founded(())
+        state.machines[address] = begin(made, Member(address, "new"), founded(()))
     do(state, "d", state.machines["d"].tick(1.0))
     while ahead := [way for way, queue in state.ways.items() if queue]:
         message, state.ways[ahead[0]] = state.ways[ahead[0]][0], state.ways[ahead[0]][1:]
         do(state, ahead[0][1], state.machines[ahead[0][1]].received(1.0, message))
-    assert [m.door for m in state.machines["a"].members if m.learner] == ["d"]
+    assert [m.address for m in state.machines["a"].members if m.learner] == ["d"]
     state.left = {"term": 3, "say": 2, "crash": 2, "wipe": 1, "silent": 2}
     return state
 
 
-def explore(made: type[Machine], most: int) -> int:
+def explore(made: type[RaftNode], most: int) -> int:
     """Breadth first, each state once."""
     first = opened(made)
     seen, ahead = {first.key()}, deque([first])
@@ -248,7 +248,7 @@
 
 
 def walk(
-    made: type[Machine], seed: int, length: int = 60, first: Callable[..., State] = opened
+    made: type[RaftNode], seed: int, length: int = 60, first: Callable[..., State] = opened
 ) -> State:
     """One long way through the states."""
     rng, state = random.Random(seed), first(made)
@@ -261,69 +261,73 @@
 
 
 def test_no_short_way_leads_to_two_orders() -> None:
-    assert explore(Machine, STATES) >= STATES
+    assert explore(RaftNode, STATES) >= STATES
 
 
 def test_no_long_way_leads_to_two_orders() -> None:
     for seed in range(WALKS):
-        walk(Machine, seed)
+        walk(RaftNode, seed)
 
 
 def test_a_change_of_the_configuration_bears_a_crash_and_a_wipe_at_each_step() -> None:
     changed = grown = 0
     for seed in range(CHANGES):
-        state = walk(Machine, seed, 100, with_learner)
+        state = walk(RaftNode, seed, 100, with_learner)
         decided = [m for m in state.machines.values() if m.commit_index >= m._members_at > 0]
-        doors = {tuple(v.door for v in m.voters) for m in decided}
-        changed += any("d" in some for some in doors)
-        grown += ("a", "b", "c", "d", "e") in doors
+        addresses = {tuple(v.address for v in m.voters) for m in decided}
+        changed += any("d" in some for some in addresses)
+        grown += ("a", "b", "c", "d", "e") in addresses
     assert changed > CHANGES / 8 and grown > CHANGES / 40, (changed, grown)
 
 
-class AckEarly(Machine):
+class AckEarly(RaftNode):
     def _held(self, index: int, among: tuple[Member, ...]) -> bool:
         return True
 
 
-class AnyDisk(Machine):
+class AnyDisk(RaftNode):
     """Whoever stands at a member's door has its vote."""
 
-    def _vote_replied(self, now: float, step: Step, message: Any) -> None:
-        same = next((m for m in self.members if m.door == message.sender.door), message.sender)
+    def _vote_replied(self, now: float, step: Ready, message: Any) -> None:
+        same = next(
+            (m for m in self.members if m.address == message.sender.address), message.sender
+        )
         super()._vote_replied(now, step, replace(message, sender=same))
 
     def is_member(self) -> bool:
         return True
 
-    def _append_replied(self, now: float, step: Step, message: AppendReply) -> None:
-        same = next((m for m in self.members if m.door == message.sender.door), message.sender)
+    def _append_replied(self, now: float, step: Ready, message: AppendReply) -> None:
+        same = next(
+            (m for m in self.members if m.address == message.sender.address), message.sender
+        )
         super()._append_replied(now, step, replace(message, sender=same))
 
 
-class Forgets(Machine):
+class Forgets(RaftNode):
     """What it voted_for is not on disk."""
 
-    def __init__(self, me: Member, kept: Kept, *rest: Any, **more: Any) -> None:
+    def __init__(self, me: Member, kept: PersistedState, *rest: Any, **more: Any) -> None:
         kept.voted_for = ""
         kept.entries = [e for e in kept.entries if e.data == b""]
         super().__init__(me, kept, *rest, **more)
 
 
 @pytest.mark.parametrize("planted", [AckEarly, AnyDisk, Forgets])
-def test_planted_defects_are_seen(planted: type[Machine]) -> None:
+def test_planted_defects_are_seen(planted: type[RaftNode]) -> None:
     with pytest.raises(AssertionError, match=r"two (orders|leaders)"):
         for seed in range(WALKS):
             walk(planted, seed)
 
 
-class LearnersAck(Machine):
+class LearnersAck(RaftNode):
     """Whoever has an entry on disk counts for its majority."""
 
     def _held(self, index: int, among: tuple[Member, ...]) -> bool:
         return 1 + sum(p.match >= index for p in self.peers.values()) > len(among) // 2
 
 
-class LearnersVote(Machine):
+class LearnersVote(RaftNode):
     """All are asked, and all votes count."""
 
     def _electors(self) -> tuple[Member, ...]:
@@ -333,19 +337,19 @@
         return sum(map(says, self.members)) > len(self.voters) // 2
 
 
-class NewMajorityOnly(Machine):
+class NewMajorityOnly(RaftNode):
     def _quorums(self) -> tuple[tuple[Member, ...], ...]:
         return (self._voters,)
 
 
-class TwoAtOnce(Machine):
+class TwoAtOnce(RaftNode):
     """The next change does not wait for the one before."""
 
     def _may_change(self) -> bool:
         return self._opened
 
 
-class TooEarly(Machine):
+class TooEarly(RaftNode):
     """Nor does it wait for the first entry of the term."""
 
     def _may_change(self) -> bool:
@@ -355,7 +359,7 @@
 @pytest.mark.parametrize(
     "planted", [AckEarly, AnyDisk, LearnersAck, LearnersVote, NewMajorityOnly, TwoAtOnce, TooEarly]
 )
-def test_defects_of_a_change_are_seen(planted: type[Machine]) -> None:
+def test_defects_of_a_change_are_seen(planted: type[RaftNode]) -> None:
     with pytest.raises(AssertionError, match=r"two orders|two leaders|too early"):
         for seed in range(2 * CHANGES):
             walk(planted, seed, 100, with_learner)
--- a/tests/test_playhouse_units.py
+++ b/tests/test_playhouse_units.py
@@ -14,15 +14,15 @@
 from hypothesis import strategies as st
 
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control.leadership import Duty
-from cairndale.errors import SystemFailure
+from cairndale.control.leadership import Leadership
+from cairndale.errors import CallError
 from cairndale.ingress.policy.account import SHARE_SPAN
 from cairndale.quota import quota_counter
-from cairndale.quota.budget_counter import LIFE, Purse, Whole, further, starts
+from cairndale.quota.budget_counter import LIFE, Budget, BudgetCounter, further, starts
 from cairndale.quota.quota_counter import EXPIRY, saved_most
 from cairndale.registry import nodes
-from cairndale.registry.endpoints import Board, Seen
-from cairndale.registry.nodes import LEASE, Roll, hold
+from cairndale.registry.endpoints import Endpoint, EndpointRegistry
+from cairndale.registry.nodes import LEASE, NodeRegistry, hold
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import Bounds
 
@@ -96,8 +96,8 @@
         }
         tenant = {"name": "t", "apiKeys": ["k"], "ratePerS": quota[0], "burst": quota[1]}
         self.state.apply(Command(Verb.REPLACE, "d", content | {"tenants": [tenant]}))
-        self.duty: Duty | None = None
-        self.roll = Roll()
+        self.leadership: Leadership | None = None
+        self.node_registry = NodeRegistry()
         self.edges = {
             f"e{n}": Edge(f"e{n}", rate=self.rng.uniform(0.98, 1.02)) for n in range(quota[2])
         }
@@ -114,10 +114,12 @@
     def hold_duty(self, ever: bool) -> None:
         self.term += 1
         names = self.state.edges
-        board = Board()
-        board.beat(Seen("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, self.now))
-        self.duty = Duty(self.term, self.now, ever, board, self.roll, names, BOUNDS, 1.5)
-        self.duty.follow(self.state)
+        endpoint_registry = EndpointRegistry()
+        endpoint_registry.beat(Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, self.now))
+        self.leadership = Leadership(
+            self.term, self.now, ever, endpoint_registry, self.node_registry, names, BOUNDS, 1.5
+        )
+        self.leadership.follow(self.state)
 
     def in_touch(self, edge: Edge) -> bool:
         return (
@@ -137,43 +139,46 @@
         clock = int(said + (asked - came) * 1000 * 0.98 / edge.rate) if said else 0
 
         def arrive(again: bool = False) -> None:
-            if (edge.name in self.cut and not again) or self.duty is None:
+            if (edge.name in self.cut and not again) or self.leadership is None:
                 return
             if edge.name not in self.state.edges:
                 self.state.apply(Command(Verb.ENROL, names=(edge.name,)))
-            node = pb.Node(name=edge.name, life=str(life), kind="edge", door="d", http="h")
-            made = pb.Ask(
+            node = pb.Node(name=edge.name, life=str(life), kind="edge", address="d", http="h")
+            made = pb.WatchRequest(
                 node=node,
                 counting=counting,
                 epoch=epoch,
-                script=self.state.version,
+                config_version=self.state.version,
                 idle_ms=idle,
                 clock_ms=clock,
             )
-            duty = self.duty
+            leadership = self.leadership
             try:
-                duty.asked(self.now, made)
-            except SystemFailure:
+                leadership.asked(self.now, made)
+            except CallError:
                 return
-            self.later(hold(self.quota[2]) * self.rng.random(), lambda: answer(duty, made))
+            self.later(hold(self.quota[2]) * self.rng.random(), lambda: answer(leadership, made))
 
-        def answer(duty: Duty, made: pb.Ask) -> None:
-            if duty is not self.duty or edge.name in self.cut:
+        def answer(leadership: Leadership, made: pb.WatchRequest) -> None:
+            if leadership is not self.leadership or edge.name in self.cut:
                 return
-            cue = duty.cue(self.now, made, self.state)
-            self.later(lag, lambda: heard(cue))
+            watch_response = leadership.watch_response(self.now, made, self.state)
+            self.later(lag, lambda: heard(watch_response))
 
-        def heard(cue: pb.Cue) -> None:
+        def heard(watch_response: pb.WatchResponse) -> None:
             if edge.name in self.frozen and edge.life == life:  # it reads what came once it wakes
-                self.later(0.05, lambda: heard(cue))
+                self.later(0.05, lambda: heard(watch_response))
                 return
             if edge.life != life or edge.name in self.cut or answered[0]:
                 return
             answered[0] = True
-            if edge.counting and not cue.counting:
+            if edge.counting and not watch_response.counting:
                 edge.alone_at = self.now
-            edge.counting, edge.edges = cue.counting, max(edge.edges, cue.share_of)
-            edge.epoch, edge.clock = cue.epoch, (cue.clock_ms, self.now)
+            edge.counting, edge.edges = (
+                watch_response.counting,
+                max(edge.edges, watch_response.share_of),
+            )
+            edge.epoch, edge.clock = watch_response.epoch, (watch_response.clock_ms, self.now)
             edge.heard_at, edge.lease_end = self.now, asked + LEASE * 0.98 / edge.rate
             self.ask(edge, life)
 
@@ -197,7 +202,7 @@
             self.grow(edge)
             units = sum(amount for until, amount in edge.tokens if now <= until)
             edge.tokens.clear()
-            if self.in_touch(edge) and edge.name not in self.cut and self.duty:
+            if self.in_touch(edge) and edge.name not in self.cut and self.leadership:
                 self.lease(edge)
                 self.deal(edge)
             if edge.edges and (self.both or not self.in_touch(edge)):
@@ -227,11 +232,11 @@
         edge.share_at = self.now
 
     def lease(self, edge: Edge) -> None:
-        assert self.duty
+        assert self.leadership
         asked, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
         try:
-            left = self.duty.lease(self.now, pb.Lease(tenant="t", amount=amount))
-        except SystemFailure:
+            left = self.leadership.lease(self.now, pb.QuotaRequest(tenant="t", amount=amount))
+        except CallError:
             return
         if left is not None and (granted := amount - min(amount, max(0.0, -left))) > 0:
             wait = self.rng.choice((0.02, EXPIRY * 0.95))
@@ -240,10 +245,10 @@
             )
 
     def deal(self, edge: Edge) -> None:
-        assert self.duty
+        assert self.leadership
         for name, used in self.used.items():
             asked, until = self.now, self.now + self.life * 0.98 / edge.rate
-            if self.duty.deal(self.now, pb.Deal(whole=[name])).all:
+            if self.leadership.deal(self.now, pb.BudgetRequest(whole=[name])).all:
                 self.hand_out(edge, edge.life, used, until, self.rng.choice((asked + 0.02, until)))
 
     def hand_out(
@@ -270,9 +275,9 @@
         elif kind == "thaw":
             self.frozen = set()
         elif kind in ("leader", "all restart"):
-            self.duty = None
+            self.leadership = None
             if kind == "all restart":
-                self.roll = Roll()
+                self.node_registry = NodeRegistry()
             self.later(self.rng.uniform(0.5, 2.0), lambda: self.hold_duty(True))
         if kind in ("restart", "all restart"):
             for edge in self.edges.values() if kind == "all restart" else [self.edges[names[whom]]]:
@@ -285,8 +290,8 @@
                 self.later(0.3, lambda edge=edge: self.ask(edge, edge.life))  # type: ignore[misc]
 
     def tick(self) -> None:
-        if self.duty:
-            self.duty.tick(self.now)
+        if self.leadership:
+            self.leadership.tick(self.now)
         self.later(0.05, self.tick)
 
     def run(self, troubles: list[Trouble], until: float = 30.0) -> None:
@@ -375,20 +380,20 @@
 
 def full_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A later leader deals as if nothing had been dealt before."""
-    begin = Purse.__init__
-    monkeypatch.setattr(Purse, "__init__", lambda self, now, ever: begin(self, now, False))
+    begin = BudgetCounter.__init__
+    monkeypatch.setattr(BudgetCounter, "__init__", lambda self, now, ever: begin(self, now, False))
 
 
 def counts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A part is passed on though its leader was not heard."""
-    monkeypatch.setattr(Roll, "all_heard", lambda self, now: True)
-    monkeypatch.setattr(Roll, "silent", lambda self, now, edges: 0)
+    monkeypatch.setattr(NodeRegistry, "all_heard", lambda self, now: True)
+    monkeypatch.setattr(NodeRegistry, "silent", lambda self, now, edges: 0)
 
 
 def fast_refill(monkeypatch: pytest.MonkeyPatch) -> None:
     """The life of units that are dealt is left out of the sum."""
     monkeypatch.setattr(
-        Whole, "rate", property(lambda whole: (whole.size - whole.most / 2) / whole.window)
+        Budget, "rate", property(lambda whole: (whole.size - whole.most / 2) / whole.window)
     )
 
 
--- a/tests/test_playhouse_wings.py
+++ b/tests/test_playhouse_wings.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from cairndale.errors import Code, SystemFailure
+from cairndale.errors import CallError, FaultCode, RejectedError
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
-from cairndale.rpc.framing import Frames
-from cairndale.rpc.leader_client import Reach
-from cairndale.rpc.peer import Wings
+from cairndale.rpc.framing import FramedConnection
+from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.peer import RpcPeer
 
 HOST = "127.0.0.1"
 
@@ -28,16 +28,18 @@
 
 
 async def answer(envelope: pb.Envelope) -> pb.Envelope:
-    if envelope.order.path == "no":
-        raise SystemFailure(Code.REFUSED)
-    if envelope.order.path == "not here":
-        return pb.Envelope(fault=Code.NOT_LEADER, pass_to=envelope.order.method)
-    return pb.Envelope(outcome=pb.Outcome(status=200, body=envelope.order.body))
+    if envelope.operation_request.path == "no":
+        raise RejectedError()
+    if envelope.operation_request.path == "not here":
+        return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=envelope.operation_request.method)
+    return pb.Envelope(
+        operation_response=pb.OperationResponse(status=200, body=envelope.operation_request.body)
+    )
 
 
 @asynccontextmanager
-async def wings(port: int | None = None) -> AsyncIterator[Wings]:
-    made = Wings((HOST, port or free()), lambda envelope: None, answer)
+async def rpc_peer(port: int | None = None) -> AsyncIterator[RpcPeer]:
+    made = RpcPeer((HOST, port or free()), lambda envelope: None, answer)
     await made.listen()
     try:
         yield made
@@ -46,17 +48,17 @@
 
 
 def order(path: str = "", method: str = "") -> pb.Envelope:
-    return pb.Envelope(order=pb.Order(path=path, method=method, body=b"x"))
+    return pb.Envelope(operation_request=pb.OperationRequest(path=path, method=method, body=b"x"))
 
 
 async def test_a_connection_that_ends_as_it_comes_up_does_not_stay_for_good() -> None:
     """Storm 2005: a dead connection was kept as the one to its door, and nothing was dialled
     again."""
-    async with wings() as ours:
+    async with rpc_peer() as ours:
         loop, port = asyncio.get_running_loop(), free()
-        door = f"{HOST}:{port}"
+        address = f"{HOST}:{port}"
 
-        class Ends(Frames):
+        class Ends(FramedConnection):
             """Over before who dialled it goes on, as where a relay finds nobody behind it."""
 
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -65,43 +67,43 @@
 
         closing = await loop.create_server(asyncio.Protocol, HOST, port)
         ours.frames = Ends
-        with pytest.raises(SystemFailure):
-            await ours.call(door, order(), 0.5)
+        with pytest.raises(CallError):
+            await ours.call(address, order(), 0.5)
         closing.close()
         await closing.wait_closed()
-        ours.frames = Frames
-        async with wings(port):
+        ours.frames = FramedConnection
+        async with rpc_peer(port):
             async with asyncio.timeout(5):
                 while True:
                     try:
-                        answered = await ours.call(door, order(), 0.5)
+                        answered = await ours.call(address, order(), 0.5)
                         break
-                    except SystemFailure:
+                    except CallError:
                         await asyncio.sleep(0.01)
-        assert answered.outcome.body == b"x"
+        assert answered.operation_response.body == b"x"
 
 
 async def test_what_is_known_of_a_call_that_failed() -> None:
-    async with wings() as ours, wings() as theirs:
-        with pytest.raises(SystemFailure) as refused:
+    async with rpc_peer() as ours, rpc_peer() as theirs:
+        with pytest.raises(CallError) as refused:
             await ours.call(theirs.own, order("no"), 1.0)
-        assert refused.value.code is Code.REFUSED and not refused.value.may_have_run
-        with pytest.raises(SystemFailure) as nobody:
+        assert refused.value.code is FaultCode.REJECTED and not refused.value.may_have_run
+        with pytest.raises(CallError) as nobody:
             await ours.call(f"{HOST}:{free()}", order(), 1.0)
-        assert nobody.value.code is Code.UNREACHABLE and not nobody.value.may_have_run
+        assert nobody.value.code is FaultCode.UNREACHABLE and not nobody.value.may_have_run
 
         async def never(envelope: pb.Envelope) -> pb.Envelope:
             await asyncio.Event().wait()
             raise AssertionError
 
         theirs._handle = never
-        with pytest.raises(SystemFailure) as silent:
+        with pytest.raises(CallError) as silent:
             await ours.call(theirs.own, order(), 0.1)
-        assert silent.value.code is Code.SILENT and silent.value.may_have_run
+        assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
 
 
 async def test_bytes_that_are_no_frame_end_the_connection_and_are_counted() -> None:
-    async with wings() as ours:
+    async with rpc_peer() as ours:
         host, _, port = ours.own.rpartition(":")
         for data in (
             struct.pack(">I", 5) + b"\xff" * 5,
@@ -117,39 +119,39 @@
 
 
 async def test_a_call_finds_the_holder_by_hints_and_round_a_cut_by_a_peer() -> None:
-    async with wings() as ours, wings() as other, wings() as leader, wings() as peer:
-        reach = Reach(ours, lambda: [other.own], lambda: [peer.own])
+    async with rpc_peer() as ours, rpc_peer() as other, rpc_peer() as leader, rpc_peer() as peer:
+        leader_client = LeaderClient(ours, lambda: [other.own], lambda: [peer.own])
 
         async def elsewhere(envelope: pb.Envelope) -> pb.Envelope:
-            return pb.Envelope(fault=Code.NOT_LEADER, pass_to=leader.own)
+            return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=leader.own)
 
         other._handle = elsewhere
         assert (
-            await reach.call(order(), 2.0, 1.0)
-        ).outcome.status == 200 and reach.hint == leader.own
+            await leader_client.call(order(), 2.0, 1.0)
+        ).operation_response.status == 200 and leader_client.hint == leader.own
         straight = ours._send
 
-        def cut(door: str, envelope: pb.Envelope) -> None:
-            if door != leader.own:  # what goes straight to the leader is lost
-                straight(door, envelope)
+        def cut(address: str, envelope: pb.Envelope) -> None:
+            if address != leader.own:  # what goes straight to the leader is lost
+                straight(address, envelope)
 
         ours._send = cut  # type: ignore[method-assign]
-        assert (await reach.call(order(), 2.0, 0.1)).outcome.status == 200
-        assert reach.hint == leader.own and reach._is_bad(leader.own, ours.now())
+        assert (await leader_client.call(order(), 2.0, 0.1)).operation_response.status == 200
+        assert leader_client.hint == leader.own and leader_client._is_bad(leader.own, ours.now())
 
 
 async def test_damaged_lists_are_asked_for_anew_and_never_come_through() -> None:
-    async with wings() as ours, wings() as leader:
+    async with rpc_peer() as ours, rpc_peer() as leader:
         cues = [
-            pb.Cue(script=1, lists=b"no lists"),
-            pb.Cue(script=2, lists=packed(pb.Cue(node_gone=["a"]))),
+            pb.WatchResponse(config_version=1, lists=b"no lists"),
+            pb.WatchResponse(config_version=2, lists=packed(pb.WatchResponse(node_gone=["a"]))),
         ]
 
         async def told(envelope: pb.Envelope) -> pb.Envelope:
-            return pb.Envelope(cue=cues.pop(0))
+            return pb.Envelope(watch_response=cues.pop(0))
 
         leader._handle = told
-        answer = await Reach(ours, lambda: [leader.own], list).call(
-            pb.Envelope(ask=pb.Ask()), 2.0, 1.0
+        answer = await LeaderClient(ours, lambda: [leader.own], list).call(
+            pb.Envelope(watch_request=pb.WatchRequest()), 2.0, 1.0
         )
-        assert answer.cue == pb.Cue(script=2, node_gone=["a"])
+        assert answer.watch_response == pb.WatchResponse(config_version=2, node_gone=["a"])
--- a/tests/test_playhouse_zones.py
+++ b/tests/test_playhouse_zones.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from cairndale.control.leadership import Duty
-from cairndale.errors import SystemFailure
-from cairndale.registry.endpoints import Board
-from cairndale.registry.nodes import Roll
+from cairndale.control.leadership import Leadership
+from cairndale.errors import CallError
+from cairndale.registry.endpoints import EndpointRegistry
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.leader_client import LeaderClient
 from tests.serving_world import World as Machines
 from tests.serving_world import in_memory, play
 from tests.test_playhouse_return import Ingress as FleetIngress
@@ -38,11 +38,15 @@
         assert leader
         host = next(h for h in world.hosts if h != leader.settings.ip)
         world.part(host, [*world.hosts, *(i.host for i in world.ingresses)])
-        reach: Reach = world.cores[host].reach
+        leader_client: LeaderClient = world.cores[host].leader_client
         for within in [0.95, *(random.Random(1).uniform(0.05, 1.0) for _ in range(40))]:
             began = now()
-            with pytest.raises(SystemFailure):
-                await reach.call(pb.Envelope(order=pb.Order(path=json.dumps(within))), within, 0.4)
+            with pytest.raises(CallError):
+                await leader_client.call(
+                    pb.Envelope(operation_request=pb.OperationRequest(path=json.dumps(within))),
+                    within,
+                    0.4,
+                )
             assert now() - began <= within + 1e-6
 
     play(scene())
@@ -59,8 +63,8 @@
             super().spend(edge)
 
     def lease(self, edge: Edge) -> None:
-        assert self.duty
-        left = self.duty.lease(self.now, pb.Lease(tenant="t", amount=1.0))
+        assert self.leadership
+        left = self.leadership.lease(self.now, pb.QuotaRequest(tenant="t", amount=1.0))
         if left is not None and left >= 0.0:
             self.spent.append((self.now, 1.0))
 
@@ -82,7 +86,7 @@
     parts."""
     world = OneAsks(seed, quota=SMALL)
     world.run(LOST, 12.0)
-    assert 5.0 < world.began < 8.0 and world.duty
+    assert 5.0 < world.began < 8.0 and world.leadership
     assert world.had(1.0, 4.0) > 0.75 * SMALL[0] * 3.0
 
 
@@ -90,8 +94,8 @@
     world = OneAsks(1, quota=SMALL)
     world.spend = lambda edge: None  # type: ignore[method-assign]
     world.run(LOST, 9.5)
-    assert world.duty and world.duty.counting and world.now - world.began < 4.0
-    left = world.duty.lease(world.now, pb.Lease(tenant="t", amount=SMALL[1]))
+    assert world.leadership and world.leadership.counting and world.now - world.began < 4.0
+    left = world.leadership.lease(world.now, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
     assert left is not None and left >= 0.0
 
 
@@ -102,17 +106,19 @@
     """Of two that were killed with the leader one asks before it is 1 ms old. `told`: it lives
     on."""
     world = World(1, quota=SMALL)
-    duty = Duty(2, 10.0, True, Board(), Roll(), ["e0", "e1"], BOUNDS, 1.5)
-    duty.follow(world.state)
+    leadership = Leadership(
+        2, 10.0, True, EndpointRegistry(), NodeRegistry(), ["e0", "e1"], BOUNDS, 1.5
+    )
+    leadership.follow(world.state)
 
     def ask(name: str, now: float, epoch: str, idle: int) -> None:
-        node = pb.Node(name=name, life="1", kind="edge", door="d")
-        duty.asked(now, pb.Ask(node=node, epoch=epoch, idle_ms=idle))
+        node = pb.Node(name=name, life="1", kind="edge", address="d")
+        leadership.asked(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
 
     ask("e0", 10.1, "1" if told else "", 0)
-    assert duty.counting == told
+    assert leadership.counting == told
     ask("e1", 12.0, "", 1900)
-    left = duty.lease(12.1, pb.Lease(tenant="t", amount=SMALL[1]))
+    left = leadership.lease(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
     assert left is not None and (left >= 0.0) == (not told)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -240,8 +240,8 @@
         ["git", "ls-files"], cwd=ROOT, capture_output=True, text=True, check=True
     ).stdout
     for name in files.split():
-        if name.startswith("cairndale/ingress/") or name == "requirements.txt":
-            (tmp_path / name).parent.mkdir(exist_ok=True)
+        if name.startswith("cairndale/") or name == "requirements.txt":
+            (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
             (tmp_path / name).write_bytes((ROOT / name).read_bytes())
     (tmp_path / ".venv").mkdir()  # left by a build that was cut off
     for _ in range(2):
