--- a/tests/test_directory_service.py
+++ b/tests/test_directory_service.py
@@ -434,7 +434,8 @@
     async with asyncio.timeout(60):
         while service.counts.stalled < 59:
             await asyncio.sleep(0.1)
-    await asyncio.sleep(0)  # they were aborted in this turn of the loop, it may be, and are gone by the next
+    # they were aborted in this turn of the loop, it may be, and are gone by the next
+    await asyncio.sleep(0)
     assert len(service.watches) == 21
     for watch in healthy:
         watch.writer.transport.abort()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -7,10 +7,11 @@
 import json
 import os
 import random
+import runpy
 import signal
 import subprocess
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Sequence
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
@@ -20,12 +21,13 @@
 from hypothesis import strategies as st
 
 from cairndale.lab.faults import history, linear, links, many, schedule
-from cairndale.lab.faults.calls import Lost, NotSent, ask
+from cairndale.lab.faults.calls import Desk, Lost, NotSent, ask
 from cairndale.lab.faults.history import CONFLICT, OK, REFUSED, UNKNOWN, Call, Writer
-from cairndale.lab.faults.host import result_of
+from cairndale.lab.faults.host import Host, result_of
 from cairndale.lab.faults.judge import BROKEN, HOLDS, UNDECIDED, Seen, judge, judge_calls
 from cairndale.lab.faults.launch import CONTROL, Clocks, Control, cut_power
 from cairndale.lab.faults.links import Conditions, Shaper, mangled, together
+from cairndale.lab.faults.processes import Process
 from cairndale.lab.faults.relay import HELD, Front, Relays, UdpFront
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.scenario import ScenarioError
@@ -525,10 +527,12 @@
 # Runs.
 
 
-def run(tmp_path: Path, text: str, *more: str, status: int) -> Any:
+def run(
+    tmp_path: Path, text: str, *more: str, status: int, by: Sequence[str] = ("-m", "cairndale.lab")
+) -> Any:
     path = tmp_path / "schedule.toml"
     path.write_text(text)
-    command = [sys.executable, "-m", "cairndale.lab", "faults", "run", str(path), "--json", *more]
+    command = [sys.executable, *by, "faults", "run", str(path), "--json", *more]
     command += ["--out", str(tmp_path / "out")]
     said = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert said.returncode == status, said.stderr + said.stdout
@@ -603,13 +607,51 @@
     assert result_of(out).verdict.passed and not (out / "l0").exists()
 
 
+def lab_that_waits_for_its_writer() -> None:
+    """The lab's command line, with `l0` killed only once a write to each of the registers was
+    answered, and held as not yet back until one of them was read that nobody has written since:
+    however slow it all is."""
+    written: set[str] = set()  # before `l0` was back
+    anew: set[str] = set()  # since
+    ready, looked, back = asyncio.Event(), asyncio.Event(), asyncio.Event()
+    end, on_process, is_back = Desk.end, Host._on_process, Host._back
+
+    def ends(self: Desk, number: int, outcome: str) -> None:
+        call = self.open[number]
+        end(self, number, outcome)
+        if call.kind in ("write", "cas") and outcome in (OK, UNKNOWN) and back.is_set():
+            anew.add(call.key)
+        elif call.kind in ("write", "cas") and outcome == OK:
+            written.add(call.key)
+            if written == set(self.registers):
+                ready.set()
+        elif call.kind == "read" and back.is_set() and call.key not in anew:
+            looked.set()
+
+    async def waits(
+        self: Host, number: int, fault: schedule.Fault, it: Process, until: float
+    ) -> None:
+        if fault.power:
+            await ready.wait()
+        await on_process(self, number, fault, it, until)
+
+    async def comes_back(self: Host, it: Process) -> None:
+        await is_back(self, it)
+        back.set()
+        await looked.wait()  # the load goes on until all faults are over, or 30 s longer
+
+    Desk.end, Host._on_process, Host._back = ends, waits, comes_back  # type: ignore[method-assign]
+    runpy.run_module("cairndale.lab", run_name="__main__", alter_sys=True)
+
+
 def test_a_write_that_is_answered_before_its_sync_is_found_when_the_power_goes(
     tmp_path: Path,
 ) -> None:
     """The one writer there is finds, once the leader is back, all registers as they were at the
     start: it reads them before anybody can write them anew."""
     text = SMALL.replace("writers = 2", "writers = 1").replace("servers = 2", "servers = 4")
-    said = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1)
+    by = ("-c", "from tests import test_faults; test_faults.lab_that_waits_for_its_writer()")
+    said = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1, by=by)
     assert BROKEN in (said["properties"][p] for p in ("linearizable", "kept", "fresh"))
     assert said["properties"]["once"] == HOLDS and any(f["events"] for f in said["findings"])
 
