--- a/cairndale/chaos/faults.py
+++ b/cairndale/chaos/faults.py
@@ -49,7 +49,7 @@
         return self.rng.choice(self.cores())
 
     async def learners(self) -> list[str]:
-        """Core machines that carry the log and do not vote, as far as the leader says."""
+        """Core machines that carry the log and do not vote, as the leader says."""
         addresses: set[str] = set()
         with contextlib.suppress(TimeoutError, KeyError):
             _, shown = await self.world.order("GET", "Fleet.Show", within=1.5)
--- a/cairndale/chaos/register.py
+++ b/cairndale/chaos/register.py
@@ -1,7 +1,7 @@
 """Is a history of versions, each built on the one before, that of one register (linearizable)?
 
 Versions are written in a known order, each once, so that a greedy search is complete: each version
-is put in force as early as what is known of the ones before it allows, which leaves most room for
+is put in force as what is known of the ones before it allows, which leaves most room for
 all later ones. A version is in force from its point on until the next one's. A write that was
 acknowledged has its point between its first sending and its first acknowledgement; a read finds the
 version in force at some moment between its begin and its end; a refusal of a write that builds on P
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -2,7 +2,7 @@
 
 In contact is: the leader, with a majority behind it, has answered something that was sent from here
 less than `CONTACT` of a server's beat ago. So whoever is cut off, in either direction, confirms one
-beat of a server's after the cut at most, and that one is told as soon as there is a way."""
+beat of a server's after the cut at most, and that one is told as there is a way."""
 
 from __future__ import annotations
 
--- a/cairndale/control/idempotency.py
+++ b/cairndale/control/idempotency.py
@@ -1,4 +1,4 @@
-"""Answers to calls that are not to be acted on twice: remembered for as long as a copy may
+"""Answers to calls that are not to be acted on twice: remembered for as a copy may
 arrive."""
 
 from __future__ import annotations
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which server takes a request: near ones first, as far as their slots reach, then a stated spill.
+"""Which server takes a request: near ones first, as their slots reach, then a stated spill.
 
 The endpoint pool of `cairndale.ingress.policy.endpoint_pool` with other rules, for what is known
 here: services, zones, slots. Costs are in usual answers' times. Times are microseconds."""
--- a/cairndale/discovery/replica.py
+++ b/cairndale/discovery/replica.py
@@ -47,7 +47,7 @@
     writes_at: str = ""
     behind_since: float | None = None
     begun: float = 0.0
-    sure_at: float | None = None  # the list here is at least as new as the leader's at that time
+    sure_at: float | None = None  # the list here is at least as the leader's at that time
     asks: bool = True  # the leader answers questions: it is no older program
     _pulses: deque[tuple[int, float]] = field(
         default_factory=deque
--- a/cairndale/gossip/core.py
+++ b/cairndale/gossip/core.py
@@ -277,7 +277,7 @@
             del self._queue[max(self._queue, key=lambda k: self._queue[k].times)]
 
     def _news(self, room: int) -> tuple[Raw, ...]:
-        """What was told least goes first, as much as fits; what was told often enough is
+        """What was told least goes first, as fits; what was told often enough is
         dropped."""
         if not self._queue:
             return ()
--- a/cairndale/ingress/cli/read.py
+++ b/cairndale/ingress/cli/read.py
@@ -331,7 +331,7 @@
 
 
 def from_platform(raw: dict[str, Any]) -> Config:
-    """The platform's JSON as the model, as far as that has a place for it. Raises ConfigErrors."""
+    """The platform's JSON as the model, as that has a place for it. Raises ConfigErrors."""
     try:
         settings, limits = raw["settings"], raw.get("limits", {})
         ceilings, zones = settings["ceilings"], settings.get("failure_domains") or ["here"]
--- a/cairndale/ingress/net/clients.py
+++ b/cairndale/ingress/net/clients.py
@@ -321,7 +321,7 @@
         return True
 
     def give_way(self) -> bool:
-        """Closes it though a request may have begun, as long as none is whole, nor more of one
+        """Closes it though a request may have begun, as none is whole, nor more of one
         unread."""
         whole = self._current is not None or self._waiting
         if whole or self.transport.is_closing() or unread(self.transport):
--- a/cairndale/ingress/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -757,7 +757,7 @@
     """A name keeps its number; what was dropped keeps its place, what is new comes behind."""
     named: dict[str, Named] = {entry.name: entry for entry in now}
     kept: list[Named] = [named.get(entry.name, entry) for entry in before]
-    known = set(kept)  # there may be as many as a site has tenants
+    known = set(kept)  # there may be as a site has tenants
     return tuple(kept + [entry for entry in now if entry not in known])
 
 
--- a/cairndale/ingress/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -151,7 +151,7 @@
             writer.close()
 
     async def _pass_on(self, talk: Talk) -> None:
-        """All or nothing: if the new process does not get as far as serving, this one goes on."""
+        """All or nothing: if the new process does not get as serving, this one goes on."""
         self._listener.step_aside(True)
         state = self._engine.hand_over() | {"module": handover_state.hand_over(self._gateway)}
         kept = self._sockets.cap
--- a/cairndale/ingress/policy/account.py
+++ b/cairndale/ingress/policy/account.py
@@ -66,7 +66,7 @@
     spread: int
     slot_us: int  # T0, and d_0: one slot
     level_at: int
-    level: float = 0.0  # the most the shared store can hold, as far as this gateway has seen
+    level: float = 0.0  # the most the shared store can hold, as this gateway has seen
     share: float = 0.0  # this gateway's part, spent only without the counter
     tokens: float = 0.0  # W: leased units left
     rate: float = 0.0  # r_t: size of the last lease over its expected life
@@ -266,7 +266,7 @@
         if self.tight(account) and self.now - account.heard_at < KNOWN * account.window_us:
             part = account.chance
         elif strict or account.plan.burst >= units * account.spread:
-            part = part // 1  # else never as much as one
+            part = part // 1  # else never as one
         if self.rng.random() >= part:
             self.overflow(request)
         else:
--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -62,7 +62,7 @@
     memory: int = 0  # how long keyed backends remember, from the first send that may have run
     stream: bool = False
     aim_stretch: float = 0.0
-    tries: int = 0  # backends that one request may reach; 0: as many as the limits say
+    tries: int = 0  # backends that one request may reach; 0: as the limits say
 
 
 @dataclass(frozen=True, slots=True)
--- a/cairndale/lab/__main__.py
+++ b/cairndale/lab/__main__.py
@@ -102,7 +102,7 @@
 @click.option(
     "--variant", default="module", show_default=True, help="POLICY[@CHECKOUT][+PATH=VALUE]..."
 )
-@click.option("--live", is_flag=True, help="the real programs on loopback, as fast as the clock")
+@click.option("--live", is_flag=True, help="the real programs on loopback, as the clock")
 @click.option("--out", type=click.Path(path_type=Path), default=Path("lab-out"), show_default=True)
 @click.option("--record", is_flag=True, help="keep everything that was seen (.npz)")
 def run(name: str, seed: int, variant: str, live: bool, out: Path, record: bool) -> None:
--- a/cairndale/lab/faults/calls.py
+++ b/cairndale/lab/faults/calls.py
@@ -232,7 +232,7 @@
 
 
 class ListReader:
-    """Reads from every list service in turn, as old as its status says that it may be."""
+    """Reads from every list service in turn, as its status says that it may be."""
 
     def __init__(self, name: str, desk: Desk, lists: list[Place], rng: random.Random) -> None:
         self.name, self.desk, self.lists, self.rng = name, desk, lists, rng
--- a/cairndale/lab/faults/cli.py
+++ b/cairndale/lab/faults/cli.py
@@ -100,7 +100,7 @@
 @click.option(
     "--minutes", default=5.0, show_default=True, type=click.FloatRange(min=0, min_open=True)
 )
-@click.option("--seeds", default=0, help="at most so many; 0: as many as there is time for")
+@click.option("--seeds", default=0, help="at most so many; 0: as there is time for")
 @click.option("--from", "first", default=1, show_default=True, help="the first seed")
 @click.option("--jobs", default=0, help="runs at once; 0: two for each core")
 @click.option("--out", type=click.Path(path_type=Path), default=OUT / "hunt", show_default=True)
--- a/cairndale/lab/faults/linear.py
+++ b/cairndale/lab/faults/linear.py
@@ -51,7 +51,7 @@
 
 
 def _relevant(calls: Sequence[Call]) -> list[tuple[Call, int]]:
-    """The calls that say something, each with the value it writes as far as anybody could tell."""
+    """The calls that say something, each with the value it writes as anybody could tell."""
     seen = {c.value for c in calls if c.kind == "read" and c.outcome == OK}
     seen |= {c.expected for c in calls if c.kind == "cas"}
     conflicts = any(c.outcome == CONFLICT for c in calls)
--- a/cairndale/quota/budget_counter.py
+++ b/cairndale/quota/budget_counter.py
@@ -16,7 +16,7 @@
 
 from cairndale.settings import Bounds
 
-LIFE = 0.3  # s from the ask on: a request goes out as soon as it is dealt its units
+LIFE = 0.3  # s from the ask on: a request goes out as it is dealt its units
 SAVED = 0.25  # of a whole, that a store can save up
 KEPT = 1024  # stores, beyond which those that were not asked of for ...
 FULL = 60.0  # ... so many seconds, and are full again, are forgotten
--- a/cairndale/quota/quota_counter.py
+++ b/cairndale/quota/quota_counter.py
@@ -12,7 +12,7 @@
 that, and over half of what the bound leaves (many ingresses, a small quota), nobody saves while in
 touch: each begins with nothing when it loses touch, and the room for one unit is left only for
 those that may be out of touch now. What such a one saves from then on is no more than what the
-store refills less. A new leader of the duty begins to count with empty stores, or as full as they
+store refills less. A new leader of the duty begins to count with empty stores, or as they
 must be where all have been heard of and nobody spent anything. Those it has not heard of count as
 out of touch, and those in touch think of the number it told."""
 
--- a/cairndale/raft/fragments.py
+++ b/cairndale/raft/fragments.py
@@ -47,7 +47,7 @@
 
 
 def is_sound(data: bytes) -> bool:
-    """Of an entry's data: whether it is as it was made, as far as it tells."""
+    """Of an entry's data: whether it is as it was made, as it tells."""
     try:
         return not is_fragment(data) or bool(read(data))
     except FragmentError:
--- a/cairndale/raft/membership.py
+++ b/cairndale/raft/membership.py
@@ -22,7 +22,7 @@
         self.leaving, self._join_at = True, float("-inf")
 
     def is_out(self) -> bool:
-        """Neither the leader nor, as far as is known here, one whose word is needed."""
+        """Neither the leader nor, as is known here, one whose word is needed."""
         return self.role is not Role.LEADER and not self.may_stand()
 
     def _others(self) -> list[str]:
--- a/cairndale/raft/replica.py
+++ b/cairndale/raft/replica.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Progress:
-    """How far another member is, as far as the leader knows."""
+    """How far another member is, as the leader knows."""
 
     member: Member
     next: int
--- a/cairndale/raft/storage.py
+++ b/cairndale/raft/storage.py
@@ -152,7 +152,7 @@
         return kept
 
     def _read(self, look: lmdb.Transaction, pointer: bytes) -> tuple[SnapshotHead, bytes]:
-        """What a pointer leads to, as far as it goes on without a gap."""
+        """What a pointer leads to, as it goes on without a gap."""
         (generation,), head = struct.unpack(">Q", pointer[:8]), codec.head_in(pointer[8:])
         found, at = [], 0
         with look.cursor(self._parts) as cursor:
--- a/cairndale/raft/voters.py
+++ b/cairndale/raft/voters.py
@@ -100,7 +100,7 @@
     """The disks that are to vote from the next configuration on; those of now, where nothing is
     better.
 
-    `fit`: disks that are up to date; `steady`: of those heard for as long as it takes to call one
+    `fit`: disks that are up to date; `steady`: of those heard for as it takes to call one
     lost; `lost`: of members that were silent for so long; `leaving`: of those that said so; `keep`:
     the leader's, which stays. No set that bears less takes the place of another."""
     away = frozenset((*lost, *leaving))
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -21,7 +21,7 @@
 ASK_LAG = 0.35  # s beyond the hold that an answer is waited for ...
 # ... and this part of what the hold is beyond HOLD: with many, answers are larger, and queue
 LAG_PART = 0.5
-# s beyond that after which an ingress may be out of touch, as far as its leader can tell ...
+# s beyond that after which an ingress may be out of touch, as its leader can tell ...
 HEARD = 0.25
 FRESH = 0.05  # s between an ask and its coming within which it counts as made when it came
 PROMPT = 0.05  # s from a cue to the next ask within which that says that who asks is in touch
@@ -45,7 +45,7 @@
     node: pb.Node
     lease_end: float
     heard_at: float
-    asked_at: float  # when its newest ask was made, as far as that is known: not later
+    asked_at: float  # when its newest ask was made, as that is known: not later
     config_version: int  # the version it has told that it serves by
     made_at: float = float("-inf")  # of its newest ask, by the clock that cues tell of
     idle_from: float = float("inf")  # since when it has spent nothing, and ...
--- a/cairndale/rpc/call_kinds.py
+++ b/cairndale/rpc/call_kinds.py
@@ -17,7 +17,7 @@
         "it says how things are: a copy says the same, an older one is told by its clock, "
         "index or number"
     )
-    REMEMBERED = "its id is remembered with the answer, for as long as a copy may arrive"
+    REMEMBERED = "its id is remembered with the answer, for as a copy may arrive"
     KEYED = "what it orders has a name of its own, which the log remembers"
     ANSWER = "it is taken once, by the call that waits on its connection"
 
--- a/cairndale/rpc/leader_client.py
+++ b/cairndale/rpc/leader_client.py
@@ -64,7 +64,7 @@
         return random.choice(others) if others else address
 
     def tell(self, envelope: pb.Envelope) -> None:
-        """To the leader, as far as it is known; may be lost, and means nothing to a later one."""
+        """To the leader, as it is known; may be lost, and means nothing to a later one."""
         envelope.term = self._rpc_peer.fence.newest
         if self.hint:
             self._rpc_peer.tell(self.hint, envelope)
--- a/cairndale/scale/__main__.py
+++ b/cairndale/scale/__main__.py
@@ -32,7 +32,7 @@
         kind = float if field.type == "float" else int
         name = f"--{field.name.replace('_', '-')}"
         parser.add_argument(name, type=kind, default=field.default, help=f"default {field.default}")
-    parser.add_argument("--json", type=Path, help="where the figures go as JSON as well")
+    parser.add_argument("--json", type=Path, help="where the figures go as well")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
         "--steady", action="store_true", help="measure only, bring no trouble about"
--- a/cairndale/scale/gauge.py
+++ b/cairndale/scale/gauge.py
@@ -28,7 +28,7 @@
         self._at, self._cpu, self._waited = time.monotonic(), time.process_time(), waited_s()
 
     async def watch(self) -> None:
-        """How much later than asked a timer goes off, for as long as it runs."""
+        """How much later than asked a timer goes off, for as it runs."""
         while True:
             due = time.monotonic() + STEP
             await asyncio.sleep(STEP)
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -142,7 +142,7 @@
 
 
 def _look_ups(kept: dict[str, Told]) -> list[tuple[str, str, str]]:
-    """At the size, if each client makes one request a second and looks up as often as it is told
+    """At the size, if each client makes one request a second and looks up as it is told
     to."""
     n, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
     found = sums.look_ups(kept)
--- a/tests/test_playhouse_differences.py
+++ b/tests/configuration/test_delta.py
@@ -28,7 +28,7 @@
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import checked
-from tests.test_playhouse_control import SETTINGS, content, route
+from tests.control.test_state_models import SETTINGS, content, route
 
 NODE = pb.Node(name="e", life="1", kind="edge", address="d", http="h")
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from tests import known_red
-from tests.directory_helpers import HELD, STARTED
+from tests.testing.discovery import HELD, STARTED
 
 
 def pytest_configure(config: pytest.Config) -> None:
--- a/tests/test_playhouse_arrivals.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -21,11 +21,11 @@
 from cairndale.raft.messages import Ready
 from cairndale.registry.endpoints import EndpointRegistry, read_heartbeat
 from cairndale.rpc import protocol_pb2 as pb
-from tests.serving_world import World, in_memory, play
-from tests.test_playhouse_control import beat
-from tests.test_playhouse_return import World as Fleet
-from tests.test_playhouse_return import play as play_fleet
-from tests.test_playhouse_serving import first, now, operator
+from tests.control.test_operations import first, now, operator
+from tests.control.test_recovery import World as Fleet
+from tests.control.test_recovery import play as play_fleet
+from tests.control.test_state_models import beat
+from tests.testing.control_cluster import World, in_memory, play
 
 WAY = 0.3  # s until the leader has answered, in the plain scenes
 
--- a/tests/test_playhouse_serving.py
+++ b/tests/control/test_operations.py
@@ -28,8 +28,8 @@
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import checked
-from tests.serving_world import World, configuration, in_memory, play
-from tests.test_playhouse_control import SETTINGS, beat
+from tests.control.test_state_models import SETTINGS, beat
+from tests.testing.control_cluster import World, configuration, in_memory, play
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_playhouse_return.py
+++ b/tests/control/test_recovery.py
@@ -1,5 +1,5 @@
 """The return of a whole system and of a zone: the leader's answers to all ingresses in virtual
-time, with a processor and links as slow as those of the smallest machines, beside plain ingresses
+time, with a processor and links as those of the smallest machines, beside plain ingresses
 and servers."""
 
 from __future__ import annotations
--- a/tests/test_playhouse_zones.py
+++ b/tests/control/test_zone_loss.py
@@ -16,13 +16,13 @@
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
-from tests.serving_world import World as Machines
-from tests.serving_world import in_memory, play
-from tests.test_playhouse_return import Ingress as FleetIngress
-from tests.test_playhouse_return import World as Fleet
-from tests.test_playhouse_return import play as play_fleet
-from tests.test_playhouse_serving import now
-from tests.test_playhouse_units import BOUNDS, SMALL, Edge, Trouble, World, broken, drawn
+from tests.control.test_operations import now
+from tests.control.test_recovery import Ingress as FleetIngress
+from tests.control.test_recovery import World as Fleet
+from tests.control.test_recovery import play as play_fleet
+from tests.quota.test_quota import BOUNDS, SMALL, Edge, Trouble, World, broken, drawn
+from tests.testing.control_cluster import World as Machines
+from tests.testing.control_cluster import in_memory, play
 
 ZONE = 5  # of the ingresses: those that are lost with the leader
 
--- a/tests/test_playhouse_house.py
+++ b/tests/dataplane/test_node.py
@@ -16,8 +16,8 @@
 from cairndale.quota.budget_counter import FURTHER, STARTS
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import checked
-from tests.net_helpers import HOST, PeerServer
-from tests.test_playhouse_control import SETTINGS, content, route
+from tests.control.test_state_models import SETTINGS, content, route
+from tests.testing.ingress import HOST, PeerServer
 
 
 def watch_response(epoch: str, servers: dict[str, str], **fields: Any) -> pb.WatchResponse:
--- a/tests/test_playhouse_request.py
+++ b/tests/dataplane/test_request.py
@@ -21,7 +21,7 @@
 from cairndale.ingress.policy.engine import Gateway
 from cairndale.ingress.policy.interface import Outcome, Repeat
 from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
-from tests.net_helpers import Wheel
+from tests.testing.ingress import Wheel
 
 SECOND = 1_000_000
 CLASSES = (
--- a/tests/test_playhouse_servers.py
+++ b/tests/dataplane/test_upstream_protocol.py
@@ -16,8 +16,8 @@
 from cairndale.ingress.net.bodies import Memory, Upload
 from cairndale.ingress.net.engine import Answer, Flow
 from cairndale.ingress.policy.interface import Outcome
-from tests.net_helpers import PeerServer, answers
-from tests.test_net_backends import Fleet
+from tests.ingress.net.test_backends import Fleet
+from tests.testing.ingress import PeerServer, answers
 
 ID, OTHERS = b"X-Request-Id: r1\r\n", b"X-Request-Id: r0\r\n"
 SENT = b"POST /x HTTP/1.1\r\n" + ID + b"Host: a\r\nContent-Length: 2\r\n\r\nhi"
--- a/tests/test_directory_end.py
+++ b/tests/discovery/test_end_to_end.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from cairndale.discovery.state import LEAP
-from tests.directory_helpers import HOST, ROOT, STARTED, Program, call
-from tests.net_helpers import OK, RAW, Peer, PeerServer, answers, read_answer, request
+from tests.testing.discovery import HOST, ROOT, STARTED, Program, call
+from tests.testing.ingress import OK, RAW, Peer, PeerServer, answers, read_answer, request
 
 GRACE = 0.25  # s after the news of a drain
 
--- a/tests/test_directory_lines.py
+++ b/tests/discovery/test_lines.py
@@ -13,7 +13,7 @@
 from cairndale.discovery.lines import Reader
 from cairndale.discovery.replica import Following
 from cairndale.discovery.state import Broken, Call, Record, Refused, State
-from tests.directory_helpers import names, register
+from tests.testing.discovery import names, register
 
 FIXED = settings(max_examples=200, deadline=None, derandomize=True)
 STEPS = st.one_of(
--- a/tests/test_directory_service.py
+++ b/tests/discovery/test_service.py
@@ -25,7 +25,7 @@
 from cairndale.discovery.service import Service
 from cairndale.discovery.state import LEAP, Broken, Refused, State
 from cairndale.discovery.store import Store
-from tests.directory_helpers import HOST, ROOT, Program, Watching, call, names, register
+from tests.testing.discovery import HOST, ROOT, Program, Watching, call, names, register
 
 
 @pytest_asyncio.fixture
--- a/tests/test_directory_store.py
+++ b/tests/discovery/test_store.py
@@ -16,7 +16,7 @@
 from cairndale.discovery import store as store_module
 from cairndale.discovery.state import LEAP, Broken, Call, Record, Refused, State, state_from
 from cairndale.discovery.store import HEAD, Store, Unusable
-from tests.directory_helpers import register
+from tests.testing.discovery import register
 
 FIXED = settings(
     max_examples=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
--- a/tests/features/steps/system.py
+++ b/tests/features/steps/system.py
@@ -128,7 +128,7 @@
 async def _(context: Any, world: World, service: str) -> None:
     context.drained = next(s for s in world.up if s.service == service)
     await context.drained.drain()
-    # Told to all within the bound; here as soon as both ingresses have heard, which a reader can
+    # Told to all within the bound; here as both ingresses have heard, which a reader can
     # see at once.
     await until(lambda: settled(world))
 
--- a/tests/test_members.py
+++ b/tests/gossip/test_gossip.py
@@ -37,7 +37,7 @@
     removed,
 )
 from cairndale.lab.members import Net
-from tests.directory_helpers import ROOT
+from tests.testing.discovery import ROOT
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 SEEDS = [1, 2, 3]
--- a/tests/test_front.py
+++ b/tests/ingress/cli/test_cli.py
@@ -34,9 +34,9 @@
 from cairndale.ingress.net.config import config_from
 from cairndale.ingress.net.requests import FieldError, read_timeout
 from cairndale.ingress.observability.logs import Handler, Options, Writer, stable
-from tests.net_helpers import RAW
+from tests.testing.ingress import RAW
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[3]
 HOST = "127.0.0.1"
 
 
--- a/tests/test_net_answers.py
+++ b/tests/ingress/net/test_answers.py
@@ -13,7 +13,7 @@
 from cairndale.ingress.net.engine import Answer, Flow
 from cairndale.ingress.net.http import HOLD
 from cairndale.ingress.policy.interface import Outcome
-from tests.net_helpers import ASKED, OK, Fleet, Peer, PeerServer, answers
+from tests.testing.ingress import ASKED, OK, Fleet, Peer, PeerServer, answers
 
 
 @pytest_asyncio.fixture
--- a/tests/test_net_backends.py
+++ b/tests/ingress/net/test_backends.py
@@ -14,7 +14,7 @@
 from cairndale.ingress.net.discovery import Entry
 from cairndale.ingress.net.engine import Answer, Flow
 from cairndale.ingress.policy.interface import Outcome
-from tests.net_helpers import ASKED, HOST, OK, Fleet, PeerServer, answers
+from tests.testing.ingress import ASKED, HOST, OK, Fleet, PeerServer, answers
 
 
 @pytest_asyncio.fixture
--- a/tests/test_net_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -10,7 +10,8 @@
 
 from cairndale.ingress.net.bodies import LEAST, MOST, Memory, Upload
 from cairndale.ingress.policy import interface as it
-from tests.net_helpers import (
+from tests.ingress.net.test_clients import listing, look_later
+from tests.testing.ingress import (
     HOST,
     OK,
     Ingress,
@@ -22,7 +23,6 @@
     request,
     send_first,
 )
-from tests.test_net_clients import listing, look_later
 
 LARGE = bytes(range(256)) * 4096  # 1 MiB
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n"
--- a/tests/test_net_counter.py
+++ b/tests/ingress/net/test_counter.py
@@ -16,7 +16,7 @@
 from cairndale.ingress.net.counter import Counter
 from cairndale.ingress.net.discovery import Discovery, Listing
 from cairndale.ingress.policy.interface import Outcome
-from tests.net_helpers import HOST, Peer, PeerServer
+from tests.testing.ingress import HOST, Peer, PeerServer
 
 LONG, SHORT = 10_000_000, 20_000
 
--- a/tests/test_discovery_client.py
+++ b/tests/ingress/net/test_discovery.py
@@ -31,9 +31,9 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import Gateway
 from cairndale.ingress.policy.interface import Outcome
-from tests.directory_helpers import register
-from tests.net_helpers import HOST, SETTINGS, PeerServer
-from tests.test_net_counter import HEAD, chunk
+from tests.ingress.net.test_counter import HEAD, chunk
+from tests.testing.discovery import register
+from tests.testing.ingress import HOST, SETTINGS, PeerServer
 
 FIXED = settings(
     max_examples=300, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
--- a/tests/test_net_engine.py
+++ b/tests/ingress/net/test_engine.py
@@ -12,7 +12,7 @@
 from cairndale.ingress.net.engine import LAST_ATTEMPT, Answer, Engine, Flow, Names, Wanted
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Outcome
-from tests.net_helpers import RAW, SETTINGS, Script, Wheel
+from tests.testing.ingress import RAW, SETTINGS, Script, Wheel
 
 START = 1_000_000_000
 
--- a/tests/test_net_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -19,9 +19,9 @@
 from cairndale.ingress.net import handover
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import Gateway
-from tests.helpers import SECOND, Counter, arrival, backend, listed, of, settings, settle
-from tests.net_helpers import HOST, OK, PeerServer, answers, request
-from tests.test_net_main import ask, config, listens, start
+from tests.ingress.test_main import ask, config, listens, start
+from tests.testing.ingress import HOST, OK, PeerServer, answers, request
+from tests.testing.policy import SECOND, Counter, arrival, backend, listed, of, settings, settle
 
 SOCKET = "ironledge.sock"
 
--- a/tests/test_net_ops.py
+++ b/tests/ingress/net/test_ops.py
@@ -14,7 +14,7 @@
 from cairndale.ingress.net.discovery import Listing
 from cairndale.ingress.net.ops import CALLERS, Maintenance, Ops
 from cairndale.ingress.policy import interface as it
-from tests.net_helpers import (
+from tests.testing.ingress import (
     HOST,
     OK,
     Ingress,
--- a/tests/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -7,7 +7,17 @@
 from cairndale.ingress import Gateway
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.account import OFFSETS, Account, count_name
-from tests.helpers import PLANS, SECOND, Counter, arrival, backend, listed, of, settings, settle
+from tests.testing.policy import (
+    PLANS,
+    SECOND,
+    Counter,
+    arrival,
+    backend,
+    listed,
+    of,
+    settings,
+    settle,
+)
 
 
 def gateway(**changes: object) -> Gateway:
--- a/tests/test_fleet.py
+++ b/tests/ingress/policy/test_fleet.py
@@ -7,7 +7,17 @@
 from cairndale.ingress import Gateway
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.endpoint_pool import Fleet
-from tests.helpers import DRAINING, GONE, PLANS, SECOND, arrival, backend, listed, of, settings
+from tests.testing.policy import (
+    DRAINING,
+    GONE,
+    PLANS,
+    SECOND,
+    arrival,
+    backend,
+    listed,
+    of,
+    settings,
+)
 
 FREE = (it.Plan("free", rate=0.0, burst=0.0),)
 
--- a/tests/test_rules.py
+++ b/tests/ingress/policy/test_rules.py
@@ -12,7 +12,17 @@
 
 from cairndale.ingress import Gateway
 from cairndale.ingress.policy import interface as it
-from tests.helpers import CLASSES, DRAINING, GONE, READY, SECOND, arrival, backend, listed, settings
+from tests.testing.policy import (
+    CLASSES,
+    DRAINING,
+    GONE,
+    READY,
+    SECOND,
+    arrival,
+    backend,
+    listed,
+    settings,
+)
 
 OUTCOMES = list(it.Outcome)
 NEVER_RAN = {it.Outcome.FULL, it.Outcome.CONNECT_FAILED, it.Outcome.MOOT}
--- a/tests/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -10,7 +10,17 @@
 from cairndale.ingress import Gateway
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.endpoint_pool import Fleet
-from tests.helpers import PLANS, SECOND, Counter, arrival, backend, listed, of, settings, settle
+from tests.testing.policy import (
+    PLANS,
+    SECOND,
+    Counter,
+    arrival,
+    backend,
+    listed,
+    of,
+    settings,
+    settle,
+)
 
 FREE = (it.Plan("free", rate=0.0, burst=0.0),)
 
--- a/tests/test_net_main.py
+++ b/tests/ingress/test_main.py
@@ -15,9 +15,9 @@
 
 import pytest
 
-from tests.net_helpers import HOST, OK, RAW, PeerServer, read_answer, request
+from tests.testing.ingress import HOST, OK, RAW, PeerServer, read_answer, request
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def start(path: Path) -> subprocess.Popen[str]:
--- a/tests/test_wire.py
+++ b/tests/ingress/test_wire.py
@@ -21,7 +21,7 @@
     settings_from_json,
 )
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 CONFIG = {
     "ceilings": {"cancel": True, "max_attempts": 2, "max_retry_after": 400000, "retry_after": True},
     "contracts": [
--- a/tests/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -31,7 +31,7 @@
 from cairndale.lab.faults.relay import HELD, Front, Relays, UdpFront
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.scenario import ScenarioError
-from tests.directory_helpers import ROOT, STARTED
+from tests.testing.discovery import ROOT, STARTED
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 
@@ -650,7 +650,8 @@
     """The one writer there is finds, once the leader is back, all registers as they were at the
     start: it reads them before anybody can write them anew."""
     text = SMALL.replace("writers = 2", "writers = 1").replace("servers = 2", "servers = 4")
-    by = ("-c", "from tests import test_faults; test_faults.lab_that_waits_for_its_writer()")
+    program = "from tests.lab.faults import test_faults as t; t.lab_that_waits_for_its_writer()"
+    by = ("-c", program)
     said = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1, by=by)
     assert BROKEN in (said["properties"][p] for p in ("linearizable", "kept", "fresh"))
     assert said["properties"]["once"] == HOLDS and any(f["events"] for f in said["findings"])
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -26,7 +26,7 @@
 from cairndale.lab.record import Record
 from cairndale.lab.simulate import Sight, simulate
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SHORT = """
 name = "short"
 length_s = 8
--- a/tests/test_lab_stopping.py
+++ b/tests/lab/test_stopping.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_lab import ROOT, alive, children, started
+from tests.lab.test_lab import ROOT, alive, children, started
 
 
 def ignoring_sigint() -> None:
--- a/tests/measure_core.py
+++ b/tests/measurements/measure_control.py
@@ -1,6 +1,8 @@
-"""Figures of the core: `python -m tests.measure_core`. How long nobody holds the duty after a kill,
-a freeze and a cut, in virtual time with 20 ms between members; changes a second with real lmdb
-folders."""
+"""Figures of the control side: `python -m tests.measurements.measure_control`.
+
+How long nobody leads after a kill, a freeze and a cut, in virtual time with 20 ms between members;
+changes a second with real lmdb folders.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +14,7 @@
 
 from cairndale.raft.messages import Entry, Member, PersistedState, Ready, SaveEntries, Snapshot
 from cairndale.raft.storage import RaftStorage
-from tests.test_playhouse_promptbook import DOORS, World
+from tests.raft.test_replication import DOORS, World
 
 DELAY = (0.018, 0.024)  # s one way
 
--- a/tests/measure_directory.py
+++ b/tests/measurements/measure_discovery.py
@@ -1,5 +1,6 @@
-"""Figures of the list service for `docs/directory.md`: `python -m tests.measure_directory`, some
-two minutes.
+"""Figures of the list service for `docs/directory.md`.
+
+`python -m tests.measurements.measure_discovery`, some two minutes.
 
 A real service on loopback, watched by the ingress's own client. Counts and ratios only; each spell
 is of a fixed length, and the ways to watch are measured on the same events one after another."""
@@ -27,7 +28,7 @@
 from cairndale.discovery.store import Store
 from cairndale.ingress.net import discovery as discovery_module
 from cairndale.ingress.net.discovery import Addresses, Directory, Discovery, Held, Listing
-from tests.directory_helpers import HOST, Program
+from tests.testing.discovery import HOST, Program
 
 FLEET, SERVERS, SPELL, DOWN, POLL = 200, 200, 10.0, 5.0, 2.0
 
--- a/tests/measure_front.py
+++ b/tests/measurements/measure_ingress.py
@@ -1,5 +1,6 @@
-"""Figures of the front door for `docs/observability.md`: `python -m tests.measure_front
-[CHECKOUT]`.
+"""Figures of the command line for `docs/observability.md`.
+
+`python -m tests.measurements.measure_ingress [CHECKOUT]`.
 
 Counts and paired ratios. With a checkout: start and memory of the platform's `run` there and here,
 by turns. Otherwise: processor time a request of one ingress before an echoing server, with nothing
@@ -22,10 +23,10 @@
 
 from cairndale.ingress.cli.schema import FIRST
 from cairndale.ingress.observability.logs import Options, Writer
-from tests.net_helpers import HOST, OK, RAW, PeerServer, answers
-from tests.test_front import held
+from tests.ingress.cli.test_cli import held
+from tests.testing.ingress import HOST, OK, RAW, PeerServer, answers
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 REQUESTS, ROUNDS = 4000, 5
 
 
--- a/tests/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -1,6 +1,8 @@
-"""How long each step of a snapshot and of a large command holds the loop: `python -m
-tests.measure_snapshots [ROUTES TENANTS]`. Wall clock and processor, the longest of each kind, with
-an lmdb folder here; and catching up and a large command over 2 Mbit/s."""
+"""How long each step of a snapshot and of a large command holds the loop.
+
+`python -m tests.measurements.measure_snapshots [ROUTES TENANTS]`. Wall clock and processor, the
+longest of each kind, with an lmdb folder here; and catching up and a large command over 2 Mbit/s.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +36,7 @@
 from cairndale.raft.node import RaftNode, founded
 from cairndale.raft.snapshot_transfer import SnapshotTransfer, messages
 from cairndale.raft.storage import RaftStorage
-from tests.test_playhouse_catching_up import PADDING, away, in_parts, large
+from tests.raft.test_catch_up import PADDING, away, in_parts, large
 
 T = TypeVar("T")
 
--- a/tests/measure_worst_days.py
+++ b/tests/measurements/measure_worst_days.py
@@ -1,6 +1,7 @@
-"""Draws days for the operators' bench in which each trouble of a deployment may come several times:
-`python -m tests.measure_worst_days SITE.toml FOLDER --seeds 1-10 [--most 24] [--length 60]
-[--every] [--changes 300]`.
+"""Draws days for the operators' bench in which each trouble of a deployment may come several times.
+
+`python -m tests.measurements.measure_worst_days SITE.toml FOLDER --seeds 1-10 [--most 24]
+[--length 60] [--every] [--changes 300]`.
 
 `--every`: also the kinds that the site's own list leaves out, each in all its variants;
 `--changes`: so many changes of the configuration besides, in storms over the whole day. Each file
--- a/tests/test_playhouse_catching_up.py
+++ b/tests/raft/test_catch_up.py
@@ -14,7 +14,7 @@
 from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
 from cairndale.raft.snapshot_transfer import PART, WINDOW, SnapshotReceiver
-from tests.test_playhouse_promptbook import SEEDS, World
+from tests.raft.test_replication import SEEDS, World
 
 RATE = 250_000  # bytes a second: 2 Mbit/s
 DELAY = 0.02  # s one way
--- a/tests/test_playhouse_parts.py
+++ b/tests/raft/test_fragments.py
@@ -28,9 +28,9 @@
 from cairndale.raft.node import BATCH, RaftNode, founded
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
-from tests.serving_world import World, configuration, in_memory, play
-from tests.test_playhouse_serving import History, first, operator, read
-from tests.test_playhouse_snapshots import Kill, Killed
+from tests.control.test_operations import History, first, operator, read
+from tests.raft.test_snapshots import Kill, Killed
+from tests.testing.control_cluster import World, configuration, in_memory, play
 
 ME = Member("a:1", "x")
 
@@ -75,7 +75,8 @@
 
 
 def test_a_command_comes_back_and_no_step_or_entry_has_more_than_its_share() -> None:
-    """The bound of 20 ms in units of work; `tests/measure_snapshots.py` says what these take."""
+    """The bound of 20 ms in units of work; `tests/measurements/measure_snapshots.py` says what
+    these take."""
     command = replaced(1, 0, 20_000)
     data, applier, steps = whole_or_parts(command), Applier(State()), 0
     assert len(data) > 8 and {len(d) for d in data[:-1]} == {fragments.PART - fragments.DIGEST}
--- a/tests/test_playhouse_membership.py
+++ b/tests/raft/test_membership.py
@@ -15,7 +15,7 @@
 from cairndale.raft.replica import Role
 from cairndale.raft.voters import LEAST, Tolerance, next_voters, shortfall, spread, wanted
 from cairndale.rpc import protocol_pb2 as pb
-from tests.test_playhouse_promptbook import SEEDS, Disk, World
+from tests.raft.test_replication import SEEDS, Disk, World
 
 
 def machines(*counts: dict[str, int]) -> list[Member]:
@@ -235,7 +235,7 @@
         return next(m for m in self.machines.values() if m.leads(self.now))
 
     def victim(self) -> str:
-        """The leader as often as not."""
+        """The leader as not."""
         leads = [d for d, m in self.machines.items() if m.leads(self.now)]
         return leads[0] if leads and self.rng.random() < 0.5 else self.rng.choice(self.addresses)
 
--- a/tests/test_playhouse_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -93,7 +93,8 @@
 
 
 def test_no_step_has_more_to_do_than_its_share() -> None:
-    """The bound of 20 ms in units of work; `tests/measure_snapshots.py` says what these take."""
+    """The bound of 20 ms in units of work; `tests/measurements/measure_snapshots.py` says what
+    these take."""
     parts = list(serialization.parts(grown(2, tenants=9000).raw()))
     texts = [len(zlib.decompress(part[4:])) for part in parts[1:]]
     assert len(texts) > 10 and max(texts) < serialization.TEXT + serialization.MANY * 200
--- a/tests/test_playhouse_frames.py
+++ b/tests/rpc/test_framing.py
@@ -34,8 +34,8 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds, checked
-from tests.test_playhouse_control import SETTINGS
-from tests.test_playhouse_wings import HOST, free, order, rpc_peer
+from tests.control.test_state_models import SETTINGS
+from tests.rpc.test_peer import HOST, free, order, rpc_peer
 
 HERE, OTHER = "0123456789abcdef", "fedcba9876543210"
 
--- a/tests/test_playhouse_extras.py
+++ b/tests/scale/test_scale_run.py
@@ -27,8 +27,8 @@
 from cairndale.scale.sizes import Size, errors_of
 from cairndale.scale.sweeps import sweeps
 from cairndale.scale.tally import changes, returned, spread, summed
-from tests.test_playhouse_control import content as configuration
-from tests.test_playhouse_control import route
+from tests.control.test_state_models import content as configuration
+from tests.control.test_state_models import route
 
 # The fit.
 
--- a/tests/directory_helpers.py
+++ b/tests/testing/discovery.py
@@ -15,7 +15,7 @@
 
 from cairndale.discovery.state import Call, Server
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
 HELD: list[socket.socket] = []  # closed after each test, and ...
 STARTED: list[subprocess.Popen[str]] = []  # ... ended, by `conftest.py`
