--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -238,7 +238,7 @@
     return [*([part] for part in parts), [SaveSnapshot(new, alone)]]
 
 
-class Kill(Exception):
+class KillError(Exception):
     pass
 
 
@@ -257,7 +257,7 @@
             if name in ("put", "delete"):
                 self.left -= 1
                 if self.left < 0:
-                    raise Kill
+                    raise KillError
             made = found(*args, **kwargs)
             return made if name in ("put", "delete") else Within(made, self)
 
@@ -302,7 +302,7 @@
                 store.write(writes)
             while store.sweep():
                 pass
-        except Kill:
+        except KillError:
             pass
         else:
             store._env = env
