--- a/cairndale/discovery/replica.py
+++ b/cairndale/discovery/replica.py
@@ -49,9 +49,8 @@
     begun: float = 0.0
     sure_at: float | None = None  # the list here is at least as the leader's at that time
     asks: bool = True  # the leader answers questions: it is no older program
-    _pulses: deque[tuple[int, float]] = field(
-        default_factory=deque
-    )  # versions named, and sure of when
+    # versions named, and sure of when
+    _pulses: deque[tuple[int, float]] = field(default_factory=deque)
 
     def named(self, held: State, index: int, epoch: int, lineage: str, sure_at: float) -> None:
         """The leader's answer: that version is as new as `sure_at`, when it was asked less its own
@@ -92,9 +91,8 @@
             self.writes_at = str(line.get("writes_at", self.writes_at))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise Broken(f"a line that cannot be read: {error!r}") from None
-        if (
-            epoch != held.epoch
-        ):  # another leader: what the one before vouched for says nothing of its list
+        # another leader: what the one before vouched for says nothing of its list
+        if epoch != held.epoch:
             self._pulses.clear()
             self.sure_at, self.begun = None, now
         self.heard_at, self.leader_index = now, index
@@ -173,10 +171,8 @@
         while True:
             try:
                 answer = await _ask(host, int(port), call % (old.encode(), len(body), body))
-                if answer.split()[1:2] in (
-                    [b"200"],
-                    [b"409"],
-                ):  # deposed, or of another list or epoch by now
+                # deposed, or of another list or epoch by now
+                if answer.split()[1:2] in ([b"200"], [b"409"]):
                     said = answer.partition(b"\r\n")[0].decode("latin-1")
                     log.info("the leader before, at %s, was told: %s", old, said)
                     return
--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -171,9 +171,8 @@
                 async with self._turn:
                     try:
                         await self._write_batch()
-                    except (
-                        Exception
-                    ):  # those who wait are told when their time is over; others go on
+                    except Exception:
+                        # those who wait are told when their time is over; others go on
                         log.exception("while writing")
 
     async def _write_batch(self) -> None:
@@ -539,9 +538,8 @@
                 self.reply(200, answer, close)
         except Refused as error:
             self.refuse(error, close)
-        except (
-            Exception
-        ):  # whoever asked is owed an answer, and the next one is none the worse for it
+        except Exception:
+            # whoever asked is owed an answer, and the next one is none the worse for it
             log.exception("call of %s", self.peer())
             self.refuse(Refused(500, "failed here"), close=True)
         finally:
@@ -572,9 +570,8 @@
         if not close:
             return
         self._done = True
-        if (
-            self._lost_framing
-        ):  # what still comes is dropped: closed at once, the answer would be lost
+        # what still comes is dropped: closed at once, the answer would be lost
+        if self._lost_framing:
             self.transport.write_eof()
             self.transport.resume_reading()
             self._wait(LINGER)
--- a/cairndale/discovery/state.py
+++ b/cairndale/discovery/state.py
@@ -15,9 +15,8 @@
 from typing import Any
 
 Span = tuple[int, int, int]  # an epoch: its number, its first version, its last
-Write = tuple[
-    str, str, int, int
-]  # a call: its id, its digest, the version answered, the one it is in
+# a call: its id, its digest, the version answered, the one it is in
+Write = tuple[str, str, int, int]
 
 LEAP = 1 << 32  # versions that a promotion passes over: more than a deposed leader can give
 MAX_SERVERS = 10_000
@@ -167,9 +166,8 @@
     floor: int = 0  # what has changed since an older version is no longer known
     history: int = 1024  # removals and writes that are remembered
     servers: dict[str, Server] = field(default_factory=dict)
-    gone: OrderedDict[str, int] = field(
-        default_factory=OrderedDict
-    )  # name: the version that removed it
+    # name: the version that removed it
+    gone: OrderedDict[str, int] = field(default_factory=OrderedDict)
     writes: OrderedDict[str, Write] = field(default_factory=OrderedDict)  # by id
     spans: tuple[Span, ...] = ()  # the epochs past
 
--- a/cairndale/discovery/store.py
+++ b/cairndale/discovery/store.py
@@ -90,9 +90,8 @@
     # Reading.
 
     def _load(self) -> State:
-        if (
-            not self._snapshot.exists()
-        ):  # a new folder: the log is made first, so that neither is ever alone
+        # a new folder: the log is made first, so that neither is ever alone
+        if not self._snapshot.exists():
             if self._log.exists() and self._log.stat().st_size:
                 raise Unusable(f"{self._snapshot}: missing, though there is a log")
             replace_file(self._log, b"")
--- a/cairndale/gossip/core.py
+++ b/cairndale/gossip/core.py
@@ -179,16 +179,14 @@
     _proposal: Proposal | None = None
     _rounds: int = 0
     _probes: dict[int, Probe] = field(default_factory=dict)
-    _helping: dict[int, tuple[str, int, float]] = field(
-        default_factory=dict
-    )  # own seq: for whom, their seq
+    # own seq: for whom, their seq
+    _helping: dict[int, tuple[str, int, float]] = field(default_factory=dict)
     _order: list[str] = field(default_factory=list)
     _queue: dict[tuple[str, str, str], Queued] = field(default_factory=dict)
     _joining: dict[str, Peer] = field(default_factory=dict)
     _left: set[str] = field(default_factory=set)
-    _differs: dict[str, float] = field(
-        default_factory=dict
-    )  # who was heard with another view, and when
+    # who was heard with another view, and when
+    _differs: dict[str, float] = field(default_factory=dict)
     _seq: int = 0
     _count: int = 0
     _timers: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
@@ -620,9 +618,8 @@
                 self._unstable_since = now
             if now - self._unstable_since < 10 * self.timing.period:
                 return None
-            sure |= {
-                n for n in unsure if not self._well(n)
-            }  # it stands so for good: others' word is enough
+            # it stands so for good: others' word is enough
+            sure |= {n for n in unsure if not self._well(n)}
         else:
             self._unstable_since = None
         leaving = {n for n in self._left if n in self.others}
@@ -752,9 +749,8 @@
         added = tuple(n for n in members if n not in known_before)
         self._judge(now, tell=(added, tuple(gone)))
         if inside:
-            for (
-                known
-            ) in self.others.values():  # who was failed in the view before is reported in this one
+            # who was failed in the view before is reported in this one
+            for known in self.others.values():
                 if known.state == FAILED:
                     self._alert(now, known)
             if self._joining or self._left:
--- a/cairndale/gossip/cuts.py
+++ b/cairndale/gossip/cuts.py
@@ -47,9 +47,8 @@
 
     view: View
     watched_by: dict[str, tuple[str, ...]] = field(init=False)
-    _alerts: dict[str, dict[str, int]] = field(
-        default_factory=dict
-    )  # by subject: observer, incarnation
+    # by subject: observer, incarnation
+    _alerts: dict[str, dict[str, int]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.watched_by = observers(self.view)
--- a/cairndale/ingress/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -131,9 +131,8 @@
     ops = Ops(engine, maintenance, serving, discovery.status, backends.figures, running)
     if look_on:
         look_on(Parts(engine, gateway, sockets, backends, discovery, ops))
-    ops_port = (
-        await ops.listen(*config.ops) if config.ops else 0
-    )  # before clients: /status says no till then
+    # before clients: /status says no till then
+    ops_port = await ops.listen(*config.ops) if config.ops else 0
     claim, index = await Claim.find(temporary / OFFERED), None
     if claim:
         if counter:
@@ -155,9 +154,8 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    if (
-        index is None
-    ):  # the configuration's list may be old: what drains must be known before clients come
+    # the configuration's list may be old: what drains must be known before clients come
+    if index is None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(discovery.word.wait(), settings.safety.drain_grace / 1e6)
     if claim:
@@ -221,9 +219,8 @@
                 await done.wait()
         except TimeoutError:
             engine.give_up()
-    while (
-        listener.connections and loop.time() < end + 0.1
-    ):  # the last answers are still being written
+    # the last answers are still being written
+    while listener.connections and loop.time() < end + 0.1:
         await asyncio.sleep(0.005)
 
 
--- a/cairndale/ingress/net/backends.py
+++ b/cairndale/ingress/net/backends.py
@@ -202,9 +202,8 @@
 
     def data_received(self, data: bytes) -> None:
         self.pool.heard_at = self.pool.now()
-        if (
-            self.exchange is None
-        ):  # nobody has asked: the rest of it would come under the next request
+        # nobody has asked: the rest of it would come under the next request
+        if self.exchange is None:
             self.drop()
         else:
             super().data_received(data)
@@ -454,9 +453,8 @@
                 self._backends.sockets.closed_to_server()
                 if sock:
                     sock.close()
-            elif not (
-                up and wanted
-            ):  # it came up just as its time was over: its end is counted once
+            elif not (up and wanted):
+                # it came up just as its time was over: its end is counted once
                 link.drop()
             if up and wanted and link and not link.dead:
                 self._do(self.pool.dialled(self.now(), dial, link))
@@ -590,9 +588,8 @@
             return
         server.up = entry.status == "up"
         server.pool.ready = server.ready
-        if (
-            entry.status != "removed"
-        ):  # a new start or address: what was connected leads to the one before
+        # a new start or address: what was connected leads to the one before
+        if entry.status != "removed":
             server.stale = server.address != entry.address or server.started != entry.since_us
             server.address, server.started = entry.address, entry.since_us
 
--- a/cairndale/ingress/net/clients.py
+++ b/cairndale/ingress/net/clients.py
@@ -42,19 +42,16 @@
         self.engine, self.sockets, self.memory, self.now = engine, sockets, memory, now
         self.read, self.relays = read or read_request, read is not None
         self.idle_for, self.head_for = IDLE, HALF_SENT
-        self.max_head, self.max_body = (
-            MAX_HEAD,
-            MAX_BODY,
-        )  # bytes of a request, from the next one on
+        # bytes of a request, from the next one on
+        self.max_head, self.max_body = (MAX_HEAD, MAX_BODY)
         self.up = b"/up"  # says whether it accepts; nothing where that has an address of its own
         self.stopping = False
         self._aside = False  # another process accepts, or is about to
         # The longest idle first, with the clock since when. One that has carried nothing yet is not
         # among them: its first request is on the way, and a client sends again only once.
         self.idle: dict[ClientConnection, int] = {}
-        self.partial: dict[
-            ClientConnection, int
-        ] = {}  # the same for those whose request is not whole
+        # the same for those whose request is not whole
+        self.partial: dict[ClientConnection, int] = {}
         self.connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
         self._sweep: asyncio.TimerHandle | None = None
@@ -278,9 +275,8 @@
     def garbage(self, status: int) -> None:
         self._waiting.clear()
         self._keep = False
-        if (
-            self._current is None and not self.transport.is_closing()
-        ):  # else the answer under way comes first
+        # else the answer under way comes first
+        if self._current is None and not self.transport.is_closing():
             if self._answered and not self._answered.whole:
                 # it has its answer: only the rest of its body was still dropped
                 self.transport.close()
@@ -294,9 +290,8 @@
         due = self._began + int((self._listener.head_for + sent / SLOWEST) * 1e6)
         if self._holds or self in self._listener.idle or now < due:
             return
-        if (
-            self._current is not None and self._coming and not self._source
-        ):  # its body has stopped coming
+        # its body has stopped coming
+        if self._current is not None and self._coming and not self._source:
             current, self._current, self._answered = self._current, None, None
             self._engine.client_gone(current)
         if self._current is None:
--- a/cairndale/ingress/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -84,9 +84,8 @@
         call, line = Call(answered, loop.time()), self._line
         if line and not line.transport.is_closing():
             line.call(text, call)
-        elif self._held is not None or (
-            line and line.heard
-        ):  # it was well until now: the next is soon there
+        elif self._held is not None or (line and line.heard):
+            # it was well until now: the next is soon there
             self._held = self._held or {}
             self._held[call] = text
             loop.call_at(call.at + self.timeout, self._give_up, call)
@@ -185,9 +184,8 @@
                 return False
         if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
             return False
-        if not self._calls or self._calls[0].ping != (
-            word == b"pong"
-        ):  # out of step: nothing can be paired
+        # out of step: nothing can be paired
+        if not self._calls or self._calls[0].ping != (word == b"pong"):
             return False
         self.heard = True
         self._calls.popleft().end(outcome, total)
--- a/cairndale/ingress/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -33,14 +33,10 @@
 LOOK = 1.0  # s at the least between looks at servers kept beyond the list
 # s: a list older than that is spoken of, and a replica out of touch for that is left ...
 OLD = 10.0
-LEAVE_AGAIN = (
-    30.0,
-    600.0,
-)  # ... but no sooner than that after the last time, doubled up to the second
-SHRINK, HOLD = (
-    0.5,
-    60.0,
-)  # what a whole list may lack at once, and s that more is kept, if not configured
+# ... but no sooner than that after the last time, doubled up to the second
+LEAVE_AGAIN = (30.0, 600.0)
+# what a whole list may lack at once, and s that more is kept, if not configured
+SHRINK, HOLD = (0.5, 60.0)
 GONE = 4096  # removals that are remembered, so that a replica that lags cannot undo them
 LEFT = 16  # lists of other lineages that are remembered as left
 
@@ -77,9 +73,8 @@
         if not math.isfinite(self.weight):
             raise ValueError(f"weight {self.weight} is no number")
         self.since_us = int(raw.get("since_ms", 0)) * 1000
-        self.version = (
-            int(raw["version"]) if "version" in raw else None
-        )  # of its last change, where told
+        # of its last change, where told
+        self.version = int(raw["version"]) if "version" in raw else None
 
     def raw(self) -> dict[str, Any]:
         """As discovery would name it."""
@@ -158,9 +153,8 @@
     entries: dict[str, Entry] = field(default_factory=dict)
     gone: OrderedDict[str, int] = field(default_factory=OrderedDict)  # removed, with the version
     left: list[str] = field(default_factory=list)  # lineages
-    kept: dict[str, float] = field(
-        default_factory=dict
-    )  # missing from the last whole list, until when
+    # missing from the last whole list, until when
+    kept: dict[str, float] = field(default_factory=dict)
 
     def offer(self, told: Listing, now: float) -> Listing | None:
         """What changes by it, None if nothing does; Refused if it is not to be taken."""
@@ -178,9 +172,8 @@
             self._whole(told, now)
         for entry in told.entries:
             self._take(entry, told)
-        if (
-            not served and self._up_beside_kept()
-        ):  # the first that came back: the others have as long again
+        # the first that came back: the others have as long again
+        if not served and self._up_beside_kept():
             self.kept = dict.fromkeys(self.kept, now + self.directory.hold)
         while len(self.gone) > GONE:
             self.gone.popitem(last=False)
@@ -365,18 +358,16 @@
         self._heard_at, self._replica_age = self._loop.time(), 0.0
         self._speak_at, self._said = OLD, ""
         self._told_at: tuple[str, int] | None = None
-        self.word = (
-            asyncio.Event()
-        )  # set once it has said something, or a first try has come to nothing
+        # set once it has said something, or a first try has come to nothing
+        self.word = asyncio.Event()
         self._look_at(address, fleet_size)
 
     def _look_at(self, address: tuple[str, int], fleet_size: int) -> None:
         more = self.held.directory.addresses if self.held else ()
         every = tuple(dict.fromkeys((address, *more)))
         if every != self.addresses.all:
-            self.addresses = Addresses(
-                every, self._me % len(every)
-            )  # a fleet begins at all of them alike
+            # a fleet begins at all of them alike
+            self.addresses = Addresses(every, self._me % len(every))
         self.addresses.fleet_size = fleet_size
 
     def start(self, index: int | None = None) -> None:
@@ -417,9 +408,8 @@
         if self.held is None:
             return f"/discovery/hosts?watch=1&from={self.index}"
         held = self.held
-        index = (
-            held.index if held.lineage else 0
-        )  # a version of no lineage says nothing to the list service
+        # a version of no lineage says nothing to the list service
+        index = held.index if held.lineage else 0
         return (
             f"/discovery/hosts?watch=1&from={index}&epoch={held.epoch}&lineage={held.lineage or ''}"
         )
--- a/cairndale/ingress/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -105,9 +105,8 @@
     def close_idle(self, backend: int) -> None: ...
 
 
-Dress = Callable[
-    [str, int], bytes | None
-]  # a backend's name, us for its answer; None: not any longer
+# a backend's name, us for its answer; None: not any longer
+Dress = Callable[[str, int], bytes | None]
 
 
 class Answered(Protocol):
@@ -274,9 +273,8 @@
         now = self.now()
         left = wanted.timeout - (now - wanted.began)
         if left <= ANSWER_MARGIN or 0 < self.settings.limits.max_open <= self.open:
-            client.refuse(
-                0, self.refusals[1]
-            )  # nothing was sent: harmless, and the module never hears of it
+            # nothing was sent: harmless, and the module never hears of it
+            client.refuse(0, self.refusals[1])
             if self.observer:
                 self.observer.request(wanted, "unheard", now - wanted.began, 0)
             return True
@@ -454,9 +452,8 @@
                 try:
                     for action in self._gateway.handle(self.now(), event):
                         self._carry_out(action)
-                except (
-                    Exception
-                ):  # one event's failure must not end the process; deadlines answer the client
+                except Exception:
+                    # one event's failure must not end the process; deadlines answer the client
                     log.exception("while handling %s", type(event).__name__)
         finally:
             self._busy = False
--- a/cairndale/ingress/net/http.py
+++ b/cairndale/ingress/net/http.py
@@ -109,9 +109,8 @@
     transport: asyncio.Transport
     keep_fields = False
     max_head, max_body = MAX_HEAD, MAX_BODY  # bytes that are taken
-    _read = memoryview(
-        bytearray(READ)
-    )  # one for all: what has come is copied out before the next read
+    # one for all: what has come is copied out before the next read
+    _read = memoryview(bytearray(READ))
 
     def __init__(self, parser: type[Any]) -> None:
         self._parser = parser(self)
@@ -218,9 +217,8 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value) + 4
-        if (
-            not self._in_head
-        ):  # a trailer: read, and no more than a head's worth, but of no use here
+        # a trailer: read, and no more than a head's worth, but of no use here
+        if not self._in_head:
             self._fed += len(name) + len(value) + 4
             self._limit(self._fed, self.max_head, 431)
             return
--- a/cairndale/ingress/net/ops.py
+++ b/cairndale/ingress/net/ops.py
@@ -42,9 +42,8 @@
 
     def __init__(self, engine: Engine, path: Path) -> None:
         self._engine, self._path, self._turn = engine, path, asyncio.Lock()
-        self.changed: Callable[[str, bool], None] = lambda name, out: (
-            None
-        )  # told after each change made here
+        # told after each change made here
+        self.changed: Callable[[str, bool], None] = lambda name, out: None
 
     def recall(self) -> None:
         try:
@@ -179,9 +178,8 @@
     def received(self, message: Message) -> None:
         if not self._heard:
             self._heard = True
-            self._ops.callers.pop(
-                self, None
-            )  # a whole call is owed its answer, and never gives way
+            # a whole call is owed its answer, and never gives way
+            self._ops.callers.pop(self, None)
             self._ops.call(self, message)
 
     def garbage(self, status: int) -> None:
--- a/cairndale/ingress/net/requests.py
+++ b/cairndale/ingress/net/requests.py
@@ -139,9 +139,8 @@
     @staticmethod
     def number(who: bytes) -> int:
         """A customer's number, alike at every ingress."""
-        from hashlib import (
-            blake2b,
-        )  # loads OpenSSL: the platform's start, which has no use for it, would pay
+        # loads OpenSSL: the platform's start, which has no use for it, would pay
+        from hashlib import blake2b
 
         return int.from_bytes(blake2b(who, digest_size=8).digest()) % MAX_CUSTOMER
 
--- a/cairndale/ingress/net/sockets.py
+++ b/cairndale/ingress/net/sockets.py
@@ -28,9 +28,8 @@
     def tune(self, limit: int) -> None:
         self.cap, self.top = int(limit * CAP) - BASE, int(limit * TOP) - BASE
         self.for_servers = int(self.cap * self.server_share)  # theirs for sure, and ...
-        self.most_servers = int(
-            self.cap * max(self.server_share, 1 - CLIENT_SHARE)
-        )  # ... all they may have
+        # ... all they may have
+        self.most_servers = int(self.cap * max(self.server_share, 1 - CLIENT_SHARE))
 
     def on_crowded(self, evict: Callable[[], bool], first: bool = False) -> None:
         """`evict` closes one idle connection, or returns False where there is none. Clients' go
--- a/cairndale/ingress/observability/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -62,9 +62,8 @@
         self._reopen = threading.Event()
         self._out: IO[str] = sys.stderr
         self._last: dict[tuple[str, str], tuple[float, int, dict[str, Any]]] = {}
-        self._pace: dict[
-            str, tuple[float, int]
-        ] = {}  # lines of an event since when; events are the program's
+        # lines of an event since when; events are the program's
+        self._pace: dict[str, tuple[float, int]] = {}
         self._render: Any = structlog.processors.JSONRenderer()
         if options.form != "json":
             order = ["time", "level", "event"]
--- a/cairndale/ingress/observability/metrics.py
+++ b/cairndale/ingress/observability/metrics.py
@@ -18,21 +18,8 @@
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.interface import Outcome
 
-TIMES = (
-    0.001,
-    0.0025,
-    0.005,
-    0.01,
-    0.025,
-    0.05,
-    0.1,
-    0.25,
-    0.5,
-    1.0,
-    2.5,
-    5.0,
-    10.0,
-)  # s, of the histograms
+# s, of the histograms
+TIMES = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 SHORT = (0.0005, 0.001, 0.002, 0.004, 0.008, 0.016, 0.03, 0.06)  # s, of a counter call
 LAG_EVERY = 0.25  # s between looks at how late the loop is
 SERVER_STATES = ("idle", "busy", "dialling", "waiting")
--- a/cairndale/ingress/policy/account.py
+++ b/cairndale/ingress/policy/account.py
@@ -20,11 +20,8 @@
 SHARE_SPAN = 0.4
 # s of demand taken ahead: long enough to save calls, short enough not to strand units
 LEASE_LIFE = 1.0
-OFFSETS = (
-    1,
-    3,
-    7,
-)  # slots looked at: d_0, then doubling; N = 3 retries, a client's usual most; S = the last
+# slots looked at: d_0, then doubling; N = 3 retries, a client's usual most; S = the last
+OFFSETS = (1, 3, 7)
 # part of the bound under which a fleet has room for second copies and paid units beyond a quota
 SPARE = 0.6
 CROWDED = 1.2  # calls turned away or unanswered of late: some in ten, and not just one
@@ -39,17 +36,21 @@
 NAME_MIX = 0x9E3779B97F4A7C15  # odd 64-bit multiplier (golden ratio): spreads neighbouring numbers
 
 
-def mixed(number: int) -> int:  # 64 bits, the same at every gateway
+def mixed(number: int) -> int:
+    """64 bits, the same at every gateway."""
     for shift in (30, 27, 31):
         number = (number ^ (number >> shift)) * NAME_MIX & (1 << 64) - 1
     return number
 
 
-def count_name(customer: int, window: int) -> int:  # the counter's name, the same at every gateway
+def count_name(customer: int, window: int) -> int:
+    """The counter's name, the same at every gateway."""
     return mixed(customer * NAME_MIX + window)
 
 
-class Asks(Protocol):  # a request that asks to be admitted
+class Asks(Protocol):
+    """A request that asks to be admitted."""
+
     event: it.RequestArrived
     account: Account
     cut: int  # no answer after this is worth new work
@@ -60,8 +61,9 @@
 
 
 @dataclass(slots=True)
-# a customer here: bucket of leased units, ring of slots, what is known of the shared store
 class Account:
+    """A customer here: bucket of leased units, ring of slots, what is known of the shared store."""
+
     plan: it.Plan
     spread: int
     slot_us: int  # T0, and d_0: one slot
@@ -84,9 +86,8 @@
     sure: float = 0.0
     window_us: int = SECOND
     slot: int = 0
-    ring: deque[list[float]] = field(
-        default_factory=deque
-    )  # slots, present first: A spare, B booked over
+    # slots, present first: A spare, B booked over
+    ring: deque[list[float]] = field(default_factory=deque)
     asking: bool = False
     open: int = 0  # attempts out
     elsewhere: int = 0  # and those out from the process that this one takes over from
@@ -119,9 +120,8 @@
         gone = (now - before) / SECOND
         fill = self.window_us / SECOND
         self.usual = self.usual * math.exp(-gone / fill) + (0.0 if again else units / fill)
-        most = max(
-            units, plan.rate * part * SHARE_SPAN if self.strict else plan.burst * part
-        )  # one fits
+        # one fits
+        most = max(units, plan.rate * part * SHARE_SPAN if self.strict else plan.burst * part)
         if not self.saves and before < self.alone_since:
             self.share, before = 0.0, self.alone_since
         self.share = min(most, self.share + plan.rate * part * (now - before) / SECOND)
@@ -132,7 +132,8 @@
         self.ceiling = min(most * lead, self.ceiling + fill * lead)
         self.sure = min(most * part, self.sure + fill * part)
 
-    def bound(self, now: int) -> float:  # the most the shared store can hold; unspent leases count
+    def bound(self, now: int) -> float:
+        """The most the shared store can hold; unspent leases count."""
         grown = self.level + self.plan.rate * (now - self.level_at) / SECOND
         return min(self.plan.burst - self.tokens, grown)
 
@@ -162,15 +163,12 @@
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.accounts: dict[int, Account] = {}
-        self.calls: dict[
-            int, deque[tuple[Account, int, float, bool, float]]
-        ] = {}  # unanswered, by name
+        # unanswered, by name
+        self.calls: dict[int, deque[tuple[Account, int, float, bool, float]]] = {}
         self.crowd, self.call_at, self.now = 1.0, -SECOND, 0
         self.retired = False  # another process has taken over; what is still open ends here
-        self.unasked, self.speaks = (
-            0,
-            1.0,
-        )  # requests since the last call, and how many a call speaks for
+        # requests since the last call, and how many a call speaks for
+        self.unasked, self.speaks = (0, 1.0)
         self.actions: list[it.Action] = []
         self.in_touch: Callable[[], bool] = lambda: True  # whether the counter is there
         self.alone_since: Callable[[], int] = lambda: 0  # since when it is not; while it is, now
@@ -182,15 +180,12 @@
             account.follow(settings.plans[self.settings.plans.index(account.plan)])
         limits, self.settings = settings.limits, settings
         counter = settings.counter
-        self.pace = (
-            counter.timeout * settings.fleet_size / counter.calls_out
-        )  # us a call while not crowded
-        self.most = max(
-            1.0, min(32.0, 1.5 * SECOND / max(1.0, self.pace))
-        )  # a trial call a second or so
-        self.slot_us = (
-            limits.advises_retry * limits.max_retry_after or SECOND
-        )  # d_0, T0: longest wait heeded
+        # us a call while not crowded
+        self.pace = counter.timeout * settings.fleet_size / counter.calls_out
+        # a trial call a second or so
+        self.most = max(1.0, min(32.0, 1.5 * SECOND / max(1.0, self.pace)))
+        # d_0, T0: longest wait heeded
+        self.slot_us = limits.advises_retry * limits.max_retry_after or SECOND
 
     def send(self, request: Asking, leased: bool = False) -> bool:
         """Takes it on to a backend, or ends it; False if no attempt was begun."""
@@ -215,9 +210,8 @@
         if 0 < counter.expiry < self.now - account.leased_at:
             account.tokens = 0.0  # the counter takes them for spent
         if plan.max_open and account.open + account.elsewhere >= plan.max_open:
-            self.overflow(
-                request
-            )  # the cap on attempts at once: beyond the quota whatever the store holds
+            # the cap on attempts at once: beyond the quota whatever the store holds
+            self.overflow(request)
         elif not plan.rate or (account.tokens >= units and not account.waiting):
             account.level, account.level_at = account.bound(self.now), self.now
             request.until = (
@@ -227,34 +221,32 @@
         elif not answered and self.saves_call(account, units):
             self.send_unheard(request)
         elif answered or (not tight and account.bound(self.now) + account.tokens < units):
-            self.overflow(
-                request
-            )  # the store cannot hold it, whatever the siblings did: no call needed
+            # the store cannot hold it, whatever the siblings did: no call needed
+            self.overflow(request)
         elif late or (
             tight and (known or request.event.is_retry or plan.beyond_earns > plan.beyond_costs)
         ):
-            self.admit_unheard(
-                request
-            )  # no counter or time, calls enough made, or none to spare for this
+            # no counter or time, calls enough made, or none to spare for this
+            self.admit_unheard(request)
         else:
             account.waiting.append(request)
             if not account.asking:
                 self.ask(account, request.event.customer)
 
-    def late(self, request: Asking) -> bool:  # no time left for a call
+    def late(self, request: Asking) -> bool:
+        """No time left for a call."""
         return self.now + 2 * self.settings.counter.timeout >= request.cut
 
-    def part(self, account: Account) -> float:  # of the store's room that one lease may take ahead
+    def part(self, account: Account) -> float:
+        """Of the store's room that one lease may take ahead."""
         return self.settings.counter.part or 1 / (2 * account.spread)
 
-    def tight(
-        self, account: Account
-    ) -> bool:  # the counter is crowded, the customer's gateways are many
+    def tight(self, account: Account) -> bool:
+        """The counter is crowded, the customer's gateways are many."""
         return self.crowd > CROWDED and account.spread > WIDE
 
-    def admit_unheard(
-        self, request: Asking
-    ) -> None:  # without a call: a part, by a draw if under one
+    def admit_unheard(self, request: Asking) -> None:
+        """Without a call: a part, by a draw if under one."""
         account, units = request.account, request.event.units
         strict = self.settings.counter.strict
         if strict and self.in_touch():
@@ -284,7 +276,8 @@
         sure = not account.plan.ceiling_rate or account.sure >= units
         return needed and sure and min(account.share, account.bound(self.now)) >= units
 
-    def send_unheard(self, request: Asking) -> None:  # the counter is told with the next call
+    def send_unheard(self, request: Asking) -> None:
+        """The counter is told with the next call."""
         account, units = request.account, request.event.units
         room, expiry = account.bound(self.now), self.settings.counter.expiry
         request.until = self.now + expiry if expiry else 0
@@ -295,15 +288,15 @@
             )
             account.level, account.level_at = room - units, self.now
 
-    def ask(self, account: Account, customer: int) -> None:  # a lease: what waits, and demand ahead
+    def ask(self, account: Account, customer: int) -> None:
+        """A lease: what waits, and demand ahead."""
         room, units = account.bound(self.now), sum(r.event.units for r in account.waiting)
         need = max(0.0, min(units - account.tokens, room))
         ahead = min(
             max(account.usual * LEASE_LIFE, units) * self.crowd, (room - need) * self.part(account)
         )
-        ahead = (
-            0.0 if self.retired else ahead
-        )  # the customer's next requests come to the other process
+        # the customer's next requests come to the other process
+        ahead = 0.0 if self.retired else ahead
         self.speaks, self.unasked = self.speaks + 0.1 * (1 + self.unasked - self.speaks), 0
         need *= self.speaks if self.tight(account) else 1.0
         account.asking, window = True, self.now // account.window_us
@@ -336,9 +329,8 @@
         # Counter slow, silent, refusing, crowded: fewer calls out, rarer, for more; quota / spread
         # meanwhile. Harms a customer whose traffic all comes through one gateway: it waits longer
         # for its units.
-        broken = (
-            event.outcome is Outcome.RESET
-        )  # its connection broke: that says nothing of a crowd
+        # its connection broke: that says nothing of a crowd
+        broken = event.outcome is Outcome.RESET
         self.crowd = (
             max(1.0, self.crowd * 0.95)
             if heard
@@ -357,13 +349,11 @@
         raw, upper = plan.burst + due - event.total, account.bound(self.now) - amount
         if event.left is not None:  # the counter keeps the store, and gave back what went past it
             level, over = event.left, min(amount, max(0.0, -event.left))
-        elif self.tight(
-            account
-        ):  # nothing is added back: the total tells what is asked, a draw gives some
+        elif self.tight(account):
+            # nothing is added back: the total tells what is asked, a draw gives some
             need = min(amount, sum(r.event.units for r in waiting))
-            past = (
-                event.total - plan.burst / 2
-            )  # the store was as likely full as empty when the window began
+            # the store was as likely full as empty when the window began
+            past = event.total - plan.burst / 2
             account.chance, account.heard_at = 1.0 if past <= due else due / past, self.now
             level, over = (
                 plan.burst,
@@ -376,9 +366,8 @@
             unknown = raw - upper if account.usual * account.spread > plan.rate else 0.0
             unknown, level = unknown if unknown > plan.burst / 8 else 0.0, min(raw, upper)
             over = min(amount, max(0.0, -level))  # past the allowance: that part is added back
-            if (
-                unknown != over and self.crowd > CROWDED
-            ):  # with the next call, if it comes in this window
+            # with the next call, if it comes in this window
+            if unknown != over and self.crowd > CROWDED:
                 account.back, account.back_for = unknown - over, event.name
             elif unknown != over:
                 self.call(account, event.name, start, unknown - over, False)
@@ -396,12 +385,12 @@
         if account.waiting:
             self.ask(account, account.waiting[0].event.customer)
 
-    def overflow(self, request: Asking) -> None:  # second stage: retry-after, or a firm refusal
+    def overflow(self, request: Asking) -> None:
+        """Second stage: retry-after, or a firm refusal."""
         plan = request.account.plan
         if plan.beyond_earns > plan.beyond_costs and self.used() < SPARE:
-            self.send(
-                request
-            )  # the plan pays for service beyond its quota while the fleet has room to spare
+            # the plan pays for service beyond its quota while the fleet has room to spare
+            self.send(request)
         else:
             wait = request.account.book(self.now, request.event.units)
             self.end(request, it.Refuse(request.event.request, wait))
--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -26,9 +26,8 @@
 LOOK = 16
 # times the usual latency of its own backends, from which a gateway of many looks at others
 STRAY = 2.5
-GOLDEN = (
-    math.sqrt(5) - 1
-) / 2  # multiples of it are evenly spread over a circle, neighbours far apart
+# multiples of it are evenly spread over a circle, neighbours far apart
+GOLDEN = (math.sqrt(5) - 1) / 2
 BROKEN = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
@@ -36,9 +35,8 @@
 class Backend:
     info: it.ListedBackend
     limit: float = 0.0  # attempts out at once
-    slow: list[float] = field(
-        default_factory=list
-    )  # by class: latency over the usual; FAILED if none came
+    # by class: latency over the usual; FAILED if none came
+    slow: list[float] = field(default_factory=list)
     out: int = 0
     elsewhere: int = 0  # attempts out from the process that this one takes over from
     seen_at: int = 0  # its last answer, or the lack of one
@@ -53,9 +51,8 @@
         self.settings, self.rng = settings, rng
         self.backends: dict[int, Backend] = {}
         self.ready: list[Backend] = []
-        self.own: list[
-            Backend
-        ] = []  # of these, the ones that this gateway keeps to while they serve it well
+        # of these, the ones that this gateway keeps to while they serve it well
+        self.own: list[Backend] = []
         self.withdrawn: set[int] = set()  # taken out by operators, apart from what is listed
         self.returned: dict[int, int] = {}  # put back by operators: cold as if started then
         self.usual: list[float] = []  # usual latency of an answer, by class
@@ -65,9 +62,8 @@
         self.retired = False  # another process has taken over, the cold backends' budgets too
         self.follow(settings)
 
-    def follow(
-        self, settings: it.Settings
-    ) -> None:  # classes keep their numbers; new ones come behind
+    def follow(self, settings: it.Settings) -> None:
+        """Classes keep their numbers; new ones come behind."""
         self.settings, self.even = settings, FIRST_LIMIT / settings.fleet_size
         self.first = self.even
         self.sort_out()
@@ -76,13 +72,11 @@
         for backend in self.backends.values():
             backend.slow += [1.0] * new
 
-    def used(
-        self,
-    ) -> float:  # the part out of what may be out at all backends: one at each jams them
+    def used(self) -> float:
+        """The part out of what may be out at all backends: one at each jams them."""
         fails = min((t for t, u in zip(self.typical, self.usual, strict=True) if u), default=1.0)
-        pooled = (
-            1 + self.even * len(self.ready) / 2
-        ) / fails + self.more  # less if every class fails
+        # less if every class fails
+        pooled = (1 + self.even * len(self.ready) / 2) / fails + self.more
         room = pooled if self.even < 1 else sum(b.limit for b in self.ready)
         return (self.out + self.elsewhere) / max(1.0, room)
 
@@ -117,9 +111,8 @@
             self.own = (ring + ring)[start : start + LOOK]
             self.first = self.even * len(ring) / LOOK
 
-    def begin(
-        self, backend: Backend
-    ) -> None:  # as new; its sends are earned out of step with the siblings'
+    def begin(self, backend: Backend) -> None:
+        """As new; its sends are earned out of step with the siblings'."""
         backend.limit, backend.slow = self.first, self.typical[:]
         backend.credit, backend.credit_at = max(self.rng.random(), min(1.0, self.first)), self.sends
 
@@ -136,9 +129,8 @@
                 self.begin(known)
         self.sort_out()
 
-    def warmth(
-        self, backend: Backend, now: int
-    ) -> float:  # the part of its capacity it has for sure
+    def warmth(self, backend: Backend, now: int) -> float:
+        """The part of its capacity it has for sure."""
         safety, started = self.settings.safety, backend.info.started
         grown = (now - started) / max(1, safety.ramp_time) if started > 0 else 1.0
         return min(1.0, safety.cold_share + (1 - safety.cold_share) * max(0.0, grown))
@@ -147,20 +139,19 @@
         fading = math.exp((backend.seen_at - now) / SECOND / MEMORY / min(4.0, 1 + 1 / self.first))
         return self.typical[cls] + (backend.slow[cls] - self.typical[cls]) * fading
 
-    def weigh(self, now: int) -> None:  # the capacity of all that are ready, in warm ones
+    def weigh(self, now: int) -> None:
+        """The capacity of all that are ready, in warm ones."""
         if now - self.weighed_at > WEIGH_EVERY:
             self.weighed_at, self.weighed = now, sum(self.warmth(b, now) for b in self.own)
 
-    def cold_room(
-        self, backend: Backend, warmth: float
-    ) -> bool:  # slow start: earned by sends to others
+    def cold_room(self, backend: Backend, warmth: float) -> bool:
+        """Slow start: earned by sends to others."""
         times, even = (
             COLD_PART * self.settings.safety.tip_multiple,
             len(self.own) / max(0.01, self.weighed),
         )
-        if (
-            self.even < 1
-        ):  # many gateways' sends fall together by chance: half, and more the less is warm
+        # many gateways' sends fall together by chance: half, and more the less is warm
+        if self.even < 1:
             times = max(1.0, times * min(1.0, even / 2))
         earned = times * warmth * (self.sends - backend.credit_at)
         backend.credit, backend.credit_at = min(2.0, backend.credit + earned), self.sends
@@ -177,9 +168,8 @@
         if self.used() < 1:
             best, best_cost = self.cheapest(now, cls, allowed, self.own)
             if len(self.own) < len(self.ready) and best_cost > STRAY * self.typical[cls]:
-                warm = [
-                    b for b in self.ready if self.warmth(b, now) == 1
-                ]  # the cold budgets are their own's
+                # the cold budgets are their own's
+                warm = [b for b in self.ready if self.warmth(b, now) == 1]
                 other, cost = self.cheapest(now, cls, allowed, warm)
                 best = other if cost < best_cost else best
         self.sends += 1 / max(1, len(self.own))
@@ -196,9 +186,8 @@
     ) -> tuple[Backend | None, float]:
         best, best_cost, far = None, math.inf, self.settings.cross_zone_price > 0
         some = self.rng.sample(among, min(LOOK, len(among)))
-        fresh = {
-            b.info.id: b.load for b in some if now - b.load_at < SECOND
-        }  # older reports tell nothing
+        # older reports tell nothing
+        fresh = {b.info.id: b.load for b in some if now - b.load_at < SECOND}
         mean = sum(fresh.values()) / max(1, len(fresh)) or 1.0
         for backend in some:
             warmth = max(0.01, self.warmth(backend, now))
@@ -210,9 +199,8 @@
             load = (
                 out / warmth + self.rng.expovariate(1.0) + fresh.get(backend.info.id, mean) / mean
             )
-            cost = (
-                max(0.0, load - 1) * slow / max(backend.info.weight, 1e-3) + slow
-            )  # idle ones: by weight
+            # idle ones: by weight
+            cost = max(0.0, load - 1) * slow / max(backend.info.weight, 1e-3) + slow
             cost *= 1.1 if far and backend.info.zone != self.settings.zone else 1.0  # breaks ties
             if cost < best_cost:
                 best, best_cost = backend, cost
@@ -228,9 +216,8 @@
             backend.slow[cls] = self.slowness(backend, cls, now) * 0.8 + took * 0.2
             self.typical[cls] += 0.05 * (took - self.typical[cls])
             backend.seen_at = now
-        if (
-            outcome is Outcome.FULL
-        ):  # jammed, or draining before the list says so: idle as it looks, no place
+        # jammed, or draining before the list says so: idle as it looks, no place
+        if outcome is Outcome.FULL:
             backend.slow = [
                 self.slowness(backend, n, now) * 0.5 + FAILED for n in range(len(backend.slow))
             ]
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -139,9 +139,8 @@
         account.arrive(self.now, event.units, event.is_retry, self.retired)
         self.admit(request)
 
-    def span(
-        self, cls: it.RequestClass, left: int
-    ) -> tuple[int, int]:  # until when it is worth what
+    def span(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
+        """Until when it is worth what."""
         span = cls.deadline if cls.late_worth >= 0.5 or cls.aim_stretch > 0 else cls.aim
         return self.now + min(left, span), self.now + min(left, span + cls.aim)
 
@@ -169,9 +168,8 @@
         over = len(request.attempts) >= limits.max_attempts or self.now >= request.cut
         seen = sum(1 for a in request.attempts if a.arrived)
         over = over or 0 < cls.tries <= seen
-        if (
-            limits.patient and not first
-        ):  # another try that can hardly end in time is work for nothing
+        # another try that can hardly end in time is work for nothing
+        if limits.patient and not first:
             over = over or request.cut - self.now < self.fleet.usual[event.cls] / 2
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
             over = over or (account.ceiling if leased else account.sure) < event.units
@@ -193,9 +191,8 @@
             request.cut - self.now,
             request.end - self.now,
         )
-        patience = int(
-            max(4 * (self.fleet.usual[event.cls] or cls.aim / 6), cls.aim / 3)
-        )  # older: stuck
+        # older: stuck
+        patience = int(max(4 * (self.fleet.usual[event.cls] or cls.aim / 6), cls.aim / 3))
         more = not limits.patient and cls.repeat is not Repeat.UNSAFE and not event.in_parts
         more = more and number + 1 < limits.max_attempts
         if more and limits.may_duplicate and patience < left:
--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -294,9 +294,8 @@
 
 # Actions
 
-Unit = tuple[
-    str, int
-]  # of a whole that all gateways share: its kind, and the service or backend it is of
+# of a whole that all gateways share: its kind, and the service or backend it is of
+Unit = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -306,9 +305,8 @@
     timeout: int  # 0: until the client quits
     # its first byte is written by then or never: what it was admitted by ends; 0: any time
     until: int = 0
-    units: tuple[
-        Unit, ...
-    ] = ()  # the shared wholes of which it must be dealt one before it is written
+    # the shared wholes of which it must be dealt one before it is written
+    units: tuple[Unit, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
--- a/cairndale/lab/checkout.py
+++ b/cairndale/lab/checkout.py
@@ -15,10 +15,8 @@
 from types import MappingProxyType, ModuleType
 
 POLICY_PACKAGE = "cairndale.ingress.policy"
-OPTIONAL_MODULES = (
-    "account",
-    "endpoint_pool",
-)  # the oldest checkouts have all decisions in one module
+# the oldest checkouts have all decisions in one module
+OPTIONAL_MODULES = ("account", "endpoint_pool")
 
 
 class CheckoutError(Exception):
--- a/cairndale/lab/faults/calls.py
+++ b/cairndale/lab/faults/calls.py
@@ -129,9 +129,8 @@
         self.at = 0
         self.sure = False  # the one at `at` has said yes to the last write
         self.seen: dict[str, tuple[int, int]] = {}  # register: version and value, as last heard
-        self.unread: list[
-            str
-        ] = []  # registers to be read, as whoever leads may have forgotten something
+        # registers to be read, as whoever leads may have forgotten something
+        self.unread: list[str] = []
 
     async def run(self) -> None:
         while True:
--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -40,7 +40,7 @@
     "failure_domains": ["hall"],
     "flavors": ["big"],
     "services": [
-        {"name": "order", "on_time": 500_000, "deadline": 1_000_000, "semantics": "fragile"},
+        {"name": "order", "on_time": 500_000, "deadline": 1_000_000, "semantics": "fragile"}
     ],
     "contracts": [{"name": "gold", "quota_rate": 50.0, "burst": 50.0}],
     "ceilings": {
@@ -87,9 +87,8 @@
     folder: Path
     ports: dict[str, int]
     process: subprocess.Popen[bytes] | None = None
-    leaving: list[subprocess.Popen[bytes]] = field(
-        default_factory=list
-    )  # handed over, not yet ended
+    # handed over, not yet ended
+    leaving: list[subprocess.Popen[bytes]] = field(default_factory=list)
     up: bool = False  # started, and not ended by a fault
     stopped: bool = False
     expected: bool = False  # its end is a fault's doing
@@ -97,9 +96,8 @@
     bad_disk: bool = False
     skewed: bool = False
     control: Control | None = None
-    copies: list[tuple[float, Path]] = field(
-        default_factory=list
-    )  # of its folder, and when they were made
+    # of its folder, and when they were made
+    copies: list[tuple[float, Path]] = field(default_factory=list)
 
     @property
     def kind(self) -> str:
@@ -333,9 +331,8 @@
     def copy(self, it: Process, now: float) -> None:
         """Puts a copy of its folder aside, as a backup taken while it runs would."""
         target = it.folder / f"copy-{len(it.copies)}"
-        with contextlib.suppress(
-            OSError, shutil.Error
-        ):  # a file that was replaced meanwhile: no copy then
+        # a file that was replaced meanwhile: no copy then
+        with contextlib.suppress(OSError, shutil.Error):
             shutil.copytree(
                 it.data, target, ignore=shutil.ignore_patterns("*.new", "lock", "*.sock*")
             )
--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -83,9 +83,8 @@
     ops: int
     folder: Path
     process: subprocess.Popen[bytes] | None = None
-    leaving: list[subprocess.Popen[bytes]] = field(
-        default_factory=list
-    )  # handed over, not yet ended
+    # handed over, not yet ended
+    leaving: list[subprocess.Popen[bytes]] = field(default_factory=list)
     expected: bool = False  # its end is the timeline's doing
     absent: int = -1  # row of the record while it is away
     starts: int = 0
--- a/cairndale/lab/live/standins.py
+++ b/cairndale/lab/live/standins.py
@@ -555,9 +555,8 @@
                 here, there = self.day.servers[server].zone, self.day.gateway_zones[gateway]
                 if here != there and zone in (here, there) and server not in self.vanished:
                     act(port)
-        if (
-            act is Port.open
-        ):  # what stood through the cut is reset once the machine is back (PROTOCOL)
+        # what stood through the cut is reset once the machine is back (PROTOCOL)
+        if act is Port.open:
             for links in self.links:
                 for link in list(links):
                     here = self.day.servers[link.server].zone
--- a/cairndale/lab/live/worker.py
+++ b/cairndale/lab/live/worker.py
@@ -126,9 +126,8 @@
             self.ready.exception()
         for pipe in (self.process.stdin, self._log):
             if pipe:
-                with contextlib.suppress(
-                    OSError
-                ):  # what was still to be said to one that has ended
+                # what was still to be said to one that has ended
+                with contextlib.suppress(OSError):
                     pipe.close()
 
 
--- a/cairndale/lab/paper.py
+++ b/cairndale/lab/paper.py
@@ -30,10 +30,8 @@
 RETRIES = (3.0, 6.0, 12.0, 24.0)  # s before each retransmission (table 1, Linux; section 3.1)
 # s until a client's connection times out (section 6.1: "equal to the timeout delay cost")
 GIVES_UP = 75.0
-FIRST_JITTER, JITTER = (
-    0.05,
-    0.005,
-)  # s either way: of the first time-out, and of the network (equations 1, 2)
+# s either way: of the first time-out, and of the network (equations 1, 2)
+FIRST_JITTER, JITTER = (0.05, 0.005)
 MEAN, HURST, SCALES, LENGTH = 100.0, 0.8, 10, 600  # section 6
 RATE, BURST, SLOT, WINDOW = 120.0, 120.0, 1.0, 50.0  # r_t, W, T0, S; section 6.1
 REJECT_COST, DELAY_COST = 75.0, 1.0  # r, h; section 6.1
@@ -67,9 +65,8 @@
         low, high = (middle, high) if spread < wanted else (low, middle)
     level = np.array([MEAN * 2.0**SCALES])
     for moment in multipliers((low + high) / 2):
-        shape = (
-            1 / moment - 1
-        ) / 2  # of a symmetric beta distribution on [-1, 1] with that second moment
+        # of a symmetric beta distribution on [-1, 1] with that second moment
+        shape = (1 / moment - 1) / 2
         part = (1 + 2 * rng.beta(shape, shape, size=len(level)) - 1) / 2
         level = np.column_stack((level * part, level * (1 - part))).ravel()
     counts = rng.poisson(level[:length])
@@ -109,9 +106,8 @@
         self.window, self.slot, self.seen, self.usual = window, 0, 0, 0.0
 
     def decide(self, now: float) -> int:
-        while self.slot < int(
-            now / SLOT
-        ):  # a period ends: W_a = max(0, (r_t - lambda) T0) for the new slot
+        # a period ends: W_a = max(0, (r_t - lambda) T0) for the new slot
+        while self.slot < int(now / SLOT):
             self.slot += 1
             fade = math.exp(-SLOT / AVERAGE)
             self.usual = (
--- a/cairndale/lab/record.py
+++ b/cairndale/lab/record.py
@@ -80,9 +80,8 @@
 class Record:
     def __init__(self) -> None:
         self.tables = {name: Table(columns) for name, columns in TABLES.items()}
-        self.figures: dict[
-            str, Any
-        ] = {}  # what no table holds: CPU of the run, lateness of the loader, ...
+        # what no table holds: CPU of the run, lateness of the loader, ...
+        self.figures: dict[str, Any] = {}
 
     def __getattr__(self, name: str) -> Table:
         try:
--- a/cairndale/lab/simulate.py
+++ b/cairndale/lab/simulate.py
@@ -29,9 +29,8 @@
 from cairndale.lab.world.network import Network
 from cairndale.lab.world.server import Job, Server, Verdict
 
-EPOCH = (
-    1_700_000_000 * SECOND
-)  # what the gateways' clock shows at the start; a server's 0 stays "long ago"
+# what the gateways' clock shows at the start; a server's 0 stays "long ago"
+EPOCH = 1_700_000_000 * SECOND
 ANSWER_MARGIN, LAST_ATTEMPT = 10_000, 15_000  # us: as net/engine.py has them
 RESTART = 500_000  # us that a gateway needs to be there again
 ACCEPTS_ON = 300_000  # us after SIGTERM that new connections come; protocol: 0.2 to 0.4 s
@@ -119,14 +118,12 @@
     stopped: bool = False
     closes: int = 0  # when one that is stopping accepts no more connections
     open: dict[int, Open] = field(default_factory=dict)
-    idle: dict[int, list[int]] = field(
-        default_factory=dict
-    )  # by server: since when, the latest last
+    # by server: since when, the latest last
+    idle: dict[int, list[int]] = field(default_factory=dict)
     status: dict[int, str] = field(default_factory=dict)
     events: deque[it.Event] = field(default_factory=deque)
-    held: list[tuple[Callable[..., None], tuple[Any, ...]]] = field(
-        default_factory=list
-    )  # while stopped
+    # while stopped
+    held: list[tuple[Callable[..., None], tuple[Any, ...]]] = field(default_factory=list)
     busy: bool = False
 
 
--- a/cairndale/lab/world/server.py
+++ b/cairndale/lab/world/server.py
@@ -63,9 +63,8 @@
     _fails: list[tuple[int, int, Job]] = field(default_factory=list)
     _count: int = 0
     _debt: float = 0.0  # work of handshakes still to be done
-    _heard: deque[tuple[int, float]] = field(
-        default_factory=deque
-    )  # work sent to it while cold, and when
+    # work sent to it while cold, and when
+    _heard: deque[tuple[int, float]] = field(default_factory=deque)
     _offered: float = 0.0
     _could: deque[tuple[int, float]] = field(default_factory=deque)  # capacity while cold
     _able: float = 0.0
--- a/tests/discovery/test_lines.py
+++ b/tests/discovery/test_lines.py
@@ -169,9 +169,8 @@
     assert following.age(held, 11.0) == replica.UNHEARD + 1  # it has asked nothing yet
     following.named(held, 4, 1, "l", 12.0)
     assert following.age(held, 12.5) == 0.5
-    following.hear(
-        held, {"index": 4, "epoch": 1, "lineage": "l"}, 13.0
-    )  # a beat, however long on its way
+    # a beat, however long on its way
+    following.hear(held, {"index": 4, "epoch": 1, "lineage": "l"}, 13.0)
     assert following.age(held, 13.0) == 1.0
     following.named(held, 6, 1, "l", 14.0)  # not held yet
     following.named(held, 9, 2, "l", 14.5)  # of a term that is not held either
@@ -181,8 +180,7 @@
     assert following.age(held, 15.0) == 1.0
     promoted = {"i": 7, "e": 2, "spans": []}
     following.hear(held, {"index": 7, "epoch": 2, "lineage": "l", "record": promoted}, 16.0)
-    assert (
-        following.age(held, 17.0) == replica.UNHEARD + 1
-    )  # another leader: nothing is vouched for
+    # another leader: nothing is vouched for
+    assert following.age(held, 17.0) == replica.UNHEARD + 1
     following.asks = False  # a leader of before this: from when it was heard, as then
     assert following.age(held, 17.0) == 1.0
--- a/tests/discovery/test_service.py
+++ b/tests/discovery/test_service.py
@@ -55,9 +55,8 @@
     }
     assert await listed(program.reads) == {"index": 1, "snapshot": True, "endpoints": [one]}
     async with Watching(program.reads, "from=1") as watch:
-        assert (
-            await watch.line(empty=True) == ""
-        )  # nothing has changed: a beat, at once and every 2 s
+        # nothing has changed: a beat, at once and every 2 s
+        assert await watch.line(empty=True) == ""
         assert await watch.line(empty=True) == ""
         assert (await program.call("POST", "/servers/s-1/drain"))[1] == {
             "version": 2,
@@ -77,9 +76,8 @@
     await program.register("a", 7001, since_ms=5)
     await program.call("POST", "/servers/a/drain")
     async with Watching(program.reads, "from=2") as watch:
-        assert (
-            await program.register("a", 7001, since_ms=5) == 2
-        )  # the same one: it goes on draining
+        # the same one: it goes on draining
+        assert await program.register("a", 7001, since_ms=5) == 2
         for version, port, since in ((3, 7002, 5), (4, 7002, 9)):
             assert await program.register("a", port, since_ms=since) == version
             line = await watch.line()
--- a/tests/discovery/test_store.py
+++ b/tests/discovery/test_store.py
@@ -66,9 +66,8 @@
     with TemporaryDirectory() as folder:
         data, cut = Path(folder) / "data", Path(folder) / "cut"
         store = Store(data)
-        ends: list[tuple[int, dict[str, Any]]] = [
-            (0, store.state.dump())
-        ]  # of the log since its snapshot
+        # of the log since its snapshot
+        ends: list[tuple[int, dict[str, Any]]] = [(0, store.state.dump())]
         versions = [0]
         for batch in batches:
             if "compact" in batch:
@@ -245,9 +244,8 @@
     carry_out(store, [register("late")])
     after = store.state.dump()
     assert after["index"] == before["index"] + 1
-    assert (
-        store.log_size < size
-    )  # what a failed sync left is not built upon: a new snapshot, a new log
+    # what a failed sync left is not built upon: a new snapshot, a new log
+    assert store.log_size < size
     store.close()
     again = Store(tmp_path / "data")
     assert again.state.dump() == after
@@ -269,9 +267,8 @@
     carry_out(store, [register("late")])
     assert done == ["write", "fsync"]
     done.clear()
-    store.compact(
-        store.state
-    )  # each file is synced before it takes the other's place, then the folder
+    # each file is synced before it takes the other's place, then the folder
+    store.compact(store.state)
     assert done == ["write", "fsync", "fsync", "fsync", "fsync"]
     store.close()
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -91,9 +91,8 @@
     net.start("m0003")
     assert net.until(net.agree, 60) is not None
     net.kill("m0003")
-    net.start(
-        "m0003", folder=False
-    )  # another one, for all that was promised: it learns a higher seat
+    # another one, for all that was promised: it learns a higher seat
+    net.start("m0003", folder=False)
     assert net.until(lambda: net.agree() and "whole" in words(net), 60) is not None
     core = net.nodes["m0003"].core
     assert core and core.me.seat > seat
@@ -572,9 +571,8 @@
     )
     assert said.returncode == 0, said.stdout + said.stderr
     calls = [json.loads(line) for line in (tmp_path / "o/history.jsonl").read_text().splitlines()]
-    assert {c[2] for c in calls} == {"view"} and len(
-        {c[7] for c in calls}
-    ) >= 2  # the cut was decided meanwhile
+    # the cut was decided meanwhile
+    assert {c[2] for c in calls} == {"view"} and len({c[7] for c in calls}) >= 2
 
 
 def test_no_ingress_imports_membership() -> None:
--- a/tests/ingress/net/test_backends.py
+++ b/tests/ingress/net/test_backends.py
@@ -74,9 +74,8 @@
     """Its time is over by the time anybody looks, which says nothing of the backend."""
     fleet.backends.tune(10_000_000, 0)
     assert await fleet.outcome() is Outcome.OK
-    with socket.create_server(
-        (HOST, 0), backlog=0
-    ) as full:  # one that does not come up is given up as ever
+    # one that does not come up is given up as ever
+    with socket.create_server((HOST, 0), backlog=0) as full:
         port = full.getsockname()[1]
         held = [socket.socket() for _ in range(4)]
         for sock in held:
@@ -135,9 +134,8 @@
     assert len(fleet.server.peers) == 1
     both = fleet.send(), fleet.send()
     assert [(await b).outcome for b in both] == [Outcome.OK] * 2
-    await fleet.server.until(
-        lambda: len(fleet.server.peers) == 2
-    )  # a dial that was not needed is kept
+    # a dial that was not needed is kept
+    await fleet.server.until(lambda: len(fleet.server.peers) == 2)
     assert fleet.sockets.open == 2
 
 
--- a/tests/ingress/net/test_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -87,9 +87,8 @@
     assert ended.outcome is it.Outcome.OK and ended.final and ingress.engine.open == 0
     backend.heard = answers(OK)
     ingress.held.write(request("next"))  # type: ignore[attr-defined]
-    assert (await read_answer(reader)).endswith(b"warm") and len(
-        backend.peers
-    ) == 1  # both stay in use
+    # both stay in use
+    assert (await read_answer(reader)).endswith(b"warm") and len(backend.peers) == 1
 
 
 @pytest.mark.parametrize("cut", [1, 7, 100_000])
@@ -280,9 +279,8 @@
 ) -> None:
     def rule(event: it.Event) -> list[it.Action]:
         if isinstance(event, it.AttemptEnded) and not event.final:
-            assert (
-                event.spent and event.outcome is it.Outcome.CONNECT_FAILED
-            )  # its end was never written
+            # its end was never written
+            assert event.spent and event.outcome is it.Outcome.CONNECT_FAILED
             return [it.SendAttempt(event.request, 1, 0), it.Fail(event.request)]
         return send_first(event)
 
--- a/tests/ingress/net/test_clients.py
+++ b/tests/ingress/net/test_clients.py
@@ -117,9 +117,8 @@
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.seen(it.RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
-    assert not ingress.script.of(
-        it.ClientGone
-    )  # the end of the second connection is not the first's
+    # the end of the second connection is not the first's
+    assert not ingress.script.of(it.ClientGone)
     await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
@@ -201,9 +200,8 @@
 async def test_with_few_descriptors_idle_connections_go_first_and_then_requests_are_refused(
     backend: PeerServer,
 ) -> None:
-    ingress = Ingress(
-        Script(send_first), limit=34
-    )  # room for three connections, and four at the top
+    # room for three connections, and four at the top
+    ingress = Ingress(Script(send_first), limit=34)
     await ingress.start()
     ingress.engine.listed(listing(backend.port))
     assert (ingress.sockets.cap, ingress.sockets.top) == (3, 7)
@@ -211,9 +209,8 @@
     for reader, writer in held:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await read_answer(reader)
-    answer = await ingress.ask(
-        request()
-    )  # one idle client makes room for this one, another for the backend
+    # one idle client makes room for this one, another for the backend
+    answer = await ingress.ask(request())
     assert answer.startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
         assert await held[0][0].read() == b"" and await held[1][0].read() == b""
--- a/tests/ingress/net/test_counter.py
+++ b/tests/ingress/net/test_counter.py
@@ -119,9 +119,8 @@
     calls.add("a")
     await lines(server, 1)
     server.peers[0].transport.write(reply)
-    assert await calls.answered(1) == [
-        ("a", Outcome.TIMEOUT, 0.0)
-    ]  # written: it may have been added
+    # written: it may have been added
+    assert await calls.answered(1) == [("a", Outcome.TIMEOUT, 0.0)]
     await server.until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -183,9 +183,8 @@
     held.offer(listing(6, entry("b", "removed", version=6), whole=False), 1.0)
     held.offer(listing(1000, *known, epoch=2), 2.0)  # a replica that had neither leads
     assert shown(held) == {"a": "draining", "c": "up", "d": "up"}
-    held.offer(
-        listing(1001, entry("a", version=1001), whole=False, epoch=2), 3.0
-    )  # same start, changed
+    # same start, changed
+    held.offer(listing(1001, entry("a", version=1001), whole=False, epoch=2), 3.0)
     assert held.entries["a"].status == "draining"
     held.offer(listing(1002, entry("a", since=5, version=1002), whole=False, epoch=2), 3.0)
     held.offer(listing(1003, entry("b", version=1003), whole=False, epoch=2), 3.0)  # back since
@@ -198,9 +197,8 @@
     held.offer(listing(6, entry("a", port=2, version=6), whole=False), 1.0)  # moved
     held.offer(listing(7, entry("b", "draining", version=7), whole=False), 1.0)
     told = (entry("a", version=3), entry("b", version=4))
-    held.offer(
-        listing(1000, *told, epoch=2, gone=[["b", 2]]), 2.0
-    )  # `b` went once, before what is held
+    # `b` went once, before what is held
+    held.offer(listing(1000, *told, epoch=2, gone=[["b", 2]]), 2.0)
     assert held.entries["a"].address == (HOST, 2) and shown(held) == {"a": "up", "b": "draining"}
 
 
@@ -435,9 +433,8 @@
 async def test_what_cannot_be_read_leaves_the_list_and_the_next_is_asked(
     fleet: Fleet, bad: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(
-        discovery_module, "SILENT", 60.0
-    )  # it is not for its silence that it is left
+    # it is not for its silence that it is left
+    monkeypatch.setattr(discovery_module, "SILENT", 60.0)
     await fleet.asked(0)
     fleet.say(0, raw(7, A, B))
     await fleet.heard(1)
@@ -457,9 +454,8 @@
     await fleet.asked(1)
     fleet.say(1, raw(7, A, B))
     await fleet.heard(1)
-    assert (await fleet.asked(2)).startswith(
-        b"/discovery/hosts?watch=1&from=7"
-    )  # heard, then silent
+    # heard, then silent
+    assert (await fleet.asked(2)).startswith(b"/discovery/hosts?watch=1&from=7")
 
 
 async def test_those_missing_are_given_up_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -508,9 +504,8 @@
     assert discovery.held
     discovery.held.left.append("once")
     discovery.retune((HOST, ports[1]), 1, Directory(((HOST, ports[2]),), hold=1.0), [])
-    assert (
-        discovery.held.left == [] and discovery.held.index == 7
-    )  # nothing is watched anew for that
+    # nothing is watched anew for that
+    assert discovery.held.left == [] and discovery.held.index == 7
     discovery.retune((HOST, ports[2]), 1)
     assert await fleet.asked(2) == b"/discovery/hosts?watch=1&from=7"
     discovery.stop()
--- a/tests/ingress/net/test_engine.py
+++ b/tests/ingress/net/test_engine.py
@@ -195,9 +195,8 @@
     first, second = world.script.of(it.BackendsListed)
     assert [b.id for b in first.backends] == [1, 2] and [b.id for b in second.backends] == [2]
     assert first.backends[0].started == 5000 and second.kind is it.ListKind.FULL
-    assert (
-        first.backends[0].key != first.backends[1].key == second.backends[0].key
-    )  # by name, not by number
+    # by name, not by number
+    assert first.backends[0].key != first.backends[1].key == second.backends[0].key
 
 
 def test_a_name_that_is_no_text_ends_nothing() -> None:
@@ -222,10 +221,8 @@
     (told,) = world.script.of(it.SettingsChanged)
     assert [c.name for c in told.settings.classes] == ["read", "order", "fresh"]
     assert told.settings.classes[1].deadline == 9_000_000
-    assert world.engine.names.classes == {
-        b"order": 1,
-        b"fresh": 2,
-    }  # read is dropped, for what is new
+    # read is dropped, for what is new
+    assert world.engine.names.classes == {b"order": 1, b"fresh": 2}
     world.ask(b"b")
     world.sent[0].ended(Answer(Outcome.ERROR))
     again: list[it.Action] = [it.SendAttempt(n, 1, 0) for n in (1, 2)]
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -50,21 +50,18 @@
     silent, silent_writer = await asyncio.open_connection(HOST, port)
     await asyncio.sleep(0)
     new = start(written(tmp_path, server, known={"index": 0, "snapshot": True, "endpoints": []}))
-    assert (
-        await asyncio.to_thread(listens, new) == port
-    )  # the same socket, though the file says any port
+    # the same socket, though the file says any port
+    assert await asyncio.to_thread(listens, new) == port
     assert old.stderr and "handed over" in await asyncio.to_thread(old.stderr.readline)
     server.heard = answers(OK)
     for number in range(5):  # the new one has the list only from the old one
         asked = request(f"n{number}", Cookie=f"customer={number:016x}")
         assert (await ask(port, asked)).startswith(b"HTTP/1.1 200 ")
-    assert (
-        old.poll() is None
-    )  # it has a request, and a connection whose first request is on the way
+    # it has a request, and a connection whose first request is on the way
+    assert old.poll() is None
     silent_writer.write(request("s1"))
-    assert (await silent.readuntil(b"\r\n\r\n")).startswith(
-        b"HTTP/1.1 "
-    )  # heard, by whichever has it
+    # heard, by whichever has it
+    assert (await silent.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 ")
     server.peers[0].transport.write(OK)
     answer = await under_way
     assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
@@ -195,9 +192,8 @@
     assert account.ceiling + taken.ceiling == pytest.approx(had[1])
     assert account.sure + taken.sure == pytest.approx(had[2])
     assert (taken.level, taken.usual, taken.plan) == (account.level, account.usual, account.plan)
-    old.handle(
-        3 * SECOND, arrival(9, plan=3, customer=8)
-    )  # a customer first seen after the hand-over
+    # a customer first seen after the hand-over
+    old.handle(3 * SECOND, arrival(9, plan=3, customer=8))
     assert old.accounts[8].ceiling == old.accounts[8].sure == 0.0
     old.handle(4 * SECOND, arrival(10, plan=3))
     assert account.ceiling <= had[1] / 2  # it refills at the new process only
--- a/tests/ingress/net/test_pool.py
+++ b/tests/ingress/net/test_pool.py
@@ -208,12 +208,10 @@
     assert isinstance(dial, Open)
     assert pool.failed(1.0, dial.dial, True) == [Refuse("x", True)]
     assert (pool.bound(), pool.why()) == (7, Why.REFUSED)
-    assert (
-        pool.ask(1.5, "y", 8.0, lambda link: True) == []
-    )  # no dial beyond the bound: it waits for a link
-    assert (
-        pool.freed(2.0, links[0], True) == [Close(links[0])] and pool.waiting
-    )  # surplus goes first
+    # no dial beyond the bound: it waits for a link
+    assert pool.ask(1.5, "y", 8.0, lambda link: True) == []
+    # surplus goes first
+    assert pool.freed(2.0, links[0], True) == [Close(links[0])] and pool.waiting
     for n, link in enumerate(links[1:5]):
         pool.freed(3.0 + n, link, True)
     assert "y" not in {w for w, _ in pool.waiting} and pool.bound() > 7
@@ -231,16 +229,13 @@
     pool.doubt()
     (dial,) = pool.ask(2.0, "x", 8.0, lambda link: True)
     assert isinstance(dial, Open) and pool.dialled(2.1, dial.dial, "l9") == [HandOut("x", "l9")]
-    assert pool.ask(2.2, "y", 8.0, lambda link: True) == [
-        HandOut("y", "l1")
-    ]  # it answers: trusted again
+    # it answers: trusted again
+    assert pool.ask(2.2, "y", 8.0, lambda link: True) == [HandOut("y", "l1")]
     pool.doubt()
     (dial,) = pool.ask(3.0, "z", 8.0, lambda link: True)
     assert isinstance(dial, Open)
-    assert pool.failed(3.25, dial.dial, False) == [
-        Close("l0"),
-        Refuse("z", True),
-    ]  # vanished: none is tried
+    # vanished: none is tried
+    assert pool.failed(3.25, dial.dial, False) == [Close("l0"), Refuse("z", True)]
 
 
 def test_what_is_idle_beyond_a_smaller_bound_is_closed_the_oldest_first() -> None:
--- a/tests/ingress/policy/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -299,9 +299,8 @@
     )
     gateway.handle(SECOND, it.SettingsChanged(changed))
     assert gateway.accounts[7] is account and account.tokens == 3.0 and account.plan.burst == 2.0
-    assert of(
-        gateway.handle(SECOND, arrival(2, cls=3)), it.SendAttempt
-    )  # the new class, from the old lease
+    # the new class, from the old lease
+    assert of(gateway.handle(SECOND, arrival(2, cls=3)), it.SendAttempt)
     for request, more in ((1, 1), (2, 0)):
         (sent,) = [a for r, a in gateway.flying if r == request]
         number = gateway.flying[request, sent][1].backend.info.id
--- a/tests/ingress/policy/test_fleet.py
+++ b/tests/ingress/policy/test_fleet.py
@@ -171,7 +171,6 @@
     fleet.listed(listed(backend(1), backend(2), kind=it.ListKind.DELTA))
     assert fleet.warmth(fleet.backends[1], 20 * SECOND) == settings().safety.cold_share
     assert fleet.backends[1].limit == fleet.first
-    fleet.maintained(
-        25 * SECOND, it.MaintenanceChanged(1, False)
-    )  # it was not out: nothing to undo
+    # it was not out: nothing to undo
+    fleet.maintained(25 * SECOND, it.MaintenanceChanged(1, False))
     assert fleet.warmth(fleet.backends[1], 30 * SECOND) == 1.0
--- a/tests/ingress/policy/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -83,9 +83,8 @@
 def test_a_lease_at_a_crowded_counter_leaves_the_siblings_their_parts() -> None:
     g = crowded()
     (add,) = of(g.handle(10_100_000, arrival(50, spread=4)), it.AddToCounter)
-    assert (
-        add.amount <= 1 + 1 + (4 - 1 - 1) / 8 + 0.01
-    )  # one asked for, one told of, one part in advance
+    # one asked for, one told of, one part in advance
+    assert add.amount <= 1 + 1 + (4 - 1 - 1) / 8 + 0.01
 
 
 def test_while_crowded_what_is_past_the_allowance_goes_back_with_the_next_call() -> None:
@@ -95,9 +94,8 @@
     assert of(answered, it.Refuse) and not of(answered, it.AddToCounter)
     g.call_at = 10 * SECOND
     (again,) = of(g.handle(11_900_000, arrival(51, spread=4)), it.AddToCounter)
-    assert (
-        again.name == add.name and again.amount < 0.5
-    )  # one is asked for, and what was over taken off
+    # one is asked for, and what was over taken off
+    assert again.name == add.name and again.amount < 0.5
 
 
 def test_first_request_of_a_customer_at_one_of_many_is_sent_without_the_counter_and_the_next_is_not() -> (  # noqa: E501
@@ -123,9 +121,8 @@
         g.handle(0, listed(*(backend(n) for n in range(1, 10))))
         g.handle(started, listed(backend(10, started=started), kind=it.ListKind.DELTA))
     cold: list[int] = []
-    for step in range(
-        10
-    ):  # each gateway sends twice a second for five seconds: 40 a second to each backend
+    # each gateway sends twice a second for five seconds: 40 a second to each backend
+    for step in range(10):
         for g in fleet:
             now = started + step * SECOND // 2
             for s in of(g.handle(now, arrival(step)), it.SendAttempt):
--- a/tests/ingress/test_main.py
+++ b/tests/ingress/test_main.py
@@ -264,11 +264,8 @@
     write(*classes)
     ran = start(path)
     port = await asyncio.to_thread(listens, ran)
-    assert await named(ran) == [
-        b"429",
-        b"429",
-        b"404",
-    ]  # known, with no backend to send them to; unknown
+    # known, with no backend to send them to; unknown
+    assert await named(ran) == [b"429", b"429", b"404"]
     assert await named(ran, *classes, classes[0] | {"name": "fresh"}) == [b"429"] * 3
     assert await named(ran, classes[1], classes[0] | {"name": "fresh"}) == [b"404", b"429", b"429"]
     ran.send_signal(signal.SIGTERM)
--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -494,9 +494,8 @@
     for seed in range(300):
         made = schedule.drawn(seed, 1.5)
         assert schedule.text_of(made) == schedule.text_of(schedule.load("random:1.5", seed))
-        assert (
-            schedule.parse(schedule.text_of(made), "drawn") == made
-        )  # sound, and as a file the same
+        # sound, and as a file the same
+        assert schedule.parse(schedule.text_of(made), "drawn") == made
         kinds |= {f.kind for f in made.fault}
     assert kinds >= set(schedule.DRAWN)
     counts = [sum(len(schedule.drawn(s, i).fault) for s in range(50)) for i in (0.5, 1, 4)]
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -462,9 +462,8 @@
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
 def test_no_process_of_a_live_run_outlives_the_tool(tmp_path: Path, number: signal.Signals) -> None:
     ran, end = started(tmp_path, 60), time.monotonic() + 60
-    while (
-        len(mine := children(ran.pid)) < 4 and time.monotonic() < end
-    ):  # stand-ins, two ingresses, the loader
+    # stand-ins, two ingresses, the loader
+    while len(mine := children(ran.pid)) < 4 and time.monotonic() < end:
         time.sleep(0.05)
     assert len(mine) == 4
     ran.send_signal(number)
--- a/tests/lab/test_stopping.py
+++ b/tests/lab/test_stopping.py
@@ -20,9 +20,8 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
-@pytest.mark.parametrize(
-    "count", [1, 2, 4]
-)  # the stand-ins begin; an ingress does; the loader does
+# the stand-ins begin; an ingress does; the loader does
+@pytest.mark.parametrize("count", [1, 2, 4])
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_a_live_run_that_began_with_sigint_ignored_is_stopped_while_it_starts_its_children(
     tmp_path: Path, number: signal.Signals, count: int
