--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -29,7 +29,7 @@
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
 from tests.control.test_operations import History, first, operator, read
-from tests.raft.test_snapshots import Kill, Killed
+from tests.raft.test_snapshots import Killed, KillError
 from tests.testing.control_cluster import World, configuration, in_memory, play
 
 ME = Member("a:1", "x")
@@ -253,7 +253,7 @@
         try:
             for entry in log:
                 store.write([SaveEntries(entry.index, (entry,))])
-        except Kill:
+        except KillError:
             pass
         finally:
             env.close()
