--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -26,14 +26,14 @@
     """Whoever once took the lead answers at once, whether anybody follows it still or not."""
     _module("cairndale.control.read_index").ReadIndex._is_met = lambda self, waiting, stand: True
     machine = _module("cairndale.raft.node")
-    machine.Machine.leads = lambda self, now: self.role is machine.Role.LEADER and self._opened
-    follow = machine.Machine._become_follower
+    machine.RaftNode.leads = lambda self, now: self.role is machine.Role.LEADER and self._opened
+    follow = machine.RaftNode._become_follower
 
     def stay(self: Any, now: float, step: Any, term: int, leader: Any) -> None:
         if leader or term > self.term or self.role is not machine.Role.LEADER:
             follow(self, now, step, term, leader)
 
-    machine.Machine._become_follower = stay
+    machine.RaftNode._become_follower = stay
 
 
 def _instead(call: str, answer: Any) -> None:
@@ -99,9 +99,9 @@
 
 def unsynced_votes() -> None:
     """Terms and votes are not kept, nor are entries: a disk is empty after each start."""
-    store = _module("cairndale.raft.storage").Store
+    store = _module("cairndale.raft.storage").RaftStorage
     write = store.write
-    heads = ("HardState", "KeepEntries")
+    heads = ("HardState", "SaveEntries")
     store.write = lambda self, writes: write(
         self, [w for w in writes if type(w).__name__ not in heads]
     )
@@ -112,7 +112,7 @@
 
 def torn_snapshot() -> None:
     """A snapshot counts as installed with the tables of before in it."""
-    machine = _module("cairndale.raft.node").Machine
+    machine = _module("cairndale.raft.node").RaftNode
     install = machine.install
 
     def torn(self: Any, now: float, snapshot: Any) -> Any:
