--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -4,6 +4,7 @@
 from __future__ import annotations
 
 import json
+from dataclasses import replace
 from importlib import import_module
 from typing import Any
 
@@ -144,15 +145,15 @@
 def old_words() -> None:
     """An older leader's word is obeyed like any."""
     _module("cairndale.rpc.peer").RpcPeer.outdated = lambda self, envelope, address: False
-    news = _module("cairndale.dataplane.config_client").ConfigClient
-    take = news.take
+    client = _module("cairndale.dataplane.config_client").ConfigClient
+    apply = client.apply
 
     def obey(self: Any, watch_response: Any, *more: Any) -> Any:
-        epoch, config_version, servers, nodes, gen = self.seen
-        self.seen = (epoch, min(config_version, watch_response.config_version), servers, nodes, gen)
-        return take(self, watch_response, *more)
+        version = min(self.cursor.config_version, watch_response.config_version)
+        self.cursor = replace(self.cursor, config_version=version)
+        return apply(self, watch_response, *more)
 
-    news.take = obey
+    client.apply = obey
 
 
 def foreign_words() -> None:
--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+from dataclasses import replace
 from typing import Any
 
 from cairndale.chaos import control_mutations
@@ -87,14 +88,13 @@
     """News of an older version is taken as well."""
     from cairndale.dataplane.config_client import ConfigClient
 
-    take = ConfigClient.take
+    apply = ConfigClient.apply
 
     def older(self: ConfigClient, *args: Any) -> Any:
-        epoch, _, servers, nodes, gen = self.seen
-        self.seen = (epoch, 0, servers, nodes, gen)
-        return take(self, *args)
+        self.cursor = replace(self.cursor, config_version=0)
+        return apply(self, *args)
 
-    ConfigClient.take = older  # type: ignore[method-assign, assignment]
+    ConfigClient.apply = older  # type: ignore[method-assign, assignment]
 
 
 def unkept_lease() -> None:
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -1,7 +1,7 @@
 """What an ingress was told by the core's leader, and the lease by which it may serve by it.
 
-A plain object without I/O; times are seconds on the ingress's steady clock, but for `cold_until`
-(us, the engine's)."""
+A plain object without I/O; times are seconds on the ingress's steady clock, but for
+`warmup_until_us` (the engine's clock)."""
 
 from __future__ import annotations
 
@@ -17,125 +17,141 @@
 from cairndale.settings import DRIFT
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
+class WatchCursor:
+    """What the newest discovery response that was accepted has brought this ingress up to.
+
+    The watch is resumed from it. Within one epoch no version goes back.
+    """
+
+    epoch: str = ""  # of the leader that counts the versions of endpoints and nodes
+    config_version: int = 0
+    endpoints_version: int = 0
+    nodes_version: int = 0
+    generation: int = 0  # of the configuration
+
+
+@dataclass(frozen=True, slots=True)
 class KnownEndpoint:
-    server: pb.Endpoint
-    cold_until: int  # us
+    endpoint: pb.Endpoint
+    warmup_until_us: int
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class ConfigUpdate:
     """What a cue has changed."""
 
-    route_table: bool = False
-    items: TableChange | None = None  # of the bill; None: all of it may be otherwise
-    servers: bool = False
-    named: frozenset[str] | None = None  # of the servers; None: all of them may be
-    place: bool = False
-    dropped: str = ""  # nothing was taken: why
+    route_table_changed: bool = False
+    table_change: TableChange | None = None  # of the bill; None: all of it may be otherwise
+    endpoints_changed: bool = False
+    changed_endpoints: frozenset[str] | None = None  # of the servers; None: all of them may be
+    placement_changed: bool = False
+    rejection_reason: str = ""  # nothing was taken: why
 
 
 class ConfigClient:
-    def __init__(self, now: float, cores: Iterable[str]) -> None:
+    def __init__(self, now: float, control_addresses: Iterable[str]) -> None:
         self.route_table = RouteTable({})
-        self.servers: dict[str, KnownEndpoint] = {}
+        self.endpoints: dict[str, KnownEndpoint] = {}
         self.nodes: dict[str, pb.Node] = {}  # those here, by name
-        self.cores = list(cores)  # doors of every one ever told of
-        self.evacuated: frozenset[str] = frozenset()
-        self.lease_end = self.heard_at = float("-inf")
-        self.settled = False  # in this life it has been told of all servers that there were
-        self.edges = 0  # ingresses that shares are parted over; 0: never told, so none may be spent
-        self.seen: tuple[str, int, int, int, int] = (
-            "",
-            0,
-            0,
-            0,
-            0,
-        )  # epoch, script, servers, nodes, gen
-        self._counting, self._began = False, now
-        self._alone_at = now  # when it last lost touch otherwise than by hearing nothing
-        self._told_of: set[str] = set()  # servers, in the term of the newest cue
+        self.control_addresses = list(control_addresses)  # doors of every one ever told of
+        self.evacuated_zones: frozenset[str] = frozenset()
+        self.lease_end = self.last_response_at = float("-inf")
+        # In this life the leader has listed every endpoint there was.
+        self.endpoints_complete = False
+        # Ingresses that quota shares are divided by; 0: not known yet, so no share may be spent.
+        self.ingress_count = 0
+        self.cursor = WatchCursor()
+        self._counting, self._started_at = False, now
+        self._isolated_at = now  # when it last lost touch otherwise than by hearing nothing
+        self._listed_this_epoch: set[str] = set()  # servers, in the term of the newest cue
         # what the leader knows of it, and in which epoch
-        self._told: tuple[str, pb.Node] | None = None
-        self._wants_whole = False  # a difference did not fit
-        self._clock = (0, 0.0)  # what the newest cue said of the leader's, in ms, and when it came
+        self._identified_as: tuple[str, pb.Node] | None = None
+        self._needs_full_state = False  # a difference did not fit
+        # The leader's clock in ms as the newest response said, and when that came.
+        self._leader_clock = (0, 0.0)
 
     # What is known.
 
     def may_serve(self, now: float) -> bool:
         return now < self.lease_end
 
-    def in_touch(self, now: float) -> bool:
+    def in_contact(self, now: float) -> bool:
         """The counter counts, and heard of this ingress so lately that it knows it does not spend
         by itself."""
-        return self._counting and now < self.heard_at + hold(self.edges) + LOST
+        return self._counting and now < self.last_response_at + hold(self.ingress_count) + LOST
 
-    def lose_touch(self, now: float) -> None:
+    def connection_lost(self, now: float) -> None:
         """The leader's connection has ended."""
-        if self.in_touch(now):
-            self._alone_at = now
-        self.heard_at = float("-inf")
+        if self.in_contact(now):
+            self._isolated_at = now
+        self.last_response_at = float("-inf")
 
-    def alone_since(self, now: float) -> float:
+    def isolated_since(self, now: float) -> float:
         """Since when it may spend without the counter, or a little later; now, while it may not."""
-        if self.in_touch(now):
+        if self.in_contact(now):
             return now
         if self._counting:
-            return max(self._alone_at, self.heard_at + hold(self.edges) + LOST)
-        return self._alone_at
+            return max(self._isolated_at, self.last_response_at + hold(self.ingress_count) + LOST)
+        return self._isolated_at
 
-    def stands(self, server: str, service: str) -> bool:
-        known = self.servers.get(server)
-        if known is None or known.server.state != "ready" or known.server.service != service:
+    def is_available(self, endpoint: str, service: str) -> bool:
+        known = self.endpoints.get(endpoint)
+        if known is None or known.endpoint.state != "ready" or known.endpoint.service != service:
             return False
-        return known.server.zone not in self.evacuated
+        return known.endpoint.zone not in self.evacuated_zones
 
-    def peers(self, own: str) -> list[str]:
+    def peer_addresses(self, own: str) -> list[str]:
         return [n.address for n in self.nodes.values() if n.kind == "edge" and n.address != own]
 
-    def know_cores(self, addresses: Iterable[str]) -> None:
+    def add_control_addresses(self, addresses: Iterable[str]) -> None:
         for address in addresses:
-            if address not in self.cores:
-                self.cores.append(address)
+            if address not in self.control_addresses:
+                self.control_addresses.append(address)
 
     # Asking, and being told.
 
-    def ask(self, node: pb.Node, now: float, wait: float) -> pb.WatchRequest:
+    def watch_request(self, node: pb.Node, now: float, wait: float) -> pb.WatchRequest:
         """For what is news, which the leader may keep for `wait` s while there is none."""
-        epoch, config_version, servers, nodes, gen = self.seen
-        ask = pb.WatchRequest(
-            epoch=epoch,
-            config_version=config_version,
-            gen=gen,
-            servers=servers,
-            nodes=nodes,
+        cursor = self.cursor
+        request = pb.WatchRequest(
+            epoch=cursor.epoch,
+            config_version=cursor.config_version,
+            gen=cursor.generation,
+            servers=cursor.endpoints_version,
+            nodes=cursor.nodes_version,
             wait_ms=round(wait * 1000),
-            counting=self._counting and now - self.heard_at <= PROMPT,
+            counting=self._counting and now - self.last_response_at <= PROMPT,
             clock_ms=self._clock_ms(now),
-            idle_ms=0 if self.edges else round((now - self._began) * 1000),
-            differences=not self._wants_whole,
+            idle_ms=0 if self.ingress_count else round((now - self._started_at) * 1000),
+            differences=not self._needs_full_state,
         )
-        if (epoch, node) == self._told:
-            ask.name, ask.life = node.name, node.life
+        if (cursor.epoch, node) == self._identified_as:
+            request.name, request.life = node.name, node.life
         else:
-            ask.node.CopyFrom(node)
-        return ask
+            request.node.CopyFrom(node)
+        return request
 
-    def unanswered(self) -> None:
-        self._told = None
+    def request_failed(self) -> None:
+        self._identified_as = None
 
     def _clock_ms(self, now: float) -> int:
         """On the leader's clock, or behind it."""
-        said, came = self._clock
+        said, came = self._leader_clock
         return int(said + (now - came) * 1000 * (1 - DRIFT)) if said else 0
 
-    def take(
-        self, watch_response: pb.WatchResponse, node: pb.Node, asked: float, now: float, us: int
+    def apply(
+        self,
+        watch_response: pb.WatchResponse,
+        requested_by: pb.Node,
+        requested_at: float,
+        now: float,
+        now_us: int,
     ) -> ConfigUpdate | None:
-        """`asked`: when, and by which `node`; `us`: the engine's clock now. None: it says nothing
-        new enough, as nothing goes back within a life. A difference that does not fit is dropped
-        with all that came with it, and the whole content is asked for next."""
-        if watch_response.config_version < self.seen[1]:
+        """`requested_at`: when, and by which `requested_by`; `now_us`: the engine's clock now.
+        None: it says nothing new enough, as nothing goes back within a life. A difference that does
+        not fit is dropped with all that came with it, and the whole content is asked for next."""
+        if watch_response.config_version < self.cursor.config_version:
             return None
         items = None
         if watch_response.HasField("difference"):
@@ -147,58 +163,58 @@
                     ConfigDelta(told.before, told.gen, told.digest_before, told.digest, told.change)
                 )
             except DeltaError as error:
-                self._wants_whole = True
-                return ConfigUpdate(dropped=str(error))
+                self._needs_full_state = True
+                return ConfigUpdate(rejection_reason=str(error))
         elif watch_response.has_content:
             self.route_table = RouteTable(
                 json.loads(zlib.decompress(watch_response.content))
                 if watch_response.content
                 else {}
             )
-            self._wants_whole = False
-        moved = watch_response.has_config_version and self.evacuated != frozenset(
+            self._needs_full_state = False
+        moved = watch_response.has_config_version and self.evacuated_zones != frozenset(
             watch_response.evacuated
         )
         if moved:
-            self.evacuated = frozenset(watch_response.evacuated)
+            self.evacuated_zones = frozenset(watch_response.evacuated)
         if watch_response.servers_whole:
-            self.servers = {}
-        if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
-            self._told_of = set()
-        self._told_of.update(server.id for server in watch_response.server)
+            self.endpoints = {}
+        if watch_response.epoch.rstrip("~") != self.cursor.epoch.rstrip("~"):
+            self._listed_this_epoch = set()
+        self._listed_this_epoch.update(server.id for server in watch_response.server)
         if watch_response.rest_gone:
-            self.servers = {id: known for id, known in self.servers.items() if id in self._told_of}
+            self.endpoints = {
+                id: known for id, known in self.endpoints.items() if id in self._listed_this_epoch
+            }
         for server in watch_response.server:
-            self._know_server(server, us)
+            self._apply_endpoint(server, now_us)
         if watch_response.nodes_whole:
             self.nodes = {}
         for name in watch_response.node_gone:
             self.nodes.pop(name, None)
         self.nodes.update((n.name, n) for n in watch_response.node)
-        self.know_cores(n.address for n in watch_response.node if n.kind == "core")
+        self.add_control_addresses(n.address for n in watch_response.node if n.kind == "core")
         if self._counting and not watch_response.counting:
-            self._alone_at = now
-        self._counting, self.settled = (
+            self._isolated_at = now
+        self._counting, self.endpoints_complete = (
             watch_response.counting,
-            self.settled or watch_response.settled,
+            self.endpoints_complete or watch_response.settled,
         )
-        self.edges = (
+        self.ingress_count = (
             watch_response.share_of
             if watch_response.counting
-            else max(self.edges, watch_response.share_of)
+            else max(self.ingress_count, watch_response.share_of)
         )
-        self.seen, self._told = (
-            (
-                watch_response.epoch,
-                watch_response.config_version,
-                watch_response.servers,
-                watch_response.nodes,
-                watch_response.gen,
-            ),
-            (watch_response.epoch, node),
+        self.cursor = WatchCursor(
+            epoch=watch_response.epoch,
+            config_version=watch_response.config_version,
+            endpoints_version=watch_response.servers,
+            nodes_version=watch_response.nodes,
+            generation=watch_response.gen,
         )
-        self.heard_at, self._clock = now, (watch_response.clock_ms, now)
-        self.lease_end = asked + watch_response.lease_ms / 1000 * (1 - DRIFT)
+        self._identified_as = (watch_response.epoch, requested_by)
+        self.last_response_at, self._leader_clock = now, (watch_response.clock_ms, now)
+        self.lease_end = requested_at + watch_response.lease_ms / 1000 * (1 - DRIFT)
         anew, route_table = (
             watch_response.servers_whole or watch_response.rest_gone or moved,
             watch_response.has_content or items is not None,
@@ -214,10 +230,10 @@
             or route_table,
         )
 
-    def _know_server(self, server: pb.Endpoint, us: int) -> None:
-        if server.state == "gone":
-            self.servers.pop(server.id, None)
+    def _apply_endpoint(self, endpoint: pb.Endpoint, now_us: int) -> None:
+        if endpoint.state == "gone":
+            self.endpoints.pop(endpoint.id, None)
         else:
-            self.servers[server.id] = KnownEndpoint(
-                server, us + server.cold_ms * 1000 if server.cold_ms else 0
+            self.endpoints[endpoint.id] = KnownEndpoint(
+                endpoint, now_us + endpoint.cold_ms * 1000 if endpoint.cold_ms else 0
             )
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -67,9 +67,11 @@
         self.clock = Clock()
         self.rpc_peer = RpcPeer((settings.ip, settings.own_port), self._hear, self._handle)
         seeds = [format_address(settings.core_address(seed)) for seed in settings.seeds]
-        self.news = ConfigClient(self._loop.time(), seeds)
+        self.config_client = ConfigClient(self._loop.time(), seeds)
         self.leader_client = LeaderClient(
-            self.rpc_peer, lambda: self.news.cores, lambda: self.news.peers(self.rpc_peer.own)
+            self.rpc_peer,
+            lambda: self.config_client.control_addresses,
+            lambda: self.config_client.peer_addresses(self.rpc_peer.own),
         )
         self.rpc_peer.lost = self._lost
         self._lookups = Lookups(settings.name)
@@ -158,7 +160,7 @@
         return it.Plan(tenant.name, rate, max(1.0, burst) if rate else 0.0, saved_most=most)
 
     def _fleet_size(self) -> int:
-        return max(1, self.news.edges)
+        return max(1, self.config_client.ingress_count)
 
     async def start(self) -> None:
         await self.rpc_peer.listen()
@@ -199,7 +201,9 @@
 
     async def _say_leaving(self) -> None:
         while True:
-            ask = pb.Envelope(watch_request=self.news.ask(self._node(), self._loop.time(), 0.0))
+            ask = pb.Envelope(
+                watch_request=self.config_client.watch_request(self._node(), self._loop.time(), 0.0)
+            )
             try:
                 await self.leader_client.call(ask, ASK_WITHIN, 1.0)
                 return
@@ -209,12 +213,14 @@
     def reconfigure(self, settings: Settings) -> None:
         """The settings file has changed: other seeds; those told of before stay known."""
         self.settings = settings
-        self.news.know_cores(format_address(settings.core_address(seed)) for seed in settings.seeds)
+        self.config_client.add_control_addresses(
+            format_address(settings.core_address(seed)) for seed in settings.seeds
+        )
 
     # What is known, for those who ask at the moment they act.
 
     def may_serve(self) -> bool:
-        return self.news.may_serve(self._loop.time())
+        return self.config_client.may_serve(self._loop.time())
 
     def may_begin(self, cls: int, timeout: int) -> bool:
         """It can be answered before this process ends. `timeout`: us that it may take at the
@@ -237,23 +243,25 @@
         return number
 
     def spread(self) -> int:
-        return self.news.edges or 1_000_000
+        return self.config_client.ingress_count or 1_000_000
 
     @property
     def route_table(self) -> RouteTable:
-        return self.news.route_table
+        return self.config_client.route_table
 
     def in_touch(self) -> bool:
-        return self.news.in_touch(self._loop.time())
+        return self.config_client.in_contact(self._loop.time())
 
     def _alone_since(self) -> int:
         """us since when it may spend without the counter, or a little later; now, while it may
         not."""
         now = self._loop.time()
-        return self.clock.now() - round(max(0.0, now - self.news.alone_since(now)) * 1e6)
+        return self.clock.now() - round(
+            max(0.0, now - self.config_client.isolated_since(now)) * 1e6
+        )
 
     def stands(self, server: str, service: str) -> bool:
-        return self.news.stands(server, service)
+        return self.config_client.is_available(server, service)
 
     def ready(self) -> bool:
         return self._prepared() and self.may_serve() and not self._leaving
@@ -264,14 +272,14 @@
         say that they are there."""
         if not self.route_table.gen or not self.rows.rows:
             return False
-        return self.news.settled or all(
+        return self.config_client.endpoints_complete or all(
             self.service(name) in self.rows.rows for name in self.route_table.named
         )
 
     def _lost(self, address: str) -> None:
         """The leader's connection has ended: there as well, or the leader has."""
         if address == self.leader_client.hint:
-            self.news.lose_touch(self._loop.time())
+            self.config_client.connection_lost(self._loop.time())
 
     # Doors.
 
@@ -290,9 +298,13 @@
             return wrong(found.status, found.why)
         if found.call == "ready":
             return await self._ready_door(method, target, body)
-        nodes, seen, most = self.news.nodes.values(), self.news.seen, self.settings.bounds.ttl_max
+        nodes, cursor = self.config_client.nodes.values(), self.config_client.cursor
         return self._lookups.answer(
-            target, nodes, most, self.route_table, (seen[0], seen[3], self.route_table.gen)
+            target,
+            nodes,
+            self.settings.bounds.ttl_max,
+            self.route_table,
+            (cursor.epoch, cursor.nodes_version, self.route_table.gen),
         )
 
     def _hear(self, envelope: pb.Envelope) -> None:
@@ -320,14 +332,16 @@
     async def _asks(self) -> None:
         while True:
             wait = (
-                hold(self.news.edges) if self.news.edges else HOLD_MOST
+                hold(self.config_client.ingress_count)
+                if self.config_client.ingress_count
+                else HOLD_MOST
             )  # at first it may take a while
             node, asked = self._node(), self._loop.time()
-            ask = pb.Envelope(watch_request=self.news.ask(node, asked, wait))
+            ask = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
                 answer = await self.leader_client.call(ask, ASK_WITHIN, patience(wait))
             except CallError as failure:
-                self.news.unanswered()
+                self.config_client.request_failed()
                 if not self.may_serve():
                     log_event(Event.NO_LEADER, "%s", failure)
                 await asyncio.sleep(random.uniform(0.05, 0.15))
@@ -342,18 +356,20 @@
                 await asyncio.sleep(0.5)
 
     def _apply(self, watch_response: pb.WatchResponse, node: pb.Node, asked: float) -> None:
-        changed = self.news.take(watch_response, node, asked, self._loop.time(), self.clock.now())
+        changed = self.config_client.apply(
+            watch_response, node, asked, self._loop.time(), self.clock.now()
+        )
         if changed is None:
             return
-        if changed.dropped:
-            log_event(Event.DELTA_DROPPED, "%s", changed.dropped)
+        if changed.rejection_reason:
+            log_event(Event.DELTA_DROPPED, "%s", changed.rejection_reason)
             return
-        if changed.route_table:
-            self._take_bill(self.news.route_table, changed.items)
-        if changed.place:
+        if changed.route_table_changed:
+            self._take_bill(self.config_client.route_table, changed.table_change)
+        if changed.placement_changed:
             self._set_place()
-        if changed.servers:
-            self._list_servers(changed.named)
+        if changed.endpoints_changed:
+            self._list_servers(changed.changed_endpoints)
 
     def _take_bill(self, route_table: RouteTable, items: TableChange | None) -> None:
         limits = route_table.limits
@@ -372,9 +388,9 @@
         bounds, place = self.settings.bounds, self.rows.place
         place.zone = self._zones.get(self.settings.zone, -1)
         place.region = self._regions.get(self.settings.region, -1)
-        place.edges = max(1, self.news.edges)
+        place.edges = max(1, self.config_client.ingress_count)
         place.edges_in = {}
-        for node in self.news.nodes.values():
+        for node in self.config_client.nodes.values():
             if node.kind == "edge" and not node.leaving:
                 zone = self._zones.get(node.zone, -1)
                 place.edges_in[zone] = place.edges_in.get(zone, 0) + 1
@@ -383,7 +399,7 @@
 
     def _list_servers(self, named: frozenset[str] | None) -> None:
         """Those named, of which some may be gone; None: all there are, and no others."""
-        servers, entries = self.news.servers, list[Entry]()
+        servers, entries = self.config_client.endpoints, list[Entry]()
         for id in servers if named is None else named:
             try:
                 if id in servers:
@@ -393,18 +409,20 @@
                 log_event(Event.FAILED, "server %s: %s", id, error)
             if self.engine.knows(id):
                 entries.append(ListedEndpoint({"name": id, "status": "removed"}, "", 0, 0))
-        self.engine.listed(Listing.of(self.news.seen[2], entries, named is None))
+        self.engine.listed(
+            Listing.of(self.config_client.cursor.endpoints_version, entries, named is None)
+        )
 
     def _standing(self, known: KnownEndpoint) -> ListedEndpoint:
-        server = known.server
-        away = server.state != "ready" or server.zone in self.news.evacuated
+        server = known.endpoint
+        away = server.state != "ready" or server.zone in self.config_client.evacuated_zones
         raw = {
             "name": server.id,
             "address": server.addr,
             "zone": server.zone,
             "status": "draining" if away else "up",
         }
-        return ListedEndpoint(raw, server.service, server.capacity, known.cold_until)
+        return ListedEndpoint(raw, server.service, server.capacity, known.warmup_until_us)
 
     def _describe(self, entry: Entry, number: int) -> it.ListedBackend:
         assert isinstance(entry, ListedEndpoint)
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -67,7 +67,7 @@
         self.name, self._at, self.place, self._cores = name, at, place, list(cores)
         self._shared, self._gauge, self._rng = shared, gauge, rng
         self.rpc_peer: RpcPeer | None = None
-        self.news = ConfigClient(0.0, self._cores)
+        self.config_client = ConfigClient(0.0, self._cores)
         self.served_at: dict[int, float] = {}  # by generation: when it was told, of the last few
         self.term, self.term_at = 0, 0.0  # of the leader that its lease is from, and since when
         self.lapsed, self.counted_at = (
@@ -81,7 +81,7 @@
 
     @property
     def lease_end(self) -> float:
-        return self.news.lease_end
+        return self.config_client.lease_end
 
     async def start(self, lease_per_s: float) -> None:
         """A new life."""
@@ -89,10 +89,10 @@
         rpc_peer = self.rpc_peer = RpcPeer(self._at, lambda envelope: None, self._refuse)
         self._gauge.count_frames(rpc_peer)
         self.began, self.well_at, self.term = time.monotonic(), 0.0, 0
-        news = self.news = ConfigClient(self.began, self._cores)
+        client = self.config_client = ConfigClient(self.began, self._cores)
         await rpc_peer.listen()
         self.leader_client = LeaderClient(
-            rpc_peer, lambda: news.cores, lambda: news.peers(rpc_peer.own)
+            rpc_peer, lambda: client.control_addresses, lambda: client.peer_addresses(rpc_peer.own)
         )
         rpc_peer.lost = self._lost
         self._tasks = [loop.create_task(self._asks()), loop.create_task(self._units(lease_per_s))]
@@ -107,7 +107,7 @@
 
     def _lost(self, address: str) -> None:
         if address == self.leader_client.hint:
-            self.news.lose_touch(time.monotonic())
+            self.config_client.connection_lost(time.monotonic())
 
     async def _refuse(self, envelope: pb.Envelope) -> pb.Envelope:
         raise RejectedError("only passed on here")
@@ -123,18 +123,22 @@
             zone=zone,
             region=region,
             kind="edge",
-            ready=bool(self.news.seen[1]),
+            ready=bool(self.config_client.cursor.config_version),
         )
 
     async def _asks(self) -> None:
         while True:
-            wait = hold(self.news.edges) if self.news.edges else HOLD_MOST
+            wait = (
+                hold(self.config_client.ingress_count)
+                if self.config_client.ingress_count
+                else HOLD_MOST
+            )
             node, asked = self._node(), time.monotonic()
-            made = pb.Envelope(watch_request=self.news.ask(node, asked, wait))
+            made = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
                 answer = await self.leader_client.call(made, ASK_WITHIN, patience(wait))
             except CallError as failure:
-                self.news.unanswered()
+                self.config_client.request_failed()
                 self.failed[f"ask: {failure.code.name}"] += 1
                 await asyncio.sleep(self._rng.uniform(0.05, 0.15))
                 continue
@@ -144,11 +148,15 @@
     def _apply(
         self, watch_response: pb.WatchResponse, node: pb.Node, asked: float, term: int
     ) -> None:
-        now, before, gen = time.monotonic(), self.news.lease_end, self.news.seen[4]
+        now, before, gen = (
+            time.monotonic(),
+            self.config_client.lease_end,
+            self.config_client.cursor.generation,
+        )
         if watch_response.has_content:
             self.tenants, watch_response.content = self._shared.tenants(watch_response.content), b""
         watch_response.ClearField("difference")  # it holds no items, and goes by the gen alone
-        if self.news.take(watch_response, node, asked, now, 0) is None:
+        if self.config_client.apply(watch_response, node, asked, now, 0) is None:
             return
         if watch_response.gen != gen:
             self.served_at[watch_response.gen] = now
@@ -165,7 +173,7 @@
         """Leases of tenants' units, and now and then a further try that is dealt."""
         while True:
             await asyncio.sleep(self._rng.expovariate(per_s) if per_s > 0 else 3600.0)
-            if not (self.tenants and self.news.in_touch(time.monotonic())):
+            if not (self.tenants and self.config_client.in_contact(time.monotonic())):
                 continue
             if self._rng.random() < 0.05:
                 asked = pb.Envelope(budget_request=pb.BudgetRequest(whole=["further/s0"]))
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -113,12 +113,12 @@
     return state
 
 
-def told(state: State, news: ConfigClient, now: float, term: int) -> pb.WatchResponse:
+def told(state: State, client: ConfigClient, now: float, term: int) -> pb.WatchResponse:
     """What the duty of that term tells for the ask of that ingress."""
     leadership = Leadership(
         term, now, False, EndpointRegistry(), NodeRegistry(), [], checked(SETTINGS).bounds, 1.5
     )
-    ask = news.ask(NODE, now, 0)
+    ask = client.watch_request(NODE, now, 0)
     ask.node.CopyFrom(NODE)
     leadership.follow(state)
     return leadership.watch_response(now, ask, state)
@@ -172,37 +172,37 @@
 def test_an_ingress_told_differences_serves_as_one_that_reads_the_whole(seed: int) -> None:
     """Cues are lost or spoilt, another member leads each time, its content is or is not weighed by
     then."""
-    rng, news = random.Random(seed), ConfigClient(0.0, [])
+    rng, client = random.Random(seed), ConfigClient(0.0, [])
     for number, states in enumerate(changes(rng, 12, restored=0.1)):
-        leader, now, before = states[rng.randrange(2)], 100.0 + number, seen(news.route_table)
+        leader, now, before = states[rng.randrange(2)], 100.0 + number, seen(client.route_table)
         leader.history.weigh(leader.content)
         if rng.random() < 0.3:
             continue
-        watch_response = told(leader, news, now, number)
+        watch_response = told(leader, client, now, number)
         assert watch_response.HasField("difference") != watch_response.has_content
         if watch_response.HasField("difference") and rng.random() < 0.3:
             assert len(watch_response.difference.change) < len(leader.told())
-            spoil(watch_response.difference, news.route_table, rng)
-            changed = news.take(watch_response, NODE, now, now, 0)
-            assert changed and changed.dropped and not changed.route_table
+            spoil(watch_response.difference, client.route_table, rng)
+            changed = client.apply(watch_response, NODE, now, now, 0)
+            assert changed and changed.rejection_reason and not changed.route_table_changed
             assert (
-                seen(news.route_table) == before
-                and news.seen[4] == before[0]
-                and news.heard_at < now
+                seen(client.route_table) == before
+                and client.cursor.generation == before[0]
+                and client.last_response_at < now
             )
-            watch_response = told(leader, news, now, number)
+            watch_response = told(leader, client, now, number)
             assert watch_response.has_content  # as it asks for the whole
-        changed = news.take(watch_response, NODE, now, now, 0)
-        assert changed and changed.route_table and not changed.dropped
+        changed = client.apply(watch_response, NODE, now, now, 0)
+        assert changed and changed.route_table_changed and not changed.rejection_reason
         assert (
-            seen(news.route_table) == seen(RouteTable(leader.content))
-            and news.seen[4] == leader.gen
+            seen(client.route_table) == seen(RouteTable(leader.content))
+            and client.cursor.generation == leader.gen
         )
-        assert news.ask(NODE, now, 0).differences and news.lease_end > now
+        assert client.watch_request(NODE, now, 0).differences and client.lease_end > now
 
 
 def test_each_leader_tells_one_change_as_a_difference_whatever_the_order_of_items() -> None:
-    rng, news = random.Random(2), ConfigClient(0.0, [])
+    rng, client = random.Random(2), ConfigClient(0.0, [])
     leadership = Leadership(
         99, 0.0, False, EndpointRegistry(), NodeRegistry(), [], checked(SETTINGS).bounds, 1.5
     )
@@ -216,16 +216,16 @@
             t["name"]: (t["ratePerS"], t["burst"]) for t in rates
         }
         assert leadership._warm_per_s == {b["name"]: b["warmupPerS"] for b in raw["backends"]}
-        watch_response = told(leader, news, 100.0 + number, number)
+        watch_response = told(leader, client, 100.0 + number, number)
         assert watch_response.has_content == (number == 0)
-        news.take(watch_response, NODE, 100.0, 100.0, 0)
+        client.apply(watch_response, NODE, 100.0, 100.0, 0)
         turned = RouteTable(leader.content | {t: leader.content[t][::-1] for t in TABLES})
         assert (
             turned.digest
-            == news.route_table.digest
+            == client.route_table.digest
             == (watch_response.difference.digest or turned.digest)
         )
-    ask = news.ask(NODE, 200.0, 0)
+    ask = client.watch_request(NODE, 200.0, 0)
     ask.node.CopyFrom(NODE)
     ask.node.kind, ask.config_version, ask.gen = "core", 1, 1
     watch_response = leadership.watch_response(200.0, ask, leader)  # which has the log
@@ -280,7 +280,7 @@
 
 def plans(house: DataPlaneNode) -> dict[str, Any]:
     """What engine and module hold of what the bill names, by name."""
-    engine, route_table = house.engine, house.news.route_table
+    engine, route_table = house.engine, house.config_client.route_table
     by_name = {
         name: engine.settings.plans[engine.names.plans[name.encode()]]
         for name in ["", *route_table.tenants]
@@ -317,8 +317,8 @@
     known: dict[str, pb.Endpoint] = {}
     for number, states in enumerate(changes(rng, 40)):
         state, now, plain = weighed(states[0]), house._loop.time(), DataPlaneNode(checked(SETTINGS))
-        house.news._wants_whole = whole = rng.random() < 0.2
-        watch_response = told(state, house.news, now, 3)
+        house.config_client._needs_full_state = whole = rng.random() < 0.2
+        watch_response = told(state, house.config_client, now, 3)
         watch_response.epoch, watch_response.servers, before = (
             "3",
             number + 1,
@@ -387,7 +387,7 @@
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
-    first = told(weighed(state), house.news, house._loop.time(), 3)
+    first = told(weighed(state), house.config_client, house._loop.time(), 3)
     first.server.add(id="i", service="s1", addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
     house._apply(first, NODE, house._loop.time())
     message = Message()
@@ -399,7 +399,7 @@
     upsert = {"routes": [route("r2")], "tenants": [{"name": "t1"} | put] if put else []}
     frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
     assert state.apply(Command(Verb.UPDATE, "2", frame))
-    watch_response = told(state, house.news, house._loop.time(), 3)
+    watch_response = told(state, house.config_client, house._loop.time(), 3)
     assert watch_response.HasField("difference")
     house._apply(watch_response, NODE, house._loop.time())
     assert (wanted.dress("i", 1000) is not None) == goes
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -140,7 +140,7 @@
         0,
     ]
     assert house.rows.is_denied(units[0], began + 150_000)
-    house.news.heard_at = float("-inf")  # out of touch: nothing is asked for
+    house.config_client.last_response_at = float("-inf")  # out of touch: nothing is asked for
     house.units.deal(units, granted.append)
     await asyncio.gather(*house.units.calls)
     assert len(asked) == 3 and granted[3] == 0
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -653,18 +653,18 @@
     """One that is sent again after a silence would count as in touch while its sender no longer
     is."""
     assert nodes.HEARD + nodes.FRESH + nodes.PROMPT < LOST
-    news, node = ConfigClient(0.0, []), pb.Node(name="e", life="1")
-    news.take(
+    client, node = ConfigClient(0.0, []), pb.Node(name="e", life="1")
+    client.apply(
         pb.WatchResponse(epoch="3", counting=True, clock_ms=5000, lease_ms=4500), node, 9.9, 10.0, 0
     )
-    prompt, late = news.ask(node, 10.01, 0.25), news.ask(node, 10.3, 0.25)
-    assert prompt.counting and not late.counting and news.in_touch(10.3)
+    prompt, late = client.watch_request(node, 10.01, 0.25), client.watch_request(node, 10.3, 0.25)
+    assert prompt.counting and not late.counting and client.in_contact(10.3)
     assert prompt.name == "e" and not prompt.HasField("node")
     assert 5000 < prompt.clock_ms <= 5010 and 5290 <= late.clock_ms < 5300  # never ahead
-    assert news.take(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
+    assert client.apply(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
     assert (
-        news.take(pb.WatchResponse(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
-        and news.heard_at == 11.0
+        client.apply(pb.WatchResponse(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
+        and client.last_response_at == 11.0
     )
 
 
