--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -16,9 +16,10 @@
 from cairndale.quota.budget_counter import FURTHER, LIFE, Budget, BudgetCounter, further, starts
 from cairndale.quota.quota_counter import QuotaCounter
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
-from cairndale.registry.nodes import LEASE, NodeRegistry
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
+from cairndale.rpc.lease_timing import NODE_LEASE_S
 from cairndale.settings import Bounds, seconds
 
 # beats after a start from nothing, until which servers that are not known may yet be there
@@ -328,7 +329,7 @@
             held.idle_until = min(held.idle_until, now)
         return pb.WatchResponse(
             epoch=epoch,
-            lease_ms=round(LEASE * 1000),
+            lease_ms=round(NODE_LEASE_S * 1000),
             config_version=config_version,
             gen=gen,
             share_of=self.shared_by(now),
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -12,9 +12,13 @@
 
 from cairndale.configuration.delta import ConfigDelta, DeltaError
 from cairndale.configuration.route_table import RouteTable, TableChange
-from cairndale.registry.nodes import LOST, PROMPT, hold
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.settings import DRIFT
+from cairndale.rpc.lease_timing import (
+    MAX_CLOCK_DRIFT,
+    NODE_CONTACT_MARGIN_S,
+    PROMPT_REQUEST_S,
+    long_poll_timeout,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +83,11 @@
     def in_contact(self, now: float) -> bool:
         """The counter counts, and heard of this ingress so lately that it knows it does not spend
         by itself."""
-        return self._counting and now < self.last_response_at + hold(self.ingress_count) + LOST
+        return (
+            self._counting
+            and now
+            < self.last_response_at + long_poll_timeout(self.ingress_count) + NODE_CONTACT_MARGIN_S
+        )
 
     def connection_lost(self, now: float) -> None:
         """The leader's connection has ended."""
@@ -92,7 +100,12 @@
         if self.in_contact(now):
             return now
         if self._counting:
-            return max(self._isolated_at, self.last_response_at + hold(self.ingress_count) + LOST)
+            return max(
+                self._isolated_at,
+                self.last_response_at
+                + long_poll_timeout(self.ingress_count)
+                + NODE_CONTACT_MARGIN_S,
+            )
         return self._isolated_at
 
     def is_available(self, endpoint: str, service: str) -> bool:
@@ -121,7 +134,7 @@
             servers=cursor.endpoints_version,
             nodes=cursor.nodes_version,
             wait_ms=round(wait * 1000),
-            counting=self._counting and now - self.last_response_at <= PROMPT,
+            counting=self._counting and now - self.last_response_at <= PROMPT_REQUEST_S,
             clock_ms=self._clock_ms(now),
             idle_ms=0 if self.ingress_count else round((now - self._started_at) * 1000),
             differences=not self._needs_full_state,
@@ -138,7 +151,7 @@
     def _clock_ms(self, now: float) -> int:
         """On the leader's clock, or behind it."""
         said, came = self._leader_clock
-        return int(said + (now - came) * 1000 * (1 - DRIFT)) if said else 0
+        return int(said + (now - came) * 1000 * (1 - MAX_CLOCK_DRIFT)) if said else 0
 
     def apply(
         self,
@@ -214,7 +227,7 @@
         )
         self._identified_as = (watch_response.epoch, requested_by)
         self.last_response_at, self._leader_clock = now, (watch_response.clock_ms, now)
-        self.lease_end = requested_at + watch_response.lease_ms / 1000 * (1 - DRIFT)
+        self.lease_end = requested_at + watch_response.lease_ms / 1000 * (1 - MAX_CLOCK_DRIFT)
         anew, route_table = (
             watch_response.servers_whole or watch_response.rest_gone or moved,
             watch_response.has_content or items is not None,
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -28,9 +28,9 @@
 from cairndale.lookup.selection import Lookups
 from cairndale.quota.budget_counter import FURTHER
 from cairndale.quota.quota_counter import EXPIRY, saved_most
-from cairndale.registry.nodes import HOLD_MOST, hold, patience
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.lease_timing import MAX_LONG_POLL_S, long_poll_timeout, response_timeout
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, format_address, seconds
 
@@ -332,14 +332,14 @@
     async def _asks(self) -> None:
         while True:
             wait = (
-                hold(self.config_client.ingress_count)
+                long_poll_timeout(self.config_client.ingress_count)
                 if self.config_client.ingress_count
-                else HOLD_MOST
+                else MAX_LONG_POLL_S
             )  # at first it may take a while
             node, asked = self._node(), self._loop.time()
             ask = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
-                answer = await self.leader_client.call(ask, ASK_WITHIN, patience(wait))
+                answer = await self.leader_client.call(ask, ASK_WITHIN, response_timeout(wait))
             except CallError as failure:
                 self.config_client.request_failed()
                 if not self.may_serve():
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -14,7 +14,7 @@
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
-from cairndale.settings import DRIFT
+from cairndale.rpc.lease_timing import MAX_CLOCK_DRIFT
 
 LEASE_WAIT, LEASE_PATIENCE = 0.5, 0.2  # s for the counter's answer over all tries, and for one
 DEAL_WAIT = 0.2  # s for units to be dealt
@@ -65,7 +65,11 @@
                         pb.Envelope(budget_request=deal), DEAL_WAIT, DEAL_WAIT
                     )
                 ).budget_response
-                until = asked + round(answer.life_ms * 1000 * (1 - DRIFT)) if answer.all else 0
+                until = (
+                    asked + round(answer.life_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
+                    if answer.all
+                    else 0
+                )
                 wait = answer.wait_ms * 1000
         except CallError:
             pass
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -10,34 +10,14 @@
 from dataclasses import dataclass
 
 from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.lease_timing import (
+    FRESH_REQUEST_S,
+    LEADER_CONTACT_MARGIN_S,
+    NODE_LEASE_S,
+    long_poll_timeout,
+)
 
-LEASE = 4.5  # s: shorter than `ack`, as an acknowledgement waits for those silent to have stopped
 MISSED = 0.8  # s without a word after which clients are no longer sent there
-HOLD = 0.25  # s that an ask may be kept while there is no news, or ...
-HOLD_EACH = 0.015  # ... so many for each ingress, if that is more, up to ...
-# ... this: two in a row, an answer that is waited for and the search for another leader
-HOLD_MOST = 1.0
-# take less than a lease. Beyond HOLD_MOST / HOLD_EACH ingresses the leader pays in asks a second.
-ASK_LAG = 0.35  # s beyond the hold that an answer is waited for ...
-# ... and this part of what the hold is beyond HOLD: with many, answers are larger, and queue
-LAG_PART = 0.5
-# s beyond that after which an ingress may be out of touch, as its leader can tell ...
-HEARD = 0.25
-FRESH = 0.05  # s between an ask and its coming within which it counts as made when it came
-PROMPT = 0.05  # s from a cue to the next ask within which that says that who asks is in touch
-# ... and after which it is, as it sees it itself: over HEARD + FRESH + PROMPT, with a margin
-LOST = 0.4
-
-
-def hold(edges: int) -> float:
-    """s that an ask may be kept, with so many ingresses: `edges / hold(edges)` asks a second."""
-    return min(HOLD_MOST, max(HOLD, HOLD_EACH * edges))
-
-
-def patience(wait: float) -> float:
-    """s that who asks waits for an answer that may be kept for `wait`, before it looks for another
-    leader."""
-    return wait + ASK_LAG + LAG_PART * max(0.0, wait - HOLD)
 
 
 @dataclass(slots=True)
@@ -76,11 +56,11 @@
             if name not in self.leases:
                 unheard = pb.Node(name=name, kind="edge")
                 self.leases[name] = NodeLease(
-                    unheard, now + LEASE, float("-inf"), float("-inf"), -1
+                    unheard, now + NODE_LEASE_S, float("-inf"), float("-inf"), -1
                 )
                 self.joined += 1
         for held in self.leases.values():
-            held.lease_end, held.config_version = now + LEASE, -1
+            held.lease_end, held.config_version = now + NODE_LEASE_S, -1
             held.asked_at = held.made_at = float("-inf")
             if (
                 held.here
@@ -95,18 +75,27 @@
         heard of this term."""
         known = self.leases.get(node.name)
         before = known.made_at if known and known.node.life == node.life else float("-inf")
-        return before > float("-inf") if made is None else made < before or now - made > LEASE
+        return (
+            before > float("-inf") if made is None else made < before or now - made > NODE_LEASE_S
+        )
 
     def ask(
         self, now: float, node: pb.Node, config_version: int, made: float | None = None
     ) -> bool:
         """True if it is news to others."""
-        asked = now if made is None or now - made <= FRESH else made
+        asked = now if made is None or now - made <= FRESH_REQUEST_S else made
         made_at = float("-inf") if made is None else made
         known = self.leases.get(node.name)
         if known is None:
             self.leases[node.name] = NodeLease(
-                node, now + LEASE, now, asked, config_version, made_at, here=True, waiting=True
+                node,
+                now + NODE_LEASE_S,
+                now,
+                asked,
+                config_version,
+                made_at,
+                here=True,
+                waiting=True,
             )
             self._change(node.name)
             self.joined += 1
@@ -132,16 +121,21 @@
             if held.here and not held.waiting and now - held.heard_at >= MISSED:
                 held.here = False
                 self._change(name)
-            if not held.here and held.lease_end < now and now - held.heard_at > LEASE:
+            if not held.here and held.lease_end < now and now - held.heard_at > NODE_LEASE_S:
                 del self.leases[name]
         return self.number != before
 
     def in_touch(self, now: float, held: NodeLease, edges: int) -> bool:
-        return held.counting and held.asked_at >= now - hold(edges) - HEARD
+        return (
+            held.counting
+            and held.asked_at >= now - long_poll_timeout(edges) - LEADER_CONTACT_MARGIN_S
+        )
 
     def silent(self, now: float, edges: int) -> int:
         """Ingresses that may serve, and may be out of touch with the counter."""
-        since = now - hold(edges) - HEARD  # as `in_touch` has it, reckoned once for all
+        since = (
+            now - long_poll_timeout(edges) - LEADER_CONTACT_MARGIN_S
+        )  # as `in_touch` has it, reckoned once for all
         return sum(
             1
             for h in self.leases.values()
@@ -168,7 +162,7 @@
 
     def answered(self, now: float, name: str) -> None:
         if held := self.leases.get(name):
-            held.lease_end, held.heard_at, held.waiting = now + LEASE, now, False
+            held.lease_end, held.heard_at, held.waiting = now + NODE_LEASE_S, now, False
 
     def all_at(self, now: float, config_version: int) -> bool:
         """Nobody can serve by an older version any longer."""
@@ -200,5 +194,5 @@
         for name in gone:
             self.leases.pop(name, None)
         for node in nodes:
-            self.leases[node.name] = NodeLease(node, now + LEASE, now, now, -1, here=True)
+            self.leases[node.name] = NodeLease(node, now + NODE_LEASE_S, now, now, -1, here=True)
         self.number = number
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -9,9 +9,9 @@
 from cairndale.chaos.world import ROOT
 from cairndale.control.watch_server import BYTES_PER_S
 from cairndale.lookup.selection import TTL
-from cairndale.registry.nodes import hold
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
+from cairndale.rpc.lease_timing import long_poll_timeout
 from cairndale.scale import sums
 from cairndale.scale.content import key
 from cairndale.scale.run import BEAT, LEASES
@@ -76,7 +76,7 @@
         rows.append(
             (
                 f"an ask's hold at {edges:,} ingresses, s",
-                format_number(hold(edges)),
+                format_number(long_poll_timeout(edges)),
                 "by its rule; a lease is 4.5",
             )
         )
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -19,9 +19,9 @@
 from cairndale.dataplane.node import ASK_WITHIN
 from cairndale.dataplane.quota_client import LEASE_PATIENCE, LEASE_WAIT
 from cairndale.errors import CallError, RejectedError
-from cairndale.registry.nodes import HOLD_MOST, hold, patience
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.lease_timing import MAX_LONG_POLL_S, long_poll_timeout, response_timeout
 from cairndale.rpc.peer import RpcPeer
 from cairndale.scale.gauge import Gauge, quantile
 from cairndale.settings import Address, format_address
@@ -129,14 +129,14 @@
     async def _asks(self) -> None:
         while True:
             wait = (
-                hold(self.config_client.ingress_count)
+                long_poll_timeout(self.config_client.ingress_count)
                 if self.config_client.ingress_count
-                else HOLD_MOST
+                else MAX_LONG_POLL_S
             )
             node, asked = self._node(), time.monotonic()
             made = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
-                answer = await self.leader_client.call(made, ASK_WITHIN, patience(wait))
+                answer = await self.leader_client.call(made, ASK_WITHIN, response_timeout(wait))
             except CallError as failure:
                 self.config_client.request_failed()
                 self.failed[f"ask: {failure.code.name}"] += 1
--- a/cairndale/settings.py
+++ b/cairndale/settings.py
@@ -16,7 +16,6 @@
 DURATION = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)(ms|s)")
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})")
 
-DRIFT = 0.02  # of a span, by which two steady clocks may differ
 Address = tuple[str, int]  # an address of the system's own, or one that others call
 
 
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -23,13 +23,21 @@
 from cairndale.control.leadership import Leadership
 from cairndale.control.watch_server import WatchServer
 from cairndale.errors import CallError, FaultCode, NotLeaderError
-from cairndale.registry import nodes
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
-from cairndale.registry.nodes import HEARD, HOLD_MOST, LEASE, LOST, NodeRegistry, hold, patience
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed, unpack
 from cairndale.rpc.framing import FramedConnection
 from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.lease_timing import (
+    LEADER_CONTACT_MARGIN_S,
+    MAX_LONG_POLL_S,
+    MIN_LONG_POLL_S,
+    NODE_CONTACT_MARGIN_S,
+    NODE_LEASE_S,
+    long_poll_timeout,
+    response_timeout,
+)
 from cairndale.rpc.listener import Listener
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds
@@ -90,7 +98,7 @@
                 zone="zone",
                 kind="edge",
             )
-            wait = hold(self.edges) if self.edges else HOLD_MOST
+            wait = long_poll_timeout(self.edges) if self.edges else MAX_LONG_POLL_S
             ask = pb.WatchRequest(
                 node=node,
                 epoch=epoch,
@@ -102,7 +110,7 @@
             )
             asked, loop = self.world.now(), asyncio.get_running_loop()
             call = loop.create_task(self.world.call(self, ask))
-            done, _ = await asyncio.wait([call], timeout=patience(wait))
+            done, _ = await asyncio.wait([call], timeout=response_timeout(wait))
             if not done or call.exception():
                 self.world.failed += 1
                 await asyncio.sleep(0.1 * self.world.rng.random())
@@ -132,7 +140,10 @@
             watch_response.nodes,
             watch_response.gen,
         )
-        self.edges, self.lease_end = max(self.edges, watch_response.share_of), asked + LEASE * 0.98
+        self.edges, self.lease_end = (
+            max(self.edges, watch_response.share_of),
+            asked + NODE_LEASE_S * 0.98,
+        )
 
     @property
     def ready(self) -> set[str]:
@@ -447,10 +458,13 @@
     """A leader that fails right after an ask came, and the next found: whatever the number of
     ingresses."""
     for edges in (0, 1, 10, 30, 100, 300, 1_000, 6_300, 1_000_000):
-        assert hold(edges) + patience(hold(edges)) < 0.62 * LEASE
-        assert hold(edges) + LOST < LEASE / 2
-        assert hold(edges) >= nodes.HOLD
-    assert HEARD + leadership_module.LOOK < LOST
+        assert (
+            long_poll_timeout(edges) + response_timeout(long_poll_timeout(edges))
+            < 0.62 * NODE_LEASE_S
+        )
+        assert long_poll_timeout(edges) + NODE_CONTACT_MARGIN_S < NODE_LEASE_S / 2
+        assert long_poll_timeout(edges) >= MIN_LONG_POLL_S
+    assert LEADER_CONTACT_MARGIN_S + leadership_module.LOOK < NODE_CONTACT_MARGIN_S
 
 
 def test_who_cannot_be_told_yet_keeps_its_lease_and_is_told_later(
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -23,8 +23,9 @@
 from cairndale.lookup.selection import lookup
 from cairndale.quota.quota_counter import EXPIRY, QuotaCounter
 from cairndale.registry.endpoints import EndpointRegistry, HeartbeatError, read_heartbeat
-from cairndale.registry.nodes import LEASE, NodeRegistry
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.lease_timing import NODE_LEASE_S
 from cairndale.settings import Bounds, SettingsError, checked
 
 
@@ -379,8 +380,8 @@
     node_registry.ask(1.2, node("a"), 2)
     assert (
         not node_registry.all_at(1.2, 2)
-        and not node_registry.all_at(1.0 + LEASE, 2)
-        and node_registry.all_at(1.01 + LEASE, 2)
+        and not node_registry.all_at(1.0 + NODE_LEASE_S, 2)
+        and node_registry.all_at(1.01 + NODE_LEASE_S, 2)
     )
     node_registry.ask(
         2.0, node("b", life="2"), 0
@@ -391,8 +392,8 @@
         10.0, ["a", "b"]
     )  # another held the duty, and may have given them leases to the last
     later.ask(10.1, node("a"), 2)
-    assert not later.all_heard(10.2) and not later.all_at(10.0 + LEASE, 2)
-    assert later.all_heard(10.01 + LEASE) and later.all_at(10.01 + LEASE, 2)
+    assert not later.all_heard(10.2) and not later.all_at(10.0 + NODE_LEASE_S, 2)
+    assert later.all_heard(10.01 + NODE_LEASE_S) and later.all_at(10.01 + NODE_LEASE_S, 2)
 
 
 def test_clients_are_sent_to_ready_ingresses_of_their_region_else_to_all() -> None:
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -20,10 +20,16 @@
 from cairndale.quota import quota_counter
 from cairndale.quota.budget_counter import LIFE, Budget, BudgetCounter, further, starts
 from cairndale.quota.quota_counter import EXPIRY, saved_most
-from cairndale.registry import nodes
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
-from cairndale.registry.nodes import LEASE, NodeRegistry, hold
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.lease_timing import (
+    NODE_CONTACT_MARGIN_S,
+    NODE_LEASE_S,
+    PROMPT_REQUEST_S,
+    long_poll_timeout,
+    response_timeout,
+)
 from cairndale.settings import Bounds
 
 RATE, BURST, EDGES = 60.0, 60.0, 5
@@ -123,7 +129,9 @@
 
     def in_touch(self, edge: Edge) -> bool:
         return (
-            edge.counting and (self.now - edge.heard_at) * edge.rate < hold(edge.edges) + nodes.LOST
+            edge.counting
+            and (self.now - edge.heard_at) * edge.rate
+            < long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S
         )
 
     def ask(self, edge: Edge, life: int) -> None:
@@ -135,7 +143,7 @@
         idle = 0 if edge.edges else int((asked - edge.began) * 1000)
         lag = self.rng.uniform(0.001, 0.03)
         epoch, (said, came) = edge.epoch, edge.clock
-        counting = edge.counting and (self.now - edge.heard_at) * edge.rate <= nodes.PROMPT
+        counting = edge.counting and (self.now - edge.heard_at) * edge.rate <= PROMPT_REQUEST_S
         clock = int(said + (asked - came) * 1000 * 0.98 / edge.rate) if said else 0
 
         def arrive(again: bool = False) -> None:
@@ -157,7 +165,10 @@
                 leadership.asked(self.now, made)
             except CallError:
                 return
-            self.later(hold(self.quota[2]) * self.rng.random(), lambda: answer(leadership, made))
+            self.later(
+                long_poll_timeout(self.quota[2]) * self.rng.random(),
+                lambda: answer(leadership, made),
+            )
 
         def answer(leadership: Leadership, made: pb.WatchRequest) -> None:
             if leadership is not self.leadership or edge.name in self.cut:
@@ -179,7 +190,7 @@
                 max(edge.edges, watch_response.share_of),
             )
             edge.epoch, edge.clock = watch_response.epoch, (watch_response.clock_ms, self.now)
-            edge.heard_at, edge.lease_end = self.now, asked + LEASE * 0.98 / edge.rate
+            edge.heard_at, edge.lease_end = self.now, asked + NODE_LEASE_S * 0.98 / edge.rate
             self.ask(edge, life)
 
         def give_up() -> None:
@@ -190,7 +201,7 @@
         self.later(lag, arrive)
         if self.rng.random() < 0.2:  # a copy that a peer held up, and passes on when it thaws
             self.later(self.rng.uniform(0.1, 6.0), lambda: arrive(True))
-        self.later(nodes.patience(hold(self.quota[2])), give_up)
+        self.later(response_timeout(long_poll_timeout(self.quota[2])), give_up)
 
     def spend(self, edge: Edge) -> None:
         """All that it may, a few dozen times a second."""
@@ -223,7 +234,10 @@
         if self.in_touch(edge):
             alone = self.now
         elif edge.counting:
-            alone = max(alone, edge.heard_at + (hold(edge.edges) + nodes.LOST) / edge.rate)
+            alone = max(
+                alone,
+                edge.heard_at + (long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S) / edge.rate,
+            )
         if not saves and edge.share_at < alone:
             edge.share, edge.share_at = 0.0, alone
         edge.share = min(
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -24,14 +24,20 @@
 from cairndale.errors import CallError, CallTimeoutError, FaultCode, RejectedError
 from cairndale.events import Event
 from cairndale.quota.budget_counter import starts
-from cairndale.registry import nodes
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
-from cairndale.registry.nodes import LEASE, LOST, NodeRegistry
+from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import leader_client, peer
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.call_kinds import KINDS, DuplicateSafety, TermFence
 from cairndale.rpc.framing import FORMAT, HELLO_MOST, FramedConnection
 from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.lease_timing import (
+    FRESH_REQUEST_S,
+    LEADER_CONTACT_MARGIN_S,
+    NODE_CONTACT_MARGIN_S,
+    NODE_LEASE_S,
+    PROMPT_REQUEST_S,
+)
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds, checked
 from tests.control.test_state_models import SETTINGS
@@ -637,7 +643,10 @@
     assert held.counting and held.asked_at == 100.3
     asks(made, 100.32, 290)  # the same one by another way, soon
     asks(made, 101.0, 700)
-    assert held.asked_at == 100.7 and made.node_registry.silent(100.7 + 0.25 + LOST, 1) == 1
+    assert (
+        held.asked_at == 100.7
+        and made.node_registry.silent(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
+    )
     for now, clock, epoch in ((101.1, 290, "3"), (101.1, 0, ""), (110.0, 900, "3")):
         with pytest.raises(CallError) as stale:
             asks(made, now, clock, epoch)
@@ -645,14 +654,14 @@
     asks(made, 101.2, 0, "", life="2")  # another life has heard nothing yet
     assert (
         made.node_registry.leases["e"].node.life == "2"
-        and made.node_registry.leases["e"].lease_end <= 101.2 + LEASE
+        and made.node_registry.leases["e"].lease_end <= 101.2 + NODE_LEASE_S
     )
 
 
 def test_an_ask_says_that_it_counts_only_where_its_sender_has_just_heard_a_cue() -> None:
     """One that is sent again after a silence would count as in touch while its sender no longer
     is."""
-    assert nodes.HEARD + nodes.FRESH + nodes.PROMPT < LOST
+    assert LEADER_CONTACT_MARGIN_S + FRESH_REQUEST_S + PROMPT_REQUEST_S < NODE_CONTACT_MARGIN_S
     client, node = ConfigClient(0.0, []), pb.Node(name="e", life="1")
     client.apply(
         pb.WatchResponse(epoch="3", counting=True, clock_ms=5000, lease_ms=4500), node, 9.9, 10.0, 0
