--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -28,8 +28,9 @@
     node_registry: NodeRegistry
     operations: OperationHandler
     leader_client: LeaderClient
-    leadership: Leadership | None
 
+    @property
+    def leadership(self) -> Leadership | None: ...
     def now(self) -> float: ...
     def leads(self) -> bool: ...
 
--- /dev/null
+++ b/cairndale/control/apply_loop.py
@@ -0,0 +1,105 @@
+"""Applies committed entries to the replicated state, in turns of bounded length.
+
+A turn takes `APPLY` seconds at most and then leaves the event loop to others, so that a large
+backlog delays no heartbeat. After an entry is applied a snapshot may be due.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import time
+from collections.abc import Callable, Sequence
+
+from cairndale.configuration.state import State
+from cairndale.control.applier import AppliedEntry, Applier
+from cairndale.control.raft_driver import RaftDriver
+from cairndale.control.snapshot_worker import SnapshotWorker
+from cairndale.raft.messages import Ready
+from cairndale.raft.node import RaftNode
+from cairndale.raft.replica import Role
+
+ENTRIES = 128  # a snapshot is due after each so many entries of the log ...
+BYTES = 4 * 1024 * 1024  # ... and once the entries after the last one have so many bytes
+APPLY = 0.005  # s that one turn may take
+
+
+class ApplyLoop:
+    """Brings committed entries into force, in the order of the log.
+
+    `on_applied` is called after each entry, `on_turn_end` after each turn.
+    """
+
+    def __init__(
+        self,
+        raft: RaftNode,
+        applier: Applier,
+        snapshot_worker: SnapshotWorker,
+        driver: RaftDriver,
+        on_applied: Sequence[Callable[[AppliedEntry], None]],
+        on_turn_end: Callable[[], None],
+    ) -> None:
+        self._raft, self._applier, self._driver = raft, applier, driver
+        self._snapshot_worker = snapshot_worker
+        self._on_applied, self._on_turn_end = on_applied, on_turn_end
+        self._loop = asyncio.get_running_loop()
+        self._is_running = False  # in a turn, or the next one is scheduled
+        self._is_snapshot_due = False  # since an entry within a command's fragments
+
+    @property
+    def state(self) -> State:
+        """The replicated state as it is after the last applied entry."""
+        return self._applier.state
+
+    def applied_index(self) -> int:
+        """The index of the last entry that was applied."""
+        return self._applier.index
+
+    def follow(self, step: Ready) -> None:
+        """Takes over what a step has restored or committed, and begins to apply it."""
+        if step.restored:
+            self._applier.restore(
+                self._snapshot_worker.read, step.restored.index, step.restored.term
+            )
+            self._is_snapshot_due = False
+        self._applier.take(step.delivered)
+        self._run_turn()
+
+    def _run_turn(self) -> None:
+        if self._is_running or not self._applier.is_behind:
+            return
+        self._is_running, until = True, time.perf_counter() + APPLY
+        self._applier.tells = self._raft.role is Role.LEADER
+        more = True
+        while more:
+            if applied := self._applier.step():
+                self._entry_applied(applied)
+            more = self._applier.is_behind and time.perf_counter() < until
+        self._on_turn_end()
+        if self._applier.is_whole and self._is_log_long():
+            self._snapshot_worker.make(self.state.raw(), self._applier.index)
+        if self._applier.is_behind:
+            self._yield_to_loop(self._resume)
+        else:
+            self._is_running = False
+
+    def _yield_to_loop(self, resume: Callable[[], None]) -> None:
+        self._loop.call_soon(resume)
+
+    def _resume(self) -> None:
+        """An empty step: its listeners see what has been applied since the last one."""
+        self._is_running = False
+        self._driver.carry_out(Ready())
+
+    def _entry_applied(self, applied: AppliedEntry) -> None:
+        # By the index alone, so alike at all members: whoever leads next has the same snapshot.
+        self._is_snapshot_due |= applied.entry.index % ENTRIES == 0
+        if self._is_snapshot_due and self._applier.is_whole:
+            self._is_snapshot_due = False
+            self._snapshot_worker.make(self.state.raw(), applied.entry.index)
+        for listener in self._on_applied:
+            listener(applied)
+
+    def _is_log_long(self) -> bool:
+        log = self._raft.log
+        many = len(log) >= 2 * ENTRIES
+        return self._raft.wants_snapshot() or many or sum(len(e.data) for e in log) >= BYTES
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -42,13 +42,15 @@
 
 class Process(Protocol):
     settings: Settings
-    state: State
     endpoint_registry: EndpointRegistry
     node_registry: NodeRegistry
     rpc_peer: RpcPeer
     leader_client: LeaderClient
-    leadership: Leadership | None
 
+    @property
+    def state(self) -> State: ...
+    @property
+    def leadership(self) -> Leadership | None: ...
     @property
     def machine(self) -> Log: ...
     def now(self) -> float: ...
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -54,8 +54,9 @@
     """The process whose duty it is, if it is."""
 
     settings: Settings
-    state: State
 
+    @property
+    def state(self) -> State: ...
     def now(self) -> float: ...
     def held(self) -> Leadership:
         """Raises CallError where the duty is not held, or no longer."""
--- /dev/null
+++ b/cairndale/control/proposals.py
@@ -0,0 +1,132 @@
+"""Proposes commands to the log and waits for what becomes of them.
+
+A proposal is pending under its entry's index. It ends when an entry is applied at that index: the
+proposal's own (its outcome), or that of another leader (`CallTimeoutError`: the command may have
+been committed in another place). Where the term ends first, or no majority answers in time, the
+outcome is not known either.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from cairndale.configuration.state import Command
+from cairndale.control.applier import AppliedEntry, encoded
+from cairndale.control.clock import Clock
+from cairndale.control.raft_driver import RaftDriver
+from cairndale.errors import CallError, CallTimeoutError, NotLeaderError
+from cairndale.raft.fragments import WINDOW, FragmentKind, part
+from cairndale.raft.messages import Ready
+from cairndale.raft.node import RaftNode
+
+DECIDE = 3.0  # s for an entry to be committed and applied
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class PendingProposal:
+    """An entry of this leader's that is not applied yet."""
+
+    index: int
+    term: int
+    future: asyncio.Future[bool]  # whether the entry changed the state
+
+
+class Proposals:
+    """The commands that this node has proposed as leader and that are not decided yet."""
+
+    def __init__(self, raft: RaftNode, driver: RaftDriver, clock: Clock) -> None:
+        self._raft, self._driver, self._clock = raft, driver, clock
+        self._pending: dict[int, PendingProposal] = {}  # by index
+        self._fragments_turn = asyncio.Lock()  # one command in fragments at a time
+        self._tasks: set[asyncio.Task[bool]] = set()
+
+    async def decide(self, command: Command) -> bool:
+        """Returns once a majority has the command on disk and it is applied here.
+
+        True if it changed the state, False if it is void. Raises NotLeaderError where it was not
+        proposed, CallTimeoutError where its outcome is not known.
+        """
+        data = encoded(command)
+        if isinstance(data, bytes):
+            return await self._outcome(self._propose(data, self._raft.term))
+        # It goes on though the caller no longer waits: half a command would delay snapshots.
+        task = asyncio.get_running_loop().create_task(self._decide_in_fragments(data))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+        try:
+            return await asyncio.shield(task)
+        except asyncio.CancelledError:
+            if not task.cancelled():
+                raise
+            raise CallTimeoutError("this process ends") from None
+
+    def cancel(self) -> None:
+        """Gives up commands in fragments, as the process ends."""
+        for task in self._tasks:
+            task.cancel()
+
+    def resolve(self, applied: AppliedEntry) -> None:
+        """Ends the proposal that was pending under the applied entry's index, if there is one."""
+        entry = applied.entry
+        pending = self._pending.pop(entry.index, None)
+        if pending and not pending.future.done():
+            if pending.term == entry.term:
+                pending.future.set_result(applied.changed)
+            else:  # another's entry stands there; the command may have been committed elsewhere
+                pending.future.set_exception(CallTimeoutError("another leader came first"))
+
+    def fail_those_of_past_terms(self) -> None:
+        """Ends all proposals of terms that this node no longer leads."""
+        for pending in self._pending.values():
+            over = pending.term != self._raft.term or self._raft.leader != self._raft.me
+            if over and not pending.future.done():
+                pending.future.set_exception(CallTimeoutError("the term is over"))
+
+    async def _decide_in_fragments(self, fragments: Iterator[bytes]) -> bool:
+        async with self._fragments_turn:
+            term, window, changed = self._raft.term, deque[PendingProposal](), False
+            try:
+                for data in fragments:
+                    await asyncio.sleep(0)
+                    if data:
+                        while len(window) >= WINDOW:
+                            await self._outcome(window.popleft())
+                        window.append(self._propose(data, term))
+                for pending in window:
+                    changed = await self._outcome(pending)
+            except CallError:
+                for pending in window:
+                    self._pending.pop(pending.index, None)
+                    pending.future.cancel()
+                # In a later term its leader's first entry makes the fragments void.
+                if self._raft.term == term:
+                    void = part(FragmentKind.VOID, 0, b"")
+                    self._driver.carry_out(self._raft.propose(self._clock.now(), void)[1])
+                raise
+            return changed
+
+    def _propose(self, data: bytes, term: int) -> PendingProposal:
+        """Raises NotLeaderError where this node does not lead that term, or no longer."""
+        step, index = Ready(), 0
+        if self._raft.term == term:
+            index, step = self._raft.propose(self._clock.now(), data)
+        if not index:
+            raise NotLeaderError()
+        pending = PendingProposal(index, term, asyncio.get_running_loop().create_future())
+        # Before the step is carried out: in a cluster of one the entry is applied within it.
+        self._pending[index] = pending
+        self._driver.carry_out(step)
+        return pending
+
+    async def _outcome(self, pending: PendingProposal) -> bool:
+        try:
+            async with asyncio.timeout(DECIDE):
+                return await pending.future
+        except TimeoutError:
+            raise CallTimeoutError("no majority has it yet") from None
+        finally:
+            if self._pending.get(pending.index) is pending:
+                del self._pending[pending.index]
--- /dev/null
+++ b/cairndale/control/raft_driver.py
@@ -0,0 +1,73 @@
+"""Drives the Raft state machine: carries its steps out on disk, on the network and in the process.
+
+`RaftNode` is pure. Each call of it yields a `Ready`, which says what has to be done. A step is
+carried out in one order: writes are synced to disk, then messages are sent, then the listeners see
+it. So no other member is ever told what this one's disk may not hold (Raft, section 5 and figure 2:
+persistent state is updated on stable storage before an RPC is answered).
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Callable, Iterable
+
+from cairndale.control.clock import Clock
+from cairndale.events import Event, log_event
+from cairndale.raft import codec
+from cairndale.raft.messages import Message, Ready, Write
+from cairndale.raft.node import RaftNode
+from cairndale.raft.storage import RaftStorage, StorageError
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.peer import RpcPeer
+
+StepListener = Callable[[Ready], None]
+
+
+class RaftDriver:
+    """The one place where steps of this member's Raft state machine are carried out."""
+
+    def __init__(
+        self, raft: RaftNode, storage: RaftStorage, rpc_peer: RpcPeer, clock: Clock
+    ) -> None:
+        self._raft, self._storage, self._rpc_peer, self._clock = raft, storage, rpc_peer, clock
+        self._listeners: list[StepListener] = []
+
+    def subscribe(self, listener: StepListener) -> None:
+        """Calls `listener` with each step once it is on disk and sent, in order of subscription.
+
+        A listener may carry out further steps: these are over before the next listener is called.
+        """
+        self._listeners.append(listener)
+
+    def tick(self) -> None:
+        """Lets the state machine act upon the time that has passed."""
+        self.carry_out(self._raft.tick(self._clock.now()))
+
+    def receive(self, message: Message) -> None:
+        """Hands another member's message to the state machine."""
+        self.carry_out(self._raft.received(self._clock.now(), message))
+
+    def carry_out(self, step: Ready) -> None:
+        """Carries a step of the state machine out: on disk, to the others, then to listeners."""
+        if step.writes:
+            self.persist(step.writes)
+        for address, message in step.sends:
+            self._rpc_peer.tell(address, pb.Envelope(log_message=codec.message_out(message)))
+        if step.dropped:
+            log_event(Event.SNAPSHOT_DROPPED, "%s", step.dropped)
+        if step.spoilt:
+            log_event(Event.ENTRY_DROPPED, "%s", step.spoilt)
+        for listener in self._listeners:
+            listener(step)
+
+    def persist(self, writes: Iterable[Write]) -> None:
+        """Returns once all is synced to disk.
+
+        Where the disk does not take it the process ends at once, as if it had been killed: a member
+        that cannot keep its word must not go on giving it.
+        """
+        try:
+            self._storage.write(writes)
+        except StorageError as error:
+            log_event(Event.DISK_FAILED, "%s", error)
+            os._exit(1)
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -15,9 +15,11 @@
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
 
+from cairndale.control.clock import Clock
 from cairndale.errors import CallError, NotLeaderError
 from cairndale.raft.messages import Ready
 
@@ -28,25 +30,18 @@
 
 
 class Log(Protocol):
-    """What is asked of the machine."""
+    """What is asked of the Raft state machine."""
 
     term: int
 
-    def leads(self, now: float) -> bool: ...
-    def contact(self, now: float) -> float: ...
-    def hurry(self, now: float, apart: float) -> Ready: ...
+    def leads(self, now: float) -> bool:
+        """Whether this node holds the leader lease."""
 
+    def contact(self, now: float) -> float:
+        """When that was sent which a majority has answered last."""
 
-class Process(Protocol):
-    """Who carries steps out."""
-
-    @property
-    def machine(self) -> Log: ...
-    def applied(self) -> int:
-        """Up to which entry the log is in force here."""
-
-    def now(self) -> float: ...
-    def carry_out(self, step: Ready) -> None: ...
+    def hurry(self, now: float, apart: float) -> Ready:
+        """Heartbeats ahead of time, if the last ones were sent `apart` seconds ago or more."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,14 +63,21 @@
 
 
 class ReadIndex:
-    def __init__(self, process: Process) -> None:
-        self._process = process
+    def __init__(
+        self,
+        raft: Log,
+        clock: Clock,
+        applied_index: Callable[[], int],
+        carry_out: Callable[[Ready], None],
+    ) -> None:
+        self._raft, self._clock = raft, clock
+        self._applied_index, self._carry_out = applied_index, carry_out
         self._waiting: set[_Waiting] = set()
         self._timer: asyncio.TimerHandle | None = None
 
     def _stand(self) -> _Stand:
-        log, now = self._process.machine, self._process.now()
-        return _Stand(log.term, log.leads(now), log.contact(now), self._process.applied())
+        raft, now = self._raft, self._clock.now()
+        return _Stand(raft.term, raft.leads(now), raft.contact(now), self._applied_index())
 
     def _is_met(self, waiting: _Waiting, stand: _Stand) -> bool:
         if stand.term != waiting.term:
@@ -108,12 +110,11 @@
 
     def _beat(self) -> None:
         self._timer = None
-        process = self._process
         if not self._waiting:
             return
-        step = process.machine.hurry(process.now(), APART)
+        step = self._raft.hurry(self._clock.now(), APART)
         if step.sends:
-            process.carry_out(step)
+            self._carry_out(step)
         else:
             self._hurry(APART)
             self.look()
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -36,9 +36,10 @@
 class Leader(Protocol):
     """The process whose duty it is, if it is."""
 
-    state: State
-    leadership: Leadership | None
-
+    @property
+    def state(self) -> State: ...
+    @property
+    def leadership(self) -> Leadership | None: ...
     def now(self) -> float: ...
     def held(self) -> Leadership:
         """Raises CallError where the duty is not held, or no longer."""
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -186,10 +186,8 @@
         log = SimpleNamespace(
             term=1, leads=lambda at: True, contact=contact, hurry=lambda at, apart: Ready()
         )
-        process = SimpleNamespace(
-            machine=log, now=now, applied=lambda: 4, carry_out=lambda step: None
-        )
-        made: Any = ReadIndex(process)  # type: ignore[arg-type]
+        clock = SimpleNamespace(now=now)
+        made: Any = ReadIndex(log, clock, lambda: 4, lambda step: None)  # type: ignore[arg-type]
         began = reached = now()
         tasks = [
             asyncio.ensure_future(made.confirm(began + n / 1000, 1, index, at_once=False))
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -719,7 +719,7 @@
 def lease_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is answered rests on the lease, checked before the state is taken."""
 
-    async def at_once(self: ReadIndex, *args: object) -> None:
+    async def at_once(self: ReadIndex, *args: object, **fields: object) -> None:
         return
 
     monkeypatch.setattr(ReadIndex, "confirm", at_once)
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -19,8 +19,10 @@
 from cairndale.configuration import json_stream, serialization
 from cairndale.configuration import state as config_version
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control import applier
+from cairndale.control import applier, apply_loop, proposals
 from cairndale.control.applier import Applier, encoded
+from cairndale.control.apply_loop import ApplyLoop
+from cairndale.control.leadership_tracker import LeadershipTracker
 from cairndale.control.node import ControlNode
 from cairndale.raft import fragments
 from cairndale.raft.fragments import FragmentKind
@@ -300,15 +302,15 @@
 
 
 def slow(
-    monkeypatch: pytest.MonkeyPatch, who: Callable[[ControlNode], bool], pause: float = 0.1
+    monkeypatch: pytest.MonkeyPatch, who: Callable[[RaftNode], bool], pause: float = 0.1
 ) -> None:
     """These take so many s between two steps of what they apply."""
 
-    def leave(self: ControlNode, more: Callable[[], None]) -> None:
-        self._loop.call_later(pause if who(self) else 0.0, more)
+    def leave(self: ApplyLoop, more: Callable[[], None]) -> None:
+        self._loop.call_later(pause if who(self._raft) else 0.0, more)
 
-    monkeypatch.setattr(ControlNode, "_leave_the_loop", leave)
-    monkeypatch.setattr(cairndale.control.node, "APPLY", 0.0)
+    monkeypatch.setattr(ApplyLoop, "_yield_to_loop", leave)
+    monkeypatch.setattr(apply_loop, "APPLY", 0.0)
 
 
 async def begun(count: int = 6_000) -> tuple[World, History, ControlNode]:
@@ -325,7 +327,7 @@
 async def alike(world: World) -> State:
     await asyncio.sleep(8.0)
     (state,) = {c.state.out() for c in world.cores.values()}
-    assert all(c._applier.is_whole for c in world.cores.values()), (
+    assert all(c.applier.is_whole for c in world.cores.values()), (
         "it waits for what will never come"
     )
     return State.read(state)
@@ -362,7 +364,7 @@
             any(p.kind is FragmentKind.LAST for p in told(leader)) and log.commit_index == log.last
         )
     )
-    assert leader.state.gen == 1 and leader._applier.index < log.commit_index
+    assert leader.state.gen == 1 and leader.applier.index < log.commit_index
     _, body = await world.call(host, "GET", "Config.Read")
     assert body["gen"] == 2, "an older one was read"
     assert (await task)[0] == 200
@@ -398,7 +400,7 @@
     rest."""
     world, history, _ = await begun()
     with monkeypatch.context() as hasty:
-        hasty.setattr(cairndale.control.node, "DECIDE", 0.03)
+        hasty.setattr(proposals, "DECIDE", 0.03)
         assert (await world.call(world.hosts[0], "POST", "Config.Replace", history.sent[2][1]))[
             0
         ] == 503
@@ -421,7 +423,7 @@
 def test_no_snapshot_is_made_amid_a_command(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(cairndale.control.node, "ENTRIES", 2)
+    monkeypatch.setattr(apply_loop, "ENTRIES", 2)
     play(amid_a_snapshot())
     monkeypatch.setattr(cairndale.control.node, "Applier", AlwaysWhole)
     with pytest.raises(ValueError, match="too many values"):  # states that differ
@@ -431,9 +433,9 @@
 def test_who_reads_waits_for_what_is_decided(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    slow(monkeypatch, lambda core: core.machine.role is Role.LEADER, 0.02)
+    slow(monkeypatch, lambda raft: raft.role is Role.LEADER, 0.02)
     play(read_amid())
-    monkeypatch.setattr(ControlNode, "applied", lambda self: self.machine.commit_index)
+    monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
         play(read_amid())
 
@@ -442,10 +444,12 @@
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     quick: set[str] = set()
-    slow(monkeypatch, lambda core: core.me.address not in quick)
+    slow(monkeypatch, lambda raft: raft.me.address not in quick)
     play(leader_behind(quick))
-    monkeypatch.setattr(ControlNode, "leads", lambda self: self.machine.leads(self.now()))
-    monkeypatch.setattr(ControlNode, "applied", lambda self: self.machine.commit_index)
+    monkeypatch.setattr(
+        LeadershipTracker, "leads", lambda self: self._raft.leads(self._clock.now())
+    )
+    monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
         play(leader_behind(quick))
 
@@ -491,7 +495,7 @@
 ) -> None:
     play(ends_amid())
     play(given_up(monkeypatch))
-    monkeypatch.setattr(cairndale.control.node, "part", lambda *_: b"")
+    monkeypatch.setattr(proposals, "part", lambda *_: b"")
     with pytest.raises(AssertionError, match="it waits"):
         play(given_up(monkeypatch))
 
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -486,16 +486,16 @@
 import resource, sys
 from pathlib import Path
 from cairndale import events
-from cairndale.control.node import ControlNode
+from cairndale.control.raft_driver import RaftDriver
 from cairndale.raft.messages import *
 from cairndale.raft.storage import RaftStorage
 events.set_up_logging()
-core = ControlNode.__new__(ControlNode)
-core._store = RaftStorage(Path(sys.argv[1]))
-core._store.begin("x", PersistedState(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
+storage = RaftStorage(Path(sys.argv[1]))
+driver = RaftDriver(None, storage, None, None)
+storage.begin("x", PersistedState(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
 resource.setrlimit(resource.RLIMIT_FSIZE, (300_000, 300_000))
 for n in range(1, 1000):
-    core._write(Ready(writes=[SaveEntries(n, (Entry(n, 1, b"x" * 2000),))]))
+    driver.carry_out(Ready(writes=[SaveEntries(n, (Entry(n, 1, b"x" * 2000),))]))
     print(n, flush=True)
 """
     ran = subprocess.run(
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -483,8 +483,8 @@
 async def lead(made: ControlNode) -> int:
     async with asyncio.timeout(10):
         while not (made.leadership and made.rpc_peer.system):
-            made._do(made.machine.tick(made.now()))
-            made._draw_name()
+            made.driver.tick()
+            made.system_name.draw()
             await asyncio.sleep(0.005)
     assert made.leadership
     return made.leadership.term
@@ -492,19 +492,19 @@
 
 async def test_a_full_disk_does_not_keep_a_core_from_its_systems_name(tmp_path: Path) -> None:
     made = await core(tmp_path)
-    env = made._store._env
+    env = made._storage._env
 
     class Full:
         def begin(self, *args: Any, **fields: Any) -> Any:
             raise lmdb.DiskError("no room")
 
     made.state.system = HERE
-    cast(Any, made._store)._env = Full()
-    made._look_at_name()
+    cast(Any, made._storage)._env = Full()
+    made.system_name.adopt()
     assert made.rpc_peer.system == HERE
-    cast(Any, made._store)._env = env
-    assert made._store.system() == ""
-    made._store.close()
+    cast(Any, made._storage)._env = env
+    assert made._storage.system() == ""
+    made._storage.close()
 
 
 async def test_the_leader_takes_no_call_meant_for_another_term_and_keeps_the_systems_name(
@@ -519,9 +519,9 @@
         beats = pb.Envelope(
             term=said, heartbeat_report=pb.HeartbeatReport(id=["i"], seq=[seq], age_ms=[3000])
         )
-        before, answer = seen.heard_at, asyncio.create_task(made._handle(beats))
+        before, answer = seen.heard_at, asyncio.create_task(made.dispatcher.answer(beats))
         while not answer.done():
-            made._do(made.machine.tick(made.now()))
+            made.driver.tick()
             await asyncio.sleep(0.005)
         # What a leader before has not answered is told to this one, and is a word of the server's.
         assert seen.seq == then and (answer.result().fault == FaultCode.NOT_LEADER) == (said > term)
@@ -530,7 +530,7 @@
     # The last has no such tenant.
     for said, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
         with pytest.raises(CallError) as failure:
-            await made._handle(pb.Envelope(term=said, quota_request=lease))
+            await made.dispatcher.answer(pb.Envelope(term=said, quota_request=lease))
         assert failure.value.code is code
     kinds = (
         pb.Envelope(quota_request=lease),
@@ -540,15 +540,15 @@
     )
     for envelope in kinds:
         envelope.term = term + 1  # who calls has heard of a later leader: this one is over
-        assert (await made._handle(envelope)).fault == FaultCode.NOT_LEADER
+        assert (await made.dispatcher.answer(envelope)).fault == FaultCode.NOT_LEADER
     envelope.term = term
-    assert (await made._handle(envelope)).term == term == made.rpc_peer.fence.newest
+    assert (await made.dispatcher.answer(envelope)).term == term == made.rpc_peer.fence.newest
     name = made.rpc_peer.system
     made.rpc_peer.stop()
-    made._store.close()
+    made._storage.close()
     again = await core(tmp_path)
     assert again.rpc_peer.system == name and len(name) == 16
-    again._store.close()
+    again._storage.close()
 
 
 # Copies.
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -336,8 +336,7 @@
     async def crash(self, host: str) -> None:
         core = self.cores.pop(host)
         self.net.ends.pop(f"{host}:7600")
-        for task in core._tasks:
-            task.cancel()
+        core.cancel()
         core.rpc_peer.stop()
 
     def leader(self) -> ControlNode | None:
@@ -362,11 +361,11 @@
         """Its clock stands: it finds itself at the line where it was, with what it had checked."""
         core = self.cores[host]
         now = core.now()
-        core.now = lambda: now  # type: ignore[method-assign]
+        core.clock.now = lambda: now  # type: ignore[method-assign]
         self.net.frozen.add(host)
 
     def thaw(self, host: str) -> None:
-        del self.cores[host].now  # type: ignore[method-assign]
+        del self.cores[host].clock.now  # type: ignore[method-assign]
         self.net.frozen.discard(host)
         held, self.net.held = self.net.held, []
         for sender, receiver, envelope in held:
