--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -1,7 +1,8 @@
-"""What an ingress was told by the core's leader, and the lease by which it may serve by it.
+"""The client side of the configuration watch: what the leader has announced, and the serving lease.
 
-A plain object without I/O; times are seconds on the ingress's steady clock, but for
-`warmup_until_us` (the engine's clock)."""
+State of one data-plane node, without I/O and without a clock of its own. Times are seconds on the
+node's steady clock, except where a name ends in `_us`: microseconds on the engine's clock.
+"""
 
 from __future__ import annotations
 
@@ -23,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCursor:
-    """What the newest discovery response that was accepted has brought this ingress up to.
+    """Up to where the accepted discovery responses have brought this node.
 
-    The watch is resumed from it. Within one epoch no version goes back.
+    The watch is resumed from here. Within one epoch no version goes back.
     """
 
     epoch: str = ""  # of the leader that counts the versions of endpoints and nodes
@@ -37,28 +38,36 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEndpoint:
+    """An endpoint as the leader announced it, and until when it is warming up (slow start)."""
+
     endpoint: pb.Endpoint
-    warmup_until_us: int
+    warmup_until_us: int  # 0: it is warm
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigUpdate:
-    """What a cue has changed."""
+    """Which parts of the known state a discovery response has changed."""
 
     route_table_changed: bool = False
-    table_change: TableChange | None = None  # of the bill; None: all of it may be otherwise
+    table_change: TableChange | None = None  # None: any item of the route table may have changed
     endpoints_changed: bool = False
-    changed_endpoints: frozenset[str] | None = None  # of the servers; None: all of them may be
-    placement_changed: bool = False
-    rejection_reason: str = ""  # nothing was taken: why
+    changed_endpoints: frozenset[str] | None = None  # ids; None: any may have changed
+    placement_changed: bool = False  # the nodes, or the configuration, among which shares are split
+    rejection_reason: str = ""  # not empty: nothing was applied
 
 
 class ConfigClient:
+    """Keeps what the leader announced: route table, endpoints, nodes, and this node's lease.
+
+    Guarantees: neither the configuration version nor anything that came with it goes back within a
+    process's life, and a response is applied whole or not at all.
+    """
+
     def __init__(self, now: float, control_addresses: Iterable[str]) -> None:
         self.route_table = RouteTable({})
-        self.endpoints: dict[str, KnownEndpoint] = {}
-        self.nodes: dict[str, pb.Node] = {}  # those here, by name
-        self.control_addresses = list(control_addresses)  # doors of every one ever told of
+        self.endpoints: dict[str, KnownEndpoint] = {}  # by id
+        self.nodes: dict[str, pb.Node] = {}  # members at present, by name
+        self.control_addresses = list(control_addresses)  # every control node's ever announced
         self.evacuated_zones: frozenset[str] = frozenset()
         self.lease_end = self.last_response_at = float("-inf")
         # In this life the leader has listed every endpoint there was.
@@ -66,66 +75,70 @@
         # Ingresses that quota shares are divided by; 0: not known yet, so no share may be spent.
         self.ingress_count = 0
         self.cursor = WatchCursor()
-        self._counting, self._started_at = False, now
-        self._isolated_at = now  # when it last lost touch otherwise than by hearing nothing
-        self._listed_this_epoch: set[str] = set()  # servers, in the term of the newest cue
-        # what the leader knows of it, and in which epoch
+        self._counting = False  # the leader's quota counter counts this node's units
+        self._started_at = now
+        self._isolated_at = now  # when contact last ended otherwise than by silence
+        self._listed_this_epoch: set[str] = set()  # ids of endpoints
+        # In which epoch the leader was sent which description of this node, and has answered.
         self._identified_as: tuple[str, pb.Node] | None = None
-        self._needs_full_state = False  # a difference did not fit
+        self._needs_full_state = False  # a delta did not fit
         # The leader's clock in ms as the newest response said, and when that came.
         self._leader_clock = (0, 0.0)
 
-    # What is known.
-
     def may_serve(self, now: float) -> bool:
+        """Whether the lease by which this node serves traffic is still held."""
         return now < self.lease_end
 
     def in_contact(self, now: float) -> bool:
-        """The counter counts, and heard of this ingress so lately that it knows it does not spend
-        by itself."""
-        return (
-            self._counting
-            and now
-            < self.last_response_at + long_poll_timeout(self.ingress_count) + NODE_CONTACT_MARGIN_S
+        """Whether the quota counter can still rely on this node spending leased units only.
+
+        It counts, and has heard of this node recently enough to know that it is not isolated.
+        """
+        return self._counting and now < (
+            self.last_response_at + long_poll_timeout(self.ingress_count) + NODE_CONTACT_MARGIN_S
         )
 
     def connection_lost(self, now: float) -> None:
-        """The leader's connection has ended."""
+        """Note that the connection to the leader has ended: contact ends at once."""
         if self.in_contact(now):
             self._isolated_at = now
         self.last_response_at = float("-inf")
 
     def isolated_since(self, now: float) -> float:
-        """Since when it may spend without the counter, or a little later; now, while it may not."""
+        """Since when this node may spend its share of quotas by itself, or a little later.
+
+        `now` while it is in contact, as it may not then.
+        """
         if self.in_contact(now):
             return now
         if self._counting:
-            return max(
-                self._isolated_at,
-                self.last_response_at
-                + long_poll_timeout(self.ingress_count)
-                + NODE_CONTACT_MARGIN_S,
-            )
+            silent_from = self.last_response_at + long_poll_timeout(self.ingress_count)
+            return max(self._isolated_at, silent_from + NODE_CONTACT_MARGIN_S)
         return self._isolated_at
 
-    def is_available(self, endpoint: str, service: str) -> bool:
-        known = self.endpoints.get(endpoint)
+    def is_available(self, endpoint_id: str, service: str) -> bool:
+        """Whether the endpoint is ready, serves that service and is in no evacuated zone."""
+        known = self.endpoints.get(endpoint_id)
         if known is None or known.endpoint.state != "ready" or known.endpoint.service != service:
             return False
         return known.endpoint.zone not in self.evacuated_zones
 
     def peer_addresses(self, own: str) -> list[str]:
+        """RPC addresses of the other data-plane nodes, which may forward calls to the leader."""
         return [n.address for n in self.nodes.values() if n.kind == "edge" and n.address != own]
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
+        """Remember further control nodes; none is ever forgotten."""
         for address in addresses:
             if address not in self.control_addresses:
                 self.control_addresses.append(address)
 
-    # Asking, and being told.
-
     def watch_request(self, node: pb.Node, now: float, wait: float) -> pb.WatchRequest:
-        """For what is news, which the leader may keep for `wait` s while there is none."""
+        """Return a request for what is newer than the cursor, and for the lease's renewal.
+
+        `node`: this node's own description; `wait`: s for which the leader may hold the request
+        while nothing is newer (long poll).
+        """
         cursor = self.cursor
         request = pb.WatchRequest(
             epoch=cursor.epoch,
@@ -135,7 +148,7 @@
             nodes=cursor.nodes_version,
             wait_ms=round(wait * 1000),
             counting=self._counting and now - self.last_response_at <= PROMPT_REQUEST_S,
-            clock_ms=self._clock_ms(now),
+            clock_ms=self._leader_clock_ms(now),
             idle_ms=0 if self.ingress_count else round((now - self._started_at) * 1000),
             differences=not self._needs_full_state,
         )
@@ -146,107 +159,133 @@
         return request
 
     def request_failed(self) -> None:
+        """Note that a request was not answered: the next one describes this node in full."""
         self._identified_as = None
 
-    def _clock_ms(self, now: float) -> int:
-        """On the leader's clock, or behind it."""
-        said, came = self._leader_clock
-        return int(said + (now - came) * 1000 * (1 - MAX_CLOCK_DRIFT)) if said else 0
-
     def apply(
         self,
-        watch_response: pb.WatchResponse,
+        response: pb.WatchResponse,
         requested_by: pb.Node,
         requested_at: float,
         now: float,
         now_us: int,
     ) -> ConfigUpdate | None:
-        """`requested_at`: when, and by which `requested_by`; `now_us`: the engine's clock now.
-        None: it says nothing new enough, as nothing goes back within a life. A difference that does
-        not fit is dropped with all that came with it, and the whole content is asked for next."""
-        if watch_response.config_version < self.cursor.config_version:
+        """Apply a discovery response, full state or delta, and renew the lease by it.
+
+        `requested_by`, `requested_at`: the description that the request carried or stood for, and
+        when it was made; the lease counts from then. `now_us`: the engine's clock.
+
+        Returns None, and changes nothing, for a response whose configuration is older than the one
+        in force. A delta that does not fit is rejected with all that came with it
+        (`rejection_reason`), and the next request asks for the full state.
+        """
+        if response.config_version < self.cursor.config_version:
             return None
-        items = None
-        if watch_response.HasField("difference"):
-            told = watch_response.difference
+        table_change = None
+        if response.HasField("difference"):
             try:
-                if told.gen != watch_response.gen:
-                    raise DeltaError(f"to gen {told.gen}, and not to gen {watch_response.gen}")
-                items = self.route_table.change(
-                    ConfigDelta(told.before, told.gen, told.digest_before, told.digest, told.change)
-                )
+                table_change = self._apply_delta(response)
             except DeltaError as error:
                 self._needs_full_state = True
                 return ConfigUpdate(rejection_reason=str(error))
-        elif watch_response.has_content:
-            self.route_table = RouteTable(
-                json.loads(zlib.decompress(watch_response.content))
-                if watch_response.content
-                else {}
-            )
-            self._needs_full_state = False
-        moved = watch_response.has_config_version and self.evacuated_zones != frozenset(
-            watch_response.evacuated
+        elif response.has_content:
+            self._replace_route_table(response.content)
+        zones_changed = self._apply_evacuated_zones(response)
+        self._apply_endpoints(response, now_us)
+        self._apply_nodes(response)
+        self._apply_counting(response, now)
+        self._advance(response, requested_by, requested_at, now)
+        return _update(response, table_change, zones_changed)
+
+    def _leader_clock_ms(self, now: float) -> int:
+        """Return an estimate of the leader's clock that is never ahead of it."""
+        said_ms, came_at = self._leader_clock
+        return int(said_ms + (now - came_at) * 1000 * (1 - MAX_CLOCK_DRIFT)) if said_ms else 0
+
+    def _apply_delta(self, response: pb.WatchResponse) -> TableChange:
+        """Raise DeltaError, with nothing changed, where the delta does not fit."""
+        delta = response.difference
+        if delta.gen != response.gen:
+            raise DeltaError(f"to gen {delta.gen}, and not to gen {response.gen}")
+        return self.route_table.change(
+            ConfigDelta(delta.before, delta.gen, delta.digest_before, delta.digest, delta.change)
         )
-        if moved:
-            self.evacuated_zones = frozenset(watch_response.evacuated)
-        if watch_response.servers_whole:
+
+    def _replace_route_table(self, content: bytes) -> None:
+        self.route_table = RouteTable(json.loads(zlib.decompress(content)) if content else {})
+        self._needs_full_state = False
+
+    def _apply_evacuated_zones(self, response: pb.WatchResponse) -> bool:
+        """Return whether other zones are evacuated now."""
+        zones = frozenset(response.evacuated)
+        if not response.has_config_version or zones == self.evacuated_zones:
+            return False
+        self.evacuated_zones = zones
+        return True
+
+    def _apply_endpoints(self, response: pb.WatchResponse, now_us: int) -> None:
+        if response.servers_whole:
             self.endpoints = {}
-        if watch_response.epoch.rstrip("~") != self.cursor.epoch.rstrip("~"):
+        # A leader's epoch carries a `~` until it has heard of all endpoints: it stays the same one.
+        if response.epoch.rstrip("~") != self.cursor.epoch.rstrip("~"):
             self._listed_this_epoch = set()
-        self._listed_this_epoch.update(server.id for server in watch_response.server)
-        if watch_response.rest_gone:
-            self.endpoints = {
-                id: known for id, known in self.endpoints.items() if id in self._listed_this_epoch
-            }
-        for server in watch_response.server:
-            self._apply_endpoint(server, now_us)
-        if watch_response.nodes_whole:
+        self._listed_this_epoch.update(endpoint.id for endpoint in response.server)
+        if response.rest_gone:
+            listed = self._listed_this_epoch
+            self.endpoints = {id: known for id, known in self.endpoints.items() if id in listed}
+        for endpoint in response.server:
+            if endpoint.state == "gone":
+                self.endpoints.pop(endpoint.id, None)
+            else:
+                warmup_until_us = now_us + endpoint.cold_ms * 1000 if endpoint.cold_ms else 0
+                self.endpoints[endpoint.id] = KnownEndpoint(endpoint, warmup_until_us)
+
+    def _apply_nodes(self, response: pb.WatchResponse) -> None:
+        if response.nodes_whole:
             self.nodes = {}
-        for name in watch_response.node_gone:
+        for name in response.node_gone:
             self.nodes.pop(name, None)
-        self.nodes.update((n.name, n) for n in watch_response.node)
-        self.add_control_addresses(n.address for n in watch_response.node if n.kind == "core")
-        if self._counting and not watch_response.counting:
+        self.nodes.update((node.name, node) for node in response.node)
+        self.add_control_addresses(node.address for node in response.node if node.kind == "core")
+
+    def _apply_counting(self, response: pb.WatchResponse, now: float) -> None:
+        """Take in whether units are counted centrally, and by how many ingresses shares are split.
+
+        Without the counter the count only rises: too high a count spends too little.
+        """
+        if self._counting and not response.counting:
             self._isolated_at = now
-        self._counting, self.endpoints_complete = (
-            watch_response.counting,
-            self.endpoints_complete or watch_response.settled,
-        )
-        self.ingress_count = (
-            watch_response.share_of
-            if watch_response.counting
-            else max(self.ingress_count, watch_response.share_of)
-        )
+        self._counting = response.counting
+        count = response.share_of
+        self.ingress_count = count if response.counting else max(self.ingress_count, count)
+
+    def _advance(
+        self, response: pb.WatchResponse, requested_by: pb.Node, requested_at: float, now: float
+    ) -> None:
+        """Move the cursor and renew the lease, which counts from the request on."""
         self.cursor = WatchCursor(
-            epoch=watch_response.epoch,
-            config_version=watch_response.config_version,
-            endpoints_version=watch_response.servers,
-            nodes_version=watch_response.nodes,
-            generation=watch_response.gen,
-        )
-        self._identified_as = (watch_response.epoch, requested_by)
-        self.last_response_at, self._leader_clock = now, (watch_response.clock_ms, now)
-        self.lease_end = requested_at + watch_response.lease_ms / 1000 * (1 - MAX_CLOCK_DRIFT)
-        anew, route_table = (
-            watch_response.servers_whole or watch_response.rest_gone or moved,
-            watch_response.has_content or items is not None,
-        )
-        return ConfigUpdate(
-            route_table,
-            items,
-            bool(watch_response.server) or anew,
-            None if anew else frozenset(server.id for server in watch_response.server),
-            bool(watch_response.node)
-            or bool(watch_response.node_gone)
-            or watch_response.nodes_whole
-            or route_table,
+            epoch=response.epoch,
+            config_version=response.config_version,
+            endpoints_version=response.servers,
+            nodes_version=response.nodes,
+            generation=response.gen,
         )
+        self.endpoints_complete = self.endpoints_complete or response.settled
+        self._identified_as = (response.epoch, requested_by)
+        self.last_response_at, self._leader_clock = now, (response.clock_ms, now)
+        self.lease_end = requested_at + response.lease_ms / 1000 * (1 - MAX_CLOCK_DRIFT)
 
-    def _apply_endpoint(self, endpoint: pb.Endpoint, now_us: int) -> None:
-        if endpoint.state == "gone":
-            self.endpoints.pop(endpoint.id, None)
-        else:
-            self.endpoints[endpoint.id] = KnownEndpoint(
-                endpoint, now_us + endpoint.cold_ms * 1000 if endpoint.cold_ms else 0
-            )
+
+def _update(
+    response: pb.WatchResponse, table_change: TableChange | None, zones_changed: bool
+) -> ConfigUpdate:
+    any_endpoint = response.servers_whole or response.rest_gone or zones_changed
+    table_changed = response.has_content or table_change is not None
+    nodes_changed = bool(response.node) or bool(response.node_gone) or response.nodes_whole
+    return ConfigUpdate(
+        route_table_changed=table_changed,
+        table_change=table_change,
+        endpoints_changed=bool(response.server) or any_endpoint,
+        changed_endpoints=None if any_endpoint else frozenset(e.id for e in response.server),
+        placement_changed=nodes_changed or table_changed,
+    )
