--- a/cairndale/ingress/handover_state.py
+++ b/cairndale/ingress/handover_state.py
@@ -1,17 +1,41 @@
-"""What the module knows, as plain values for the process that comes next; nothing is decided
-here."""
+"""The policy's state in the form in which one ingress process hands it to the next; nothing is
+decided.
+
+The form is read by processes of earlier and later versions of the program, so its keys are a
+format: `ACCOUNT_FIELDS` and its kin say which attribute each key stands for. The names of the keys
+are those that the attributes had when the format was made."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
 from dataclasses import replace
+from types import MappingProxyType
 from typing import Any
 
-from cairndale.ingress.policy.account import Account
+from cairndale.ingress.policy.account import TenantAccount
 from cairndale.ingress.policy.engine import Gateway
 
-# What the next process takes over as it is, beside what is named there.
+# Key in the hand-over: attribute. `slot` and the ring's slots are handed over beside these.
+ACCOUNT_FIELDS: Mapping[str, str] = MappingProxyType(
+    {
+        "spread": "gateways",
+        "level_at": "store_at",
+        "level": "store_units",
+        "share": "isolated_share",
+        "tokens": "tokens",
+        "rate": "lease_rate",
+        "chance": "admit_probability",
+        "heard_at": "total_seen_at",
+        "usual": "demand",
+        "demand_at": "demand_at",
+        "ceiling": "ceiling_leased",
+        "sure": "ceiling_unreported",
+        "unheard": "unreported",
+        "back": "refund",
+        "back_for": "refund_name",
+    }
+)
 ACCOUNT_KEYS = (
     "spread",
     "level_at",
@@ -29,33 +53,62 @@
     "unheard",
     "back",
     "back_for",
-)
+)  # in the order in which they are written
 BACKEND_KEYS = ("limit", "slow", "seen_at", "credit", "credit_at", "load", "load_at")
 FLEET_KEYS = ("usual", "typical", "more", "sends")
 
 
+def _account_values(account: TenantAccount) -> dict[str, Any]:
+    """An account's values by the keys of the hand-over."""
+    values: dict[str, Any] = {}
+    for key in ACCOUNT_KEYS:
+        if key == "slot":
+            values[key] = account.ring.position
+        else:
+            values[key] = getattr(account, ACCOUNT_FIELDS[key])
+    return values
+
+
+def _account_from(
+    account: TenantAccount, values: Mapping[str, Any], slots: Sequence[list[float]]
+) -> TenantAccount:
+    """Fills an account from what was handed over."""
+    for key, attribute in ACCOUNT_FIELDS.items():
+        setattr(account, attribute, values[key])
+    account.ring.position = values["slot"]
+    account.ring.slots = deque(slots)
+    return account
+
+
 def hand_over(gateway: Gateway) -> dict[str, Any]:
-    """What the next process needs to go on as one gateway with this. Leases and cold backends'
-    budgets go to it whole; of each ceiling's part one half stays, for what still comes in here."""
+    """What the next process needs to go on as one ingress with this one.
+
+    Leases and the budgets of endpoints in slow start go to it whole; of each ceiling's part one
+    half stays, for what still comes in here."""
     accounts, backends = [], []
-    for customer, a in gateway.accounts.items():
-        a.ceiling, a.sure = a.ceiling / 2, a.sure / 2
-        values = {key: getattr(a, key) for key in ACCOUNT_KEYS}
-        accounts.append(
-            [customer, gateway.settings.plans.index(a.plan), [list(s) for s in a.ring], values]
-        )
-        a.tokens = 0.0
-    for number, b in gateway.fleet.backends.items():
-        backends.append([number, b.info.started, {key: getattr(b, key) for key in BACKEND_KEYS}])
+    for customer, account in gateway.accounts.items():
+        account.ceiling_leased /= 2
+        account.ceiling_unreported /= 2
+        plan = gateway.settings.plans.index(account.plan)
+        slots = [list(slot) for slot in account.ring.slots]
+        accounts.append([customer, plan, slots, _account_values(account)])
+        account.tokens = 0.0
+    for number, backend in gateway.fleet.backends.items():
+        values = {key: getattr(backend, key) for key in BACKEND_KEYS}
+        backends.append([number, backend.info.started, values])
     fleet = {key: getattr(gateway.fleet, key) for key in FLEET_KEYS}
-    gateway.retired = gateway.fleet.retired = True
-    crowd = {"crowd": gateway.crowd, "call_at": gateway.call_at, "began": gateway.began}
     fleet["returned"] = list(gateway.fleet.returned.items())
-    return {"accounts": accounts, "backends": backends, "fleet": fleet, "gateway": crowd}
+    gateway.retired = gateway.fleet.retired = True
+    pacing = {
+        "crowd": gateway.crowding,
+        "call_at": gateway.next_call_at,
+        "began": gateway.began,
+    }
+    return {"accounts": accounts, "backends": backends, "fleet": fleet, "gateway": pacing}
 
 
 def take_back(gateway: Gateway, state: dict[str, Any]) -> None:
-    """No process has taken over after all. What a ceiling's other half was, refills."""
+    """No process has taken over after all. The other half of each ceiling refills."""
     gateway.retired = gateway.fleet.retired = False
     for customer, _, _, values in state["accounts"]:
         if account := gateway.accounts.get(customer):
@@ -67,16 +120,12 @@
 ) -> None:
     """From the process before. `classes` and `plans` give this one's numbers for that one's; -1:
     none."""
-    accounts: dict[int, Account] = {}
+    accounts: dict[int, TenantAccount] = {}
     for customer, plan, ring, values in state["accounts"]:
         if plans[plan] >= 0:
-            made = Account(
-                gateway.settings.plans[plans[plan]], values["spread"], gateway.slot_us, now
-            )
-            for key in ACCOUNT_KEYS:
-                setattr(made, key, values[key])
-            made.ring = deque(ring)
-            accounts[customer] = made
+            plan_here = gateway.settings.plans[plans[plan]]
+            made = TenantAccount(plan_here, values["spread"], gateway.slot_us, now)
+            accounts[customer] = _account_from(made, values, ring)
     fleet, kept = gateway.fleet, [(there, here) for there, here in enumerate(classes) if here >= 0]
     for there, here in kept:
         fleet.usual[here] = state["fleet"]["usual"][there]
@@ -91,5 +140,6 @@
             known.slow = [1.0] * len(fleet.usual)
             for there, here in kept:
                 known.slow[here] = values["slow"][there]
-    gateway.crowd, gateway.call_at = state["gateway"]["crowd"], state["gateway"]["call_at"]
+    gateway.crowding = state["gateway"]["crowd"]
+    gateway.next_call_at = state["gateway"]["call_at"]
     gateway.accounts, gateway.began = accounts, state["gateway"]["began"]
--- a/cairndale/ingress/observability/metrics.py
+++ b/cairndale/ingress/observability/metrics.py
@@ -161,7 +161,7 @@
         yield GaugeMetricFamily(
             "ironledge_leased_units", "Leased units that are left", value=leased
         )
-        booked = sum(1 for a in accounts if any(slot[1] > 0 for slot in a.ring))
+        booked = sum(1 for a in accounts if any(slot[1] > 0 for slot in a.ring.slots))
         yield GaugeMetricFamily(
             "ironledge_rings_booked", "Customers with requests told to return", value=booked
         )
--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -11,7 +11,8 @@
 from dataclasses import dataclass, field, replace
 
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.account import SECOND, mixed
+from cairndale.ingress.policy.account import SECOND
+from cairndale.ingress.policy.hashing import mix
 from cairndale.ingress.policy.interface import BackendState, ListKind, Outcome
 
 FIRST_LIMIT = 16.0  # attempts out at a backend by all gateways to begin with: a few a core
@@ -106,7 +107,7 @@
             # Many gateways: an arc of the ring of all, even over them, so that each opens few
             # connections and sees its own often. Harms where an arc is bad as a whole: then others
             # are looked at too.
-            ring = sorted(self.ready, key=lambda b: mixed(b.info.key or b.info.id))
+            ring = sorted(self.ready, key=lambda b: mix(b.info.key or b.info.id))
             start = int(self.settings.me * GOLDEN % 1 * len(ring))
             self.own = (ring + ring)[start : start + LOOK]
             self.first = self.even * len(ring) / LOOK
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -1,7 +1,9 @@
 """Every decision of the gateway. Types, settings, events and actions: interface.py.
 
-Here is the life of a request; the customer's account is in account.py, the choice of a server in
-choice.py. All times are microseconds."""
+Here is the life of a request: its attempts, retries, hedged requests and its end. Admission is in
+`admission`, the customer's account in `account`, the choice of an endpoint in `endpoint_pool`. All
+times are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +12,8 @@
 from dataclasses import dataclass, field
 
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.account import NEVER_RAN, SECOND, SPARE, Account, Admission
+from cairndale.ingress.policy.account import SECOND, TenantAccount
+from cairndale.ingress.policy.admission import NEVER_RAN, SPARE_CAPACITY, Admission
 from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
 from cairndale.ingress.policy.interface import ListKind, Outcome, Repeat, Scope
 
@@ -32,7 +35,7 @@
 class Request:
     event: it.RequestArrived
     cls: it.RequestClass
-    account: Account
+    account: TenantAccount
     cut: int  # no answer after this is worth new work
     end: int  # an answer under way is awaited until here: what it costs the backend is spent
     limits: it.Limits  # those it began with
@@ -83,7 +86,7 @@
                 if (
                     (request := self.requests.get(token))
                     and request.attempts
-                    and self.fleet.used() < SPARE
+                    and self.fleet.used() < SPARE_CAPACITY
                 ):
                     self.send(request)  # a second copy, only while backends have room for it
             case it.CountAnswered():
@@ -123,15 +126,17 @@
         if account is None:
             spread = min(s.fleet_size, max(1, event.spread))
             plan, age = s.plans[event.plan], (self.now - self.began) / SECOND
-            account = Account(plan, spread, self.slot_us, self.now, ceiling=plan.ceiling_burst)
+            account = TenantAccount(
+                plan, spread, self.slot_us, self.now, ceiling_leased=plan.ceiling_burst
+            )
             account.strict = s.counter.strict
-            account.sure = min(plan.ceiling_burst, plan.ceiling_rate * age) / spread
+            account.ceiling_unreported = min(plan.ceiling_burst, plan.ceiling_rate * age) / spread
             if self.retired:  # this customer's ceiling is the other process's
-                account.ceiling = account.sure = 0.0
+                account.ceiling_leased = account.ceiling_unreported = 0.0
         if account.strict:
-            account.spread, account.alone_since = max(1, event.spread), self.alone_since()
-            if event.customer not in self.accounts and not account.saves:
-                account.share = 0.0
+            account.gateways, account.isolated_since = max(1, event.spread), self.alone_since()
+            if event.customer not in self.accounts and not account.saves_while_connected:
+                account.isolated_share = 0.0
         cls, self.accounts[event.customer] = s.classes[event.cls], account
         cut, end = self.span(cls, event.time_left)
         request = Request(event, cls, account, cut, end, s.limits)
@@ -172,7 +177,10 @@
         if limits.patient and not first:
             over = over or request.cut - self.now < self.fleet.usual[event.cls] / 2
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
-            over = over or (account.ceiling if leased else account.sure) < event.units
+            over = (
+                over
+                or (account.ceiling_leased if leased else account.ceiling_unreported) < event.units
+            )
         backend = (
             None
             if over
@@ -185,7 +193,8 @@
                 self.end(request, self.no_room(request, over))
             return False
         spent = event.units if first else 0.0
-        account.ceiling, account.sure = account.ceiling - spent, account.sure - spent
+        account.ceiling_leased -= spent
+        account.ceiling_unreported -= spent
         number, left, timeout = (
             len(request.attempts),
             request.cut - self.now,
@@ -208,7 +217,7 @@
         request.attempts.append(Attempt(backend, self.now))
         request.fresh = False
         self.flying[event.request, number] = (request, request.attempts[-1])
-        account.open += 1
+        account.attempts_out += 1
         return True
 
     def no_room(self, request: Request, over: bool = False) -> it.Refuse:
@@ -221,7 +230,7 @@
             return
         request, attempt = flown
         account, cls = request.account, request.cls
-        account.open -= 1
+        account.attempts_out -= 1
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         attempt.arrived = event.outcome not in NEVER_CAME
         if not attempt.begun:
@@ -282,4 +291,4 @@
             backend.elsewhere = event.attempts.get(number, 0)
         self.fleet.elsewhere = sum(event.attempts.values())
         for customer, account in self.accounts.items():
-            account.elsewhere = event.customers.get(customer, 0)
+            account.attempts_elsewhere = event.customers.get(customer, 0)
--- a/cairndale/lab/checkout.py
+++ b/cairndale/lab/checkout.py
@@ -41,7 +41,10 @@
     MappingProxyType(
         {
             f"{POLICY_PACKAGE}.interface": f"{POLICY_PACKAGE}.interface",
+            f"{POLICY_PACKAGE}.hashing": f"{POLICY_PACKAGE}.hashing",
+            f"{POLICY_PACKAGE}.borrowing_ring": f"{POLICY_PACKAGE}.borrowing_ring",
             f"{POLICY_PACKAGE}.account": f"{POLICY_PACKAGE}.account",
+            f"{POLICY_PACKAGE}.admission": f"{POLICY_PACKAGE}.admission",
             f"{POLICY_PACKAGE}.endpoint_pool": f"{POLICY_PACKAGE}.endpoint_pool",
             f"{POLICY_PACKAGE}.engine": f"{POLICY_PACKAGE}.engine",
             "cairndale.ingress.wire": "cairndale.ingress.wire",
--- a/cairndale/quota/quota_counter.py
+++ b/cairndale/quota/quota_counter.py
@@ -7,21 +7,21 @@
     burst' + rate * (T + L) <= (rate * T + burst) * (1 + overrun) + slack
 
 An ingress that is out of touch spends at the quota's rate over the number of all ingresses, and has
-saved up `SHARE_SPAN` of that at the most, or one unit: this is left out of the bound, and stores
-refill the slower the more ingresses may be out of touch. Where a unit for each ingress is more than
-that, and over half of what the bound leaves (many ingresses, a small quota), nobody saves while in
-touch: each begins with nothing when it loses touch, and the room for one unit is left only for
-those that may be out of touch now. What such a one saves from then on is no more than what the
-store refills less. A new leader of the duty begins to count with empty stores, or as they
-must be where all have been heard of and nobody spent anything. Those it has not heard of count as
-out of touch, and those in touch think of the number it told."""
+saved up `ISOLATED_SAVINGS_S` of that at the most, or one unit: this is left out of the bound, and
+stores refill the slower the more ingresses may be out of touch. Where a unit for each ingress is
+more than that, and over half of what the bound leaves (many ingresses, a small quota), nobody saves
+while in touch: each begins with nothing when it loses touch, and the room for one unit is left only
+for those that may be out of touch now. What such a one saves from then on is no more than what the
+store refills less. A new leader of the duty begins to count with empty stores, or as they must be
+where all have been heard of and nobody spent anything. Those it has not heard of count as out of
+touch, and those in touch think of the number it told."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-from cairndale.ingress.policy.account import SHARE_SPAN
+from cairndale.ingress.policy.account import ISOLATED_SAVINGS_S
 from cairndale.settings import Bounds
 
 EXPIRY = 1.0  # s that an ingress may hold leased units
@@ -41,14 +41,16 @@
 
 def saved_most(rate: float, burst: float, bounds: Bounds) -> float:
     """Units that all ingresses together may have saved up while in touch, as an ingress reckons."""
-    return max(SAVED_THERE * spare(rate, burst, bounds), SAVED_THERE / SAVED * rate * SHARE_SPAN)
+    return max(
+        SAVED_THERE * spare(rate, burst, bounds), SAVED_THERE / SAVED * rate * ISOLATED_SAVINGS_S
+    )
 
 
 def room(rate: float, burst: float, bounds: Bounds, edges: int, fewest: int, silent: int) -> float:
     """burst': the most a store may hold, in units. `fewest`: ingresses, as any of them may still
     think; `silent`: those that may be out of touch."""
-    left, saved = spare(rate, burst, bounds), max(edges, rate * SHARE_SPAN)
-    if fewest > max(SAVED * left, rate * SHARE_SPAN):
+    left, saved = spare(rate, burst, bounds), max(edges, rate * ISOLATED_SAVINGS_S)
+    if fewest > max(SAVED * left, rate * ISOLATED_SAVINGS_S):
         saved *= silent / max(1, edges)
     return max(1.0, min(burst, (left - saved) * MARGIN))
 
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -23,7 +23,7 @@
 from cairndale.dataplane.node import DataPlaneNode
 from cairndale.dataplane.request_router import RequestRouter
 from cairndale.ingress.net.http import Message
-from cairndale.ingress.policy.account import Account
+from cairndale.ingress.policy.account import TenantAccount
 from cairndale.registry.endpoints import EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -367,7 +367,9 @@
         plain.backends.stop()
         for name in rng.sample(list(house.route_table.tenants), 5):
             plan = plans(house)[name]
-            house.gateway.accounts.setdefault(int(name[1:]), Account(plan, 1, 1, 0)).plan = plan
+            house.gateway.accounts.setdefault(
+                int(name[1:]), TenantAccount(plan, 1, 1, 0)
+            ).plan = plan
     house.backends.stop()
 
 
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -17,7 +17,7 @@
 from cairndale.ingress.net.discovery import Entry, Listing
 from cairndale.ingress.net.engine import Answer, Data, Engine, Flow, Names, Wanted
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.account import NEVER_RAN
+from cairndale.ingress.policy.admission import NEVER_RAN
 from cairndale.ingress.policy.engine import Gateway
 from cairndale.ingress.policy.interface import Outcome, Repeat
 from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -184,19 +184,20 @@
 def test_no_lease_and_no_part_of_a_ceiling_is_spent_twice() -> None:
     old, new, _ = handed()
     account = old.accounts[7]
-    had = account.tokens, account.ceiling, account.sure
+    had = account.tokens, account.ceiling_leased, account.ceiling_unreported
     state = json.loads(json.dumps(hand_over(old)))
     take_over(new, 2 * SECOND, state, range(3), range(4))
     taken = new.accounts[7]
     assert had[0] > 0 and (account.tokens, taken.tokens) == (0.0, had[0])
-    assert account.ceiling + taken.ceiling == pytest.approx(had[1])
-    assert account.sure + taken.sure == pytest.approx(had[2])
-    assert (taken.level, taken.usual, taken.plan) == (account.level, account.usual, account.plan)
+    assert account.ceiling_leased + taken.ceiling_leased == pytest.approx(had[1])
+    assert account.ceiling_unreported + taken.ceiling_unreported == pytest.approx(had[2])
+    assert (taken.store_units, taken.demand) == (account.store_units, account.demand)
+    assert taken.plan == account.plan
     # a customer first seen after the hand-over
     old.handle(3 * SECOND, arrival(9, plan=3, customer=8))
-    assert old.accounts[8].ceiling == old.accounts[8].sure == 0.0
+    assert old.accounts[8].ceiling_leased == old.accounts[8].ceiling_unreported == 0.0
     old.handle(4 * SECOND, arrival(10, plan=3))
-    assert account.ceiling <= had[1] / 2  # it refills at the new process only
+    assert account.ceiling_leased <= had[1] / 2  # it refills at the new process only
 
 
 def test_cold_budgets_and_attempts_out_go_with_it() -> None:
@@ -209,11 +210,11 @@
     assert not old.fleet.cold_room(old.fleet.backends[3], 0.5)
     before = new.fleet.used()
     new.handle(2 * SECOND, it.OtherBusy({1: 3}, {7: 2}))
-    assert new.fleet.used() > before and new.accounts[7].elsewhere == 2
+    assert new.fleet.used() > before and new.accounts[7].attempts_elsewhere == 2
     picked = [new.fleet.pick(2 * SECOND, 0, lambda b: b.info.id != 3) for _ in range(2)]
     assert [p.info.id for p in picked if p] == [2, 2]  # 1 is full of the other's
     new.handle(2 * SECOND, it.OtherBusy({}, {}))
-    assert new.fleet.elsewhere == 0 and new.accounts[7].elsewhere == 0
+    assert new.fleet.elsewhere == 0 and new.accounts[7].attempts_elsewhere == 0
 
 
 def test_classes_and_plans_are_followed_by_number_across_the_two() -> None:
--- a/tests/ingress/policy/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -6,7 +6,9 @@
 
 from cairndale.ingress import Gateway
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.account import OFFSETS, Account, count_name
+from cairndale.ingress.policy.account import TenantAccount
+from cairndale.ingress.policy.borrowing_ring import RETRY_OFFSETS
+from cairndale.ingress.policy.hashing import counter_name
 from tests.testing.policy import (
     PLANS,
     SECOND,
@@ -31,7 +33,7 @@
     asked = g.handle(0, arrival(1))
     (add,) = of(asked, it.AddToCounter)
     assert not of(asked, it.SendAttempt) and add.amount > 1
-    assert add.name == count_name(7, 0)
+    assert add.name == counter_name(7, 0)
     assert len(of(g.handle(1000, counter.answers(asked)[0]), it.SendAttempt)) == 1
 
 
@@ -44,11 +46,11 @@
 
 def test_what_is_taken_past_the_allowance_is_added_back() -> None:
     g, counter = gateway(), Counter()
-    counter.totals[count_name(7, 0)] = 3.5  # a sibling took most of the burst of 4
+    counter.totals[counter_name(7, 0)] = 3.5  # a sibling took most of the burst of 4
     actions = settle(g, 0, arrival(1), counter)
     back = [a.amount for a in of(actions, it.AddToCounter) if a.amount < 0]
     assert len(back) == 1 and of(actions, it.Refuse) and not of(actions, it.SendAttempt)
-    assert counter.totals[count_name(7, 0)] == pytest.approx(4.0)
+    assert counter.totals[counter_name(7, 0)] == pytest.approx(4.0)
 
 
 def test_one_burst_in_all_through_two_gateways() -> None:
@@ -116,33 +118,37 @@
     assert sent <= 4
 
 
-def ring_account() -> Account:
-    account = Account(PLANS[0], 2, slot_us=500_000, level_at=0)
-    account.rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units a slot
+def ring_account() -> TenantAccount:
+    account = TenantAccount(PLANS[0], 2, slot_us=500_000, store_at=0)
+    account.lease_rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units a slot
     return account
 
 
 def test_ring_books_d0_then_doubling_offsets_then_rejects() -> None:
     account = ring_account()
-    assert [account.book(0, 1.0) for _ in range(7)] == [500_000] * 6 + [0]
-    assert [slot[0] for slot in account.ring] == [2, 0, 2, 0, 2, 2, 2, 0]
-    assert [account.ring[i][1] for i in OFFSETS] == [4, 2, 0]  # empty slots passed gained one each
+    assert [account.book_retry(0, 1.0) for _ in range(7)] == [500_000] * 6 + [0]
+    assert [slot[0] for slot in account.ring.slots] == [2, 0, 2, 0, 2, 2, 2, 0]
+    assert [account.ring.slots[i][1] for i in RETRY_OFFSETS] == [
+        4,
+        2,
+        0,
+    ]  # empty slots passed gained one each
 
 
 def test_booked_retries_are_dropped_first_in_their_slot() -> None:
     account = ring_account()
     for _ in range(6):
-        account.book(0, 1.0)
-    account.rate = 0.0
-    assert [account.book(500_000, 1.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
-    assert account.ring[0][1] == 0
+        account.book_retry(0, 1.0)
+    account.lease_rate = 0.0
+    assert [account.book_retry(500_000, 1.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
+    assert account.ring.slots[0][1] == 0
 
 
 def test_spare_capacity_is_never_negative() -> None:
     account = ring_account()
-    account.rate, account.usual = 0.0, 50.0
-    assert account.book(0, 1.0) == 0
-    assert all(slot == [0.0, 0] for slot in account.ring)
+    account.lease_rate, account.demand = 0.0, 50.0
+    assert account.book_retry(0, 1.0) == 0
+    assert all(slot == [0.0, 0] for slot in account.ring.slots)
 
 
 def test_same_arrivals_admit_drop_and_reject_by_what_the_ring_holds() -> None:
@@ -151,10 +157,10 @@
         g, counter = gateway(), Counter()
         settle(g, 0, arrival(1), counter)
         account = g.accounts[7]
-        account.tokens = account.level = 0.0
-        account.rate, account.usual = 10.0, 0.0
-        account.book(0, 1.0)
-        for slot in account.ring:
+        account.tokens = account.store_units = 0.0
+        account.lease_rate, account.demand = 10.0, 0.0
+        account.book_retry(0, 1.0)
+        for slot in account.ring.slots:
             slot[0] = booked
         answers.append(of(settle(g, 0, arrival(2), counter), it.Refuse)[0].retry_after)
     assert answers == [0, 500_000]
@@ -259,7 +265,7 @@
     g, counter = gateway(), Counter()
     (lost,) = of(g.handle(0, arrival(1)), it.AddToCounter)
     again = g.handle(1000, it.CountAnswered(lost.name, it.Outcome.RESET, 0.0, 1000))
-    assert len(of(again, it.AddToCounter)) == 1 and not of(again, it.Refuse) and g.crowd == 1.0
+    assert len(of(again, it.AddToCounter)) == 1 and not of(again, it.Refuse) and g.crowding == 1.0
     assert of(g.handle(2000, counter.answers(again)[0]), it.SendAttempt)
 
 
@@ -283,7 +289,7 @@
     settle(g, 0, arrival(1), counter)
     account = g.accounts[7]
     assert account.tokens > 0
-    assert account.bound(30 * SECOND) + account.tokens == pytest.approx(PLANS[0].burst)
+    assert account.store_bound(30 * SECOND) + account.tokens == pytest.approx(PLANS[0].burst)
 
 
 def test_other_settings_keep_leases_and_open_requests_keep_their_rules() -> None:
--- a/tests/ingress/policy/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -54,7 +54,7 @@
     for n in range(400):
         now = (20 + 2 * n) * SECOND + SECOND  # half a window of two seconds has passed
         actions = g.handle(now, arrival(100 + n, customer=2000 + n, spread=100))
-        g.crowd = 4.0  # calls of others were turned away
+        g.crowding = 4.0  # calls of others were turned away
         for add in of(actions, it.AddToCounter):
             counter.totals[add.name] = 7.0  # a store of 4 at 2 a second gives about a third of that
             asked += 1
@@ -69,7 +69,7 @@
     store."""
     g = wide(40)
     g.handle(8 * SECOND, arrival(1, customer=99, spread=4))
-    g.crowd, g.call_at = 4.0, 10 * SECOND
+    g.crowding, g.next_call_at = 4.0, 10 * SECOND
     actions = g.handle(10 * SECOND, arrival(10, spread=4))
     assert finish(g, 10 * SECOND, actions) == 1 and not of(actions, it.AddToCounter)
     return g
@@ -92,7 +92,7 @@
     (add,) = of(g.handle(10_100_000, arrival(50, spread=4)), it.AddToCounter)
     answered = g.handle(10_110_000, it.CountAnswered(add.name, it.Outcome.OK, 6.0, 9000))
     assert of(answered, it.Refuse) and not of(answered, it.AddToCounter)
-    g.call_at = 10 * SECOND
+    g.next_call_at = 10 * SECOND
     (again,) = of(g.handle(11_900_000, arrival(51, spread=4)), it.AddToCounter)
     # one is asked for, and what was over taken off
     assert again.name == add.name and again.amount < 0.5
--- a/tests/ingress/test_wire.py
+++ b/tests/ingress/test_wire.py
@@ -232,7 +232,10 @@
     assert set(deploy) == {"build", "run", "sim", "policy", "node", "packages"}
     assert all((ROOT / name).exists() for name in deploy["node"])
     assert deploy["policy"] == [
+        "cairndale/ingress/policy/hashing.py",
+        "cairndale/ingress/policy/borrowing_ring.py",
         "cairndale/ingress/policy/account.py",
+        "cairndale/ingress/policy/admission.py",
         "cairndale/ingress/policy/endpoint_pool.py",
         "cairndale/ingress/policy/engine.py",
     ]
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -16,7 +16,7 @@
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError
-from cairndale.ingress.policy.account import SHARE_SPAN
+from cairndale.ingress.policy.account import ISOLATED_SAVINGS_S
 from cairndale.quota import quota_counter
 from cairndale.quota.budget_counter import LIFE, Budget, BudgetCounter, further, starts
 from cairndale.quota.quota_counter import EXPIRY, saved_most
@@ -241,7 +241,7 @@
         if not saves and edge.share_at < alone:
             edge.share, edge.share_at = 0.0, alone
         edge.share = min(
-            max(1.0, part * SHARE_SPAN), edge.share + part * (self.now - edge.share_at)
+            max(1.0, part * ISOLATED_SAVINGS_S), edge.share + part * (self.now - edge.share_at)
         )
         edge.share_at = self.now
 
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-MODULES = ("account", "endpoint_pool", "engine")
+MODULES = ("hashing", "borrowing_ring", "account", "admission", "endpoint_pool", "engine")
 POLICY = {name: (ROOT / f"cairndale/ingress/policy/{name}.py").read_text() for name in MODULES}
 
 
@@ -29,10 +29,13 @@
 
 def test_imports_only_the_standard_library_and_the_interface() -> None:
     allowed = {"__future__", "collections", "dataclasses", "math", "random", "typing"}
-    inner = {
-        "account": [],
-        "endpoint_pool": ["account"],
-        "engine": ["account", "endpoint_pool"],
+    inner: dict[str, list[str]] = {
+        "hashing": [],
+        "borrowing_ring": [],
+        "account": ["borrowing_ring"],
+        "admission": ["account", "hashing"],
+        "endpoint_pool": ["account", "hashing"],
+        "engine": ["account", "admission", "endpoint_pool"],
     }  # outer ones never
     for name, text in POLICY.items():
         for node in ast.walk(ast.parse(text)):
