--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -104,10 +104,10 @@
     from cairndale.registry.nodes import NodeRegistry
 
     DataPlaneNode.may_serve = lambda self: True  # type: ignore[method-assign]
-    NodeRegistry.all_at = lambda self, now, config_version: all(  # type: ignore[method-assign]
+    NodeRegistry.all_at_version = lambda self, now, config_version: all(  # type: ignore[method-assign]
         held.config_version >= config_version
         for held in self.leases.values()
-        if held.here and held.node.kind == "edge"
+        if held.is_listed and held.node.kind == "edge"
     )
 
 
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -58,7 +58,9 @@
         if not self.ready():
             return wrong(503, "out of contact")
         return lookup(
-            target, self._process.node_registry.here(), self._process.settings.bounds.ttl_max
+            target,
+            self._process.node_registry.listed_nodes(),
+            self._process.settings.bounds.ttl_max,
         )
 
     async def control(self, method: str, target: str, body: bytes) -> Answer:
@@ -72,12 +74,12 @@
             return await self._settle(method, target, body)
         now = self._process.now()
         plain = self._process.leadership is None and self._follower.in_contact(now)
-        if plain and self._collector.plain(found.args["id"], body, now):
+        if plain and self._collector.collect(found.args["id"], body, now):
             return told(200, self._nearer(body))
         if self._process.leadership is None and self._follower.is_cut_off(now):
             return wrong(503, "out of contact")
         if self._process.leadership is None and (
-            seen := self._collector.read(found.args["id"], body, now)
+            seen := self._collector.parse(found.args["id"], body, now)
         ):
             try:
                 await self._follower.arrivals.say(seen)
@@ -88,7 +90,7 @@
         return told(200, self._nearer(body)) if status == 200 else (status, answer)
 
     def _nearer(self, body: bytes) -> dict[str, str]:
-        return self._collector.nearer(body) if self.ready() else {}
+        return self._collector.closer_target(body) if self.ready() else {}
 
     async def _settle(self, method: str, target: str, body: bytes, most: float = PASS_ON) -> Answer:
         """Settled here if the duty is held here, else by its leader. Passing it on after it was
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -152,18 +152,18 @@
         process, now = self._process, self._process.now()
         seen = [server_in(s, now) for s in watch_response.server]
         if watch_response.servers != self._seen[1] or watch_response.servers_whole:
-            process.endpoint_registry.take(
+            process.endpoint_registry.apply_update(
                 seen, watch_response.servers, watch_response.servers_whole
             )
-        process.node_registry.take(
+        process.node_registry.apply_update(
             watch_response.node,
             watch_response.node_gone,
             watch_response.nodes_whole,
             now,
             watch_response.nodes,
         )
-        for known in process.endpoint_registry.servers.values():
-            known.heard_at = now
+        for known in process.endpoint_registry.endpoints.values():
+            known.last_heartbeat_at = now
         self._seen = (watch_response.epoch, watch_response.servers, watch_response.nodes)
 
     async def reports(self) -> None:
@@ -176,10 +176,10 @@
             beats = self._collector.report(process.now())
             if process.leadership:
                 process.leadership.beats(process.now(), beats)
-                self._collector.told(beats)
+                self._collector.acknowledge(beats)
                 continue
             try:
                 await self.call(pb.Envelope(heartbeat_report=beats), REPORT_WAIT, REPORT_WAIT)
             except CallError:
                 continue
-            self._collector.told(beats)
+            self._collector.acknowledge(beats)
--- a/cairndale/control/heartbeat_batch.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -13,7 +13,7 @@
 from cairndale.control.leadership import server_in, server_out
 from cairndale.errors import CallError, QueueFullError
 from cairndale.events import Event, log_event
-from cairndale.registry.endpoints import STATES, Endpoint, EndpointRegistry
+from cairndale.registry.endpoints import REPORTED_STATES, Endpoint, EndpointRegistry
 from cairndale.rpc import protocol_pb2 as pb
 
 # s between two calls, for each core machine: the leader takes so many in all a second ...
@@ -29,8 +29,8 @@
 
 def hear(endpoint_registry: EndpointRegistry, arrivals: pb.EndpointReport, now: float) -> bool:
     """At the leader. True if there is news for the data plane."""
-    told = [server_in(server, now) for server in arrivals.server if server.state in STATES[:2]]
-    news = [seen for seen in told if endpoint_registry.beat(seen)]
+    told = [server_in(server, now) for server in arrivals.server if server.state in REPORTED_STATES]
+    news = [seen for seen in told if endpoint_registry.record_heartbeat(seen)]
     if news:
         log_event(
             Event.ENDPOINTS_CHANGED, "%s", ", ".join(f"{s.id} {s.service} {s.state}" for s in news)
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -15,7 +15,7 @@
 from cairndale.errors import RejectedError, StaleCallError
 from cairndale.quota.budget_counter import FURTHER, LIFE, Budget, BudgetCounter, further, starts
 from cairndale.quota.quota_counter import QuotaCounter
-from cairndale.registry.endpoints import Endpoint, EndpointRegistry
+from cairndale.registry.endpoints import EncodedEndpoint, Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
@@ -36,7 +36,7 @@
 
 
 def server_out(seen: Endpoint, now: float) -> pb.Endpoint:
-    cold = max(0, round((seen.cold_until - now) * 1000))
+    cold = max(0, round((seen.warmup_until - now) * 1000))
     return pb.Endpoint(
         id=seen.id,
         service=seen.service,
@@ -52,11 +52,12 @@
 
 def encoded(seen: Endpoint, now: float) -> bytes:
     """`server_out` as it stands in a cue, made once for each change of one that is not cold."""
-    if seen.told[0] == seen.changed and seen.cold_until <= now:
-        return seen.told[1]
+    is_warm = seen.warmup_until <= now
+    if is_warm and seen.encoded.version == seen.changed_at_version:
+        return seen.encoded.data
     made = pb.WatchResponse(server=[server_out(seen, now)]).SerializeToString()
-    if seen.cold_until <= now:
-        seen.told = (seen.changed, made)
+    if is_warm:
+        seen.encoded = EncodedEndpoint(seen.changed_at_version, made)
     return made
 
 
@@ -98,7 +99,7 @@
         )
         self.moves, self._repeats = EvacuationLog(now, bounds.ack, ever), IdempotencyCache()
         self.budget_counter, self._warm_per_s = BudgetCounter(now, ever), dict[str, float]()
-        self._from_nothing, self._was_spent = not endpoint_registry.servers, False
+        self._from_nothing, self._was_spent = not endpoint_registry.endpoints, False
         self._bounds, self.counting = bounds, not ever
         self._shared: dict[str, float] = {}  # ingresses of late, and until when they count
         self._shared_at, self._shared_of = (
@@ -112,9 +113,9 @@
         self._expired_at = float("-inf")
         self._state: State | None = None  # as it was last followed
         self._followed: tuple[Any, Any] = (None, None)  # its tenants and backends, by object
-        for seen in endpoint_registry.servers.values():
-            seen.heard_at = now
-        node_registry.begin(now, edges)
+        for seen in endpoint_registry.endpoints.values():
+            seen.last_heartbeat_at = now
+        node_registry.begin_term(now, edges)
 
     def epoch(self, now: float) -> str:
         """Numbers of boards and rolls mean something within one. It changes once all servers had
@@ -155,25 +156,25 @@
         self._looked_at = now
         edges = self.shared_by(now)
         if self.counting:
-            self.quota_counter.silent(now, self.node_registry.silent(now, edges), edges)
+            self.quota_counter.silent(now, self.node_registry.count_isolated(now, edges), edges)
             return False
-        if self._was_spent or self.node_registry.all_heard(now):
+        if self._was_spent or self.node_registry.all_contacted(now):
             quotas, self.quota_counter = (
                 self.quota_counter,
-                QuotaCounter(now, self._bounds, idle=self.node_registry.idle(now)),
+                QuotaCounter(now, self._bounds, idle=self.node_registry.common_idle_time(now)),
             )
             self.quota_counter.follow(quotas)
             self.counting = True
-            self.quota_counter.silent(now, self.node_registry.silent(now, edges), edges)
+            self.quota_counter.silent(now, self.node_registry.count_isolated(now, edges), edges)
         return self.counting
 
     def _expire(self, now: float) -> bool:
         if not self.settled(now):
-            return self.node_registry.watch(now)
-        if now - self._expired_at < EXPIRE_EACH * len(self.endpoint_registry.servers):
-            return self.node_registry.watch(now)
+            return self.node_registry.expire(now)
+        if now - self._expired_at < EXPIRE_EACH * len(self.endpoint_registry.endpoints):
+            return self.node_registry.expire(now)
         self._expired_at = now
-        return self.endpoint_registry.expire(now, self._beat) | self.node_registry.watch(now)
+        return self.endpoint_registry.expire(now, self._beat) | self.node_registry.expire(now)
 
     def warmups(self, state: State) -> dict[str, float]:
         return {
@@ -182,8 +183,11 @@
 
     def shared_by(self, now: float) -> int:
         """Ingresses that static parts of a whole are counted over."""
-        if self._shared_of != self.node_registry.joined or not 0 <= now - self._shared_at < LOOK:
-            self._shared_at, self._shared_of = now, self.node_registry.joined
+        if (
+            self._shared_of != self.node_registry.names_added
+            or not 0 <= now - self._shared_at < LOOK
+        ):
+            self._shared_at, self._shared_of = now, self.node_registry.names_added
             for held in self.node_registry.leases.values():
                 if held.node.kind == "edge":
                     self._shared[held.node.name] = now + COUNTED
@@ -229,16 +233,19 @@
         kind, _, of = name.partition("/")
         if kind == FURTHER:
             return further(self._bounds) if of in self._warm_per_s else None
-        seen = self.endpoint_registry.servers.get(of)
+        seen = self.endpoint_registry.endpoints.get(of)
         return starts(self._bounds, self._warm_per_s.get(seen.service, 0.0)) if seen else None
 
     def beats(self, now: float, beats: pb.HeartbeatReport) -> None:
         """Of servers that said nothing new to one that does not lead, so many ms ago."""
         for number, (id, seq) in enumerate(zip(beats.id, beats.seq, strict=False)):
-            seen = self.endpoint_registry.servers.get(id)
+            seen = self.endpoint_registry.endpoints.get(id)
             if seen and seen.state == "ready" and seq > seen.seq:
                 age = beats.age_ms[number] / 1000 if number < len(beats.age_ms) else 0.0
-                seen.seq, seen.heard_at = seq, max(seen.heard_at, now - max(0.0, age - UNDER_WAY))
+                seen.seq, seen.last_heartbeat_at = (
+                    seq,
+                    max(seen.last_heartbeat_at, now - max(0.0, age - UNDER_WAY)),
+                )
 
     def asked(self, now: float, ask: pb.WatchRequest) -> bool:
         """True if it is news to others. Raises CallError where who asks is not known, or has
@@ -249,20 +256,20 @@
                 raise StaleCallError()
             ask.node.CopyFrom(known.node)
         known = self.node_registry.leases.get(ask.node.name)
-        first = known is None or known.asked_at == float("-inf")  # since the duty began
+        first = known is None or known.requested_at == float("-inf")  # since the duty began
         is_of_term = ask.epoch.rstrip("~") == f"{self.term}"
         made = min(now, self.began + ask.clock_ms / 1000) if is_of_term and ask.clock_ms else None
-        if self.node_registry.was_held_up(now, ask.node, made):
+        if self.node_registry.is_outdated(now, ask.node, made):
             raise StaleCallError("held up")
-        news = self.node_registry.ask(now, ask.node, ask.config_version, made)
+        news = self.node_registry.record_request(now, ask.node, ask.config_version, made)
         held = self.node_registry.leases[ask.node.name]
         if held.idle_from == float("inf"):
             held.idle_from = now - ask.idle_ms / 1000
             self._was_spent |= (
                 bool(ask.epoch) and ask.node.kind == "edge"
             )  # told before, so it may spend
-        held.current = ask.servers == self.endpoint_registry.number
-        held.counting = is_of_term and ask.counting and self.counting
+        held.is_current = ask.servers == self.endpoint_registry.version
+        held.uses_quota_counter = is_of_term and ask.counting and self.counting
         news |= self._count(now, anew=first)
         return news
 
@@ -272,7 +279,7 @@
         if ask.node.kind == "edge" and ask.counting != self.counting:
             return True
         return (
-            ask.servers != self.endpoint_registry.number or ask.nodes != self.node_registry.number
+            ask.servers != self.endpoint_registry.version or ask.nodes != self.node_registry.version
         )
 
     def watch_response(self, now: float, ask: pb.WatchRequest, state: State) -> pb.WatchResponse:
@@ -324,7 +331,7 @@
     def _answer(
         self, now: float, ask: pb.WatchRequest, epoch: str, config_version: int, gen: int
     ) -> pb.WatchResponse:
-        self.node_registry.answered(now, ask.node.name)
+        self.node_registry.renew_lease(now, ask.node.name)
         if held := self.node_registry.leases.get(ask.node.name):
             held.idle_until = min(held.idle_until, now)
         return pb.WatchResponse(
@@ -342,7 +349,10 @@
         this term), and up to which they tell. They are told for a while though there is news since:
         who hears them is told that next, and all who are told in one round have the same numbers in
         the next."""
-        settled, of = self.settled(now), (self.endpoint_registry.number, self.node_registry.number)
+        settled, of = (
+            self.settled(now),
+            (self.endpoint_registry.version, self.node_registry.version),
+        )
         key = (servers, nodes, settled)
         at, upto, made = self._lists.get(key, (float("-inf"), of, b""))
         holds = (
@@ -353,14 +363,14 @@
                 pb.WatchResponse(servers_whole=servers < 0 and settled, nodes_whole=nodes < 0),
                 of,
             )
-            seen = self.endpoint_registry.since(max(0, servers)) if servers != of[0] else []
-            seen = [s for s in seen if servers >= 0 or s.state != "gone" or s.ended]
+            seen = self.endpoint_registry.changed_since(max(0, servers)) if servers != of[0] else []
+            seen = [s for s in seen if servers >= 0 or s.state != "gone" or s.has_ended]
             part.MergeFromString(b"".join([encoded(s, now) for s in seen]))
             if nodes != of[1]:
                 here, gone = (
-                    self.node_registry.since(nodes)
+                    self.node_registry.changed_since(nodes)
                     if nodes >= 0
-                    else (self.node_registry.here(), [])
+                    else (self.node_registry.listed_nodes(), [])
                 )
                 part.node.extend(here)
                 part.node_gone.extend(gone)
@@ -379,7 +389,7 @@
                 "zone": h.node.zone,
                 "ready": h.node.ready,
                 "version": h.config_version,
-                "current": h.current,
+                "current": h.is_current,
                 "lease_left": round(h.lease_end - now, 1),
             }
             for n, h in sorted(self.node_registry.leases.items())
@@ -390,9 +400,9 @@
                 "service": s.service,
                 "zone": s.zone,
                 "state": s.state,
-                "silent": round(now - s.heard_at, 1),
+                "silent": round(now - s.last_heartbeat_at, 1),
             }
-            for s in self.endpoint_registry.servers.values()
+            for s in self.endpoint_registry.endpoints.values()
         ]
         return {
             "term": self.term,
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -117,7 +117,7 @@
 
     def _heard(self, leadership: Leadership, call: str, id: str, body: bytes, now: float) -> Answer:
         if call == "end":
-            if leadership.endpoint_registry.end(id, now):
+            if leadership.endpoint_registry.mark_ended(id, now):
                 log_event(Event.ENDPOINTS_CHANGED, "%s gone", id)
                 self._leader.publish()
             return told(200, {})
@@ -127,7 +127,7 @@
             return wrong(400, *error.errors)
         except ValueError as error:
             return wrong(400, f"not JSON: {error}")
-        if leadership.endpoint_registry.beat(seen):
+        if leadership.endpoint_registry.record_heartbeat(seen):
             log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", seen.id, seen.service, seen.state)
             self._leader.publish()
         return told(200, {})
@@ -261,7 +261,9 @@
             await self._leader.confirm(called, leadership.term)
             return self._moved(zone, order), state.version
         if is_new and not begins and orders == 1:
-            leadership.endpoint_registry.chill(zone, self._leader.now(), leadership.warmups(state))
+            leadership.endpoint_registry.restart_warmup(
+                zone, self._leader.now(), leadership.warmups(state)
+            )
         await self._leader.decide(Command(verb, order, zone=zone, call=call))
         if is_new:
             orders = self._leader.state.evacuated.get(zone, 0)
@@ -296,7 +298,7 @@
         """Until every ingress serves by it, or has stopped as its lease is over. Raises
         CallError."""
         until = self._leader.now() + self._leader.settings.bounds.ack
-        while not self._leader.held().node_registry.all_at(self._leader.now(), version):
+        while not self._leader.held().node_registry.all_at_version(self._leader.now(), version):
             if self._leader.now() > until:
                 raise CallTimeoutError("some ingresses have not got it yet")
             await self._leader.news(0.03)
--- a/cairndale/registry/__init__.py
+++ b/cairndale/registry/__init__.py
@@ -1,2 +1,1 @@
-"""Registries of what is there now: server endpoints by their heartbeats, data-plane nodes by their
-leases."""
+"""Soft state of the leader: endpoints by their heartbeats, data-plane nodes by their leases."""
--- a/cairndale/registry/endpoints.py
+++ b/cairndale/registry/endpoints.py
@@ -1,6 +1,8 @@
-"""Which servers there are: soft state, told by the servers themselves and told anew after any loss.
+"""Registry of server endpoints: soft state, rebuilt from the servers' own heartbeats after a loss.
 
-Times are seconds on the leader's clock.
+Nothing here is durable or replicated through the log. A follower keeps a copy that it is sent by
+the leader, so that it can begin with it should it lead next. Times are seconds on the clock of the
+process that holds the registry.
 """
 
 from __future__ import annotations
@@ -11,176 +13,226 @@
 
 from cairndale.settings import seconds
 
-STATES = ("ready", "draining", "gone")
-MISSED = 3  # beats in a row after which a server is taken for gone
-MOST = 1_000_000  # of slots that a server may name
-COLD = 3600.0  # s, at the most, for which a server is taken at its word that it is cold
-REMEMBER = 30.0  # s that those gone are remembered, so that late news of them raises nobody
+REPORTED_STATES = ("ready", "draining")  # by a server itself; the third, "gone", is concluded here
+MISSED_HEARTBEATS = 3  # in a row, after which an endpoint counts as gone
+MAX_CAPACITY = 1_000_000  # request slots that a server may report
+MAX_SEQUENCE = 1 << 62
+MAX_WARMUP_S = 3600.0
+# Two reports of one warm-up differ by the time the heartbeats take.
+WARMUP_TOLERANCE_S = 0.3
+# An endpoint that is gone stays known for this long, so that a delayed heartbeat does not bring it
+# back.
+TOMBSTONE_S = 30.0
+
+_UPDATED_FIELDS = ("service", "addr", "zone", "gen", "capacity", "state")
+_COMPARED_FIELDS = ("service", "addr", "zone", "capacity", "state")
+
+
+@dataclass(frozen=True, slots=True)
+class EncodedEndpoint:
+    """The serialised form of an endpoint, and the registry version at which it was made."""
+
+    version: int
+    data: bytes
+
+
+_NOT_ENCODED = EncodedEndpoint(-1, b"")
 
 
 @dataclass(slots=True)
 class Endpoint:
+    """A server as it was last reported."""
+
     id: str
     service: str
     addr: str
     zone: str
     gen: str
-    capacity: int
+    capacity: int  # requests at a time
     state: str
-    cold_until: float
-    seq: int
-    heard_at: float
-    ended: bool = False  # it said so itself: no word of it counts any longer
-    changed: int = 0  # the board's number at its last change
-    told: tuple[int, bytes] = (
-        -1,
-        b"",
-    )  # at which change, and how others are told of it while it is not cold
-
-    def plain(self, told: Endpoint) -> bool:
-        """A later word that says nothing which the data plane would have to hear."""
-        same = all(
-            getattr(self, n) == getattr(told, n)
-            for n in ("service", "addr", "zone", "capacity", "state")
-        )
-        return same and told.cold_until <= max(self.cold_until, told.heard_at) + 0.3
+    warmup_until: float
+    seq: int  # of its newest heartbeat
+    last_heartbeat_at: float
+    has_ended: bool = False  # it reported its own end: later heartbeats are ignored
+    changed_at_version: int = 0  # the registry's version at its last change
+    encoded: EncodedEndpoint = _NOT_ENCODED
+
+    def is_refreshed_by(self, heartbeat: Endpoint) -> bool:
+        """Whether a later heartbeat changes nothing that the data plane has to know."""
+        is_same = all(getattr(self, n) == getattr(heartbeat, n) for n in _COMPARED_FIELDS)
+        known_until = max(self.warmup_until, heartbeat.last_heartbeat_at)
+        return is_same and heartbeat.warmup_until <= known_until + WARMUP_TOLERANCE_S
 
 
 class HeartbeatError(ValueError):
+    """A heartbeat's body is not valid; `errors` holds every error, each with its path."""
+
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
         self.errors = errors
 
 
 def read_heartbeat(id: str, raw: Any, now: float) -> Endpoint:
-    """A heartbeat's body. Raises BeatError with all that is wrong."""
-    errors: list[str] = []
-
-    def part(of: Any, at: str, name: str, kind: type, least: int = 0, most: int = MOST) -> Any:
-        value = of.get(name) if isinstance(of, dict) else None
-        sound = isinstance(value, kind) and not isinstance(value, bool)
-        sound = sound and (not isinstance(value, int) or least <= value <= most)
-        if not sound or (kind is str and not value):
-            errors.append(f"{at}{name}: {value!r} is not what stands there")
-            return kind()
-        return value
+    """The endpoint that the decoded JSON body of a heartbeat describes.
 
+    Raises HeartbeatError with all that is wrong.
+    """
+    errors: list[str] = []
     details, status = (raw.get(n) if isinstance(raw, dict) else None for n in ("details", "status"))
-    addr = part(raw, "", "addr", str)
+    addr = _text(raw, "", "addr", errors)
     if addr and not (addr.rpartition(":")[0] and addr.rpartition(":")[2].isdigit()):
         errors.append(f"addr: {addr!r} is no address")
-    state = part(status, "status.", "state", str)
-    if state and state not in STATES[:2]:
-        errors.append(f"status.state: {state!r} is none of {', '.join(STATES[:2])}")
+    state = _text(status, "status.", "state", errors)
+    if state and state not in REPORTED_STATES:
+        errors.append(f"status.state: {state!r} is none of {', '.join(REPORTED_STATES)}")
+    warmup_until = now + _warmup_left(status, errors)
+    endpoint = Endpoint(
+        id=id,
+        service=_text(details, "details.", "backend", errors),
+        addr=addr,
+        zone=_text(details, "details.", "zone", errors),
+        gen=str(details.get("gen", "")) if isinstance(details, dict) else "",
+        capacity=_number(details, "details.", "capacity", 1, MAX_CAPACITY, errors),
+        state=state,
+        warmup_until=warmup_until,
+        seq=_number(status, "status.", "seq", 0, MAX_SEQUENCE, errors),
+        last_heartbeat_at=now,
+    )
+    if errors:
+        raise HeartbeatError(errors)
+    return endpoint
+
+
+def _text(parent: Any, path: str, name: str, errors: list[str]) -> str:
+    value = parent.get(name) if isinstance(parent, dict) else None
+    if isinstance(value, str) and value:
+        return value
+    errors.append(f"{path}{name}: {value!r} is not what stands there")
+    return ""
+
+
+def _number(parent: Any, path: str, name: str, least: int, most: int, errors: list[str]) -> int:
+    value = parent.get(name) if isinstance(parent, dict) else None
+    if isinstance(value, int) and not isinstance(value, bool) and least <= value <= most:
+        return value
+    errors.append(f"{path}{name}: {value!r} is not what stands there")
+    return 0
+
+
+def _warmup_left(status: Any, errors: list[str]) -> float:
     left = status.get("warmupLeft", "0s") if isinstance(status, dict) else "0s"
     try:
-        cold = now + min(COLD, seconds(left))
+        return min(MAX_WARMUP_S, seconds(left))
     except ValueError as error:
         errors.append(f"status.warmupLeft: {error}")
-        cold = now
-    made = Endpoint(
-        id,
-        part(details, "details.", "backend", str),
-        addr,
-        part(details, "details.", "zone", str),
-        str(details.get("gen", "")) if isinstance(details, dict) else "",
-        part(details, "details.", "capacity", int, 1),
-        state,
-        cold,
-        part(status, "status.", "seq", int, 0, 1 << 62),
-        now,
-    )
-    if errors:
-        raise HeartbeatError(errors)
-    return made
+        return 0.0
 
 
 class EndpointRegistry:
+    """All endpoints, with a version that rises with every change that the data plane has to know.
+
+    Versions are comparable within one leader's epoch only.
+    """
+
     def __init__(self) -> None:
-        self.servers: dict[str, Endpoint] = {}
-        self.number = 0  # rises with every change
-        self._changed: dict[str, None] = {}  # those known, by their last change: the newest last
-
-    def _change(self, seen: Endpoint) -> None:
-        self.number += 1
-        seen.changed = self.number
-        self._changed.pop(seen.id, None)
-        self._changed[seen.id] = None
-
-    def beat(self, told: Endpoint) -> bool:
-        """True if it is news to the data plane."""
-        known = self.servers.get(told.id)
+        self.endpoints: dict[str, Endpoint] = {}  # by id
+        self.version = 0
+        self._by_last_change: dict[str, None] = {}  # ids; the one changed last stands last
+
+    def _mark_changed(self, endpoint: Endpoint) -> None:
+        self.version += 1
+        endpoint.changed_at_version = self.version
+        self._move_to_end(endpoint.id)
+
+    def _move_to_end(self, id: str) -> None:
+        self._by_last_change.pop(id, None)
+        self._by_last_change[id] = None
+
+    def record_heartbeat(self, heartbeat: Endpoint) -> bool:
+        """Take in a heartbeat. True if the data plane has to know.
+
+        Heartbeats older than the newest one, and those of a server that reported its end, are
+        ignored. A draining server does not become ready again within its life.
+        """
+        known = self.endpoints.get(heartbeat.id)
         if known is None:
-            self.servers[told.id] = told
-            self._change(told)
+            self.endpoints[heartbeat.id] = heartbeat
+            self._mark_changed(heartbeat)
             return True
-        if known.ended or told.seq < known.seq:
+        if known.has_ended or heartbeat.seq < known.seq:
             return False
-        known.seq, known.heard_at = told.seq, told.heard_at
-        worse = (
-            known.state == "draining" and told.state == "ready"
-        )  # a late word: nobody comes back from that
-        told.state = known.state if worse else told.state
-        plain = known.plain(told)
-        known.cold_until = told.cold_until
-        if plain:
+        known.seq, known.last_heartbeat_at = heartbeat.seq, heartbeat.last_heartbeat_at
+        if known.state == "draining" and heartbeat.state == "ready":  # sent before it drained
+            heartbeat.state = known.state
+        is_refresh = known.is_refreshed_by(heartbeat)
+        known.warmup_until = heartbeat.warmup_until
+        if is_refresh:
             return False
-        for name in ("service", "addr", "zone", "gen", "capacity", "state"):
-            setattr(known, name, getattr(told, name))
-        self._change(known)
+        for name in _UPDATED_FIELDS:
+            setattr(known, name, getattr(heartbeat, name))
+        self._mark_changed(known)
         return True
 
-    def end(self, id: str, now: float) -> bool:
-        """It has said that it ends."""
-        known = self.servers.get(id)
+    def mark_ended(self, id: str, now: float) -> bool:
+        """Take in that a server has reported its end. True if the data plane has to know.
+
+        One that is not known yet is recorded as gone, since a delayed heartbeat may follow.
+        """
+        known = self.endpoints.get(id)
         if known is None:
-            known = self.servers[id] = Endpoint(id, "", "", "", "", 1, "gone", now, 0, now)
-        elif known.state == "gone" and known.ended:
+            known = self.endpoints[id] = Endpoint(id, "", "", "", "", 1, "gone", now, 0, now)
+        elif known.state == "gone" and known.has_ended:
             return False
-        known.state, known.ended, known.heard_at = "gone", True, now
-        self._change(known)
+        known.state, known.has_ended, known.last_heartbeat_at = "gone", True, now
+        self._mark_changed(known)
         return True
 
-    def expire(self, now: float, beat: float) -> bool:
-        """Those silent for too long are gone, until they are heard again; those long gone are
-        forgotten."""
-        news = False
-        for id, seen in list(self.servers.items()):
-            silent = now - seen.heard_at
-            if seen.state == "gone":
-                if silent > REMEMBER:
-                    del self.servers[id]
-                    self._changed.pop(id, None)
-            elif silent > MISSED * beat:
-                seen.state = "gone"
-                self._change(seen)
-                news = True
-        return news
-
-    def chill(self, zone: str, now: float, warmups: dict[str, float]) -> bool:
-        """A zone is taken back: its servers may have become cold since they were heard."""
-        news = False
-        for seen in self.servers.values():
-            if seen.zone == zone and seen.state != "gone" and warmups.get(seen.service, 0) > 0:
-                seen.cold_until = max(seen.cold_until, now + warmups[seen.service])
-                self._change(seen)
-                news = True
-        return news
-
-    def since(self, number: int) -> list[Endpoint]:
-        found = []
-        for id in reversed(self._changed):
-            if (seen := self.servers[id]).changed <= number:
+    def expire(self, now: float, heartbeat_interval: float) -> bool:
+        """Count endpoints without recent heartbeats as gone, and forget those long gone.
+
+        An endpoint that is gone by its silence alone comes back with its next heartbeat. True if
+        the data plane has to know.
+        """
+        before = self.version
+        for id, endpoint in list(self.endpoints.items()):
+            silent_for = now - endpoint.last_heartbeat_at
+            if endpoint.state == "gone":
+                if silent_for > TOMBSTONE_S:
+                    del self.endpoints[id]
+                    self._by_last_change.pop(id, None)
+            elif silent_for > MISSED_HEARTBEATS * heartbeat_interval:
+                endpoint.state = "gone"
+                self._mark_changed(endpoint)
+        return self.version != before
+
+    def restart_warmup(self, zone: str, now: float, warmups: dict[str, float]) -> bool:
+        """Begin the warm-up (slow start) of a zone's endpoints anew, as when its evacuation ends.
+
+        They had no traffic and may have become cold since their last heartbeat. `warmups` holds
+        the seconds by service. True if the data plane has to know.
+        """
+        before = self.version
+        for endpoint in self.endpoints.values():
+            warmup = warmups.get(endpoint.service, 0)
+            if endpoint.zone == zone and endpoint.state != "gone" and warmup > 0:
+                endpoint.warmup_until = max(endpoint.warmup_until, now + warmup)
+                self._mark_changed(endpoint)
+        return self.version != before
+
+    def changed_since(self, version: int) -> list[Endpoint]:
+        """Endpoints that changed after `version`, the newest change first."""
+        changed = []
+        for id in reversed(self._by_last_change):
+            if (endpoint := self.endpoints[id]).changed_at_version <= version:
                 break
-            found.append(seen)
-        return found
-
-    def take(self, told: Iterable[Endpoint], number: int, whole: bool) -> None:
-        """What the leader's board says, for one that may hold the duty next."""
-        if whole:
-            self.servers, self._changed = {}, {}
-        for seen in told:
-            self.servers[seen.id] = replace(seen, changed=number)
-            self._changed.pop(seen.id, None)
-            self._changed[seen.id] = None
-        self.number = number
+            changed.append(endpoint)
+        return changed
+
+    def apply_update(self, update: Iterable[Endpoint], version: int, is_full: bool) -> None:
+        """Take over what the leader's registry holds at `version`: all of it, or what changed."""
+        if is_full:
+            self.endpoints, self._by_last_change = {}, {}
+        for endpoint in update:
+            self.endpoints[endpoint.id] = replace(endpoint, changed_at_version=version)
+            self._move_to_end(endpoint.id)
+        self.version = version
--- a/cairndale/registry/heartbeats.py
+++ b/cairndale/registry/heartbeats.py
@@ -1,9 +1,13 @@
-"""Beats that come to one that does not lead: those that say nothing new are told to the leader
-together."""
+"""Heartbeats that reach a follower and report nothing new, collected for the leader.
+
+Most heartbeats are of this kind. A follower in contact with the leader answers them itself and
+reports them together, which keeps the leader's load independent of the number of servers.
+"""
 
 from __future__ import annotations
 
 import json
+from dataclasses import dataclass
 
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry, read_heartbeat
 from cairndale.registry.nodes import NodeRegistry
@@ -11,64 +15,80 @@
 from cairndale.settings import Settings
 
 
+@dataclass(frozen=True, slots=True, order=True)
+class _CollectedHeartbeat:
+    seq: int
+    received_at: float
+
+
 class HeartbeatCollector:
-    """Times are seconds on this process's clock."""
+    """Collects refreshing heartbeats until a leader has acknowledged them.
+
+    Nothing is lost with a leader that changes meanwhile: the report is repeated to the next one.
+    Times are seconds on this process's clock.
+    """
 
     def __init__(
         self, settings: Settings, endpoint_registry: EndpointRegistry, node_registry: NodeRegistry
     ) -> None:
-        self._settings, self._endpoint_registry, self._node_registry = (
-            settings,
-            endpoint_registry,
-            node_registry,
-        )
-        self._beats: dict[
-            str, tuple[int, float]
-        ] = {}  # by server: seq, and when it came; not told for sure
+        self._settings = settings
+        self._endpoint_registry = endpoint_registry
+        self._node_registry = node_registry
+        self._unacknowledged: dict[str, _CollectedHeartbeat] = {}  # by endpoint id
+
+    def closer_target(self, body: bytes) -> dict[str, str]:
+        """The answer's field that sends a server's later heartbeats to a closer control node.
 
-    def nearer(self, body: bytes) -> dict[str, str]:
-        """Where a server's later beats are to go, if that is not here: they are the most of what
-        crosses zones. Only those that the leader has heard of late are named."""
+        Heartbeats are most of the traffic between zones. Empty if the server is of this zone, or
+        no closer node is in contact with the leader.
+        """
         zone = json.loads(body)["details"]["zone"]
         region = self._settings.zones.get(zone, "")
         if zone == self._settings.zone:
             return {}
-        cores = [n for n in self._node_registry.here() if n.kind == "core" and n.ctl]
-        near = [n for n in cores if n.zone == zone]
-        if not near and region != self._settings.region:
-            near = [n for n in cores if n.region == region]
-        return {"beatUrl": f"http://{near[0].ctl}"} if near else {}
-
-    def read(self, id: str, body: bytes, now: float) -> Endpoint | None:
-        """None: not a beat that is sound; the leader says what is wrong."""
+        listed = self._node_registry.listed_nodes()
+        control_nodes = [n for n in listed if n.kind == "core" and n.ctl]
+        closer = [n for n in control_nodes if n.zone == zone]
+        if not closer and region != self._settings.region:
+            closer = [n for n in control_nodes if n.region == region]
+        return {"beatUrl": f"http://{closer[0].ctl}"} if closer else {}
+
+    def parse(self, id: str, body: bytes, now: float) -> Endpoint | None:
+        """The endpoint that a heartbeat describes; None if it is not valid.
+
+        The leader is left to say what is wrong with it.
+        """
         try:
             return read_heartbeat(id, json.loads(body), now)
         except ValueError:
             return None
 
-    def plain(self, id: str, body: bytes, now: float) -> bool:
-        """A beat that says what is known already: the leader hears of it with others."""
-        known = self._endpoint_registry.servers.get(id)
+    def collect(self, id: str, body: bytes, now: float) -> bool:
+        """Take in a heartbeat if it only refreshes what is known; False if it says more."""
+        known = self._endpoint_registry.endpoints.get(id)
         if known is None or known.state != "ready":
             return False
-        seen = self.read(id, body, now)
-        if seen is None or not known.plain(seen):
+        heartbeat = self.parse(id, body, now)
+        if heartbeat is None or not known.is_refreshed_by(heartbeat):
             return False
-        self._beats[id] = max((seen.seq, now), self._beats.get(id, (0, now)))
+        collected = _CollectedHeartbeat(heartbeat.seq, now)
+        before = self._unacknowledged.get(id, _CollectedHeartbeat(0, now))
+        self._unacknowledged[id] = max(collected, before)
         return True
 
     def report(self, now: float) -> pb.HeartbeatReport:
-        """What is to be told to the leader."""
-        self._beats = {
-            id: beat for id, beat in self._beats.items() if id in self._endpoint_registry.servers
-        }
-        ages = [round((now - came) * 1000) for _, came in self._beats.values()]
+        """All that no leader has acknowledged yet, with ages in ms."""
+        known = self._endpoint_registry.endpoints
+        self._unacknowledged = {i: h for i, h in self._unacknowledged.items() if i in known}
+        collected = self._unacknowledged.values()
         return pb.HeartbeatReport(
-            id=list(self._beats), seq=[seq for seq, _ in self._beats.values()], age_ms=ages
+            id=list(self._unacknowledged),
+            seq=[h.seq for h in collected],
+            age_ms=[round((now - h.received_at) * 1000) for h in collected],
         )
 
-    def told(self, beats: pb.HeartbeatReport) -> None:
-        """A leader has answered that it has heard this."""
-        for id, seq in zip(beats.id, beats.seq, strict=True):
-            if id in self._beats and self._beats[id][0] <= seq:
-                del self._beats[id]
+    def acknowledge(self, report: pb.HeartbeatReport) -> None:
+        """Drop what a leader has acknowledged, but for heartbeats that came since."""
+        for id, seq in zip(report.id, report.seq, strict=True):
+            if id in self._unacknowledged and self._unacknowledged[id].seq <= seq:
+                del self._unacknowledged[id]
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -1,8 +1,10 @@
-"""Which ingresses there are: each holds a lease at the duty's leader and is a member while it
-renews it.
+"""Registry of data-plane and control nodes: each holds a lease at the leader while it renews it.
 
-Times are seconds on the leader's clock. A lease runs for its leader from when it asked, here from
-the answer on: so it has ended there before it ends here."""
+Times are seconds on the leader's clock. The leader counts a lease from its answer on, the node from
+its request on: so the lease has ended at the node before it ends here (a lease in the sense of Gray
+and Cheriton). The registry is soft state; only the names of possible lease holders are durable, in
+the replicated state.
+"""
 
 from __future__ import annotations
 
@@ -17,182 +19,209 @@
     long_poll_timeout,
 )
 
-MISSED = 0.8  # s without a word after which clients are no longer sent there
+# Without contact for this long, a node is no longer listed, so no client is sent to it.
+UNLISTED_AFTER_S = 0.8
+
+NEVER = float("-inf")
 
 
 @dataclass(slots=True)
 class NodeLease:
+    """The lease of one node, and what its newest watch request said."""
+
     node: pb.Node
     lease_end: float
-    heard_at: float
-    asked_at: float  # when its newest ask was made, as that is known: not later
-    config_version: int  # the version it has told that it serves by
-    made_at: float = float("-inf")  # of its newest ask, by the clock that cues tell of
-    idle_from: float = float("inf")  # since when it has spent nothing, and ...
-    idle_until: float = float("inf")  # ... until when: its first answer let it spend its part
-    counting: bool = False  # it spends leased units only
-    here: bool = False  # clients are sent there, if it is ready
-    current: bool = False  # it had heard all that was told of servers when it last asked
-    waiting: bool = False  # its next ask is here, to be answered when there is news
+    last_contact_at: float
+    requested_at: float  # no later than its newest request was made
+    config_version: int  # that it serves by
+    # The same by the leader's clock as the node knows it; NEVER: it did not know of this term.
+    requested_at_by_term_clock: float = NEVER
+    # It spent no quota from `idle_from`, as it reported, to `idle_until`, when it was first given
+    # a share to spend.
+    idle_from: float = float("inf")
+    idle_until: float = float("inf")
+    uses_quota_counter: bool = False  # it spends granted units only while it is connected
+    is_listed: bool = False  # clients are sent there, if it is ready
+    is_current: bool = False  # it knew the newest version of the endpoints with its newest request
+    has_pending_request: bool = False
 
 
 class NodeRegistry:
+    """All nodes with a lease, and a version that rises with every change of who is listed.
+
+    Versions are comparable within one leader's epoch only.
+    """
+
     def __init__(self) -> None:
         self.leases: dict[str, NodeLease] = {}  # by name
-        self.number = 0  # rises with every change of who is here
-        self.joined = 0  # rises with every name that is new
-        self._changed: dict[
-            str, int
-        ] = {}  # by name, of those no longer known as well; the newest last
-
-    def _change(self, name: str) -> None:
-        self.number += 1
-        self._changed.pop(name, None)
-        self._changed[name] = self.number
-
-    def begin(self, now: float, names: Iterable[str]) -> None:
-        """The duty begins. Each of these may hold a lease of an earlier leader's."""
-        for name in names:
+        self.version = 0
+        self.names_added = 0  # rises with every name that is new
+        # Version of the last change by name, also of nodes that are forgotten; the newest last.
+        self._changed_at: dict[str, int] = {}
+
+    def _mark_changed(self, name: str) -> None:
+        self.version += 1
+        self._changed_at.pop(name, None)
+        self._changed_at[name] = self.version
+
+    def begin_term(self, now: float, possible_holders: Iterable[str]) -> None:
+        """Begin as a new leader, who does not know which leases its predecessors have granted.
+
+        Each of the possible holders counts as if it had been granted one just now.
+        """
+        for name in possible_holders:
             if name not in self.leases:
-                unheard = pb.Node(name=name, kind="edge")
-                self.leases[name] = NodeLease(
-                    unheard, now + NODE_LEASE_S, float("-inf"), float("-inf"), -1
-                )
-                self.joined += 1
-        for held in self.leases.values():
-            held.lease_end, held.config_version = now + NODE_LEASE_S, -1
-            held.asked_at = held.made_at = float("-inf")
-            if (
-                held.here
-            ):  # as the last leader knew it: clients are sent there until it is missed here
-                held.heard_at = now
-            held.counting = False
-            held.idle_from = held.idle_until = float("inf")
-
-    def was_held_up(self, now: float, node: pb.Node, made: float | None) -> bool:
-        """An ask that says nothing of now: a later one of the same life has come before it, or a
-        lease that began with it would be over. `made`: when, at the earliest; None: it has not
-        heard of this term."""
+                unknown = pb.Node(name=name, kind="edge")
+                self.leases[name] = NodeLease(unknown, now + NODE_LEASE_S, NEVER, NEVER, -1)
+                self.names_added += 1
+        for lease in self.leases.values():
+            lease.lease_end, lease.config_version = now + NODE_LEASE_S, -1
+            lease.requested_at = lease.requested_at_by_term_clock = NEVER
+            if lease.is_listed:  # by the previous leader: it stays so until it is missed here
+                lease.last_contact_at = now
+            lease.uses_quota_counter = False
+            lease.idle_from = lease.idle_until = float("inf")
+
+    def is_outdated(self, now: float, node: pb.Node, requested_at: float | None) -> bool:
+        """Whether a watch request was delayed so long that it says nothing of the present.
+
+        That is so if a later one of the same life came before it, or a lease that began with it
+        would be over. `requested_at`: the earliest time at which it may have been made; None: the
+        node does not know of this term.
+        """
         known = self.leases.get(node.name)
-        before = known.made_at if known and known.node.life == node.life else float("-inf")
-        return (
-            before > float("-inf") if made is None else made < before or now - made > NODE_LEASE_S
-        )
-
-    def ask(
-        self, now: float, node: pb.Node, config_version: int, made: float | None = None
+        is_same_life = known is not None and known.node.life == node.life
+        previous = known.requested_at_by_term_clock if known and is_same_life else NEVER
+        if requested_at is None:
+            return previous > NEVER
+        return requested_at < previous or now - requested_at > NODE_LEASE_S
+
+    def record_request(
+        self, now: float, node: pb.Node, config_version: int, requested_at: float | None = None
     ) -> bool:
-        """True if it is news to others."""
-        asked = now if made is None or now - made <= FRESH_REQUEST_S else made
-        made_at = float("-inf") if made is None else made
+        """Take in a watch request, as contact; the lease is renewed only with its answer.
+
+        True if others have to know. `requested_at` is as for `is_outdated`.
+        """
+        is_fresh = requested_at is None or now - requested_at <= FRESH_REQUEST_S
+        made_at = now if requested_at is None or is_fresh else requested_at
+        by_term_clock = NEVER if requested_at is None else requested_at
         known = self.leases.get(node.name)
         if known is None:
             self.leases[node.name] = NodeLease(
-                node,
-                now + NODE_LEASE_S,
-                now,
-                asked,
-                config_version,
-                made_at,
-                here=True,
-                waiting=True,
+                node=node,
+                lease_end=now + NODE_LEASE_S,
+                last_contact_at=now,
+                requested_at=made_at,
+                config_version=config_version,
+                requested_at_by_term_clock=by_term_clock,
+                is_listed=True,
+                has_pending_request=True,
             )
-            self._change(node.name)
-            self.joined += 1
+            self._mark_changed(node.name)
+            self.names_added += 1
             return True
-        news = known.node != node or not known.here
-        new_life = (
-            known.node.life != node.life
-        )  # a machine runs one life of a role: the one before is over
-        known.config_version = (
-            config_version if new_life else max(known.config_version, config_version)
-        )
-        known.node, known.heard_at, known.waiting, known.here = node, now, True, True
-        known.asked_at, known.made_at = asked, made_at
-        if news:
-            self._change(node.name)
-        return news
-
-    def watch(self, now: float) -> bool:
-        """Those not heard for a while are not here; those whose lease is long over are forgotten.
-        True if it is news."""
-        before = self.number
-        for name, held in list(self.leases.items()):
-            if held.here and not held.waiting and now - held.heard_at >= MISSED:
-                held.here = False
-                self._change(name)
-            if not held.here and held.lease_end < now and now - held.heard_at > NODE_LEASE_S:
+        has_changed = known.node != node or not known.is_listed
+        if known.node.life != node.life:  # a machine runs one life of a role: the former is over
+            known.config_version = config_version
+        else:
+            known.config_version = max(known.config_version, config_version)
+        known.node, known.last_contact_at = node, now
+        known.has_pending_request = known.is_listed = True
+        known.requested_at, known.requested_at_by_term_clock = made_at, by_term_clock
+        if has_changed:
+            self._mark_changed(node.name)
+        return has_changed
+
+    def renew_lease(self, now: float, name: str) -> None:
+        """A node's request is answered: its lease begins anew, if it is known."""
+        if lease := self.leases.get(name):
+            lease.lease_end, lease.last_contact_at = now + NODE_LEASE_S, now
+            lease.has_pending_request = False
+
+    def expire(self, now: float) -> bool:
+        """Unlist nodes without recent contact, and forget those whose lease is long over.
+
+        True if others have to know.
+        """
+        before = self.version
+        for name, lease in list(self.leases.items()):
+            silent_for = now - lease.last_contact_at
+            if lease.is_listed and not lease.has_pending_request and silent_for >= UNLISTED_AFTER_S:
+                lease.is_listed = False
+                self._mark_changed(name)
+            if not lease.is_listed and lease.lease_end < now and silent_for > NODE_LEASE_S:
                 del self.leases[name]
-        return self.number != before
-
-    def in_touch(self, now: float, held: NodeLease, edges: int) -> bool:
-        return (
-            held.counting
-            and held.asked_at >= now - long_poll_timeout(edges) - LEADER_CONTACT_MARGIN_S
-        )
+        return self.version != before
 
-    def silent(self, now: float, edges: int) -> int:
-        """Ingresses that may serve, and may be out of touch with the counter."""
-        since = (
-            now - long_poll_timeout(edges) - LEADER_CONTACT_MARGIN_S
-        )  # as `in_touch` has it, reckoned once for all
+    def count_isolated(self, now: float, ingresses: int) -> int:
+        """Ingresses that may serve, and may have lost contact with the quota counter."""
+        connected_since = now - long_poll_timeout(ingresses) - LEADER_CONTACT_MARGIN_S
         return sum(
             1
-            for h in self.leases.values()
-            if not (h.counting and h.asked_at >= since)
-            and h.lease_end >= now
-            and h.node.kind == "edge"
+            for lease in self.leases.values()
+            if not (lease.uses_quota_counter and lease.requested_at >= connected_since)
+            and lease.lease_end >= now
+            and lease.node.kind == "edge"
         )
 
-    def idle(self, now: float) -> float:
-        """s in which nobody at all has spent a unit, of all who held leases when the duty began."""
-        edges = [h for h in self.leases.values() if h.node.kind == "edge"]
-        if any(h.asked_at == float("-inf") for h in edges):
-            return 0.0  # nobody knows what it did
-        begun = max((h.idle_from for h in edges), default=now)
-        return max(0.0, min([now, *(h.idle_until for h in edges)]) - begun)
+    def common_idle_time(self, now: float) -> float:
+        """Seconds in which no ingress at all has spent quota; 0 where that is not known."""
+        ingresses = [lease for lease in self.leases.values() if lease.node.kind == "edge"]
+        if any(lease.requested_at == NEVER for lease in ingresses):
+            return 0.0
+        begin = max((lease.idle_from for lease in ingresses), default=now)
+        return max(0.0, min([now, *(lease.idle_until for lease in ingresses)]) - begin)
 
-    def all_heard(self, now: float) -> bool:
-        """Whoever may hold a lease has asked since the duty began."""
+    def all_contacted(self, now: float) -> bool:
+        """Whether every ingress that may hold a lease has made a request in this term."""
         return all(
-            h.asked_at > float("-inf")
-            for h in self.leases.values()
-            if h.node.kind == "edge" and h.lease_end >= now
+            lease.requested_at > NEVER
+            for lease in self.leases.values()
+            if lease.node.kind == "edge" and lease.lease_end >= now
         )
 
-    def answered(self, now: float, name: str) -> None:
-        if held := self.leases.get(name):
-            held.lease_end, held.heard_at, held.waiting = now + NODE_LEASE_S, now, False
+    def all_at_version(self, now: float, config_version: int) -> bool:
+        """Whether no ingress can serve by a configuration older than `config_version`.
 
-    def all_at(self, now: float, config_version: int) -> bool:
-        """Nobody can serve by an older version any longer."""
+        Each has reported it, or its lease is over.
+        """
         return all(
-            h.config_version >= config_version
-            for h in self.leases.values()
-            if h.lease_end >= now and h.node.kind == "edge"
+            lease.config_version >= config_version
+            for lease in self.leases.values()
+            if lease.lease_end >= now and lease.node.kind == "edge"
         )
 
-    def here(self) -> list[pb.Node]:
-        return [h.node for h in self.leases.values() if h.here]
+    def listed_nodes(self) -> list[pb.Node]:
+        """The nodes that clients and peers may be sent to."""
+        return [lease.node for lease in self.leases.values() if lease.is_listed]
 
-    def since(self, number: int) -> tuple[list[pb.Node], list[str]]:
-        """Who is here, and who no longer, of those that changed since."""
+    def changed_since(self, version: int) -> tuple[list[pb.Node], list[str]]:
+        """Of the nodes that changed after `version`: those listed, and the names of the others."""
         names = []
-        for name, at in reversed(self._changed.items()):
-            if at <= number:
+        for name, changed_at in reversed(self._changed_at.items()):
+            if changed_at <= version:
                 break
             names.append(name)
-        here = [h.node for n in names if (h := self.leases.get(n)) and h.here]
-        return here, [n for n in names if n not in self.leases or not self.leases[n].here]
-
-    def take(
-        self, nodes: Iterable[pb.Node], gone: Iterable[str], whole: bool, now: float, number: int
+        listed = [x.node for n in names if (x := self.leases.get(n)) and x.is_listed]
+        gone = [n for n in names if n not in self.leases or not self.leases[n].is_listed]
+        return listed, gone
+
+    def apply_update(
+        self,
+        listed: Iterable[pb.Node],
+        gone: Iterable[str],
+        is_full: bool,
+        now: float,
+        version: int,
     ) -> None:
-        """What the leader's roll says, for one that may hold the duty next."""
-        if whole:
+        """Take over what the leader's registry holds at `version`: all of it, or what changed."""
+        if is_full:
             self.leases = {}
         for name in gone:
             self.leases.pop(name, None)
-        for node in nodes:
-            self.leases[node.name] = NodeLease(node, now + NODE_LEASE_S, now, now, -1, here=True)
-        self.number = number
+        for node in listed:
+            self.leases[node.name] = NodeLease(
+                node, now + NODE_LEASE_S, now, now, -1, is_listed=True
+            )
+        self.version = version
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -114,7 +114,9 @@
     older = server_out(read_heartbeat("i", beat(6, state="draining"), 5.0), 5.0)
     odd = pb.Endpoint(id="k", service="s", addr="10.0.0.1:1", state="gone", capacity=1)
     assert not hear(endpoint_registry, pb.EndpointReport(server=[older, odd]), 8.0)
-    assert {s.id: (s.seq, s.state, s.heard_at) for s in endpoint_registry.servers.values()} == {
+    assert {
+        s.id: (s.seq, s.state, s.last_heartbeat_at) for s in endpoint_registry.endpoints.values()
+    } == {
         "i": (7, "ready", 7.0),
         "j": (3, "ready", 7.0),
     }
@@ -168,7 +170,7 @@
         await asyncio.sleep(1.0)
         holder = world.leader()
         assert holder and {
-            s.id for s in holder.endpoint_registry.servers.values() if s.state == "ready"
+            s.id for s in holder.endpoint_registry.endpoints.values() if s.state == "ready"
         } >= set(acked)
 
     play(scene())
@@ -212,22 +214,22 @@
         at, id = step / 10, f"i{rng.randrange(30)}"
         match rng.randrange(12):
             case 0:
-                endpoint_registry.end(id, at)
+                endpoint_registry.mark_ended(id, at)
             case 1:
                 endpoint_registry.expire(at, 1.5)
             case 2:
-                endpoint_registry.chill(rng.choice(("z", "y")), at, {"s1": 2.0})
+                endpoint_registry.restart_warmup(rng.choice(("z", "y")), at, {"s1": 2.0})
             case _:
                 state = rng.choice(("ready", "ready", "ready", "draining"))
-                endpoint_registry.beat(
+                endpoint_registry.record_heartbeat(
                     read_heartbeat(id, beat(step, state, zone=rng.choice(("z", "y"))), at)
                 )
         number = rng.choice(
-            (0, endpoint_registry.number - 3, endpoint_registry.number - 20, follower.number)
+            (0, endpoint_registry.version - 3, endpoint_registry.version - 20, follower.version)
         )
-        since = endpoint_registry.since(number)
+        since = endpoint_registry.changed_since(number)
         assert {s.id for s in since} == {
-            s.id for s in endpoint_registry.servers.values() if s.changed > number
+            s.id for s in endpoint_registry.endpoints.values() if s.changed_at_version > number
         }
         assert len({s.id for s in since}) == len(since)
         for seen in since:  # and what was made before is what would be made now
@@ -236,12 +238,12 @@
             made.server[0].seq = fresh.server[0].seq
             assert made == fresh
         if rng.random() < 0.1:
-            follower.take(
-                endpoint_registry.since(follower.number),
-                endpoint_registry.number,
+            follower.apply_update(
+                endpoint_registry.changed_since(follower.version),
+                endpoint_registry.version,
                 rng.random() < 0.1,
             )
-            assert {s.id for s in follower.since(-1)} == set(follower.servers)
+            assert {s.id for s in follower.changed_since(-1)} == set(follower.endpoints)
 
 
 def test_servers_are_encoded_once_each_and_lists_once_a_round(
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -176,7 +176,7 @@
             if core.leadership and core.leads():
                 seen += [
                     f"{s.id} gone at {now() - began:.1f} s"
-                    for s in core.endpoint_registry.servers.values()
+                    for s in core.endpoint_registry.endpoints.values()
                     if s.state == "gone"
                 ]
         await asyncio.sleep(0.1)
@@ -351,7 +351,7 @@
         found.append("old state was shown")
     leader = world.leader()
     assert leader
-    if asked[2].result() == 200 and "s1" not in leader.endpoint_registry.servers:
+    if asked[2].result() == 200 and "s1" not in leader.endpoint_registry.endpoints:
         found.append("a beat was confirmed that no leader knows")
 
 
@@ -653,26 +653,26 @@
     settings = checked(SETTINGS)
     collector = HeartbeatCollector(settings, endpoint_registry, node_registry)
     for id in ("i", "j"):
-        endpoint_registry.beat(read_heartbeat(id, beat(1), 0.0))
-    assert not collector.plain("k", json.dumps(beat(2)).encode(), 1.0)  # nobody knows it here
+        endpoint_registry.record_heartbeat(read_heartbeat(id, beat(1), 0.0))
+    assert not collector.collect("k", json.dumps(beat(2)).encode(), 1.0)  # nobody knows it here
     for id, seq, at in (("i", 2, 1.0), ("j", 2, 1.2), ("i", 3, 2.5)):
-        assert collector.plain(id, json.dumps(beat(seq)).encode(), at)
+        assert collector.collect(id, json.dumps(beat(seq)).encode(), at)
     lost = collector.report(3.0)
     assert (list(lost.id), list(lost.seq), list(lost.age_ms)) == (["i", "j"], [3, 2], [500, 1800])
     assert collector.report(3.1).seq == lost.seq  # there was no answer
-    assert collector.plain("i", json.dumps(beat(4)).encode(), 3.2)
-    collector.told(lost)
+    assert collector.collect("i", json.dumps(beat(4)).encode(), 3.2)
+    collector.acknowledge(lost)
     assert list(collector.report(3.3).id) == ["i"] and list(collector.report(3.3).seq) == [4]
-    endpoint_registry.servers.clear()
+    endpoint_registry.endpoints.clear()
     assert not collector.report(3.4).id
     leadership = Leadership(
         1, 100.0, False, EndpointRegistry(), NodeRegistry(), [], settings.bounds, 1.5
     )
-    leadership.endpoint_registry.beat(read_heartbeat("i", beat(1), 96.0))
+    leadership.endpoint_registry.record_heartbeat(read_heartbeat("i", beat(1), 96.0))
     leadership.beats(100.0, pb.HeartbeatReport(id=["i", "x"], seq=[3, 1], age_ms=[3000, 0]))
     assert (
-        leadership.endpoint_registry.servers["i"].heard_at == 98.0
-        and "x" not in leadership.endpoint_registry.servers
+        leadership.endpoint_registry.endpoints["i"].last_heartbeat_at == 98.0
+        and "x" not in leadership.endpoint_registry.endpoints
     )
 
 
@@ -836,7 +836,7 @@
     while now() < taken_over + 6.0:
         if (
             (held := world.leader())
-            and (known := held.endpoint_registry.servers.get("s9"))
+            and (known := held.endpoint_registry.endpoints.get("s9"))
             and known.state == "ready"
         ):
             broken.append(f"ready {now() - taken_over:.1f} s after the takeover")
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -242,13 +242,13 @@
             due = [i for i, at in self.up.items() if (now - at) // BEAT > (heard - at) // BEAT]
             heard = now
             for id in due:
-                known = self.held().endpoint_registry.servers.get(id)
+                known = self.held().endpoint_registry.endpoints.get(id)
                 self.work(FRAME if known is None or known.state != "ready" else FRAME / 50)
                 zone = f"z{int(id[1:]) % 9}"
                 told = Endpoint(
                     id, "s", f"10.0.0.{id[1:]}:80", zone, "g", 6, "ready", 0.0, int(now * 1e3), now
                 )
-                if self.held().endpoint_registry.beat(told):
+                if self.held().endpoint_registry.record_heartbeat(told):
                     self.publish()
 
     def returned(self) -> bool:
@@ -302,7 +302,7 @@
     """What the leader does takes its time."""
     server_out, silent, whole, pack = (
         leadership_module.server_out,
-        NodeRegistry.silent,
+        NodeRegistry.count_isolated,
         Leadership.watch_response,
         leadership_module.packed,
     )
@@ -321,7 +321,7 @@
         patch.setattr(
             leadership_module, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part))
         )
-        patch.setattr(NodeRegistry, "silent", of)
+        patch.setattr(NodeRegistry, "count_isolated", of)
         patch.setattr(Leadership, "watch_response", lambda *args: charge(FRAME, whole(*args)))
         yield
 
@@ -382,7 +382,7 @@
             Leadership, "watch_response", lambda *args: (told.append(args), whole(*args))[1]
         )
         for number in range(100):
-            world.held().endpoint_registry.end(f"i{number}", world.now())
+            world.held().endpoint_registry.mark_ended(f"i{number}", world.now())
             del world.up[f"i{number}"]
             world.publish()
             await asyncio.sleep(0.02)
@@ -429,7 +429,7 @@
             return wait
 
         monkeypatch.setattr(WatchServer, "turn", timed)
-        world.held().endpoint_registry.end("i0", world.now())
+        world.held().endpoint_registry.mark_ended("i0", world.now())
         del world.up["i0"]
         world.publish()
         await world.until(world.returned, 1.5)
@@ -597,7 +597,7 @@
     for turn in range(600):
         now, looked.looks = 0.001 * turn, 0
         name = rng.choice(names) if turn % 100 else f"new{turn}"
-        node_registry.ask(now, pb.Node(name=name, life=f"{turn}", kind="edge"), 0)
+        node_registry.record_request(now, pb.Node(name=name, life=f"{turn}", kind="edge"), 0)
         counted[name] = now + leadership_module.COUNTED
         before = leadership._shared_at
         assert leadership.shared_by(now) == len(counted)
@@ -620,12 +620,12 @@
         return pb.Node(name=f"e{number}", life=f"{life}", address=f"10.0.{number}:1", kind="edge")
 
     for number in range(1000):
-        node_registry.ask(0.0, node(number, 1), 0)
-    known = node_registry.number
+        node_registry.record_request(0.0, node(number, 1), 0)
+    known = node_registry.version
     nodes = {h.node.name: h.node.life for h in node_registry.leases.values()}
     for number in range(1000):
         now += 0.001
-        node_registry.ask(now, node(number, 2), 0)
+        node_registry.record_request(now, node(number, 2), 0)
         watch_response = leadership.watch_response(
             now,
             pb.WatchRequest(epoch=leadership.epoch(now), nodes=known, node=node(number, 2)),
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -292,40 +292,40 @@
     cold = beat(4)
     cold["status"]["warmupLeft"] = "1s"
     said = [
-        endpoint_registry.beat(read_heartbeat("i", beat(n, s), 0.0))
+        endpoint_registry.record_heartbeat(read_heartbeat("i", beat(n, s), 0.0))
         for n, s in ((1, "ready"), (3, "draining"), (2, "ready"))
     ]
-    assert said == [True, True, False] and endpoint_registry.servers["i"].state == "draining"
+    assert said == [True, True, False] and endpoint_registry.endpoints["i"].state == "draining"
     assert (
-        not endpoint_registry.beat(read_heartbeat("i", beat(4, "ready"), 0.0))
-        and endpoint_registry.servers["i"].state == "draining"
+        not endpoint_registry.record_heartbeat(read_heartbeat("i", beat(4, "ready"), 0.0))
+        and endpoint_registry.endpoints["i"].state == "draining"
     )
-    assert endpoint_registry.end("i", 1.0) and not endpoint_registry.end("i", 1.0)
+    assert endpoint_registry.mark_ended("i", 1.0) and not endpoint_registry.mark_ended("i", 1.0)
     assert (
-        not endpoint_registry.beat(read_heartbeat("i", beat(9), 2.0))
-        and endpoint_registry.servers["i"].state == "gone"
+        not endpoint_registry.record_heartbeat(read_heartbeat("i", beat(9), 2.0))
+        and endpoint_registry.endpoints["i"].state == "gone"
     )
-    number = endpoint_registry.number
-    assert endpoint_registry.beat(
+    number = endpoint_registry.version
+    assert endpoint_registry.record_heartbeat(
         read_heartbeat("j", beat(1), 2.0)
     )  # another life at the same address
-    assert [s.id for s in endpoint_registry.since(number)] == ["j"]
+    assert [s.id for s in endpoint_registry.changed_since(number)] == ["j"]
     assert (
         not endpoint_registry.expire(6.0, 1.5)
         and endpoint_registry.expire(6.6, 1.5)
-        and endpoint_registry.servers["j"].state == "gone"
+        and endpoint_registry.endpoints["j"].state == "gone"
     )
     assert (
-        endpoint_registry.beat(read_heartbeat("j", beat(2), 7.0))
-        and endpoint_registry.servers["j"].state == "ready"
+        endpoint_registry.record_heartbeat(read_heartbeat("j", beat(2), 7.0))
+        and endpoint_registry.endpoints["j"].state == "ready"
     )
-    assert not endpoint_registry.beat(read_heartbeat("j", beat(3), 8.5)) and endpoint_registry.beat(
-        read_heartbeat("j", cold, 8.6)
-    )
-    assert endpoint_registry.servers["j"].cold_until == 9.6
+    assert not endpoint_registry.record_heartbeat(
+        read_heartbeat("j", beat(3), 8.5)
+    ) and endpoint_registry.record_heartbeat(read_heartbeat("j", cold, 8.6))
+    assert endpoint_registry.endpoints["j"].warmup_until == 9.6
     assert (
-        endpoint_registry.chill("z", 7.0, {"s1": 3.0})
-        and endpoint_registry.servers["j"].cold_until == 10.0
+        endpoint_registry.restart_warmup("z", 7.0, {"s1": 3.0})
+        and endpoint_registry.endpoints["j"].warmup_until == 10.0
     )
 
 
@@ -368,32 +368,34 @@
 
 def test_a_version_is_everywhere_once_all_have_it_or_their_leases_are_over() -> None:
     node_registry = NodeRegistry()
-    node_registry.begin(0.0, [])
+    node_registry.begin_term(0.0, [])
     assert (
-        node_registry.ask(0.0, node("a"), 1)
-        and node_registry.ask(0.0, node("b"), 1)
-        and not node_registry.ask(0.5, node("a"), 1)
+        node_registry.record_request(0.0, node("a"), 1)
+        and node_registry.record_request(0.0, node("b"), 1)
+        and not node_registry.record_request(0.5, node("a"), 1)
     )
-    node_registry.answered(1.0, "a")
-    node_registry.answered(1.0, "b")
-    assert node_registry.all_at(1.1, 1) and not node_registry.all_at(1.1, 2)
-    node_registry.ask(1.2, node("a"), 2)
+    node_registry.renew_lease(1.0, "a")
+    node_registry.renew_lease(1.0, "b")
+    assert node_registry.all_at_version(1.1, 1) and not node_registry.all_at_version(1.1, 2)
+    node_registry.record_request(1.2, node("a"), 2)
     assert (
-        not node_registry.all_at(1.2, 2)
-        and not node_registry.all_at(1.0 + NODE_LEASE_S, 2)
-        and node_registry.all_at(1.01 + NODE_LEASE_S, 2)
+        not node_registry.all_at_version(1.2, 2)
+        and not node_registry.all_at_version(1.0 + NODE_LEASE_S, 2)
+        and node_registry.all_at_version(1.01 + NODE_LEASE_S, 2)
     )
-    node_registry.ask(
+    node_registry.record_request(
         2.0, node("b", life="2"), 0
     )  # its life before is over, and so is what that had told
     assert node_registry.leases["b"].config_version == 0
     later = NodeRegistry()
-    later.begin(
+    later.begin_term(
         10.0, ["a", "b"]
     )  # another held the duty, and may have given them leases to the last
-    later.ask(10.1, node("a"), 2)
-    assert not later.all_heard(10.2) and not later.all_at(10.0 + NODE_LEASE_S, 2)
-    assert later.all_heard(10.01 + NODE_LEASE_S) and later.all_at(10.01 + NODE_LEASE_S, 2)
+    later.record_request(10.1, node("a"), 2)
+    assert not later.all_contacted(10.2) and not later.all_at_version(10.0 + NODE_LEASE_S, 2)
+    assert later.all_contacted(10.01 + NODE_LEASE_S) and later.all_at_version(
+        10.01 + NODE_LEASE_S, 2
+    )
 
 
 def test_clients_are_sent_to_ready_ingresses_of_their_region_else_to_all() -> None:
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -121,7 +121,9 @@
         self.term += 1
         names = self.state.edges
         endpoint_registry = EndpointRegistry()
-        endpoint_registry.beat(Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, self.now))
+        endpoint_registry.record_heartbeat(
+            Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, self.now)
+        )
         self.leadership = Leadership(
             self.term, self.now, ever, endpoint_registry, self.node_registry, names, BOUNDS, 1.5
         )
@@ -400,8 +402,8 @@
 
 def counts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """A part is passed on though its leader was not heard."""
-    monkeypatch.setattr(NodeRegistry, "all_heard", lambda self, now: True)
-    monkeypatch.setattr(NodeRegistry, "silent", lambda self, now, edges: 0)
+    monkeypatch.setattr(NodeRegistry, "all_contacted", lambda self, now: True)
+    monkeypatch.setattr(NodeRegistry, "count_isolated", lambda self, now, edges: 0)
 
 
 def fast_refill(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -514,18 +514,19 @@
     term = await lead(made)
     assert made.leadership
     seen = Endpoint("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, made.now())
-    made.leadership.endpoint_registry.beat(seen)
+    made.leadership.endpoint_registry.record_heartbeat(seen)
     for said, seq, then in ((term + 1, 7, 1), (term - 1, 8, 8), (term, 9, 9), (term, 5, 9)):
         beats = pb.Envelope(
             term=said, heartbeat_report=pb.HeartbeatReport(id=["i"], seq=[seq], age_ms=[3000])
         )
-        before, answer = seen.heard_at, asyncio.create_task(made.dispatcher.answer(beats))
+        before = seen.last_heartbeat_at
+        answer = asyncio.create_task(made.dispatcher.answer(beats))
         while not answer.done():
             made.driver.tick()
             await asyncio.sleep(0.005)
         # What a leader before has not answered is told to this one, and is a word of the server's.
         assert seen.seq == then and (answer.result().fault == FaultCode.NOT_LEADER) == (said > term)
-        assert seen.heard_at == before  # that it is late counts
+        assert seen.last_heartbeat_at == before  # that it is late counts
     lease = pb.QuotaRequest(tenant="t", amount=1)
     # The last has no such tenant.
     for said, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
@@ -561,7 +562,9 @@
     state.apply(
         Command(Verb.REPLACE, "d", content | {"backends": [{"name": "s", "warmupPerS": 5.3}]})
     )
-    endpoint_registry.beat(Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, began))
+    endpoint_registry.record_heartbeat(
+        Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, began)
+    )
     made = Leadership(
         term,
         began,
@@ -638,19 +641,19 @@
     asks(made, 100.0, 0, "")
     held = made.node_registry.leases["e"]
     made.watch_response(100.2, pb.WatchRequest(node=held.node), State())
-    assert not held.counting  # it has not heard yet that this term counts
+    assert not held.uses_quota_counter  # it has not heard yet that this term counts
     asks(made, 100.3, 290)
-    assert held.counting and held.asked_at == 100.3
+    assert held.uses_quota_counter and held.requested_at == 100.3
     asks(made, 100.32, 290)  # the same one by another way, soon
     asks(made, 101.0, 700)
     assert (
-        held.asked_at == 100.7
-        and made.node_registry.silent(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
+        held.requested_at == 100.7
+        and made.node_registry.count_isolated(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
     )
     for now, clock, epoch in ((101.1, 290, "3"), (101.1, 0, ""), (110.0, 900, "3")):
         with pytest.raises(CallError) as stale:
             asks(made, now, clock, epoch)
-        assert stale.value.code is FaultCode.STALE and held.heard_at == 101.0
+        assert stale.value.code is FaultCode.STALE and held.last_contact_at == 101.0
     asks(made, 101.2, 0, "", life="2")  # another life has heard nothing yet
     assert (
         made.node_registry.leases["e"].node.life == "2"
