--- a/cairndale/events.py
+++ b/cairndale/events.py
@@ -1,4 +1,9 @@
-"""Numbered events of the logs; docs/events.md is their catalogue."""
+"""Numbered events of the system's log.
+
+Each line of the log is `LEVEL NUMBER name: text`. A number means the same for good, a name may
+change with the code's words; so monitoring matches numbers. `docs/events.md` is the catalogue for
+operators: a test holds it against `Event`.
+"""
 
 from __future__ import annotations
 
@@ -9,34 +14,49 @@
 
 
 class Event(IntEnum):
-    STARTED = 100
-    SETTINGS_WRONG = 101
-    SETTINGS_READ = 102
-    STOPPING = 103
-    ENDED = 104
-    DISK_UNREADABLE = 110
-    DISK_NAMED = 111
-    DISK_FAILED = 120
-    SNAPSHOT_FAILED = 121
-    SNAPSHOT_DROPPED = 122
-    SNAPSHOT_INSTALLED = 123
-    ENTRY_DROPPED = 124
-    LEADERSHIP_BEGINS = 200
-    LEADERSHIP_ENDS = 201
-    MEMBERS = 202
-    LEAVING = 203
-    CONFIG_ACCEPTED = 300
-    CONFIG_REJECTED = 301
-    ZONE_EVACUATED = 302
-    ZONE_RESTORED = 303
-    ENDPOINTS_CHANGED = 400
-    CONFIG_APPLIED = 502
-    NO_LEADER = 503
-    DELTA_DROPPED = 504
-    GARBLED_FRAME = 600
-    FOREIGN_PEER = 601
-    OLD_TERM = 602
-    FAILED = 900
+    """What a line of the log says; the name in the log is the member's name in lower case."""
+
+    # 1xx: the process, its settings and its disk.
+    STARTED = 100  # the process listens
+    SETTINGS_INVALID = 101  # an error of the settings file, one line each
+    SETTINGS_READ = 102  # SIGHUP: changed settings are in use
+    STOPPING = 103  # SIGTERM: no new work is accepted
+    ENDED = 104  # all accepted work is done
+    DISK_UNREADABLE = 110  # at start: the state cannot be read, or a port is taken
+    DISK_NAMED = 111  # an empty disk was given its name
+    DISK_FAILED = 120  # a write that must be durable failed; the process ends at once
+    SNAPSHOT_FAILED = 121  # a snapshot could not be written; the log stands
+    SNAPSHOT_DROPPED = 122  # a received snapshot, or a chunk of it, is corrupt or of another format
+    SNAPSHOT_INSTALLED = 123  # the leader's snapshot has replaced this member's state
+    ENTRY_DROPPED = 124  # a received log entry is corrupt
+
+    # 2xx: leadership and membership of the control cluster.
+    LEADERSHIP_BEGINS = 200  # this node leads, and has applied all earlier terms' entries
+    LEADERSHIP_ENDS = 201  # it has lost its leader lease, or another leads
+    MEMBERS = 202  # the configuration of the Raft cluster has changed
+    LEAVING = 203  # before the end: whether leadership and vote were handed over
+
+    # 3xx: operations.
+    CONFIG_ACCEPTED = 300  # a configuration is committed and in force
+    CONFIG_REJECTED = 301  # a configuration is invalid
+    ZONE_EVACUATED = 302  # no requests go to a zone's servers
+    ZONE_RESTORED = 303  # an evacuated zone's servers are used again
+
+    # 4xx: the endpoint registry.
+    ENDPOINTS_CHANGED = 400  # endpoints were added, changed state, or are gone
+
+    # 5xx: the data plane.
+    CONFIG_APPLIED = 502  # this ingress serves by another configuration
+    NO_LEADER = 503  # this ingress holds no lease and must not serve
+    DELTA_DROPPED = 504  # a configuration delta does not fit; all of it is requested
+
+    # 6xx: connections between the system's processes.
+    MALFORMED_FRAME = 600  # bytes that are no frame of the protocol
+    FOREIGN_PEER = 601  # a peer of another system, format or address
+    STALE_TERM = 602  # a message of a leader whose term is over
+
+    # 9xx: defects.
+    FAILED = 900  # an unexpected exception
 
 
 WARNINGS = (Event.FAILED, Event.NO_LEADER, Event.DISK_FAILED, Event.SNAPSHOT_FAILED)
@@ -45,6 +65,7 @@
 
 
 def set_up_logging() -> None:
+    """Sends the log to standard error; called once, before the first event."""
     handler = picologging.StreamHandler(sys.stderr)
     handler.setFormatter(picologging.Formatter("%(levelname)s %(message)s"))
     _log.addHandler(handler)
@@ -52,5 +73,9 @@
 
 
 def log_event(event: Event, text: str, *args: object) -> None:
+    """Logs an event; `text % args` is formatted only if the line is written.
+
+    `WARNINGS` are logged as warnings, all others as information.
+    """
     level = picologging.WARNING if event in WARNINGS else picologging.INFO
     _log.log(level, f"{event.value} {event.name.lower()}: {text}", *args)
--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -1,5 +1,7 @@
-"""One process of the system: reads its settings, takes the parts that its machine is there for,
-runs until SIGTERM. Changed settings (SIGHUP) are told to the parts."""
+"""One process of the system: its settings, the nodes that it runs, its signals.
+
+SIGTERM and SIGINT end the process in order, SIGHUP reads the settings file again.
+"""
 
 from __future__ import annotations
 
@@ -16,64 +18,88 @@
 from cairndale.raft.storage import StorageError
 from cairndale.settings import Settings, SettingsError, read
 
-SETTINGS = "CAIRNDALE_CONFIG"
+SETTINGS = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
+
+
+class Node(Protocol):
+    """What a process runs: a control node, a data-plane node, or one of each."""
+
+    async def start(self) -> None:
+        """Returns once the node listens. Raises OSError if a port is taken."""
+
+    async def stop(self) -> None:
+        """Returns once all accepted work is done."""
 
+    def reconfigure(self, settings: Settings) -> None:
+        """Takes over a settings file that has changed."""
 
-class NodeRole(Protocol):
-    async def start(self) -> None: ...
-    async def stop(self) -> None: ...
-    def reconfigure(self, settings: Settings) -> None: ...
 
+def nodes_for(settings: Settings) -> list[Node]:
+    """The nodes that this machine is there for.
 
-async def play(settings: Settings, hung_up: Callable[[], bool] = bool) -> None:
-    """A machine with a disk holds the state, one that clients reach carries the traffic; one may do
-    both. `hung_up`: whether the settings file has changed since this process began."""
-    parts: list[NodeRole] = []
+    One with a state directory runs a control node, one that serves clients a data-plane node. Only
+    what is run is imported. Raises StorageError where the state on disk cannot be read.
+    """
+    nodes: list[Node] = []
     if settings.state is not None:
         from cairndale.control.node import ControlNode
 
-        parts.append(ControlNode(settings))
+        nodes.append(ControlNode(settings))
     if "edge" in settings.serves:
         from cairndale.dataplane.node import DataPlaneNode
 
-        parts.append(DataPlaneNode(settings))
+        nodes.append(DataPlaneNode(settings))
+    return nodes
+
+
+async def serve(settings: Settings, was_hung_up: Callable[[], bool]) -> None:
+    """Runs the machine's nodes until SIGTERM or SIGINT.
+
+    `was_hung_up` says whether a SIGHUP came before this call: the settings may be out of date.
+    """
+    nodes = nodes_for(settings)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
-    def reread() -> None:
+    def reload() -> None:
         try:
-            now = read(os.environ.get(SETTINGS, ""))
+            changed = read(os.environ.get(SETTINGS, ""))
         except SettingsError as error:
-            log_event(Event.SETTINGS_WRONG, "the settings stay as they were: %s", error)
+            log_event(Event.SETTINGS_INVALID, "the settings stay as they were: %s", error)
             return
-        log_event(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in now.seeds))
-        for part in parts:
-            part.reconfigure(now)
+        log_event(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in changed.seeds))
+        for node in nodes:
+            node.reconfigure(changed)
 
-    loop.add_signal_handler(signal.SIGHUP, reread)
-    if hung_up():
-        reread()
+    loop.add_signal_handler(signal.SIGHUP, reload)
+    if was_hung_up():
+        reload()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    for part in parts:
-        await part.start()
+    for node in nodes:
+        await node.start()
+    # What was made by now lives as long as the process: the collector need not look at it again.
     gc.collect()
     gc.freeze()
     log_event(Event.STARTED, "%s as %s", settings.name, settings.role)
     await stop.wait()
     log_event(Event.STOPPING, "%s", settings.name)
-    await asyncio.gather(*(part.stop() for part in parts))
+    await asyncio.gather(*(node.stop() for node in nodes))
     log_event(Event.ENDED, "%s", settings.name)
 
 
-def run(hung_up: Callable[[], bool]) -> int:
-    """The exit status."""
+def run(was_hung_up: Callable[[], bool]) -> int:
+    """Runs the process to its end and returns its exit status.
+
+    0 after an orderly end; 1 where the settings are invalid, the state cannot be read, or a port is
+    taken. Each cause is logged.
+    """
     set_up_logging()
     try:
-        uvloop.run(play(read(os.environ.get(SETTINGS, "")), hung_up))
+        uvloop.run(serve(read(os.environ.get(SETTINGS, "")), was_hung_up))
     except SettingsError as error:
         for line in error.errors:
-            log_event(Event.SETTINGS_WRONG, "%s", line)
+            log_event(Event.SETTINGS_INVALID, "%s", line)
         return 1
     except (StorageError, OSError) as error:
         log_event(Event.DISK_UNREADABLE, "%s", error)
--- a/cairndale/rpc/leader_client.py
+++ b/cairndale/rpc/leader_client.py
@@ -123,7 +123,7 @@
             except (
                 ValueError
             ) as error:  # whoever leads has answered: it is asked anew, not believed
-                log_event(Event.GARBLED_FRAME, "%s: %s", address, error)
+                log_event(Event.MALFORMED_FRAME, "%s: %s", address, error)
                 failure = CallTimeoutError(str(error))
                 await self._rest(random.uniform(*PAUSE), end)
                 continue
--- a/cairndale/rpc/peer.py
+++ b/cairndale/rpc/peer.py
@@ -151,7 +151,7 @@
         return False
 
     def garbled(self, frames: FramedConnection, why: str) -> None:
-        self._refuse("garbled", Event.GARBLED_FRAME, why)
+        self._refuse("garbled", Event.MALFORMED_FRAME, why)
         frames.drop()
 
     def outdated(self, envelope: pb.Envelope, address: str) -> bool:
@@ -159,7 +159,7 @@
         if envelope.fault or self.fence.admits(envelope.term):
             return False
         self._refuse(
-            "outdated", Event.OLD_TERM, f"{envelope.term} at {address}, after {self.fence.newest}"
+            "outdated", Event.STALE_TERM, f"{envelope.term} at {address}, after {self.fence.newest}"
         )
         return True
 
--- a/cairndale/scale/worker.py
+++ b/cairndale/scale/worker.py
@@ -146,7 +146,9 @@
     loop, reader = asyncio.get_running_loop(), asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     watch = loop.create_task(gauge.watch())
-    playing = loop.create_task(system.play(read(os.environ.get(system.SETTINGS, ""))))
+    playing = loop.create_task(
+        system.serve(read(os.environ.get(system.SETTINGS, "")), was_hung_up=lambda: False)
+    )
     print(json.dumps({"begun": 1}), flush=True)
     while await reader.readline():
         print(json.dumps(gauge.read()), flush=True)
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -203,7 +203,7 @@
         assert heard == [] and sum(ours.counts.values()) == 3
         assert len(noted) == 1 and noted[0] in (
             Event.FOREIGN_PEER,
-            Event.GARBLED_FRAME,
+            Event.MALFORMED_FRAME,
         )  # one in 5 s
         assert (await friend.call(ours.own, order(), 2.0)).operation_response.status == 200
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -30,7 +30,7 @@
             process.send_signal(signal.SIGHUP)
             settings.write(text)
         said, _ = process.communicate(timeout=20)
-    assert process.returncode == 1 and b" 101 settings_wrong" in said, (process.returncode, said)
+    assert process.returncode == 1 and b" 101 settings_invalid" in said, (process.returncode, said)
 
 
 def test_settings_that_changed_while_they_were_read_are_read_again(
