--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -66,8 +66,8 @@
 def short_memory() -> None:
     """Only the last four accepted orders are remembered, and all others refused."""
     state = _module("cairndale.configuration.state")
-    state.KNOWN = 4
-    state.State.may_be_forgotten = lambda self, gen: False
+    state.MAX_IDEMPOTENCY_RECORDS = 4
+    state.State.record_may_be_evicted = lambda self, gen: False
 
 
 def own_refusals() -> None:
--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -248,7 +248,7 @@
             store = RaftStorage(folder, look=True)
             disk, kept = store.disk(), store.load()
             store.close()
-            state = State.read(kept.snapshot.state)
+            state = State.decode(kept.snapshot.state)
         except (StorageError, FormatError) as error:
             self.line_error(f"{folder}: {error}")
             return REFUSED
--- a/cairndale/configuration/serialization.py
+++ b/cairndale/configuration/serialization.py
@@ -15,10 +15,10 @@
 
 FORMAT = b"\x02"
 FORMAT_1 = b"\x78"  # how zlib begins
-TEXT = 32 * 1024  # bytes of JSON after which a part ends
-MANY = 32  # items that are put into text at once
-DEPTH = 2  # objects within objects that are taken apart
-MOST = 64 * 1024 * 1024  # bytes of text in one part: more is not ours
+PART_TEXT_BYTES = 32 * 1024  # bytes of JSON after which a part ends
+ITEMS_PER_RECORD = 32  # items that are put into text at once
+MAX_SPLIT_DEPTH = 2  # objects within objects that are taken apart
+MAX_PART_TEXT_BYTES = 64 * 1024 * 1024  # bytes of text in one part: more is not ours
 
 T = TypeVar("T")
 
@@ -29,7 +29,7 @@
     """No stored state, or of a format that is not known."""
 
 
-def parts(raw: dict[str, Any]) -> Iterator[bytes]:
+def encode_parts(raw: dict[str, Any]) -> Iterator[bytes]:
     """The stored form. `raw` is not to change meanwhile, nor anything in it."""
     yield FORMAT
     records: list[str] = []
@@ -37,25 +37,27 @@
     for record in _records((), raw):
         records.append(record)
         size += len(record)
-        if size >= TEXT:
-            yield _part(records)
+        if size >= PART_TEXT_BYTES:
+            yield _encode_part(records)
             records, size = [], 0
     if records:
-        yield _part(records)
+        yield _encode_part(records)
 
 
-def _part(records: list[str]) -> bytes:
+def _encode_part(records: list[str]) -> bytes:
     data = zlib.compress(f"[{','.join(records)}]".encode(), 6)
     return struct.pack(">I", len(data)) + data
 
 
 def _records(path: tuple[str, ...], value: Any) -> Iterator[str]:
-    if isinstance(value, dict) and len(path) <= DEPTH:
+    if isinstance(value, dict) and len(path) <= MAX_SPLIT_DEPTH:
         leaves: dict[str, Any] = {}
         yield _text([path, {}])
         for name, member in value.items():
-            inner = isinstance(member, list) or (isinstance(member, dict) and len(path) < DEPTH)
-            if inner or len(leaves) >= MANY:
+            inner = isinstance(member, list) or (
+                isinstance(member, dict) and len(path) < MAX_SPLIT_DEPTH
+            )
+            if inner or len(leaves) >= ITEMS_PER_RECORD:
                 if leaves:
                     yield _text([path, leaves])
                 leaves = {}
@@ -67,53 +69,53 @@
             yield _text([path, leaves])
     elif isinstance(value, list):
         yield _text([path, []])
-        for at in range(0, len(value), MANY):
-            yield _text([path, value[at : at + MANY]])
+        for at in range(0, len(value), ITEMS_PER_RECORD):
+            yield _text([path, value[at : at + ITEMS_PER_RECORD]])
     else:
         yield _text([path, value])
 
 
-class StateReader:
+class PartsDecoder:
     """Fills `raw` from the stored form as it comes, cut anywhere."""
 
     def __init__(self, raw: dict[str, Any]) -> None:
-        self._raw, self._held, self._begun = raw, bytearray(), False
+        self._raw, self._buffer, self._format_read = raw, bytearray(), False
 
     def feed(self, data: bytes) -> Iterator[None]:
         """All that is whole by now, with a pause after each part. Raises FormatError."""
-        self._held += data
+        self._buffer += data
         at = 0
-        if self._held and not self._begun:
-            if self._held[:1] != FORMAT:
-                raise FormatError(f"format {bytes(self._held[:1])!r}, where {FORMAT!r} is known")
-            self._begun, at = True, 1
+        if self._buffer and not self._format_read:
+            if self._buffer[:1] != FORMAT:
+                raise FormatError(f"format {bytes(self._buffer[:1])!r}, where {FORMAT!r} is known")
+            self._format_read, at = True, 1
         try:
-            while len(self._held) - at >= 4:
-                (size,) = struct.unpack_from(">I", self._held, at)
-                if at + 4 + size > len(self._held):
+            while len(self._buffer) - at >= 4:
+                (size,) = struct.unpack_from(">I", self._buffer, at)
+                if at + 4 + size > len(self._buffer):
                     break
-                self._read(bytes(self._held[at + 4 : at + 4 + size]))
+                self._decode_part(bytes(self._buffer[at + 4 : at + 4 + size]))
                 at += 4 + size
                 yield
         except (ValueError, TypeError, KeyError, AttributeError, zlib.error) as error:
             raise error if isinstance(error, FormatError) else FormatError(repr(error)) from error
-        del self._held[:at]
+        del self._buffer[:at]
 
-    def _read(self, part: bytes) -> None:
+    def _decode_part(self, part: bytes) -> None:
         packed = zlib.decompressobj()
-        text = packed.decompress(part, MOST)
+        text = packed.decompress(part, MAX_PART_TEXT_BYTES)
         if not packed.eof:
             raise FormatError("a part is not whole, or larger than any of ours")
         for path, value in json.loads(text):
-            _put(self._raw, path, value)
+            _merge_record(self._raw, path, value)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Raises FormatError where there was more to come."""
-        if self._held:
+        if self._buffer:
             raise FormatError("a part is cut off")
 
 
-def read_parts(data: bytes, raw: dict[str, Any]) -> Iterator[None]:
+def decode_parts(data: bytes, raw: dict[str, Any]) -> Iterator[None]:
     """Fills `raw`, one part after the other; nothing is an empty state. Raises FormatError."""
     if data[:1] == FORMAT_1:
         try:
@@ -121,12 +123,12 @@
         except (ValueError, TypeError, zlib.error) as error:
             raise FormatError(repr(error)) from error
         return
-    reading = StateReader(raw)
-    yield from reading.feed(data)
-    reading.end()
+    decoder = PartsDecoder(raw)
+    yield from decoder.feed(data)
+    decoder.finish()
 
 
-def _put(raw: dict[str, Any], path: list[str], value: Any) -> None:
+def _merge_record(raw: dict[str, Any], path: list[str], value: Any) -> None:
     at: Any = raw
     if not path:
         raw.update(value)
@@ -142,7 +144,7 @@
         at[path[-1]] = value
 
 
-def at_once(work: Generator[None, None, T]) -> T:
+def run_to_completion(work: Generator[None, None, T]) -> T:
     """What work in steps comes to, without the pauses."""
     while True:
         try:
@@ -152,13 +154,13 @@
             return made
 
 
-def whole(raw: dict[str, Any]) -> bytes:
-    return b"".join(parts(raw))
+def encode(raw: dict[str, Any]) -> bytes:
+    return b"".join(encode_parts(raw))
 
 
-def read(data: bytes) -> dict[str, Any]:
+def decode(data: bytes) -> dict[str, Any]:
     """All at once. Raises FormatError."""
     raw: dict[str, Any] = {}
-    for _ in read_parts(data, raw):
+    for _ in decode_parts(data, raw):
         pass
     return raw
--- a/cairndale/configuration/state.py
+++ b/cairndale/configuration/state.py
@@ -17,11 +17,27 @@
 from cairndale.configuration.validation import TABLES
 
 # accepted calls that are remembered, so that one sent again is known: a day's changes
-KNOWN = 20_000
-CALLS = 4_096  # calls for zones that are
-MANY = 4_096  # items that one step goes through ...
-TOLD = 512  # ... and makes text of, for ingresses
-REFUSED = -1  # in place of a gen: the call was refused, for good
+MAX_IDEMPOTENCY_RECORDS = 20_000
+MAX_EVACUATION_CALLS = 4_096  # calls for zones that are
+ITEMS_PER_STEP = 4_096  # items that one step goes through ...
+ENCODED_ITEMS_PER_STEP = 512  # ... and makes text of, for ingresses
+REJECTED = -1  # in place of a gen: the call was refused, for good
+
+# The state's attributes in the order in which they are stored, and the key of each in the stored
+# JSON. The keys are a format: members of older versions read and write them (docs/state.md).
+STORED_KEYS = {
+    "gen": "gen",
+    "content": "content",
+    "evacuated": "evacuated",
+    "latest_evacuation_orders": "moves",
+    "version": "version",
+    "edges": "edges",
+    "idempotency_records": "known",
+    "evicted_gen": "forgotten",
+    "evacuation_calls": "calls",
+    "system_name": "system",
+}
+_ATTRIBUTES = {key: name for name, key in STORED_KEYS.items()}
 
 _text = json.JSONEncoder(separators=(",", ":")).encode
 
@@ -30,9 +46,9 @@
     REPLACE = "replace"
     UPDATE = "update"
     EVACUATE = "evacuate"
-    TAKE_BACK = "take back"
+    RESTORE = "take back"
     ENROL = "enrol"
-    REFUSE = "refuse"
+    REJECT = "refuse"
     NAME = "name"
 
 
@@ -41,32 +57,32 @@
     verb: Verb
     # of the call as it came, or the order that it belongs to, or the system's name
     digest: str = ""
-    order: dict[str, Any] = field(default_factory=dict)
+    body: dict[str, Any] = field(default_factory=dict)
     zone: str = ""
-    names: tuple[str, ...] = ()  # of ingresses that may hold leases from here on ...
-    gone: tuple[str, ...] = ()  # ... and that hold none any longer
-    call: str = ""  # the id of a call for a zone, given where it came in
+    added_nodes: tuple[str, ...] = ()  # of ingresses that may hold leases from here on ...
+    removed_nodes: tuple[str, ...] = ()  # ... and that hold none any longer
+    call_id: str = ""  # the id of a call for a zone, given where it came in
 
-    def raw(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         return {
             "verb": self.verb.value,
             "digest": self.digest,
-            "order": self.order,
+            "order": self.body,
             "zone": self.zone,
-            "names": list(self.names),
-            "gone": list(self.gone),
-            "call": self.call,
+            "names": list(self.added_nodes),
+            "gone": list(self.removed_nodes),
+            "call": self.call_id,
         }
 
-    def out(self) -> bytes:
-        return zlib.compress(json.dumps(self.raw(), separators=(",", ":")).encode(), 6)
+    def encode(self) -> bytes:
+        return zlib.compress(json.dumps(self.to_dict(), separators=(",", ":")).encode(), 6)
 
     @classmethod
-    def read(cls, data: bytes) -> Command:
-        return cls.of(json.loads(zlib.decompress(data)))
+    def decode(cls, data: bytes) -> Command:
+        return cls.from_dict(json.loads(zlib.decompress(data)))
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> Command:
+    def from_dict(cls, raw: dict[str, Any]) -> Command:
         return cls(
             Verb(raw["verb"]),
             raw["digest"],
@@ -78,37 +94,37 @@
         )
 
 
-def updating(
+def updated_content_steps(
     content: dict[str, Any], order: dict[str, Any]
 ) -> Generator[None, None, dict[str, Any]]:
     """The configuration with items replaced by name, added behind, and removed; in steps."""
     made = {**content, "gen": order["gen"]}
     for table in TABLES:
         put: dict[str, Any] = {}
-        for some in _some(order.get("upsert", {}).get(table, ())):
-            put |= {item["name"]: item for item in some}
+        for chunk in _chunks(order.get("upsert", {}).get(table, ())):
+            put |= {item["name"]: item for item in chunk}
             yield
         out = set(order.get("remove", {}).get(table, ()))
         if not put and not out:
             continue
         out -= put.keys()
         kept: list[Any] = []
-        for some in _some(content.get(table, [])):
-            kept += [put.pop(item["name"], item) for item in some if item["name"] not in out]
+        for chunk in _chunks(content.get(table, [])):
+            kept += [put.pop(item["name"], item) for item in chunk if item["name"] not in out]
             yield
         made[table] = kept + list(put.values())
     return made
 
 
-def _telling(content: dict[str, Any]) -> Generator[None, None, bytes]:
+def _encode_content_steps(content: dict[str, Any]) -> Generator[None, None, bytes]:
     """JSON, zlib; in steps."""
     packed, made, begin = zlib.compressobj(6), list[bytes](), "{"
     for name, value in content.items():
         text = f"{begin}{_text(name)}:"
         if isinstance(value, list):
             text, begin = f"{text}[", ""
-            for some in _some(value, TOLD):
-                made.append(packed.compress(f"{text}{begin}{_text(some)[1:-1]}".encode()))
+            for chunk in _chunks(value, ENCODED_ITEMS_PER_STEP):
+                made.append(packed.compress(f"{text}{begin}{_text(chunk)[1:-1]}".encode()))
                 text, begin = "", ","
                 yield
             made.append(packed.compress(f"{text}]".encode()))
@@ -118,8 +134,8 @@
     return b"".join([*made, packed.compress(b"}" if content else b"{}"), packed.flush()])
 
 
-def _some(items: Sequence[Any], many: int = 0) -> Iterator[Sequence[Any]]:
-    many = many or MANY
+def _chunks(items: Sequence[Any], many: int = 0) -> Iterator[Sequence[Any]]:
+    many = many or ITEMS_PER_STEP
     for at in range(0, len(items), many):
         yield items[at : at + many]
 
@@ -129,86 +145,101 @@
     gen: int = 0
     content: dict[str, Any] = field(default_factory=dict)
     evacuated: dict[str, int] = field(default_factory=dict)  # zones, and by how many orders
-    moves: dict[str, str] = field(default_factory=dict)  # the newest order for each zone
+    latest_evacuation_orders: dict[str, str] = field(
+        default_factory=dict
+    )  # the newest order for each zone
     version: int = 0  # counts what was applied; rises at every change
     edges: list[str] = field(
         default_factory=list
     )  # ingresses that may hold leases, whoever has the duty
-    known: dict[str, int] = field(default_factory=dict)  # digests of accepted calls, with their gen
-    forgotten: int = -1  # the newest gen of a call that was accepted and is not known any longer
-    calls: dict[str, str] = field(
+    # The gen that each accepted command led to, or REJECTED, by the digest of the command.
+    idempotency_records: dict[str, int] = field(default_factory=dict)
+    evicted_gen: int = -1  # the newest gen of a call that was accepted and is not known any longer
+    evacuation_calls: dict[str, str] = field(
         default_factory=dict
     )  # calls for zones, and the order that each belongs to
-    system: str = ""  # its name: the first that was drawn
+    system_name: str = ""  # its name: the first that was drawn
     # A gen, and its content as ingresses are told it.
-    _told: tuple[int, bytes] = field(default=(-1, b""), compare=False, repr=False)
+    _encoded_content: tuple[int, bytes] = field(default=(-1, b""), compare=False, repr=False)
     _history: History = field(default_factory=History, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        if self.forgotten < 0:  # stored when 256 were known, and not what was forgotten
-            self.forgotten = min(self.known.values()) - 1 if len(self.known) >= 256 else 0
-
-    def result(self, command: Command) -> Generator[None, None, dict[str, Any]]:
+        if self.evicted_gen < 0:  # stored when 256 were known, and not what was forgotten
+            self.evicted_gen = (
+                min(self.idempotency_records.values()) - 1
+                if len(self.idempotency_records) >= 256
+                else 0
+            )
+
+    def resulting_content_steps(self, command: Command) -> Generator[None, None, dict[str, Any]]:
         """The configuration that a Replace or Update would bring about; in steps."""
         if command.verb is Verb.UPDATE:
-            return (yield from updating(self.content, command.order))
-        return {name: value for name, value in command.order.items() if name != "parent"}
+            return (yield from updated_content_steps(self.content, command.body))
+        return {name: value for name, value in command.body.items() if name != "parent"}
 
-    def told(self) -> bytes:
+    def encoded_content(self) -> bytes:
         """The content as ingresses are told it, made once for all of them: at once, if it was not
-        told before (`tell`)."""
-        serialization.at_once(self.tell())
-        return self._told[1]
+        told before (`encode_content_steps`)."""
+        serialization.run_to_completion(self.encode_content_steps())
+        return self._encoded_content[1]
 
-    def tell(self) -> Generator[None, None, None]:
+    def encode_content_steps(self) -> Generator[None, None, None]:
         """Makes what ingresses are told, in steps."""
-        if self._told[0] != self.gen:
+        if self._encoded_content[0] != self.gen:
             gen = self.gen
-            self._told = (gen, (yield from _telling(self.content)))
+            self._encoded_content = (gen, (yield from _encode_content_steps(self.content)))
 
     @property
     def history(self) -> History:
         return self._history
 
     def apply(self, command: Command) -> bool:
-        return serialization.at_once(self.applying(command))
+        return serialization.run_to_completion(self.apply_steps(command))
 
-    def applying(self, command: Command, tells: bool = False) -> Generator[None, None, bool]:
-        """In steps: until the last one all is as it was. False if it is void: another change came
-        first, or it is no news to the data plane. `tells`: what ingresses are told of it is made as
-        well."""
+    def apply_steps(
+        self, command: Command, encodes_content: bool = False
+    ) -> Generator[None, None, bool]:
+        """Applies a command in steps: the state changes with the last of them.
+
+        False if the command is void, as another change came first, or is of no interest to the
+        data plane. `encodes_content`: the content for ingresses is encoded as well."""
         match command.verb:
             case Verb.REPLACE | Verb.UPDATE:
-                if command.order["parent"] != self.gen or command.order["gen"] <= self.gen:
+                if command.body["parent"] != self.gen or command.body["gen"] <= self.gen:
                     return False
-                if command.digest in self.known:  # it was refused: that holds
+                if command.digest in self.idempotency_records:  # it was refused: that holds
                     return False
-                content, gen = (yield from self.result(command)), command.order["gen"]
-                order = command.order if command.verb is Verb.UPDATE else None
+                content, gen = (
+                    (yield from self.resulting_content_steps(command)),
+                    command.body["gen"],
+                )
+                order = command.body if command.verb is Verb.UPDATE else None
                 made = (yield from comparing(self.content, content, order)) if self.gen else None
-                if tells:
-                    self._told = (gen, (yield from _telling(content)))
+                if encodes_content:
+                    self._encoded_content = (gen, (yield from _encode_content_steps(content)))
                 self.content, self.gen = content, gen
                 self._history.took(made)
                 self._remember(command.digest, self.gen)
-            case Verb.REFUSE:
-                if command.digest not in self.known:
-                    self._remember(command.digest, REFUSED)
+            case Verb.REJECT:
+                if command.digest not in self.idempotency_records:
+                    self._remember(command.digest, REJECTED)
                 return False
             case Verb.ENROL:
-                self.edges = sorted({*self.edges, *command.names} - set(command.gone))
+                self.edges = sorted(
+                    {*self.edges, *command.added_nodes} - set(command.removed_nodes)
+                )
                 return False
             case Verb.NAME:
-                self.system = self.system or command.digest
+                self.system_name = self.system_name or command.digest
                 return False
-            case Verb.EVACUATE | Verb.TAKE_BACK:
-                if not self._is_first(command):
+            case Verb.EVACUATE | Verb.RESTORE:
+                if not self._is_first_call(command):
                     return False
                 before = self.evacuated.get(command.zone, 0)
                 orders = before + (1 if command.verb is Verb.EVACUATE else -1)
-                if self.moves.get(command.zone) == command.digest or orders < 0:
+                if self.latest_evacuation_orders.get(command.zone) == command.digest or orders < 0:
                     return False
-                self.moves[command.zone] = command.digest
+                self.latest_evacuation_orders[command.zone] = command.digest
                 self.evacuated = {z: n for z, n in self.evacuated.items() if z != command.zone}
                 self.evacuated |= {command.zone: orders} if orders else {}
                 if before and orders:  # it stays as it is
@@ -217,45 +248,51 @@
         return True
 
     def _remember(self, digest: str, gen: int) -> None:
-        self.known[digest] = gen
-        while len(self.known) > KNOWN:
-            self.forgotten = max(self.forgotten, self.known.pop(next(iter(self.known))))
+        self.idempotency_records[digest] = gen
+        while len(self.idempotency_records) > MAX_IDEMPOTENCY_RECORDS:
+            self.evicted_gen = max(
+                self.evicted_gen, self.idempotency_records.pop(next(iter(self.idempotency_records)))
+            )
 
-    def may_be_forgotten(self, gen: int) -> bool:
+    def record_may_be_evicted(self, gen: int) -> bool:
         """It can no longer be known whether a call that is not known, for this gen, was
         accepted."""
-        return gen <= self.forgotten
+        return gen <= self.evicted_gen
 
-    def _is_first(self, command: Command) -> bool:
+    def _is_first_call(self, command: Command) -> bool:
         """Of the calls and orders for a zone. An order has the name of its first call."""
-        if command.call in self.calls:
+        if command.call_id in self.evacuation_calls:
             return False  # it came by another way as well
-        again = bool(command.call) and (not command.digest or command.digest in self.calls)
-        if command.call:
-            self.calls[command.call] = command.digest
-            self.calls.setdefault(command.digest, command.digest)
-            while len(self.calls) > CALLS:
-                del self.calls[next(iter(self.calls))]
+        again = bool(command.call_id) and (
+            not command.digest or command.digest in self.evacuation_calls
+        )
+        if command.call_id:
+            self.evacuation_calls[command.call_id] = command.digest
+            self.evacuation_calls.setdefault(command.digest, command.digest)
+            while len(self.evacuation_calls) > MAX_EVACUATION_CALLS:
+                del self.evacuation_calls[next(iter(self.evacuation_calls))]
         return not again
 
-    def raw(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """As it is now, whatever is applied later: what is in it is replaced then, and not
         changed."""
-        fields = {name: getattr(self, name) for name in self.__slots__ if not name.startswith("_")}
-        return {n: v.copy() if isinstance(v, dict | list) else v for n, v in fields.items()}
+        values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
+        return {k: v.copy() if isinstance(v, dict | list) else v for k, v in values.items()}
 
-    def out(self) -> bytes:
-        return serialization.whole(self.raw())
+    def encode(self) -> bytes:
+        return serialization.encode(self.to_dict())
 
     @classmethod
-    def read(cls, data: bytes) -> State:
+    def decode(cls, data: bytes) -> State:
         """Raises FormatError."""
-        return cls.of(serialization.read(data))
+        return cls.from_dict(serialization.decode(data))
 
     @classmethod
-    def of(cls, raw: dict[str, Any]) -> State:
+    def from_dict(cls, raw: dict[str, Any]) -> State:
         """Raises FormatError."""
         try:
-            return cls(**raw)
+            return cls(**{_ATTRIBUTES[key]: value for key, value in raw.items()})
+        except KeyError as error:
+            raise serialization.FormatError(f"{error} is no key of the state") from error
         except TypeError as error:
             raise serialization.FormatError(str(error)) from error
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -28,9 +28,9 @@
 def encoded(command: Command) -> bytes | Iterator[bytes]:
     """As one entry's data, or that of several (`parts.cut`): a step of work each, empty ones only
     that."""
-    pieces = serialization.parts(command.raw())
+    pieces = serialization.encode_parts(command.to_dict())
     begun = list(islice(pieces, 3))  # the format, and a second part if there is one
-    if len(begun) < 3 and len(data := command.out()) <= fragments.PART:
+    if len(begun) < 3 and len(data := command.encode()) <= fragments.PART:
         return data
     return fragments.cut(chain(begun, pieces))
 
@@ -48,10 +48,10 @@
     count: int = 0
     raw: dict[str, Any] = field(default_factory=dict)
     digest: Any = field(default_factory=state_digest)
-    reading: serialization.StateReader = field(init=False)
+    reading: serialization.PartsDecoder = field(init=False)
 
     def __post_init__(self) -> None:
-        self.reading = serialization.StateReader(self.raw)
+        self.reading = serialization.PartsDecoder(self.raw)
 
 
 class Applier:
@@ -104,14 +104,14 @@
         if entry.opens:  # who made the parts before it leads no longer
             self._begun = None
             if self.tells:
-                yield from self.state.tell()
+                yield from self.state.encode_content_steps()
         if not entry.data:
             return False
         if fragments.is_fragment(entry.data):
             command = yield from self._gathered(fragments.read(entry.data))
         else:
-            command = Command.read(entry.data)
-        return (yield from self.state.applying(command, self.tells)) if command else False
+            command = Command.decode(entry.data)
+        return (yield from self.state.apply_steps(command, self.tells)) if command else False
 
     def _gathered(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
         """The command whose last part this is."""
@@ -127,8 +127,8 @@
         try:
             yield from begun.reading.feed(data)
             if last and begun.digest.digest() == part.data[: fragments.DIGEST]:
-                begun.reading.end()
-                return Command.of(begun.raw)
+                begun.reading.finish()
+                return Command.from_dict(begun.raw)
         except (ValueError, KeyError, TypeError):
             return None
         self._begun = None if last else begun
--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -76,7 +76,7 @@
             more = self._applier.is_behind and time.perf_counter() < until
         self._on_turn_end()
         if self._applier.is_whole and self._is_log_long():
-            self._snapshot_worker.make(self.state.raw(), self._applier.index)
+            self._snapshot_worker.make(self.state.to_dict(), self._applier.index)
         if self._applier.is_behind:
             self._yield_to_loop(self._resume)
         else:
@@ -95,7 +95,7 @@
         self._is_snapshot_due |= applied.entry.index % ENTRIES == 0
         if self._is_snapshot_due and self._applier.is_whole:
             self._is_snapshot_due = False
-            self._snapshot_worker.make(self.state.raw(), applied.entry.index)
+            self._snapshot_worker.make(self.state.to_dict(), applied.entry.index)
         for listener in self._on_applied:
             listener(applied)
 
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -319,7 +319,7 @@
                 )
             )
         else:
-            watch_response.has_content, watch_response.content = True, state.told()
+            watch_response.has_content, watch_response.content = True, state.encoded_content()
 
     def renew(self, now: float, ask: pb.WatchRequest) -> pb.WatchResponse:
         """What it knows stands, and its lease begins anew; news of servers, nodes and the
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -65,7 +65,7 @@
         self._seeds = self._seed_addresses(settings)
         disk, persisted = self._open_disk(format_address(own))
         try:
-            state = State.read(persisted.snapshot.state)
+            state = State.decode(persisted.snapshot.state)
         except FormatError as error:
             raise StorageError(f"the state cannot be read: {error}") from error
         self.me = Member(format_address(own), disk, settings.zone, settings.region)
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -15,7 +15,7 @@
 from typing import Any, Protocol, TypeVar
 
 from cairndale.configuration.json_stream import LARGE, loads
-from cairndale.configuration.state import REFUSED, Command, State, Verb
+from cairndale.configuration.state import REJECTED, Command, State, Verb
 from cairndale.configuration.validation import content_looks, order_errors
 from cairndale.control.leadership import Leadership
 from cairndale.control.snapshot_worker import uncollected
@@ -96,7 +96,7 @@
                 verb = Verb.REPLACE if found.call == "replace" else Verb.UPDATE
                 return await self._configuration(verb, body)
             case "evacuate" | "take back":
-                verb = Verb.EVACUATE if found.call == "evacuate" else Verb.TAKE_BACK
+                verb = Verb.EVACUATE if found.call == "evacuate" else Verb.RESTORE
                 return await self._ordered(verb, found.args["zone"], id)
             case "beat" | "end":
                 answer = self._heard(leadership, found.call, found.args["id"], body, now)
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0)
         digest = hashed.hexdigest()
         order: Any = UNREAD
-        if digest not in self._leader.state.known:
+        if digest not in self._leader.state.idempotency_records:
             try:
                 order = await in_turns(loads(body), len(body) > LARGE)
             except ValueError as error:
@@ -186,7 +186,7 @@
         """Decides it, or finds out what became of it."""
         while True:
             term, state = self._leader.held().term, self._leader.state
-            if (known := state.known.get(digest)) == REFUSED:
+            if (known := state.idempotency_records.get(digest)) == REJECTED:
                 return await self._refused(called, wrong(412, "it was refused before")), 0
             if known is not None:
                 await self._leader.confirm(called, term)
@@ -199,14 +199,14 @@
                 break
             await self._leader.confirm(called, term, decided=True)
             state = self._leader.state
-            if state.gen == judged_on and digest not in state.known:
+            if state.gen == judged_on and digest not in state.idempotency_records:
                 log_event(Event.CONFIG_REJECTED, "%s", refusal[1].decode()[:300])
                 return refusal, 0
         if not await self._leader.decide(Command(verb, digest, order)):
-            known = self._leader.state.known.get(
-                digest, REFUSED
+            known = self._leader.state.idempotency_records.get(
+                digest, REJECTED
             )  # it may have stood in the log before
-            if known == REFUSED:
+            if known == REJECTED:
                 return wrong(412, "another change came first"), 0
             return told(200, {"gen": known}), self._leader.state.version
         log_event(
@@ -224,12 +224,12 @@
         if errors:
             return wrong(400, *errors)  # whatever the state is
         gen, parent, in_force = order["gen"], order["parent"], state.gen
-        if parent < gen and state.may_be_forgotten(gen):
+        if parent < gen and state.record_may_be_evicted(gen):
             if whole and (found := await self._content_errors(state, Command(verb, "", order))):
                 return wrong(400, *found)
             raise StaleCallError("so old that it is not known what became of it")
         if parent > in_force:  # a state that has it may come: the refusal is to stand there as well
-            if await self._leader.decide(Command(Verb.REFUSE, digest)):
+            if await self._leader.decide(Command(Verb.REJECT, digest)):
                 raise CallTimeoutError()
             return wrong(412, f"parent: {parent} is not {in_force}, which is in force")
         errors = order_errors(order, whole, in_force)
@@ -240,7 +240,7 @@
         return wrong(400, *errors) if errors else None
 
     async def _content_errors(self, state: State, command: Command) -> list[str]:
-        content, errors = await in_turns(state.result(command)), list[str]()
+        content, errors = await in_turns(state.resulting_content_steps(command)), list[str]()
         with uncollected(stay=False):
             for some in content_looks(content):
                 errors += some
@@ -256,7 +256,7 @@
     ) -> tuple[Answer, int]:
         leadership, state = self._leader.held(), self._leader.state
         orders, begins = state.evacuated.get(zone, 0), verb is Verb.EVACUATE
-        is_new = bool(order) and state.moves.get(zone) != order
+        is_new = bool(order) and state.latest_evacuation_orders.get(zone) != order
         if not call and not (is_new and (orders or begins)):
             await self._leader.confirm(called, leadership.term)
             return self._moved(zone, order), state.version
@@ -264,7 +264,7 @@
             leadership.endpoint_registry.restart_warmup(
                 zone, self._leader.now(), leadership.warmups(state)
             )
-        await self._leader.decide(Command(verb, order, zone=zone, call=call))
+        await self._leader.decide(Command(verb, order, zone=zone, call_id=call))
         if is_new:
             orders = self._leader.state.evacuated.get(zone, 0)
             log_event(
@@ -283,10 +283,10 @@
         leadership, now, state = self._leader.held(), self._leader.now(), self._leader.state
         if zone not in self._leader.settings.zones:
             return await self._refused(now, wrong(404, f"no zone {zone!r}"))
-        if call in state.calls:  # it has come by another way
+        if call in state.evacuation_calls:  # it has come by another way
             await self._leader.confirm(now, leadership.term)
             await self._everywhere(state.version)
-            return self._moved(zone, state.calls[call])
+            return self._moved(zone, state.evacuation_calls[call])
         stands = (zone in state.evacuated) == (verb is Verb.EVACUATE)
         order = leadership.moves.came(now, zone, verb.value, stands, call)
         try:
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -105,7 +105,7 @@
     def _making(self, raw: dict[str, Any], index: int) -> Job:
         try:
             made, digest = [], state_digest()
-            for part in serialization.parts(raw):
+            for part in serialization.encode_parts(raw):
                 made.append(part)
                 digest.update(part)
                 if len(made) > AT_ONCE:
@@ -128,9 +128,9 @@
         try:
             raw: dict[str, Any] = {}
             with uncollected():
-                for _ in serialization.read_parts(snapshot.state, raw):
+                for _ in serialization.decode_parts(snapshot.state, raw):
                     yield
-            self.read = State.of(raw)
+            self.read = State.from_dict(raw)
         except serialization.FormatError as error:
             log_event(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
             return
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -35,11 +35,11 @@
         self._storage, self._applier, self._leadership = storage, applier, leadership
         self._rpc_peer = rpc_peer
         self._drawn_in_term = 0
-        rpc_peer.system = storage.system() or applier.state.system
+        rpc_peer.system = storage.system() or applier.state.system_name
 
     def adopt(self) -> None:
         """Takes the name over that the log says, from the first entry that says one."""
-        if (name := self._applier.state.system) and name != self._rpc_peer.system:
+        if (name := self._applier.state.system_name) and name != self._rpc_peer.system:
             # If the disk is full, a later start learns it from the log, or from whom it dials.
             with contextlib.suppress(StorageError):
                 self._storage.name_system(name)
@@ -48,10 +48,14 @@
     def draw(self) -> None:
         """Proposes a name, once a term, as leader of a system that has none."""
         leadership = self._leadership.current
-        if self._applier.state.system or not leadership or self._drawn_in_term == leadership.term:
+        if (
+            self._applier.state.system_name
+            or not leadership
+            or self._drawn_in_term == leadership.term
+        ):
             return
         self._drawn_in_term = leadership.term
         name = self._rpc_peer.system or f"{random.SystemRandom().getrandbits(64):016x}"
         command = Command(Verb.NAME, digest=name)
-        _, step = self._raft.propose(self._clock.now(), command.out())
+        _, step = self._raft.propose(self._clock.now(), command.encode())
         self._driver.carry_out(step)
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -245,7 +245,7 @@
             await asyncio.sleep(JOINING)
             names, self._joining = tuple(sorted(self._joining - self._striking)), set()
             if names:
-                await self._leader.decide(Command(Verb.ENROL, names=names))
+                await self._leader.decide(Command(Verb.ENROL, added_nodes=names))
         finally:
             self._enrolling = False
             self._round_of_enrolment_over()
@@ -265,6 +265,6 @@
                 self._striking = set(gone)
                 with contextlib.suppress(CallError):
                     if gone:
-                        await self._leader.decide(Command(Verb.ENROL, gone=gone))
+                        await self._leader.decide(Command(Verb.ENROL, removed_nodes=gone))
                         self._striking = set()
                 self._round_of_enrolment_over()
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -130,11 +130,11 @@
     for number in range(count):
         command = order(states[0], rng) if number else first(rng)
         for state in states:
-            assert state.apply(Command.read(command.out()))
+            assert state.apply(Command.decode(command.encode()))
         assert content_errors(states[0].content) == []
         yield states
         if rng.random() < restored:
-            states = states[0], State.read(states[1].out())
+            states = states[0], State.decode(states[1].encode())
 
 
 def spoil(told: pb.ConfigDelta, receiver: RouteTable | None, rng: random.Random) -> None:
@@ -181,7 +181,7 @@
         watch_response = told(leader, client, now, number)
         assert watch_response.HasField("difference") != watch_response.has_content
         if watch_response.HasField("difference") and rng.random() < 0.3:
-            assert len(watch_response.difference.change) < len(leader.told())
+            assert len(watch_response.difference.change) < len(leader.encoded_content())
             spoil(watch_response.difference, client.route_table, rng)
             changed = client.apply(watch_response, NODE, now, now, 0)
             assert changed and changed.rejection_reason and not changed.route_table_changed
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -17,7 +17,7 @@
 import pytest
 
 import cairndale.configuration.state
-from cairndale.configuration.state import REFUSED, Command, State, Verb
+from cairndale.configuration.state import REJECTED, Command, State, Verb
 from cairndale.control.follower import Follower
 from cairndale.control.leadership import Leadership
 from cairndale.control.operations import OperationHandler
@@ -102,7 +102,7 @@
 
 def chain_of(world: World, history: History) -> list[int]:
     """What was in force, as the state remembers it."""
-    gens = [gen for gen in settled_state(world).known.values() if gen != REFUSED]
+    gens = [gen for gen in settled_state(world).idempotency_records.values() if gen != REJECTED]
     return [0, *gens]
 
 
@@ -455,9 +455,9 @@
 
     state = settled_state(world)
     assert await clear("Config.Replace", configuration(2, 1)) == (
-        503 if state.forgotten >= 2 else 412
+        503 if state.evicted_gen >= 2 else 412
     )
-    assert await clear("Config.Update", lost) == (503 if state.forgotten >= 3 else 412)
+    assert await clear("Config.Update", lost) == (503 if state.evicted_gen >= 3 else 412)
     again = history.sent[300][1]
     assert await clear("Config.Update", again) in (400, 412)  # the same, to another call ...
     assert await clear("Config.Replace", again + b" ") == 412  # ... or not as it was
@@ -486,7 +486,7 @@
 
 
 def test_little_room_to_remember_leaves_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(cairndale.configuration.state, "KNOWN", 20)
+    monkeypatch.setattr(cairndale.configuration.state, "MAX_IDEMPOTENCY_RECORDS", 20)
     found = list[str]()
     play(forgotten(found))
     assert not found
@@ -755,22 +755,22 @@
 
 def unsaid_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
     """A refusal that a later state would take back is nowhere written down."""
-    applying = State.applying
+    applying = State.apply_steps
 
     def unsaid(self: State, command: Command, tells: bool) -> Generator[None, None, bool]:
         return (
             (yield from applying(self, command, tells))
-            if command.verb is not Verb.REFUSE
+            if command.verb is not Verb.REJECT
             else False
         )
 
-    monkeypatch.setattr(State, "applying", unsaid)
+    monkeypatch.setattr(State, "apply_steps", unsaid)
 
 
 def by_count(monkeypatch: pytest.MonkeyPatch) -> None:
     """The last calls are remembered, and those before count as never taken."""
-    monkeypatch.setattr(cairndale.configuration.state, "KNOWN", 20)
-    monkeypatch.setattr(State, "may_be_forgotten", lambda self, gen: False)
+    monkeypatch.setattr(cairndale.configuration.state, "MAX_IDEMPOTENCY_RECORDS", 20)
+    monkeypatch.setattr(State, "record_may_be_evicted", lambda self, gen: False)
 
 
 def nameless(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -160,7 +160,7 @@
             Command(Verb.REPLACE, "d", {"gen": 1, "parent": 0, "routes": routes, "tenants": []})
         )
         names = tuple(f"e{n}" for n in range(ingresses))
-        self.state.apply(Command(Verb.ENROL, names=names))
+        self.state.apply(Command(Verb.ENROL, added_nodes=names))
         self.leadership: Leadership | None = None
         self.watch_server = WatchServer(self)
         self.up = {
@@ -440,7 +440,7 @@
 
 def test_enrolment_takes_all_who_wait_in_one_round(monkeypatch: pytest.MonkeyPatch) -> None:
     async def all_new(world: World) -> None:
-        world.state.apply(Command(Verb.ENROL, gone=tuple(world.state.edges)))
+        world.state.apply(Command(Verb.ENROL, removed_nodes=tuple(world.state.edges)))
         before, decided = world.decide, []
 
         async def decide(command: Command) -> bool:
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -166,7 +166,7 @@
             "upsert": {"routes": [route(n, prio=p) for n, p in put]},
             "remove": {"routes": out},
         }
-        command = Command.read(Command(Verb.UPDATE, f"{gen}{order}", order).out())
+        command = Command.decode(Command(Verb.UPDATE, f"{gen}{order}", order).encode())
         taken = state.apply(command)
         assert taken == (off == 0 and step > 0)
         if taken:
@@ -175,7 +175,7 @@
             model = {n: r for n, r in model.items() if n not in out} | last
         assert {r["name"]: r for r in state.content["routes"]} == model
         assert (state.gen, state.version) == (gen, version)
-        state = State.read(state.out())
+        state = State.decode(state.encode())
 
 
 def test_a_zone_is_evacuated_until_each_order_is_taken_back() -> None:
@@ -184,15 +184,15 @@
         (Verb.EVACUATE, "a", 1, True),
         (Verb.EVACUATE, "a", 1, False),  # the same order, decided again
         (Verb.EVACUATE, "b", 2, True),
-        (Verb.TAKE_BACK, "c", 1, True),
-        (Verb.TAKE_BACK, "c", 1, False),
-        (Verb.TAKE_BACK, "d", 0, True),
-        (Verb.TAKE_BACK, "e", 0, False),
+        (Verb.RESTORE, "c", 1, True),
+        (Verb.RESTORE, "c", 1, False),
+        (Verb.RESTORE, "d", 0, True),
+        (Verb.RESTORE, "e", 0, False),
     )
     seen = []
     for verb, order, left, applied in orders:
         assert state.apply(Command(verb, order, zone="z")) == applied
-        assert state.evacuated.get("z", 0) == left and State.read(state.out()) == state
+        assert state.evacuated.get("z", 0) == left and State.decode(state.encode()) == state
         seen.append(state.version)
     assert seen == [1, 1, 1, 1, 1, 2, 2]  # ingresses hear of the first and of the last
 
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -116,7 +116,7 @@
     log = [Entry(n, 1, b"x" * 400) for n in range(1, 129)]
     leader = Side(folder / "a", ME, PersistedState(snapshot=Snapshot(0, 0, (ME, OTHER))), log)
     with step("make: begin"):
-        leader.snapshot_worker.make(state.raw(), 128)
+        leader.snapshot_worker.make(state.to_dict(), 128)
     leader.run("make: encode, stage, point, sweep")
     made = leader.machine.base
     print(f"snapshot: {len(made.state)} bytes")
@@ -143,7 +143,7 @@
         side.store.close()
         with step("start: load and read, before the loop"):
             assert (
-                State.read(
+                State.decode(
                     RaftStorage(folder / ("a" if side is leader else "b")).load().snapshot.state
                 )
                 == state
@@ -154,13 +154,13 @@
     """All at once, as one entry."""
     whole = Command(Verb.REPLACE, "d", first)
     kinds: dict[str, Callable[[], Any]] = {
-        "at once: encode a whole configuration": whole.out,
-        "at once: decode it": lambda: Command.read(data),
+        "at once: encode a whole configuration": whole.encode,
+        "at once: decode it": lambda: Command.decode(data),
         "at once: apply it": lambda: state.apply(whole),
-        "at once: encode it for ingresses": state.told,
+        "at once: encode it for ingresses": state.encoded_content,
         "at once: apply an update of one tenant": lambda: state.apply(update(first, 2)),
     }
-    data = whole.out()
+    data = whole.encode()
     for name, work in kinds.items():
         with step(name), uncollected():
             work()
@@ -191,7 +191,9 @@
         made_of.clear()
     for command in (Command(Verb.REPLACE, "d", first), update(first, 2)):
         kind = command.verb.value
-        for _ in timed(f"{kind}: judge, what it leads to", applier.state.result(command)):
+        for _ in timed(
+            f"{kind}: judge, what it leads to", applier.state.resulting_content_steps(command)
+        ):
             pass
         with step(f"{kind}: begin to encode"):
             made = encoded(command)
@@ -209,7 +211,7 @@
             while applier.is_behind:
                 with step(f"{kind}: read and apply a part"):
                     applier.step()
-    for _ in timed("told: encode it for ingresses", applier.state.tell()):
+    for _ in timed("told: encode it for ingresses", applier.state.encode_content_steps()):
         pass
     side.store.close()
     assert applier.state.content == state.content
@@ -233,7 +235,7 @@
     gc.freeze()
     changes(state, first)
     with step("before: the whole state at once, as format 1"):
-        zlib.compress(json.dumps(state.raw(), separators=(",", ":")).encode(), 6)
+        zlib.compress(json.dumps(state.to_dict(), separators=(",", ":")).encode(), 6)
     with tempfile.TemporaryDirectory(dir=".") as folder:
         snapshots(Path(folder), state)
         commands(Path(folder), state, first)
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -152,7 +152,7 @@
             if (edge.name in self.cut and not again) or self.leadership is None:
                 return
             if edge.name not in self.state.edges:
-                self.state.apply(Command(Verb.ENROL, names=(edge.name,)))
+                self.state.apply(Command(Verb.ENROL, added_nodes=(edge.name,)))
             node = pb.Node(name=edge.name, life=str(life), kind="edge", address="d", http="h")
             made = pb.WatchRequest(
                 node=node,
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -70,7 +70,7 @@
         "backends": [],
         "tenants": tenants(gen, count),
     }
-    return Command(Verb.REPLACE, f"d{gen}", order, names=("n",), call="c")
+    return Command(Verb.REPLACE, f"d{gen}", order, added_nodes=("n",), call_id="c")
 
 
 # The form.
@@ -88,10 +88,10 @@
         assert applier.state == State()
         applier.step()
         steps += 1
-    assert steps > sum(1 for _ in serialization.parts(command.raw())) - 2
+    assert steps > sum(1 for _ in serialization.encode_parts(command.to_dict())) - 2
     plain = State()
     assert (
-        plain.apply(Command.read(command.out()))
+        plain.apply(Command.decode(command.encode()))
         and applier.state == plain
         and applier.index == len(data)
     )
@@ -100,16 +100,16 @@
         Verb.UPDATE, "u", {"gen": 2, "parent": 1, "upsert": {"tenants": tenants(5, 1, 7)}}
     )
     (small,) = whole_or_parts(update)
-    assert Command.read(small) == update
-    many = sum(1 for _ in applier.state.applying(update))
+    assert Command.decode(small) == update
+    many = sum(1 for _ in applier.state.apply_steps(update))
     assert (
-        many >= 20_000 // config_version.MANY
+        many >= 20_000 // config_version.ITEMS_PER_STEP
         and applier.state.content["tenants"][7] == tenants(5, 1, 7)[0]
     )
     item = {"name": "t", "apiKeys": [random.Random(1).randbytes(40_000).hex()]}
     one = Command(Verb.REPLACE, "d", {"gen": 1, "parent": 0, "tenants": [item]})
     # One item is cut as well.
-    assert max(len(d) for d in whole_or_parts(one)) <= fragments.PART < len(one.out())
+    assert max(len(d) for d in whole_or_parts(one)) <= fragments.PART < len(one.encode())
 
 
 def drawn_log(seed: int) -> list[Entry]:
@@ -134,7 +134,9 @@
                 data.append(part)
                 if rng.random() < 0.2:
                     data.append(
-                        Command(Verb.EVACUATE, f"o{len(data)}", zone=f"z{rng.randint(1, 3)}").out()
+                        Command(
+                            Verb.EVACUATE, f"o{len(data)}", zone=f"z{rng.randint(1, 3)}"
+                        ).encode()
                     )
     return [Entry(n, 1, d, opens=not d) for n, d in enumerate(data, 1)]
 
@@ -144,7 +146,7 @@
     state = State()
     for at, entry in enumerate(log):
         if entry.data and not fragments.is_fragment(entry.data):
-            state.apply(Command.read(entry.data))
+            state.apply(Command.decode(entry.data))
         if (
             not fragments.is_fragment(entry.data)
             or (last := fragments.read(entry.data)).kind is not FragmentKind.LAST
@@ -158,7 +160,7 @@
         ]:
             whole = b"".join(p.data for p in found) + last.data[fragments.DIGEST :]
             if fragments.state_digest(whole).digest() == last.data[: fragments.DIGEST]:
-                state.apply(Command.of(serialization.read(whole)))
+                state.apply(Command.from_dict(serialization.decode(whole)))
     return state
 
 
@@ -169,7 +171,7 @@
     for entry in log:
         in_force([entry], applier)
         if applier.is_whole and rng.random() < 0.3:  # a snapshot, and a start from it
-            applier = made(State.read(applier.state.out()), entry.index, entry.term)
+            applier = made(State.decode(applier.state.encode()), entry.index, entry.term)
     assert applier.state == plain_reading(log), "not as the plain reading of the log"
     assert in_force([Entry(len(log) + 1, 99, opens=True)], applier).is_whole, (
         "not as the plain reading: open"
@@ -180,8 +182,8 @@
 @pytest.fixture
 def small_parts(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(fragments, "ROOM", 150)
-    monkeypatch.setattr(serialization, "TEXT", 100)
-    monkeypatch.setattr(serialization, "MANY", 3)
+    monkeypatch.setattr(serialization, "PART_TEXT_BYTES", 100)
+    monkeypatch.setattr(serialization, "ITEMS_PER_RECORD", 3)
 
 
 def test_whole_or_not_at_all_as_the_log_says(small_parts: None) -> None:
@@ -326,11 +328,11 @@
 
 async def alike(world: World) -> State:
     await asyncio.sleep(8.0)
-    (state,) = {c.state.out() for c in world.cores.values()}
+    (state,) = {c.state.encode() for c in world.cores.values()}
     assert all(c.applier.is_whole for c in world.cores.values()), (
         "it waits for what will never come"
     )
-    return State.read(state)
+    return State.decode(state)
 
 
 def log_of(core: ControlNode) -> list[Entry]:
@@ -392,7 +394,7 @@
     assert told(leader)[-1].kind is FragmentKind.MORE
     await world.crash(leader.settings.ip)
     assert await task == 200
-    assert list((await alike(world)).known.values()) == [1, 2]
+    assert list((await alike(world)).idempotency_records.values()) == [1, 2]
 
 
 async def given_up(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -474,14 +476,16 @@
         {"gen": 1, "a": [], "b": [1]},
         {"t": tenants(1, 2_000), "r": [], "x": {"a": [1]}},
     ):
-        assert json.loads(zlib.decompress(State(gen=1, content=content).told())) == content
+        assert (
+            json.loads(zlib.decompress(State(gen=1, content=content).encoded_content())) == content
+        )
     made = list[int]()
 
     def counted(work: Generator[None, None, Any]) -> Any:
         steps = list(work)
         made.append(len(steps))
 
-    monkeypatch.setattr(serialization, "at_once", counted)
+    monkeypatch.setattr(serialization, "run_to_completion", counted)
     play(told_in_steps(made))
     monkeypatch.setattr(
         Applier, "tells", property(lambda self: False, lambda self, value: None), raising=False
@@ -502,7 +506,7 @@
 
 def test_commands_of_disks_of_old_are_read() -> None:
     """A large one in one entry."""
-    data = replaced(1, 0, 30_000).out()
+    data = replaced(1, 0, 30_000).encode()
     assert len(data) > applier.LARGE and in_force([Entry(1, 1, data)]).state.gen == 1
 
 
@@ -528,8 +532,8 @@
         except ValueError:
             wrong += 1
             with pytest.raises(ValueError):
-                serialization.at_once(json_stream.loads(data))
+                serialization.run_to_completion(json_stream.loads(data))
             continue
-        assert repr(serialization.at_once(json_stream.loads(data))) == wanted
+        assert repr(serialization.run_to_completion(json_stream.loads(data))) == wanted
         steps += sum(1 for _ in json_stream.loads(data))
     assert 300 < wrong < 2_900 and steps > 3_000
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -71,46 +71,51 @@
         change = {"gen": n, "parent": n - 1, "upsert": {"tenants": [rng.choice(items) | {"n": n}]}}
         state.apply(Command(Verb.UPDATE, f"d{n}", change))
         state.apply(Command(Verb.EVACUATE, f"e{n}", zone=f"z{n % 7}"))
-    state.apply(Command(Verb.ENROL, names=("e1", "e2")))
+    state.apply(Command(Verb.ENROL, added_nodes=("e1", "e2")))
     return state
 
 
 def test_the_state_comes_back_and_is_made_as_it_was_when_that_began() -> None:
     state = grown(1)
-    before = State.read(state.out())
-    made = serialization.parts(state.raw())
+    before = State.decode(state.encode())
+    made = serialization.encode_parts(state.to_dict())
     first = next(made)
     state.apply(Command(Verb.EVACUATE, "later", zone="z"))
     state.apply(
         Command(Verb.UPDATE, "l", {"gen": 99, "parent": state.gen, "remove": {"tenants": ["t5"]}})
     )
     data = first + b"".join(made)
-    assert State.read(data) == before != state and json.dumps(before.content) == json.dumps(
-        State.read(data).content
+    assert State.decode(data) == before != state and json.dumps(before.content) == json.dumps(
+        State.decode(data).content
     )
-    assert State.read(data).out() == before.out() == data  # alike at whoever was at this entry
-    assert State.read(b"") == State() == State.read(State().out())
+    assert (
+        State.decode(data).encode() == before.encode() == data
+    )  # alike at whoever was at this entry
+    assert State.decode(b"") == State() == State.decode(State().encode())
 
 
 def test_no_step_has_more_to_do_than_its_share() -> None:
     """The bound of 20 ms in units of work; `tests/measurements/measure_snapshots.py` says what
     these take."""
-    parts = list(serialization.parts(grown(2, tenants=9000).raw()))
+    parts = list(serialization.encode_parts(grown(2, tenants=9000).to_dict()))
     texts = [len(zlib.decompress(part[4:])) for part in parts[1:]]
-    assert len(texts) > 10 and max(texts) < serialization.TEXT + serialization.MANY * 200
-    assert sum(1 for _ in serialization.read_parts(b"".join(parts), {})) == len(texts)
+    assert (
+        len(texts) > 10
+        and max(texts) < serialization.PART_TEXT_BYTES + serialization.ITEMS_PER_RECORD * 200
+    )
+    assert sum(1 for _ in serialization.decode_parts(b"".join(parts), {})) == len(texts)
 
 
 def test_a_state_of_format_1_is_read_and_one_that_is_not_known_refused() -> None:
     state = grown(3)
-    assert State.read(zlib.compress(json.dumps(state.raw()).encode())) == state
-    data = state.out()
-    foreign = serialization.FORMAT + serialization._part(['[["content","a"],{"a":1}]'])
+    assert State.decode(zlib.compress(json.dumps(state.to_dict()).encode())) == state
+    data = state.encode()
+    foreign = serialization.FORMAT + serialization._encode_part(['[["content","a"],{"a":1}]'])
     for wrong in (b"\x09" + data, data[:-1], data[:50] + b"?" + data[51:], b"\x78abc", foreign):
         with pytest.raises(FormatError):
-            State.read(wrong)
+            State.decode(wrong)
     with pytest.raises(FormatError):
-        State.read(serialization.whole(state.raw() | {"of a later version": 1}))
+        State.decode(serialization.encode(state.to_dict() | {"of a later version": 1}))
 
 
 # Sending and receiving, over a way that loses, doubles, turns round and cuts.
@@ -435,7 +440,7 @@
 
 def test_a_snapshot_is_made_in_steps_while_changes_go_on(tmp_path: Path, monkeypatch: Any) -> None:
     state = grown(7, tenants=20_000)
-    before, store = state.out(), RaftStorage(tmp_path)
+    before, store = state.encode(), RaftStorage(tmp_path)
     steps = Steps(store, state)
     written: list[int] = []
     write = store.write
@@ -445,7 +450,7 @@
         write(writes)
 
     monkeypatch.setattr(store, "write", counted)
-    steps.snapshot_worker.make(state.raw(), 9)
+    steps.snapshot_worker.make(state.to_dict(), 9)
     state.apply(Command(Verb.EVACUATE, "meanwhile", zone="z"))
     steps.machine.log.append(Entry(10, 1, b"10"))
     store.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
@@ -465,7 +470,7 @@
     steps = Steps(store, grown(8, tenants=30_000))
     for n in range(3):
         steps.now += 2 * RETRY
-        steps.snapshot_worker.make(steps.state.raw(), 9)
+        steps.snapshot_worker.make(steps.state.to_dict(), 9)
         steps.run()
         index = 10 + n
         store.write([SaveEntries(index, (Entry(index, 1, b"on"),))])
@@ -474,7 +479,7 @@
             kept.snapshot.index == steps.machine.base.index == 0 and kept.entries[-1].index == index
         )
     steps.now += 2 * RETRY
-    steps.snapshot_worker.make(State().raw(), 9)
+    steps.snapshot_worker.make(State().to_dict(), 9)
     steps.run()
     assert store.load().snapshot.index == 9
 
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -498,7 +498,7 @@
         def begin(self, *args: Any, **fields: Any) -> Any:
             raise lmdb.DiskError("no room")
 
-    made.state.system = HERE
+    made.state.system_name = HERE
     cast(Any, made._storage)._env = Full()
     made.system_name.adopt()
     assert made.rpc_peer.system == HERE
