--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -125,7 +125,7 @@
     pick = EndpointSelector.pick
 
     def free(self: EndpointSelector, *args: Any, **named: Any) -> Any:
-        self.budgets = {service: RetryBudget(2.0) for service in self.rows}
+        self.retry_budgets = {service: RetryBudget(2.0) for service in self.ready_by_service}
         return pick(self, *args, **named)
 
     EndpointSelector.pick = free  # type: ignore[method-assign]
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -1,7 +1,9 @@
-"""Which server takes a request: near ones first, as their slots reach, then a stated spill.
+"""Which endpoint of a service takes a request: near ones first, as their slots reach, then a spill.
 
-The endpoint pool of `cairndale.ingress.policy.endpoint_pool` with other rules, for what is known
-here: services, zones, slots. Costs are in usual answers' times. Times are microseconds."""
+The endpoint pool of `cairndale.ingress.policy.endpoint_pool` with rules for what is known here:
+services, zones, slots. Costs are multiples of a usual answer's time; times are microseconds on the
+engine's clock. The base class and the policy that calls it name the overridden methods.
+"""
 
 from __future__ import annotations
 
@@ -14,91 +16,108 @@
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
 
-ZONE, REGION = (
-    0.5,
-    2.0,
-)  # what another zone and another region cost: the way there and the price of bytes
-CROWD = 1.5  # of each request beyond this ingress's part of a server's slots, as parts of them
-NOISE = 0.15
-# of what further tries a service may get that are used: requests are counted where they were sent
-KEPT = 0.9
+# Costs of an endpoint elsewhere, in usual answers' times: the way there and the price of bytes.
+OTHER_ZONE_COST = 0.5
+OTHER_REGION_COST = 2.0
+# Weight of each request beyond this ingress's share of an endpoint's slots, per slot of the share.
+OVERLOAD_WEIGHT = 1.5
+BUSY_WEIGHT = 0.3  # weight of each request out at the endpoint, per slot of the share
+COST_NOISE = 0.15  # added at most, at random, so that ingresses do not all pick the same endpoint
+# Part of a service's retry ratio that is used: requests are counted where they were sent, which
+# need not be where the judge of the ratio counts them.
+RETRY_RATIO_USED = 0.9
 
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Further tries at one service: earned by requests, up to this ingress's part of the slack;
-    beyond these each is dealt by the leader."""
+    """Retry budget of one service at this ingress (Envoy's term).
+
+    Requests earn tokens, up to this ingress's share of the slack. Retries beyond these need a grant
+    of the leader each.
+    """
 
     tokens: float = 0.0
 
 
 @dataclass(slots=True)
 class Placement:
-    """Where this ingress stands, and what it shares with others."""
+    """Where this ingress is, and among how many its shares are split."""
 
-    zone: int = -1
-    region: int = -1
-    edges: int = 1  # of the fleet
-    edges_in: dict[int, int] = field(default_factory=dict)  # by zone
-    ratio: float = 0.0
-    slack: float = 0.0
+    zone: int = -1  # number; -1: unknown
+    region: int = -1  # number; -1: unknown
+    ingress_count: int = 1  # in the fleet
+    ingresses_by_zone: dict[int, int] = field(default_factory=dict)
+    retry_ratio: float = 0.0  # retries that one request earns
+    retry_slack: float = 0.0  # retries beyond the ratio, of the fleet in a window
 
 
 class EndpointSelector(Fleet):
+    """Selects endpoints, and keeps the retry budgets and which grants are owed and denied."""
+
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
-        self.place = Placement()
-        self.rows: dict[int, list[Backend]] = {}  # those ready, by service
-        self.budgets: dict[int, RetryBudget] = {}
-        self._owes: tuple[it.Unit, ...] = ()
-        self._denied: dict[it.Unit, int] = {}  # until when none is dealt
-        self._slots = 0.0  # this ingress's part of all slots
+        self.placement = Placement()
+        self.ready_by_service: dict[int, list[Backend]] = {}
+        self.retry_budgets: dict[int, RetryBudget] = {}  # by service
+        self._owed_units: tuple[it.Unit, ...] = ()
+        self._denied_until: dict[it.Unit, int] = {}
+        self._slots = 0.0  # this ingress's share of the slots of all endpoints that are ready
         super().__init__(settings, rng)
 
     def listed(self, event: it.BackendsListed) -> None:
+        """Take in a list of endpoints, or of those that have changed."""
         super().listed(event)
         for info in event.backends:
             if info.state is it.BackendState.GONE:
                 self.backends.pop(info.id, None)
-        self.rows = {}
+        self.ready_by_service = {}
         for backend in self.ready:
-            self.rows.setdefault(backend.info.service, []).append(backend)
-        self.placed()
+            self.ready_by_service.setdefault(backend.info.service, []).append(backend)
+        self.update_slots()
 
-    def placed(self) -> None:
-        """Other servers, or another place among the ingresses."""
-        self._slots = sum(self.part(b) for b in self.ready)
+    def update_slots(self) -> None:
+        """Sum up the shares of slots again: the endpoints or the placement have changed."""
+        self._slots = sum(self.slot_share(b) for b in self.ready)
 
     def used(self) -> float:
+        """Return requests out over this ingress's share of all slots."""
         return self.out / max(1.0, self._slots)
 
     def owes(self) -> tuple[it.Unit, ...]:
-        return self._owes
-
-    def denied(self, units: tuple[it.Unit, ...], now: int, until: int) -> None:
-        """None is dealt of these for a while."""
-        self._denied = {unit: end for unit, end in self._denied.items() if end > now}
-        self._denied.update(dict.fromkeys(units, until))
-
-    def part(self, backend: Backend) -> float:
-        """This ingress's part of a server's slots: shared with those of its zone, or of all if
-        there are none."""
-        there = self.place.edges_in.get(backend.info.zone, 0)
-        near = there if backend.info.zone == self.place.zone else self.place.edges
-        return max(1.0, backend.info.slots / max(1, near))
-
-    def far(self, backend: Backend) -> float:
-        if backend.info.zone == self.place.zone:
-            return 0.0
-        return ZONE if backend.info.region == self.place.region else REGION
+        """Return the units that the attempt of the last `pick` needs granted before it is sent."""
+        return self._owed_units
 
-    def cost(self, backend: Backend, cls: int, now: int) -> float:
-        part = self.part(backend)
-        over = max(0.0, backend.out + 1 - part) / part
-        wait = CROWD * over + 0.3 * backend.out / part
-        return self.slowness(backend, cls, now) * (1 + wait) + self.far(backend)
+    def deny(self, units: tuple[it.Unit, ...], now: int, until: int) -> None:
+        """Pick nothing that needs one of these units until then: no grant is to be had."""
+        self._denied_until = {unit: end for unit, end in self._denied_until.items() if end > now}
+        self._denied_until.update(dict.fromkeys(units, until))
 
     def is_denied(self, unit: it.Unit, now: int) -> bool:
-        return self._denied.get(unit, 0) > now
+        """Whether a grant of this unit was denied for a time that lasts still."""
+        return self._denied_until.get(unit, 0) > now
+
+    def slot_share(self, backend: Backend) -> float:
+        """Return this ingress's share of an endpoint's slots, 1 at the least.
+
+        They are shared by the ingresses of its zone, or by all if its zone has none.
+        """
+        in_its_zone = self.placement.ingresses_by_zone.get(backend.info.zone, 0)
+        same_zone = backend.info.zone == self.placement.zone
+        sharing = in_its_zone if same_zone else self.placement.ingress_count
+        return max(1.0, backend.info.slots / max(1, sharing))
+
+    def distance_cost(self, backend: Backend) -> float:
+        """Return what the way to the endpoint costs, in usual answers' times."""
+        if backend.info.zone == self.placement.zone:
+            return 0.0
+        same_region = backend.info.region == self.placement.region
+        return OTHER_ZONE_COST if same_region else OTHER_REGION_COST
+
+    def cost(self, backend: Backend, cls: int, now: int) -> float:
+        """Return the cost of one more request at the endpoint, in usual answers' times."""
+        share = self.slot_share(backend)
+        over = max(0.0, backend.out + 1 - share) / share
+        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * backend.out / share
+        return self.slowness(backend, cls, now) * (1 + wait) + self.distance_cost(backend)
 
     def pick(
         self,
@@ -108,37 +127,58 @@
         asked: it.RequestArrived | None = None,
         again: bool = False,
     ) -> Backend | None:
+        """Return the cheapest endpoint that may be sent to, counted as out; None if there is none.
+
+        `allowed`: what else decides about an endpoint (outlier ejection, attempts made); `asked`:
+        the request, None for a health check, which this pool does not make; `again`: whether this
+        is a retry, paid from the service's budget or by a grant of the leader.
+        """
         if asked is None:
             return None
-        budget = self.budgets.setdefault(asked.service, RetryBudget())
+        budget = self.retry_budgets.setdefault(asked.service, RetryBudget())
         needs_grant = again and budget.tokens < 1
         if needs_grant and self.is_denied((FURTHER, asked.service), now):
             return None
+        best = self._cheapest_of_service(now, cls, allowed, asked)
+        if best is None:
+            return None
+        owed: tuple[it.Unit, ...] = ((FURTHER, asked.service),) if needs_grant else ()
+        if best.info.cold_until > now:
+            owed += ((STARTS, best.info.id),)
+        self._owed_units = owed
+        if again:
+            budget.tokens -= not needs_grant
+        else:
+            self._earn(budget)
+        best.out, self.out = best.out + 1, self.out + 1
+        return best
+
+    def _cheapest_of_service(
+        self, now: int, cls: int, allowed: Callable[[Backend], bool], asked: it.RequestArrived
+    ) -> Backend | None:
         best, best_cost = None, float("inf")
-        for backend in self.rows.get(asked.service, ()):
+        for backend in self.ready_by_service.get(asked.service, ()):
             info = backend.info
             if asked.regions is not None and info.region not in asked.regions:
                 continue
-            cost = self.cost(backend, cls, now) + NOISE * self.rng.random()
+            cost = self.cost(backend, cls, now) + COST_NOISE * self.rng.random()
             if cost >= best_cost or not allowed(backend):
                 continue
             if info.cold_until > now and self.is_denied((STARTS, info.id), now):
                 continue
             best, best_cost = backend, cost
-        if best is None:
-            return None
-        cold = best.info.cold_until > now
-        self._owes = ((FURTHER, asked.service),) * needs_grant + ((STARTS, best.info.id),) * cold
-        if again:
-            budget.tokens -= not needs_grant
-        else:
-            most = EVEN * self.place.slack / self.place.edges
-            budget.tokens = min(most if most >= 1 else 0.0, budget.tokens + KEPT * self.place.ratio)
-        best.out, self.out = best.out + 1, self.out + 1
         return best
 
+    def _earn(self, budget: RetryBudget) -> None:
+        """Credit a service's retry budget with one request."""
+        placement = self.placement
+        most = EVEN * placement.retry_slack / placement.ingress_count
+        earned = budget.tokens + RETRY_RATIO_USED * placement.retry_ratio
+        budget.tokens = min(most if most >= 1 else 0.0, earned)
+
     def ended(self, backend: Backend, now: int, cls: int, outcome: Outcome, latency: int) -> None:
-        if outcome is Outcome.MOOT:  # never tried: nothing is known of it
+        """Count an attempt as over, and learn from how it ended."""
+        if outcome is Outcome.MOOT:  # never tried: nothing is known of the endpoint
             backend.out, self.out = max(0, backend.out - 1), self.out - 1
             return
         super().ended(backend, now, cls, outcome, latency)
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -10,7 +10,7 @@
 from cairndale.dataplane.config_client import ConfigClient, KnownEndpoint
 from cairndale.dataplane.endpoint_selection import EndpointSelector
 from cairndale.dataplane.engine import ReconfigurableEngine, ReconfigurablePolicy
-from cairndale.dataplane.quota_client import LEASE_PATIENCE, QuotaClient
+from cairndale.dataplane.quota_client import LEASE_TRY_TIMEOUT_S, QuotaClient
 from cairndale.dataplane.request_router import RequestRouter
 from cairndale.dataplane.upstream_protocol import judge
 from cairndale.errors import CallError, RejectedError
@@ -34,7 +34,7 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, format_address, seconds
 
-ASK_WITHIN = 3.0  # s for an answer over all tries
+WATCH_TIMEOUT_S = 3.0  # s for an answer over all tries
 RETRY_AFTER = 300_000  # us that a refused client is told to wait: T0, d_0
 CONNECT = 400_000  # us for a connection to a server: a region is 40 ms away and back
 IDLE = 6_000_000  # us that an idle connection to a server is kept, if it does not say how long
@@ -90,13 +90,13 @@
     def _stage(self) -> None:
         settings = self.settings
         first = self._first_settings()
-        self.gateway = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
-        self.gateway.in_touch, self.gateway.alone_since = self.in_touch, self._alone_since
+        self.policy = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
+        self.policy.in_touch, self.policy.alone_since = self.in_touch, self._alone_since
         self.sockets = Sockets(settings.descriptors - 200)
         self.engine = ReconfigurableEngine(
-            self.gateway, first, Names(first, {}), self._loop, self.clock.now
+            self.policy, first, Names(first, {}), self._loop, self.clock.now
         )
-        self.gateway.numbers = self.engine.number_of_plan
+        self.policy.plan_number = self.engine.number_of_plan
         self.engine.refusals, self.engine.ends_passing = (429, 503), True
         self.engine.describe = self._describe
         self.backends = Backends(self.sockets, IDLE, CONNECT)
@@ -108,9 +108,8 @@
         memory = Memory(settings.memory_mb / 2)
         self.listener = Listener(self.engine, self.sockets, memory, self.clock.now, reading)
         self.listener.up = b""
-        rows = self.gateway.fleet
-        assert isinstance(rows, EndpointSelector)
-        self.rows = rows
+        selector = self.policy.selector
+        self.selector = selector
         self.units = QuotaClient(
             self.leader_client,
             self.clock.now,
@@ -118,7 +117,7 @@
             self._named,
             lambda n: self._tenants.get(n, ""),
             lambda name: t.rate if (t := self.route_table.tenants.get(name)) else 0.0,
-            rows.denied,
+            selector.deny,
         )
         self.engine.lessor = self.engine.dealer = self.units
         self._set_place()
@@ -136,7 +135,7 @@
         )
         counter = it.CounterLimits(
             True,
-            round(LEASE_PATIENCE * 1e6),
+            round(LEASE_TRY_TIMEOUT_S * 1e6),
             calls_out=1e6,
             part=0.25,
             strict=True,
@@ -205,7 +204,7 @@
                 watch_request=self.config_client.watch_request(self._node(), self._loop.time(), 0.0)
             )
             try:
-                await self.leader_client.call(ask, ASK_WITHIN, 1.0)
+                await self.leader_client.call(ask, WATCH_TIMEOUT_S, 1.0)
                 return
             except CallError:
                 await asyncio.sleep(0.2)
@@ -227,7 +226,7 @@
         most."""
         now = self._loop.time()
         in_time = now < self._late or now + timeout / 1e6 < self._until
-        return in_time and now + ROOM * self.rows.usual[cls] / 1e6 < self._until
+        return in_time and now + ROOM * self.selector.usual[cls] / 1e6 < self._until
 
     def service(self, name: str) -> int:
         number = self._services.setdefault(name, len(self._services) + 1)
@@ -270,10 +269,10 @@
         """It has a configuration, and a server of each service that this names: clients sent here
         before would be refused. A service without any is waited for no longer than servers take to
         say that they are there."""
-        if not self.route_table.gen or not self.rows.rows:
+        if not self.route_table.gen or not self.selector.ready_by_service:
             return False
         return self.config_client.endpoints_complete or all(
-            self.service(name) in self.rows.rows for name in self.route_table.named
+            self.service(name) in self.selector.ready_by_service for name in self.route_table.named
         )
 
     def _lost(self, address: str) -> None:
@@ -339,7 +338,7 @@
             node, asked = self._node(), self._loop.time()
             ask = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
-                answer = await self.leader_client.call(ask, ASK_WITHIN, response_timeout(wait))
+                answer = await self.leader_client.call(ask, WATCH_TIMEOUT_S, response_timeout(wait))
             except CallError as failure:
                 self.config_client.request_failed()
                 if not self.may_serve():
@@ -385,17 +384,17 @@
         log_event(Event.CONFIG_APPLIED, "gen %d", route_table.gen)
 
     def _set_place(self) -> None:
-        bounds, place = self.settings.bounds, self.rows.place
-        place.zone = self._zones.get(self.settings.zone, -1)
-        place.region = self._regions.get(self.settings.region, -1)
-        place.edges = max(1, self.config_client.ingress_count)
-        place.edges_in = {}
+        bounds, placement = self.settings.bounds, self.selector.placement
+        placement.zone = self._zones.get(self.settings.zone, -1)
+        placement.region = self._regions.get(self.settings.region, -1)
+        placement.ingress_count = max(1, self.config_client.ingress_count)
+        placement.ingresses_by_zone = {}
         for node in self.config_client.nodes.values():
             if node.kind == "edge" and not node.leaving:
                 zone = self._zones.get(node.zone, -1)
-                place.edges_in[zone] = place.edges_in.get(zone, 0) + 1
-        place.ratio, place.slack = bounds.retry_ratio, bounds.retry_slack
-        self.rows.placed()
+                placement.ingresses_by_zone[zone] = placement.ingresses_by_zone.get(zone, 0) + 1
+        placement.retry_ratio, placement.retry_slack = bounds.retry_ratio, bounds.retry_slack
+        self.selector.update_slots()
 
     def _list_servers(self, named: frozenset[str] | None) -> None:
         """Those named, of which some may be gone; None: all there are, and no others."""
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -16,11 +16,14 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_CLOCK_DRIFT
 
-LEASE_WAIT, LEASE_PATIENCE = 0.5, 0.2  # s for the counter's answer over all tries, and for one
-DEAL_WAIT = 0.2  # s for units to be dealt
-DENIED = 200_000  # us for which no unit is asked for where nobody answered
+LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S = (
+    0.5,
+    0.2,
+)  # s for the counter's answer over all tries, and for one
+GRANT_TIMEOUT_S = 0.2  # s for units to be dealt
+UNANSWERED_DENIAL_US = 200_000  # us for which no unit is asked for where nobody answered
 # s, at the least, before it is asked again where it said no, or had nothing for now
-LEASE_PAUSE = 0.03
+LEASE_PAUSE_S = 0.03
 
 Denied = Callable[[tuple[it.Unit, ...], int, int], None]  # which, now, and until when
 
@@ -54,7 +57,7 @@
         self._keep(self._deal(units, on_granted))
 
     async def _deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
-        asked, until, wait = self._now(), 0, DENIED
+        asked, until, wait = self._now(), 0, UNANSWERED_DENIAL_US
         deal = pb.BudgetRequest(
             whole=[f"{kind}/{self._name(kind, number)}" for kind, number in units]
         )
@@ -62,7 +65,7 @@
             if self._in_touch():
                 answer = (
                     await self._leader_client.call(
-                        pb.Envelope(budget_request=deal), DEAL_WAIT, DEAL_WAIT
+                        pb.Envelope(budget_request=deal), GRANT_TIMEOUT_S, GRANT_TIMEOUT_S
                     )
                 ).budget_response
                 until = (
@@ -87,13 +90,13 @@
         asked = pb.QuotaRequest(tenant=tenant, amount=amount, told=told)
         try:
             left = await self._left(asked)
-            if left <= -amount < 0 and self._rate(tenant) * LEASE_PAUSE >= 1:
-                await asyncio.sleep(LEASE_PAUSE * random.uniform(1.0, 1.3))
+            if left <= -amount < 0 and self._rate(tenant) * LEASE_PAUSE_S >= 1:
+                await asyncio.sleep(LEASE_PAUSE_S * random.uniform(1.0, 1.3))
                 asked.told = 0.0  # heard
                 left = await self._left(asked)
         except CallError as failure:
             if not isinstance(failure, CallTimeoutError | UnreachableError):
-                await asyncio.sleep(LEASE_PAUSE)
+                await asyncio.sleep(LEASE_PAUSE_S)
             # Asked anew while there is time, or spent without the counter.
             answered(Outcome.RESET, 0.0)
             return
@@ -102,6 +105,6 @@
     async def _left(self, asked: pb.QuotaRequest) -> float:
         """In the store; under 0 by what was not granted. Raises CallError."""
         answer = await self._leader_client.call(
-            pb.Envelope(quota_request=asked), LEASE_WAIT, LEASE_PATIENCE
+            pb.Envelope(quota_request=asked), LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
         )
         return answer.quota_response.left
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from cairndale.configuration.route_table import Route, RouteTable, Tenant
-from cairndale.dataplane.upstream_protocol import head
+from cairndale.dataplane.upstream_protocol import request_head
 from cairndale.ingress.net.engine import Names, Wanted
 from cairndale.ingress.net.http import Message
 from cairndale.ingress.net.requests import BadRequest
@@ -37,7 +37,7 @@
         """It is there, ready, and serves that."""
 
 
-def homes_of(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
+def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
     """Where both allow it; None: everywhere."""
     both = [h for h in (route.homes, tenant.homes if tenant else frozenset()) if h]
     return frozenset.intersection(*both) if both else None
@@ -47,7 +47,7 @@
     def __init__(self, scene: RoutingContext, rng: random.Random, now: Callable[[], int]) -> None:
         self._scene, self._rng, self._now = scene, rng, now
 
-    def find(self, host: bytes, target: bytes, key: bytes) -> tuple[Route, Tenant | None]:
+    def match(self, host: bytes, target: bytes, key: bytes) -> tuple[Route, Tenant | None]:
         """Raises BadRequest where the configuration in force does not allow it."""
         route_table = self._scene.route_table
         route = route_table.route(host, target)
@@ -71,7 +71,7 @@
             message.target,
             headers.get(b"authorization", b""),
         )
-        route, tenant = self.find(host, target, key)
+        route, tenant = self.match(host, target, key)
         id = headers.get(b"x-request-id", b"")
         if not ID.fullmatch(id):
             raise BadRequest(400, "X-Request-Id is missing or invalid")
@@ -89,11 +89,11 @@
         if not scene.may_begin(cls, timeout):
             raise BadRequest(503, "about to end", AT_ONCE)
         service = route.service(self._rng)
-        homes = homes_of(route, tenant)
+        homes = allowed_regions(route, tenant)
         regions = None if homes is None else scene.regions(homes)
         plan = names.plans[tenant.name.encode()] if tenant else names.plans[b""]
         customer = scene.customer(tenant.name) if tenant else 0
-        made = head(message, id)
+        made = request_head(message, id)
         body, gen = message.body, scene.route_table.gen
 
         def dress(server: str, left: int) -> bytes | None:
@@ -103,7 +103,7 @@
                 return None
             if scene.route_table.gen != gen:
                 try:
-                    route_now, tenant_now = self.find(host, target, key)
+                    route_now, tenant_now = self.match(host, target, key)
                 except BadRequest:
                     return None
                 same = (tenant_now.name if tenant_now else "") == (tenant.name if tenant else "")
@@ -113,7 +113,7 @@
                     or route_now.cls.repeat != route.cls.repeat
                 ):
                     return None
-                if homes_of(route_now, tenant_now) != homes:
+                if allowed_regions(route_now, tenant_now) != homes:
                     return None
             fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
                 server.encode(),
--- a/cairndale/dataplane/upstream_protocol.py
+++ b/cairndale/dataplane/upstream_protocol.py
@@ -1,62 +1,86 @@
-"""What servers answer in the system's protocol, and what they are sent."""
+"""The protocol between an ingress and its endpoints: what is forwarded, and what answers mean.
+
+HTTP/1.1 (RFC 9110, RFC 9112), with fields of the system's own: `X-Request-Id` pairs a request with
+its answer, `X-Not-Run` says that the endpoint has not run the request.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from collections.abc import Set as AbstractSet
+
 from cairndale.ingress.net.engine import Answer
 from cairndale.ingress.net.http import HOP_BY_HOP, Message
 from cairndale.ingress.policy.interface import Outcome
 
-ID = b"x-request-id"
-OWN = {
-    ID,
+REQUEST_ID = b"x-request-id"
+NOT_RUN = b"x-not-run"
+# Fields that only the system may set towards an endpoint, or that are not for it to see.
+RESERVED = {
+    REQUEST_ID,
     b"x-deadline-ms",
     b"x-tenant",
     b"x-target-instance",
     b"authorization",
     b"expect",
-    b"x-not-run",
+    NOT_RUN,
 }
-UPWARDS = HOP_BY_HOP | {b"x-not-run"}
+NOT_FOR_ENDPOINTS = HOP_BY_HOP | RESERVED
+NOT_FOR_CLIENTS = HOP_BY_HOP | {NOT_RUN}
+NO_OPTIONS = frozenset({b""})  # what an absent or empty `Connection` names
+
 
+def _connection_options(headers: Mapping[bytes, bytes]) -> AbstractSet[bytes]:
+    """Return the fields that `Connection` names: they concern one hop (RFC 9110, 7.6.1)."""
+    named = headers.get(b"connection")
+    if not named:
+        return NO_OPTIONS
+    return {name.strip().lower() for name in named.split(b",")}
 
-def head(message: Message, id: bytes) -> bytes:
-    """What goes on to a server, up to what depends on which one it is and when: all fields but
-    those that concern one connection, the key, and what only the system may say."""
-    named = {n.strip().lower() for n in message.headers.get(b"connection", b"").split(b",")}
-    left = HOP_BY_HOP | OWN | named
-    made = b"%b %b HTTP/1.1\r\nX-Request-Id: %b\r\n" % (message.method, message.target, id)
-    made += b"".join(b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left)
+
+def request_head(message: Message, request_id: bytes) -> bytes:
+    """Return the request line and fields that are the same for every endpoint and attempt.
+
+    All of the client's fields go on but those of one hop, its key and those that only the system
+    may set. The empty line that ends the head is left to whoever adds the last fields.
+    """
+    dropped = NOT_FOR_ENDPOINTS | _connection_options(message.headers)
+    head = b"%b %b HTTP/1.1\r\nX-Request-Id: %b\r\n" % (message.method, message.target, request_id)
+    head += b"".join(b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in dropped)
     if message.upload:
         length = message.upload.length
-        return made + (
+        return head + (
             b"Transfer-Encoding: chunked\r\n"
             if length is None
             else b"Content-Length: %d\r\n" % length
         )
     if message.body or message.method in (b"POST", b"PUT", b"PATCH"):
-        made += b"Content-Length: %d\r\n" % len(message.body)
-    return made
+        head += b"Content-Length: %d\r\n" % len(message.body)
+    return head
 
 
-def request_id(sent: bytes) -> bytes:
-    """Of what was sent: it stands in its first field."""
+def request_id_of(sent: bytes) -> bytes:
+    """Return the id of a request as it was sent: `request_head` puts it into the first field."""
     return sent.partition(b"\r\nX-Request-Id: ")[2].partition(b"\r\n")[0]
 
 
 def judge(message: Message, sent: bytes) -> Answer:
-    """What an answer says. MOOT: it belongs to another request. FULL: the server says that it has
-    not run this one, by its id: without one, nothing shows that these bytes belong to it. All else
-    was run, and goes to the client as it is; one without a length is whole by the orderly end of
-    its connection only, which the connection sees to."""
+    """Return what an endpoint's answer says of the request that was sent.
+
+    MOOT: it belongs to another request. FULL: the endpoint says, by the request's id, that it has
+    not run this one; without an id nothing shows that these bytes belong to it (ERROR). Anything
+    else was run, and goes to the client as it is (OK). An answer without a length is complete only
+    by the orderly end of its connection (RFC 9112, 8), which the connection sees to.
+    """
     headers, status = message.headers, message.status
-    if headers.get(ID) != request_id(sent):
-        return Answer(Outcome.MOOT) if ID in headers else Answer(Outcome.ERROR)
-    if status == 421 or b"x-not-run" in headers:
+    if headers.get(REQUEST_ID) != request_id_of(sent):
+        return Answer(Outcome.MOOT) if REQUEST_ID in headers else Answer(Outcome.ERROR)
+    if status == 421 or NOT_RUN in headers:
         return Answer(Outcome.FULL)
-    named = {n.strip().lower() for n in headers.get(b"connection", b"").split(b",")}
+    per_hop = _connection_options(headers)
     fields = b"".join(
         b"%b: %b\r\n" % (n, v)
         for n, v in message.fields
-        if n.lower() not in UPWARDS and n.lower() not in named
+        if n.lower() not in NOT_FOR_CLIENTS and n.lower() not in per_hop
     )
     return Answer(Outcome.OK, message.body, length=message.length, status=status, fields=fields)
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -16,8 +16,8 @@
 
 from cairndale.chaos.standins import BEAT_WAIT, ask
 from cairndale.dataplane.config_client import ConfigClient
-from cairndale.dataplane.node import ASK_WITHIN
-from cairndale.dataplane.quota_client import LEASE_PATIENCE, LEASE_WAIT
+from cairndale.dataplane.node import WATCH_TIMEOUT_S
+from cairndale.dataplane.quota_client import LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
 from cairndale.errors import CallError, RejectedError
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
@@ -136,7 +136,9 @@
             node, asked = self._node(), time.monotonic()
             made = pb.Envelope(watch_request=self.config_client.watch_request(node, asked, wait))
             try:
-                answer = await self.leader_client.call(made, ASK_WITHIN, response_timeout(wait))
+                answer = await self.leader_client.call(
+                    made, WATCH_TIMEOUT_S, response_timeout(wait)
+                )
             except CallError as failure:
                 self.config_client.request_failed()
                 self.failed[f"ask: {failure.code.name}"] += 1
@@ -183,7 +185,7 @@
                     quota_request=pb.QuotaRequest(tenant=tenant, amount=1.0, told=1.0)
                 )
             try:
-                await self.leader_client.call(asked, LEASE_WAIT, LEASE_PATIENCE)
+                await self.leader_client.call(asked, LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S)
             except CallError as failure:
                 self.failed[f"units: {failure.code.name}"] += 1
 
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -289,8 +289,8 @@
         name: engine.settings.classes[engine.names.classes[name.encode()]]
         for name in route_table.classes
     }
-    assert house.gateway.settings is engine.settings and house.rows.settings is engine.settings
-    assert len(house.rows.usual) == len(engine.settings.classes)
+    assert house.policy.settings is engine.settings and house.selector.settings is engine.settings
+    assert len(house.selector.usual) == len(engine.settings.classes)
     return by_name | classes
 
 
@@ -302,9 +302,9 @@
                 house.engine.name_of(b.info.id): replace(b.info, id=0, key=0, service=0)
                 for b in backends
             }
-            for service, backends in house.rows.rows.items()
+            for service, backends in house.selector.ready_by_service.items()
         },
-        {house.engine.name_of(number) for number in house.rows.backends},
+        {house.engine.name_of(number) for number in house.selector.backends},
         {house.engine.name_of(number) for number in house.backends._pools},
         {entry.name: entry.raw() for entry in house.engine.entries()},
     )
@@ -362,12 +362,12 @@
         assert (
             before.items() <= house.engine.names.plans.items() or not number
         )  # numbers are for good
-        for customer, account in house.gateway.accounts.items():
+        for customer, account in house.policy.accounts.items():
             assert account.plan == plans(house).get(f"t{customer}", account.plan)
         plain.backends.stop()
         for name in rng.sample(list(house.route_table.tenants), 5):
             plan = plans(house)[name]
-            house.gateway.accounts.setdefault(
+            house.policy.accounts.setdefault(
                 int(name[1:]), TenantAccount(plan, 1, 1, 0)
             ).plan = plan
     house.backends.stop()
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -44,33 +44,33 @@
     )
     config_version = zlib.compress(json.dumps(made).encode())
     for last, settled in (({"j": "s2"}, False), ({}, True)):
-        house = DataPlaneNode(checked(SETTINGS))
-        now = house._loop.time()
-        house._apply(
-            watch_response("1~", {}, has_content=True, content=config_version), house._node(), now
+        node = DataPlaneNode(checked(SETTINGS))
+        now = node._loop.time()
+        node._apply(
+            watch_response("1~", {}, has_content=True, content=config_version), node._node(), now
         )
-        assert not house.ready() and not house._node().ready
-        house._apply(watch_response("1~", {"i": "s1"}), house._node(), now)
-        assert not house.ready() and not house._node().ready
-        house._apply(
-            watch_response("1" if settled else "1~", last, settled=settled), house._node(), now
+        assert not node.ready() and not node._node().ready
+        node._apply(watch_response("1~", {"i": "s1"}), node._node(), now)
+        assert not node.ready() and not node._node().ready
+        node._apply(
+            watch_response("1" if settled else "1~", last, settled=settled), node._node(), now
         )
-        assert house.ready() and house._node().ready
-        house._apply(
-            watch_response("2~", {}), house._node(), now
+        assert node.ready() and node._node().ready
+        node._apply(
+            watch_response("2~", {}), node._node(), now
         )  # a later leader, who has not heard of all yet
-        assert house.ready()
-        house.backends.stop()
+        assert node.ready()
+        node.backends.stop()
 
 
-def house_in_touch(**fields: Any) -> DataPlaneNode:
-    house = DataPlaneNode(checked(SETTINGS))
+def node_in_contact(**fields: Any) -> DataPlaneNode:
+    node = DataPlaneNode(checked(SETTINGS))
     config_version = zlib.compress(json.dumps(content(**fields)).encode())
     told = watch_response(
         "1", {"i": "s1"}, has_content=True, content=config_version, counting=True, settled=True
     )
-    house._apply(told, house._node(), house._loop.time())
-    return house
+    node._apply(told, node._node(), node._loop.time())
+    return node
 
 
 async def test_a_store_that_refills_in_a_moment_is_asked_again_before_anybody_is_refused() -> None:
@@ -79,7 +79,7 @@
         {"name": name, "apiKeys": [name], "ratePerS": rate, "burst": rate}
         for name, rate in (("fast", 1000), ("slow", 5))
     ]
-    house = house_in_touch(tenants=tenants)
+    node = node_in_contact(tenants=tenants)
     asked, told = list[tuple[str, float, float]](), list[tuple[Outcome, float | None]]()
     lefts = [
         -2.0,
@@ -98,22 +98,22 @@
             raise CallTimeoutError()
         return pb.Envelope(quota_response=pb.QuotaResponse(left=left))
 
-    house.leader_client.call = call  # type: ignore[method-assign]
+    node.leader_client.call = call  # type: ignore[method-assign]
     for tenant in ("fast", "fast", "fast", "slow", "fast"):
-        customer = house.customer(tenant)
-        house.units.lease(
+        customer = node.customer(tenant)
+        node.units.lease(
             customer, 2.0, 1.5, lambda outcome, _, left=None: told.append((outcome, left))
         )
-        await asyncio.gather(*house.units.calls)
+        await asyncio.gather(*node.units.calls)
     again = [("fast", 2.0, 1.5), ("fast", 2.0, 0.0)]
     assert asked == [*again, *again, ("fast", 2.0, 1.5), ("slow", 2.0, 1.5), ("fast", 2.0, 1.5)]
     ok = [(Outcome.OK, left) for left in (0.5, -2.0, -1.0, -2.0)]
     assert told == [*ok, (Outcome.RESET, None)]
-    house.backends.stop()
+    node.backends.stop()
 
 
 async def test_units_are_asked_for_by_name_and_a_no_holds_for_a_while() -> None:
-    house = house_in_touch()
+    node = node_in_contact()
     asked, granted = list[pb.BudgetRequest](), list[int]()
     answers: list[pb.BudgetResponse | None] = [
         pb.BudgetResponse(all=True, life_ms=300),
@@ -128,58 +128,58 @@
             raise CallTimeoutError()
         return pb.Envelope(budget_response=answer)
 
-    house.leader_client.call = call  # type: ignore[method-assign]
-    units = ((FURTHER, house.service("s1")), (STARTS, 1))
-    began = house.clock.now()
+    node.leader_client.call = call  # type: ignore[method-assign]
+    units = ((FURTHER, node.service("s1")), (STARTS, 1))
+    began = node.clock.now()
     for _ in range(3):
-        house.units.deal(units, granted.append)
-        await asyncio.gather(*house.units.calls)
+        node.units.deal(units, granted.append)
+        await asyncio.gather(*node.units.calls)
     assert [list(deal.whole) for deal in asked] == [["further/s1", "starts/i"]] * 3
-    assert began < granted[0] <= house.clock.now() + 300_000 and granted[1:] == [
+    assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [
         0,
         0,
     ]
-    assert house.rows.is_denied(units[0], began + 150_000)
-    house.config_client.last_response_at = float("-inf")  # out of touch: nothing is asked for
-    house.units.deal(units, granted.append)
-    await asyncio.gather(*house.units.calls)
+    assert node.selector.is_denied(units[0], began + 150_000)
+    node.config_client.last_response_at = float("-inf")  # out of touch: nothing is asked for
+    node.units.deal(units, granted.append)
+    await asyncio.gather(*node.units.calls)
     assert len(asked) == 3 and granted[3] == 0
-    house.backends.stop()
+    node.backends.stop()
 
 
 async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
     """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
-    house = DataPlaneNode(checked(SETTINGS))
+    node = DataPlaneNode(checked(SETTINGS))
     config_version = zlib.compress(json.dumps(content()).encode())
-    house._apply(
+    node._apply(
         watch_response("1", {"i": "s1"}, has_content=True, content=config_version),
-        house._node(),
-        house._loop.time(),
+        node._node(),
+        node._loop.time(),
     )
-    began, at = house._loop.time(), 0.0
-    house._loop = clock = Mock(wraps=house._loop)
+    began, at = node._loop.time(), 0.0
+    node._loop = clock = Mock(wraps=node._loop)
     clock.time.side_effect = lambda: began + at
-    grace, usual, long = house.settings.bounds.grace, 1_000_000, 30_000_000
-    house.rows.usual[1] = usual
-    assert house.may_begin(1, long)
-    stopping = asyncio.ensure_future(house.stop())
+    grace, usual, long = node.settings.bounds.grace, 1_000_000, 30_000_000
+    node.selector.usual[1] = usual
+    assert node.may_begin(1, long)
+    stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)
     begins = {}
     for tenth in range(round(grace * 10) + 1):
         at = tenth / 10
-        begins[tenth] = house.may_begin(1, long), house.may_begin(1, 1_600_000)
+        begins[tenth] = node.may_begin(1, long), node.may_begin(1, 1_600_000)
     stopping.cancel()
     last = max(tenth for tenth, (any_, _) in begins.items() if any_)
     assert 25 <= last < 30 and all(begins[t] == (True, True) for t in range(last + 1))
     last = max(tenth for tenth, (_, short) in begins.items() if short)
     assert grace * 10 - 22 <= last <= grace * 10 - 16
-    house.backends.stop()
+    node.backends.stop()
 
 
 async def serving(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
     """An ingress in front of that server, with units for whoever asks; and the port that clients
     call."""
-    house = DataPlaneNode(checked(SETTINGS))
+    node = DataPlaneNode(checked(SETTINGS))
     made = content(routes=[route(deadline="60s")], **fields)
     told = watch_response(
         "1", {}, has_content=True, content=zlib.compress(json.dumps(made).encode()), counting=True
@@ -188,10 +188,10 @@
     told.server.append(
         pb.Endpoint(id="i", service="s1", addr=address, zone="z", capacity=2, state="ready")
     )
-    house._apply(told, house._node(), house._loop.time())
-    lessor = house.engine.lessor = Mock()
+    node._apply(told, node._node(), node._loop.time())
+    lessor = node.engine.lessor = Mock()
     lessor.lease = lambda customer, amount, told, answered: answered(Outcome.OK, 0.0, 50.0)
-    return house, await house.listener.listen(HOST, 0)
+    return node, await node.listener.listen(HOST, 0)
 
 
 def asked(more: bytes = b"") -> bytes:
@@ -201,22 +201,22 @@
 
 async def test_a_server_is_not_left_at_work_for_a_client_that_has_gone() -> None:
     server = await PeerServer().start()
-    house, port = await serving(server)
+    node, port = await serving(server)
     _, client = await asyncio.open_connection(HOST, port)
     client.write(asked())
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     client.close()
     await server.until(lambda: len(server.closed) == 1)
-    assert house.engine.open == 0
-    house.listener.stop_listening()
-    house.backends.stop()
+    assert node.engine.open == 0
+    node.listener.stop_listening()
+    node.backends.stop()
     server.stop()
 
 
 @pytest.mark.parametrize("most", [0, 65536])
 async def test_a_head_may_be_as_large_as_the_configuration_says(most: int) -> None:
     server = await PeerServer().start()
-    house, port = await serving(server, limits={"maxHeaderBytes": most})
+    node, port = await serving(server, limits={"maxHeaderBytes": most})
     reader, client = await asyncio.open_connection(HOST, port)
     client.write(asked(b"X-Long: %b\r\n" % (b"x" * 40_000)))
     if most:
@@ -224,6 +224,6 @@
     else:
         assert (await asyncio.wait_for(reader.readline(), 10)).split()[1] == b"431"
     client.close()
-    house.listener.stop_listening()
-    house.backends.stop()
+    node.listener.stop_listening()
+    node.backends.stop()
     server.stop()
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -105,10 +105,10 @@
         self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
         self.model, self.asked = Model(), 0
         self.gateway = gateway(SETTINGS, 1, EndpointSelector)
-        rows = self.gateway.fleet
-        assert isinstance(rows, EndpointSelector)
-        rows.place = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
-        self.rows = rows
+        selector = self.gateway.fleet
+        assert isinstance(selector, EndpointSelector)
+        selector.placement = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
+        self.selector = selector
         self.engine = Engine(self.gateway, SETTINGS, Names(SETTINGS, {}), self, lambda: self.time)
         self.engine.servers, self.engine.lessor, self.engine.refusals = self, self, (429, 503)
         self.engine.dealer = self
@@ -148,7 +148,7 @@
         if self.deals:
             units, granted = self.deals.pop(which % len(self.deals))
             if not some:
-                self.rows.denied(units, self.time, self.time + DEALT)
+                self.selector.deny(units, self.time, self.time + DEALT)
             for unit in units * some:
                 self.model.granted.setdefault(unit, []).append(self.time + DEALT)
             granted((self.time + DEALT) * some)
@@ -170,7 +170,7 @@
         again = model.arrivals[sent.request] > 0
         if model.quota[sent.request] and not again:
             use(model.leased, self.time)
-        if sent.backend == 1 and self.rows.backends[1].info.cold_until:
+        if sent.backend == 1 and self.selector.backends[1].info.cold_until:
             use(model.granted.get((STARTS, 1), []), self.time)
         if not again:
             model.saved = min(EVEN * 60.0 / 20, model.saved + 0.2)
