--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -135,4 +135,4 @@
     """All that is asked for is leased."""
     from cairndale.quota.quota_counter import QuotaCounter
 
-    QuotaCounter.lease = lambda self, now, tenant, amount, told: 0.0  # type: ignore[method-assign]
+    QuotaCounter.grant = lambda self, now, tenant, amount, spent: 0.0  # type: ignore[method-assign]
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -13,7 +13,14 @@
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.control.idempotency import IdempotencyCache
 from cairndale.errors import RejectedError, StaleCallError
-from cairndale.quota.budget_counter import FURTHER, LIFE, Budget, BudgetCounter, further, starts
+from cairndale.quota.budget_counter import (
+    BUDGET_GRANT_LIFE_S,
+    RETRY,
+    Budget,
+    BudgetCounter,
+    retry_budget,
+    warmup_budget,
+)
 from cairndale.quota.quota_counter import QuotaCounter
 from cairndale.registry.endpoints import EncodedEndpoint, Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
@@ -131,7 +138,7 @@
         tenants, backends = (state.content.get(table, ()) for table in ("tenants", "backends"))
         self._followed = tenants, backends
         if tenants is not before[0]:
-            self.quota_counter.quotas(
+            self.quota_counter.set_quotas(
                 {
                     t["name"]: (float(t["ratePerS"]), float(t.get("burst") or 0))
                     for t in tenants
@@ -156,16 +163,20 @@
         self._looked_at = now
         edges = self.shared_by(now)
         if self.counting:
-            self.quota_counter.silent(now, self.node_registry.count_isolated(now, edges), edges)
+            self.quota_counter.set_ingresses(
+                now, edges, self.node_registry.count_isolated(now, edges)
+            )
             return False
         if self._was_spent or self.node_registry.all_contacted(now):
             quotas, self.quota_counter = (
                 self.quota_counter,
-                QuotaCounter(now, self._bounds, idle=self.node_registry.common_idle_time(now)),
+                QuotaCounter(now, self._bounds, idle_time=self.node_registry.common_idle_time(now)),
             )
-            self.quota_counter.follow(quotas)
+            self.quota_counter.copy_quotas(quotas)
             self.counting = True
-            self.quota_counter.silent(now, self.node_registry.count_isolated(now, edges), edges)
+            self.quota_counter.set_ingresses(
+                now, edges, self.node_registry.count_isolated(now, edges)
+            )
         return self.counting
 
     def _expire(self, now: float) -> bool:
@@ -216,7 +227,7 @@
         have no bound."""
         self._count(now)
         return (
-            self.quota_counter.lease(now, lease.tenant, lease.amount, lease.told)
+            self.quota_counter.grant(now, lease.tenant, lease.amount, lease.told)
             if self.counting
             else None
         )
@@ -224,17 +235,21 @@
     def deal(self, now: float, deal: pb.BudgetRequest) -> pb.BudgetResponse:
         wanted = {name: self._whole(name) for name in deal.whole}
         known = {name: whole for name, whole in wanted.items() if whole}
-        wait = self.budget_counter.deal(now, known) if len(known) == len(wanted) else WAIT
+        wait = self.budget_counter.grant(now, known) if len(known) == len(wanted) else WAIT
         return pb.BudgetResponse(
-            all=not wait, life_ms=round(LIFE * 1000), wait_ms=round(min(wait, WAIT) * 1000)
+            all=not wait,
+            life_ms=round(BUDGET_GRANT_LIFE_S * 1000),
+            wait_ms=round(min(wait, WAIT) * 1000),
         )
 
     def _whole(self, name: str) -> Budget | None:
         kind, _, of = name.partition("/")
-        if kind == FURTHER:
-            return further(self._bounds) if of in self._warm_per_s else None
+        if kind == RETRY:
+            return retry_budget(self._bounds) if of in self._warm_per_s else None
         seen = self.endpoint_registry.endpoints.get(of)
-        return starts(self._bounds, self._warm_per_s.get(seen.service, 0.0)) if seen else None
+        return (
+            warmup_budget(self._bounds, self._warm_per_s.get(seen.service, 0.0)) if seen else None
+        )
 
     def beats(self, now: float, beats: pb.HeartbeatReport) -> None:
         """Of servers that said nothing new to one that does not lead, so many ms ago."""
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -14,7 +14,7 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
 from cairndale.ingress.policy.interface import Outcome
-from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
+from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
 
 # Costs of an endpoint elsewhere, in usual answers' times: the way there and the price of bytes.
 OTHER_ZONE_COST = 0.5
@@ -137,14 +137,14 @@
             return None
         budget = self.retry_budgets.setdefault(asked.service, RetryBudget())
         needs_grant = again and budget.tokens < 1
-        if needs_grant and self.is_denied((FURTHER, asked.service), now):
+        if needs_grant and self.is_denied((RETRY, asked.service), now):
             return None
         best = self._cheapest_of_service(now, cls, allowed, asked)
         if best is None:
             return None
-        owed: tuple[it.Unit, ...] = ((FURTHER, asked.service),) if needs_grant else ()
+        owed: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
         if best.info.cold_until > now:
-            owed += ((STARTS, best.info.id),)
+            owed += ((WARMUP, best.info.id),)
         self._owed_units = owed
         if again:
             budget.tokens -= not needs_grant
@@ -164,7 +164,7 @@
             cost = self.cost(backend, cls, now) + COST_NOISE * self.rng.random()
             if cost >= best_cost or not allowed(backend):
                 continue
-            if info.cold_until > now and self.is_denied((STARTS, info.id), now):
+            if info.cold_until > now and self.is_denied((WARMUP, info.id), now):
                 continue
             best, best_cost = backend, cost
         return best
@@ -172,7 +172,7 @@
     def _earn(self, budget: RetryBudget) -> None:
         """Credit a service's retry budget with one request."""
         placement = self.placement
-        most = EVEN * placement.retry_slack / placement.ingress_count
+        most = EVEN_RETRY_FRACTION * placement.retry_slack / placement.ingress_count
         earned = budget.tokens + RETRY_RATIO_USED * placement.retry_ratio
         budget.tokens = min(most if most >= 1 else 0.0, earned)
 
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -26,8 +26,8 @@
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
 from cairndale.lookup.selection import Lookups
-from cairndale.quota.budget_counter import FURTHER
-from cairndale.quota.quota_counter import EXPIRY, saved_most
+from cairndale.quota.budget_counter import RETRY
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, max_saved_units
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_LONG_POLL_S, long_poll_timeout, response_timeout
@@ -139,7 +139,7 @@
             calls_out=1e6,
             part=0.25,
             strict=True,
-            expiry=round(EXPIRY * 0.95 * 1e6),
+            expiry=round(QUOTA_GRANT_LIFE_S * 0.95 * 1e6),
         )
         return it.Settings(
             0,
@@ -155,7 +155,7 @@
 
     def _plan(self, tenant: Tenant) -> it.Plan:
         rate, burst = tenant.rate, tenant.burst
-        most = saved_most(rate, burst, self.settings.bounds)
+        most = max_saved_units(rate, burst, self.settings.bounds)
         return it.Plan(tenant.name, rate, max(1.0, burst) if rate else 0.0, saved_most=most)
 
     def _fleet_size(self) -> int:
@@ -446,4 +446,4 @@
         )
 
     def _named(self, kind: str, number: int) -> str:
-        return self._service_names[number] if kind == FURTHER else self.engine.name_of(number)
+        return self._service_names[number] if kind == RETRY else self.engine.name_of(number)
--- a/cairndale/quota/__init__.py
+++ b/cairndale/quota/__init__.py
@@ -1,1 +1,1 @@
-"""The counter of tenants' units, and other shares of what is bounded over all ingresses."""
+"""The leader's counters: tenants' quotas, retry budgets and warm-up budgets over all ingresses."""
--- /dev/null
+++ b/cairndale/quota/token_bucket.py
@@ -0,0 +1,18 @@
+"""A token bucket: a level of units that refills at a rate, up to a capacity."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Its owner knows rate and capacity, which may change between two refills."""
+
+    level: float  # units
+    refilled_at: float  # s, of the owner's clock
+
+    def refill(self, now: float, rate: float, capacity: float) -> None:
+        """Add what has accrued at `rate` units a second; a clock that goes back adds nothing."""
+        self.level = min(capacity, self.level + rate * max(0.0, now - self.refilled_at))
+        self.refilled_at = max(self.refilled_at, now)
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -21,7 +21,7 @@
 from cairndale.control.leadership import server_out
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
 from cairndale.lookup.selection import lookup
-from cairndale.quota.quota_counter import EXPIRY, QuotaCounter
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, QuotaCounter
 from cairndale.registry.endpoints import EndpointRegistry, HeartbeatError, read_heartbeat
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -459,16 +459,18 @@
     bounds = Bounds(quota_overrun=0.1, quota_slack=20)
     rng, now, spent = random.Random(seed), 0.0, list[tuple[float, float]]()
     quota_counter = QuotaCounter(-100.0, bounds)
-    quota_counter.quotas({"t": (rate, burst)})
+    quota_counter.set_quotas({"t": (rate, burst)})
     for gap in gaps:
         now += gap
         if rng.random() < 0.1:
             quota_counter = QuotaCounter(now, bounds)
-            quota_counter.quotas({"t": (rate, burst)})
+            quota_counter.set_quotas({"t": (rate, burst)})
         amount = rng.choice((1.0, rng.uniform(0, 3 * rate)))
-        left = quota_counter.lease(now, "t", amount, 0.0)
+        left = quota_counter.grant(now, "t", amount, 0.0)
         assert left is not None
-        spent.append((now + rng.choice((0.0, EXPIRY)), amount - min(amount, max(0.0, -left))))
+        spent.append(
+            (now + rng.choice((0.0, QUOTA_GRANT_LIFE_S)), amount - min(amount, max(0.0, -left)))
+        )
     for start, _ in spent:
         window = sum(units for at, units in spent if start <= at < start + bounds.quota_window)
         assert (
@@ -476,7 +478,7 @@
             <= (rate * bounds.quota_window + burst) * (1 + bounds.quota_overrun)
             + bounds.quota_slack
         )
-    assert quota_counter.lease(now, "nobody", 1.0, 0.0) is None
+    assert quota_counter.grant(now, "nobody", 1.0, 0.0) is None
 
 
 # Calls and settings.
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -13,7 +13,7 @@
 from cairndale.dataplane.node import DataPlaneNode
 from cairndale.errors import CallTimeoutError
 from cairndale.ingress.policy.interface import Outcome
-from cairndale.quota.budget_counter import FURTHER, STARTS
+from cairndale.quota.budget_counter import RETRY, WARMUP
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import checked
 from tests.control.test_state_models import SETTINGS, content, route
@@ -129,7 +129,7 @@
         return pb.Envelope(budget_response=answer)
 
     node.leader_client.call = call  # type: ignore[method-assign]
-    units = ((FURTHER, node.service("s1")), (STARTS, 1))
+    units = ((RETRY, node.service("s1")), (WARMUP, 1))
     began = node.clock.now()
     for _ in range(3):
         node.units.deal(units, granted.append)
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -20,7 +20,7 @@
 from cairndale.ingress.policy.admission import NEVER_RAN
 from cairndale.ingress.policy.engine import Gateway
 from cairndale.ingress.policy.interface import Outcome, Repeat
-from cairndale.quota.budget_counter import EVEN, FURTHER, STARTS
+from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
 from tests.testing.ingress import Wheel
 
 SECOND = 1_000_000
@@ -171,13 +171,13 @@
         if model.quota[sent.request] and not again:
             use(model.leased, self.time)
         if sent.backend == 1 and self.selector.backends[1].info.cold_until:
-            use(model.granted.get((STARTS, 1), []), self.time)
+            use(model.granted.get((WARMUP, 1), []), self.time)
         if not again:
-            model.saved = min(EVEN * 60.0 / 20, model.saved + 0.2)
+            model.saved = min(EVEN_RETRY_FRACTION * 60.0 / 20, model.saved + 0.2)
         elif model.saved >= 1:
             model.saved -= 1
         else:
-            use(model.granted.get((FURTHER, 1), []), self.time)
+            use(model.granted.get((RETRY, 1), []), self.time)
 
     def ask(self, cls: int, quota: bool = False) -> None:
         self.asked += 1
@@ -373,5 +373,5 @@
         world.deal_out(0, False)
         world.end(0, "answered")
         world.pass_time(400_000)
-    assert 60 < again <= 400 * 0.2 + EVEN * 60 / 20
+    assert 60 < again <= 400 * 0.2 + EVEN_RETRY_FRACTION * 60 / 20
     assert asked == 400 - again
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -18,8 +18,14 @@
 from cairndale.errors import CallError
 from cairndale.ingress.policy.account import ISOLATED_SAVINGS_S
 from cairndale.quota import quota_counter
-from cairndale.quota.budget_counter import LIFE, Budget, BudgetCounter, further, starts
-from cairndale.quota.quota_counter import EXPIRY, saved_most
+from cairndale.quota.budget_counter import (
+    BUDGET_GRANT_LIFE_S,
+    Budget,
+    BudgetCounter,
+    retry_budget,
+    warmup_budget,
+)
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, max_saved_units
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -46,7 +52,7 @@
     warmup_overrun=1.5,
     warmup_slack=5,
 )
-WHOLES = {"further/s": further(BOUNDS), "starts/i": starts(BOUNDS, 5.3)}
+WHOLES = {"further/s": retry_budget(BOUNDS), "starts/i": warmup_budget(BOUNDS, 5.3)}
 KINDS = ("cut", "heal", "leader", "restart", "all restart", "freeze", "thaw")
 Trouble = tuple[float, str, int]  # s after the one before it, which, and whom it strikes
 
@@ -79,7 +85,7 @@
         self,
         seed: int,
         both: bool = False,
-        life: float = LIFE,
+        life: float = BUDGET_GRANT_LIFE_S,
         quota: tuple[float, float, int] = (RATE, BURST, EDGES),
         saves: bool | None = None,
     ) -> None:
@@ -231,7 +237,7 @@
         rate, burst, _ = self.quota
         part, saves = rate / max(1, edge.edges), self.saves
         if saves is None:
-            saves = edge.edges <= saved_most(rate, burst, BOUNDS)
+            saves = edge.edges <= max_saved_units(rate, burst, BOUNDS)
         alone = edge.alone_at
         if self.in_touch(edge):
             alone = self.now
@@ -255,9 +261,12 @@
         except CallError:
             return
         if left is not None and (granted := amount - min(amount, max(0.0, -left))) > 0:
-            wait = self.rng.choice((0.02, EXPIRY * 0.95))
+            wait = self.rng.choice((0.02, QUOTA_GRANT_LIFE_S * 0.95))
             self.later(
-                wait, lambda: edge.tokens.append((asked + EXPIRY * 0.95 / edge.rate, granted))
+                wait,
+                lambda: edge.tokens.append(
+                    (asked + QUOTA_GRANT_LIFE_S * 0.95 / edge.rate, granted)
+                ),
             )
 
     def deal(self, edge: Edge) -> None:
@@ -377,7 +386,12 @@
     world = World(1, quota=SMALL)
     world.run([])
     assert sum(units for _, units in world.spent) > 0.4 * SMALL[0] * 30
-    assert quota_counter.room(*SMALL[:2], BOUNDS, SMALL[2], SMALL[2], 0) == SMALL[1]
+    assert (
+        quota_counter.bucket_capacity(
+            *SMALL[:2], BOUNDS, ingresses=SMALL[2], fewest=SMALL[2], isolated=0
+        )
+        == SMALL[1]
+    )
 
 
 def drawn(seed: int, count: int = 8, edges: int = EDGES) -> list[Trouble]:
@@ -397,7 +411,9 @@
 def full_again(monkeypatch: pytest.MonkeyPatch) -> None:
     """A later leader deals as if nothing had been dealt before."""
     begin = BudgetCounter.__init__
-    monkeypatch.setattr(BudgetCounter, "__init__", lambda self, now, ever: begin(self, now, False))
+    monkeypatch.setattr(
+        BudgetCounter, "__init__", lambda self, now, had_predecessor: begin(self, now, False)
+    )
 
 
 def counts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -409,7 +425,7 @@
 def fast_refill(monkeypatch: pytest.MonkeyPatch) -> None:
     """The life of units that are dealt is left out of the sum."""
     monkeypatch.setattr(
-        Budget, "rate", property(lambda whole: (whole.size - whole.most / 2) / whole.window)
+        Budget, "rate", property(lambda whole: (whole.size - whole.capacity / 2) / whole.window)
     )
 
 
@@ -420,7 +436,11 @@
     if callable(planted):
         planted(monkeypatch)
     for seed in range(60):
-        world = World(seed, both=planted == "both", life=4 * LIFE if planted == "late" else LIFE)
+        world = World(
+            seed,
+            both=planted == "both",
+            life=4 * BUDGET_GRANT_LIFE_S if planted == "late" else BUDGET_GRANT_LIFE_S,
+        )
         world.run(drawn(seed))
         if broken(world):
             return
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -23,7 +23,7 @@
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.errors import CallError, CallTimeoutError, FaultCode, RejectedError
 from cairndale.events import Event
-from cairndale.quota.budget_counter import starts
+from cairndale.quota.budget_counter import warmup_budget
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import leader_client, peer
@@ -621,7 +621,7 @@
     with pytest.raises(CallError) as stale:
         made.units(105.0, unit_call(1, term=2))
     assert stale.value.code is FaultCode.STALE
-    size = starts(Bounds(warmup_slack=5), 5.3).most
+    size = warmup_budget(Bounds(warmup_slack=5), 5.3).capacity
     granted = [
         made.units(105.0, unit_call(9000 + n, deal=True)).budget_response.all for n in range(10)
     ]
