--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -27,7 +27,9 @@
     """Whoever once took the lead answers at once, whether anybody follows it still or not."""
     _module("cairndale.control.read_index").ReadIndex._is_met = lambda self, waiting, stand: True
     machine = _module("cairndale.raft.node")
-    machine.RaftNode.leads = lambda self, now: self.role is machine.Role.LEADER and self._opened
+    machine.RaftNode.leads = lambda self, now: (
+        self.role is machine.Role.LEADER and self._has_committed_in_term
+    )
     follow = machine.RaftNode._become_follower
 
     def stay(self: Any, now: float, step: Any, term: int, leader: Any) -> None:
@@ -88,14 +90,16 @@
 def gone_members_vote() -> None:
     """Whoever comes votes, and nobody is taken out."""
     membership = _module("cairndale.raft.membership")
-    membership.next_voters = lambda members, *more: frozenset(m.disk for m in members)
+    membership.next_voters = lambda members, *more: frozenset(m.disk_id for m in members)
 
 
 def new_majority_only() -> None:
     """A change counts by the new voters alone, and several are made at once."""
     replica = _module("cairndale.raft.replica").Replica
-    replica._quorums = lambda self: (self._voters,)
-    _module("cairndale.raft.membership").Membership._may_change = lambda self: self._opened
+    replica._voter_sets = lambda self: (self._voters,)
+    _module("cairndale.raft.membership").Membership._may_change_members = lambda self: (
+        self._has_committed_in_term
+    )
 
 
 def unsynced_votes() -> None:
@@ -114,14 +118,14 @@
 def torn_snapshot() -> None:
     """A snapshot counts as installed with the tables of before in it."""
     machine = _module("cairndale.raft.node").RaftNode
-    install = machine.install
+    install = machine.install_snapshot
 
     def torn(self: Any, now: float, snapshot: Any) -> Any:
         step = install(self, now, snapshot)
-        step.restored = None
+        step.restored_snapshot = None
         return step
 
-    machine.install = torn
+    machine.install_snapshot = torn
 
 
 # Answers and words of others.
--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -246,7 +246,7 @@
             return USAGE
         try:
             store = RaftStorage(folder, look=True)
-            disk, kept = store.disk(), store.load()
+            disk, kept = store.disk_id(), store.load()
             store.close()
             state = State.decode(kept.snapshot.state)
         except (StorageError, FormatError) as error:
@@ -264,7 +264,7 @@
             members = entry.members or members
         self.line(f"disk {disk}; term {kept.term}, promised to {kept.voted_for or 'nobody'}")
         for role, learner in (("voters", False), ("learners", True)):
-            shown = [f"{m.address} ({m.disk})" for m in members if m.learner is learner]
+            shown = [f"{m.address} ({m.disk_id})" for m in members if m.learner is learner]
             self.line(f"{role}: {', '.join(shown) or 'none'}")
         last = kept.entries[-1].index if kept.entries else kept.snapshot.index
         self.line(
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -101,7 +101,7 @@
         return None
 
     def _applying(self, entry: Entry) -> Generator[None, None, bool]:
-        if entry.opens:  # who made the parts before it leads no longer
+        if entry.is_term_start:  # who made the parts before it leads no longer
             self._begun = None
             if self.tells:
                 yield from self.state.encode_content_steps()
--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -56,12 +56,14 @@
 
     def follow(self, step: Ready) -> None:
         """Takes over what a step has restored or committed, and begins to apply it."""
-        if step.restored:
+        if step.restored_snapshot:
             self._applier.restore(
-                self._snapshot_worker.read, step.restored.index, step.restored.term
+                self._snapshot_worker.read,
+                step.restored_snapshot.index,
+                step.restored_snapshot.term,
             )
             self._is_snapshot_due = False
-        self._applier.take(step.delivered)
+        self._applier.take(step.committed_entries)
         self._run_turn()
 
     def _run_turn(self) -> None:
--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -83,7 +83,9 @@
 
     def _begin(self) -> None:
         raft, state = self._raft, self._applier.state
-        ever_led = raft.base.index > 0 or any(e.opens and e.term < raft.term for e in raft.log)
+        ever_led = raft.base_snapshot.index > 0 or any(
+            e.is_term_start and e.term < raft.term for e in raft.log
+        )
         self._current = Leadership(
             raft.term,
             self._clock.now(),
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -31,7 +31,7 @@
 from cairndale.events import Event, log_event
 from cairndale.http_api.server import HttpServer
 from cairndale.raft.messages import Member, PersistedState, Ready
-from cairndale.raft.node import RaftNode, founded, founder
+from cairndale.raft.node import RaftNode, bootstrap_member, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
 from cairndale.registry.endpoints import EndpointRegistry
@@ -194,10 +194,10 @@
         """Waits, `LEAVE` seconds at most, until others hold the leadership and this one's vote."""
         until = self.now() + LEAVE
         self.machine.leave()
-        while not self.machine.is_out() and self.now() < until:
+        while not self.machine.has_left() and self.now() < until:
             await asyncio.sleep(TICK)
         leads = self.machine.role is Role.LEADER
-        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.machine.may_stand())
+        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.machine.may_campaign())
 
     async def _tick_forever(self) -> None:
         while True:
@@ -220,14 +220,14 @@
         Only at the first start of the system does a disk get a founder's name. An empty one at any
         later start is a new member's, whatever the disk before it held.
         """
-        disk = self._storage.disk()
+        disk = self._storage.disk_id()
         if disk:
             return disk, self._storage.load()
         if self.settings.bootstrap and own in self._seeds:
-            disk = founder(own).disk
-            persisted = founded(founder(address) for address in self._seeds)
+            disk = bootstrap_member(own).disk_id
+            persisted = bootstrap_state(bootstrap_member(address) for address in self._seeds)
         else:
-            disk, persisted = f"{random.SystemRandom().getrandbits(64):016x}", founded(())
+            disk, persisted = f"{random.SystemRandom().getrandbits(64):016x}", bootstrap_state(())
         self._storage.begin(disk, persisted)
         log_event(Event.DISK_NAMED, "%s", disk)
         return disk, persisted
@@ -235,8 +235,8 @@
     # What the node does with a step of the Raft state machine, between its parts.
 
     def _install_snapshot(self, step: Ready) -> None:
-        if step.received:
-            self.snapshot_worker.install(step.received)
+        if step.received_snapshot:
+            self.snapshot_worker.install(step.received_snapshot)
 
     def _log_members(self, _: Ready) -> None:
         members = self.machine.members
@@ -306,7 +306,7 @@
         the log held. `at_once`: a heartbeat is sent for it, else the next one is waited for. Raises
         NotLeaderError.
         """
-        index = self.machine.last if decided else self.machine.commit_index
+        index = self.machine.last_index if decided else self.machine.commit_index
         await self.read_index.confirm(called, term, index, at_once)
 
     async def hear(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
@@ -324,6 +324,7 @@
     def core_shown(self) -> dict[str, Any]:
         """The cluster's members, for operators."""
         members = [
-            [m.address, m.disk, "learner" if m.learner else "voter"] for m in self.machine.members
+            [m.address, m.disk_id, "learner" if m.learner else "voter"]
+            for m in self.machine.members
         ]
         return {"leader": self.me.address, "members": members}
--- a/cairndale/control/raft_driver.py
+++ b/cairndale/control/raft_driver.py
@@ -45,7 +45,7 @@
 
     def receive(self, message: Message) -> None:
         """Hands another member's message to the state machine."""
-        self.carry_out(self._raft.received(self._clock.now(), message))
+        self.carry_out(self._raft.receive(self._clock.now(), message))
 
     def carry_out(self, step: Ready) -> None:
         """Carries a step of the state machine out: on disk, to the others, then to listeners."""
@@ -53,10 +53,10 @@
             self.persist(step.writes)
         for address, message in step.sends:
             self._rpc_peer.tell(address, pb.Envelope(log_message=codec.message_out(message)))
-        if step.dropped:
-            log_event(Event.SNAPSHOT_DROPPED, "%s", step.dropped)
-        if step.spoilt:
-            log_event(Event.ENTRY_DROPPED, "%s", step.spoilt)
+        if step.rejected_chunk:
+            log_event(Event.SNAPSHOT_DROPPED, "%s", step.rejected_chunk)
+        if step.corrupt_entry:
+            log_event(Event.ENTRY_DROPPED, "%s", step.corrupt_entry)
         for listener in self._listeners:
             listener(step)
 
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -37,10 +37,10 @@
     def leads(self, now: float) -> bool:
         """Whether this node holds the leader lease."""
 
-    def contact(self, now: float) -> float:
+    def last_quorum_contact(self, now: float) -> float:
         """When that was sent which a majority has answered last."""
 
-    def hurry(self, now: float, apart: float) -> Ready:
+    def heartbeat_soon(self, now: float, apart: float) -> Ready:
         """Heartbeats ahead of time, if the last ones were sent `apart` seconds ago or more."""
 
 
@@ -77,7 +77,9 @@
 
     def _stand(self) -> _Stand:
         raft, now = self._raft, self._clock.now()
-        return _Stand(raft.term, raft.leads(now), raft.contact(now), self._applied_index())
+        return _Stand(
+            raft.term, raft.leads(now), raft.last_quorum_contact(now), self._applied_index()
+        )
 
     def _is_met(self, waiting: _Waiting, stand: _Stand) -> bool:
         if stand.term != waiting.term:
@@ -112,7 +114,7 @@
         self._timer = None
         if not self._waiting:
             return
-        step = self._raft.hurry(self._clock.now(), APART)
+        step = self._raft.heartbeat_soon(self._clock.now(), APART)
         if step.sends:
             self._carry_out(step)
         else:
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -62,7 +62,11 @@
 
     def make(self, raw: dict[str, Any], index: int) -> None:
         """A snapshot of the state as it is after this entry. One at a time."""
-        if not self._makes and index > self._machine.base.index and self._now() >= self._not_before:
+        if (
+            not self._makes
+            and index > self._machine.base_snapshot.index
+            and self._now() >= self._not_before
+        ):
             self._makes = True
             self._begin(self._making(raw, index))
 
@@ -110,9 +114,9 @@
                 digest.update(part)
                 if len(made) > AT_ONCE:
                     yield
-            if index <= self._machine.base.index:  # one was installed meanwhile
+            if index <= self._machine.base_snapshot.index:  # one was installed meanwhile
                 return
-            snapshot = self._machine.snapshot(index, b"".join(made), digest.digest())
+            snapshot = self._machine.make_snapshot(index, b"".join(made), digest.digest())
             if len(snapshot.state) > STAGED:
                 for at in range(0, len(snapshot.state), STAGED):
                     yield
@@ -134,9 +138,9 @@
         except serialization.FormatError as error:
             log_event(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
             return
-        step = self._machine.install(self._now(), snapshot)
+        step = self._machine.install_snapshot(self._now(), snapshot)
         self._carry(step)
-        if step.restored:
+        if step.restored_snapshot:
             log_event(
                 Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state)
             )
--- a/cairndale/raft/codec.py
+++ b/cairndale/raft/codec.py
@@ -25,7 +25,9 @@
 
 def _members_out(members: Iterable[Member]) -> list[pb.Member]:
     return [
-        pb.Member(address=m.address, disk=m.disk, zone=m.zone, region=m.region, learner=m.learner)
+        pb.Member(
+            address=m.address, disk=m.disk_id, zone=m.zone, region=m.region, learner=m.learner
+        )
         for m in members
     ]
 
@@ -45,7 +47,7 @@
         term=entry.term,
         data=entry.data,
         members=_members_out(entry.members),
-        opens=entry.opens,
+        opens=entry.is_term_start,
     )
 
 
@@ -94,7 +96,7 @@
 def message_out(message: Message) -> pb.LogMessage:
     sender = message.sender
     made = pb.LogMessage(
-        term=message.term, sender=pb.Member(address=sender.address, disk=sender.disk)
+        term=message.term, sender=pb.Member(address=sender.address, disk=sender.disk_id)
     )
     if isinstance(
         message, Join | Leave
@@ -105,8 +107,8 @@
             made.request_vote.CopyFrom(
                 pb.RequestVote(
                     pre_vote=message.pre_vote,
-                    last_index=message.last_index,
-                    last_term=message.last_term,
+                    last_index=message.last_log_index,
+                    last_term=message.last_log_term,
                     transfer=message.transfer,
                 )
             )
@@ -122,21 +124,25 @@
                     prev_term=message.prev_term,
                     entries=entries,
                     commit_index=message.commit_index,
-                    sent=message.sent,
+                    sent=message.sent_at_us,
                 )
             )
         case AppendReply():
             made.append_reply.CopyFrom(
-                pb.AppendReply(ok=message.ok, match=message.match, sent=message.sent)
+                pb.AppendReply(
+                    ok=message.success, match=message.match_index, sent=message.sent_at_us
+                )
             )
         case InstallSnapshot():
             part = _head_pb(message.head)
             part.offset, part.data, part.checksum = message.offset, message.data, message.checksum
-            part.sent = message.sent
+            part.sent = message.sent_at_us
             made.install_snapshot.CopyFrom(part)
         case SnapshotReply():
             made.snapshot_reply.CopyFrom(
-                pb.SnapshotReply(index=message.index, wanted=message.wanted, sent=message.sent)
+                pb.SnapshotReply(
+                    index=message.index, wanted=message.wanted, sent=message.sent_at_us
+                )
             )
         case Join():
             made.join.SetInParent()
--- a/cairndale/raft/messages.py
+++ b/cairndale/raft/messages.py
@@ -12,7 +12,7 @@
     role."""
 
     address: str  # host:port
-    disk: str  # drawn anew for each disk
+    disk_id: str  # drawn anew for each disk
     zone: str = field(default="", compare=False)  # empty: not told yet
     region: str = field(default="", compare=False)
     learner: bool = field(
@@ -28,7 +28,7 @@
     members: tuple[
         Member, ...
     ] = ()  # the configuration from here on, if any are named: voters, learners
-    opens: bool = False  # the first of its term
+    is_term_start: bool = False  # the first of its term
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     snapshot: Snapshot = field(default_factory=Snapshot)
     entries: list[Entry] = field(default_factory=list)  # those after the snapshot
     # the first parts of one that is being received
-    incoming: tuple[SnapshotHead, bytes] | None = None
+    partial_snapshot: tuple[SnapshotHead, bytes] | None = None
 
 
 # What members say to one another.
@@ -80,8 +80,8 @@
     term: int
     sender: Member
     pre_vote: bool  # asks who would give their vote; nobody is bound by the answer
-    last_index: int
-    last_term: int
+    last_log_index: int
+    last_log_term: int
     transfer: bool = False  # the leader of the term before asked for it, and has given its lease up
 
 
@@ -101,16 +101,16 @@
     prev_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    sent: int  # the leader's clock, us: comes back with the answer
+    sent_at_us: int  # the leader's clock, us: comes back with the answer
 
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
     term: int
     sender: Member
-    ok: bool
-    match: int  # all up to here is on disk; if not ok: where to try again
-    sent: int
+    success: bool
+    match_index: int  # all up to here is on disk; if not ok: where to try again
+    sent_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -123,7 +123,7 @@
     offset: int  # of the data in the state
     data: bytes
     checksum: int  # of the data
-    sent: int  # the leader's clock, us: comes back with the answer
+    sent_at_us: int  # the leader's clock, us: comes back with the answer
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,7 +132,7 @@
     sender: Member
     index: int  # of the snapshot
     wanted: int  # all before this offset is on disk
-    sent: int
+    sent_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,9 +183,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveEntries:
-    """Entries from `first` on are replaced by these."""
+    """Entries from `first_index` on are replaced by these."""
 
-    first: int
+    first_index: int
     entries: tuple[Entry, ...]
 
 
@@ -201,10 +201,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """In place of all entries up to its index; with `alone`, of all entries."""
+    """In place of all entries up to its index; with `replaces_log`, of all entries."""
 
     snapshot: Snapshot
-    alone: bool
+    replaces_log: bool
 
 
 Write = HardState | SaveEntries | SaveSnapshotChunk | SaveSnapshot
@@ -214,8 +214,12 @@
 class Ready:
     writes: list[Write] = field(default_factory=list)
     sends: list[tuple[str, Message]] = field(default_factory=list)
-    received: Snapshot | None = None  # whole: once its state has been read, it is to be installed
-    restored: Snapshot | None = None  # the state is to become this, before what is delivered
-    dropped: str = ""  # what came and was not taken, and why
-    spoilt: str = ""  # entries that came not as they were made, and are asked for again
-    delivered: list[Entry] = field(default_factory=list)
+    received_snapshot: Snapshot | None = (
+        None  # whole: once its state has been read, it is to be installed
+    )
+    restored_snapshot: Snapshot | None = (
+        None  # the state is to become this, before what is delivered
+    )
+    rejected_chunk: str = ""  # what came and was not taken, and why
+    corrupt_entry: str = ""  # entries that came not as they were made, and are asked for again
+    committed_entries: list[Entry] = field(default_factory=list)
--- a/cairndale/raft/storage.py
+++ b/cairndale/raft/storage.py
@@ -68,7 +68,7 @@
             raise StorageError(str(error)) from error
         self._look = look
 
-    def disk(self) -> str:
+    def disk_id(self) -> str:
         """The name that it was given; nothing on an empty one."""
         with self._env.begin(self._meta) as look:
             found = look.get(b"format")
@@ -137,7 +137,7 @@
                 struct.unpack(">Q", promise[:8])[0], promise[8:].decode(), snapshot
             )
             if (pointer := look.get(RECEIVED, db=self._meta)) is not None:
-                kept.incoming = self._read(look, pointer)
+                kept.partial_snapshot = self._read(look, pointer)
             with look.cursor(self._entries) as cursor:
                 for key, value in cursor:
                     entry = codec.entry_in(value)
--- a/cairndale/raft/voters.py
+++ b/cairndale/raft/voters.py
@@ -25,11 +25,11 @@
 
 
 def _zone(member: Member) -> str:
-    return member.zone or f" {member.disk}"  # not told: a place of its own
+    return member.zone or f" {member.disk_id}"  # not told: a place of its own
 
 
 def _region(member: Member) -> str:
-    return member.region or f" {member.disk}"
+    return member.region or f" {member.disk_id}"
 
 
 def _top(places: Iterable[str], count: int) -> int:
@@ -39,7 +39,7 @@
 def shortfall(voters: Sequence[Member], lost: Collection[str], tolerance: Tolerance) -> int:
     """How many voters a majority lacks after the worst loss, with those disks lost already; 0:
     none."""
-    live = [m for m in voters if m.disk not in lost]
+    live = [m for m in voters if m.disk_id not in lost]
     worst = max(
         min(tolerance.nodes, len(live)),
         _top((_zone(m) for m in live), tolerance.zones),
@@ -105,9 +105,11 @@
     the leader's, which stays. No set that bears less takes the place of another."""
     away = frozenset((*lost, *leaving))
     before = [m for m in members if not m.learner]
-    spare = [m for m in members if m.learner and m.disk in fit and m.disk not in away]
+    spare = [m for m in members if m.learner and m.disk_id in fit and m.disk_id not in away]
     # As many as those give that are there, and no fewer because some are silent.
-    there = [m for m in members if (m.disk in steady or m.disk == keep) and m.disk not in away]
+    there = [
+        m for m in members if (m.disk_id in steady or m.disk_id == keep) and m.disk_id not in away
+    ]
     now, count = list(before), wanted(there, tolerance)
     most = max(count, wanted(members, tolerance))
 
@@ -127,12 +129,12 @@
         spare[:] = [m for m in spare if m not in now]
 
     for one in sorted(
-        (m for m in before if m.disk in away), key=lambda m: (m.disk not in leaving, m)
+        (m for m in before if m.disk_id in away), key=lambda m: (m.disk_id not in leaving, m)
     ):
-        if one.disk != keep and (other := swapped(one)):
+        if one.disk_id != keep and (other := swapped(one)):
             take(other)
     for one in [
-        m for m in now if m.disk in leaving and m.disk != keep
+        m for m in now if m.disk_id in leaving and m.disk_id != keep
     ]:  # nobody can take its place
         rest = [m for m in now if m != one]
         if rest and (lacks(rest) < lacks(now) or len(now) > most):
@@ -150,16 +152,16 @@
         fewer = list(now)
         while len(fewer) > most:
             out = min(
-                (m for m in fewer if m.disk != keep),
-                key=lambda m: (lacks([o for o in fewer if o != m]), m.disk not in away, m),
+                (m for m in fewer if m.disk_id != keep),
+                key=lambda m: (lacks([o for o in fewer if o != m]), m.disk_id not in away, m),
             )
             fewer.remove(out)
         if lacks(fewer) <= lacks(now):
             take(fewer)
     for _ in range(SWAPS):
-        options = [o for m in now if m.disk != keep and (o := swapped(m))]
+        options = [o for m in now if m.disk_id != keep and (o := swapped(m))]
         best = min(options, key=lambda o: (lacks(o), _pairs(o)), default=now)
         if (lacks(best), _pairs(best)) >= (lacks(now), _pairs(now)):
             break
         take(best)
-    return frozenset(m.disk for m in now)
+    return frozenset(m.disk_id for m in now)
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -186,7 +186,10 @@
             return reached
 
         log = SimpleNamespace(
-            term=1, leads=lambda at: True, contact=contact, hurry=lambda at, apart: Ready()
+            term=1,
+            leads=lambda at: True,
+            last_quorum_contact=contact,
+            heartbeat_soon=lambda at, apart: Ready(),
         )
         clock = SimpleNamespace(now=now)
         made: Any = ReadIndex(log, clock, lambda: 4, lambda step: None)  # type: ignore[arg-type]
--- a/tests/measurements/measure_control.py
+++ b/tests/measurements/measure_control.py
@@ -27,12 +27,14 @@
         for to, message in step.sends:
             wait = self.rng.uniform(*DELAY)
             self.later(wait, lambda to=to, message=message: self.pass_on(address, to, message))  # type: ignore[misc]
-        if step.restored:
-            self.delivered[address] = step.restored.index
-        for entry in step.delivered:
+        if step.restored_snapshot:
+            self.delivered[address] = step.restored_snapshot.index
+        for entry in step.committed_entries:
             self.delivered[address] = entry.index
-        if step.received:
-            self.do(address, self.machines[address].install(self.now, step.received))
+        if step.received_snapshot:
+            self.do(
+                address, self.machines[address].install_snapshot(self.now, step.received_snapshot)
+            )
 
 
 def without(kind: str, seed: int) -> float:
@@ -71,7 +73,7 @@
         named = [Member(f"m{n}:1", f"d{n}") for n in range(members)]
         kept = PersistedState(snapshot=Snapshot(0, 0, tuple(named)))
         for store, member in zip(stores, named, strict=True):
-            store.begin(member.disk, kept)
+            store.begin(member.disk_id, kept)
         begun, syncs = time.perf_counter(), 0
         for index in range(1, count + 1):
             for store in stores[: members // 2 + 1]:  # what an acknowledgement waits for
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -33,7 +33,7 @@
     SaveEntries,
     Snapshot,
 )
-from cairndale.raft.node import RaftNode, founded
+from cairndale.raft.node import RaftNode, bootstrap_state
 from cairndale.raft.snapshot_transfer import SnapshotTransfer, messages
 from cairndale.raft.storage import RaftStorage
 from tests.raft.test_catch_up import PADDING, away, in_parts, large
@@ -90,7 +90,7 @@
 
     def __init__(self, folder: Path, me: Member, kept: PersistedState, log: list[Entry]) -> None:
         self.store = RaftStorage(folder)
-        self.store.begin(me.disk, kept)
+        self.store.begin(me.disk_id, kept)
         self.store.write([SaveEntries(1, tuple(log))])
         self.machine = RaftNode(
             me, PersistedState(1, "", kept.snapshot, log), 0.0, random.Random(1)
@@ -101,8 +101,8 @@
 
     def do(self, made: Ready) -> None:
         self.store.write(made.writes)
-        self.received = made.received or self.received
-        if made.restored:
+        self.received = made.received_snapshot or self.received
+        if made.restored_snapshot:
             self.state = self.snapshot_worker.read
 
     def run(self, name: str) -> None:
@@ -118,9 +118,9 @@
     with step("make: begin"):
         leader.snapshot_worker.make(state.to_dict(), 128)
     leader.run("make: encode, stage, point, sweep")
-    made = leader.machine.base
+    made = leader.machine.base_snapshot
     print(f"snapshot: {len(made.state)} bytes")
-    other = Side(folder / "b", OTHER, founded(()), [])
+    other = Side(folder / "b", OTHER, bootstrap_state(()), [])
     out, now = SnapshotTransfer(made, 0.0), 0.0
     while other.received is None:
         now += 0.001
@@ -133,12 +133,12 @@
             with step("receive: take a part, on disk"):
                 message = codec.message_in(codec.pb.LogMessage.FromString(data))
                 assert isinstance(message, InstallSnapshot)
-                other.do(other.machine.received(now, message))
-                out.replied(now, made.index, len(other.machine.incoming._data))
+                other.do(other.machine.receive(now, message))
+                out.replied(now, made.index, len(other.machine.snapshot_receiver._data))
     with step("install: begin"):
         other.snapshot_worker.install(other.received)
     other.run("install: read, point, sweep")
-    assert other.state == state and other.machine.base == made
+    assert other.state == state and other.machine.base_snapshot == made
     for side in (leader, other):
         side.store.close()
         with step("start: load and read, before the loop"):
@@ -176,7 +176,7 @@
 
 def commands(folder: Path, state: State, first: dict[str, Any]) -> None:
     """In parts and steps, as `Core` and `Desk` do it, with a disk."""
-    side = Side(folder / "c", ME, founded([ME]), [])
+    side = Side(folder / "c", ME, bootstrap_state([ME]), [])
     applier, count = Applier(State()), 0
     body, content = json.dumps(first).encode(), {n: v for n, v in first.items() if n != "parent"}
     for name, work in (
--- a/tests/raft/test_catch_up.py
+++ b/tests/raft/test_catch_up.py
@@ -5,7 +5,7 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 import pytest
 
@@ -38,10 +38,10 @@
         self.disks[address].write(step.writes)
         for to, message in step.sends:
             self.put(address, to, message)
-        if step.restored:
-            self.delivered[address] = step.restored.index
+        if step.restored_snapshot:
+            self.delivered[address] = step.restored_snapshot.index
         made = self.machines[address]
-        for entry in step.delivered:
+        for entry in step.committed_entries:
             assert entry.index == self.delivered[address] + 1
             self.delivered[address] = entry.index
             known = self.order.setdefault(entry.index, (entry.term, entry.data))
@@ -50,20 +50,20 @@
                 self.acked.add(entry.data)
             if entry.index % self.every == 0:
                 self.later(0.0, lambda index=entry.index: self.compact(address, made, index))  # type: ignore[misc]
-        if step.received and step.received.index:
-            assert step.received.state[-8:] == b"%8d" % step.received.index
-        if step.received:
-            self.do(address, made.install(self.now, step.received))
+        if step.received_snapshot and step.received_snapshot.index:
+            assert step.received_snapshot.state[-8:] == b"%8d" % step.received_snapshot.index
+        if step.received_snapshot:
+            self.do(address, made.install_snapshot(self.now, step.received_snapshot))
         leaders = [d for d, m in self.machines.items() if m.leads(self.now)]
         assert len(leaders) <= 1, "two hold the duty"
         for leader in leaders:
             newest = max(self.order, default=0)
-            assert self.machines[leader].last >= newest, "one with old state leads"
+            assert self.machines[leader].last_index >= newest, "one with old state leads"
 
     def compact(self, address: str, made: RaftNode, index: int) -> None:
         state = PADDING[: self.size - 8] + b"%8d" % index
-        if self.machines.get(address) is made and index > made.base.index:
-            self.do(address, made.compact(made.snapshot(index, state)))
+        if self.machines.get(address) is made and index > made.base_snapshot.index:
+            self.do(address, made.compact(made.make_snapshot(index, state)))
 
     def put(self, address: str, to: str, message: Message) -> None:
         way = (address, to)
@@ -156,7 +156,9 @@
     over the way that carries the snapshot."""
     world, leader, one = away(3)
     made = world.machines[leader]
-    made.tail = type(made.tail)()  # it was away for longer than the log's tail goes back
+    made.compacted_tail = type(
+        made.compacted_tail
+    )()  # it was away for longer than the log's tail goes back
     world.start(one)
     world.under_load(2.0)
     (third,) = {*SEEDS} - {leader, one}
@@ -165,19 +167,24 @@
     for _ in range(3000):
         world.run(0.01)
         held += made.leads(world.now)
-        if made.commit_index == made.last and world.machines[one].commit_index == made.last:
+        if (
+            made.commit_index == made.last_index
+            and world.machines[one].commit_index == made.last_index
+        ):
             break
     assert held / (_ + 1) > 0.999, "the duty was lost"
     assert world.leader() == leader
-    assert world.machines[one].commit_index == made.last
+    assert world.machines[one].commit_index == made.last_index
 
 
 def test_it_goes_on_where_it_was_after_a_cut_a_restart_and_a_change_of_the_leader() -> None:
     world, leader, one = away(4)
     (third,) = {*SEEDS} - {leader, one}
     for address in (leader, third):
-        world.machines[address].tail = type(world.machines[address].tail)()
-    assert world.machines[leader].base.head == world.machines[third].base.head  # made alike at each
+        world.machines[address].compacted_tail = type(world.machines[address].compacted_tail)()
+    assert (
+        world.machines[leader].base_snapshot.head == world.machines[third].base_snapshot.head
+    )  # made alike at each
     world.start(one)
     world.run(4.0)
     world.cut = {frozenset((leader, one))}
@@ -188,7 +195,7 @@
     world.run(1.0)
     world.start(one)
     world.run(4.0)
-    got = len(world.disks[one].kept.incoming[1])  # type: ignore[index]
+    got = len(world.disks[one].kept.partial_snapshot[1])  # type: ignore[index]
     assert got > STATE / 2, "it began anew"
     world.kill(leader)  # nobody but the third can lead
     world.run(3.0)
@@ -337,7 +344,7 @@
         self.hangs, self.frozen[address] = "", []
         if self.rng.random() < 0.5:
             self.disks[address].write(step.writes)
-            step = Ready([], step.sends, step.received, step.restored, step.dropped, step.delivered)
+            step = replace(step, writes=[])
         made = self.machines[address]
         self.later(4.0, lambda: self.ends(address, made, step))
 
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -27,7 +27,7 @@
 from cairndale.raft import fragments
 from cairndale.raft.fragments import FragmentKind
 from cairndale.raft.messages import AppendEntries, AppendReply, Entry, Member, SaveEntries
-from cairndale.raft.node import BATCH, RaftNode, founded
+from cairndale.raft.node import BATCH, RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
 from tests.control.test_operations import History, first, operator, read
@@ -138,7 +138,7 @@
                             Verb.EVACUATE, f"o{len(data)}", zone=f"z{rng.randint(1, 3)}"
                         ).encode()
                     )
-    return [Entry(n, 1, d, opens=not d) for n, d in enumerate(data, 1)]
+    return [Entry(n, 1, d, is_term_start=not d) for n, d in enumerate(data, 1)]
 
 
 def plain_reading(log: list[Entry]) -> State:
@@ -152,7 +152,7 @@
             or (last := fragments.read(entry.data)).kind is not FragmentKind.LAST
         ):
             continue
-        opened = max((n for n in range(at) if log[n].opens), default=0)
+        opened = max((n for n in range(at) if log[n].is_term_start), default=0)
         before = [fragments.read(e.data) for e in log[opened:at] if fragments.is_fragment(e.data)]
         found = before[max(0, len(before) - last.number) :]
         if [(p.kind, p.number) for p in found] == [
@@ -173,7 +173,7 @@
         if applier.is_whole and rng.random() < 0.3:  # a snapshot, and a start from it
             applier = made(State.decode(applier.state.encode()), entry.index, entry.term)
     assert applier.state == plain_reading(log), "not as the plain reading of the log"
-    assert in_force([Entry(len(log) + 1, 99, opens=True)], applier).is_whole, (
+    assert in_force([Entry(len(log) + 1, 99, is_term_start=True)], applier).is_whole, (
         "not as the plain reading: open"
     )
     return applier.state.gen > 0
@@ -219,7 +219,7 @@
 
 class StaysOpen(Applier):
     def _applying(self, entry: Entry) -> Generator[None, None, bool]:
-        return (yield from super()._applying(replace(entry, opens=False)))
+        return (yield from super()._applying(replace(entry, is_term_start=False)))
 
 
 class AlwaysWhole(Applier):
@@ -230,7 +230,7 @@
     "digest": reads(no_digest),
     "number": reads(neither_number),
     "void": reads(lambda applier, part: None if part.kind is FragmentKind.VOID else part),
-    "opens": StaysOpen,
+    "is_term_start": StaysOpen,
 }
 
 
@@ -252,7 +252,7 @@
     assert len(log) > 3
     for after in range(100):
         store = RaftStorage(tmp_path / str(after))
-        store.begin("x", founded([ME]))
+        store.begin("x", bootstrap_state([ME]))
         env, store._env = store._env, Killed(store._env, after)
         try:
             for entry in log:
@@ -270,7 +270,7 @@
 
 def test_a_part_that_a_disk_has_spoilt_is_told(tmp_path: Path) -> None:
     store = RaftStorage(tmp_path)
-    store.begin("x", founded([ME]))
+    store.begin("x", bootstrap_state([ME]))
     store.write([SaveEntries(1, (Entry(1, 1, spoils(whole_or_parts(replaced(1, 0))[0])),))])
     with pytest.raises(StorageError, match="entry 1 is not as it was written"):
         store.load()
@@ -281,18 +281,20 @@
 ) -> None:
     log = [Entry(n, 1, data) for n, data in enumerate(whole_or_parts(replaced(1, 0, 9_000)), 1)]
     came = (log[0], replace(log[1], data=spoils(log[1].data)), log[2])
-    machine = RaftNode(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
+    machine = RaftNode(ME, bootstrap_state([ME, Member("b:1", "y")]), 0.0, random.Random(1))
     for entries, match in ((came, 1), (tuple(log), len(log))):
-        step = machine.received(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, entries, 0, 7))
+        step = machine.receive(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, entries, 0, 7))
         (reply,) = (m for _, m in step.sends if isinstance(m, AppendReply))
         assert (
-            reply.ok and reply.match == match == machine.last and bool(step.spoilt) == (match == 1)
+            reply.success
+            and reply.match_index == match == machine.last_index
+            and bool(step.corrupt_entry) == (match == 1)
         )
     assert machine.log == log
     monkeypatch.setattr(fragments, "is_sound", lambda data: True)
-    machine = RaftNode(ME, founded([ME, Member("b:1", "y")]), 0.0, random.Random(1))
-    machine.received(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, came, 0, 7))
-    assert machine.last == 3  # the plant is seen: what is spoilt is acknowledged
+    machine = RaftNode(ME, bootstrap_state([ME, Member("b:1", "y")]), 0.0, random.Random(1))
+    machine.receive(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, came, 0, 7))
+    assert machine.last_index == 3  # the plant is seen: what is spoilt is acknowledged
 
 
 # Core machines.
@@ -336,7 +338,7 @@
 
 
 def log_of(core: ControlNode) -> list[Entry]:
-    return [*core.machine.tail._entries, *core.machine.log]
+    return [*core.machine.compacted_tail._entries, *core.machine.log]
 
 
 def told(core: ControlNode) -> list[fragments.Fragment]:
@@ -363,7 +365,8 @@
     task = asyncio.create_task(world.call(host, "POST", "Config.Replace", history.sent[2][1]))
     await world.until(
         lambda: (
-            any(p.kind is FragmentKind.LAST for p in told(leader)) and log.commit_index == log.last
+            any(p.kind is FragmentKind.LAST for p in told(leader))
+            and log.commit_index == log.last_index
         )
     )
     assert leader.state.gen == 1 and leader.applier.index < log.commit_index
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -11,7 +11,7 @@
 
 from cairndale.raft import codec, membership
 from cairndale.raft.messages import Member, Message, Ready, TimeoutNow
-from cairndale.raft.node import RaftNode, founded
+from cairndale.raft.node import RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.voters import LEAST, Tolerance, next_voters, shortfall, spread, wanted
 from cairndale.rpc import protocol_pb2 as pb
@@ -31,9 +31,9 @@
 def worst(voters: list[Member], away: frozenset[str], tolerance: Tolerance) -> int:
     """The plain model: how many are left after the worst of all losses that are to be borne, each
     tried."""
-    live = [m for m in voters if m.disk not in away]
+    live = [m for m in voters if m.disk_id not in away]
     losses = [set(live[:0])]
-    kinds = (("disk", tolerance.nodes), ("zone", tolerance.zones), ("region", tolerance.regions))
+    kinds = (("disk_id", tolerance.nodes), ("zone", tolerance.zones), ("region", tolerance.regions))
     for attribute, count in kinds:
         places = {getattr(m, attribute) for m in live}
         for gone in itertools.combinations(places, min(count, len(places))):
@@ -52,10 +52,10 @@
     rng: random.Random | None = None,
 ) -> list[Member]:
     """One change after the other until nothing is to be changed, each of them looked at."""
-    keep = next(m.disk for m in members if not m.learner and m.disk not in away)
+    keep = next(m.disk_id for m in members if not m.learner and m.disk_id not in away)
     for _ in range(6):
-        before = {m.disk for m in members if not m.learner}
-        fit = {m.disk for m in members} - away
+        before = {m.disk_id for m in members if not m.learner}
+        fit = {m.disk_id for m in members} - away
         if rng:  # some have not caught up yet
             fit = {d for d in sorted(fit) if rng.random() < 0.5}
         votes = next_voters(members, fit, fit, away, (), keep, tolerance)
@@ -63,10 +63,10 @@
         if rng is None and votes == before:
             return [m for m in members if not m.learner]
         assert keep in votes and votes <= before | fit
-        now = [[m for m in members if m.disk in some] for some in (before, votes)]
+        now = [[m for m in members if m.disk_id in some] for some in (before, votes)]
         lacks = [shortfall(some, away, tolerance) for some in now]
         assert lacks[1] <= lacks[0], "a change that bears less"
-        members = [replace(m, learner=m.disk not in votes) for m in members]
+        members = [replace(m, learner=m.disk_id not in votes) for m in members]
     assert rng, "it never comes to rest"
     return [m for m in members if not m.learner]
 
@@ -134,7 +134,7 @@
         for count in range(1, len(members) + 1):
             some = rng.sample(members, count)
             away = frozenset(
-                m.disk for m in rng.sample(members, rng.randint(0, min(2, len(members) - 1)))
+                m.disk_id for m in rng.sample(members, rng.randint(0, min(2, len(members) - 1)))
             )
             lacks = max(0, count // 2 + 1 - worst(some, away, tolerance))
             assert shortfall(some, away, tolerance) == lacks
@@ -153,8 +153,8 @@
             )
             assert bears(voters, tolerance) and len(voters) == able[0]
         start = with_voters(members, rng.randint(1, len(members)))
-        away = frozenset(m.disk for m in rng.sample(members, min(2, len(members) - 1)))
-        away -= {start[0].disk}
+        away = frozenset(m.disk_id for m in rng.sample(members, min(2, len(members) - 1)))
+        away -= {start[0].disk_id}
         settled(start, tolerance, away, rng)
         both = ([m for m in start if not m.learner], settled(start, tolerance, away))
         margins = [worst(some, away, tolerance) - len(some) // 2 for some in both]
@@ -180,7 +180,7 @@
 
     def start(self, address: str) -> None:
         me, rng = (
-            Member(address, self.disks[address].disk, *self.places[address]),
+            Member(address, self.disks[address].disk_id, *self.places[address]),
             random.Random(self.rng.random()),
         )
         others = sorted(d for d in self.machines if d != address)
@@ -217,7 +217,10 @@
         """A new machine, with an empty disk, at a door that nobody had before."""
         self.made += 1
         address = f"new{self.made}:1"
-        self.places[address], self.disks[address] = place, Disk(f"disk{self.made}", founded(()))
+        self.places[address], self.disks[address] = (
+            place,
+            Disk(f"disk{self.made}", bootstrap_state(())),
+        )
         self.addresses.append(address)
         self.start(address)
 
@@ -263,7 +266,8 @@
         """A leader has appended a configuration that is not decided yet."""
         end = self.now + SYNC_TIME
         while self.now < end and not any(
-            m.role is Role.LEADER and not m._is_settled() for m in self.machines.values()
+            m.role is Role.LEADER and not m._is_configuration_committed()
+            for m in self.machines.values()
         ):
             self.run(0.002)
 
@@ -323,14 +327,14 @@
             if site.rng.random() < 0.7
             else site.rng.choice(list(site.machines.values()))
         )
-        led, voted, term = machine.leads(site.now), machine.may_stand(), machine.term
+        led, voted, term = machine.leads(site.now), machine.may_campaign(), machine.term
         site.say()
         machine.leave()
         for _ in range(20):
             site.run(0.05)
-            if machine.is_out() and any(m.leads(site.now) for m in site.machines.values()):
+            if machine.has_left() and any(m.leads(site.now) for m in site.machines.values()):
                 break
-        assert machine.is_out() and site.leader() is not machine, "not out within a second"
+        assert machine.has_left() and site.leader() is not machine, "not out within a second"
         assert site.leader().term == term + led, "nobody but its successor stood"
         assert machine.me not in site.leader().voters and len(site.leader().voters) == 5, voted
         site.kill(machine.me.address)
@@ -399,8 +403,8 @@
     leader = site.leader()
     other, third = [m for m in site.machines.values() if m is not leader][:2]
     for message in (TimeoutNow(leader.term - 1, leader.me), TimeoutNow(leader.term, third.me)):
-        assert other.received(site.now, message) == Ready()
-    assert other.received(site.now, TimeoutNow(leader.term, leader.me)).sends
+        assert other.receive(site.now, message) == Ready()
+    assert other.receive(site.now, TimeoutNow(leader.term, leader.me)).sends
 
 
 def test_older_disks_name_voters_only() -> None:
@@ -416,7 +420,7 @@
         site.watch(4.0)
         leader = site.leader()
         leader.leave()
-        while leader._handed_at < 0:
+        while leader._transfer_requested_at < 0:
             site.run(0.01)
         site.frozen[leader.me.address] = []
         site.watch(1.5)
@@ -424,26 +428,26 @@
 
 
 class NeverReplaces(RaftNode):
-    def _may_change(self) -> bool:
-        return super()._may_change() and self.commit_index < 30
+    def _may_change_members(self) -> bool:
+        return super()._may_change_members() and self.commit_index < 30
 
 
 class KeepsItsLease(RaftNode):
     """Goes on as leader while it asks another to take its place."""
 
-    def _hand_over(self, now: float, step: Ready) -> None:
-        super()._hand_over(now, step)
-        self._handed = False
+    def _transfer_leadership(self, now: float, step: Ready) -> None:
+        super()._transfer_leadership(now, step)
+        self._lease_released = False
 
 
 class ForgetsNobody(RaftNode):
-    def _prune(self, now: float) -> None:
-        self.times = replace(self.times, forget=1e9)
-        membership.SILENT = 1000
+    def _prune_peers(self, now: float) -> None:
+        self.timings = replace(self.timings, removal_timeout=1e9)
+        membership.MAX_SILENT_LEARNERS = 1000
 
 
 def test_defects_are_seen_as_machines_are_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "SILENT", membership.SILENT)
+    monkeypatch.setattr(membership, "MAX_SILENT_LEARNERS", membership.MAX_SILENT_LEARNERS)
     for planted in (NeverReplaces, ForgetsNobody):
         monkeypatch.setattr(Site, "machine", planted)
         with pytest.raises(AssertionError):
@@ -462,7 +466,7 @@
     def ask() -> None:
         site.say()
         for address, machine in list(site.machines.items()):
-            site.do(address, machine.hurry(site.now, 0.01))
+            site.do(address, machine.heartbeat_soon(site.now, 0.01))
         site.later(0.03, ask)
 
     site.run(6.0)
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -37,7 +37,7 @@
     VoteReply,
     Write,
 )
-from cairndale.raft.node import RaftNode, founded, founder
+from cairndale.raft.node import RaftNode, bootstrap_member, bootstrap_state
 from cairndale.raft.storage import RaftStorage, StorageError
 
 SEEDS = ["a:1", "b:1", "c:1"]
@@ -48,7 +48,7 @@
     """What was synced, and by nobody but this plain reading of the writes."""
 
     def __init__(self, disk: str, kept: PersistedState) -> None:
-        self.disk, self.kept = disk, kept
+        self.disk_id, self.kept = disk, kept
 
     def write(self, writes: list[Write]) -> None:
         kept = self.kept
@@ -59,13 +59,15 @@
                 case SaveEntries(first, entries):
                     kept.entries = [e for e in kept.entries if e.index < first] + list(entries)
                 case SaveSnapshotChunk(head, offset, data, received=True):
-                    kept.incoming = (
+                    kept.partial_snapshot = (
                         head,
-                        kept.incoming[1] + data if kept.incoming and offset else data,
+                        kept.partial_snapshot[1] + data
+                        if kept.partial_snapshot and offset
+                        else data,
                     )
                 case SaveSnapshot(snapshot, alone):
-                    if kept.incoming and kept.incoming[0].index <= snapshot.index:
-                        kept.incoming = None
+                    if kept.partial_snapshot and kept.partial_snapshot[0].index <= snapshot.index:
+                        kept.partial_snapshot = None
                     kept.entries = (
                         [] if alone else [e for e in kept.entries if e.index > snapshot.index]
                     )
@@ -74,7 +76,7 @@
     def load(self) -> PersistedState:
         kept = self.kept
         return PersistedState(
-            kept.term, kept.voted_for, kept.snapshot, list(kept.entries), kept.incoming
+            kept.term, kept.voted_for, kept.snapshot, list(kept.entries), kept.partial_snapshot
         )
 
 
@@ -97,8 +99,14 @@
         self.words = 0
         for address in self.addresses:
             first = address in SEEDS
-            kept = founded(founder(d) for d in SEEDS) if first else founded(())
-            self.disks[address] = Disk(founder(address).disk if first else f"new-{address}", kept)
+            kept = (
+                bootstrap_state(bootstrap_member(d) for d in SEEDS)
+                if first
+                else bootstrap_state(())
+            )
+            self.disks[address] = Disk(
+                bootstrap_member(address).disk_id if first else f"new-{address}", kept
+            )
             self.start(address)
 
     def later(self, wait: float, what: Any) -> None:
@@ -107,7 +115,7 @@
 
     def start(self, address: str) -> None:
         disk = self.disks[address]
-        me, rng = Member(address, disk.disk), random.Random(self.rng.random())
+        me, rng = Member(address, disk.disk_id), random.Random(self.rng.random())
         made = self.machines[address] = self.machine(
             me, disk.load(), self.now, rng, addresses=SEEDS
         )
@@ -128,21 +136,21 @@
                     self.rng.uniform(0.001, 0.03),
                     lambda to=to, message=message: self.pass_on(address, to, message),
                 )
-        if step.restored:
-            self.delivered[address] = step.restored.index
-            assert step.restored.index == int(step.restored.state or b"0")
+        if step.restored_snapshot:
+            self.delivered[address] = step.restored_snapshot.index
+            assert step.restored_snapshot.index == int(step.restored_snapshot.state or b"0")
         machine = self.machines[address]
-        for entry in step.delivered:
+        for entry in step.committed_entries:
             assert entry.index == self.delivered[address] + 1
             self.delivered[address] = entry.index
             known = self.order.setdefault(entry.index, (entry.term, entry.data))
             assert known == (entry.term, entry.data), "two orders"
             if machine.role.value == "leader" and entry.term == machine.term and entry.data:
                 self.acked.add(entry.data)
-        if step.delivered and (len(machine.log) > 12 or machine.wants_snapshot()):
+        if step.committed_entries and (len(machine.log) > 12 or machine.wants_snapshot()):
             self.do(address, machine.compact(b"%d" % self.delivered[address]))
-        if step.received:
-            self.do(address, machine.install(self.now, step.received))
+        if step.received_snapshot:
+            self.do(address, machine.install_snapshot(self.now, step.received_snapshot))
         leaders = [d for d, m in self.machines.items() if m.leads(self.now)]
         assert len(leaders) <= 1, "two hold the duty"
 
@@ -153,7 +161,7 @@
         if to in self.frozen:
             self.frozen[to].append(message)
         else:
-            self.do(to, self.machines[to].received(self.now, message))
+            self.do(to, self.machines[to].receive(self.now, message))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -171,13 +179,13 @@
 
     def wipe(self, address: str) -> None:
         self.kill(address)
-        self.disks[address] = Disk(f"wiped-{self.rng.random()}", founded(()))
+        self.disks[address] = Disk(f"wiped-{self.rng.random()}", bootstrap_state(()))
 
     def thaw(self, address: str) -> None:
         messages = self.frozen.pop(address, [])
         for message in messages:
             if address in self.machines:
-                self.do(address, self.machines[address].received(self.now, message))
+                self.do(address, self.machines[address].receive(self.now, message))
 
     def say(self) -> None:
         for address, machine in list(self.machines.items()):
@@ -196,10 +204,10 @@
 
     def whole(self) -> bool:
         """All are voters with the disks that they have now, and each knows all that was decided."""
-        voters = {Member(d, self.disks[d].disk) for d in self.addresses}
+        voters = {Member(d, self.disks[d].disk_id) for d in self.addresses}
         leader = next((m for m in self.machines.values() if m.leads(self.now)), None)
         return leader is not None and all(
-            set(m.voters) == voters and m.commit_index == m.last == leader.last
+            set(m.voters) == voters and m.commit_index == m.last_index == leader.last_index
             for m in self.machines.values()
         )
 
@@ -301,11 +309,11 @@
         world.run(0.005)
         first = next((d for d, m in world.machines.items() if m.leads(world.now)), "")
     leader = world.machines[first]
-    while leader._members_at <= leader.commit_index:
+    while leader._members_index <= leader.commit_index:
         world.run(0.002)
     world.cut = {frozenset((first, d)) for d in SEEDS if d != first}
     world.run(0.25)
-    assert world.machines["d:1"].is_member() and leader._members_at > leader.commit_index
+    assert world.machines["d:1"].is_member() and leader._members_index > leader.commit_index
     world.kill(first)
     world.cut.clear()
     world.run(3.0)
@@ -316,9 +324,9 @@
 
 def test_a_holder_that_never_gets_anything_decided_makes_room() -> None:
     """Of three disks one was exchanged, and does not know who came before it."""
-    before = tuple(founder(address) for address in SEEDS)
+    before = tuple(bootstrap_member(address) for address in SEEDS)
     members = (before[0], Member("b:1", "new"), before[2])
-    entries = [Entry(1, 1, opens=True), Entry(2, 1, members=members)]
+    entries = [Entry(1, 1, is_term_start=True), Entry(2, 1, members=members)]
     disks = {d: PersistedState(1, "new", Snapshot(0, 0, before), list(entries)) for d in SEEDS}
     disks["b:1"].snapshot = Snapshot()
     machines = {
@@ -327,7 +335,7 @@
     now, messages, held = 0.0, list[tuple[str, Message]](), set[str]()
     for _ in range(300):
         now += 0.05
-        steps = [machines[address].received(now, message) for address, message in messages]
+        steps = [machines[address].receive(now, message) for address, message in messages]
         steps += [machine.tick(now) for machine in machines.values()]
         messages = [sent for step in steps for sent in step.sends]
         held |= {d for d, m in machines.items() if m.leads(now)}
@@ -337,18 +345,22 @@
 def test_a_longer_log_in_an_older_view_is_not_kept_out_for_good() -> None:
     """Storm 5013: one ahead in terms and behind in its log, one the other way round; neither could
     win."""
-    members = tuple(founder(address) for address in SEEDS)
-    entries = [Entry(1, 1, opens=True), Entry(2, 1, b"said")]
+    members = tuple(bootstrap_member(address) for address in SEEDS)
+    entries = [Entry(1, 1, is_term_start=True), Entry(2, 1, b"said")]
     disks = {
         "a:1": PersistedState(2, "", Snapshot(0, 0, members), entries),
-        "b:1": PersistedState(7, founder("b:1").disk, Snapshot(0, 0, members), entries[:1]),
+        "b:1": PersistedState(
+            7, bootstrap_member("b:1").disk_id, Snapshot(0, 0, members), entries[:1]
+        ),
+    }
+    machines = {
+        d: RaftNode(bootstrap_member(d), k, 0.0, random.Random(d)) for d, k in disks.items()
     }
-    machines = {d: RaftNode(founder(d), k, 0.0, random.Random(d)) for d, k in disks.items()}
     now, messages = 0.0, list[tuple[str, Message]]()
     for _ in range(200):
         now += 0.05
         steps = [
-            machines[address].received(now, message)
+            machines[address].receive(now, message)
             for address, message in messages
             if address in machines
         ]
@@ -359,33 +371,33 @@
 
 
 class AckEarly(RaftNode):
-    def _held(self, index: int, among: tuple[Member, ...]) -> bool:
+    def _is_on_majority(self, index: int, among: tuple[Member, ...]) -> bool:
         return True
 
 
 class WipedVotes(RaftNode):
     """Takes a vote for its door's, whatever disk it comes from, and votes with an empty disk."""
 
-    def _vote_replied(self, now: float, step: Ready, message: VoteReply) -> None:
+    def _handle_vote_reply(self, now: float, step: Ready, message: VoteReply) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._vote_replied(now, step, replace(message, sender=same))
+        super()._handle_vote_reply(now, step, replace(message, sender=same))
 
-    def _append_replied(self, now: float, step: Ready, message: AppendReply) -> None:
+    def _handle_append_reply(self, now: float, step: Ready, message: AppendReply) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._append_replied(now, step, replace(message, sender=same))
+        super()._handle_append_reply(now, step, replace(message, sender=same))
 
-    def _vote_requested(self, now: float, step: Ready, message: RequestVote) -> None:
-        super()._vote_requested(now, step, message)
+    def _handle_vote_request(self, now: float, step: Ready, message: RequestVote) -> None:
+        super()._handle_vote_request(now, step, message)
 
 
 class NeverTrims(RaftNode):
-    def _append_entries(self, now: float, step: Ready, message: AppendEntries) -> None:
-        fresh = tuple(e for e in message.entries if e.index > self.last)
-        super()._append_entries(
+    def _handle_append_entries(self, now: float, step: Ready, message: AppendEntries) -> None:
+        fresh = tuple(e for e in message.entries if e.index > self.last_index)
+        super()._handle_append_entries(
             now, step, replace(message, entries=fresh) if message.entries and not fresh else message
         )
 
@@ -393,16 +405,16 @@
 class TakesOld(RaftNode):
     """What the leader of a term that is over says, is taken and answered all the same."""
 
-    def received(self, now: float, message: Message) -> Ready:
+    def receive(self, now: float, message: Message) -> Ready:
         old = (
             isinstance(message, AppendEntries)
             and message.term < self.term
             and self.role.value == "follower"
         )
         if not old:
-            return super().received(now, message)
+            return super().receive(now, message)
         term, leader, self.term, self.leader = self.term, self.leader, message.term, message.sender
-        step = super().received(now, message)
+        step = super().receive(now, message)
         self.term, self.leader = term, leader
         return step
 
@@ -410,13 +422,13 @@
 class NoPromise(RaftNode):
     """Gives its vote though it hears the leader."""
 
-    def _vote_requested(self, now: float, step: Ready, message: RequestVote) -> None:
-        self.heard_at = float("-inf")
-        super()._vote_requested(now, step, message)
+    def _handle_vote_request(self, now: float, step: Ready, message: RequestVote) -> None:
+        self.last_heartbeat_at = float("-inf")
+        super()._handle_vote_request(now, step, message)
 
     def tick(self, now: float) -> Ready:
         if self.role.value == "follower" and self.rng.random() < 0.05:
-            self._due = now
+            self._election_due = now
         return super().tick(now)
 
 
@@ -444,7 +456,10 @@
         Member("a:1", "x"),
         4,
         2,
-        (Entry(5, 3, b"d", (Member("b:1", "y", "zone", "region", True),)), Entry(6, 3, opens=True)),
+        (
+            Entry(5, 3, b"d", (Member("b:1", "y", "zone", "region", True),)),
+            Entry(6, 3, is_term_start=True),
+        ),
         4,
         99,
     ),
@@ -468,8 +483,8 @@
 
 def test_a_disk_gives_back_what_was_written_and_refuses_what_it_cannot_read(tmp_path: Path) -> None:
     store = RaftStorage(tmp_path)
-    assert store.disk() == ""
-    plain = Disk("x", founded([Member("a:1", "x")]))
+    assert store.disk_id() == ""
+    plain = Disk("x", bootstrap_state([Member("a:1", "x")]))
     store.begin("x", plain.load())
     entries = tuple(Entry(n, 1 + n // 5, b"%d" % n) for n in range(1, 10))
     snapshot = Snapshot(4, 1, (Member("a:1", "x"),), b"four")
@@ -483,7 +498,7 @@
         assert store.load() == plain.load()
     store.close()
     again = RaftStorage(tmp_path)
-    assert again.disk() == "x" and again.load() == plain.load()
+    assert again.disk_id() == "x" and again.load() == plain.load()
     again.write([SaveSnapshot(Snapshot(20, 4), True)])
     assert again.load().entries == []
     again.write([SaveEntries(23, (Entry(23, 4),))])  # a gap: entries in between are missing
@@ -494,11 +509,11 @@
 
 def test_a_damaged_disk_is_told_from_an_empty_one(tmp_path: Path) -> None:
     store = RaftStorage(tmp_path)
-    store.begin("x", founded([Member("a:1", "x")]))
+    store.begin("x", bootstrap_state([Member("a:1", "x")]))
     store.write([SaveEntries(1, (Entry(1, 1, b"d"),))])
     with store._env.begin(write=True) as change:
         change.put((1).to_bytes(8, "big"), b"\xff\xff not an entry", db=store._entries)
-    assert store.disk() == "x"
+    assert store.disk_id() == "x"
     with pytest.raises(StorageError, match="cannot be read"):
         store.load()
     store.close()
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -32,7 +32,7 @@
     Write,
     state_digest,
 )
-from cairndale.raft.node import RaftNode, founded, founder
+from cairndale.raft.node import RaftNode, bootstrap_member, bootstrap_state
 from cairndale.raft.snapshot_transfer import (
     PART,
     WINDOW,
@@ -206,14 +206,19 @@
 
 def test_a_log_that_goes_on_from_the_snapshot_stays() -> None:
     """What was said to be on disk is not given up for a snapshot that came late."""
-    log = [Entry(n, 1, b"%d" % n, opens=n == 1) for n in range(1, 21)]
+    log = [Entry(n, 1, b"%d" % n, is_term_start=n == 1) for n in range(1, 21)]
     for kept, last in ((Snapshot(10, 1, (ME,), b"s"), 20), (Snapshot(10, 2, (ME,), b"s"), 10)):
         made = RaftNode(
-            founder("b:1"), PersistedState(1, "", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1)
+            bootstrap_member("b:1"),
+            PersistedState(1, "", Snapshot(0, 0, (ME,)), log),
+            0.0,
+            random.Random(1),
         )
-        step = made.install(1.0, kept)
-        assert made.last == last and made.commit_index == 10 and step.restored == kept
-        assert step.writes == [SaveSnapshot(kept, alone=last == 10)]
+        step = made.install_snapshot(1.0, kept)
+        assert (
+            made.last_index == last and made.commit_index == 10 and step.restored_snapshot == kept
+        )
+        assert step.writes == [SaveSnapshot(kept, replaces_log=last == 10)]
 
 
 # On disk.
@@ -228,19 +233,19 @@
 
 def disk(folder: Path, made: type[RaftStorage] = RaftStorage) -> RaftStorage:
     store = made(folder)
-    store.begin("x", founded([ME]))
+    store.begin("x", bootstrap_state([ME]))
     store.write([SaveEntries(1, entries(1, 30))])
     store.write([SaveSnapshot(OLD, False)])
     return store
 
 
-def install(new: Snapshot, alone: bool) -> list[list[Write]]:
+def install(new: Snapshot, replaces_log: bool) -> list[list[Write]]:
     size = len(new.state)
     parts = [
         SaveSnapshotChunk(new.head, at, new.state[at : at + PART], True)
         for at in range(0, size, PART)
     ]
-    return [*([part] for part in parts), [SaveSnapshot(new, alone)]]
+    return [*([part] for part in parts), [SaveSnapshot(new, replaces_log)]]
 
 
 class KillError(Exception):
@@ -291,19 +296,19 @@
         return self._env.__exit__(*why)
 
 
-def kills(folder: Path, made: type[RaftStorage], alone: bool) -> int:
+def kills(folder: Path, made: type[RaftStorage], replaces_log: bool) -> int:
     """Power is lost before each change of an install: what is there then is the old state or the
     new one."""
     new = plain(5, 3 * PART + 5, index=20)
-    if alone:
+    if replaces_log:
         new = replace(new, term=2)
     for after in range(200):
-        store = disk(folder / f"{alone}{after}", made)
+        store = disk(folder / f"{replaces_log}{after}", made)
         whole, env = store.load(), store._env
-        wanted = PersistedState(0, "", new, [] if alone else list(entries(21, 30)))
+        wanted = PersistedState(0, "", new, [] if replaces_log else list(entries(21, 30)))
         store._env = Killed(env, after)
         try:
-            for writes in install(new, alone):
+            for writes in install(new, replaces_log):
                 store.write(writes)
             while store.sweep():
                 pass
@@ -315,15 +320,15 @@
             return after
         finally:
             env.close()
-        again = RaftStorage(folder / f"{alone}{after}")
+        again = RaftStorage(folder / f"{replaces_log}{after}")
         found = again.load()
-        assert replace(found, incoming=None) in (whole, wanted), (
+        assert replace(found, partial_snapshot=None) in (whole, wanted), (
             f"neither old nor new after {after}"
         )
         # And it goes on from there.
-        for writes in install(new, alone):
+        for writes in install(new, replaces_log):
             again.write(writes)
-        assert replace(again.load(), incoming=None) == wanted
+        assert replace(again.load(), partial_snapshot=None) == wanted
         while again.sweep():
             pass
         with again._env.begin() as look:
@@ -334,8 +339,8 @@
 
 
 def test_power_lost_at_each_change_of_an_install(tmp_path: Path) -> None:
-    assert kills(tmp_path, RaftStorage, alone=False) > 10
-    assert kills(tmp_path, RaftStorage, alone=True) > 10
+    assert kills(tmp_path, RaftStorage, replaces_log=False) > 10
+    assert kills(tmp_path, RaftStorage, replaces_log=True) > 10
 
 
 class PointsEarly(RaftStorage):
@@ -361,7 +366,7 @@
 @pytest.mark.parametrize("planted", [PointsEarly, TrimsEarly])
 def test_planted_defects_of_the_disk_are_seen(planted: type[RaftStorage], tmp_path: Path) -> None:
     with pytest.raises((AssertionError, StorageError)):
-        kills(tmp_path, planted, alone=False)
+        kills(tmp_path, planted, replaces_log=False)
 
 
 def test_a_restart_goes_on_with_the_parts_on_disk(tmp_path: Path) -> None:
@@ -371,7 +376,7 @@
     store.write([SaveSnapshot(Snapshot(9, 1, (ME,), b"made here meanwhile"), False)])
     store.close()
     kept = RaftStorage(tmp_path).load()
-    incoming = SnapshotReceiver(kept.incoming)
+    incoming = SnapshotReceiver(kept.partial_snapshot)
     probe = InstallSnapshot(3, ME, new.head, 0, b"", 0, 0)
     assert incoming.take(probe).wanted == 3 * PART
 
@@ -389,18 +394,18 @@
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
     look = RaftStorage(tmp_path, look=True)
-    assert look.disk() == "x" and look.load() == kept
+    assert look.disk_id() == "x" and look.load() == kept
     look.close()
     assert (tmp_path / "promptbook/data.mdb").read_bytes() == before
     for _ in range(2):
         store = RaftStorage(tmp_path)
-        assert store.disk() == "x" and store.load() == kept
+        assert store.disk_id() == "x" and store.load() == kept
         store.close()
     store = RaftStorage(tmp_path)
     with store._env.begin(write=True) as change:
         change.put(b"format", b"3", db=store._meta)
     with pytest.raises(StorageError, match="format"):
-        store.disk()
+        store.disk_id()
 
 
 def test_a_snapshot_that_is_not_as_it_was_written_is_told(tmp_path: Path) -> None:
@@ -454,13 +459,13 @@
     state.apply(Command(Verb.EVACUATE, "meanwhile", zone="z"))
     steps.machine.log.append(Entry(10, 1, b"10"))
     store.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
-    assert steps.machine.base.index == 0 and store.load().snapshot.index == 0
+    assert steps.machine.base_snapshot.index == 0 and store.load().snapshot.index == 0
     assert steps.run() > 10 and max(written) <= STAGED
     kept = store.load()
     assert (
         kept.snapshot.state == before and kept.entries == [Entry(10, 1, b"10")] == steps.machine.log
     )
-    assert steps.machine.tail.covers(1) and not steps.machine.tail.covers(10)
+    assert steps.machine.compacted_tail.covers(1) and not steps.machine.compacted_tail.covers(10)
     with store._env.begin() as look:
         assert look.stat(store._entries)["entries"] == 1 and look.get(MADE, db=store._meta) is None
 
@@ -476,7 +481,8 @@
         store.write([SaveEntries(index, (Entry(index, 1, b"on"),))])
         kept = store.load()
         assert (
-            kept.snapshot.index == steps.machine.base.index == 0 and kept.entries[-1].index == index
+            kept.snapshot.index == steps.machine.base_snapshot.index == 0
+            and kept.entries[-1].index == index
         )
     steps.now += 2 * RETRY
     steps.snapshot_worker.make(State().to_dict(), 9)
--- a/tests/raft/test_state_space.py
+++ b/tests/raft/test_state_space.py
@@ -14,7 +14,7 @@
 import pytest
 
 from cairndale.raft.messages import AppendReply, Member, Message, PersistedState, Ready, SaveEntries
-from cairndale.raft.node import RaftNode, Role, founded, founder
+from cairndale.raft.node import RaftNode, Role, bootstrap_member, bootstrap_state
 
 DOORS = ("a", "b", "c")
 FULL = 2  # messages on one way; more are lost, which a network may do
@@ -42,7 +42,12 @@
     def key(self) -> Any:
         seen = []
         for m in self.machines.values():
-            peers = tuple(sorted((d, p.next, p.match, p.out_at >= 0) for d, p in m.peers.items()))
+            peers = tuple(
+                sorted(
+                    (d, p.next_index, p.match_index, p.in_flight_since >= 0)
+                    for d, p in m.peers.items()
+                )
+            )
             votes = (
                 tuple(sorted(m._votes)) if m.role in (Role.PRE_CANDIDATE, Role.CANDIDATE) else ()
             )
@@ -58,7 +63,7 @@
                     log,
                     peers,
                     votes,
-                    m._opened,
+                    m._has_committed_in_term,
                 )
             )
         ways = tuple(
@@ -68,17 +73,21 @@
 
 
 def plain(message: Message) -> Message:
-    return replace(message, sent=0) if hasattr(message, "sent") else message
+    return replace(message, sent_at_us=0) if hasattr(message, "sent_at_us") else message
 
 
 def do(state: State, address: str, step: Ready) -> None:
     kept = state.disks[address]
     machine = state.machines[address]
     if step.writes:
-        kept.term, kept.voted_for, kept.snapshot = machine.term, machine.voted_for, machine.base
+        kept.term, kept.voted_for, kept.snapshot = (
+            machine.term,
+            machine.voted_for,
+            machine.base_snapshot,
+        )
         kept.entries = list(machine.log)
     for peer in machine.peers.values():
-        peer.since = -1.0  # time is left out: whoever is to be known for a while, has been
+        peer.tracked_since = -1.0  # time is left out: whoever is to be known for a while, has been
     for to, message in step.sends:
         queue = state.ways.get((address, to), ())
         if len(queue) < FULL:
@@ -87,22 +96,26 @@
         changes = [
             e for w in step.writes if isinstance(w, SaveEntries) for e in w.entries if e.members
         ]
-        first = next((e.index for e in machine.log if e.opens and e.term == machine.term), 0)
+        first = next(
+            (e.index for e in machine.log if e.is_term_start and e.term == machine.term), 0
+        )
         earlier = [e.index for e in machine.log if e.members][:-1]
         assert not changes or max(first, *earlier, 0) <= machine.commit_index, "a change too early"
-        assert state.leaders.setdefault(machine.term, machine.me.disk) == machine.me.disk, (
+        assert state.leaders.setdefault(machine.term, machine.me.disk_id) == machine.me.disk_id, (
             "two leaders"
         )
-    for entry in step.delivered:
+    for entry in step.committed_entries:
         known = state.order.setdefault(entry.index, (entry.term, entry.data))
         assert known == (entry.term, entry.data), "two orders"
-    if step.received:
-        do(state, address, machine.install(1.0, step.received))
+    if step.received_snapshot:
+        do(state, address, machine.install_snapshot(1.0, step.received_snapshot))
 
 
 def begin(made: type[RaftNode], me: Member, kept: PersistedState) -> RaftNode:
     machine = made(me, kept, 0.0, Half(), addresses=DOORS)  # type: ignore[arg-type]
-    machine.heard_at = float("-inf")  # time is left out: whoever might have waited long enough, has
+    machine.last_heartbeat_at = float(
+        "-inf"
+    )  # time is left out: whoever might have waited long enough, has
     return machine
 
 
@@ -118,8 +131,8 @@
             message, state.ways[way] = state.ways[way][0], state.ways[way][1:]
             machine = state.machines[way[1]]
             if machine.role is not Role.LEADER:
-                machine.heard_at = float("-inf")
-            do(state, way[1], machine.received(1.0, message))
+                machine.last_heartbeat_at = float("-inf")
+            do(state, way[1], machine.receive(1.0, message))
 
         return deed
 
@@ -134,7 +147,7 @@
 
     def join(address: str) -> Deed:
         def deed(state: State) -> None:
-            state.machines[address]._join_at = 0.0
+            state.machines[address]._membership_request_due = 0.0
             do(state, address, state.machines[address].tick(1.0))
 
         return deed
@@ -150,8 +163,8 @@
         def deed(state: State) -> None:
             step = Ready()
             for peer in state.machines[address].peers.values():
-                peer.out_at = -1.0
-            state.machines[address]._beat(1.0, step)
+                peer.in_flight_since = -1.0
+            state.machines[address]._broadcast(1.0, step)
             do(state, address, step)
 
         return deed
@@ -161,7 +174,7 @@
             state.left[what] -= 1
             me = state.machines[address].me
             if what == "wipe":
-                state.disks[address], me = founded(()), Member(address, "wiped")
+                state.disks[address], me = bootstrap_state(()), Member(address, "wiped")
             state.machines[address] = begin(made, me, copy.deepcopy(state.disks[address]))
             for way in state.ways:
                 if address in way:  # its connections are gone, and what was on them
@@ -177,15 +190,18 @@
         def deed(state: State) -> None:
             step, machine = Ready(), state.machines[address]
             state.left["silent"] -= 1
-            machine.peers[other].acked, machine.peers[other].since = float("-inf"), -100.0
-            machine._take_in(1.0, step)
+            machine.peers[other].last_ack_sent_at, machine.peers[other].tracked_since = (
+                float("-inf"),
+                -100.0,
+            )
+            machine._propose_members(1.0, step)
             do(state, address, step)
 
         return deed
 
     for address, machine in state.machines.items():
         quiet = not any(queue for (sender, _), queue in state.ways.items() if sender == address)
-        if state.left["term"] and machine.may_stand() and machine.role is not Role.LEADER:
+        if state.left["term"] and machine.may_campaign() and machine.role is not Role.LEADER:
             found.append(request_vote(address))
         if not machine.is_member() and quiet:
             found.append(join(address))
@@ -203,9 +219,9 @@
 
 def opened(made: type[RaftNode]) -> State:
     """A holds the first term, and all have heard of that."""
-    members = [founder(address) for address in DOORS]
-    disks = {address: founded(members) for address in DOORS}
-    machines = {d: begin(made, founder(d), copy.deepcopy(disks[d])) for d in DOORS}
+    members = [bootstrap_member(address) for address in DOORS]
+    disks = {address: bootstrap_state(members) for address in DOORS}
+    machines = {d: begin(made, bootstrap_member(d), copy.deepcopy(disks[d])) for d in DOORS}
     state = State(
         machines, disks, {}, {}, {"term": 1, "say": 0, "crash": 0, "wipe": 0, "silent": 0}
     )
@@ -221,12 +237,12 @@
     would be five voters."""
     state = opened(made)
     for address in ("d", "e"):
-        state.disks[address] = founded(())
-        state.machines[address] = begin(made, Member(address, "new"), founded(()))
+        state.disks[address] = bootstrap_state(())
+        state.machines[address] = begin(made, Member(address, "new"), bootstrap_state(()))
     do(state, "d", state.machines["d"].tick(1.0))
     while ahead := [way for way, queue in state.ways.items() if queue]:
         message, state.ways[ahead[0]] = state.ways[ahead[0]][0], state.ways[ahead[0]][1:]
-        do(state, ahead[0][1], state.machines[ahead[0][1]].received(1.0, message))
+        do(state, ahead[0][1], state.machines[ahead[0][1]].receive(1.0, message))
     assert [m.address for m in state.machines["a"].members if m.learner] == ["d"]
     state.left = {"term": 3, "say": 2, "crash": 2, "wipe": 1, "silent": 2}
     return state
@@ -273,7 +289,7 @@
     changed = grown = 0
     for seed in range(CHANGES):
         state = walk(RaftNode, seed, 100, with_learner)
-        decided = [m for m in state.machines.values() if m.commit_index >= m._members_at > 0]
+        decided = [m for m in state.machines.values() if m.commit_index >= m._members_index > 0]
         addresses = {tuple(v.address for v in m.voters) for m in decided}
         changed += any("d" in some for some in addresses)
         grown += ("a", "b", "c", "d", "e") in addresses
@@ -281,27 +297,27 @@
 
 
 class AckEarly(RaftNode):
-    def _held(self, index: int, among: tuple[Member, ...]) -> bool:
+    def _is_on_majority(self, index: int, among: tuple[Member, ...]) -> bool:
         return True
 
 
 class AnyDisk(RaftNode):
     """Whoever stands at a member's door has its vote."""
 
-    def _vote_replied(self, now: float, step: Ready, message: Any) -> None:
+    def _handle_vote_reply(self, now: float, step: Ready, message: Any) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._vote_replied(now, step, replace(message, sender=same))
+        super()._handle_vote_reply(now, step, replace(message, sender=same))
 
     def is_member(self) -> bool:
         return True
 
-    def _append_replied(self, now: float, step: Ready, message: AppendReply) -> None:
+    def _handle_append_reply(self, now: float, step: Ready, message: AppendReply) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._append_replied(now, step, replace(message, sender=same))
+        super()._handle_append_reply(now, step, replace(message, sender=same))
 
 
 class Forgets(RaftNode):
@@ -323,37 +339,37 @@
 class LearnersAck(RaftNode):
     """Whoever has an entry on disk counts for its majority."""
 
-    def _held(self, index: int, among: tuple[Member, ...]) -> bool:
-        return 1 + sum(p.match >= index for p in self.peers.values()) > len(among) // 2
+    def _is_on_majority(self, index: int, among: tuple[Member, ...]) -> bool:
+        return 1 + sum(p.match_index >= index for p in self.peers.values()) > len(among) // 2
 
 
 class LearnersVote(RaftNode):
     """All are asked, and all votes count."""
 
-    def _electors(self) -> tuple[Member, ...]:
+    def _other_voters(self) -> tuple[Member, ...]:
         return tuple(m for m in self.members if m != self.me)
 
-    def _majority(self, says: Callable[[Member], bool]) -> bool:
+    def _has_majority(self, says: Callable[[Member], bool]) -> bool:
         return sum(map(says, self.members)) > len(self.voters) // 2
 
 
 class NewMajorityOnly(RaftNode):
-    def _quorums(self) -> tuple[tuple[Member, ...], ...]:
+    def _voter_sets(self) -> tuple[tuple[Member, ...], ...]:
         return (self._voters,)
 
 
 class TwoAtOnce(RaftNode):
     """The next change does not wait for the one before."""
 
-    def _may_change(self) -> bool:
-        return self._opened
+    def _may_change_members(self) -> bool:
+        return self._has_committed_in_term
 
 
 class TooEarly(RaftNode):
     """Nor does it wait for the first entry of the term."""
 
-    def _may_change(self) -> bool:
-        return self._is_settled()
+    def _may_change_members(self) -> bool:
+        return self._is_configuration_committed()
 
 
 @pytest.mark.parametrize(
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -78,7 +78,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
-    def disk(self) -> str:
+    def disk_id(self) -> str:
         return self.disks.get(self.folder, ("", None))[0]
 
     def begin(self, disk: str, kept: PersistedState) -> None:
