--- a/cairndale/configuration/json_stream.py
+++ b/cairndale/configuration/json_stream.py
@@ -13,19 +13,19 @@
 from sys import intern
 from typing import Any
 
-LARGE = 64 * 1024  # bytes of a body that is not read at once
-DECODED = 1024 * 1024  # bytes that one step makes text of
-NEAR = 64 * 1024  # characters that are held ahead, where there are more
-MANY = 500  # items of a list that one step reads
+LARGE_BODY_BYTES = 64 * 1024  # bytes of a body that is not read at once
+DECODED_BYTES_PER_STEP = 1024 * 1024  # bytes that one step makes text of
+LOOKAHEAD_CHARS = 64 * 1024  # characters that are held ahead, where there are more
+ITEMS_PER_STEP = 500  # items of a list that one step reads
 DEPTH = 2  # objects within one another that are gone through
 
 _spaces = re.compile(r"[ \t\n\r]*")
 _decode = json.JSONDecoder().raw_decode
 
 
-def loads(body: bytes) -> Generator[None, None, Any]:
+def loads_steps(body: bytes) -> Generator[None, None, Any]:
     """Raises ValueError."""
-    if len(body) <= LARGE:
+    if len(body) <= LARGE_BODY_BYTES:
         return json.loads(body)
     text = _Text(body)
     value = yield from _value(text, DEPTH)
@@ -45,8 +45,8 @@
         """False if all is held."""
         if self._taken > len(self._body):
             return False
-        some = self._body[self._taken : self._taken + DECODED]
-        self._taken += DECODED
+        some = self._body[self._taken : self._taken + DECODED_BYTES_PER_STEP]
+        self._taken += DECODED_BYTES_PER_STEP
         self._held = self._held[self._at :] + self._decoder.decode(
             some, final=self._taken > len(self._body)
         )
@@ -56,7 +56,7 @@
     def next(self) -> str:
         """The next character that is no space; nothing at the end."""
         while True:
-            while len(self._held) - self._at < NEAR and self._more():
+            while len(self._held) - self._at < LOOKAHEAD_CHARS and self._more():
                 pass
             if found := _spaces.match(self._held, self._at):
                 self._at = found.end()
@@ -125,7 +125,7 @@
         if isinstance(item, dict):  # names are held once, as they would be if all were read at once
             item = {intern(name): value for name, value in item.items()}
         made.append(item)
-        if len(made) % MANY == 0:
+        if len(made) % ITEMS_PER_STEP == 0:
             yield
         more = _goes_on(text, "]")
     return made
--- a/cairndale/configuration/state.py
+++ b/cairndale/configuration/state.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from cairndale.configuration import serialization
-from cairndale.configuration.delta import History, comparing
+from cairndale.configuration.delta import DeltaHistory, compare_steps
 from cairndale.configuration.validation import TABLES
 
 # accepted calls that are remembered, so that one sent again is known: a day's changes
@@ -161,7 +161,7 @@
     system_name: str = ""  # its name: the first that was drawn
     # A gen, and its content as ingresses are told it.
     _encoded_content: tuple[int, bytes] = field(default=(-1, b""), compare=False, repr=False)
-    _history: History = field(default_factory=History, compare=False, repr=False)
+    _history: DeltaHistory = field(default_factory=DeltaHistory, compare=False, repr=False)
 
     def __post_init__(self) -> None:
         if self.evicted_gen < 0:  # stored when 256 were known, and not what was forgotten
@@ -190,7 +190,7 @@
             self._encoded_content = (gen, (yield from _encode_content_steps(self.content)))
 
     @property
-    def history(self) -> History:
+    def history(self) -> DeltaHistory:
         return self._history
 
     def apply(self, command: Command) -> bool:
@@ -214,11 +214,13 @@
                     command.body["gen"],
                 )
                 order = command.body if command.verb is Verb.UPDATE else None
-                made = (yield from comparing(self.content, content, order)) if self.gen else None
+                made = (
+                    (yield from compare_steps(self.content, content, order)) if self.gen else None
+                )
                 if encodes_content:
                     self._encoded_content = (gen, (yield from _encode_content_steps(content)))
                 self.content, self.gen = content, gen
-                self._history.took(made)
+                self._history.record(made)
                 self._remember(command.digest, self.gen)
             case Verb.REJECT:
                 if command.digest not in self.idempotency_records:
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -105,10 +105,10 @@
 
 def content_errors(content: dict[str, Any]) -> list[str]:
     """Of a whole configuration, as it would be in force."""
-    return [error for some in content_looks(content) for error in some]
+    return [error for some in iter_content_errors(content) for error in some]
 
 
-def content_looks(content: dict[str, Any]) -> Iterator[list[str]]:
+def iter_content_errors(content: dict[str, Any]) -> Iterator[list[str]]:
     """The same, with a pause after so many items in which a leader of the duty can keep it."""
     errors: list[str] = []
     sound: dict[str, list[tuple[str, dict[str, Any]]]] = {t: [] for t in TABLES}
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -151,7 +151,7 @@
     def tick(self, now: float) -> bool:
         """True if there is news."""
         if self._state:
-            self._state.history.weigh(self._state.content)
+            self._state.history.digest_next_items(self._state.content)
         return self._count(now, anew=True) | self._expire(now)
 
     def _count(self, now: float, anew: bool = False) -> bool:
@@ -323,14 +323,14 @@
     ) -> None:
         """What differs from the gen that an ingress has, where it takes that and it is known; else
         all."""
-        if ask.differences and (found := state.history.since(ask.gen)):
+        if ask.differences and (found := state.history.delta_since(ask.gen)):
             watch_response.difference.CopyFrom(
                 pb.ConfigDelta(
-                    before=found.before,
+                    before=found.base_gen,
                     gen=found.gen,
-                    digest_before=found.digest_before,
+                    digest_before=found.base_digest,
                     digest=found.digest,
-                    change=found.change,
+                    change=found.encoded_changes,
                 )
             )
         else:
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -14,9 +14,9 @@
 from hashlib import blake2b
 from typing import Any, Protocol, TypeVar
 
-from cairndale.configuration.json_stream import LARGE, loads
+from cairndale.configuration.json_stream import LARGE_BODY_BYTES, loads_steps
 from cairndale.configuration.state import REJECTED, Command, State, Verb
-from cairndale.configuration.validation import content_looks, order_errors
+from cairndale.configuration.validation import iter_content_errors, order_errors
 from cairndale.control.leadership import Leadership
 from cairndale.control.snapshot_worker import uncollected
 from cairndale.errors import CallTimeoutError, StaleCallError
@@ -158,7 +158,7 @@
         order: Any = UNREAD
         if digest not in self._leader.state.idempotency_records:
             try:
-                order = await in_turns(loads(body), len(body) > LARGE)
+                order = await in_turns(loads_steps(body), len(body) > LARGE_BODY_BYTES)
             except ValueError as error:
                 return await self._refused(called, wrong(400, f"not JSON: {error}"))
             await self._parent_comes(order)
@@ -242,7 +242,7 @@
     async def _content_errors(self, state: State, command: Command) -> list[str]:
         content, errors = await in_turns(state.resulting_content_steps(command)), list[str]()
         with uncollected(stay=False):
-            for some in content_looks(content):
+            for some in iter_content_errors(content):
                 errors += some
                 await asyncio.sleep(0)
         self._leader.held()
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -207,8 +207,14 @@
         delta = response.difference
         if delta.gen != response.gen:
             raise DeltaError(f"to gen {delta.gen}, and not to gen {response.gen}")
-        return self.route_table.change(
-            ConfigDelta(delta.before, delta.gen, delta.digest_before, delta.digest, delta.change)
+        return self.route_table.apply_delta(
+            ConfigDelta(
+                base_gen=delta.before,
+                gen=delta.gen,
+                base_digest=delta.digest_before,
+                digest=delta.digest,
+                encoded_changes=delta.change,
+            )
         )
 
     def _replace_route_table(self, content: bytes) -> None:
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -116,7 +116,7 @@
             self.in_touch,
             self._named,
             lambda n: self._tenants.get(n, ""),
-            lambda name: t.rate if (t := self.route_table.tenants.get(name)) else 0.0,
+            lambda name: t.rate_per_s if (t := self.route_table.tenants.get(name)) else 0.0,
             selector.deny,
         )
         self.engine.lessor = self.engine.dealer = self.units
@@ -154,7 +154,7 @@
         )
 
     def _plan(self, tenant: Tenant) -> it.Plan:
-        rate, burst = tenant.rate, tenant.burst
+        rate, burst = tenant.rate_per_s, tenant.burst
         most = max_saved_units(rate, burst, self.settings.bounds)
         return it.Plan(tenant.name, rate, max(1.0, burst) if rate else 0.0, saved_most=most)
 
@@ -272,7 +272,8 @@
         if not self.route_table.gen or not self.selector.ready_by_service:
             return False
         return self.config_client.endpoints_complete or all(
-            self.service(name) in self.selector.ready_by_service for name in self.route_table.named
+            self.service(name) in self.selector.ready_by_service
+            for name in self.route_table.service_references
         )
 
     def _lost(self, address: str) -> None:
@@ -377,7 +378,9 @@
         self.listener.max_head = max(MAX_HEAD, limits.get("maxHeaderBytes", 0))
         self.listener.max_body = max(MAX_BODY, limits.get("maxBodyBytes", 0))
         classes = (
-            route_table.classes.values() if items is None else [route.cls for route in items.routes]
+            route_table.request_classes.values()
+            if items is None
+            else [route.request_class for route in items.routes]
         )
         tenants = route_table.tenants.values() if items is None else items.tenants
         self.engine.adjust(self._fleet_size(), classes, [self._plan(tenant) for tenant in tenants])
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -39,7 +39,7 @@
 
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
     """Where both allow it; None: everywhere."""
-    both = [h for h in (route.homes, tenant.homes if tenant else frozenset()) if h]
+    both = [h for h in (route.home_regions, tenant.home_regions if tenant else frozenset()) if h]
     return frozenset.intersection(*both) if both else None
 
 
@@ -50,12 +50,12 @@
     def match(self, host: bytes, target: bytes, key: bytes) -> tuple[Route, Tenant | None]:
         """Raises BadRequest where the configuration in force does not allow it."""
         route_table = self._scene.route_table
-        route = route_table.route(host, target)
+        route = route_table.find_route(host, target)
         if route is None:
             raise BadRequest(404, "no route")
         if route.public or not route_table.tenants:
             return route, None
-        tenant = route_table.tenant(key)
+        tenant = route_table.find_tenant(key)
         if tenant is None:
             raise BadRequest(401, "the key is unknown")
         return route, tenant
@@ -82,9 +82,10 @@
         )
         if wait is None and b"x-deadline-ms" in headers:
             raise BadRequest(400, "X-Deadline-Ms is no number")
-        cls = names.classes[route.cls.name.encode()]
+        cls = names.classes[route.request_class.name.encode()]
         timeout = min(
-            route.cls.deadline, round(float(wait[0]) * 1000) if wait else route.cls.deadline
+            route.request_class.deadline,
+            round(float(wait[0]) * 1000) if wait else route.request_class.deadline,
         )
         if not scene.may_begin(cls, timeout):
             raise BadRequest(503, "about to end", AT_ONCE)
@@ -110,7 +111,7 @@
                 if (
                     not same
                     or service not in route_now.services
-                    or route_now.cls.repeat != route.cls.repeat
+                    or route_now.request_class.repeat != route.request_class.repeat
                 ):
                     return None
                 if allowed_regions(route_now, tenant_now) != homes:
@@ -139,6 +140,6 @@
             message.upload,
             scene.service(service),
             regions,
-            min(route.prio, tenant.prio) if tenant else route.prio,
+            min(route.priority, tenant.priority) if tenant else route.priority,
             dress,
         )
--- a/cairndale/lookup/selection.py
+++ b/cairndale/lookup/selection.py
@@ -21,8 +21,10 @@
 def homes_of(route_table: RouteTable | None, host: str) -> frozenset[str]:
     """Regions in which all routes of the host that have homes have one; empty: nothing binds
     them."""
-    routes = route_table.hosts.get(host.lower().encode(), {}).values() if route_table else ()
-    homes = [route.homes for route in routes if route.homes]
+    routes = (
+        route_table.routes_by_host.get(host.lower().encode(), {}).values() if route_table else ()
+    )
+    homes = [route.home_regions for route in routes if route.home_regions]
     return frozenset.intersection(*homes) if homes else frozenset()
 
 
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -36,8 +36,8 @@
 def seen(route_table: RouteTable) -> list[Any]:
     """All that a bill says to those who use it."""
     items = [
-        route_table.hosts,
-        route_table.keys,
+        route_table.routes_by_host,
+        route_table.tenants_by_key,
         route_table.routes,
         route_table.tenants,
         route_table.services,
@@ -47,8 +47,8 @@
         route_table.gen,
         route_table.digest,
         *items,
-        dict(route_table.named),
-        set(route_table.classes.values()),
+        dict(route_table.service_references),
+        set(route_table.request_classes.values()),
     ]
 
 
@@ -107,8 +107,8 @@
     return Command(Verb.UPDATE, f"{gen}", frame | {"upsert": upsert, "remove": remove})
 
 
-def weighed(state: State) -> State:
-    while not state.history.weigh(state.content):
+def digested(state: State) -> State:
+    while not state.history.digest_next_items(state.content):
         pass
     return state
 
@@ -147,7 +147,7 @@
         name
         for name, item in raw[table].items()
         if item is not None
-        and not (name in held and held[name].digest == delta.weight(table, name, item)[0])
+        and not (name in held and held[name].digest == delta.item_digest(table, name, item)[0])
     ]
     match rng.randrange(6):
         case 0:
@@ -175,7 +175,7 @@
     rng, client = random.Random(seed), ConfigClient(0.0, [])
     for number, states in enumerate(changes(rng, 12, restored=0.1)):
         leader, now, before = states[rng.randrange(2)], 100.0 + number, seen(client.route_table)
-        leader.history.weigh(leader.content)
+        leader.history.digest_next_items(leader.content)
         if rng.random() < 0.3:
             continue
         watch_response = told(leader, client, now, number)
@@ -237,9 +237,9 @@
 
 
 def test_what_is_kept_weighed_at_once_and_told_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    rng, state, counted, real = random.Random(3), State(), list[str](), delta.weight
+    rng, state, counted, real = random.Random(3), State(), list[str](), delta.item_digest
     assert (
-        state.apply(first(rng)) and weighed(state).history.since(0) is None
+        state.apply(first(rng)) and digested(state).history.delta_since(0) is None
     )  # from nothing it is the whole
 
     def many(count: int) -> Command:
@@ -247,35 +247,44 @@
         frame = {"gen": state.gen + 1, "parent": state.gen, "upsert": {"tenants": items}}
         return Command(Verb.UPDATE, f"many {state.gen}", frame)
 
-    assert state.apply(many(30)) and state.history.since(1) is None  # over an eighth of the whole
-    for name, bound in (("WEIGHED", 7), ("KEPT", 5), ("ITEMS", 12), ("PART", 0)):
+    assert (
+        state.apply(many(30)) and state.history.delta_since(1) is None
+    )  # over an eighth of the whole
+    for name, bound in (
+        ("DIGESTED_PER_STEP", 7),
+        ("MAX_RECORDED_CHANGES", 5),
+        ("MAX_CHANGED_ITEMS", 12),
+        ("MIN_SAVING_FACTOR", 0),
+    ):
         monkeypatch.setattr(delta, name, bound)
-    monkeypatch.setattr(delta, "weight", lambda *of: counted.append(of[1]) or real(*of))
+    monkeypatch.setattr(delta, "item_digest", lambda *of: counted.append(of[1]) or real(*of))
     state = State()
     assert state.apply(first(rng))
     for _ in range(3):
         counted.clear()
-        assert not state.history.weigh(state.content) and len(counted) <= 7
-    assert state.apply(many(12)) and state.history.since(1) is None  # amid the weighing
-    known = weighed(state).history.since(1)
+        assert not state.history.digest_next_items(state.content) and len(counted) <= 7
+    assert state.apply(many(12)) and state.history.delta_since(1) is None  # amid the weighing
+    known = digested(state).history.delta_since(1)
     assert known and known.digest == RouteTable(state.content).digest
     gens = [state.gen]
     for _ in range(8):
         assert state.apply(many(2))
-        assert (known := state.history.since(gens[-3:][0])) and known.gen == state.gen
+        assert (known := state.history.delta_since(gens[-3:][0])) and known.gen == state.gen
         gens.append(state.gen)
-    assert [state.history.since(gen) is not None for gen in gens] == [False] * 3 + [True] * 5 + [
-        False
-    ]
-    assert state.apply(many(7)) and state.apply(many(7)) and state.history.since(state.gen - 1)
-    assert state.history.since(state.gen - 2) is None
+    assert [state.history.delta_since(gen) is not None for gen in gens] == [False] * 3 + [
+        True
+    ] * 5 + [False]
+    assert (
+        state.apply(many(7)) and state.apply(many(7)) and state.history.delta_since(state.gen - 1)
+    )
+    assert state.history.delta_since(state.gen - 2) is None
     counted.clear()
     assert state.apply(many(13)) and len(counted) <= 2 * 12
-    assert weighed(state).history.since(state.gen - 2) is None
-    assert state.apply(many(2)) and (known := state.history.since(state.gen - 1))
+    assert digested(state).history.delta_since(state.gen - 2) is None
+    assert state.apply(many(2)) and (known := state.history.delta_since(state.gen - 1))
     assert known.digest == RouteTable(state.content).digest
     state = State()
-    assert state.apply(first(rng, 3)) and weighed(state).history.since(0) is None
+    assert state.apply(first(rng, 3)) and digested(state).history.delta_since(0) is None
 
 
 def plans(house: DataPlaneNode) -> dict[str, Any]:
@@ -287,7 +296,7 @@
     }
     classes = {
         name: engine.settings.classes[engine.names.classes[name.encode()]]
-        for name in route_table.classes
+        for name in route_table.request_classes
     }
     assert house.policy.settings is engine.settings and house.selector.settings is engine.settings
     assert len(house.selector.usual) == len(engine.settings.classes)
@@ -316,7 +325,11 @@
     rng, house = random.Random(5), DataPlaneNode(checked(SETTINGS))
     known: dict[str, pb.Endpoint] = {}
     for number, states in enumerate(changes(rng, 40)):
-        state, now, plain = weighed(states[0]), house._loop.time(), DataPlaneNode(checked(SETTINGS))
+        state, now, plain = (
+            digested(states[0]),
+            house._loop.time(),
+            DataPlaneNode(checked(SETTINGS)),
+        )
         house.config_client._needs_full_state = whole = rng.random() < 0.2
         watch_response = told(state, house.config_client, now, 3)
         watch_response.epoch, watch_response.servers, before = (
@@ -389,7 +402,7 @@
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
-    first = told(weighed(state), house.config_client, house._loop.time(), 3)
+    first = told(digested(state), house.config_client, house._loop.time(), 3)
     first.server.add(id="i", service="s1", addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
     house._apply(first, NODE, house._loop.time())
     message = Message()
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -16,7 +16,7 @@
 
 from cairndale.configuration.route_table import RouteTable
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.configuration.validation import content_errors, content_looks, order_errors
+from cairndale.configuration.validation import content_errors, iter_content_errors, order_errors
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.control.leadership import server_out
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
@@ -120,7 +120,7 @@
 
     assert content_errors(made) == []
     assert least(lambda: content_errors(made)) < 20 * least(lambda: json.loads(text))
-    assert sum(1 for _ in content_looks(made)) > 10  # others get their turn
+    assert sum(1 for _ in iter_content_errors(made)) > 10  # others get their turn
 
 
 def test_every_error_at_once() -> None:
@@ -238,10 +238,11 @@
         path = "/" + "/".join(rng.choice([*parts, ""]) for _ in range(rng.randint(0, 4)))
         fit = [r for r in routes if path.startswith(r["pathPrefix"])]
         want = max(fit, key=lambda r: len(r["pathPrefix"]))["name"] if fit else None
-        found = route_table.route(b"a.EXAMPLE:8080", path.encode() + b"?x=/a/b/")
+        found = route_table.find_route(b"a.EXAMPLE:8080", path.encode() + b"?x=/a/b/")
         assert (found.name if found else None) == want
     assert (
-        route_table.route(b"b.example", b"/a/") is None and route_table.route(b"", b"/a/") is None
+        route_table.find_route(b"b.example", b"/a/") is None
+        and route_table.find_route(b"", b"/a/") is None
     )
 
 
@@ -258,7 +259,7 @@
     ],
 )
 def test_a_key_is_taken_to_the_letter_and_once(field: bytes, tenant: str | None) -> None:
-    found = RouteTable(content()).tenant(field)
+    found = RouteTable(content()).find_tenant(field)
     assert (found.name if found else None) == tenant
 
 
@@ -270,7 +271,7 @@
     ]
     raw = route(split=split)
     del raw["backend"]
-    found = RouteTable(content(routes=[raw])).route(b"a.example", b"/r1/x")
+    found = RouteTable(content(routes=[raw])).find_route(b"a.example", b"/r1/x")
     assert found is not None
     rng, counts = random.Random(1), {"s1": 0, "s2": 0, "s3": 0}
     for _ in range(2000):
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from cairndale.configuration.json_stream import loads
+from cairndale.configuration.json_stream import loads_steps
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.configuration.validation import content_looks
+from cairndale.configuration.validation import iter_content_errors
 from cairndale.control.applier import Applier, encoded
 from cairndale.control.snapshot_worker import SnapshotWorker, uncollected
 from cairndale.raft import codec, fragments
@@ -180,8 +180,8 @@
     applier, count = Applier(State()), 0
     body, content = json.dumps(first).encode(), {n: v for n, v in first.items() if n != "parent"}
     for name, work in (
-        ("read the body", loads(body)),
-        ("judge, look at it", content_looks(content)),
+        ("read the body", loads_steps(body)),
+        ("judge, look at it", iter_content_errors(content)),
     ):
         with uncollected(stay=name == "read the body"):
             for _ in timed(f"replace: {name}", work):
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -518,10 +518,10 @@
 
 def test_a_body_is_read_in_steps_to_what_json_makes_of_it(monkeypatch: pytest.MonkeyPatch) -> None:
     rng = random.Random(5)
-    monkeypatch.setattr(json_stream, "LARGE", 0)
-    monkeypatch.setattr(json_stream, "MANY", 3)
-    monkeypatch.setattr(json_stream, "DECODED", 5)
-    monkeypatch.setattr(json_stream, "NEAR", 7)
+    monkeypatch.setattr(json_stream, "LARGE_BODY_BYTES", 0)
+    monkeypatch.setattr(json_stream, "ITEMS_PER_STEP", 3)
+    monkeypatch.setattr(json_stream, "DECODED_BYTES_PER_STEP", 5)
+    monkeypatch.setattr(json_stream, "LOOKAHEAD_CHARS", 7)
     item = [{"name": 'ä"', "a": [1, {}]}, 7, None, [], "x", 1e9]
     raw = {"gen": 1, "a": item * 3, "upsert": {"b": item, "c": {"d": {"b": 1}}}, "e": {}, "l": []}
     whole, wrong, steps = json.dumps(raw, indent=2, ensure_ascii=False), 0, 0
@@ -535,8 +535,8 @@
         except ValueError:
             wrong += 1
             with pytest.raises(ValueError):
-                serialization.run_to_completion(json_stream.loads(data))
+                serialization.run_to_completion(json_stream.loads_steps(data))
             continue
-        assert repr(serialization.run_to_completion(json_stream.loads(data))) == wanted
-        steps += sum(1 for _ in json_stream.loads(data))
+        assert repr(serialization.run_to_completion(json_stream.loads_steps(data))) == wanted
+        steps += sum(1 for _ in json_stream.loads_steps(data))
     assert 300 < wrong < 2_900 and steps > 3_000
