--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -52,9 +52,9 @@
     @property
     def leadership(self) -> Leadership | None: ...
     @property
-    def machine(self) -> Log: ...
+    def raft(self) -> Log: ...
     def now(self) -> float: ...
-    async def hear(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
+    async def register_endpoints(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
         """At the leader. Raises CallError."""
 
 
@@ -67,7 +67,7 @@
         self._answered = float("-inf")  # when the newest was sent that the leader has answered
         self._failed = float("-inf")  # when a call was last given up
         self.arrivals = Arrivals(
-            process.now, lambda: len(process.machine.members), self._tell_arrivals
+            process.now, lambda: len(process.raft.members), self._tell_arrivals
         )
 
     def span(self) -> float:
@@ -97,7 +97,7 @@
         process, now = self._process, self._process.now()
         arrivals = batch.out(now)
         if process.leadership:  # this one leads by now
-            await process.hear(arrivals)
+            await process.register_endpoints(arrivals)
             return
         is_in_contact = self.in_contact(now)
         within = batch.began + (PASS_ON if is_in_contact else BEAT) - now
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -69,7 +69,7 @@
         except FormatError as error:
             raise StorageError(f"the state cannot be read: {error}") from error
         self.me = Member(format_address(own), disk, settings.zone, settings.region)
-        self.machine = RaftNode(
+        self.raft = RaftNode(
             self.me,
             persisted,
             self.clock.now(),
@@ -79,15 +79,15 @@
         )
         self.endpoint_registry, self.node_registry = EndpointRegistry(), NodeRegistry()
         self.notifier = ChangeNotifier()
-        self.driver = RaftDriver(self.machine, self._storage, self.rpc_peer, self.clock)
+        self.driver = RaftDriver(self.raft, self._storage, self.rpc_peer, self.clock)
         self.snapshot_worker = SnapshotWorker(
-            self._storage, self.machine, self.driver.carry_out, self.clock.now
+            self._storage, self.raft, self.driver.carry_out, self.clock.now
         )
-        self.proposals = Proposals(self.machine, self.driver, self.clock)
+        self.proposals = Proposals(self.raft, self.driver, self.clock)
         self.applier = Applier(state, persisted.snapshot.index, persisted.snapshot.term)
         self.leadership_tracker = LeadershipTracker(
             settings,
-            self.machine,
+            self.raft,
             self.applier,
             self.endpoint_registry,
             self.node_registry,
@@ -96,7 +96,7 @@
             self.clock,
         )
         self.system_name = SystemName(
-            self.machine,
+            self.raft,
             self.driver,
             self._storage,
             self.applier,
@@ -105,7 +105,7 @@
             self.clock,
         )
         self.apply_loop = ApplyLoop(
-            self.machine,
+            self.raft,
             self.applier,
             self.snapshot_worker,
             self.driver,
@@ -113,7 +113,7 @@
             on_turn_end=self.system_name.adopt,
         )
         self.read_index = ReadIndex(
-            self.machine, self.clock, self.apply_loop.applied_index, self.driver.carry_out
+            self.raft, self.clock, self.apply_loop.applied_index, self.driver.carry_out
         )
         self.leader_client = LeaderClient(self.rpc_peer, self._core_addresses, self._edge_addresses)
         self.watch_server = WatchServer(self)
@@ -122,7 +122,7 @@
         self.follower = Follower(self, collector)
         self.api = ControlApi(self, self.follower, collector)
         self.dispatcher = RequestDispatcher(
-            self.machine,
+            self.raft,
             self.driver,
             self.leadership_tracker,
             self.read_index,
@@ -187,17 +187,17 @@
         """Takes over a changed settings file: the seeds and what follows from them."""
         self.settings = settings
         self._seeds = self._seed_addresses(settings)
-        self.machine.addresses, self.machine.tolerance = tuple(self._seeds), settings.tolerance
+        self.raft.addresses, self.raft.tolerance = tuple(self._seeds), settings.tolerance
         self.leadership_tracker.reconfigure(settings)
 
     async def _leave(self) -> None:
         """Waits, `LEAVE` seconds at most, until others hold the leadership and this one's vote."""
         until = self.now() + LEAVE
-        self.machine.leave()
-        while not self.machine.has_left() and self.now() < until:
+        self.raft.leave()
+        while not self.raft.has_left() and self.now() < until:
             await asyncio.sleep(TICK)
-        leads = self.machine.role is Role.LEADER
-        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.machine.may_campaign())
+        leads = self.raft.role is Role.LEADER
+        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.raft.may_campaign())
 
     async def _tick_forever(self) -> None:
         while True:
@@ -239,11 +239,11 @@
             self.snapshot_worker.install(step.received_snapshot)
 
     def _log_members(self, _: Ready) -> None:
-        members = self.machine.members
+        members = self.raft.members
         if members is self._logged_members:  # the same object: roles and zones have not changed
             return
         self._logged_members = members
-        voters = [m.address for m in self.machine.voters]
+        voters = [m.address for m in self.raft.voters]
         learners = [m.address for m in members if m.learner]
         log_event(Event.MEMBERS, "voters %s learners %s", voters, learners)
 
@@ -262,7 +262,7 @@
         return [format_address(settings.core_address(seed)) for seed in settings.seeds]
 
     def _core_addresses(self) -> list[str]:
-        voters = (m.address for m in self.machine.voters)
+        voters = (m.address for m in self.raft.voters)
         return list(dict.fromkeys([*voters, *self._seeds]))
 
     def _edge_addresses(self) -> list[str]:
@@ -289,7 +289,7 @@
         """Whether this node leads and has applied all that was committed before its term."""
         return self.leadership_tracker.leads()
 
-    def held(self, term: int = 0) -> Leadership:
+    def require_leadership(self, term: int = 0) -> Leadership:
         """The leadership; raises NotLeaderError (see `LeadershipTracker.require`)."""
         return self.leadership_tracker.require(term)
 
@@ -306,25 +306,24 @@
         the log held. `at_once`: a heartbeat is sent for it, else the next one is waited for. Raises
         NotLeaderError.
         """
-        index = self.machine.last_index if decided else self.machine.commit_index
+        index = self.raft.last_index if decided else self.raft.commit_index
         await self.read_index.confirm(called, term, index, at_once)
 
-    async def hear(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
+    async def register_endpoints(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
         """Registers endpoints at the leader (see `RequestDispatcher.register_endpoints`)."""
         return await self.dispatcher.register_endpoints(arrivals, term)
 
-    def publish(self) -> None:
+    def notify_change(self) -> None:
         """Reports a change to all who wait for one."""
         self.notifier.notify()
 
-    async def news(self, within: float) -> None:
-        """Returns at the next change, or after `within` seconds."""
-        await self.notifier.wait(within)
+    async def wait_for_change(self, timeout: float) -> None:
+        """Returns at the next change, or after `timeout` seconds."""
+        await self.notifier.wait(timeout)
 
-    def core_shown(self) -> dict[str, Any]:
+    def describe_cluster(self) -> dict[str, Any]:
         """The cluster's members, for operators."""
         members = [
-            [m.address, m.disk_id, "learner" if m.learner else "voter"]
-            for m in self.machine.members
+            [m.address, m.disk_id, "learner" if m.learner else "voter"] for m in self.raft.members
         ]
         return {"leader": self.me.address, "members": members}
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -58,7 +58,7 @@
     @property
     def state(self) -> State: ...
     def now(self) -> float: ...
-    def held(self) -> Leadership:
+    def require_leadership(self) -> Leadership:
         """Raises CallError where the duty is not held, or no longer."""
 
     async def decide(self, command: Command) -> bool:
@@ -71,11 +71,11 @@
         """Until a majority has answered what was sent after `called`, in the term in which the
         state was looked at; `decided`: and all that the log holds now is. Raises CallError."""
 
-    async def news(self, within: float) -> None:
+    async def wait_for_change(self, timeout: float) -> None:
         """Until something has changed, or so many seconds."""
 
-    def publish(self) -> None: ...
-    def core_shown(self) -> dict[str, Any]: ...
+    def notify_change(self) -> None: ...
+    def describe_cluster(self) -> dict[str, Any]: ...
 
 
 class OperationHandler:
@@ -90,7 +90,7 @@
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
-        leadership, now = self._leader.held(), self._leader.now()
+        leadership, now = self._leader.require_leadership(), self._leader.now()
         match found.call:
             case "replace" | "update":
                 verb = Verb.REPLACE if found.call == "replace" else Verb.UPDATE
@@ -111,7 +111,8 @@
                 return wrong(404, "no configuration yet")
             case "show":
                 return told(
-                    200, leadership.show(self._leader.now(), state) | self._leader.core_shown()
+                    200,
+                    leadership.show(self._leader.now(), state) | self._leader.describe_cluster(),
                 )
         return wrong(404, "no such call")
 
@@ -119,7 +120,7 @@
         if call == "end":
             if leadership.endpoint_registry.mark_ended(id, now):
                 log_event(Event.ENDPOINTS_CHANGED, "%s gone", id)
-                self._leader.publish()
+                self._leader.notify_change()
             return told(200, {})
         try:
             seen = read_heartbeat(id, json.loads(body), now)
@@ -129,7 +130,7 @@
             return wrong(400, f"not JSON: {error}")
         if leadership.endpoint_registry.record_heartbeat(seen):
             log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", seen.id, seen.service, seen.state)
-            self._leader.publish()
+            self._leader.notify_change()
         return told(200, {})
 
     async def _in_turn(self, change: Change) -> Answer:
@@ -165,7 +166,7 @@
         return await self._in_turn(lambda: self._configure(verb, digest, order, called))
 
     async def _refused(self, called: float, answer: Answer) -> Answer:
-        await self._leader.confirm(called, self._leader.held().term)
+        await self._leader.confirm(called, self._leader.require_leadership().term)
         return answer
 
     async def _parent_comes(self, order: Any) -> None:
@@ -178,14 +179,14 @@
             and self._leader.state.gen < parent
             and self._leader.now() < until
         ):
-            await self._leader.news(until - self._leader.now())
+            await self._leader.wait_for_change(until - self._leader.now())
 
     async def _configure(
         self, verb: Verb, digest: str, order: Any, called: float
     ) -> tuple[Answer, int]:
         """Decides it, or finds out what became of it."""
         while True:
-            term, state = self._leader.held().term, self._leader.state
+            term, state = self._leader.require_leadership().term, self._leader.state
             if (known := state.idempotency_records.get(digest)) == REJECTED:
                 return await self._refused(called, wrong(412, "it was refused before")), 0
             if known is not None:
@@ -245,7 +246,7 @@
             for some in iter_content_errors(content):
                 errors += some
                 await asyncio.sleep(0)
-        self._leader.held()
+        self._leader.require_leadership()
         return errors
 
     # What was decided for a call needs no further contact: a majority took it in, in this term,
@@ -254,7 +255,7 @@
     async def _move(
         self, verb: Verb, zone: str, order: str, call: str, called: float
     ) -> tuple[Answer, int]:
-        leadership, state = self._leader.held(), self._leader.state
+        leadership, state = self._leader.require_leadership(), self._leader.state
         orders, begins = state.evacuated.get(zone, 0), verb is Verb.EVACUATE
         is_new = bool(order) and state.latest_evacuation_orders.get(zone) != order
         if not call and not (is_new and (orders or begins)):
@@ -280,7 +281,11 @@
         return told(200, {"zone": zone, "order": order, "orders": orders})
 
     async def _ordered(self, verb: Verb, zone: str, call: str) -> Answer:
-        leadership, now, state = self._leader.held(), self._leader.now(), self._leader.state
+        leadership, now, state = (
+            self._leader.require_leadership(),
+            self._leader.now(),
+            self._leader.state,
+        )
         if zone not in self._leader.settings.zones:
             return await self._refused(now, wrong(404, f"no zone {zone!r}"))
         if call in state.evacuation_calls:  # it has come by another way
@@ -298,7 +303,9 @@
         """Until every ingress serves by it, or has stopped as its lease is over. Raises
         CallError."""
         until = self._leader.now() + self._leader.settings.bounds.ack
-        while not self._leader.held().node_registry.all_at_version(self._leader.now(), version):
+        while not self._leader.require_leadership().node_registry.all_at_version(
+            self._leader.now(), version
+        ):
             if self._leader.now() > until:
                 raise CallTimeoutError("some ingresses have not got it yet")
-            await self._leader.news(0.03)
+            await self._leader.wait_for_change(0.03)
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -41,13 +41,13 @@
     @property
     def leadership(self) -> Leadership | None: ...
     def now(self) -> float: ...
-    def held(self) -> Leadership:
+    def require_leadership(self) -> Leadership:
         """Raises CallError where the duty is not held, or no longer."""
 
     async def decide(self, command: Command) -> bool:
         """Raises CallError where it is not known what became of it."""
 
-    def publish(self) -> None: ...
+    def notify_change(self) -> None: ...
 
 
 def gather(edges: int) -> float:
@@ -98,12 +98,12 @@
     async def ask(self, ask: pb.WatchRequest) -> pb.WatchResponse:
         """Raises CallError."""
         leader = self._leader
-        leader.held()
+        leader.require_leadership()
         if not ask.HasField("node") or ask.node.kind == "edge":
             await self._enrol(ask.name or ask.node.name)
-        leadership, now = leader.held(), leader.now()
+        leadership, now = leader.require_leadership(), leader.now()
         if leadership.asked(now, ask):
-            leader.publish()
+            leader.notify_change()
         until = now + min(LONGEST, ask.wait_ms / 1000)
         since = self._since.setdefault(ask.node.name, now)
         kept = _PendingWatch(ask, until, since, asyncio.get_running_loop().create_future())
@@ -152,7 +152,7 @@
         """Answers whom it is time to; the seconds until the next turn, if nothing changes."""
         now = self._leader.now()
         try:
-            leadership = self._leader.held()
+            leadership = self._leader.require_leadership()
         except CallError as failure:
             for kept in self._kept:
                 if not kept.future.done():
@@ -237,7 +237,7 @@
                     raise CallTimeoutError("not enrolled yet") from None
             else:
                 await self._enrol_all()
-            self._leader.held()
+            self._leader.require_leadership()
 
     async def _enrol_all(self) -> None:
         self._enrolling = True
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -196,7 +196,7 @@
     def now(self) -> float:
         return self.loop.time()
 
-    def held(self) -> Leadership:
+    def require_leadership(self) -> Leadership:
         if self.leadership is None:
             raise NotLeaderError()
         return self.leadership
@@ -205,7 +205,7 @@
         await asyncio.sleep(0.06)
         return self.state.apply(command)
 
-    def publish(self) -> None:
+    def notify_change(self) -> None:
         self.watch_server.wake()
 
     def work(self, seconds: float) -> None:
@@ -231,8 +231,8 @@
             await asyncio.sleep(0.05)
             self.longest = max(self.longest, self.now() - due)
             self.lapsed += sum(1 for e in self.ingresses.values() if 0 < e.lease_end < self.now())
-            if self.held().tick(self.now()):
-                self.publish()
+            if self.require_leadership().tick(self.now()):
+                self.notify_change()
 
     async def beats(self) -> None:
         heard = self.now()
@@ -242,14 +242,14 @@
             due = [i for i, at in self.up.items() if (now - at) // BEAT > (heard - at) // BEAT]
             heard = now
             for id in due:
-                known = self.held().endpoint_registry.endpoints.get(id)
+                known = self.require_leadership().endpoint_registry.endpoints.get(id)
                 self.work(FRAME if known is None or known.state != "ready" else FRAME / 50)
                 zone = f"z{int(id[1:]) % 9}"
                 told = Endpoint(
                     id, "s", f"10.0.0.{id[1:]}:80", zone, "g", 6, "ready", 0.0, int(now * 1e3), now
                 )
-                if self.held().endpoint_registry.record_heartbeat(told):
-                    self.publish()
+                if self.require_leadership().endpoint_registry.record_heartbeat(told):
+                    self.notify_change()
 
     def returned(self) -> bool:
         """Everybody serves: knows the configuration, all servers that there are, and all others."""
@@ -382,9 +382,9 @@
             Leadership, "watch_response", lambda *args: (told.append(args), whole(*args))[1]
         )
         for number in range(100):
-            world.held().endpoint_registry.mark_ended(f"i{number}", world.now())
+            world.require_leadership().endpoint_registry.mark_ended(f"i{number}", world.now())
             del world.up[f"i{number}"]
-            world.publish()
+            world.notify_change()
             await asyncio.sleep(0.02)
         await world.until(world.returned, 1.0)
         rounds = (world.now() - began) / prompting.gather(100)
@@ -407,7 +407,7 @@
         routes = [{"name": f"{world.rng.getrandbits(256):x}", "backend": "s"} for _ in range(800)]
         raw = world.state.content | {"gen": 2, "parent": 1, "routes": routes}
         assert world.state.apply(Command(Verb.REPLACE, "d2", raw))
-        world.publish()
+        world.notify_change()
         await world.until(world.returned, 3.0)
         assert world.bytes > 7_500_000 and world.behind < 0.1 and not world.lapsed
 
@@ -429,9 +429,9 @@
             return wait
 
         monkeypatch.setattr(WatchServer, "turn", timed)
-        world.held().endpoint_registry.mark_ended("i0", world.now())
+        world.require_leadership().endpoint_registry.mark_ended("i0", world.now())
         del world.up["i0"]
-        world.publish()
+        world.notify_change()
         await world.until(world.returned, 1.5)
         assert max(turns) < 0.02 and sum(turns) > 0.1
 
@@ -672,7 +672,7 @@
         assert [task.done() for task in asks] == [True, True, False]
         assert all("asked anew" in str(task.exception()) for task in asks[:2])
         world.watch_server._room = prompting.BYTES
-        world.publish()
+        world.notify_change()
         assert (await asks[2]).has_config_version and told.count("x") == 1
 
     play(10, 10, anew, monkeypatch)
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -148,19 +148,22 @@
             world.ingresses.pop(name).task.cancel()
         await asyncio.sleep(0.6)
         world.begin()  # the next leader, which has heard of no server
-        counted = await world.until(lambda: world.held().counting, 1.0)
+        counted = await world.until(lambda: world.require_leadership().counting, 1.0)
         for id in (
             gone
         ):  # those that are left serve by what they know: nobody is told that others are gone
             assert all(id in e.servers for e in world.ingresses.values())
         await world.until(world.returned, 5.0)
-        assert counted < 1.0 and world.held().counting
+        assert counted < 1.0 and world.require_leadership().counting
         world.up |= gone
         world.ingresses |= {name: FleetIngress(world, name) for name in names}
         await world.until(world.returned, 5.0)
         await asyncio.sleep(1.0)
         assert (
-            world.returned() and world.held().counting and not world.lapsed and world.longest < 0.3
+            world.returned()
+            and world.require_leadership().counting
+            and not world.lapsed
+            and world.longest < 0.3
         )
 
     play_fleet(100, 1000, scene, monkeypatch)
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -338,7 +338,7 @@
 
 
 def log_of(core: ControlNode) -> list[Entry]:
-    return [*core.machine.compacted_tail._entries, *core.machine.log]
+    return [*core.raft.compacted_tail._entries, *core.raft.log]
 
 
 def told(core: ControlNode) -> list[fragments.Fragment]:
@@ -361,7 +361,7 @@
 async def read_amid() -> None:
     """It is decided, and in force a little later: who reads in between waits for it."""
     world, history, leader = await begun()
-    host, log = leader.settings.ip, leader.machine
+    host, log = leader.settings.ip, leader.raft
     task = asyncio.create_task(world.call(host, "POST", "Config.Replace", history.sent[2][1]))
     await world.until(
         lambda: (
