--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -136,7 +136,7 @@
     links = _module("cairndale.rpc.peer")
 
     def came(self: Any, frames: Any, envelope: Any) -> None:
-        waiting = self._calls.get(envelope.call) if envelope.answer else None
+        waiting = self._calls.get(envelope.call_id) if envelope.is_answer else None
         if waiting and not waiting.future.done():
             waiting.future.set_result(envelope)
         else:
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -103,7 +103,7 @@
             except CallError as failure:
                 if not isinstance(failure, NotLeaderError):
                     return wrong(503, str(failure))
-        order = pb.OperationRequest(method=method, path=target, body=body, id=id)
+        order = pb.OperationRequest(method=method, path=target, body=body, request_id=id)
         within = came + PASS_ON - process.now()
         if self._follower.in_contact(process.now()):
             patience = within = within if len(body) < LARGE else PASS_LARGE
@@ -129,9 +129,9 @@
             return
         process = self._process
         receipt = pb.EvacuationReceipt(
-            zone=found.args["zone"], order=json.loads(answer[1])["order"]
+            zone=found.args["zone"], order_id=json.loads(answer[1])["order"]
         )
         if process.leadership:
-            process.leadership.moves.read(receipt.zone, receipt.order)
+            process.leadership.moves.read(receipt.zone, receipt.order_id)
         elif process.leader_client.hint:
             process.leader_client.tell(pb.Envelope(evacuation_receipt=receipt))
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -110,13 +110,13 @@
         ctl = format_address(settings.listen["ctl"]) if "ctl" in settings.listen else ""
         return pb.Node(
             name=settings.name,
-            life=self._process.rpc_peer.life,
+            incarnation=self._process.rpc_peer.life,
             address=format_address((settings.ip, settings.own_port)),
             zone=settings.zone,
             region=settings.region,
             kind="core",
             ready=True,
-            ctl=ctl,
+            control_address=ctl,
         )
 
     async def asks(self) -> None:
@@ -131,9 +131,9 @@
                 node=self._node(),
                 epoch=epoch,
                 config_version=process.state.version,
-                gen=process.state.gen,
-                servers=servers,
-                nodes=nodes,
+                generation=process.state.gen,
+                endpoints_version=servers,
+                nodes_version=nodes,
                 wait_ms=round(ASK_WAIT * 1000),
             )
             try:
@@ -150,21 +150,25 @@
 
     def _take(self, watch_response: pb.WatchResponse) -> None:
         process, now = self._process, self._process.now()
-        seen = [server_in(s, now) for s in watch_response.server]
-        if watch_response.servers != self._seen[1] or watch_response.servers_whole:
+        seen = [server_in(s, now) for s in watch_response.endpoints]
+        if watch_response.endpoints_version != self._seen[1] or watch_response.endpoints_complete:
             process.endpoint_registry.apply_update(
-                seen, watch_response.servers, watch_response.servers_whole
+                seen, watch_response.endpoints_version, watch_response.endpoints_complete
             )
         process.node_registry.apply_update(
-            watch_response.node,
-            watch_response.node_gone,
-            watch_response.nodes_whole,
-            now,
             watch_response.nodes,
+            watch_response.removed_nodes,
+            watch_response.nodes_complete,
+            now,
+            watch_response.nodes_version,
         )
         for known in process.endpoint_registry.endpoints.values():
             known.last_heartbeat_at = now
-        self._seen = (watch_response.epoch, watch_response.servers, watch_response.nodes)
+        self._seen = (
+            watch_response.epoch,
+            watch_response.endpoints_version,
+            watch_response.nodes_version,
+        )
 
     async def reports(self) -> None:
         """Beats that said nothing new are told of together, for good. What was not answered is
--- a/cairndale/control/heartbeat_batch.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -29,7 +29,9 @@
 
 def hear(endpoint_registry: EndpointRegistry, arrivals: pb.EndpointReport, now: float) -> bool:
     """At the leader. True if there is news for the data plane."""
-    told = [server_in(server, now) for server in arrivals.server if server.state in REPORTED_STATES]
+    told = [
+        server_in(server, now) for server in arrivals.endpoints if server.state in REPORTED_STATES
+    ]
     news = [seen for seen in told if endpoint_registry.record_heartbeat(seen)]
     if news:
         log_event(
@@ -47,7 +49,7 @@
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     def out(self, now: float) -> pb.EndpointReport:
-        return pb.EndpointReport(server=[server_out(seen, now) for seen in self.beats])
+        return pb.EndpointReport(endpoints=[server_out(seen, now) for seen in self.beats])
 
 
 class Arrivals:
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -47,12 +47,12 @@
     return pb.Endpoint(
         id=seen.id,
         service=seen.service,
-        addr=seen.addr,
+        address=seen.addr,
         zone=seen.zone,
-        gen=seen.gen,
+        generation=seen.gen,
         capacity=seen.capacity,
         state=seen.state,
-        cold_ms=cold,
+        warmup_left_ms=cold,
         seq=seen.seq,
     )
 
@@ -62,7 +62,7 @@
     is_warm = seen.warmup_until <= now
     if is_warm and seen.encoded.version == seen.changed_at_version:
         return seen.encoded.data
-    made = pb.WatchResponse(server=[server_out(seen, now)]).SerializeToString()
+    made = pb.WatchResponse(endpoints=[server_out(seen, now)]).SerializeToString()
     if is_warm:
         seen.encoded = EncodedEndpoint(seen.changed_at_version, made)
     return made
@@ -72,12 +72,12 @@
     return Endpoint(
         made.id,
         made.service,
-        made.addr,
+        made.address,
         made.zone,
-        made.gen,
+        made.generation,
         made.capacity,
         made.state,
-        now + made.cold_ms / 1000,
+        now + made.warmup_left_ms / 1000,
         made.seq,
         now,
         made.state == "gone",
@@ -210,16 +210,16 @@
         CallError."""
         if call.term != self.term:
             raise StaleCallError(f"meant for term {call.term}")
-        if before := self._repeats.answer(now, call.origin, call.id):
+        if before := self._repeats.answer(now, call.origin, call.request_id):
             return before
         answer = pb.Envelope(term=self.term)
         if call.HasField("budget_request"):
             answer.budget_response.CopyFrom(self.deal(now, call.budget_request))
         elif (left := self.lease(now, call.quota_request)) is not None:
-            answer.quota_response.left = left
+            answer.quota_response.remaining = left
         else:
             raise RejectedError()
-        self._repeats.keep(now, call.origin, call.id, answer)
+        self._repeats.keep(now, call.origin, call.request_id, answer)
         return answer
 
     def lease(self, now: float, lease: pb.QuotaRequest) -> float | None:
@@ -227,19 +227,19 @@
         have no bound."""
         self._count(now)
         return (
-            self.quota_counter.grant(now, lease.tenant, lease.amount, lease.told)
+            self.quota_counter.grant(now, lease.tenant, lease.amount, lease.spent)
             if self.counting
             else None
         )
 
     def deal(self, now: float, deal: pb.BudgetRequest) -> pb.BudgetResponse:
-        wanted = {name: self._whole(name) for name in deal.whole}
+        wanted = {name: self._whole(name) for name in deal.budgets}
         known = {name: whole for name, whole in wanted.items() if whole}
         wait = self.budget_counter.grant(now, known) if len(known) == len(wanted) else WAIT
         return pb.BudgetResponse(
-            all=not wait,
-            life_ms=round(BUDGET_GRANT_LIFE_S * 1000),
-            wait_ms=round(min(wait, WAIT) * 1000),
+            granted=not wait,
+            valid_ms=round(BUDGET_GRANT_LIFE_S * 1000),
+            retry_after_ms=round(min(wait, WAIT) * 1000),
         )
 
     def _whole(self, name: str) -> Budget | None:
@@ -253,10 +253,10 @@
 
     def beats(self, now: float, beats: pb.HeartbeatReport) -> None:
         """Of servers that said nothing new to one that does not lead, so many ms ago."""
-        for number, (id, seq) in enumerate(zip(beats.id, beats.seq, strict=False)):
+        for number, (id, seq) in enumerate(zip(beats.ids, beats.seqs, strict=False)):
             seen = self.endpoint_registry.endpoints.get(id)
             if seen and seen.state == "ready" and seq > seen.seq:
-                age = beats.age_ms[number] / 1000 if number < len(beats.age_ms) else 0.0
+                age = beats.ages_ms[number] / 1000 if number < len(beats.ages_ms) else 0.0
                 seen.seq, seen.last_heartbeat_at = (
                     seq,
                     max(seen.last_heartbeat_at, now - max(0.0, age - UNDER_WAY)),
@@ -267,13 +267,17 @@
         asked since: this one was held up somewhere, and says nothing of now."""
         if not ask.HasField("node"):
             known = self.node_registry.leases.get(ask.name)
-            if known is None or known.node.life != ask.life or not known.node.address:
+            if known is None or known.node.incarnation != ask.incarnation or not known.node.address:
                 raise StaleCallError()
             ask.node.CopyFrom(known.node)
         known = self.node_registry.leases.get(ask.node.name)
         first = known is None or known.requested_at == float("-inf")  # since the duty began
         is_of_term = ask.epoch.rstrip("~") == f"{self.term}"
-        made = min(now, self.began + ask.clock_ms / 1000) if is_of_term and ask.clock_ms else None
+        made = (
+            min(now, self.began + ask.leader_clock_ms / 1000)
+            if is_of_term and ask.leader_clock_ms
+            else None
+        )
         if self.node_registry.is_outdated(now, ask.node, made):
             raise StaleCallError("held up")
         news = self.node_registry.record_request(now, ask.node, ask.config_version, made)
@@ -283,38 +287,42 @@
             self._was_spent |= (
                 bool(ask.epoch) and ask.node.kind == "edge"
             )  # told before, so it may spend
-        held.is_current = ask.servers == self.endpoint_registry.version
-        held.uses_quota_counter = is_of_term and ask.counting and self.counting
+        held.is_current = ask.endpoints_version == self.endpoint_registry.version
+        held.uses_quota_counter = is_of_term and ask.counter_active and self.counting
         news |= self._count(now, anew=first)
         return news
 
     def has_news(self, now: float, ask: pb.WatchRequest, state: State) -> bool:
         if ask.epoch != self.epoch(now) or ask.config_version != state.version:
             return True
-        if ask.node.kind == "edge" and ask.counting != self.counting:
+        if ask.node.kind == "edge" and ask.counter_active != self.counting:
             return True
         return (
-            ask.servers != self.endpoint_registry.version or ask.nodes != self.node_registry.version
+            ask.endpoints_version != self.endpoint_registry.version
+            or ask.nodes_version != self.node_registry.version
         )
 
     def watch_response(self, now: float, ask: pb.WatchRequest, state: State) -> pb.WatchResponse:
         """The news for who asks, and its lease, which begins now."""
         watch_response = self._answer(now, ask, self.epoch(now), state.version, state.gen)
-        watch_response.settled = self.settled(now)
+        watch_response.endpoints_settled = self.settled(now)
         if ask.config_version != state.version:
-            watch_response.evacuated.extend(state.evacuated)
-            watch_response.has_config_version = True
-            if ask.gen != state.gen and ask.node.kind == "edge":  # others have the log
+            watch_response.evacuated_zones.extend(state.evacuated)
+            watch_response.has_evacuated_zones = True
+            if ask.generation != state.gen and ask.node.kind == "edge":  # others have the log
                 self._tell_content(watch_response, ask, state)
         of_term = ask.epoch in (watch_response.epoch, f"{self.term}~")
         # Once all had time to say that they are there, an ingress need not be told again of those
         # who were.
-        watch_response.rest_gone = (
+        watch_response.unlisted_endpoints_gone = (
             of_term and ask.epoch != watch_response.epoch and ask.node.kind == "edge"
         )
-        known = ask.epoch == watch_response.epoch or watch_response.rest_gone
-        (watch_response.servers, watch_response.nodes), watch_response.lists = self._packed(
-            now, ask.servers if known else -1, ask.nodes if of_term else -1
+        known = ask.epoch == watch_response.epoch or watch_response.unlisted_endpoints_gone
+        (
+            (watch_response.endpoints_version, watch_response.nodes_version),
+            watch_response.compressed_lists,
+        ) = self._packed(
+            now, ask.endpoints_version if known else -1, ask.nodes_version if of_term else -1
         )
         return watch_response
 
@@ -323,12 +331,12 @@
     ) -> None:
         """What differs from the gen that an ingress has, where it takes that and it is known; else
         all."""
-        if ask.differences and (found := state.history.delta_since(ask.gen)):
-            watch_response.difference.CopyFrom(
+        if ask.accepts_delta and (found := state.history.delta_since(ask.generation)):
+            watch_response.delta.CopyFrom(
                 pb.ConfigDelta(
-                    before=found.base_gen,
-                    gen=found.gen,
-                    digest_before=found.base_digest,
+                    base_generation=found.base_gen,
+                    generation=found.gen,
+                    base_digest=found.base_digest,
                     digest=found.digest,
                     change=found.encoded_changes,
                 )
@@ -339,8 +347,11 @@
     def renew(self, now: float, ask: pb.WatchRequest) -> pb.WatchResponse:
         """What it knows stands, and its lease begins anew; news of servers, nodes and the
         configuration may be kept for its next ask."""
-        watch_response = self._answer(now, ask, ask.epoch, ask.config_version, ask.gen)
-        watch_response.servers, watch_response.nodes = ask.servers, ask.nodes
+        watch_response = self._answer(now, ask, ask.epoch, ask.config_version, ask.generation)
+        watch_response.endpoints_version, watch_response.nodes_version = (
+            ask.endpoints_version,
+            ask.nodes_version,
+        )
         return watch_response
 
     def _answer(
@@ -353,10 +364,10 @@
             epoch=epoch,
             lease_ms=round(NODE_LEASE_S * 1000),
             config_version=config_version,
-            gen=gen,
-            share_of=self.shared_by(now),
-            counting=self.counting,
-            clock_ms=max(1, int((now - self.began) * 1000)),
+            generation=gen,
+            ingress_count=self.shared_by(now),
+            counter_active=self.counting,
+            leader_clock_ms=max(1, int((now - self.began) * 1000)),
         )
 
     def _packed(self, now: float, servers: int, nodes: int) -> tuple[tuple[int, int], bytes]:
@@ -375,7 +386,9 @@
         )
         if not 0 <= now - at < (PACKED if upto == of else holds):
             part, upto = (
-                pb.WatchResponse(servers_whole=servers < 0 and settled, nodes_whole=nodes < 0),
+                pb.WatchResponse(
+                    endpoints_complete=servers < 0 and settled, nodes_complete=nodes < 0
+                ),
                 of,
             )
             seen = self.endpoint_registry.changed_since(max(0, servers)) if servers != of[0] else []
@@ -387,8 +400,8 @@
                     if nodes >= 0
                     else (self.node_registry.listed_nodes(), [])
                 )
-                part.node.extend(here)
-                part.node_gone.extend(gone)
+                part.nodes.extend(here)
+                part.removed_nodes.extend(gone)
             made = packed(part)
             if len(self._lists) >= LISTS:
                 self._lists.clear()
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -46,7 +46,7 @@
                 self._driver.receive(message)
             case "evacuation_receipt" if leadership and leadership.term == envelope.term:
                 receipt = envelope.evacuation_receipt
-                leadership.moves.read(receipt.zone, receipt.order)
+                leadership.moves.read(receipt.zone, receipt.order_id)
 
     async def answer(self, envelope: pb.Envelope) -> pb.Envelope:
         """The answer to a call.
@@ -59,7 +59,7 @@
         except NotLeaderError:
             leader = self._raft.leader
             hint = leader.address if leader and leader != self._raft.me else ""
-            return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=hint)
+            return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=hint)
 
     async def _answer_as_leader(self, envelope: pb.Envelope) -> pb.Envelope:
         leads = self._leadership
@@ -81,7 +81,7 @@
             case "operation_request":
                 term, order = leads.require(envelope.term).term, envelope.operation_request
                 status, body = await self._operations.settle(
-                    order.method, order.path, order.body, order.id
+                    order.method, order.path, order.body, order.request_id
                 )
                 response = pb.OperationResponse(status=status, body=body)
                 return pb.Envelope(operation_response=response, term=term)
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -143,17 +143,17 @@
         request = pb.WatchRequest(
             epoch=cursor.epoch,
             config_version=cursor.config_version,
-            gen=cursor.generation,
-            servers=cursor.endpoints_version,
-            nodes=cursor.nodes_version,
+            generation=cursor.generation,
+            endpoints_version=cursor.endpoints_version,
+            nodes_version=cursor.nodes_version,
             wait_ms=round(wait * 1000),
-            counting=self._counting and now - self.last_response_at <= PROMPT_REQUEST_S,
-            clock_ms=self._leader_clock_ms(now),
+            counter_active=self._counting and now - self.last_response_at <= PROMPT_REQUEST_S,
+            leader_clock_ms=self._leader_clock_ms(now),
             idle_ms=0 if self.ingress_count else round((now - self._started_at) * 1000),
-            differences=not self._needs_full_state,
+            accepts_delta=not self._needs_full_state,
         )
         if (cursor.epoch, node) == self._identified_as:
-            request.name, request.life = node.name, node.life
+            request.name, request.incarnation = node.name, node.incarnation
         else:
             request.node.CopyFrom(node)
         return request
@@ -182,7 +182,7 @@
         if response.config_version < self.cursor.config_version:
             return None
         table_change = None
-        if response.HasField("difference"):
+        if response.HasField("delta"):
             try:
                 table_change = self._apply_delta(response)
             except DeltaError as error:
@@ -204,14 +204,14 @@
 
     def _apply_delta(self, response: pb.WatchResponse) -> TableChange:
         """Raise DeltaError, with nothing changed, where the delta does not fit."""
-        delta = response.difference
-        if delta.gen != response.gen:
-            raise DeltaError(f"to gen {delta.gen}, and not to gen {response.gen}")
+        delta = response.delta
+        if delta.generation != response.generation:
+            raise DeltaError(f"to gen {delta.generation}, and not to gen {response.generation}")
         return self.route_table.apply_delta(
             ConfigDelta(
-                base_gen=delta.before,
-                gen=delta.gen,
-                base_digest=delta.digest_before,
+                base_gen=delta.base_generation,
+                gen=delta.generation,
+                base_digest=delta.base_digest,
                 digest=delta.digest,
                 encoded_changes=delta.change,
             )
@@ -223,47 +223,49 @@
 
     def _apply_evacuated_zones(self, response: pb.WatchResponse) -> bool:
         """Return whether other zones are evacuated now."""
-        zones = frozenset(response.evacuated)
-        if not response.has_config_version or zones == self.evacuated_zones:
+        zones = frozenset(response.evacuated_zones)
+        if not response.has_evacuated_zones or zones == self.evacuated_zones:
             return False
         self.evacuated_zones = zones
         return True
 
     def _apply_endpoints(self, response: pb.WatchResponse, now_us: int) -> None:
-        if response.servers_whole:
+        if response.endpoints_complete:
             self.endpoints = {}
         # A leader's epoch carries a `~` until it has heard of all endpoints: it stays the same one.
         if response.epoch.rstrip("~") != self.cursor.epoch.rstrip("~"):
             self._listed_this_epoch = set()
-        self._listed_this_epoch.update(endpoint.id for endpoint in response.server)
-        if response.rest_gone:
+        self._listed_this_epoch.update(endpoint.id for endpoint in response.endpoints)
+        if response.unlisted_endpoints_gone:
             listed = self._listed_this_epoch
             self.endpoints = {id: known for id, known in self.endpoints.items() if id in listed}
-        for endpoint in response.server:
+        for endpoint in response.endpoints:
             if endpoint.state == "gone":
                 self.endpoints.pop(endpoint.id, None)
             else:
-                warmup_until_us = now_us + endpoint.cold_ms * 1000 if endpoint.cold_ms else 0
+                warmup_until_us = (
+                    now_us + endpoint.warmup_left_ms * 1000 if endpoint.warmup_left_ms else 0
+                )
                 self.endpoints[endpoint.id] = KnownEndpoint(endpoint, warmup_until_us)
 
     def _apply_nodes(self, response: pb.WatchResponse) -> None:
-        if response.nodes_whole:
+        if response.nodes_complete:
             self.nodes = {}
-        for name in response.node_gone:
+        for name in response.removed_nodes:
             self.nodes.pop(name, None)
-        self.nodes.update((node.name, node) for node in response.node)
-        self.add_control_addresses(node.address for node in response.node if node.kind == "core")
+        self.nodes.update((node.name, node) for node in response.nodes)
+        self.add_control_addresses(node.address for node in response.nodes if node.kind == "core")
 
     def _apply_counting(self, response: pb.WatchResponse, now: float) -> None:
         """Take in whether units are counted centrally, and by how many ingresses shares are split.
 
         Without the counter the count only rises: too high a count spends too little.
         """
-        if self._counting and not response.counting:
+        if self._counting and not response.counter_active:
             self._isolated_at = now
-        self._counting = response.counting
-        count = response.share_of
-        self.ingress_count = count if response.counting else max(self.ingress_count, count)
+        self._counting = response.counter_active
+        count = response.ingress_count
+        self.ingress_count = count if response.counter_active else max(self.ingress_count, count)
 
     def _advance(
         self, response: pb.WatchResponse, requested_by: pb.Node, requested_at: float, now: float
@@ -272,26 +274,26 @@
         self.cursor = WatchCursor(
             epoch=response.epoch,
             config_version=response.config_version,
-            endpoints_version=response.servers,
-            nodes_version=response.nodes,
-            generation=response.gen,
+            endpoints_version=response.endpoints_version,
+            nodes_version=response.nodes_version,
+            generation=response.generation,
         )
-        self.endpoints_complete = self.endpoints_complete or response.settled
+        self.endpoints_complete = self.endpoints_complete or response.endpoints_settled
         self._identified_as = (response.epoch, requested_by)
-        self.last_response_at, self._leader_clock = now, (response.clock_ms, now)
+        self.last_response_at, self._leader_clock = now, (response.leader_clock_ms, now)
         self.lease_end = requested_at + response.lease_ms / 1000 * (1 - MAX_CLOCK_DRIFT)
 
 
 def _update(
     response: pb.WatchResponse, table_change: TableChange | None, zones_changed: bool
 ) -> ConfigUpdate:
-    any_endpoint = response.servers_whole or response.rest_gone or zones_changed
+    any_endpoint = response.endpoints_complete or response.unlisted_endpoints_gone or zones_changed
     table_changed = response.has_content or table_change is not None
-    nodes_changed = bool(response.node) or bool(response.node_gone) or response.nodes_whole
+    nodes_changed = bool(response.nodes) or bool(response.removed_nodes) or response.nodes_complete
     return ConfigUpdate(
         route_table_changed=table_changed,
         table_change=table_change,
-        endpoints_changed=bool(response.server) or any_endpoint,
-        changed_endpoints=None if any_endpoint else frozenset(e.id for e in response.server),
+        endpoints_changed=bool(response.endpoints) or any_endpoint,
+        changed_endpoints=None if any_endpoint else frozenset(e.id for e in response.endpoints),
         placement_changed=nodes_changed or table_changed,
     )
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -319,14 +319,14 @@
         settings = self.settings
         return pb.Node(
             name=settings.name,
-            life=self.rpc_peer.life,
+            incarnation=self.rpc_peer.life,
             address=self.rpc_peer.own,
-            http=format_address(settings.listen["http"]),
+            http_address=format_address(settings.listen["http"]),
             zone=settings.zone,
             region=settings.region,
             kind="edge",
             ready=self._prepared(),
-            leaving=self._leaving,
+            draining=self._leaving,
         )
 
     async def _asks(self) -> None:
@@ -393,7 +393,7 @@
         placement.ingress_count = max(1, self.config_client.ingress_count)
         placement.ingresses_by_zone = {}
         for node in self.config_client.nodes.values():
-            if node.kind == "edge" and not node.leaving:
+            if node.kind == "edge" and not node.draining:
                 zone = self._zones.get(node.zone, -1)
                 placement.ingresses_by_zone[zone] = placement.ingresses_by_zone.get(zone, 0) + 1
         placement.retry_ratio, placement.retry_slack = bounds.retry_ratio, bounds.retry_slack
@@ -420,7 +420,7 @@
         away = server.state != "ready" or server.zone in self.config_client.evacuated_zones
         raw = {
             "name": server.id,
-            "address": server.addr,
+            "address": server.address,
             "zone": server.zone,
             "status": "draining" if away else "up",
         }
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -59,7 +59,7 @@
     async def _deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
         asked, until, wait = self._now(), 0, UNANSWERED_DENIAL_US
         deal = pb.BudgetRequest(
-            whole=[f"{kind}/{self._name(kind, number)}" for kind, number in units]
+            budgets=[f"{kind}/{self._name(kind, number)}" for kind, number in units]
         )
         try:
             if self._in_touch():
@@ -69,11 +69,11 @@
                     )
                 ).budget_response
                 until = (
-                    asked + round(answer.life_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
-                    if answer.all
+                    asked + round(answer.valid_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
+                    if answer.granted
                     else 0
                 )
-                wait = answer.wait_ms * 1000
+                wait = answer.retry_after_ms * 1000
         except CallError:
             pass
         if not until:
@@ -87,12 +87,12 @@
     async def _lease(self, tenant: str, amount: float, told: float, answered: Answered) -> None:
         """Asks once more where the store was empty, but will hold a unit or more within a pause: a
         leader that has just begun to count begins with empty stores."""
-        asked = pb.QuotaRequest(tenant=tenant, amount=amount, told=told)
+        asked = pb.QuotaRequest(tenant=tenant, amount=amount, spent=told)
         try:
             left = await self._left(asked)
             if left <= -amount < 0 and self._rate(tenant) * LEASE_PAUSE_S >= 1:
                 await asyncio.sleep(LEASE_PAUSE_S * random.uniform(1.0, 1.3))
-                asked.told = 0.0  # heard
+                asked.spent = 0.0  # heard
                 left = await self._left(asked)
         except CallError as failure:
             if not isinstance(failure, CallTimeoutError | UnreachableError):
@@ -107,4 +107,4 @@
         answer = await self._leader_client.call(
             pb.Envelope(quota_request=asked), LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
         )
-        return answer.quota_response.left
+        return answer.quota_response.remaining
--- a/cairndale/errors.py
+++ b/cairndale/errors.py
@@ -1,7 +1,8 @@
 """Errors of calls between the system's own processes; whether a request may have run.
 
 Each cause has a class of its own under `CallError`. The class carries the code that stands for the
-cause on the wire (`Envelope.fault`) and says whether the other side may have acted on the call.
+cause on the wire (`Envelope.fault_code`) and says whether the other side may have acted on the
+call.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class FaultCode(IntEnum):
-    """The cause of a failed call, as it stands in `Envelope.fault`; the protocol's numbers."""
+    """The cause of a failed call, as it stands in `Envelope.fault_code`; the protocol's numbers."""
 
     UNREACHABLE = 1
     TIMED_OUT = 2
--- a/cairndale/lookup/selection.py
+++ b/cairndale/lookup/selection.py
@@ -36,10 +36,10 @@
 
 
 def _near(nodes: Iterable[pb.Node], region: str, zone: str, homes: frozenset[str]) -> set[str]:
-    edges = [n for n in nodes if n.kind == "edge" and n.http]
+    edges = [n for n in nodes if n.kind == "edge" and n.http_address]
     ready, leaving = (
-        [n for n in edges if n.ready and not n.leaving],
-        [n for n in edges if n.leaving],
+        [n for n in edges if n.ready and not n.draining],
+        [n for n in edges if n.draining],
     )
     near = [n for n in ready if n.region == region] or [n for n in ready if n.zone == zone]
     near = near or [n for n in ready if n.region in homes]
@@ -47,7 +47,7 @@
     if not near:
         fit = ready or leaving
         near = [n for n in fit if n.region == region] or [n for n in fit if n.zone == zone] or fit
-    return {n.http for n in near}
+    return {n.http_address for n in near}
 
 
 def lookup(
--- a/cairndale/raft/codec.py
+++ b/cairndale/raft/codec.py
@@ -47,12 +47,12 @@
         term=entry.term,
         data=entry.data,
         members=_members_out(entry.members),
-        opens=entry.is_term_start,
+        opens_term=entry.is_term_start,
     )
 
 
 def _entry_of(made: pb.Entry) -> Entry:
-    return Entry(made.index, made.term, made.data, _members_in(made.members), made.opens)
+    return Entry(made.index, made.term, made.data, _members_in(made.members), made.opens_term)
 
 
 def entry_out(entry: Entry) -> bytes:
@@ -67,7 +67,7 @@
 def _head_pb(head: SnapshotHead) -> pb.InstallSnapshot:
     return pb.InstallSnapshot(
         index=head.index,
-        at_term=head.term,
+        index_term=head.term,
         members=_members_out(head.members),
         size=head.size,
         digest=head.digest,
@@ -75,7 +75,9 @@
 
 
 def _head_of(made: pb.InstallSnapshot) -> SnapshotHead:
-    return SnapshotHead(made.index, made.at_term, _members_in(made.members), made.size, made.digest)
+    return SnapshotHead(
+        made.index, made.index_term, _members_in(made.members), made.size, made.digest
+    )
 
 
 def head_out(head: SnapshotHead) -> bytes:
@@ -90,7 +92,7 @@
 def snapshot_in_format_1(data: bytes) -> Snapshot:
     """Whole, as disks of that format hold it."""
     made = pb.InstallSnapshot.FromString(data)
-    return Snapshot(made.index, made.at_term, _members_in(made.members), made.data)
+    return Snapshot(made.index, made.index_term, _members_in(made.members), made.data)
 
 
 def message_out(message: Message) -> pb.LogMessage:
@@ -109,7 +111,7 @@
                     pre_vote=message.pre_vote,
                     last_index=message.last_log_index,
                     last_term=message.last_log_term,
-                    transfer=message.transfer,
+                    leader_transfer=message.transfer,
                 )
             )
         case VoteReply():
@@ -124,24 +126,26 @@
                     prev_term=message.prev_term,
                     entries=entries,
                     commit_index=message.commit_index,
-                    sent=message.sent_at_us,
+                    sent_us=message.sent_at_us,
                 )
             )
         case AppendReply():
             made.append_reply.CopyFrom(
                 pb.AppendReply(
-                    ok=message.success, match=message.match_index, sent=message.sent_at_us
+                    success=message.success,
+                    match_index=message.match_index,
+                    sent_us=message.sent_at_us,
                 )
             )
         case InstallSnapshot():
             part = _head_pb(message.head)
             part.offset, part.data, part.checksum = message.offset, message.data, message.checksum
-            part.sent = message.sent_at_us
+            part.sent_us = message.sent_at_us
             made.install_snapshot.CopyFrom(part)
         case SnapshotReply():
             made.snapshot_reply.CopyFrom(
                 pb.SnapshotReply(
-                    index=message.index, wanted=message.wanted, sent=message.sent_at_us
+                    index=message.index, next_offset=message.wanted, sent_us=message.sent_at_us
                 )
             )
         case Join():
@@ -156,28 +160,36 @@
 def message_in(made: pb.LogMessage) -> Message:
     """Raises ValueError for one that says nothing."""
     term, sender = made.term, _member(made.sender)
-    match made.WhichOneof("what"):
+    match made.WhichOneof("body"):
         case "request_vote":
             c = made.request_vote
-            return RequestVote(term, sender, c.pre_vote, c.last_index, c.last_term, c.transfer)
+            return RequestVote(
+                term, sender, c.pre_vote, c.last_index, c.last_term, c.leader_transfer
+            )
         case "vote_reply":
             return VoteReply(term, sender, made.vote_reply.pre_vote, made.vote_reply.granted)
         case "append_entries":
             a = made.append_entries
             entries = tuple(_entry_of(e) for e in a.entries)
             return AppendEntries(
-                term, sender, a.prev_index, a.prev_term, entries, a.commit_index, a.sent
+                term, sender, a.prev_index, a.prev_term, entries, a.commit_index, a.sent_us
             )
         case "append_reply":
             return AppendReply(
-                term, sender, made.append_reply.ok, made.append_reply.match, made.append_reply.sent
+                term,
+                sender,
+                made.append_reply.success,
+                made.append_reply.match_index,
+                made.append_reply.sent_us,
             )
         case "install_snapshot":
             p = made.install_snapshot
-            return InstallSnapshot(term, sender, _head_of(p), p.offset, p.data, p.checksum, p.sent)
+            return InstallSnapshot(
+                term, sender, _head_of(p), p.offset, p.data, p.checksum, p.sent_us
+            )
         case "snapshot_reply":
             r = made.snapshot_reply
-            return SnapshotReply(term, sender, r.index, r.wanted, r.sent)
+            return SnapshotReply(term, sender, r.index, r.next_offset, r.sent_us)
         case "join":
             return Join(term, sender)
         case "leave":
--- a/cairndale/registry/heartbeats.py
+++ b/cairndale/registry/heartbeats.py
@@ -47,11 +47,11 @@
         if zone == self._settings.zone:
             return {}
         listed = self._node_registry.listed_nodes()
-        control_nodes = [n for n in listed if n.kind == "core" and n.ctl]
+        control_nodes = [n for n in listed if n.kind == "core" and n.control_address]
         closer = [n for n in control_nodes if n.zone == zone]
         if not closer and region != self._settings.region:
             closer = [n for n in control_nodes if n.region == region]
-        return {"beatUrl": f"http://{closer[0].ctl}"} if closer else {}
+        return {"beatUrl": f"http://{closer[0].control_address}"} if closer else {}
 
     def parse(self, id: str, body: bytes, now: float) -> Endpoint | None:
         """The endpoint that a heartbeat describes; None if it is not valid.
@@ -82,13 +82,13 @@
         self._unacknowledged = {i: h for i, h in self._unacknowledged.items() if i in known}
         collected = self._unacknowledged.values()
         return pb.HeartbeatReport(
-            id=list(self._unacknowledged),
-            seq=[h.seq for h in collected],
-            age_ms=[round((now - h.received_at) * 1000) for h in collected],
+            ids=list(self._unacknowledged),
+            seqs=[h.seq for h in collected],
+            ages_ms=[round((now - h.received_at) * 1000) for h in collected],
         )
 
     def acknowledge(self, report: pb.HeartbeatReport) -> None:
         """Drop what a leader has acknowledged, but for heartbeats that came since."""
-        for id, seq in zip(report.id, report.seq, strict=True):
+        for id, seq in zip(report.ids, report.seqs, strict=True):
             if id in self._unacknowledged and self._unacknowledged[id].seq <= seq:
                 del self._unacknowledged[id]
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -90,7 +90,7 @@
         node does not know of this term.
         """
         known = self.leases.get(node.name)
-        is_same_life = known is not None and known.node.life == node.life
+        is_same_life = known is not None and known.node.incarnation == node.incarnation
         previous = known.requested_at_by_term_clock if known and is_same_life else NEVER
         if requested_at is None:
             return previous > NEVER
@@ -122,7 +122,9 @@
             self.names_added += 1
             return True
         has_changed = known.node != node or not known.is_listed
-        if known.node.life != node.life:  # a machine runs one life of a role: the former is over
+        if (
+            known.node.incarnation != node.incarnation
+        ):  # a machine runs one life of a role: the former is over
             known.config_version = config_version
         else:
             known.config_version = max(known.config_version, config_version)
--- a/cairndale/rpc/compression.py
+++ b/cairndale/rpc/compression.py
@@ -20,15 +20,15 @@
 
 def unpack(watch_response: pb.WatchResponse) -> None:
     """Puts packed lists in their places. Raises ValueError where they are none."""
-    if not watch_response.lists:
+    if not watch_response.compressed_lists:
         return
     packer = zlib.decompressobj()
     try:
-        data = packer.decompress(watch_response.lists, MOST)
+        data = packer.decompress(watch_response.compressed_lists, MOST)
         part = pb.WatchResponse.FromString(data)
     except (zlib.error, DecodeError) as error:
         raise ValueError(f"packed lists: {error}") from None
     if not packer.eof:
         raise ValueError("packed lists: they end early, or are too large")
-    watch_response.ClearField("lists")
+    watch_response.ClearField("compressed_lists")
     watch_response.MergeFrom(part)
--- a/cairndale/rpc/framing.py
+++ b/cairndale/rpc/framing.py
@@ -122,7 +122,10 @@
             self._process.garbled(self, "no hello")
             return False
         before, self.peer = self.peer, envelope.hello
-        if before and (before.life, before.address) != (self.peer.life, self.peer.address):
+        if before and (before.incarnation, before.address) != (
+            self.peer.incarnation,
+            self.peer.address,
+        ):
             self._process.garbled(self, "another life on the same connection")
             return False
         if not self._process.greeted(self):
@@ -136,9 +139,9 @@
         made = pb.Hello(
             format=FORMAT,
             system=process.system,
-            life=process.life,
+            incarnation=process.life,
             address=process.own,
-            to=self.address,
+            recipient=self.address,
         )
         data = pb.Envelope(hello=made).SerializeToString()
         self._has_greeted = True
--- a/cairndale/rpc/leader_client.py
+++ b/cairndale/rpc/leader_client.py
@@ -81,7 +81,7 @@
         kind = KINDS[envelope.WhichOneof("body") or ""]
         if kind.repeat is DuplicateSafety.REMEMBERED:
             self._id += 1
-            envelope.id = self._id
+            envelope.request_id = self._id
         rpc_peer = self._rpc_peer
         end = rpc_peer.now() + within
         failure: CallError = UnreachableError()
@@ -95,7 +95,7 @@
             made.CopyFrom(envelope)
             made.term = rpc_peer.fence.newest
             if way != address:
-                made.pass_to = address
+                made.forward_to = address
             try:
                 answer = await rpc_peer.call(way, made, min(patience, end - now))
             except CallError as error:
@@ -109,8 +109,8 @@
                 await self._rest(random.uniform(*PAUSE) / 2, end)
                 continue
             self._bad.pop(way, None)
-            if answer.fault == FaultCode.NOT_LEADER:
-                self.hint = answer.pass_to if answer.pass_to != address else ""
+            if answer.fault_code == FaultCode.NOT_LEADER:
+                self.hint = answer.forward_to if answer.forward_to != address else ""
                 if not self.hint:
                     await self._rest(random.uniform(*PAUSE), end)
                 continue
--- a/cairndale/rpc/peer.py
+++ b/cairndale/rpc/peer.py
@@ -113,10 +113,10 @@
         assert peer
         if peer.format != FORMAT:
             return self._foreign(frames, f"format {peer.format}, where {FORMAT} is known")
-        is_for_us = peer.address == frames.address if frames.address else peer.to == self.own
-        if not (peer.life and peer.address and is_for_us):
+        is_for_us = peer.address == frames.address if frames.address else peer.recipient == self.own
+        if not (peer.incarnation and peer.address and is_for_us):
             return self._foreign(
-                frames, f"{peer.address or 'nobody'} to {peer.to or frames.address}"
+                frames, f"{peer.address or 'nobody'} to {peer.recipient or frames.address}"
             )
         if peer.system and self.system and peer.system != self.system:
             return self._foreign(frames, f"system {peer.system}, where this one is {self.system}")
@@ -156,7 +156,7 @@
 
     def outdated(self, envelope: pb.Envelope, address: str) -> bool:
         """A leader's word of an older term than one that was heard: nothing is to come of it."""
-        if envelope.fault or self.fence.admits(envelope.term):
+        if envelope.fault_code or self.fence.admits(envelope.term):
             return False
         self._refuse(
             "outdated", Event.STALE_TERM, f"{envelope.term} at {address}, after {self.fence.newest}"
@@ -214,7 +214,11 @@
         )
 
     def _write(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
-        waiting = self._calls.get(envelope.call) if envelope.call and not envelope.answer else None
+        waiting = (
+            self._calls.get(envelope.call_id)
+            if envelope.call_id and not envelope.is_answer
+            else None
+        )
         if frames.write(envelope):
             if waiting:
                 waiting.frames = frames
@@ -223,7 +227,7 @@
 
     def _fail(self, envelope: pb.Envelope, error: CallError) -> None:
         """A call of ours was not sent."""
-        waiting = self._calls.get(envelope.call) if envelope.call else None
+        waiting = self._calls.get(envelope.call_id) if envelope.call_id else None
         if waiting and not waiting.future.done():
             waiting.future.set_exception(error)
 
@@ -245,18 +249,20 @@
     # What others send.
 
     def came(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
-        if envelope.answer:
-            waiting = self._calls.get(envelope.call)
+        if envelope.is_answer:
+            waiting = self._calls.get(envelope.call_id)
             if (
                 waiting is None or waiting.frames is not frames
             ):  # late, or by one that was not asked
                 self.counts["unasked"] = self.counts.get("unasked", 0) + 1
             elif not waiting.future.done():
                 waiting.future.set_result(envelope)
-        elif envelope.call:
+        elif envelope.call_id:
             if len(self._tasks) + len(self._come) >= CALLERS:
                 frames.write(
-                    pb.Envelope(call=envelope.call, answer=True, fault=FaultCode.QUEUE_FULL)
+                    pb.Envelope(
+                        call_id=envelope.call_id, is_answer=True, fault_code=FaultCode.QUEUE_FULL
+                    )
                 )
                 return
             self._come.append((frames, envelope))
@@ -278,10 +284,10 @@
             self._turn = self._loop.call_soon(self._begin_some)
 
     async def _answer(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
-        call, life = envelope.call, frames.peer.life if frames.peer else ""
+        call, life = envelope.call_id, frames.peer.incarnation if frames.peer else ""
         try:
-            if envelope.pass_to and envelope.pass_to != self.own:
-                address, envelope.pass_to, envelope.origin = envelope.pass_to, "", life
+            if envelope.forward_to and envelope.forward_to != self.own:
+                address, envelope.forward_to, envelope.origin = envelope.forward_to, "", life
                 answer = await self.call(address, envelope, PASSED)
                 if self.outdated(answer, address):
                     raise CallTimeoutError("an older leader's word")
@@ -289,8 +295,8 @@
                 envelope.origin = envelope.origin or life
                 answer = await self._handle(envelope)
         except CallError as failure:
-            answer = pb.Envelope(fault=failure.code)
-        answer.call, answer.answer = call, True
+            answer = pb.Envelope(fault_code=failure.code)
+        answer.call_id, answer.is_answer = call, True
         frames.write(answer)
 
     # What we send.
@@ -302,7 +308,7 @@
     async def call(self, address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
         """The answer, within so many seconds. Raises CallError."""
         self._next += 1
-        number = envelope.call = self._next
+        number = envelope.call_id = self._next
         future: asyncio.Future[pb.Envelope] = self._loop.create_future()
         self._calls[number] = waiting = _Waiting(future, None, self.now())
         try:
@@ -317,6 +323,6 @@
             raise CallTimeoutError(address) from None
         finally:
             del self._calls[number]
-        if answer.fault and answer.fault != FaultCode.NOT_LEADER:
-            raise error_for_code(answer.fault, address)
+        if answer.fault_code and answer.fault_code != FaultCode.NOT_LEADER:
+            raise error_for_code(answer.fault_code, address)
         return answer
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -121,9 +121,9 @@
         nodes = [
             pb.Node(
                 name=f"hollow-{n}",
-                life=key(n)[:12],
+                incarnation=key(n)[:12],
                 address=f"10.{n // 250}.{n % 250}.1:7601",
-                http=f"10.{n // 250}.{n % 250}.1:7602",
+                http_address=f"10.{n // 250}.{n % 250}.1:7602",
                 zone=f"z{n % 26}",
                 region=f"r{n % 8}",
                 kind="edge",
@@ -131,7 +131,7 @@
             )
             for n in range(count)
         ]
-        size = len(packed(pb.WatchResponse(node=nodes)))
+        size = len(packed(pb.WatchResponse(nodes=nodes)))
         what = f"all ingresses told of to one, KB, at {count:,}"
         rows.append((what, format_number(size / 1e3), "made up here and packed"))
         within = format_number(size * count / BYTES_PER_S)
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -117,9 +117,9 @@
         zone, region = self.place
         return pb.Node(
             name=self.name,
-            life=self.rpc_peer.life,
+            incarnation=self.rpc_peer.life,
             address=format_address(self._at),
-            http=format_address((self._at[0], self._at[1] + 1)),
+            http_address=format_address((self._at[0], self._at[1] + 1)),
             zone=zone,
             region=region,
             kind="edge",
@@ -157,11 +157,11 @@
         )
         if watch_response.has_content:
             self.tenants, watch_response.content = self._shared.tenants(watch_response.content), b""
-        watch_response.ClearField("difference")  # it holds no items, and goes by the gen alone
+        watch_response.ClearField("delta")  # it holds no items, and goes by the gen alone
         if self.config_client.apply(watch_response, node, asked, now, 0) is None:
             return
-        if watch_response.gen != gen:
-            self.served_at[watch_response.gen] = now
+        if watch_response.generation != gen:
+            self.served_at[watch_response.generation] = now
             while len(self.served_at) > KEPT:
                 del self.served_at[next(iter(self.served_at))]
         if self.well_at:
@@ -178,11 +178,11 @@
             if not (self.tenants and self.config_client.in_contact(time.monotonic())):
                 continue
             if self._rng.random() < 0.05:
-                asked = pb.Envelope(budget_request=pb.BudgetRequest(whole=["further/s0"]))
+                asked = pb.Envelope(budget_request=pb.BudgetRequest(budgets=["further/s0"]))
             else:
                 tenant = f"t{self._rng.randrange(self.tenants)}"
                 asked = pb.Envelope(
-                    quota_request=pb.QuotaRequest(tenant=tenant, amount=1.0, told=1.0)
+                    quota_request=pb.QuotaRequest(tenant=tenant, amount=1.0, spent=1.0)
                 )
             try:
                 await self.leader_client.call(asked, LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S)
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -30,7 +30,7 @@
 from cairndale.settings import checked
 from tests.control.test_state_models import SETTINGS, content, route
 
-NODE = pb.Node(name="e", life="1", kind="edge", address="d", http="h")
+NODE = pb.Node(name="e", incarnation="1", kind="edge", address="d", http_address="h")
 
 
 def seen(route_table: RouteTable) -> list[Any]:
@@ -151,7 +151,7 @@
     ]
     match rng.randrange(6):
         case 0:
-            told.before -= 1
+            told.base_generation -= 1
         case 1:
             told.change = told.change[: rng.randrange(len(told.change))]
         case 2:
@@ -161,9 +161,9 @@
             del raw[table][put[0]]
             told.change = zlib.compress(json.dumps(raw).encode())
         case 4:
-            told.gen += 1
+            told.generation += 1
         case _:
-            told.digest_before += 1
+            told.base_digest += 1
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -179,10 +179,10 @@
         if rng.random() < 0.3:
             continue
         watch_response = told(leader, client, now, number)
-        assert watch_response.HasField("difference") != watch_response.has_content
-        if watch_response.HasField("difference") and rng.random() < 0.3:
-            assert len(watch_response.difference.change) < len(leader.encoded_content())
-            spoil(watch_response.difference, client.route_table, rng)
+        assert watch_response.HasField("delta") != watch_response.has_content
+        if watch_response.HasField("delta") and rng.random() < 0.3:
+            assert len(watch_response.delta.change) < len(leader.encoded_content())
+            spoil(watch_response.delta, client.route_table, rng)
             changed = client.apply(watch_response, NODE, now, now, 0)
             assert changed and changed.rejection_reason and not changed.route_table_changed
             assert (
@@ -198,7 +198,7 @@
             seen(client.route_table) == seen(RouteTable(leader.content))
             and client.cursor.generation == leader.gen
         )
-        assert client.watch_request(NODE, now, 0).differences and client.lease_end > now
+        assert client.watch_request(NODE, now, 0).accepts_delta and client.lease_end > now
 
 
 def test_each_leader_tells_one_change_as_a_difference_whatever_the_order_of_items() -> None:
@@ -223,16 +223,16 @@
         assert (
             turned.digest
             == client.route_table.digest
-            == (watch_response.difference.digest or turned.digest)
+            == (watch_response.delta.digest or turned.digest)
         )
     ask = client.watch_request(NODE, 200.0, 0)
     ask.node.CopyFrom(NODE)
-    ask.node.kind, ask.config_version, ask.gen = "core", 1, 1
+    ask.node.kind, ask.config_version, ask.generation = "core", 1, 1
     watch_response = leadership.watch_response(200.0, ask, leader)  # which has the log
     assert (
-        watch_response.has_config_version
+        watch_response.has_evacuated_zones
         and not watch_response.has_content
-        and not watch_response.HasField("difference")
+        and not watch_response.HasField("delta")
     )
 
 
@@ -332,14 +332,14 @@
         )
         house.config_client._needs_full_state = whole = rng.random() < 0.2
         watch_response = told(state, house.config_client, now, 3)
-        watch_response.epoch, watch_response.servers, before = (
+        watch_response.epoch, watch_response.endpoints_version, before = (
             "3",
             number + 1,
             dict(house.engine.names.plans),
         )
         if rng.random() < 0.1:
-            known, watch_response.servers_whole = {}, True
-        watch_response.evacuated.extend(["y"] if rng.random() < 0.3 else [])
+            known, watch_response.endpoints_complete = {}, True
+        watch_response.evacuated_zones.extend(["y"] if rng.random() < 0.3 else [])
         for name in rng.sample("abcdefgh", 3):
             addr, service = (
                 rng.choice(["10.1.0.9:80", "10.1.0.8:80", "10.1.0.8:no"]),
@@ -348,25 +348,25 @@
             server = pb.Endpoint(
                 id=name,
                 service=service,
-                addr=addr,
+                address=addr,
                 zone=rng.choice("yz"),
                 capacity=2,
                 state=rng.choice(["ready", "ready", "draining", "gone"]),
             )
             known[name] = server
-            watch_response.server.append(server)
+            watch_response.endpoints.append(server)
         house._apply(watch_response, NODE, now)
         here = [server for server in known.values() if server.state != "gone"]
         content = zlib.compress(json.dumps(state.content).encode())
         anew = pb.WatchResponse(
             epoch="3",
             config_version=watch_response.config_version,
-            gen=watch_response.gen,
+            generation=watch_response.generation,
             has_content=True,
             content=content,
         )
-        anew.server.extend(here)
-        anew.has_config_version, anew.evacuated[:] = True, watch_response.evacuated
+        anew.endpoints.extend(here)
+        anew.has_evacuated_zones, anew.evacuated_zones[:] = True, watch_response.evacuated_zones
         plain._apply(anew, NODE, now)
         assert watch_response.has_content == (whole or number == 0) and seen(
             house.route_table
@@ -403,7 +403,9 @@
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
     first = told(digested(state), house.config_client, house._loop.time(), 3)
-    first.server.add(id="i", service="s1", addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
+    first.endpoints.add(
+        id="i", service="s1", address="10.1.0.9:80", zone="z", capacity=2, state="ready"
+    )
     house._apply(first, NODE, house._loop.time())
     message = Message()
     message.method, message.target = b"GET", b"/r1/x"
@@ -415,7 +417,7 @@
     frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
     assert state.apply(Command(Verb.UPDATE, "2", frame))
     watch_response = told(state, house.config_client, house._loop.time(), 3)
-    assert watch_response.HasField("difference")
+    assert watch_response.HasField("delta")
     house._apply(watch_response, NODE, house._loop.time())
     assert (wanted.dress("i", 1000) is not None) == goes
     house.backends.stop()
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -51,7 +51,7 @@
         rng, told, answered = random.Random(cores), list[tuple[float, int]](), dict[str, float]()
 
         async def tell(batch: HeartbeatBatch) -> None:
-            told.append((now(), len(batch.out(now()).server)))
+            told.append((now(), len(batch.out(now()).endpoints)))
             await asyncio.sleep(WAY)
 
         made, began = Arrivals(now, lambda: cores, tell), now()
@@ -109,11 +109,11 @@
 def test_the_leader_hears_a_copy_or_an_older_word_once_and_nothing_unsound() -> None:
     endpoint_registry = EndpointRegistry()
     told = [server_out(read_heartbeat(id, beat(seq), 5.0), 5.0) for id, seq in (("i", 7), ("j", 3))]
-    assert hear(endpoint_registry, pb.EndpointReport(server=told), 6.0)
-    assert not hear(endpoint_registry, pb.EndpointReport(server=told), 7.0)
+    assert hear(endpoint_registry, pb.EndpointReport(endpoints=told), 6.0)
+    assert not hear(endpoint_registry, pb.EndpointReport(endpoints=told), 7.0)
     older = server_out(read_heartbeat("i", beat(6, state="draining"), 5.0), 5.0)
-    odd = pb.Endpoint(id="k", service="s", addr="10.0.0.1:1", state="gone", capacity=1)
-    assert not hear(endpoint_registry, pb.EndpointReport(server=[older, odd]), 8.0)
+    odd = pb.Endpoint(id="k", service="s", address="10.0.0.1:1", state="gone", capacity=1)
+    assert not hear(endpoint_registry, pb.EndpointReport(endpoints=[older, odd]), 8.0)
     assert {
         s.id: (s.seq, s.state, s.last_heartbeat_at) for s in endpoint_registry.endpoints.values()
     } == {
@@ -143,7 +143,7 @@
 
         def go(sender: str, receiver: str, envelope: pb.Envelope) -> None:
             nonlocal calls
-            calls += not envelope.answer and envelope.WhichOneof("body") in (
+            calls += not envelope.is_answer and envelope.WhichOneof("body") in (
                 "endpoint_report",
                 "operation_request",
             )
@@ -236,9 +236,9 @@
         }
         assert len({s.id for s in since}) == len(since)
         for seen in since:  # and what was made before is what would be made now
-            fresh = pb.WatchResponse(server=[server_out(seen, at)])
+            fresh = pb.WatchResponse(endpoints=[server_out(seen, at)])
             made = pb.WatchResponse.FromString(leadership_module.encoded(seen, at))
-            made.server[0].seq = fresh.server[0].seq
+            made.endpoints[0].seq = fresh.endpoints[0].seq
             assert made == fresh
         if rng.random() < 0.1:
             follower.apply_update(
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -658,18 +658,22 @@
     for id, seq, at in (("i", 2, 1.0), ("j", 2, 1.2), ("i", 3, 2.5)):
         assert collector.collect(id, json.dumps(beat(seq)).encode(), at)
     lost = collector.report(3.0)
-    assert (list(lost.id), list(lost.seq), list(lost.age_ms)) == (["i", "j"], [3, 2], [500, 1800])
-    assert collector.report(3.1).seq == lost.seq  # there was no answer
+    assert (list(lost.ids), list(lost.seqs), list(lost.ages_ms)) == (
+        ["i", "j"],
+        [3, 2],
+        [500, 1800],
+    )
+    assert collector.report(3.1).seqs == lost.seqs  # there was no answer
     assert collector.collect("i", json.dumps(beat(4)).encode(), 3.2)
     collector.acknowledge(lost)
-    assert list(collector.report(3.3).id) == ["i"] and list(collector.report(3.3).seq) == [4]
+    assert list(collector.report(3.3).ids) == ["i"] and list(collector.report(3.3).seqs) == [4]
     endpoint_registry.endpoints.clear()
-    assert not collector.report(3.4).id
+    assert not collector.report(3.4).ids
     leadership = Leadership(
         1, 100.0, False, EndpointRegistry(), NodeRegistry(), [], settings.bounds, 1.5
     )
     leadership.endpoint_registry.record_heartbeat(read_heartbeat("i", beat(1), 96.0))
-    leadership.beats(100.0, pb.HeartbeatReport(id=["i", "x"], seq=[3, 1], age_ms=[3000, 0]))
+    leadership.beats(100.0, pb.HeartbeatReport(ids=["i", "x"], seqs=[3, 1], ages_ms=[3000, 0]))
     assert (
         leadership.endpoint_registry.endpoints["i"].last_heartbeat_at == 98.0
         and "x" not in leadership.endpoint_registry.endpoints
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -92,9 +92,9 @@
             epoch, config_version, servers, nodes, gen = self.seen
             node = pb.Node(
                 name=self.name,
-                life=self.life,
+                incarnation=self.life,
                 address=self.name,
-                http="1.2.3.4:80",
+                http_address="1.2.3.4:80",
                 zone="zone",
                 kind="edge",
             )
@@ -103,9 +103,9 @@
                 node=node,
                 epoch=epoch,
                 config_version=config_version,
-                gen=gen,
-                servers=servers,
-                nodes=nodes,
+                generation=gen,
+                endpoints_version=servers,
+                nodes_version=nodes,
                 wait_ms=round(wait * 1000),
             )
             asked, loop = self.world.now(), asyncio.get_running_loop()
@@ -121,27 +121,27 @@
         unpack(watch_response)
         if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
             self.of_term = set()
-        if watch_response.servers_whole:
+        if watch_response.endpoints_complete:
             self.servers = {}
-        if watch_response.nodes_whole:
+        if watch_response.nodes_complete:
             self.nodes = set()
-        self.of_term |= {s.id for s in watch_response.server}
-        if watch_response.rest_gone:
+        self.of_term |= {s.id for s in watch_response.endpoints}
+        if watch_response.unlisted_endpoints_gone:
             self.servers = {id: state for id, state in self.servers.items() if id in self.of_term}
-        for server in watch_response.server:
+        for server in watch_response.endpoints:
             self.servers[server.id] = server.state
-        self.nodes = (self.nodes - set(watch_response.node_gone)) | {
-            n.name for n in watch_response.node
+        self.nodes = (self.nodes - set(watch_response.removed_nodes)) | {
+            n.name for n in watch_response.nodes
         }
         self.seen = (
             watch_response.epoch,
             watch_response.config_version,
-            watch_response.servers,
-            watch_response.nodes,
-            watch_response.gen,
+            watch_response.endpoints_version,
+            watch_response.nodes_version,
+            watch_response.generation,
         )
         self.edges, self.lease_end = (
-            max(self.edges, watch_response.share_of),
+            max(self.edges, watch_response.ingress_count),
             asked + NODE_LEASE_S * 0.98,
         )
 
@@ -525,16 +525,18 @@
         frames = cast(FramedConnection, SimpleNamespace(peer=None, write=said.append))
         for number in range(2 * 6300):
             rpc_peer.came(
-                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+                frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
-        rpc_peer.came(frames, pb.Envelope(call=1 << 20, quota_request=pb.QuotaRequest(tenant="t")))
+        rpc_peer.came(
+            frames, pb.Envelope(call_id=1 << 20, quota_request=pb.QuotaRequest(tenant="t"))
+        )
         await asyncio.sleep(0.5)
         answered = list(said)
         for number in range(20_000):  # and there is a bound
             rpc_peer.came(
-                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+                frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
-        assert any(answer.fault == FaultCode.QUEUE_FULL for answer in said)
+        assert any(answer.fault_code == FaultCode.QUEUE_FULL for answer in said)
         await asyncio.sleep(2.0)
         return answered
 
@@ -543,7 +545,7 @@
         (answer,) = loop.run_until_complete(kept())
     finally:
         loop.close()
-    assert answer.call == 1 << 20 and not answer.fault
+    assert answer.call_id == 1 << 20 and not answer.fault_code
 
 
 def test_others_have_their_turn_while_many_call() -> None:
@@ -554,14 +556,14 @@
         turn, begun = 0, list[tuple[int, int]]()
 
         async def handle(envelope: pb.Envelope) -> pb.Envelope:
-            begun.append((turn, envelope.call))
+            begun.append((turn, envelope.call_id))
             return pb.Envelope()
 
         rpc_peer = RpcPeer(("10.0.0.1", 1), lambda envelope: None, handle)
         frames = cast(FramedConnection, SimpleNamespace(peer=None, write=lambda envelope: True))
         for number in range(1000):
             rpc_peer.came(
-                frames, pb.Envelope(call=number + 1, watch_request=pb.WatchRequest(name="e"))
+                frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
         while len(begun) < 1000:
             await asyncio.sleep(0)
@@ -597,7 +599,7 @@
     for turn in range(600):
         now, looked.looks = 0.001 * turn, 0
         name = rng.choice(names) if turn % 100 else f"new{turn}"
-        node_registry.record_request(now, pb.Node(name=name, life=f"{turn}", kind="edge"), 0)
+        node_registry.record_request(now, pb.Node(name=name, incarnation=f"{turn}", kind="edge"), 0)
         counted[name] = now + leadership_module.COUNTED
         before = leadership._shared_at
         assert leadership.shared_by(now) == len(counted)
@@ -617,31 +619,35 @@
     leadership = Leadership(1, 0.0, True, endpoint_registry, node_registry, [], Bounds(), BEAT)
 
     def node(number: int, life: int) -> pb.Node:
-        return pb.Node(name=f"e{number}", life=f"{life}", address=f"10.0.{number}:1", kind="edge")
+        return pb.Node(
+            name=f"e{number}", incarnation=f"{life}", address=f"10.0.{number}:1", kind="edge"
+        )
 
     for number in range(1000):
         node_registry.record_request(0.0, node(number, 1), 0)
     known = node_registry.version
-    nodes = {h.node.name: h.node.life for h in node_registry.leases.values()}
+    nodes = {h.node.name: h.node.incarnation for h in node_registry.leases.values()}
     for number in range(1000):
         now += 0.001
         node_registry.record_request(now, node(number, 2), 0)
         watch_response = leadership.watch_response(
             now,
-            pb.WatchRequest(epoch=leadership.epoch(now), nodes=known, node=node(number, 2)),
+            pb.WatchRequest(epoch=leadership.epoch(now), nodes_version=known, node=node(number, 2)),
             state,
         )
-    assert len(made) < 120 and watch_response.nodes > known
+    assert len(made) < 120 and watch_response.nodes_version > known
     unpack(watch_response)
-    nodes |= {n.name: n.life for n in watch_response.node}
+    nodes |= {n.name: n.incarnation for n in watch_response.nodes}
     watch_response = leadership.watch_response(
         now,
-        pb.WatchRequest(epoch=leadership.epoch(now), nodes=watch_response.nodes, node=node(0, 2)),
+        pb.WatchRequest(
+            epoch=leadership.epoch(now), nodes_version=watch_response.nodes_version, node=node(0, 2)
+        ),
         state,
     )
     unpack(watch_response)
-    nodes |= {n.name: n.life for n in watch_response.node}
-    assert nodes == {h.node.name: h.node.life for h in node_registry.leases.values()}
+    nodes |= {n.name: n.incarnation for n in watch_response.nodes}
+    assert nodes == {h.node.name: h.node.incarnation for h in node_registry.leases.values()}
 
 
 def test_who_asks_anew_is_told_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -650,14 +656,14 @@
     async def anew(world: World) -> None:
         await world.until(world.returned, 8.0)
         node, told, whole = (
-            pb.Node(name="e0", life="x", address="e0", kind="edge"),
+            pb.Node(name="e0", incarnation="x", address="e0", kind="edge"),
             list[str](),
             Leadership.watch_response,
         )
         monkeypatch.setattr(
             Leadership,
             "watch_response",
-            lambda *args: (told.append(args[2].node.life), whole(*args))[1],
+            lambda *args: (told.append(args[2].node.incarnation), whole(*args))[1],
         )
         monkeypatch.setattr(world.watch_server, "_room", -1e9)
         world.ingresses["e0"].task.cancel()
@@ -673,20 +679,22 @@
         assert all("asked anew" in str(task.exception()) for task in asks[:2])
         world.watch_server._room = prompting.BYTES
         world.notify_change()
-        assert (await asks[2]).has_config_version and told.count("x") == 1
+        assert (await asks[2]).has_evacuated_zones and told.count("x") == 1
 
     play(10, 10, anew, monkeypatch)
 
 
 def test_lists_that_were_packed_come_out_as_they_were() -> None:
-    part = pb.WatchResponse(servers_whole=True, node_gone=["e1"], node=[pb.Node(name="e2")])
-    part.server.extend(pb.Endpoint(id=f"i{n}", seq=n) for n in range(300))
-    watch_response = pb.WatchResponse(epoch="1", lists=packed(part))
+    part = pb.WatchResponse(
+        endpoints_complete=True, removed_nodes=["e1"], nodes=[pb.Node(name="e2")]
+    )
+    part.endpoints.extend(pb.Endpoint(id=f"i{n}", seq=n) for n in range(300))
+    watch_response = pb.WatchResponse(epoch="1", compressed_lists=packed(part))
     unpack(watch_response)
-    assert watch_response == pb.WatchResponse(epoch="1") or len(watch_response.server) == 300
+    assert watch_response == pb.WatchResponse(epoch="1") or len(watch_response.endpoints) == 300
     watch_response.ClearField("epoch")
     assert watch_response == part
     assert packed(pb.WatchResponse()) == b""
     for broken in (b"x", packed(part)[:-5], packed(part)[:20] + b"y" * 40):
         with pytest.raises(ValueError, match="packed lists"):
-            unpack(pb.WatchResponse(lists=broken))
+            unpack(pb.WatchResponse(compressed_lists=broken))
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -350,7 +350,7 @@
 def test_a_server_that_says_it_is_cold_for_ages_is_not_taken_at_its_word() -> None:
     raw = beat(1)
     raw["status"]["warmupLeft"] = "999999999s"
-    assert 0 < server_out(read_heartbeat("i", raw, 5.0), 5.0).cold_ms <= 3_600_000
+    assert 0 < server_out(read_heartbeat("i", raw, 5.0), 5.0).warmup_left_ms <= 3_600_000
 
 
 # Ingresses.
@@ -359,10 +359,10 @@
 def node(name: str, life: str = "1", zone: str = "z", region: str = "r", **fields: Any) -> pb.Node:
     return pb.Node(
         name=name,
-        life=life,
+        incarnation=life,
         zone=zone,
         region=region,
-        http=f"{name}:80",
+        http_address=f"{name}:80",
         **({"kind": "edge", "ready": True} | fields),
     )
 
@@ -404,7 +404,7 @@
         node("a"),
         node("b", region="q"),
         node("c", ready=False),
-        node("d", leaving=True),
+        node("d", draining=True),
         node("e", kind="core"),
     ]
 
@@ -427,7 +427,7 @@
     homed = [route(homeRegions=["p", "q"]), route("r2", homeRegions=["q"])]
     route_table = RouteTable(content(routes=[*homed, route("r3")]))
     plain = RouteTable(content(routes=[route()]))
-    here, home = node("a", leaving=True), node("b", zone="y", region="q")
+    here, home = node("a", draining=True), node("b", zone="y", region="q")
     away, half = node("c", zone="x", region="s"), node("e", zone="w", region="p")
 
     def told(nodes: list[pb.Node], of: RouteTable) -> Any:
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -112,7 +112,7 @@
     leadership.follow(world.state)
 
     def ask(name: str, now: float, epoch: str, idle: int) -> None:
-        node = pb.Node(name=name, life="1", kind="edge", address="d")
+        node = pb.Node(name=name, incarnation="1", kind="edge", address="d")
         leadership.asked(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
 
     ask("e0", 10.1, "1" if told else "", 0)
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -23,11 +23,13 @@
 def watch_response(epoch: str, servers: dict[str, str], **fields: Any) -> pb.WatchResponse:
     """News of servers by name and service, on top of what was told before."""
     told = [
-        pb.Endpoint(id=id, service=service, addr="10.1.0.9:80", zone="z", capacity=2, state="ready")
+        pb.Endpoint(
+            id=id, service=service, address="10.1.0.9:80", zone="z", capacity=2, state="ready"
+        )
         for id, service in servers.items()
     ]
     return pb.WatchResponse(
-        epoch=epoch, lease_ms=4500, config_version=1, server=told, share_of=1, **fields
+        epoch=epoch, lease_ms=4500, config_version=1, endpoints=told, ingress_count=1, **fields
     )
 
 
@@ -53,7 +55,9 @@
         node._apply(watch_response("1~", {"i": "s1"}), node._node(), now)
         assert not node.ready() and not node._node().ready
         node._apply(
-            watch_response("1" if settled else "1~", last, settled=settled), node._node(), now
+            watch_response("1" if settled else "1~", last, endpoints_settled=settled),
+            node._node(),
+            now,
         )
         assert node.ready() and node._node().ready
         node._apply(
@@ -67,7 +71,12 @@
     node = DataPlaneNode(checked(SETTINGS))
     config_version = zlib.compress(json.dumps(content(**fields)).encode())
     told = watch_response(
-        "1", {"i": "s1"}, has_content=True, content=config_version, counting=True, settled=True
+        "1",
+        {"i": "s1"},
+        has_content=True,
+        content=config_version,
+        counter_active=True,
+        endpoints_settled=True,
     )
     node._apply(told, node._node(), node._loop.time())
     return node
@@ -93,10 +102,10 @@
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
         lease = envelope.quota_request
-        asked.append((lease.tenant, lease.amount, lease.told))
+        asked.append((lease.tenant, lease.amount, lease.spent))
         if (left := lefts.pop(0)) is None:
             raise CallTimeoutError()
-        return pb.Envelope(quota_response=pb.QuotaResponse(left=left))
+        return pb.Envelope(quota_response=pb.QuotaResponse(remaining=left))
 
     node.leader_client.call = call  # type: ignore[method-assign]
     for tenant in ("fast", "fast", "fast", "slow", "fast"):
@@ -116,10 +125,10 @@
     node = node_in_contact()
     asked, granted = list[pb.BudgetRequest](), list[int]()
     answers: list[pb.BudgetResponse | None] = [
-        pb.BudgetResponse(all=True, life_ms=300),
-        pb.BudgetResponse(wait_ms=700),
+        pb.BudgetResponse(granted=True, valid_ms=300),
+        pb.BudgetResponse(retry_after_ms=700),
         None,
-        pb.BudgetResponse(all=True, life_ms=300),
+        pb.BudgetResponse(granted=True, valid_ms=300),
     ]
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
@@ -134,7 +143,7 @@
     for _ in range(3):
         node.units.deal(units, granted.append)
         await asyncio.gather(*node.units.calls)
-    assert [list(deal.whole) for deal in asked] == [["further/s1", "starts/i"]] * 3
+    assert [list(deal.budgets) for deal in asked] == [["further/s1", "starts/i"]] * 3
     assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [
         0,
         0,
@@ -182,11 +191,15 @@
     node = DataPlaneNode(checked(SETTINGS))
     made = content(routes=[route(deadline="60s")], **fields)
     told = watch_response(
-        "1", {}, has_content=True, content=zlib.compress(json.dumps(made).encode()), counting=True
+        "1",
+        {},
+        has_content=True,
+        content=zlib.compress(json.dumps(made).encode()),
+        counter_active=True,
     )
     address = f"{HOST}:{server.port}"
-    told.server.append(
-        pb.Endpoint(id="i", service="s1", addr=address, zone="z", capacity=2, state="ready")
+    told.endpoints.append(
+        pb.Endpoint(id="i", service="s1", address=address, zone="z", capacity=2, state="ready")
     )
     node._apply(told, node._node(), node._loop.time())
     lessor = node.engine.lessor = Mock()
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -159,14 +159,16 @@
                 return
             if edge.name not in self.state.edges:
                 self.state.apply(Command(Verb.ENROL, added_nodes=(edge.name,)))
-            node = pb.Node(name=edge.name, life=str(life), kind="edge", address="d", http="h")
+            node = pb.Node(
+                name=edge.name, incarnation=str(life), kind="edge", address="d", http_address="h"
+            )
             made = pb.WatchRequest(
                 node=node,
-                counting=counting,
+                counter_active=counting,
                 epoch=epoch,
                 config_version=self.state.version,
                 idle_ms=idle,
-                clock_ms=clock,
+                leader_clock_ms=clock,
             )
             leadership = self.leadership
             try:
@@ -191,13 +193,16 @@
             if edge.life != life or edge.name in self.cut or answered[0]:
                 return
             answered[0] = True
-            if edge.counting and not watch_response.counting:
+            if edge.counting and not watch_response.counter_active:
                 edge.alone_at = self.now
             edge.counting, edge.edges = (
-                watch_response.counting,
-                max(edge.edges, watch_response.share_of),
+                watch_response.counter_active,
+                max(edge.edges, watch_response.ingress_count),
+            )
+            edge.epoch, edge.clock = (
+                watch_response.epoch,
+                (watch_response.leader_clock_ms, self.now),
             )
-            edge.epoch, edge.clock = watch_response.epoch, (watch_response.clock_ms, self.now)
             edge.heard_at, edge.lease_end = self.now, asked + NODE_LEASE_S * 0.98 / edge.rate
             self.ask(edge, life)
 
@@ -273,7 +278,7 @@
         assert self.leadership
         for name, used in self.used.items():
             asked, until = self.now, self.now + self.life * 0.98 / edge.rate
-            if self.leadership.deal(self.now, pb.BudgetRequest(whole=[name])).all:
+            if self.leadership.deal(self.now, pb.BudgetRequest(budgets=[name])).granted:
                 self.hand_out(edge, edge.life, used, until, self.rng.choice((asked + 0.02, until)))
 
     def hand_out(
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -52,7 +52,13 @@
 
 
 def hello(to: str, **fields: Any) -> pb.Envelope:
-    made = {"format": FORMAT, "system": HERE, "life": "b", "address": "127.0.0.1:1", "to": to}
+    made = {
+        "format": FORMAT,
+        "system": HERE,
+        "incarnation": "b",
+        "address": "127.0.0.1:1",
+        "recipient": to,
+    }
     made |= fields
     return pb.Envelope(hello=pb.Hello(**made))
 
@@ -107,8 +113,8 @@
 def outcome(envelope: pb.Envelope, body: bytes, **fields: Any) -> pb.Envelope:
     """An answer to that call."""
     return pb.Envelope(
-        call=envelope.call,
-        answer=True,
+        call_id=envelope.call_id,
+        is_answer=True,
         operation_response=pb.OperationResponse(status=200, body=body),
         **fields,
     )
@@ -122,7 +128,9 @@
         ours.system = HERE
         call = asyncio.create_task(ours.call(address, order(), 5.0))
         asked = await came.get()
-        assert (said := (await asked.read()).hello).to == address and said.life == ours.life
+        assert (
+            said := (await asked.read()).hello
+        ).recipient == address and said.incarnation == ours.life
         sent = await asked.read()  # together with the hello: it waits for no answer to that
         stranger = await Raw.dial(ours.own)
         stranger.write(hello(ours.own), outcome(sent, b"by another process"))
@@ -143,9 +151,11 @@
         second = await came.get()
         await second.read()
         sent = await second.read()
-        second.write(hello("", address=address), outcome(pb.Envelope(call=sent.call - 1), b"late"))
+        second.write(
+            hello("", address=address), outcome(pb.Envelope(call_id=sent.call_id - 1), b"late")
+        )
         await until(lambda: ours.counts.get("unasked") == 1)
-        second.write(hello("", address=address, life="c"), outcome(sent, b"of another life"))
+        second.write(hello("", address=address, incarnation="c"), outcome(sent, b"of another life"))
         with pytest.raises(
             CallError
         ):  # the connection's life cannot change: what follows is not heard
@@ -169,13 +179,13 @@
 
 FOREIGN = {
     "another format": [hello("", format=FORMAT + 1)],
-    "no life": [hello("", life="")],
+    "no life": [hello("", incarnation="")],
     "no door": [hello("", address="")],
     "meant for another": [hello("10.9.9.9:7600")],
     "meant for nobody": [hello("nobody")],
     "another system": [hello("", system=OTHER)],
     "no hello": [order()],
-    "another life later": [hello(""), hello("", life="c")],
+    "another life later": [hello(""), hello("", incarnation="c")],
     "another system later": [hello("", system=""), hello("", system=OTHER)],
 }
 
@@ -194,10 +204,10 @@
             raw = await Raw.dial(ours.own)
             said = [pb.Envelope.FromString(e.SerializeToString()) for e in FOREIGN[what]]
             for envelope in said:
-                if envelope.HasField("hello") and not envelope.hello.to:
-                    envelope.hello.to = ours.own
-                elif envelope.HasField("hello") and envelope.hello.to == "nobody":
-                    envelope.hello.to = ""
+                if envelope.HasField("hello") and not envelope.hello.recipient:
+                    envelope.hello.recipient = ours.own
+                elif envelope.HasField("hello") and envelope.hello.recipient == "nobody":
+                    envelope.hello.recipient = ""
             raw.write(*said, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
             assert await raw.ended()
         assert heard == [] and sum(ours.counts.values()) == 3
@@ -309,7 +319,7 @@
         except Exception:
             return came, 1
         if envelope.HasField("hello"):
-            now = (envelope.hello.life, envelope.hello.address)
+            now = (envelope.hello.incarnation, envelope.hello.address)
             if greeted and now != life:
                 return came, 1
             greeted, life = True, now
@@ -325,12 +335,12 @@
     for e in (
         order("x"),
         outcome(order(), b"y"),
-        pb.Envelope(call=7, watch_request=pb.WatchRequest(config_version=3)),
+        pb.Envelope(call_id=7, watch_request=pb.WatchRequest(config_version=3)),
     )
 ]
 PIECES = st.one_of(
     st.sampled_from(
-        [*GOOD, framed(hello("t")), framed(hello("t", life="c")), struct.pack(">I", 1 << 31)]
+        [*GOOD, framed(hello("t")), framed(hello("t", incarnation="c")), struct.pack(">I", 1 << 31)]
     ),
     st.binary(max_size=12),
     st.builds(lambda piece, cut: piece[:cut], st.sampled_from(GOOD), st.integers(0, 30)),
@@ -397,7 +407,7 @@
         ).operation_response.body == b"new" and ours.counts["outdated"] == 2
         heard_both.fence.newest = 5
         passed = order()
-        passed.pass_to = old.own
+        passed.forward_to = old.own
         with pytest.raises(
             CallError
         ) as refused:  # a peer that has heard the newer passes no older on
@@ -426,7 +436,7 @@
             ask._bad = {"core:1": (ours.now() + 9, 9.0)} if by_peer else {}
             if term >= max(terms, default=0):
                 terms.append(term)
-            return pb.Envelope(term=term, quota_response=pb.QuotaResponse(left=term))
+            return pb.Envelope(term=term, quota_response=pb.QuotaResponse(remaining=term))
 
         ours.call = call  # type: ignore[method-assign]
         ask = LeaderClient(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
@@ -467,7 +477,7 @@
     ):
         with pytest.raises(CallError):
             await ask.call(envelope, 5.0, 5.0)
-    assert [e.id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # alike on every copy
+    assert [e.request_id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # alike on every copy
 
 
 async def core(folder: Path, **fields: Any) -> ControlNode:
@@ -517,7 +527,7 @@
     made.leadership.endpoint_registry.record_heartbeat(seen)
     for said, seq, then in ((term + 1, 7, 1), (term - 1, 8, 8), (term, 9, 9), (term, 5, 9)):
         beats = pb.Envelope(
-            term=said, heartbeat_report=pb.HeartbeatReport(id=["i"], seq=[seq], age_ms=[3000])
+            term=said, heartbeat_report=pb.HeartbeatReport(ids=["i"], seqs=[seq], ages_ms=[3000])
         )
         before = seen.last_heartbeat_at
         answer = asyncio.create_task(made.dispatcher.answer(beats))
@@ -525,7 +535,9 @@
             made.driver.tick()
             await asyncio.sleep(0.005)
         # What a leader before has not answered is told to this one, and is a word of the server's.
-        assert seen.seq == then and (answer.result().fault == FaultCode.NOT_LEADER) == (said > term)
+        assert seen.seq == then and (answer.result().fault_code == FaultCode.NOT_LEADER) == (
+            said > term
+        )
         assert seen.last_heartbeat_at == before  # that it is late counts
     lease = pb.QuotaRequest(tenant="t", amount=1)
     # The last has no such tenant.
@@ -541,7 +553,7 @@
     )
     for envelope in kinds:
         envelope.term = term + 1  # who calls has heard of a later leader: this one is over
-        assert (await made.dispatcher.answer(envelope)).fault == FaultCode.NOT_LEADER
+        assert (await made.dispatcher.answer(envelope)).fault_code == FaultCode.NOT_LEADER
     envelope.term = term
     assert (await made.dispatcher.answer(envelope)).term == term == made.rpc_peer.fence.newest
     name = made.rpc_peer.system
@@ -582,10 +594,16 @@
 def unit_call(id: int, origin: str = "a", term: int = 3, deal: bool = False) -> pb.Envelope:
     if deal:
         return pb.Envelope(
-            id=id, origin=origin, term=term, budget_request=pb.BudgetRequest(whole=["starts/i"])
+            request_id=id,
+            origin=origin,
+            term=term,
+            budget_request=pb.BudgetRequest(budgets=["starts/i"]),
         )
     return pb.Envelope(
-        id=id, origin=origin, term=term, quota_request=pb.QuotaRequest(tenant="t", amount=10)
+        request_id=id,
+        origin=origin,
+        term=term,
+        quota_request=pb.QuotaRequest(tenant="t", amount=10),
     )
 
 
@@ -605,7 +623,7 @@
         if (id, origin) not in answers:
             answers[id, origin] = plain.units(now, unit_call(0, "", deal=deal))
         assert answer == answers[id, origin]
-        answer.call = 9  # what the connection does with one is nothing to the next
+        answer.call_id = 9  # what the connection does with one is nothing to the next
 
 
 def test_copies_are_known_for_as_long_as_they_may_come_and_no_more_than_so_many() -> None:
@@ -623,14 +641,14 @@
     assert stale.value.code is FaultCode.STALE
     size = warmup_budget(Bounds(warmup_slack=5), 5.3).capacity
     granted = [
-        made.units(105.0, unit_call(9000 + n, deal=True)).budget_response.all for n in range(10)
+        made.units(105.0, unit_call(9000 + n, deal=True)).budget_response.granted for n in range(10)
     ]
     assert granted.count(True) == int(size)  # another id is another unit
 
 
 def asks(made: Leadership, now: float, clock: int, epoch: str = "3", life: str = "1") -> None:
-    node = pb.Node(name="e", life=life, kind="edge", address="d", http="h")
-    ask = pb.WatchRequest(node=node, epoch=epoch, clock_ms=clock, counting=True)
+    node = pb.Node(name="e", incarnation=life, kind="edge", address="d", http_address="h")
+    ask = pb.WatchRequest(node=node, epoch=epoch, leader_clock_ms=clock, counter_active=True)
     made.asked(now, ask)
 
 
@@ -656,7 +674,7 @@
         assert stale.value.code is FaultCode.STALE and held.last_contact_at == 101.0
     asks(made, 101.2, 0, "", life="2")  # another life has heard nothing yet
     assert (
-        made.node_registry.leases["e"].node.life == "2"
+        made.node_registry.leases["e"].node.incarnation == "2"
         and made.node_registry.leases["e"].lease_end <= 101.2 + NODE_LEASE_S
     )
 
@@ -665,14 +683,20 @@
     """One that is sent again after a silence would count as in touch while its sender no longer
     is."""
     assert LEADER_CONTACT_MARGIN_S + FRESH_REQUEST_S + PROMPT_REQUEST_S < NODE_CONTACT_MARGIN_S
-    client, node = ConfigClient(0.0, []), pb.Node(name="e", life="1")
+    client, node = ConfigClient(0.0, []), pb.Node(name="e", incarnation="1")
     client.apply(
-        pb.WatchResponse(epoch="3", counting=True, clock_ms=5000, lease_ms=4500), node, 9.9, 10.0, 0
+        pb.WatchResponse(epoch="3", counter_active=True, leader_clock_ms=5000, lease_ms=4500),
+        node,
+        9.9,
+        10.0,
+        0,
     )
     prompt, late = client.watch_request(node, 10.01, 0.25), client.watch_request(node, 10.3, 0.25)
-    assert prompt.counting and not late.counting and client.in_contact(10.3)
+    assert prompt.counter_active and not late.counter_active and client.in_contact(10.3)
     assert prompt.name == "e" and not prompt.HasField("node")
-    assert 5000 < prompt.clock_ms <= 5010 and 5290 <= late.clock_ms < 5300  # never ahead
+    assert (
+        5000 < prompt.leader_clock_ms <= 5010 and 5290 <= late.leader_clock_ms < 5300
+    )  # never ahead
     assert client.apply(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
     assert (
         client.apply(pb.WatchResponse(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
--- a/tests/rpc/test_peer.py
+++ b/tests/rpc/test_peer.py
@@ -31,7 +31,9 @@
     if envelope.operation_request.path == "no":
         raise RejectedError()
     if envelope.operation_request.path == "not here":
-        return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=envelope.operation_request.method)
+        return pb.Envelope(
+            fault_code=FaultCode.NOT_LEADER, forward_to=envelope.operation_request.method
+        )
     return pb.Envelope(
         operation_response=pb.OperationResponse(status=200, body=envelope.operation_request.body)
     )
@@ -123,7 +125,7 @@
         leader_client = LeaderClient(ours, lambda: [other.own], lambda: [peer.own])
 
         async def elsewhere(envelope: pb.Envelope) -> pb.Envelope:
-            return pb.Envelope(fault=FaultCode.NOT_LEADER, pass_to=leader.own)
+            return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=leader.own)
 
         other._handle = elsewhere
         assert (
@@ -143,8 +145,10 @@
 async def test_damaged_lists_are_asked_for_anew_and_never_come_through() -> None:
     async with rpc_peer() as ours, rpc_peer() as leader:
         cues = [
-            pb.WatchResponse(config_version=1, lists=b"no lists"),
-            pb.WatchResponse(config_version=2, lists=packed(pb.WatchResponse(node_gone=["a"]))),
+            pb.WatchResponse(config_version=1, compressed_lists=b"no lists"),
+            pb.WatchResponse(
+                config_version=2, compressed_lists=packed(pb.WatchResponse(removed_nodes=["a"]))
+            ),
         ]
 
         async def told(envelope: pb.Envelope) -> pb.Envelope:
@@ -154,4 +158,4 @@
         answer = await LeaderClient(ours, lambda: [leader.own], list).call(
             pb.Envelope(watch_request=pb.WatchRequest()), 2.0, 1.0
         )
-        assert answer.watch_response == pb.WatchResponse(config_version=2, node_gone=["a"])
+        assert answer.watch_response == pb.WatchResponse(config_version=2, removed_nodes=["a"])
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -204,11 +204,11 @@
             nodes[name] = pb.Node(
                 name=name,
                 kind="edge",
-                http=f"10.0.0.{name[1:]}:80",
+                http_address=f"10.0.0.{name[1:]}:80",
                 region=f"r{rng.randrange(2)}",
                 zone="z",
                 ready=rng.random() < 0.9,
-                leaving=rng.random() < 0.05,
+                draining=rng.random() < 0.05,
             )
         nodes.pop(f"e{rng.randrange(260)}", None)
         for region in ("r0", "r1", "none"):
@@ -221,11 +221,11 @@
     assert (
         kept[0].answer("/-/lookup?region=none", (), 5.0, route_table, -1) == before
     )  # nothing is looked at for it
-    fit = {n.http for n in nodes.values() if n.ready and not n.leaving}
+    fit = {n.http_address for n in nodes.values() if n.ready and not n.draining}
     answers = [k.answer("/-/lookup?x=y", nodes.values(), 5.0, route_table, 0)[1] for k in kept]
     told = [set(json.loads(answer)["addrs"]) for answer in answers]
     assert len(fit) > 100 and all(len(t) == 64 for t in told) and set.union(*told) == fit
-    gone = next(n for n in nodes.values() if n.http in told[0])
+    gone = next(n for n in nodes.values() if n.http_address in told[0])
     del nodes[gone.name]
     _, later = lookup("/-/lookup?x=y", nodes.values(), 5.0, route_table, "own0")
     assert len(told[0] - set(json.loads(later)["addrs"])) == 1  # the others' connections stay
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -144,7 +144,7 @@
         made.CopyFrom(envelope)
         loop, kind = asyncio.get_running_loop(), envelope.WhichOneof("body") or ""
         loop.call_later(WAY + self.late.get(kind, 0.0), self._come, sender, receiver, made)
-        if self.twice and kind == "operation_request" and not envelope.answer:
+        if self.twice and kind == "operation_request" and not envelope.is_answer:
             loop.call_later(0.7, self._come, sender, receiver, made)
 
     def _come(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
@@ -184,11 +184,11 @@
             task.cancel()
 
     def came(self, sender: str, envelope: pb.Envelope) -> None:
-        if envelope.answer:
-            future = self._calls.get(envelope.call)
+        if envelope.is_answer:
+            future = self._calls.get(envelope.call_id)
             if future and not future.done():
                 future.set_result(envelope)
-        elif envelope.call:
+        elif envelope.call_id:
             task = self._loop.create_task(self._answer(sender, envelope))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -196,30 +196,30 @@
             self._hear(envelope)
 
     async def _answer(self, sender: str, envelope: pb.Envelope) -> None:
-        call = envelope.call
+        call = envelope.call_id
         try:
-            if envelope.pass_to and envelope.pass_to != self.own:
-                address, envelope.pass_to = envelope.pass_to, ""
+            if envelope.forward_to and envelope.forward_to != self.own:
+                address, envelope.forward_to = envelope.forward_to, ""
                 answer = await self.call(address, envelope, 2.0)
             else:
                 answer = await self._handle(envelope)
         except CallError as failure:
-            answer = pb.Envelope(fault=failure.code)
-        answer.call, answer.answer = call, True
+            answer = pb.Envelope(fault_code=failure.code)
+        answer.call_id, answer.is_answer = call, True
         self.net.go(self.own, sender, answer)
 
     def name_system(self, name: str) -> None:
         self.system = name
 
     def outdated(self, envelope: pb.Envelope, address: str) -> bool:
-        return not envelope.fault and not self.fence.admits(envelope.term)
+        return not envelope.fault_code and not self.fence.admits(envelope.term)
 
     def tell(self, address: str, envelope: pb.Envelope) -> None:
         self.net.go(self.own, address, envelope)
 
     async def call(self, address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
         self._next += 1
-        number = envelope.call = self._next
+        number = envelope.call_id = self._next
         future = self._calls[number] = self._loop.create_future()
         self.net.go(self.own, address, envelope)
         try:
@@ -229,8 +229,8 @@
             raise CallTimeoutError(address) from None
         finally:
             del self._calls[number]
-        if answer.fault and answer.fault != FaultCode.NOT_LEADER:
-            raise error_for_code(answer.fault, address)
+        if answer.fault_code and answer.fault_code != FaultCode.NOT_LEADER:
+            raise error_for_code(answer.fault_code, address)
         return answer
 
 
@@ -259,16 +259,16 @@
         while True:
             node = pb.Node(
                 name=self.name,
-                life="1",
+                incarnation="1",
                 address=f"{self.host}:7601",
-                http=f"{self.host}:80",
+                http_address=f"{self.host}:80",
                 zone=self.zone,
                 region=ZONES[self.zone],
                 kind="edge",
                 ready=True,
             )
             ask = pb.WatchRequest(
-                node=node, config_version=self.config_version, gen=self.gen, wait_ms=250
+                node=node, config_version=self.config_version, generation=self.gen, wait_ms=250
             )
             try:
                 watch_response = (
@@ -278,7 +278,10 @@
                 await asyncio.sleep(0.1)
                 continue
             if watch_response.config_version >= self.config_version:
-                self.config_version, self.gen = watch_response.config_version, watch_response.gen
+                self.config_version, self.gen = (
+                    watch_response.config_version,
+                    watch_response.generation,
+                )
             await asyncio.sleep(0.01)
 
 
