--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -58,18 +58,18 @@
 def broken_promise() -> None:
     """What was sent and got no answer is called refused."""
     from cairndale.ingress.policy import interface as it
-    from cairndale.ingress.policy.engine import Gateway
+    from cairndale.ingress.policy.engine import RequestPolicy
 
-    end = Gateway.end
+    end = RequestPolicy.end
 
-    def refused(self: Gateway, request: Any, answer: it.Action) -> None:
+    def refused(self: RequestPolicy, request: Any, answer: it.Action) -> None:
         end(
             self,
             request,
             it.Refuse(answer.request, 0, False) if isinstance(answer, it.Fail) else answer,
         )
 
-    Gateway.end = refused  # type: ignore[method-assign]
+    RequestPolicy.end = refused  # type: ignore[method-assign]
 
 
 def sent_twice() -> None:
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
+from cairndale.ingress.policy.endpoint_pool import Endpoint, EndpointPool
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
 
@@ -51,12 +51,12 @@
     retry_slack: float = 0.0  # retries beyond the ratio, of the fleet in a window
 
 
-class EndpointSelector(Fleet):
+class EndpointSelector(EndpointPool):
     """Selects endpoints, and keeps the retry budgets and which grants are owed and denied."""
 
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.placement = Placement()
-        self.ready_by_service: dict[int, list[Backend]] = {}
+        self.ready_by_service: dict[int, list[Endpoint]] = {}
         self.retry_budgets: dict[int, RetryBudget] = {}  # by service
         self._owed_units: tuple[it.Unit, ...] = ()
         self._denied_until: dict[it.Unit, int] = {}
@@ -95,7 +95,7 @@
         """Whether a grant of this unit was denied for a time that lasts still."""
         return self._denied_until.get(unit, 0) > now
 
-    def slot_share(self, backend: Backend) -> float:
+    def slot_share(self, backend: Endpoint) -> float:
         """Return this ingress's share of an endpoint's slots, 1 at the least.
 
         They are shared by the ingresses of its zone, or by all if its zone has none.
@@ -105,14 +105,14 @@
         sharing = in_its_zone if same_zone else self.placement.ingress_count
         return max(1.0, backend.info.slots / max(1, sharing))
 
-    def distance_cost(self, backend: Backend) -> float:
+    def distance_cost(self, backend: Endpoint) -> float:
         """Return what the way to the endpoint costs, in usual answers' times."""
         if backend.info.zone == self.placement.zone:
             return 0.0
         same_region = backend.info.region == self.placement.region
         return OTHER_ZONE_COST if same_region else OTHER_REGION_COST
 
-    def cost(self, backend: Backend, cls: int, now: int) -> float:
+    def cost(self, backend: Endpoint, cls: int, now: int) -> float:
         """Return the cost of one more request at the endpoint, in usual answers' times."""
         share = self.slot_share(backend)
         over = max(0.0, backend.out + 1 - share) / share
@@ -123,10 +123,10 @@
         self,
         now: int,
         cls: int,
-        allowed: Callable[[Backend], bool],
+        allowed: Callable[[Endpoint], bool],
         asked: it.RequestArrived | None = None,
         again: bool = False,
-    ) -> Backend | None:
+    ) -> Endpoint | None:
         """Return the cheapest endpoint that may be sent to, counted as out; None if there is none.
 
         `allowed`: what else decides about an endpoint (outlier ejection, attempts made); `asked`:
@@ -154,8 +154,8 @@
         return best
 
     def _cheapest_of_service(
-        self, now: int, cls: int, allowed: Callable[[Backend], bool], asked: it.RequestArrived
-    ) -> Backend | None:
+        self, now: int, cls: int, allowed: Callable[[Endpoint], bool], asked: it.RequestArrived
+    ) -> Endpoint | None:
         best, best_cost = None, float("inf")
         for backend in self.ready_by_service.get(asked.service, ()):
             info = backend.info
@@ -176,7 +176,7 @@
         earned = budget.tokens + RETRY_RATIO_USED * placement.retry_ratio
         budget.tokens = min(most if most >= 1 else 0.0, earned)
 
-    def ended(self, backend: Backend, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+    def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
         """Count an attempt as over, and learn from how it ended."""
         if outcome is Outcome.MOOT:  # never tried: nothing is known of the endpoint
             backend.out, self.out = max(0, backend.out - 1), self.out - 1
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -13,7 +13,7 @@
 from cairndale.dataplane.endpoint_selection import EndpointSelector
 from cairndale.ingress.net.engine import Engine
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 
 
 class Named(Protocol):
@@ -27,7 +27,7 @@
 NamedT = TypeVar("NamedT", bound=Named)
 
 
-class ReconfigurablePolicy(Gateway):
+class ReconfigurablePolicy(RequestPolicy):
     """The request policy, whose accounts find their plans by number."""
 
     plan_number: Callable[[str], int]  # a plan's number by its name; numbers are kept for good
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -226,7 +226,7 @@
         most."""
         now = self._loop.time()
         in_time = now < self._late or now + timeout / 1e6 < self._until
-        return in_time and now + ROOM * self.selector.usual[cls] / 1e6 < self._until
+        return in_time and now + ROOM * self.selector.usual_latency[cls] / 1e6 < self._until
 
     def service(self, name: str) -> int:
         number = self._services.setdefault(name, len(self._services) + 1)
--- a/cairndale/ingress/__init__.py
+++ b/cairndale/ingress/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of an admission gateway for a service sold by plan."""
 
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 
-__all__ = ["Gateway"]
+__all__ = ["RequestPolicy"]
--- a/cairndale/ingress/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -30,7 +30,7 @@
 from cairndale.ingress.net.requests import read_request
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 
 ACCEPTS_ON = 0.55  # s after SIGTERM: new connections go on coming for 0.4 s
 LONGEST_STOP = 3.0  # s: the longest deadline that the platform waits for, and ...
@@ -56,7 +56,7 @@
     """What somebody who looks on may look at."""
 
     engine: Engine
-    gateway: Gateway
+    gateway: RequestPolicy
     sockets: Sockets
     backends: Backends
     discovery: Discovery
@@ -69,7 +69,7 @@
     loop, clock = asyncio.get_running_loop(), Clock()
     sockets = Sockets(config.sockets, config.pool.server_share)
     names = Names(config.settings, config.raw)
-    gateway = Gateway(config.settings, config.seed)
+    gateway = RequestPolicy(config.settings, config.seed)
     engine = Engine(gateway, config.settings, names, loop, clock.now)
     limits = config.settings.limits
     fleet = config.settings.fleet_size
--- a/cairndale/ingress/adapter.py
+++ b/cairndale/ingress/adapter.py
@@ -1,4 +1,5 @@
-"""Runs gateways on the simulator's wire: one Gateway for each instance, batches in, replies out."""
+"""Runs gateways on the simulator's wire: one RequestPolicy for each instance, batches in, replies
+out."""
 
 from __future__ import annotations
 
@@ -6,7 +7,7 @@
 from typing import BinaryIO
 
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.wire import Created, Decoder, Stopped, WireError, encode_reply
 
 
@@ -20,7 +21,7 @@
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers every batch until the input ends."""
     decoder = Decoder()
-    gateways: dict[int, Gateway] = {}
+    gateways: dict[int, RequestPolicy] = {}
     while head := source.read(4):
         if len(head) < 4:
             raise WireError(f"length: input ends after {len(head)} of 4 bytes")
@@ -28,7 +29,7 @@
         groups: dict[int, list[it.Action]] = {}
         for instance, message in batch.messages:
             if isinstance(message, Created):
-                gateways[instance] = Gateway(message.settings, message.seed)
+                gateways[instance] = RequestPolicy(message.settings, message.seed)
                 groups[instance] = []
             elif isinstance(message, Stopped):
                 gateways.pop(instance, None)
--- a/cairndale/ingress/handover_state.py
+++ b/cairndale/ingress/handover_state.py
@@ -14,7 +14,8 @@
 from typing import Any
 
 from cairndale.ingress.policy.account import TenantAccount
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.endpoint_pool import EndpointPool
+from cairndale.ingress.policy.engine import RequestPolicy
 
 # Key in the hand-over: attribute. `slot` and the ring's slots are handed over beside these.
 ACCOUNT_FIELDS: Mapping[str, str] = MappingProxyType(
@@ -54,8 +55,25 @@
     "back",
     "back_for",
 )  # in the order in which they are written
-BACKEND_KEYS = ("limit", "slow", "seen_at", "credit", "credit_at", "load", "load_at")
-FLEET_KEYS = ("usual", "typical", "more", "sends")
+ENDPOINT_FIELDS: Mapping[str, str] = MappingProxyType(
+    {
+        "limit": "limit",
+        "slow": "latency_ratios",
+        "seen_at": "last_outcome_at",
+        "credit": "credit",
+        "credit_at": "credit_at",
+        "load": "reported_load",
+        "load_at": "reported_at",
+    }
+)
+POOL_FIELDS: Mapping[str, str] = MappingProxyType(
+    {
+        "usual": "usual_latency",
+        "typical": "typical_ratios",
+        "more": "extra_room",
+        "sends": "sent_on_average",
+    }
+)
 
 
 def _account_values(account: TenantAccount) -> dict[str, Any]:
@@ -80,7 +98,7 @@
     return account
 
 
-def hand_over(gateway: Gateway) -> dict[str, Any]:
+def hand_over(gateway: RequestPolicy) -> dict[str, Any]:
     """What the next process needs to go on as one ingress with this one.
 
     Leases and the budgets of endpoints in slow start go to it whole; of each ceiling's part one
@@ -94,10 +112,10 @@
         accounts.append([customer, plan, slots, _account_values(account)])
         account.tokens = 0.0
     for number, backend in gateway.fleet.backends.items():
-        values = {key: getattr(backend, key) for key in BACKEND_KEYS}
+        values = {key: getattr(backend, name) for key, name in ENDPOINT_FIELDS.items()}
         backends.append([number, backend.info.started, values])
-    fleet = {key: getattr(gateway.fleet, key) for key in FLEET_KEYS}
-    fleet["returned"] = list(gateway.fleet.returned.items())
+    fleet = {key: getattr(gateway.fleet, name) for key, name in POOL_FIELDS.items()}
+    fleet["returned"] = list(gateway.fleet.returned_at.items())
     gateway.retired = gateway.fleet.retired = True
     pacing = {
         "crowd": gateway.crowding,
@@ -107,7 +125,7 @@
     return {"accounts": accounts, "backends": backends, "fleet": fleet, "gateway": pacing}
 
 
-def take_back(gateway: Gateway, state: dict[str, Any]) -> None:
+def take_back(gateway: RequestPolicy, state: dict[str, Any]) -> None:
     """No process has taken over after all. The other half of each ceiling refills."""
     gateway.retired = gateway.fleet.retired = False
     for customer, _, _, values in state["accounts"]:
@@ -116,7 +134,11 @@
 
 
 def take_over(
-    gateway: Gateway, now: int, state: dict[str, Any], classes: Sequence[int], plans: Sequence[int]
+    gateway: RequestPolicy,
+    now: int,
+    state: dict[str, Any],
+    classes: Sequence[int],
+    plans: Sequence[int],
 ) -> None:
     """From the process before. `classes` and `plans` give this one's numbers for that one's; -1:
     none."""
@@ -126,20 +148,26 @@
             plan_here = gateway.settings.plans[plans[plan]]
             made = TenantAccount(plan_here, values["spread"], gateway.slot_us, now)
             accounts[customer] = _account_from(made, values, ring)
-    fleet, kept = gateway.fleet, [(there, here) for there, here in enumerate(classes) if here >= 0]
+    _take_over_pool(gateway.fleet, state, classes)
+    gateway.crowding = state["gateway"]["crowd"]
+    gateway.next_call_at = state["gateway"]["call_at"]
+    gateway.accounts, gateway.began = accounts, state["gateway"]["began"]
+
+
+def _take_over_pool(pool: EndpointPool, state: dict[str, Any], classes: Sequence[int]) -> None:
+    """Latencies and slow-start budgets; those by class go to this process's number of the class."""
+    kept = [(there, here) for there, here in enumerate(classes) if here >= 0]
+    handed = state["fleet"]
     for there, here in kept:
-        fleet.usual[here] = state["fleet"]["usual"][there]
-        fleet.typical[here] = state["fleet"]["typical"][there]
-    fleet.more, fleet.sends = state["fleet"]["more"], state["fleet"]["sends"]
-    fleet.returned = dict(state["fleet"]["returned"])
+        pool.usual_latency[here] = handed["usual"][there]
+        pool.typical_ratios[here] = handed["typical"][there]
+    pool.extra_room, pool.sent_on_average = handed["more"], handed["sends"]
+    pool.returned_at = dict(handed["returned"])
     for number, started, values in state["backends"]:
-        if known := fleet.backends.get(number):
+        if known := pool.backends.get(number):
             known.info = replace(known.info, started=started)
-            for key in BACKEND_KEYS:
-                setattr(known, key, values[key])
-            known.slow = [1.0] * len(fleet.usual)
+            for key, name in ENDPOINT_FIELDS.items():
+                setattr(known, name, values[key])
+            known.latency_ratios = [1.0] * len(pool.usual_latency)
             for there, here in kept:
-                known.slow[here] = values["slow"][there]
-    gateway.crowding = state["gateway"]["crowd"]
-    gateway.next_call_at = state["gateway"]["call_at"]
-    gateway.accounts, gateway.began = accounts, state["gateway"]["began"]
+                known.latency_ratios[here] = values["slow"][there]
--- a/cairndale/ingress/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -23,7 +23,7 @@
 from cairndale.ingress.net.engine import Engine
 from cairndale.ingress.net.ops import Maintenance
 from cairndale.ingress.net.sockets import Sockets
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 
 VERSION = 1  # of what is handed over: of another kind of process, nothing is taken
 CALL_TIMEOUT = 1.0  # s for the old process to answer; it has nothing else to wait for
@@ -72,7 +72,7 @@
         self,
         path: Path,
         engine: Engine,
-        gateway: Gateway,
+        gateway: RequestPolicy,
         listener: Listener,
         sockets: Sockets,
         discovery: Discovery,
@@ -207,7 +207,7 @@
         return await asyncio.to_thread(_call, path)
 
     async def take(
-        self, engine: Engine, gateway: Gateway, sockets: Sockets, discovery: Discovery
+        self, engine: Engine, gateway: RequestPolicy, sockets: Sockets, discovery: Discovery
     ) -> int | None:
         """Takes all over; the version of the list that came with it, or None if nothing did."""
         try:
--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -1,6 +1,9 @@
-"""The choice of a server: warmth, slowness, bounds on what is out. Types: interface.py.
+"""The choice of an endpoint: load, outliers, slow start, bounds in flight. Types: interface.py.
 
-All times are microseconds.
+Every endpoint has a concurrency limit that follows its latency (additive increase, decrease with
+the overshoot). An endpoint that answers slowly or fails is avoided in proportion to its latency
+ratio, a starting one earns its requests (slow start), and an ingress of a large fleet keeps to a
+few endpoints of its own, so that each ingress opens few connections. All times are microseconds.
 """
 
 from __future__ import annotations
@@ -15,222 +18,287 @@
 from cairndale.ingress.policy.hashing import mix
 from cairndale.ingress.policy.interface import BackendState, ListKind, Outcome
 
-FIRST_LIMIT = 16.0  # attempts out at a backend by all gateways to begin with: a few a core
-# latency, as a share of the aim, at which a backend counts as full: tails run four times that
-TARGET = 0.19
-# of the cold budget that is used: requests differ in work, and lists come at different times
-COLD_PART = 0.8
-FAILED = 4.0  # times the usual latency: what an error or no answer is taken for
-WEIGH_EVERY = SECOND // 4  # us between looks at how much of the fleet is warm
-MEMORY = 5.0  # s that a backend's slowness is remembered: some tens of answers; longer if few come
-# backends looked at for a request: all of a small fleet, of a large one enough to find a good one
-LOOK = 16
-# times the usual latency of its own backends, from which a gateway of many looks at others
-STRAY = 2.5
-# multiples of it are evenly spread over a circle, neighbours far apart
-GOLDEN = (math.sqrt(5) - 1) / 2
+# Requests in flight at an endpoint by all ingresses to begin with: a few a core.
+FIRST_LIMIT = 16.0
+# Latency, as a share of the target, at which an endpoint counts as full: tails run four times that.
+TARGET_LATENCY_SHARE = 0.19
+# Of the slow-start budget that is used: requests differ in work, and lists come at different times.
+SLOW_START_SHARE = 0.8
+SLOW_START_CREDIT_MOST = 2.0
+FAILED_RATIO = 4.0  # times the usual latency: what an error or no answer is taken for
+DOWN_RATIO = 3 * FAILED_RATIO  # and a connection that failed or was reset
+WARM_CAPACITY_INTERVAL = SECOND // 4  # us between looks at how much of the fleet is warm
+# s that a latency ratio is remembered: some tens of answers; longer if few come.
+RATIO_MEMORY_S = 5.0
+# Endpoints looked at for a request: all of a small fleet, of a large one enough to find a good one.
+CANDIDATES = 16
+# Times the usual latency of its own endpoints, from which an ingress of many looks at others.
+STRAY_RATIO = 2.5
+# Multiples of it are evenly spread over a circle, neighbours far apart.
+GOLDEN_RATIO = (math.sqrt(5) - 1) / 2
+USUAL_LATENCY_GAIN = 0.05  # of the moving average of latencies
+RATIO_GAIN = 0.2  # of an endpoint's latency ratio
+TYPICAL_GAIN = 0.05  # of the ratio that is typical of all
+LOAD_REPORT_LIFE = SECOND  # older reports tell nothing
+BUSY_SHARE = 0.7  # of its limit that an endpoint must have in flight for the limit to grow
 BROKEN = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
 @dataclass(slots=True)
-class Backend:
+class Endpoint:
+    """What this ingress knows of one endpoint."""
+
     info: it.ListedBackend
-    limit: float = 0.0  # attempts out at once
-    # by class: latency over the usual; FAILED if none came
-    slow: list[float] = field(default_factory=list)
-    out: int = 0
-    elsewhere: int = 0  # attempts out from the process that this one takes over from
-    seen_at: int = 0  # its last answer, or the lack of one
-    credit: float = 0.0  # sends earned by now, and what a backend had got on average then
-    credit_at: float = 0.0
-    load: float = 0.0  # the last report of how busy it is
-    load_at: int = -SECOND
-
-
-class Fleet:
+    limit: float = 0.0  # requests in flight at once
+    # By class: latency over the usual; FAILED_RATIO if no answer came.
+    latency_ratios: list[float] = field(default_factory=list)
+    out: int = 0  # requests in flight
+    out_elsewhere: int = 0  # and those of the process that this one takes over from
+    last_outcome_at: int = 0  # its last answer, or the lack of one
+    credit: float = 0.0  # slow start: requests earned by now ...
+    credit_at: float = 0.0  # ... and what an endpoint had got on average then
+    reported_load: float = 0.0  # the last report of how busy it is
+    reported_at: int = -SECOND
+
+
+class EndpointPool:
+    """All endpoints of the list, and the choice among those that are ready."""
+
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
-        self.backends: dict[int, Backend] = {}
-        self.ready: list[Backend] = []
-        # of these, the ones that this gateway keeps to while they serve it well
-        self.own: list[Backend] = []
+        self.backends: dict[int, Endpoint] = {}
+        self.ready: list[Endpoint] = []
+        # Of these, the ones that this ingress keeps to while they serve it well.
+        self.preferred: list[Endpoint] = []
         self.withdrawn: set[int] = set()  # taken out by operators, apart from what is listed
-        self.returned: dict[int, int] = {}  # put back by operators: cold as if started then
-        self.usual: list[float] = []  # usual latency of an answer, by class
-        self.typical: list[float] = []  # what `slow` is on average
-        self.out, self.more, self.sends, self.elsewhere = 0, 0.0, 0.0, 0
-        self.weighed, self.weighed_at = 0.0, -SECOND
-        self.retired = False  # another process has taken over, the cold backends' budgets too
+        self.returned_at: dict[int, int] = {}  # put back by operators: cold as if started then
+        self.usual_latency: list[float] = []  # of an answer, by class
+        self.typical_ratios: list[float] = []  # what latency ratios are on average, by class
+        self.out = 0  # requests in flight
+        self.out_elsewhere = 0.0  # and those of the process that this one takes over from
+        self.extra_room = 0.0  # what the limits of all have grown by
+        self.sent_on_average = 0.0  # requests that an endpoint has got on average
+        self.warm_capacity, self.warm_capacity_at = 0.0, -SECOND
+        self.retired = False  # another process has taken over, the slow-start budgets too
         self.follow(settings)
 
     def follow(self, settings: it.Settings) -> None:
-        """Classes keep their numbers; new ones come behind."""
-        self.settings, self.even = settings, FIRST_LIMIT / settings.fleet_size
-        self.first = self.even
-        self.sort_out()
-        new = len(settings.classes) - len(self.usual)
-        self.usual, self.typical = self.usual + [0.0] * new, self.typical + [1.0] * new
-        for backend in self.backends.values():
-            backend.slow += [1.0] * new
+        """Other settings: classes keep their numbers, new ones come behind."""
+        self.settings = settings
+        self.even_limit = FIRST_LIMIT / settings.fleet_size
+        self.first_limit = self.even_limit
+        self.refresh_ready()
+        new = len(settings.classes) - len(self.usual_latency)
+        self.usual_latency = self.usual_latency + [0.0] * new
+        self.typical_ratios = self.typical_ratios + [1.0] * new
+        for endpoint in self.backends.values():
+            endpoint.latency_ratios += [1.0] * new
 
     def used(self) -> float:
-        """The part out of what may be out at all backends: one at each jams them."""
-        fails = min((t for t, u in zip(self.typical, self.usual, strict=True) if u), default=1.0)
-        # less if every class fails
-        pooled = (1 + self.even * len(self.ready) / 2) / fails + self.more
-        room = pooled if self.even < 1 else sum(b.limit for b in self.ready)
-        return (self.out + self.elsewhere) / max(1.0, room)
+        """The part in flight of what may be in flight at all endpoints: one at each jams them."""
+        if self.even_limit < 1:
+            ratios = zip(self.typical_ratios, self.usual_latency, strict=True)
+            failing = min((ratio for ratio, usual in ratios if usual), default=1.0)
+            pooled = 1 + self.even_limit * len(self.ready) / 2
+            room = pooled / failing + self.extra_room  # less if every class fails
+        else:
+            room = sum(endpoint.limit for endpoint in self.ready)
+        return (self.out + self.out_elsewhere) / max(1.0, room)
+
+    # The list.
 
     def listed(self, event: it.BackendsListed) -> None:
+        """Takes in what discovery says: all endpoints, or those that changed."""
         begun = []
         for info in event.backends:
-            info = replace(info, started=max(info.started, self.returned.get(info.id, 0)))
-            known = self.backends.setdefault(info.id, Backend(info))
+            info = replace(info, started=max(info.started, self.returned_at.get(info.id, 0)))
+            known = self.backends.setdefault(info.id, Endpoint(info))
             if known.limit == 0 or info.started > known.info.started:
                 begun.append(known)
             known.info = info
         whole = event.kind in (ListKind.FULL, ListKind.CACHED)
         named = {info.id for info in event.backends} if whole else self.backends.keys()
         self.backends = {n: b for n, b in self.backends.items() if n in named}
-        self.sort_out()
-        for backend in begun:
-            self.begin(backend)
+        self.refresh_ready()
+        for endpoint in begun:
+            self.reset(endpoint)
 
-    def sort_out(self) -> None:
+    def refresh_ready(self) -> None:
+        """Looks up which endpoints are ready, and which of these this ingress keeps to."""
         fit = (b for b in self.backends.values() if b.info.id not in self.withdrawn)
-        self.ready, self.weighed_at = (
-            [b for b in fit if b.info.state is BackendState.READY],
-            -SECOND,
-        )
-        self.own, self.first = self.ready, self.even
-        if self.even < 1 and len(self.ready) > LOOK:
-            # Many gateways: an arc of the ring of all, even over them, so that each opens few
-            # connections and sees its own often. Harms where an arc is bad as a whole: then others
-            # are looked at too.
+        self.ready = [b for b in fit if b.info.state is BackendState.READY]
+        self.warm_capacity_at = -SECOND
+        self.preferred, self.first_limit = self.ready, self.even_limit
+        if self.even_limit < 1 and len(self.ready) > CANDIDATES:
+            # Many ingresses: an arc of the ring of all endpoints, even over them, so that each
+            # ingress opens few connections and sees its own often. Harms where an arc is bad as a
+            # whole: then others are looked at too.
             ring = sorted(self.ready, key=lambda b: mix(b.info.key or b.info.id))
-            start = int(self.settings.me * GOLDEN % 1 * len(ring))
-            self.own = (ring + ring)[start : start + LOOK]
-            self.first = self.even * len(ring) / LOOK
+            start = int(self.settings.me * GOLDEN_RATIO % 1 * len(ring))
+            self.preferred = (ring + ring)[start : start + CANDIDATES]
+            self.first_limit = self.even_limit * len(ring) / CANDIDATES
 
-    def begin(self, backend: Backend) -> None:
-        """As new; its sends are earned out of step with the siblings'."""
-        backend.limit, backend.slow = self.first, self.typical[:]
-        backend.credit, backend.credit_at = max(self.rng.random(), min(1.0, self.first)), self.sends
+    def reset(self, endpoint: Endpoint) -> None:
+        """As new; its slow-start credit is out of step with that at other ingresses."""
+        endpoint.limit, endpoint.latency_ratios = self.first_limit, self.typical_ratios[:]
+        endpoint.credit = max(self.rng.random(), min(1.0, self.first_limit))
+        endpoint.credit_at = self.sent_on_average
 
     def maintained(self, now: int, event: it.MaintenanceChanged) -> None:
+        """Operators took an endpoint out, or put it back."""
         if event.out:
             self.withdrawn.add(event.backend)
         elif event.backend in self.withdrawn:
             self.withdrawn.discard(event.backend)
-            self.returned[event.backend] = (
-                now  # it was restarted meanwhile, whatever the list knows of that
-            )
+            # It was restarted meanwhile, whatever the list knows of that.
+            self.returned_at[event.backend] = now
             if known := self.backends.get(event.backend):
                 known.info = replace(known.info, started=now)
-                self.begin(known)
-        self.sort_out()
+                self.reset(known)
+        self.refresh_ready()
+
+    # Slow start.
 
-    def warmth(self, backend: Backend, now: int) -> float:
-        """The part of its capacity it has for sure."""
-        safety, started = self.settings.safety, backend.info.started
+    def warmth(self, endpoint: Endpoint, now: int) -> float:
+        """The part of its capacity that an endpoint has for sure, from 0 to 1."""
+        safety, started = self.settings.safety, endpoint.info.started
         grown = (now - started) / max(1, safety.ramp_time) if started > 0 else 1.0
         return min(1.0, safety.cold_share + (1 - safety.cold_share) * max(0.0, grown))
 
-    def slowness(self, backend: Backend, cls: int, now: int) -> float:
-        fading = math.exp((backend.seen_at - now) / SECOND / MEMORY / min(4.0, 1 + 1 / self.first))
-        return self.typical[cls] + (backend.slow[cls] - self.typical[cls]) * fading
-
-    def weigh(self, now: int) -> None:
-        """The capacity of all that are ready, in warm ones."""
-        if now - self.weighed_at > WEIGH_EVERY:
-            self.weighed_at, self.weighed = now, sum(self.warmth(b, now) for b in self.own)
-
-    def cold_room(self, backend: Backend, warmth: float) -> bool:
-        """Slow start: earned by sends to others."""
-        times, even = (
-            COLD_PART * self.settings.safety.tip_multiple,
-            len(self.own) / max(0.01, self.weighed),
-        )
-        # many gateways' sends fall together by chance: half, and more the less is warm
-        if self.even < 1:
+    def update_warm_capacity(self, now: int) -> None:
+        """The capacity of all that are preferred, in warm ones; looked up now and then."""
+        if now - self.warm_capacity_at > WARM_CAPACITY_INTERVAL:
+            self.warm_capacity_at = now
+            self.warm_capacity = sum(self.warmth(b, now) for b in self.preferred)
+
+    def has_credit(self, endpoint: Endpoint, warmth: float) -> bool:
+        """Whether an endpoint in slow start may have a request: earned by those to others."""
+        times = SLOW_START_SHARE * self.settings.safety.tip_multiple
+        even = len(self.preferred) / max(0.01, self.warm_capacity)
+        if self.even_limit < 1:
+            # Many ingresses' requests fall together by chance: half, and more the less is warm.
             times = max(1.0, times * min(1.0, even / 2))
-        earned = times * warmth * (self.sends - backend.credit_at)
-        backend.credit, backend.credit_at = min(2.0, backend.credit + earned), self.sends
-        out = backend.out + backend.elsewhere
-        return not self.retired and backend.credit >= 1 and out < max(1.0, backend.limit * warmth)
+        earned = times * warmth * (self.sent_on_average - endpoint.credit_at)
+        endpoint.credit = min(SLOW_START_CREDIT_MOST, endpoint.credit + earned)
+        endpoint.credit_at = self.sent_on_average
+        out = endpoint.out + endpoint.out_elsewhere
+        limit = max(1.0, endpoint.limit * warmth)
+        return not self.retired and endpoint.credit >= 1 and out < limit
+
+    # The choice.
 
     def pick(
-        self, now: int, cls: int, allowed: Callable[[Backend], bool],
-        asked: it.RequestArrived | None = None, again: bool = False,
-    ) -> Backend | None:  # fmt: skip
-        """`again`: a backend has seen it before."""
+        self,
+        now: int,
+        cls: int,
+        allowed: Callable[[Endpoint], bool],
+        asked: it.RequestArrived | None = None,
+        again: bool = False,
+    ) -> Endpoint | None:
+        """The endpoint for a request of this class, which counts as in flight there from now on.
+
+        Args:
+            now: the present time, in us.
+            cls: the request's class.
+            allowed: whether the request may go to an endpoint.
+            asked: the request, for pools that choose by it.
+            again: an endpoint has seen it before.
+        """
         best, best_cost = None, math.inf
-        self.weigh(now)
+        self.update_warm_capacity(now)
         if self.used() < 1:
-            best, best_cost = self.cheapest(now, cls, allowed, self.own)
-            if len(self.own) < len(self.ready) and best_cost > STRAY * self.typical[cls]:
-                # the cold budgets are their own's
+            best, best_cost = self.cheapest(now, cls, allowed, self.preferred)
+            strays = best_cost > STRAY_RATIO * self.typical_ratios[cls]
+            if strays and len(self.preferred) < len(self.ready):
+                # Slow-start budgets are those of the ingresses that prefer an endpoint.
                 warm = [b for b in self.ready if self.warmth(b, now) == 1]
                 other, cost = self.cheapest(now, cls, allowed, warm)
                 best = other if cost < best_cost else best
-        self.sends += 1 / max(1, len(self.own))
+        self.sent_on_average += 1 / max(1, len(self.preferred))
         if best:
             best.out, self.out, best.credit = best.out + 1, self.out + 1, best.credit - 1
         return best
 
     def owes(self) -> tuple[it.Unit, ...]:
-        """The shared wholes that the last pick needs a unit of."""
+        """The shared budgets that the last pick needs a unit of."""
         return ()
 
     def cheapest(
-        self, now: int, cls: int, allowed: Callable[[Backend], bool], among: list[Backend]
-    ) -> tuple[Backend | None, float]:
+        self, now: int, cls: int, allowed: Callable[[Endpoint], bool], among: list[Endpoint]
+    ) -> tuple[Endpoint | None, float]:
+        """The one with the lowest expected cost of a sample, and that cost."""
         best, best_cost, far = None, math.inf, self.settings.cross_zone_price > 0
-        some = self.rng.sample(among, min(LOOK, len(among)))
-        # older reports tell nothing
-        fresh = {b.info.id: b.load for b in some if now - b.load_at < SECOND}
+        some = self.rng.sample(among, min(CANDIDATES, len(among)))
+        fresh = {b.info.id: b.reported_load for b in some if now - b.reported_at < LOAD_REPORT_LIFE}
         mean = sum(fresh.values()) / max(1, len(fresh)) or 1.0
-        for backend in some:
-            warmth = max(0.01, self.warmth(backend, now))
-            out = backend.out + backend.elsewhere
-            full = out >= max(1.0, backend.limit)
-            if full or not allowed(backend) or (warmth < 1 and not self.cold_room(backend, warmth)):
+        for endpoint in some:
+            warmth = max(0.01, self.warmth(endpoint, now))
+            out = endpoint.out + endpoint.out_elsewhere
+            if out >= max(1.0, endpoint.limit) or not allowed(endpoint):
+                continue
+            if warmth < 1 and not self.has_credit(endpoint, warmth):
                 continue
-            slow = self.slowness(backend, cls, now)
-            load = (
-                out / warmth + self.rng.expovariate(1.0) + fresh.get(backend.info.id, mean) / mean
-            )
-            # idle ones: by weight
-            cost = max(0.0, load - 1) * slow / max(backend.info.weight, 1e-3) + slow
-            cost *= 1.1 if far and backend.info.zone != self.settings.zone else 1.0  # breaks ties
+            slow = self.slowness(endpoint, cls, now)
+            report = fresh.get(endpoint.info.id, mean) / mean
+            load = out / warmth + self.rng.expovariate(1.0) + report
+            # Idle ones by weight.
+            cost = max(0.0, load - 1) * slow / max(endpoint.info.weight, 1e-3) + slow
+            cost *= 1.1 if far and endpoint.info.zone != self.settings.zone else 1.0  # breaks ties
             if cost < best_cost:
-                best, best_cost = backend, cost
+                best, best_cost = endpoint, cost
         return best, best_cost
 
-    def ended(self, backend: Backend, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+    def slowness(self, endpoint: Endpoint, cls: int, now: int) -> float:
+        """An endpoint's latency ratio, which fades to what is typical."""
+        memory = RATIO_MEMORY_S
+        spell = (endpoint.last_outcome_at - now) / SECOND / memory
+        fading = math.exp(spell / min(4.0, 1 + 1 / self.first_limit))
+        typical = self.typical_ratios[cls]
+        return typical + (endpoint.latency_ratios[cls] - typical) * fading
+
+    # Outcomes.
+
+    def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+        """An attempt has ended: averages, the endpoint's ratio and its limit follow."""
         backend.out, self.out = max(0, backend.out - 1), self.out - 1
-        usual, took = self.usual[cls] or max(1.0, latency), FAILED
-        if outcome is Outcome.OK:
-            took = min(latency / usual, FAILED)
-            self.usual[cls] = usual + 0.05 * (min(latency, 4 * usual) - usual)
+        ratio = self._latency_ratio(cls, outcome, latency)
         if outcome in BROKEN or outcome is Outcome.OK:
-            backend.slow[cls] = self.slowness(backend, cls, now) * 0.8 + took * 0.2
-            self.typical[cls] += 0.05 * (took - self.typical[cls])
-            backend.seen_at = now
-        # jammed, or draining before the list says so: idle as it looks, no place
+            blended = self.slowness(backend, cls, now) * (1 - RATIO_GAIN) + ratio * RATIO_GAIN
+            backend.latency_ratios[cls] = blended
+            self.typical_ratios[cls] += TYPICAL_GAIN * (ratio - self.typical_ratios[cls])
+            backend.last_outcome_at = now
         if outcome is Outcome.FULL:
-            backend.slow = [
-                self.slowness(backend, n, now) * 0.5 + FAILED for n in range(len(backend.slow))
+            # Jammed, or draining before the list says so: idle as it looks, no place.
+            backend.latency_ratios = [
+                self.slowness(backend, number, now) * 0.5 + FAILED_RATIO
+                for number in range(len(backend.latency_ratios))
             ]
-            backend.seen_at = now
-        if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-            backend.slow = [3 * FAILED for _ in backend.slow]  # down, whatever the class
-        # The bound follows latency: up while used and answers come well within the aim, else down.
-        # Covers overload, slow and thrashing backends; starves one whose own work exceeds the
-        # target.
-        step = 0.5 * max(-2.0, 1 - latency / (TARGET * self.settings.classes[cls].aim))
-        step = -1.0 if outcome in (Outcome.TIMEOUT, Outcome.FULL) else step
-        used = backend.out + 1 >= 0.7 * backend.limit * self.warmth(backend, now)
+            backend.last_outcome_at = now
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):  # down, whatever the class
+            backend.latency_ratios = [DOWN_RATIO for _ in backend.latency_ratios]
+        self._adjust_limit(backend, now, cls, outcome, latency)
+
+    def _latency_ratio(self, cls: int, outcome: Outcome, latency: int) -> float:
+        """What an outcome says of the endpoint; an answer moves the usual latency as well."""
+        if outcome is not Outcome.OK:
+            return FAILED_RATIO
+        usual = self.usual_latency[cls] or max(1.0, latency)
+        self.usual_latency[cls] = usual + USUAL_LATENCY_GAIN * (min(latency, 4 * usual) - usual)
+        return min(latency / usual, FAILED_RATIO)
+
+    def _adjust_limit(
+        self, endpoint: Endpoint, now: int, cls: int, outcome: Outcome, latency: int
+    ) -> None:
+        """The limit follows latency: up while used and answers come well within the target.
+
+        Covers overload, slow and thrashing endpoints; starves one whose own work exceeds the
+        target. """
+        target = TARGET_LATENCY_SHARE * self.settings.classes[cls].aim
+        step = 0.5 * max(-2.0, 1 - latency / target)
+        if outcome in (Outcome.TIMEOUT, Outcome.FULL):
+            step = -1.0
+        used = endpoint.out + 1 >= BUSY_SHARE * endpoint.limit * self.warmth(endpoint, now)
         if step < 0 or (outcome is Outcome.OK and used):
-            backend.limit = max(min(1.0, self.first / 4), backend.limit + step)
-            self.more = max(0.0, self.more + step) if self.used() > 0.5 or step < 0 else self.more
+            endpoint.limit = max(min(1.0, self.first_limit / 4), endpoint.limit + step)
+            if self.used() > 0.5 or step < 0:
+                self.extra_room = max(0.0, self.extra_room + step)
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -1,6 +1,6 @@
-"""Every decision of the gateway. Types, settings, events and actions: interface.py.
+"""The request life cycle: attempts, retries, hedged requests, deadlines. Types: interface.py.
 
-Here is the life of a request: its attempts, retries, hedged requests and its end. Admission is in
+`RequestPolicy` takes events and returns actions; it does no I/O and reads no clock. Admission is in
 `admission`, the customer's account in `account`, the choice of an endpoint in `endpoint_pool`. All
 times are microseconds.
 """
@@ -14,36 +14,46 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.account import SECOND, TenantAccount
 from cairndale.ingress.policy.admission import NEVER_RAN, SPARE_CAPACITY, Admission
-from cairndale.ingress.policy.endpoint_pool import Backend, Fleet
+from cairndale.ingress.policy.endpoint_pool import Endpoint, EndpointPool
 from cairndale.ingress.policy.interface import ListKind, Outcome, Repeat, Scope
 
 NEVER_CAME = (Outcome.CONNECT_FAILED, Outcome.MOOT)
-BUSY = ("queue", "inflight", "util")  # reports that grow with what a backend has to do
+BUSY_REPORTS = ("queue", "inflight", "util")  # reports that grow with what an endpoint has to do
+LOAD_MOST = 1e6  # of a report: more is taken for none
+SWEEP_INTERVAL = SECOND  # between looks for idle accounts
+ACCOUNT_IDLE_WINDOWS = 8  # after which a store must be full again
+# An attempt without an answer is stuck after so many usual latencies ...
+STUCK_LATENCIES = 4
 
 
 @dataclass(slots=True)
 class Attempt:
-    backend: Backend
+    """One attempt of a request at an endpoint."""
+
+    backend: Endpoint
     sent: int
     out: bool = True
     may_have_run: bool = True  # until an outcome proves otherwise
     begun: bool = False  # its answer goes on to the client in parts
-    arrived: bool = True  # until an outcome proves that the backend never saw it
+    arrived: bool = True  # until an outcome proves that the endpoint never saw it
 
 
 @dataclass(slots=True)
 class Request:
+    """A request that is not answered yet."""
+
     event: it.RequestArrived
     cls: it.RequestClass
     account: TenantAccount
     cut: int  # no answer after this is worth new work
-    end: int  # an answer under way is awaited until here: what it costs the backend is spent
+    end: int  # an answer under way is awaited until here: what it costs the endpoint is spent
     limits: it.Limits  # those it began with
     attempts: list[Attempt] = field(default_factory=list)
     until: int = 0  # when the unit that it was admitted by is taken for spent; 0: never
     fresh: bool = True  # no attempt was begun since it was admitted
 
     def ran(self) -> Attempt | None:
+        """The first attempt that may have run."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
 
@@ -55,26 +65,32 @@
         raise ValueError("settings: classes, plans, fleet_size or limits make no sense")
 
 
-class Gateway(Admission[Request]):
-    def __init__(self, settings: it.Settings, seed: int, fleet: type[Fleet] = Fleet) -> None:
+class RequestPolicy(Admission[Request]):
+    """Every decision of one ingress: events in, actions out."""
+
+    def __init__(
+        self, settings: it.Settings, seed: int, pool: type[EndpointPool] = EndpointPool
+    ) -> None:
         check(settings)
         rng = random.Random(seed)
-        self.fleet = fleet(settings, rng)
+        self.fleet = pool(settings, rng)
         self.requests: dict[int, Request] = {}
         self.flying: dict[tuple[int, int], tuple[Request, Attempt]] = {}
         self.swept_at = 0
-        self.began = -1  # the first moment heard of
+        self.began = -1  # the time of the first event
         super().__init__(settings, rng)
 
     def follow(self, settings: it.Settings) -> None:
-        """Other rules for what is to come: what is known of the fleet stays as well."""
+        """Other rules for what is to come: what is known of the endpoints stays as well."""
         super().follow(settings)
         self.fleet.follow(settings)
 
     def used(self) -> float:
+        """The part of what the endpoints can take that is in flight."""
         return self.fleet.used()
 
     def handle(self, now: int, event: it.Event) -> list[it.Action]:
+        """What is to be done about an event that came at `now`, in us."""
         self.now, self.actions = now, []
         self.began = now if self.began < 0 else self.began
         match event:
@@ -83,12 +99,7 @@
             case it.AttemptEnded():
                 self.attempt_ended(event)
             case it.TimerFired(token):
-                if (
-                    (request := self.requests.get(token))
-                    and request.attempts
-                    and self.fleet.used() < SPARE_CAPACITY
-                ):
-                    self.send(request)  # a second copy, only while backends have room for it
+                self._hedge(token)
             case it.CountAnswered():
                 self.count_answered(event)
             case it.BackendsListed(kind):
@@ -108,86 +119,112 @@
             case it.BodyCame(number, left):
                 if request := self.requests.get(number):
                     request.cut, request.end = self.span(request.cls, left)
-        if now - self.swept_at > SECOND:  # idle accounts go once their store must be full again
-            self.swept_at = now
-            self.accounts = {
-                c: a for c, a in self.accounts.items() if now - a.demand_at < 8 * a.window_us
-            }
+        if now - self.swept_at > SWEEP_INTERVAL:
+            self._sweep_accounts()
         return self.actions
 
+    def _hedge(self, number: int) -> None:
+        """A second copy, only while the endpoints have room for it."""
+        request = self.requests.get(number)
+        if request and request.attempts and self.fleet.used() < SPARE_CAPACITY:
+            self.send(request)
+
+    def _sweep_accounts(self) -> None:
+        """Idle accounts go once their store must be full again."""
+        self.swept_at = now = self.now
+        self.accounts = {
+            customer: account
+            for customer, account in self.accounts.items()
+            if now - account.demand_at < ACCOUNT_IDLE_WINDOWS * account.window_us
+        }
+
+    # A request comes.
+
     def arrived(self, event: it.RequestArrived) -> None:
-        s, account = self.settings, self.accounts.get(event.customer)
-        valid = (
-            event.cls < len(s.classes) and event.plan < len(s.plans) and 0 <= event.units < math.inf
-        )
-        if event.request in self.requests or not valid or event.time_left <= 0:
-            self.actions += [] if event.request in self.requests else [it.Refuse(event.request)]
+        """A new request: refused if it makes no sense, else put to admission."""
+        settings = self.settings
+        valid = event.cls < len(settings.classes) and event.plan < len(settings.plans)
+        valid = valid and 0 <= event.units < math.inf
+        if event.request in self.requests:
+            return
+        if not valid or event.time_left <= 0:
+            self.actions.append(it.Refuse(event.request))
             return
+        account = self.accounts.get(event.customer)
         if account is None:
-            spread = min(s.fleet_size, max(1, event.spread))
-            plan, age = s.plans[event.plan], (self.now - self.began) / SECOND
-            account = TenantAccount(
-                plan, spread, self.slot_us, self.now, ceiling_leased=plan.ceiling_burst
-            )
-            account.strict = s.counter.strict
-            account.ceiling_unreported = min(plan.ceiling_burst, plan.ceiling_rate * age) / spread
-            if self.retired:  # this customer's ceiling is the other process's
-                account.ceiling_leased = account.ceiling_unreported = 0.0
+            account = self._new_account(event)
         if account.strict:
             account.gateways, account.isolated_since = max(1, event.spread), self.alone_since()
             if event.customer not in self.accounts and not account.saves_while_connected:
                 account.isolated_share = 0.0
-        cls, self.accounts[event.customer] = s.classes[event.cls], account
+        self.accounts[event.customer] = account
+        cls = settings.classes[event.cls]
         cut, end = self.span(cls, event.time_left)
-        request = Request(event, cls, account, cut, end, s.limits)
+        request = Request(event, cls, account, cut, end, settings.limits)
         self.requests[event.request] = request
         account.arrive(self.now, event.units, event.is_retry, self.retired)
         self.admit(request)
 
+    def _new_account(self, event: it.RequestArrived) -> TenantAccount:
+        settings = self.settings
+        gateways = min(settings.fleet_size, max(1, event.spread))
+        plan, age_s = settings.plans[event.plan], (self.now - self.began) / SECOND
+        account = TenantAccount(plan, gateways, self.slot_us, self.now)
+        account.strict = settings.counter.strict
+        if not self.retired:  # else this customer's ceiling is the other process's
+            account.ceiling_leased = plan.ceiling_burst
+            spent = min(plan.ceiling_burst, plan.ceiling_rate * age_s)
+            account.ceiling_unreported = spent / gateways
+        return account
+
     def span(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
-        """Until when it is worth what."""
-        span = cls.deadline if cls.late_worth >= 0.5 or cls.aim_stretch > 0 else cls.aim
+        """Until when an answer is worth new work, and until when one under way is awaited."""
+        pays_late = cls.late_worth >= 0.5 or cls.aim_stretch > 0
+        span = cls.deadline if pays_late else cls.aim
         return self.now + min(left, span), self.now + min(left, span + cls.aim)
 
-    def may_send(self, request: Request, backend: Backend) -> bool:
-        """What may have run is repeated only if safe, or keyed within the scope and memory of its
-        keys."""
-        ran, cls, alone = request.ran(), request.cls, not request.limits.may_duplicate
+    # Attempts.
+
+    def may_send(self, request: Request, backend: Endpoint) -> bool:
+        """Whether a request may go to an endpoint.
+
+        What may have run is repeated only if that is safe, or keyed within the scope and memory of
+        its keys.
+        """
+        cls, alone = request.cls, not request.limits.may_duplicate
         if any(a.out and (a.backend is backend or alone) for a in request.attempts):
             return False
+        ran = request.ran()
         if ran is None or cls.repeat is Repeat.SAFE:
             return True
-        here, there, sent, tick = backend.info, ran.backend.info, ran.sent, self.settings.tick
+        if cls.repeat is not Repeat.KEYED:
+            return False
+        here, there = backend.info, ran.backend.info
         same = {
             Scope.ALL: True,
             Scope.ZONE: here.zone == there.zone,
             Scope.CELL: here.cell == there.cell,
         }
-        return (
-            cls.repeat is Repeat.KEYED and same[cls.scope] and self.now + tick < sent + cls.memory
-        )
+        return same[cls.scope] and self.now + self.settings.tick < ran.sent + cls.memory
 
     def send(self, request: Request, leased: bool = False) -> bool:
-        event, account, cls, first = request.event, request.account, request.cls, request.fresh
-        limits = request.limits
-        over = len(request.attempts) >= limits.max_attempts or self.now >= request.cut
-        seen = sum(1 for a in request.attempts if a.arrived)
-        over = over or 0 < cls.tries <= seen
-        # another try that can hardly end in time is work for nothing
-        if limits.patient and not first:
-            over = over or request.cut - self.now < self.fleet.usual[event.cls] / 2
-        if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
-            over = (
-                over
-                or (account.ceiling_leased if leased else account.ceiling_unreported) < event.units
-            )
-        backend = (
-            None
-            if over
-            else self.fleet.pick(
+        """Begins an attempt; a request that can have no first one is refused.
+
+        Args:
+            request: admitted, or to be tried again.
+            leased: it is admitted by a leased unit.
+
+        Returns:
+            Whether an attempt was begun.
+        """
+        event, account, first = request.event, request.account, request.fresh
+        seen = sum(1 for attempt in request.attempts if attempt.arrived)
+        over = self._is_over(request, seen, leased)
+        backend = None
+        if not over:
+            backend = self.fleet.pick(
                 self.now, event.cls, lambda b: self.may_send(request, b), event, seen > 0
             )
-        )
         if backend is None:
             if first:
                 self.end(request, self.no_room(request, over))
@@ -195,41 +232,59 @@
         spent = event.units if first else 0.0
         account.ceiling_leased -= spent
         account.ceiling_unreported -= spent
-        number, left, timeout = (
-            len(request.attempts),
-            request.cut - self.now,
-            request.end - self.now,
-        )
-        # older: stuck
-        patience = int(max(4 * (self.fleet.usual[event.cls] or cls.aim / 6), cls.aim / 3))
-        more = not limits.patient and cls.repeat is not Repeat.UNSAFE and not event.in_parts
-        more = more and number + 1 < limits.max_attempts
-        if more and limits.may_duplicate and patience < left:
-            self.actions.append(it.SetTimer(event.request, self.now + patience))
-        elif more and left > 1.5 * patience:
-            timeout = patience
+        timeout = self._attempt_timeout(request)
         until = 0 if seen else request.until
+        units = self.fleet.owes()
         self.actions.append(
-            it.SendAttempt(
-                event.request, backend.info.id, max(1, timeout), until, self.fleet.owes()
-            )
+            it.SendAttempt(event.request, backend.info.id, max(1, timeout), until, units)
         )
-        request.attempts.append(Attempt(backend, self.now))
+        attempt = Attempt(backend, self.now)
+        self.flying[event.request, len(request.attempts)] = (request, attempt)
+        request.attempts.append(attempt)
         request.fresh = False
-        self.flying[event.request, number] = (request, request.attempts[-1])
         account.attempts_out += 1
         return True
 
+    def _is_over(self, request: Request, seen: int, leased: bool) -> bool:
+        """No further attempt, whatever endpoints there are; `seen`: attempts that arrived."""
+        limits, account, first = request.limits, request.account, request.fresh
+        if len(request.attempts) >= limits.max_attempts or self.now >= request.cut:
+            return True
+        if 0 < request.cls.tries <= seen:
+            return True
+        usual = self.fleet.usual_latency[request.event.cls]
+        if limits.patient and not first and request.cut - self.now < usual / 2:
+            return True  # a retry that can hardly end in time is work for nothing
+        if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
+            left = account.ceiling_leased if leased else account.ceiling_unreported
+            return left < request.event.units
+        return False
+
+    def _attempt_timeout(self, request: Request) -> int:
+        """For how long the next attempt is awaited, in us; sets the timer of a hedged request."""
+        event, cls, limits = request.event, request.cls, request.limits
+        usual = self.fleet.usual_latency[event.cls] or cls.aim / 6
+        patience = int(max(STUCK_LATENCIES * usual, cls.aim / 3))
+        more = not limits.patient and cls.repeat is not Repeat.UNSAFE and not event.in_parts
+        more = more and len(request.attempts) + 1 < limits.max_attempts
+        left = request.cut - self.now
+        if more and limits.may_duplicate and patience < left:
+            self.actions.append(it.SetTimer(event.request, self.now + patience))
+        elif more and left > 1.5 * patience:
+            return patience
+        return request.end - self.now
+
     def no_room(self, request: Request, over: bool = False) -> it.Refuse:
         """By the usual latency from now some attempt has ended."""
-        wait = self.slot_us if over else int(self.fleet.usual[request.event.cls])
+        wait = self.slot_us if over else int(self.fleet.usual_latency[request.event.cls])
         return it.Refuse(request.event.request, min(self.slot_us, wait or self.slot_us), False)
 
     def attempt_ended(self, event: it.AttemptEnded) -> None:
+        """An attempt has ended: the request is answered, tried again, or ends."""
         if not (flown := self.flying.pop((event.request, event.attempt), None)):
             return
         request, attempt = flown
-        account, cls = request.account, request.cls
+        account = request.account
         account.attempts_out -= 1
         attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         attempt.arrived = event.outcome not in NEVER_CAME
@@ -237,48 +292,68 @@
             self.fleet.ended(
                 attempt.backend, self.now, request.event.cls, event.outcome, event.latency
             )
-        for load in [
-            v for n, v in zip(self.settings.load_fields, event.load, strict=False) if n in BUSY
-        ]:
-            attempt.backend.load, attempt.backend.load_at = (
-                load if 0 <= load < 1e6 else 0.0,
-                self.now,
-            )
+        self._note_load(attempt.backend, event)
         if self.settings.settles and event.outcome is Outcome.OK and event.billed > 0:
             account.tokens -= event.billed - request.event.units
         if event.final:
             self.finish(event.request)
-        if event.request not in self.requests or any(a.out for a in request.attempts):
-            return
+        if event.request in self.requests and not any(a.out for a in request.attempts):
+            self._retry_or_end(request, event)
+
+    def _note_load(self, backend: Endpoint, event: it.AttemptEnded) -> None:
+        """The load report that came with an answer."""
+        for name, value in zip(self.settings.load_fields, event.load, strict=False):
+            if name in BUSY_REPORTS:
+                backend.reported_load = value if 0 <= value < LOAD_MOST else 0.0
+                backend.reported_at = self.now
+
+    def _retry_or_end(self, request: Request, event: it.AttemptEnded) -> None:
+        """No attempt is in flight any longer."""
         if 0 < request.until < self.now and not any(a.arrived for a in request.attempts):
-            # what it was admitted by is over, and no backend saw it: it asks anew
+            # What it was admitted by is over, and no endpoint saw it: it is admitted anew.
             request.fresh = True
             self.admit(request)
             return
         if not event.spent and self.send(request):
             return
+        self.end(request, self._last_answer(request))
+
+    def _last_answer(self, request: Request) -> it.Action:
+        """What a request without an answer is told: whether a new try does no harm."""
+        number, cls = request.event.request, request.cls
         if request.limits.promises:
-            answer = it.Fail(event.request) if request.ran() else self.no_room(request)
-        else:
-            keyed = cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL
-            harmless = keyed or cls.repeat is Repeat.SAFE or request.ran() is None
-            answer = it.Refuse(event.request, 0, False) if harmless else it.Fail(event.request)
-        self.end(request, answer)
+            return it.Fail(number) if request.ran() else self.no_room(request)
+        keyed = cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL
+        harmless = keyed or cls.repeat is Repeat.SAFE or request.ran() is None
+        return it.Refuse(number, 0, False) if harmless else it.Fail(number)
 
     def stream_started(self, event: it.StreamStarted) -> None:
-        """The answer is certain, and the backend's work done: how long the client reads tells no
-        load."""
+        """The answer is certain, and the endpoint's work done.
+
+        How long the client takes to read it says nothing of load.
+        """
         if flown := self.flying.get((event.request, event.attempt)):
-            flown[1].begun, cls = True, flown[0].event.cls
-            self.fleet.ended(flown[1].backend, self.now, cls, Outcome.OK, event.latency)
+            request, attempt = flown
+            attempt.begun = True
+            self.fleet.ended(
+                attempt.backend, self.now, request.event.cls, Outcome.OK, event.latency
+            )
         self.finish(event.request, but=event.attempt)
 
+    # Ends.
+
     def end(self, request: Request, answer: it.Action) -> None:
+        """Answers the request for good."""
         self.actions.append(answer)
         self.finish(request.event.request)
 
     def finish(self, number: int, but: int = -1) -> None:
-        """The request is over here; attempts still out are stopped where that is allowed."""
+        """The request is over; attempts still in flight are cancelled where that is allowed.
+
+        Args:
+            number: the request's.
+            but: the attempt that goes on, as it answers.
+        """
         if not (request := self.requests.pop(number, None)):
             return
         request.account.waiting = [r for r in request.account.waiting if r is not request]
@@ -287,8 +362,9 @@
                 self.actions.append(it.CancelAttempt(number, attempt))
 
     def other_busy(self, event: it.OtherBusy) -> None:
+        """What is in flight from the process that this one takes over from."""
         for number, backend in self.fleet.backends.items():
-            backend.elsewhere = event.attempts.get(number, 0)
-        self.fleet.elsewhere = sum(event.attempts.values())
+            backend.out_elsewhere = event.attempts.get(number, 0)
+        self.fleet.out_elsewhere = sum(event.attempts.values())
         for customer, account in self.accounts.items():
             account.attempts_elsewhere = event.customers.get(customer, 0)
--- a/cairndale/lab/policies.py
+++ b/cairndale/lab/policies.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.lab.simulate import Make, Sight
 
@@ -204,7 +204,7 @@
         self.decide(number, event.outcome is not Outcome.OK or event.total <= most)
 
 
-class LeasesOnly(Gateway):
+class LeasesOnly(RequestPolicy):
     """The module without its ring: what the bucket does not cover is refused firmly."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
@@ -273,7 +273,7 @@
         "bucket-filter": BucketFilter,
     }
     if name == "module":
-        return lambda settings, seed, _: Gateway(settings, seed)
+        return lambda settings, seed, _: RequestPolicy(settings, seed)
     if name == "leases-only":
         return lambda settings, seed, _: LeasesOnly(settings, seed)
     if name == "sees-all":
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -299,7 +299,7 @@
         for name in route_table.request_classes
     }
     assert house.policy.settings is engine.settings and house.selector.settings is engine.settings
-    assert len(house.selector.usual) == len(engine.settings.classes)
+    assert len(house.selector.usual_latency) == len(engine.settings.classes)
     return by_name | classes
 
 
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -169,7 +169,7 @@
     node._loop = clock = Mock(wraps=node._loop)
     clock.time.side_effect = lambda: began + at
     grace, usual, long = node.settings.bounds.grace, 1_000_000, 30_000_000
-    node.selector.usual[1] = usual
+    node.selector.usual_latency[1] = usual
     assert node.may_begin(1, long)
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -18,7 +18,7 @@
 from cairndale.ingress.net.engine import Answer, Data, Engine, Flow, Names, Wanted
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.admission import NEVER_RAN
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome, Repeat
 from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
 from tests.testing.ingress import Wheel
@@ -98,7 +98,7 @@
     """Of the servers the first is cold."""
 
     def __init__(
-        self, gateway: type[Gateway] = Gateway, servers: int = 4, cold: bool = True
+        self, gateway: type[RequestPolicy] = RequestPolicy, servers: int = 4, cold: bool = True
     ) -> None:
         super().__init__(10 * SECOND)
         self.sent = list[Sent]()
@@ -302,7 +302,7 @@
     play(World(), deeds)
 
 
-class Forgetful(Gateway):
+class Forgetful(RequestPolicy):
     """A reset is taken for never sent."""
 
     def attempt_ended(self, event: it.AttemptEnded) -> None:
@@ -318,14 +318,14 @@
         super().attempt_ended(event)
 
 
-class Promising(Gateway):
+class Promising(RequestPolicy):
     def end(self, request: Any, answer: it.Action) -> None:
         super().end(
             request, it.Refuse(answer.request, 0, False) if isinstance(answer, it.Fail) else answer
         )
 
 
-class Sleepy(Gateway):
+class Sleepy(RequestPolicy):
     """What a request was admitted by holds for good."""
 
     def send(self, request: Any, leased: bool = False) -> bool:
@@ -333,7 +333,7 @@
         return super().send(request, leased)
 
 
-class Free(Gateway):
+class Free(RequestPolicy):
     """Nothing is dealt."""
 
     def __init__(self, *args: Any) -> None:
@@ -342,7 +342,7 @@
 
 
 @pytest.mark.parametrize("planted", [Forgetful, Promising, Sleepy, Free])
-def test_planted_defects_are_seen(planted: type[Gateway]) -> None:
+def test_planted_defects_are_seen(planted: type[RequestPolicy]) -> None:
     rng, kinds = random.Random(3), sorted(ENDS)
     for _ in range(200):
         deeds = [("ask", rng.randint(0, 1), "quota")]
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -29,7 +29,7 @@
     Refused,
 )
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome
 from tests.ingress.net.test_counter import HEAD, chunk
 from tests.testing.discovery import register
@@ -275,7 +275,7 @@
 def test_own_evidence_counts_on_while_the_list_is_old() -> None:
     """A server that refused is left for others, and being told the same list again does not bring
     it back."""
-    gateway, now = Gateway(SETTINGS, seed=1), 1_000_000
+    gateway, now = RequestPolicy(SETTINGS, seed=1), 1_000_000
     told = tuple(it.ListedBackend(n, it.BackendState.READY, 0, 0, 0, 1.0, 0) for n in (1, 2, 3))
     gateway.handle(now, it.BackendsListed(it.ListKind.FULL, 1, told))
     sent = dict.fromkeys((1, 2, 3), 0)
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -18,7 +18,7 @@
 from cairndale.ingress.handover_state import hand_over, take_back, take_over
 from cairndale.ingress.net import handover
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import Gateway
+from cairndale.ingress.policy.engine import RequestPolicy
 from tests.ingress.test_main import ask, config, listens, start
 from tests.testing.ingress import HOST, OK, PeerServer, answers, request
 from tests.testing.policy import SECOND, Counter, arrival, backend, listed, of, settings, settle
@@ -168,10 +168,10 @@
     return int(answer.split()[1])
 
 
-def handed(**changes: Any) -> tuple[Gateway, Gateway, Counter]:
+def handed(**changes: Any) -> tuple[RequestPolicy, RequestPolicy, Counter]:
     old, new, counter = (
-        Gateway(settings(**changes), seed=1),
-        Gateway(settings(**changes), seed=2),
+        RequestPolicy(settings(**changes), seed=1),
+        RequestPolicy(settings(**changes), seed=2),
         Counter(),
     )
     for gateway in (old, new):
@@ -202,26 +202,26 @@
 
 def test_cold_budgets_and_attempts_out_go_with_it() -> None:
     old, new, _ = handed()
-    old.fleet.sends, old.fleet.backends[3].credit = 9.0, 1.5
+    old.fleet.sent_on_average, old.fleet.backends[3].credit = 9.0, 1.5
     old.fleet.backends[1].limit = 3.0
     take_over(new, 2 * SECOND, json.loads(json.dumps(hand_over(old))), range(3), range(4))
-    assert new.fleet.backends[3].credit == 1.5 and new.fleet.sends == 9.0
+    assert new.fleet.backends[3].credit == 1.5 and new.fleet.sent_on_average == 9.0
     assert new.fleet.backends[1].limit == 3.0
-    assert not old.fleet.cold_room(old.fleet.backends[3], 0.5)
+    assert not old.fleet.has_credit(old.fleet.backends[3], 0.5)
     before = new.fleet.used()
     new.handle(2 * SECOND, it.OtherBusy({1: 3}, {7: 2}))
     assert new.fleet.used() > before and new.accounts[7].attempts_elsewhere == 2
     picked = [new.fleet.pick(2 * SECOND, 0, lambda b: b.info.id != 3) for _ in range(2)]
     assert [p.info.id for p in picked if p] == [2, 2]  # 1 is full of the other's
     new.handle(2 * SECOND, it.OtherBusy({}, {}))
-    assert new.fleet.elsewhere == 0 and new.accounts[7].attempts_elsewhere == 0
+    assert new.fleet.out_elsewhere == 0 and new.accounts[7].attempts_elsewhere == 0
 
 
 def test_classes_and_plans_are_followed_by_number_across_the_two() -> None:
     old, new, _ = handed()
-    old.fleet.usual = [10.0, 20.0, 30.0]
+    old.fleet.usual_latency = [10.0, 20.0, 30.0]
     take_over(new, 2 * SECOND, hand_over(old), [2, -1, 0], [0, 1, 2, -1])
-    assert new.fleet.usual == [30.0, 0.0, 10.0] and 7 not in new.accounts
+    assert new.fleet.usual_latency == [30.0, 0.0, 10.0] and 7 not in new.accounts
 
 
 def test_what_is_taken_back_can_be_spent_again() -> None:
--- a/tests/ingress/policy/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from cairndale.ingress import Gateway
+from cairndale.ingress import RequestPolicy
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.account import TenantAccount
 from cairndale.ingress.policy.borrowing_ring import RETRY_OFFSETS
@@ -22,8 +22,8 @@
 )
 
 
-def gateway(**changes: object) -> Gateway:
-    made = Gateway(settings(**changes), seed=1)
+def gateway(**changes: object) -> RequestPolicy:
+    made = RequestPolicy(settings(**changes), seed=1)
     made.handle(0, listed(*(backend(n) for n in range(1, 5))))
     return made
 
@@ -258,7 +258,7 @@
 )
 def test_settings_without_sense_are_refused(broken: dict[str, object]) -> None:
     with pytest.raises(ValueError, match=next(iter(broken))):
-        Gateway(settings(**broken), 1)
+        RequestPolicy(settings(**broken), 1)
 
 
 def test_a_broken_call_is_made_anew_and_is_no_sign_of_a_crowd() -> None:
@@ -293,7 +293,7 @@
 
 
 def test_other_settings_keep_leases_and_open_requests_keep_their_rules() -> None:
-    gateway, counter = Gateway(settings(), seed=1), Counter()
+    gateway, counter = RequestPolicy(settings(), seed=1), Counter()
     gateway.handle(0, listed(backend(1), backend(2)))
     settle(gateway, SECOND, arrival(1), counter)
     account = gateway.accounts[7]
--- a/tests/ingress/policy/test_fleet.py
+++ b/tests/ingress/policy/test_fleet.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from cairndale.ingress import Gateway
+from cairndale.ingress import RequestPolicy
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.endpoint_pool import Fleet
+from cairndale.ingress.policy.endpoint_pool import EndpointPool
 from tests.testing.policy import (
     DRAINING,
     GONE,
@@ -22,13 +22,13 @@
 FREE = (it.Plan("free", rate=0.0, burst=0.0),)
 
 
-def gateway(*entries: it.ListedBackend, **changes: object) -> Gateway:
-    made = Gateway(settings(plans=FREE, **changes), seed=3)
+def gateway(*entries: it.ListedBackend, **changes: object) -> RequestPolicy:
+    made = RequestPolicy(settings(plans=FREE, **changes), seed=3)
     made.handle(0, listed(*entries))
     return made
 
 
-def sends(g: Gateway, now: int, numbers: range, **changes: object) -> list[int]:
+def sends(g: RequestPolicy, now: int, numbers: range, **changes: object) -> list[int]:
     return [
         s.backend for n in numbers for s in of(g.handle(now, arrival(n, **changes)), it.SendAttempt)
     ]
@@ -106,7 +106,7 @@
 
 
 def test_asks_for_the_list_where_it_must() -> None:
-    g = Gateway(settings(must_ask=True), 1)
+    g = RequestPolicy(settings(must_ask=True), 1)
     assert of(g.handle(0, listed(backend(1), kind=it.ListKind.CACHED)), it.Subscribe)
     assert of(g.handle(9, it.BackendsListed(it.ListKind.FAILED, 0, ())), it.Subscribe)
     assert PLANS
@@ -152,7 +152,7 @@
 
 
 def test_a_server_out_for_maintenance_gets_nothing_whatever_is_listed_until_put_back() -> None:
-    fleet = Fleet(settings(), random.Random(1))
+    fleet = EndpointPool(settings(), random.Random(1))
     fleet.listed(listed(backend(1), backend(2)))
     for _ in range(2):
         fleet.maintained(SECOND, it.MaintenanceChanged(1, True))
@@ -163,14 +163,14 @@
 
 
 def test_a_server_put_back_is_cold_even_if_the_list_tells_of_no_start() -> None:
-    fleet = Fleet(settings(), random.Random(1))
+    fleet = EndpointPool(settings(), random.Random(1))
     fleet.listed(listed(backend(1), backend(2)))
     fleet.backends[1].limit = 50.0
     for out in (True, False):
         fleet.maintained(20 * SECOND, it.MaintenanceChanged(1, out))
     fleet.listed(listed(backend(1), backend(2), kind=it.ListKind.DELTA))
     assert fleet.warmth(fleet.backends[1], 20 * SECOND) == settings().safety.cold_share
-    assert fleet.backends[1].limit == fleet.first
+    assert fleet.backends[1].limit == fleet.first_limit
     # it was not out: nothing to undo
     fleet.maintained(25 * SECOND, it.MaintenanceChanged(1, False))
     assert fleet.warmth(fleet.backends[1], 30 * SECOND) == 1.0
--- a/tests/ingress/policy/test_rules.py
+++ b/tests/ingress/policy/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from cairndale.ingress import Gateway
+from cairndale.ingress import RequestPolicy
 from cairndale.ingress.policy import interface as it
 from tests.testing.policy import (
     CLASSES,
@@ -45,7 +45,7 @@
     def __init__(self, seed: int, may_duplicate: bool) -> None:
         self.rng = random.Random(seed)
         self.duplicates = may_duplicate
-        self.gateway = Gateway(settings(limits={"may_duplicate": may_duplicate}), seed)
+        self.gateway = RequestPolicy(settings(limits={"may_duplicate": may_duplicate}), seed)
         self.now = 0
         self.cells = {n: n % 2 for n in range(1, 6)}
         self.states = dict.fromkeys(self.cells, READY)
--- a/tests/ingress/policy/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cairndale.ingress import Gateway
+from cairndale.ingress import RequestPolicy
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.endpoint_pool import Fleet
+from cairndale.ingress.policy.endpoint_pool import EndpointPool
 from tests.testing.policy import (
     PLANS,
     SECOND,
@@ -25,13 +25,13 @@
 FREE = (it.Plan("free", rate=0.0, burst=0.0),)
 
 
-def wide(size: int = 100, backends: int = 20, **changes: object) -> Gateway:
-    made = Gateway(settings(fleet_size=size, **changes), seed=1)
+def wide(size: int = 100, backends: int = 20, **changes: object) -> RequestPolicy:
+    made = RequestPolicy(settings(fleet_size=size, **changes), seed=1)
     made.handle(0, listed(*(backend(n) for n in range(1, backends + 1))))
     return made
 
 
-def finish(g: Gateway, now: int, actions: list[it.Action]) -> int:
+def finish(g: RequestPolicy, now: int, actions: list[it.Action]) -> int:
     """Every attempt sent is answered at once; how many there were."""
     for s in of(actions, it.SendAttempt):
         g.handle(now, it.AttemptEnded(s.request, 0, s.backend, it.Outcome.OK, 50_000, True))
@@ -39,7 +39,7 @@
 
 
 def test_calls_of_one_gateway_in_many_are_few() -> None:
-    one, many = Gateway(settings(fleet_size=2), 1), Gateway(settings(fleet_size=300), 1)
+    one, many = RequestPolicy(settings(fleet_size=2), 1), RequestPolicy(settings(fleet_size=300), 1)
     calls = [0, 0]
     for n in range(1000):
         for which, g in enumerate((one, many)):
@@ -64,7 +64,7 @@
     assert asked > 100 and 0.2 < sent / asked < 0.5
 
 
-def crowded() -> Gateway:
+def crowded() -> RequestPolicy:
     """One of 40 that has found the counter crowded, and has used its own part of customer 7's
     store."""
     g = wide(40)
@@ -115,7 +115,7 @@
 
 
 def test_cold_backend_keeps_its_budget_before_hundreds_of_gateways() -> None:
-    fleet = [Gateway(settings(fleet_size=200, plans=FREE), seed) for seed in range(200)]
+    fleet = [RequestPolicy(settings(fleet_size=200, plans=FREE), seed) for seed in range(200)]
     started, total = 10 * SECOND, 0
     for g in fleet:
         g.handle(0, listed(*(backend(n) for n in range(1, 10))))
@@ -141,7 +141,7 @@
     chosen: list[int] = []
     for seed in range(40):
         safety = replace(settings().safety, tip_multiple=3.0)
-        g = Gateway(settings(fleet_size=40, plans=FREE, safety=safety), seed)
+        g = RequestPolicy(settings(fleet_size=40, plans=FREE, safety=safety), seed)
         g.handle(SECOND, listed(*(backend(n, started=SECOND * (n <= cold)) for n in range(1, 21))))
         for n in range(200):
             for s in of(g.handle(SECOND + n * 1000, arrival(n)), it.SendAttempt):
@@ -163,10 +163,10 @@
     own."""
     found = []
     for me in range(40):
-        fleet = Fleet(settings(fleet_size=40, me=me), random.Random(me))
+        fleet = EndpointPool(settings(fleet_size=40, me=me), random.Random(me))
         entries = [backend((n + me) % 60 + 1, key=5000 + n) for n in range(gone, 60)]
         fleet.listed(listed(*entries))
-        found.append({b.info.key for b in fleet.own})
+        found.append({b.info.key for b in fleet.preferred})
     return found
 
 
@@ -185,7 +185,7 @@
 
 def test_a_server_that_drains_before_the_list_says_so_turns_few_attempts_away() -> None:
     g, turned, sent = wide(40, 60, plans=FREE), 0, 0
-    draining = {b.info.id for b in g.fleet.own[:5]}
+    draining = {b.info.id for b in g.fleet.preferred[:5]}
     for n in range(100):
         queue = of(g.handle(n * 50_000, arrival(n)), it.SendAttempt)
         for attempt, s in enumerate(queue):
@@ -199,7 +199,7 @@
 
 def test_a_gateway_whose_own_servers_are_bad_goes_to_others_and_comes_back() -> None:
     g = wide(40, 60, plans=FREE, limits={"max_attempts": 1})
-    own = {b.info.id for b in g.fleet.own}
+    own = {b.info.id for b in g.fleet.preferred}
     for n in range(60):
         for s in of(g.handle(n * 100_000, arrival(n)), it.SendAttempt):
             outcome = it.Outcome.CONNECT_FAILED if s.backend in own else it.Outcome.OK
@@ -213,7 +213,7 @@
 
 
 def test_a_fleet_that_is_cold_as_a_whole_is_not_left_alone() -> None:
-    g = Gateway(settings(fleet_size=200, plans=FREE), 3)
+    g = RequestPolicy(settings(fleet_size=200, plans=FREE), 3)
     g.handle(SECOND, listed(*(backend(n, started=SECOND) for n in range(1, 5))))
     sent = 0
     for n in range(100):
@@ -224,7 +224,7 @@
 
 
 def test_attempts_out_at_a_backend_that_restarts_are_counted_off() -> None:
-    g = Gateway(settings(plans=FREE), 3)
+    g = RequestPolicy(settings(plans=FREE), 3)
     g.handle(0, listed(backend(1)))
     (send,) = of(g.handle(0, arrival(1)), it.SendAttempt)
     g.handle(10, listed(backend(1, started=10), kind=it.ListKind.DELTA))
@@ -235,7 +235,7 @@
 def held_back(lost: int) -> int:
     """How many of 30 requests at once one of many gateways sends after `lost` of 20 answers were
     lost."""
-    g = Gateway(settings(fleet_size=50, plans=FREE, limits={"max_attempts": 1}), 3)
+    g = RequestPolicy(settings(fleet_size=50, plans=FREE, limits={"max_attempts": 1}), 3)
     g.handle(0, listed(*(backend(n) for n in range(1, 21))))
     for n in range(300):
         for s in of(g.handle(n * 200_000, arrival(n)), it.SendAttempt):
@@ -256,7 +256,7 @@
 
 
 def test_idle_backends_are_used_in_proportion_to_their_weight() -> None:
-    g = Gateway(settings(fleet_size=300, plans=FREE), 3)
+    g = RequestPolicy(settings(fleet_size=300, plans=FREE), 3)
     g.handle(0, listed(*(backend(n, weight=2.0 + n % 2) for n in range(1, 61))))
     chosen = []
     for n in range(2000):
@@ -267,7 +267,7 @@
 
 
 def test_one_class_failing_on_some_backends_goes_elsewhere_and_the_other_stays() -> None:
-    g = Gateway(settings(plans=FREE, limits={"max_attempts": 1}), 3)
+    g = RequestPolicy(settings(plans=FREE, limits={"max_attempts": 1}), 3)
     g.handle(0, listed(*(backend(n) for n in range(1, 5))))
     chosen: list[list[int]] = [[], []]
     for n in range(400):
@@ -284,7 +284,7 @@
 @pytest.mark.parametrize("size", [1, 2, 350])
 @pytest.mark.parametrize(("first", "spread"), [(0, 0), (9999, 65535), (-5, -1), (0, 2**31)])
 def test_a_set_that_fits_no_fleet_opens_no_gate(size: int, first: int, spread: int) -> None:
-    g, counter = Gateway(settings(fleet_size=size), 1), Counter()
+    g, counter = RequestPolicy(settings(fleet_size=size), 1), Counter()
     g.handle(0, listed(backend(1), backend(2)))
     sent = 0
     for n in range(60):
