--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -292,7 +292,7 @@
         """The limit follows latency: up while used and answers come well within the target.
 
         Covers overload, slow and thrashing endpoints; starves one whose own work exceeds the
-        target. """
+        target."""
         target = TARGET_LATENCY_SHARE * self.settings.classes[cls].aim
         step = 0.5 * max(-2.0, 1 - latency / target)
         if outcome in (Outcome.TIMEOUT, Outcome.FULL):
--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -27,6 +27,8 @@
 
 
 class Outcome(Enum):
+    """How an attempt, or a call to the counter, has ended; whether it may have run."""
+
     OK = "ok"
     ERROR = "error"  # may have run
     FULL = "full"  # turned away unseen
@@ -38,12 +40,16 @@
 
 
 class BackendState(Enum):
+    """What discovery says of an endpoint."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
+    """What a word of discovery is: the whole list, changes of it, or a failure."""
+
     DELTA = "delta"  # only what changed
     FULL = "full"
     CACHED = "cached"  # whole, as last held, perhaps old
@@ -52,6 +58,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A kind of request: its latency target (`aim`), its deadline and its worth. Times in us."""
+
     name: str
     aim: int  # an answer within this earns the full worth
     deadline: int
@@ -67,6 +75,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
+    """What a customer has bought: a quota (rate, burst), a hard ceiling, a cap on concurrency."""
+
     name: str
     rate: float  # units a second for each customer; 0: no rate quota
     burst: float  # units the customer's store holds
@@ -84,6 +94,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
+    """What a request may use: attempts, hedging, cancelling, advice to retry. Times in us."""
+
     max_attempts: int = 1
     may_duplicate: bool = False
     may_cancel: bool = False
@@ -100,6 +112,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Safety:
+    """What endpoints bear: drains, slow start (`cold_share`, `ramp_time`), load peaks; times in us."""
+
     answer_slack: int
     drain_grace: int
     cold_share: float  # a starting backend can do at least this part
@@ -111,6 +125,8 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterLimits:
+    """How the shared counter may be used. Times in us."""
+
     allowed: bool = False
     timeout: int = 0
     price: float = 0.0
@@ -125,6 +141,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All that a policy is told of the deployment. `tick` is in us."""
+
     me: int
     fleet_size: int  # gateways in front of these backends
     zone: int
@@ -144,6 +162,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedBackend:
+    """An endpoint, as discovery lists it. Times in us."""
+
     id: int
     state: BackendState
     zone: int
@@ -163,6 +183,8 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
+    """A whole request has come from a client, or the head of one whose body comes in parts."""
+
     request: int
     cls: int
     plan: int
@@ -180,6 +202,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt has ended; `latency` in us."""
+
     request: int
     attempt: int
     backend: int
@@ -202,6 +226,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
+    """An answer that is passed on in parts has begun; `latency` in us."""
+
     request: int
     attempt: int
     backend: int
@@ -210,16 +236,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
+    """The client has ended its connection."""
+
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer that was set for a request is due."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class CountAnswered:
+    """The counter has answered a call, or has failed to; `latency` in us."""
+
     name: int
     outcome: Outcome
     total: float
@@ -230,6 +262,8 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendsListed:
+    """Discovery has said which endpoints there are."""
+
     kind: ListKind
     version: int
     backends: tuple[ListedBackend, ...]
@@ -263,6 +297,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
+    """A health check has ended; `latency` in us."""
+
     backend: int
     outcome: Outcome
     latency: int
@@ -271,6 +307,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
+    """Another ingress has sent something."""
+
     sender: int
     data: bytes
 
@@ -300,6 +338,8 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
+    """Send the request to this endpoint; `timeout` and `until` in us."""
+
     request: int
     backend: int
     timeout: int  # 0: until the client quits
@@ -327,18 +367,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Give an attempt up: its answer is not wanted any longer."""
+
     request: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Wake the policy at this time, in us."""
+
     token: int
     at: int
 
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
+    """Add units to a name of the counter; `ttl` in us."""
+
     name: int
     amount: float
     ttl: int
@@ -348,32 +394,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Check an endpoint's health."""
+
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
+    """Close the idle connections to an endpoint."""
+
     backend: int
 
 
 @dataclass(frozen=True, slots=True)
 class TellPeer:
+    """Send something to one other ingress, or to all."""
+
     peer: int | None  # None: every peer
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
+    """Ask discovery for changes from now on, or no longer."""
+
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    pass
+    """Ask discovery for the whole list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
