--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """What endpoints bear: drains, slow start (`cold_share`, `ramp_time`), load peaks; times in us."""
+    """What endpoints bear: drains, slow start (`cold_share`, `ramp_time`), peaks. Times in us."""
 
     answer_slack: int
     drain_grace: int
