--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -20,7 +20,7 @@
 from cleo.io.inputs.option import Option
 
 from cairndale.configuration.validation import content_errors, order_errors
-from cairndale.settings import address
+from cairndale.settings import parse_address
 
 WITHIN = 20.0  # s for a clear answer, over all tries
 ONE = 3.0  # s for one try
@@ -63,7 +63,7 @@
     """What all of them share."""
 
     def addresses(self) -> list[tuple[str, int]]:
-        return [address(text) for text in self.option("at")]
+        return [parse_address(text) for text in self.option("at")]
 
     def run_call(self, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
         try:
--- a/cairndale/configuration/route_table.py
+++ b/cairndale/configuration/route_table.py
@@ -19,7 +19,7 @@
 )
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Repeat
-from cairndale.settings import seconds
+from cairndale.settings import parse_duration
 
 TOKEN = re.compile(rb"[Tt][Oo][Kk][Ee][Nn] +([!-~]+)")
 DEADLINE, AIM = "30s", "1s"  # of a route that names none
@@ -87,7 +87,7 @@
 
 
 def _us(text: str) -> int:
-    return max(1, round(seconds(text) * 1e6))
+    return max(1, round(parse_duration(text) * 1e6))
 
 
 def _digest(item: Item | None) -> int:
@@ -172,7 +172,7 @@
             case "backends":
                 return Service(
                     name,
-                    seconds(raw.get("warmup", "0s")),
+                    parse_duration(raw.get("warmup", "0s")),
                     float(raw.get("warmupPerS", 0)),
                     int(raw.get("maxConns", 0)),
                     digest,
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -20,7 +20,7 @@
     list_of,
     one_of,
 )
-from cairndale.settings import seconds
+from cairndale.settings import parse_duration
 
 KINDS = ("idempotent", "mutating")
 TABLES = ("routes", "backends", "tenants")
@@ -155,7 +155,7 @@
     else:
         for name in ("headerTimeout", "idleTimeout"):
             try:
-                seconds(limits.get(name, "1s"))
+                parse_duration(limits.get(name, "1s"))
             except ValueError as error:
                 errors.append(f"limits.{name}: {error}")
         for name in ("maxHeaderBytes", "maxBodyBytes"):
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -71,7 +71,7 @@
         )
 
     def span(self) -> float:
-        return min(CONTACT_MOST, CONTACT * self._process.settings.heartbeat)
+        return min(CONTACT_MOST, CONTACT * self._process.settings.heartbeat_interval_s)
 
     def in_contact(self, now: float) -> bool:
         return now - self._answered < self.span()
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -27,7 +27,7 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
 from cairndale.rpc.lease_timing import NODE_LEASE_S
-from cairndale.settings import Bounds, seconds
+from cairndale.settings import Bounds, parse_duration
 
 # beats after a start from nothing, until which servers that are not known may yet be there
 SETTLE = 2.5
@@ -189,7 +189,8 @@
 
     def warmups(self, state: State) -> dict[str, float]:
         return {
-            b["name"]: seconds(b.get("warmup", "0s")) for b in state.content.get("backends", ())
+            b["name"]: parse_duration(b.get("warmup", "0s"))
+            for b in state.content.get("backends", ())
         }
 
     def shared_by(self, now: float) -> int:
--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -94,7 +94,7 @@
             self._node_registry,
             state.edges,
             self._settings.bounds,
-            self._settings.heartbeat,
+            self._settings.heartbeat_interval_s,
         )
         self._current.follow(state)
         log_event(Event.LEADERSHIP_BEGINS, "term %d", raft.term)
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -55,11 +55,11 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        if settings.state is None:
+        if settings.state_dir is None:
             raise SettingsError(["self.stateDir: a control node needs one"])
         self.settings = settings
         self.clock = Clock()
-        self._storage = RaftStorage(settings.state)
+        self._storage = RaftStorage(settings.state_dir)
         own = (settings.ip, settings.own_port)
         self.rpc_peer = RpcPeer(own, self._receive, self._answer)
         self._seeds = self._seed_addresses(settings)
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -32,7 +32,7 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_LONG_POLL_S, long_poll_timeout, response_timeout
 from cairndale.rpc.peer import RpcPeer
-from cairndale.settings import Settings, format_address, seconds
+from cairndale.settings import Settings, format_address, parse_duration
 
 WATCH_TIMEOUT_S = 3.0  # s for an answer over all tries
 RETRY_AFTER = 300_000  # us that a refused client is told to wait: T0, d_0
@@ -92,7 +92,7 @@
         first = self._first_settings()
         self.policy = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
         self.policy.in_touch, self.policy.alone_since = self.in_touch, self._alone_since
-        self.sockets = Sockets(settings.descriptors - 200)
+        self.sockets = Sockets(settings.max_open_files - 200)
         self.engine = ReconfigurableEngine(
             self.policy, first, Names(first, {}), self._loop, self.clock.now
         )
@@ -373,8 +373,8 @@
 
     def _take_bill(self, route_table: RouteTable, items: TableChange | None) -> None:
         limits = route_table.limits
-        self.listener.idle_for = seconds(limits.get("idleTimeout", "15s"))
-        self.listener.head_for = seconds(limits.get("headerTimeout", "3s"))
+        self.listener.idle_for = parse_duration(limits.get("idleTimeout", "15s"))
+        self.listener.head_for = parse_duration(limits.get("headerTimeout", "3s"))
         self.listener.max_head = max(MAX_HEAD, limits.get("maxHeaderBytes", 0))
         self.listener.max_body = max(MAX_BODY, limits.get("maxBodyBytes", 0))
         classes = (
--- a/cairndale/field_rules.py
+++ b/cairndale/field_rules.py
@@ -10,7 +10,7 @@
 
 from schema import Optional, Schema, SchemaError
 
-from cairndale.settings import seconds
+from cairndale.settings import parse_duration
 
 Rules = dict[
     Any, Any
@@ -18,7 +18,7 @@
 
 
 def is_time(value: object) -> bool:
-    seconds(value)
+    parse_duration(value)
     return True
 
 
--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -16,7 +16,7 @@
 
 from cairndale.events import Event, log_event, set_up_logging
 from cairndale.raft.storage import StorageError
-from cairndale.settings import Settings, SettingsError, read
+from cairndale.settings import Settings, SettingsError, read_settings
 
 SETTINGS = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
 
@@ -41,7 +41,7 @@
     what is run is imported. Raises StorageError where the state on disk cannot be read.
     """
     nodes: list[Node] = []
-    if settings.state is not None:
+    if settings.state_dir is not None:
         from cairndale.control.node import ControlNode
 
         nodes.append(ControlNode(settings))
@@ -63,7 +63,7 @@
 
     def reload() -> None:
         try:
-            changed = read(os.environ.get(SETTINGS, ""))
+            changed = read_settings(os.environ.get(SETTINGS, ""))
         except SettingsError as error:
             log_event(Event.SETTINGS_INVALID, "the settings stay as they were: %s", error)
             return
@@ -96,7 +96,7 @@
     """
     set_up_logging()
     try:
-        uvloop.run(serve(read(os.environ.get(SETTINGS, "")), was_hung_up))
+        uvloop.run(serve(read_settings(os.environ.get(SETTINGS, "")), was_hung_up))
     except SettingsError as error:
         for line in error.errors:
             log_event(Event.SETTINGS_INVALID, "%s", line)
--- a/cairndale/registry/endpoints.py
+++ b/cairndale/registry/endpoints.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from cairndale.settings import seconds
+from cairndale.settings import parse_duration
 
 REPORTED_STATES = ("ready", "draining")  # by a server itself; the third, "gone", is concluded here
 MISSED_HEARTBEATS = 3  # in a row, after which an endpoint counts as gone
@@ -122,7 +122,7 @@
 def _warmup_left(status: Any, errors: list[str]) -> float:
     left = status.get("warmupLeft", "0s") if isinstance(status, dict) else "0s"
     try:
-        return min(MAX_WARMUP_S, seconds(left))
+        return min(MAX_WARMUP_S, parse_duration(left))
     except ValueError as error:
         errors.append(f"status.warmupLeft: {error}")
         return 0.0
--- a/cairndale/scale/worker.py
+++ b/cairndale/scale/worker.py
@@ -133,7 +133,7 @@
     """A process of the system, with a line of what it costs for each line that comes in."""
     from cairndale import process as system
     from cairndale.rpc.peer import RpcPeer
-    from cairndale.settings import read
+    from cairndale.settings import read_settings
 
     gauge = Gauge()
     begin = RpcPeer.listen
@@ -147,7 +147,7 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     watch = loop.create_task(gauge.watch())
     playing = loop.create_task(
-        system.serve(read(os.environ.get(system.SETTINGS, "")), was_hung_up=lambda: False)
+        system.serve(read_settings(os.environ.get(system.SETTINGS, "")), was_hung_up=lambda: False)
     )
     print(json.dumps({"begun": 1}), flush=True)
     while await reader.readline():
--- a/cairndale/settings.py
+++ b/cairndale/settings.py
@@ -27,7 +27,7 @@
         self.errors = errors
 
 
-def seconds(text: object) -> float:
+def parse_duration(text: object) -> float:
     """`1500ms` or `2.5s`, in seconds. Raises ValueError."""
     match = DURATION.fullmatch(text) if isinstance(text, str) else None
     if match is None:
@@ -35,7 +35,7 @@
     return float(match[1]) / (1000 if match[2] == "ms" else 1)
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     match = ADDRESS.fullmatch(text) if isinstance(text, str) else None
     if match is None or not 0 < int(match[2]) < 65536:
         raise ValueError(f"{text!r} is no address such as 10.1.0.8:8200")
@@ -102,10 +102,10 @@
     seeds: tuple[Address, ...]  # `ctl` addresses of machines that serve it
     zones: dict[str, str]  # their regions
     bootstrap: bool
-    state: Path | None  # the folder that lasts, on a machine with a disk
-    heartbeat: float  # s between the beats of a server
+    state_dir: Path | None  # the folder that lasts, on a machine with a disk
+    heartbeat_interval_s: float  # s between the beats of a server
     memory_mb: float
-    descriptors: int
+    max_open_files: int
     bounds: Bounds = field(default_factory=Bounds)
     tolerance: Tolerance = field(default_factory=Tolerance)
 
@@ -113,7 +113,7 @@
     def own_port(self) -> int:
         """Those with a disk take the first port of the range, the others the second: two roles may
         share a machine."""
-        return self.ports[0] + (0 if self.state else 1)
+        return self.ports[0] + (0 if self.state_dir else 1)
 
     def core_address(self, ctl: Address) -> Address:
         """Ports are alike on all machines."""
@@ -121,7 +121,7 @@
 
 
 TEXT: Any = And(str, len)
-TIME: Any = Use(seconds)
+TIME: Any = Use(parse_duration)
 NUMBER: Any = And(Or(int, float), lambda n: not isinstance(n, bool) and n >= 0)
 FIELDS: dict[str, Any] = {  # path: what stands there
     "self.hostname": TEXT,
@@ -134,18 +134,18 @@
     "self.stateDir": Or(None, TEXT),
     "self.limits.memMb": NUMBER,
     "self.limits.nofile": And(int, lambda n: n > 0),
-    "network.listen": {Optional(str): Use(address)},
+    "network.listen": {Optional(str): Use(parse_address)},
     "network.portRange": And(
         [And(int, lambda n: 0 < n < 65536)], lambda r: len(r) == 2 and r[0] < r[1]
     ),
-    "network.peers": [Use(address)],
+    "network.peers": [Use(parse_address)],
     "network.zones": {Optional(str): TEXT},
     "infra.heartbeat": TIME,
 }
 NEEDED = {"edge": ("http", "readyz"), "ctl": ("ctl",), "dir": ("dir",)}
 
 
-def checked(raw: Any) -> Settings:
+def parse_settings(raw: Any) -> Settings:
     """The settings of a file that was read, or SettingsError with all that is wrong."""
     errors: list[str] = []
     found: dict[str, Any] = {}
@@ -159,7 +159,7 @@
         try:
             found[path] = Schema(rule).validate(value)
         except SchemaError as error:
-            errors.append(f"{path}: {_said(error)}")
+            errors.append(f"{path}: {_message(error)}")
     bounds = _bounds(raw, errors)
     tolerance = _tolerance(raw, errors)
     for what in found.get("self.serves", ()):
@@ -190,7 +190,7 @@
     )
 
 
-def _said(error: SchemaError) -> str:
+def _message(error: SchemaError) -> str:
     texts = [str(t) for t in error.autos if t] or [str(error)]
     return texts[-1].replace("\n", " ")
 
@@ -208,7 +208,7 @@
             try:
                 values[name] = Schema(TIME if is_time else NUMBER).validate(slo[key])
             except SchemaError as error:
-                errors.append(f"sla.slo.{key}: {_said(error)}")
+                errors.append(f"sla.slo.{key}: {_message(error)}")
     if "failClosed" in slo:
         if not isinstance(slo["failClosed"], bool):
             errors.append(f"sla.slo.failClosed: {slo['failClosed']!r} is neither true nor false")
@@ -234,10 +234,10 @@
     return Tolerance(**values)
 
 
-def read(path: str) -> Settings:
+def read_settings(path: str) -> Settings:
     """Of a file. Raises SettingsError."""
     try:
         raw = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
         raise SettingsError([f"{path or 'CAIRNDALE_CONFIG'}: {error}"]) from None
-    return checked(raw)
+    return parse_settings(raw)
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -27,7 +27,7 @@
 from cairndale.registry.endpoints import EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.settings import checked
+from cairndale.settings import parse_settings
 from tests.control.test_state_models import SETTINGS, content, route
 
 NODE = pb.Node(name="e", incarnation="1", kind="edge", address="d", http_address="h")
@@ -116,7 +116,14 @@
 def told(state: State, client: ConfigClient, now: float, term: int) -> pb.WatchResponse:
     """What the duty of that term tells for the ask of that ingress."""
     leadership = Leadership(
-        term, now, False, EndpointRegistry(), NodeRegistry(), [], checked(SETTINGS).bounds, 1.5
+        term,
+        now,
+        False,
+        EndpointRegistry(),
+        NodeRegistry(),
+        [],
+        parse_settings(SETTINGS).bounds,
+        1.5,
     )
     ask = client.watch_request(NODE, now, 0)
     ask.node.CopyFrom(NODE)
@@ -204,7 +211,7 @@
 def test_each_leader_tells_one_change_as_a_difference_whatever_the_order_of_items() -> None:
     rng, client = random.Random(2), ConfigClient(0.0, [])
     leadership = Leadership(
-        99, 0.0, False, EndpointRegistry(), NodeRegistry(), [], checked(SETTINGS).bounds, 1.5
+        99, 0.0, False, EndpointRegistry(), NodeRegistry(), [], parse_settings(SETTINGS).bounds, 1.5
     )
     for number, states in enumerate(changes(rng, 30)):
         leader = states[number % 2]
@@ -322,13 +329,13 @@
 async def test_a_house_retuned_by_what_changed_is_as_one_that_takes_everything_anew() -> None:
     """Tenants with accounts that get other plans, servers that come, go, drain, come back and are
     unsound."""
-    rng, house = random.Random(5), DataPlaneNode(checked(SETTINGS))
+    rng, house = random.Random(5), DataPlaneNode(parse_settings(SETTINGS))
     known: dict[str, pb.Endpoint] = {}
     for number, states in enumerate(changes(rng, 40)):
         state, now, plain = (
             digested(states[0]),
             house._loop.time(),
-            DataPlaneNode(checked(SETTINGS)),
+            DataPlaneNode(parse_settings(SETTINGS)),
         )
         house.config_client._needs_full_state = whole = rng.random() < 0.2
         watch_response = told(state, house.config_client, now, 3)
@@ -398,7 +405,7 @@
 async def test_a_request_is_checked_anew_once_the_bill_has_changed_under_it(
     out: list[str], put: dict[str, Any] | None, goes: bool
 ) -> None:
-    house, state = DataPlaneNode(checked(SETTINGS)), State()
+    house, state = DataPlaneNode(parse_settings(SETTINGS)), State()
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -27,7 +27,7 @@
 from cairndale.registry.heartbeats import HeartbeatCollector
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.settings import checked
+from cairndale.settings import parse_settings
 from tests.control.test_state_models import SETTINGS, beat
 from tests.testing.control_cluster import World, configuration, in_memory, play
 
@@ -650,7 +650,7 @@
 
 async def test_what_no_leader_has_answered_is_kept_and_told_with_its_age() -> None:
     endpoint_registry, node_registry = EndpointRegistry(), NodeRegistry()
-    settings = checked(SETTINGS)
+    settings = parse_settings(SETTINGS)
     collector = HeartbeatCollector(settings, endpoint_registry, node_registry)
     for id in ("i", "j"):
         endpoint_registry.record_heartbeat(read_heartbeat(id, beat(1), 0.0))
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -26,7 +26,7 @@
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.lease_timing import NODE_LEASE_S
-from cairndale.settings import Bounds, SettingsError, checked
+from cairndale.settings import Bounds, SettingsError, parse_settings
 
 
 def route(name: str = "r1", **fields: Any) -> dict[str, Any]:
@@ -529,7 +529,7 @@
 
 
 def test_settings_are_read_and_unknown_fields_ignored() -> None:
-    made = checked(SETTINGS)
+    made = parse_settings(SETTINGS)
     assert (
         made.listen["http"] == ("10.1.0.8", 8206)
         and made.bounds.drain == 3.0
@@ -544,7 +544,7 @@
     raw["network"]["portRange"], raw["infra"]["heartbeat"] = [9, 3], "often"
     raw["sla"]["slo"] |= {"drain": 3, "failClosed": "yes"}
     with pytest.raises(SettingsError) as caught:
-        checked(raw)
+        parse_settings(raw)
     assert [e.split(":")[0] for e in caught.value.errors] == [
         "self.ip",
         "network.portRange",
@@ -554,4 +554,4 @@
         "network.listen.readyz",
     ]
     with pytest.raises(SettingsError):
-        checked([])
+        parse_settings([])
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -15,7 +15,7 @@
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import RETRY, WARMUP
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.settings import checked
+from cairndale.settings import parse_settings
 from tests.control.test_state_models import SETTINGS, content, route
 from tests.testing.ingress import HOST, PeerServer
 
@@ -46,7 +46,7 @@
     )
     config_version = zlib.compress(json.dumps(made).encode())
     for last, settled in (({"j": "s2"}, False), ({}, True)):
-        node = DataPlaneNode(checked(SETTINGS))
+        node = DataPlaneNode(parse_settings(SETTINGS))
         now = node._loop.time()
         node._apply(
             watch_response("1~", {}, has_content=True, content=config_version), node._node(), now
@@ -68,7 +68,7 @@
 
 
 def node_in_contact(**fields: Any) -> DataPlaneNode:
-    node = DataPlaneNode(checked(SETTINGS))
+    node = DataPlaneNode(parse_settings(SETTINGS))
     config_version = zlib.compress(json.dumps(content(**fields)).encode())
     told = watch_response(
         "1",
@@ -158,7 +158,7 @@
 
 async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
     """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
-    node = DataPlaneNode(checked(SETTINGS))
+    node = DataPlaneNode(parse_settings(SETTINGS))
     config_version = zlib.compress(json.dumps(content()).encode())
     node._apply(
         watch_response("1", {"i": "s1"}, has_content=True, content=config_version),
@@ -188,7 +188,7 @@
 async def serving(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
     """An ingress in front of that server, with units for whoever asks; and the port that clients
     call."""
-    node = DataPlaneNode(checked(SETTINGS))
+    node = DataPlaneNode(parse_settings(SETTINGS))
     made = content(routes=[route(deadline="60s")], **fields)
     told = watch_response(
         "1",
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -39,7 +39,7 @@
     PROMPT_REQUEST_S,
 )
 from cairndale.rpc.peer import RpcPeer
-from cairndale.settings import Bounds, checked
+from cairndale.settings import Bounds, parse_settings
 from tests.control.test_state_models import SETTINGS
 from tests.rpc.test_peer import HOST, free, order, rpc_peer
 
@@ -486,7 +486,7 @@
     raw = {name: dict(part) for name, part in SETTINGS.items()}
     raw["self"] |= {"ip": HOST, "stateDir": str(folder), "serves": [], "bootstrap": True}
     raw["network"] |= {"portRange": [port, port + 9], "peers": [f"{HOST}:9"], "listen": {}}
-    made = ControlNode(checked(raw))
+    made = ControlNode(parse_settings(raw))
     return made
 
 
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -28,7 +28,7 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.call_kinds import TermFence
 from cairndale.rpc.leader_client import LeaderClient
-from cairndale.settings import Address, checked, format_address
+from cairndale.settings import Address, format_address, parse_settings
 
 WAY = 0.02  # s between two machines
 ZONES = {f"z{n}": f"r{n % 3}" for n in range(1, 6)}
@@ -331,7 +331,7 @@
         }
 
     async def start(self, host: str) -> ControlNode:
-        core = self.cores[host] = ControlNode(checked(self.settings(host)))
+        core = self.cores[host] = ControlNode(parse_settings(self.settings(host)))
         self.starts += 1
         await core.start()
         return core
