--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -100,10 +100,10 @@
 def unkept_lease() -> None:
     """An ingress serves on when its lease is over, and a change does not wait for those it did not
     hear."""
-    from cairndale.dataplane.node import DataPlaneNode
+    from cairndale.dataplane.serving_state import ServingState
     from cairndale.registry.nodes import NodeRegistry
 
-    DataPlaneNode.may_serve = lambda self: True  # type: ignore[method-assign]
+    ServingState.may_serve = lambda self: True  # type: ignore[method-assign]
     NodeRegistry.all_at_version = lambda self, now, config_version: all(  # type: ignore[method-assign]
         held.config_version >= config_version
         for held in self.leases.values()
--- a/cairndale/dataplane/__init__.py
+++ b/cairndale/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: the ingress of `ironledge` in the system's dialect."""
+"""The data plane: the ingress in service, as the leader of the control plane configures it."""
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -1,5 +1,8 @@
-"""Units of quotas, further tries and starts at cold servers: asked of the leader of the duty as
-requests need them."""
+"""Units that all ingresses share, asked of the leader as requests need them.
+
+Units of tenants' quotas are leased in advance; retries and starts at endpoints that are warming up
+are granted one by one.
+"""
 
 from __future__ import annotations
 
@@ -8,103 +11,127 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from cairndale.dataplane.config_client import ConfigClient
+from cairndale.dataplane.endpoint_selection import EndpointSelector
+from cairndale.dataplane.leader_contact import LeaderContact
+from cairndale.dataplane.numbering import Numbering
 from cairndale.errors import CallError, CallTimeoutError, UnreachableError
-from cairndale.ingress.net.engine import Answered
+from cairndale.ingress.net.engine import Answered, Engine
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Outcome
+from cairndale.quota.budget_counter import RETRY
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_CLOCK_DRIFT
 
-LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S = (
-    0.5,
-    0.2,
-)  # s for the counter's answer over all tries, and for one
-GRANT_TIMEOUT_S = 0.2  # s for units to be dealt
-UNANSWERED_DENIAL_US = 200_000  # us for which no unit is asked for where nobody answered
-# s, at the least, before it is asked again where it said no, or had nothing for now
+LEASE_TIMEOUT_S = 0.5  # for the counter's answer over all tries
+LEASE_TRY_TIMEOUT_S = 0.2  # for the answer to one try
+GRANT_TIMEOUT_S = 0.2  # for a grant's answer, over all tries
+UNANSWERED_DENIAL_US = 200_000  # for which no grant is asked for where nobody answered
+# Pause, at the least, before the counter is asked again where it refused or had nothing for now.
 LEASE_PAUSE_S = 0.03
 
-Denied = Callable[[tuple[it.Unit, ...], int, int], None]  # which, now, and until when
-
 
 class QuotaClient:
-    """The engine's lessor and dealer. Nothing of a call that nobody answered is used: copies of it
-    may have been granted, and lapse."""
+    """The engine's `Lessor` (leases of quota) and `Dealer` (grants of shared budgets).
+
+    Nothing of a call that nobody answered is used: copies of it may have been granted, and lapse.
+    """
 
     def __init__(
         self,
+        *,
         leader_client: LeaderClient,
-        now: Callable[[], int],
-        in_touch: Callable[[], bool],
-        name: Callable[[str, int], str],
-        tenant: Callable[[int], str],
-        rate: Callable[[str], float],
-        denied: Denied,
+        contact: LeaderContact,
+        config: ConfigClient,
+        numbering: Numbering,
+        engine: Engine,
+        selector: EndpointSelector,
+        now_us: Callable[[], int],
     ) -> None:
-        """`now`: us; `name`, `tenant`: of a unit's and a customer's number; `rate`: units a second
-        that a tenant's store refills by, 0 if it has none."""
-        self._leader_client, self._now, self._in_touch = leader_client, now, in_touch
-        self._name, self._tenant, self._rate, self._denied = name, tenant, rate, denied
-        self.calls: set[asyncio.Task[None]] = set()  # under way
-
-    def _keep(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self.calls.add(task)
-        task.add_done_callback(self.calls.discard)
+        """`now_us`: us on the engine's clock."""
+        self._leader_client, self._contact, self._config = leader_client, contact, config
+        self._numbering, self._engine, self._selector = numbering, engine, selector
+        self._now_us = now_us
+        self.calls: set[asyncio.Task[None]] = set()  # in flight
 
     def deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
-        self._keep(self._deal(units, on_granted))
+        """Ask for a grant of one of each unit, or of none.
 
-    async def _deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
-        asked, until, wait = self._now(), 0, UNANSWERED_DENIAL_US
-        deal = pb.BudgetRequest(
-            budgets=[f"{kind}/{self._name(kind, number)}" for kind, number in units]
-        )
+        `on_granted` hears until when they may be used (us on the engine's clock), or 0.
+        """
+        self._start(self._request_grant(units, on_granted))
+
+    def lease(self, customer: int, amount: float, told: float, answered: Answered) -> None:
+        """Lease `amount` units of the tenant with that number, and report `told` as spent already.
+
+        `answered` hears OK with what is left in the tenant's store, below 0 by what was not
+        granted, or RESET if the counter could not be reached.
+        """
+        tenant = self._numbering.tenant_name(customer)
+        self._start(self._request_lease(tenant, amount, told, answered))
+
+    def _start(self, call: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(call)
+        self.calls.add(task)
+        task.add_done_callback(self.calls.discard)
+
+    async def _request_grant(
+        self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]
+    ) -> None:
+        requested_at, until, denial_us = self._now_us(), 0, UNANSWERED_DENIAL_US
+        names = [f"{kind}/{self._unit_name(kind, number)}" for kind, number in units]
+        request = pb.Envelope(budget_request=pb.BudgetRequest(budgets=names))
         try:
-            if self._in_touch():
-                answer = (
-                    await self._leader_client.call(
-                        pb.Envelope(budget_request=deal), GRANT_TIMEOUT_S, GRANT_TIMEOUT_S
-                    )
-                ).budget_response
-                until = (
-                    asked + round(answer.valid_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
-                    if answer.granted
-                    else 0
-                )
-                wait = answer.retry_after_ms * 1000
+            if self._contact.in_contact():
+                envelope = await self._leader_client.call(request, GRANT_TIMEOUT_S, GRANT_TIMEOUT_S)
+                response = envelope.budget_response
+                if response.granted:
+                    until = requested_at + round(response.valid_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
+                denial_us = response.retry_after_ms * 1000
         except CallError:
-            pass
+            pass  # denied for a while, as without contact
         if not until:
-            now = self._now()
-            self._denied(units, now, now + wait)
+            now = self._now_us()
+            self._selector.deny(units, now, now + denial_us)
         on_granted(until)
 
-    def lease(self, customer: int, amount: float, told: float, answered: Answered) -> None:
-        self._keep(self._lease(self._tenant(customer), amount, told, answered))
+    def _unit_name(self, kind: str, number: int) -> str:
+        """Return the service of a retry's unit, the endpoint of a start's."""
+        if kind == RETRY:
+            return self._numbering.service_name(number)
+        return self._engine.name_of(number)
+
+    async def _request_lease(
+        self, tenant: str, amount: float, told: float, answered: Answered
+    ) -> None:
+        """Ask once more where the store was empty, but will hold a unit or more within a pause.
 
-    async def _lease(self, tenant: str, amount: float, told: float, answered: Answered) -> None:
-        """Asks once more where the store was empty, but will hold a unit or more within a pause: a
-        leader that has just begun to count begins with empty stores."""
-        asked = pb.QuotaRequest(tenant=tenant, amount=amount, spent=told)
+        A leader that has just begun to count begins with empty stores.
+        """
+        request = pb.QuotaRequest(tenant=tenant, amount=amount, spent=told)
         try:
-            left = await self._left(asked)
-            if left <= -amount < 0 and self._rate(tenant) * LEASE_PAUSE_S >= 1:
+            left = await self._units_left(request)
+            if left <= -amount < 0 and self._refill_per_s(tenant) * LEASE_PAUSE_S >= 1:
                 await asyncio.sleep(LEASE_PAUSE_S * random.uniform(1.0, 1.3))
-                asked.spent = 0.0  # heard
-                left = await self._left(asked)
+                request.spent = 0.0  # the first request has reported it
+                left = await self._units_left(request)
         except CallError as failure:
             if not isinstance(failure, CallTimeoutError | UnreachableError):
                 await asyncio.sleep(LEASE_PAUSE_S)
-            # Asked anew while there is time, or spent without the counter.
+            # The policy asks again while there is time, or spends without the counter.
             answered(Outcome.RESET, 0.0)
             return
         answered(Outcome.OK, 0.0, left)
 
-    async def _left(self, asked: pb.QuotaRequest) -> float:
-        """In the store; under 0 by what was not granted. Raises CallError."""
-        answer = await self._leader_client.call(
-            pb.Envelope(quota_request=asked), LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
+    def _refill_per_s(self, tenant: str) -> float:
+        """Return the units a second that the tenant's store refills by, 0 if it has none."""
+        known = self._config.route_table.tenants.get(tenant)
+        return known.rate_per_s if known else 0.0
+
+    async def _units_left(self, request: pb.QuotaRequest) -> float:
+        """Return what the tenant's store holds after the request. Raises CallError."""
+        envelope = await self._leader_client.call(
+            pb.Envelope(quota_request=request), LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
         )
-        return answer.quota_response.remaining
+        return envelope.quota_response.remaining
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -1,61 +1,82 @@
-"""What a client's request is for, by the configuration in force, and what a server is handed of
-it."""
+"""From a client's request to what the engine runs: route, tenant, service, deadline.
+
+The router reads each request by the configuration in force, and checks it anew as the first byte
+goes to an endpoint, if the configuration has changed by then.
+"""
 
 from __future__ import annotations
 
 import random
 import re
-from collections.abc import Callable, Sequence
-from typing import Protocol
+from collections.abc import Mapping, Sequence
 
-from cairndale.configuration.route_table import Route, RouteTable, Tenant
+from cairndale.configuration.route_table import Route, Tenant
+from cairndale.dataplane.config_client import ConfigClient
+from cairndale.dataplane.numbering import Numbering
+from cairndale.dataplane.serving_state import ServingState
 from cairndale.dataplane.upstream_protocol import request_head
 from cairndale.ingress.net.engine import Names, Wanted
 from cairndale.ingress.net.http import Message
 from cairndale.ingress.net.requests import BadRequest
 from cairndale.ingress.policy import interface as it
 
-ID = re.compile(rb"[!-~]{1,200}")
-MS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?")
-BACK = 300_000  # us after which a client is told to come back while this ingress may not serve
-AT_ONCE = 20_000  # us after which it may come back, to another ingress
-LEAST = 1  # ms that a server is told it has
-
-
-class RoutingContext(Protocol):
-    """What the data plane knows at the moment."""
-
-    @property
-    def route_table(self) -> RouteTable: ...
-    def may_serve(self) -> bool: ...
-    def may_begin(self, cls: int, timeout: int) -> bool: ...
-    def service(self, name: str) -> int: ...
-    def regions(self, homes: frozenset[str]) -> frozenset[int]: ...
-    def customer(self, tenant: str) -> int: ...
-    def spread(self) -> int: ...
-    def stands(self, server: str, service: str) -> bool:
-        """It is there, ready, and serves that."""
+REQUEST_ID = re.compile(rb"[!-~]{1,200}")
+DEADLINE_MS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?")
+# Retry-After advice, in us: while this ingress may not serve, and to go to another one at once.
+NOT_SERVING_RETRY_US = 300_000
+DRAINING_RETRY_US = 20_000
+LEAST_DEADLINE_MS = 1  # that an endpoint is told it has
+UNKNOWN_FLEET = 1_000_000  # ingresses, while their count is not known: no share is worth a unit
 
 
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
-    """Where both allow it; None: everywhere."""
+    """Return the regions in which both route and tenant may be served; None: everywhere."""
     both = [h for h in (route.home_regions, tenant.home_regions if tenant else frozenset()) if h]
     return frozenset.intersection(*both) if both else None
 
 
+def _timeout_us(headers: Mapping[bytes, bytes], longest_us: int) -> int:
+    """Return the client's deadline (`X-Deadline-Ms`), at most the route's. Raises BadRequest."""
+    if b"x-deadline-ms" not in headers:
+        return longest_us
+    asked_ms = DEADLINE_MS.fullmatch(headers[b"x-deadline-ms"])
+    if asked_ms is None:
+        raise BadRequest(400, "X-Deadline-Ms is no number")
+    return min(longest_us, round(float(asked_ms[0]) * 1000))
+
+
 class RequestRouter:
-    def __init__(self, scene: RoutingContext, rng: random.Random, now: Callable[[], int]) -> None:
-        self._scene, self._rng, self._now = scene, rng, now
+    """The listener's reader of requests: a callable, once for each request.
+
+    Runs on the hot path: no I/O, and no search that grows with the configuration.
+    """
+
+    def __init__(
+        self,
+        *,
+        config: ConfigClient,
+        serving: ServingState,
+        numbering: Numbering,
+        rng: random.Random,
+    ) -> None:
+        self._config, self._serving, self._numbering = config, serving, numbering
+        self._rng = rng
 
-    def match(self, host: bytes, target: bytes, key: bytes) -> tuple[Route, Tenant | None]:
-        """Raises BadRequest where the configuration in force does not allow it."""
-        route_table = self._scene.route_table
+    def match(
+        self, host: bytes, target: bytes, authorization: bytes
+    ) -> tuple[Route, Tenant | None]:
+        """Return the route, and the tenant unless the route is public.
+
+        Raises BadRequest where the configuration in force does not allow it: 404 without a route,
+        401 for an unknown key.
+        """
+        route_table = self._config.route_table
         route = route_table.find_route(host, target)
         if route is None:
             raise BadRequest(404, "no route")
         if route.public or not route_table.tenants:
             return route, None
-        tenant = route_table.find_tenant(key)
+        tenant = route_table.find_tenant(authorization)
         if tenant is None:
             raise BadRequest(401, "the key is unknown")
         return route, tenant
@@ -63,83 +84,90 @@
     def __call__(
         self, message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
     ) -> Wanted:
-        scene, headers = self._scene, message.headers
-        if not scene.route_table.gen or not scene.may_serve():
-            raise BadRequest(503, "not in service", BACK)
-        host, target, key = (
-            headers.get(b"host", b""),
-            message.target,
-            headers.get(b"authorization", b""),
-        )
-        route, tenant = self.match(host, target, key)
-        id = headers.get(b"x-request-id", b"")
-        if not ID.fullmatch(id):
+        """Return the request as the engine runs it; `began`: us when its first byte came.
+
+        Raises BadRequest with the status for the client: 400, 401, 404, or 503 with the time after
+        which to come back.
+        """
+        headers, config = message.headers, self._config
+        if not config.route_table.gen or not self._serving.may_serve():
+            raise BadRequest(503, "not in service", NOT_SERVING_RETRY_US)
+        host, target = headers.get(b"host", b""), message.target
+        authorization = headers.get(b"authorization", b"")
+        route, tenant = self.match(host, target, authorization)
+        request_id = headers.get(b"x-request-id", b"")
+        if not REQUEST_ID.fullmatch(request_id):
             raise BadRequest(400, "X-Request-Id is missing or invalid")
-        wait = (
-            MS.fullmatch(headers.get(b"x-deadline-ms", b""))
-            if b"x-deadline-ms" in headers
-            else None
-        )
-        if wait is None and b"x-deadline-ms" in headers:
-            raise BadRequest(400, "X-Deadline-Ms is no number")
+        timeout_us = _timeout_us(headers, route.request_class.deadline)
         cls = names.classes[route.request_class.name.encode()]
-        timeout = min(
-            route.request_class.deadline,
-            round(float(wait[0]) * 1000) if wait else route.request_class.deadline,
-        )
-        if not scene.may_begin(cls, timeout):
-            raise BadRequest(503, "about to end", AT_ONCE)
+        if not self._serving.may_begin(cls, timeout_us):
+            raise BadRequest(503, "about to end", DRAINING_RETRY_US)
         service = route.service(self._rng)
-        homes = allowed_regions(route, tenant)
-        regions = None if homes is None else scene.regions(homes)
-        plan = names.plans[tenant.name.encode()] if tenant else names.plans[b""]
-        customer = scene.customer(tenant.name) if tenant else 0
-        made = request_head(message, id)
-        body, gen = message.body, scene.route_table.gen
-
-        def dress(server: str, left: int) -> bytes | None:
-            """The whole request, as its first byte is written; None if what allowed it holds no
-            longer."""
-            if not scene.may_serve() or not scene.stands(server, service):
+        regions = allowed_regions(route, tenant)
+        head, body = request_head(message, request_id), message.body
+        generation = config.route_table.gen
+
+        def render(endpoint: str, time_left_us: int) -> bytes | None:
+            """Return the bytes for an endpoint, as the first of them is written.
+
+            None if what allowed the request holds no longer.
+            """
+            if not self._serving.may_serve() or not config.is_available(endpoint, service):
+                return None
+            if config.route_table.gen != generation and not self._still_allowed(
+                host, target, authorization, route, tenant, service
+            ):
                 return None
-            if scene.route_table.gen != gen:
-                try:
-                    route_now, tenant_now = self.match(host, target, key)
-                except BadRequest:
-                    return None
-                same = (tenant_now.name if tenant_now else "") == (tenant.name if tenant else "")
-                if (
-                    not same
-                    or service not in route_now.services
-                    or route_now.request_class.repeat != route.request_class.repeat
-                ):
-                    return None
-                if allowed_regions(route_now, tenant_now) != homes:
-                    return None
             fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
-                server.encode(),
-                max(LEAST, left // 1000),
+                endpoint.encode(),
+                max(LEAST_DEADLINE_MS, time_left_us // 1000),
             )
             if tenant:
                 fields += b"X-Tenant: %b\r\n" % tenant.name.encode()
-            return made + fields + b"\r\n" + body
+            return head + fields + b"\r\n" + body
 
+        # By position: keywords would cost each request about a microsecond.
         return Wanted(
-            id,
+            request_id,
             cls,
-            plan,
-            customer,
-            1.0,
-            scene.spread(),
-            0,
-            timeout,
+            names.plans[tenant.name.encode() if tenant else b""],
+            self._numbering.tenant_number(tenant.name) if tenant else 0,
+            1.0,  # units of the tenant's quota
+            config.ingress_count or UNKNOWN_FLEET,
+            0,  # first gateway: none is preferred
+            timeout_us,
             began,
-            False,
-            b"",
+            False,  # clients do not say that they retry
+            b"",  # the head is rendered
             body,
             message.upload,
-            scene.service(service),
-            regions,
+            self._numbering.service_number(service),
+            None if regions is None else self._numbering.region_numbers(regions),
             min(route.priority, tenant.priority) if tenant else route.priority,
-            dress,
+            render,
+        )
+
+    def _still_allowed(
+        self,
+        host: bytes,
+        target: bytes,
+        authorization: bytes,
+        route: Route,
+        tenant: Tenant | None,
+        service: str,
+    ) -> bool:
+        """Whether the configuration in force allows what was begun by an earlier one.
+
+        The same tenant, the service still on the route, the same class of repeatability and the
+        same regions.
+        """
+        try:
+            route_now, tenant_now = self.match(host, target, authorization)
+        except BadRequest:
+            return False
+        return (
+            (tenant_now.name if tenant_now else "") == (tenant.name if tenant else "")
+            and service in route_now.services
+            and route_now.request_class.repeat == route.request_class.repeat
+            and allowed_regions(route_now, tenant_now) == allowed_regions(route, tenant)
         )
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -16,7 +16,7 @@
 
 from cairndale.chaos.standins import BEAT_WAIT, ask
 from cairndale.dataplane.config_client import ConfigClient
-from cairndale.dataplane.node import WATCH_TIMEOUT_S
+from cairndale.dataplane.config_watch import WATCH_TIMEOUT_S
 from cairndale.dataplane.quota_client import LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
 from cairndale.errors import CallError, RejectedError
 from cairndale.rpc import protocol_pb2 as pb
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -21,7 +21,6 @@
 from cairndale.control.leadership import Leadership
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.node import DataPlaneNode
-from cairndale.dataplane.request_router import RequestRouter
 from cairndale.ingress.net.http import Message
 from cairndale.ingress.policy.account import TenantAccount
 from cairndale.registry.endpoints import EndpointRegistry
@@ -294,9 +293,9 @@
     assert state.apply(first(rng, 3)) and digested(state).history.delta_since(0) is None
 
 
-def plans(house: DataPlaneNode) -> dict[str, Any]:
+def plans(node: DataPlaneNode) -> dict[str, Any]:
     """What engine and module hold of what the bill names, by name."""
-    engine, route_table = house.engine, house.config_client.route_table
+    engine, route_table = node.ingress.engine, node.config_client.route_table
     by_name = {
         name: engine.settings.plans[engine.names.plans[name.encode()]]
         for name in ["", *route_table.tenants]
@@ -305,44 +304,45 @@
         name: engine.settings.classes[engine.names.classes[name.encode()]]
         for name in route_table.request_classes
     }
-    assert house.policy.settings is engine.settings and house.selector.settings is engine.settings
-    assert len(house.selector.usual_latency) == len(engine.settings.classes)
+    assert node.ingress.policy.settings is engine.settings
+    assert node.ingress.selector.settings is engine.settings
+    assert len(node.ingress.selector.usual_latency) == len(engine.settings.classes)
     return by_name | classes
 
 
-def rows(house: DataPlaneNode) -> Any:
+def rows(node: DataPlaneNode) -> Any:
     """Servers as the choice finds them, by service, and those to which connections are kept."""
     return (
         {
-            house._service_names[service]: {
-                house.engine.name_of(b.info.id): replace(b.info, id=0, key=0, service=0)
+            node.numbering.service_name(service): {
+                node.ingress.engine.name_of(b.info.id): replace(b.info, id=0, key=0, service=0)
                 for b in backends
             }
-            for service, backends in house.selector.ready_by_service.items()
+            for service, backends in node.ingress.selector.ready_by_service.items()
         },
-        {house.engine.name_of(number) for number in house.selector.backends},
-        {house.engine.name_of(number) for number in house.backends._pools},
-        {entry.name: entry.raw() for entry in house.engine.entries()},
+        {node.ingress.engine.name_of(number) for number in node.ingress.selector.backends},
+        {node.ingress.engine.name_of(number) for number in node.ingress.backends._pools},
+        {entry.name: entry.raw() for entry in node.ingress.engine.entries()},
     )
 
 
 async def test_a_house_retuned_by_what_changed_is_as_one_that_takes_everything_anew() -> None:
     """Tenants with accounts that get other plans, servers that come, go, drain, come back and are
     unsound."""
-    rng, house = random.Random(5), DataPlaneNode(parse_settings(SETTINGS))
+    rng, node = random.Random(5), DataPlaneNode(parse_settings(SETTINGS))
     known: dict[str, pb.Endpoint] = {}
     for number, states in enumerate(changes(rng, 40)):
         state, now, plain = (
             digested(states[0]),
-            house._loop.time(),
+            node.serving.now(),
             DataPlaneNode(parse_settings(SETTINGS)),
         )
-        house.config_client._needs_full_state = whole = rng.random() < 0.2
-        watch_response = told(state, house.config_client, now, 3)
+        node.config_client._needs_full_state = whole = rng.random() < 0.2
+        watch_response = told(state, node.config_client, now, 3)
         watch_response.epoch, watch_response.endpoints_version, before = (
             "3",
             number + 1,
-            dict(house.engine.names.plans),
+            dict(node.ingress.engine.names.plans),
         )
         if rng.random() < 0.1:
             known, watch_response.endpoints_complete = {}, True
@@ -362,7 +362,7 @@
             )
             known[name] = server
             watch_response.endpoints.append(server)
-        house._apply(watch_response, NODE, now)
+        node.applier.apply(watch_response, NODE, now)
         here = [server for server in known.values() if server.state != "gone"]
         content = zlib.compress(json.dumps(state.content).encode())
         anew = pb.WatchResponse(
@@ -374,23 +374,23 @@
         )
         anew.endpoints.extend(here)
         anew.has_evacuated_zones, anew.evacuated_zones[:] = True, watch_response.evacuated_zones
-        plain._apply(anew, NODE, now)
+        plain.applier.apply(anew, NODE, now)
         assert watch_response.has_content == (whole or number == 0) and seen(
-            house.route_table
-        ) == seen(plain.route_table)
-        assert plans(house) == plans(plain) and rows(house) == rows(plain)
+            node.config_client.route_table
+        ) == seen(plain.config_client.route_table)
+        assert plans(node) == plans(plain) and rows(node) == rows(plain)
         assert (
-            before.items() <= house.engine.names.plans.items() or not number
+            before.items() <= node.ingress.engine.names.plans.items() or not number
         )  # numbers are for good
-        for customer, account in house.policy.accounts.items():
-            assert account.plan == plans(house).get(f"t{customer}", account.plan)
-        plain.backends.stop()
-        for name in rng.sample(list(house.route_table.tenants), 5):
-            plan = plans(house)[name]
-            house.policy.accounts.setdefault(
+        for customer, account in node.ingress.policy.accounts.items():
+            assert account.plan == plans(node).get(f"t{customer}", account.plan)
+        plain.ingress.backends.stop()
+        for name in rng.sample(list(node.config_client.route_table.tenants), 5):
+            plan = plans(node)[name]
+            node.ingress.policy.accounts.setdefault(
                 int(name[1:]), TenantAccount(plan, 1, 1, 0)
             ).plan = plan
-    house.backends.stop()
+    node.ingress.backends.stop()
 
 
 @pytest.mark.parametrize(
@@ -405,26 +405,26 @@
 async def test_a_request_is_checked_anew_once_the_bill_has_changed_under_it(
     out: list[str], put: dict[str, Any] | None, goes: bool
 ) -> None:
-    house, state = DataPlaneNode(parse_settings(SETTINGS)), State()
+    node, state = DataPlaneNode(parse_settings(SETTINGS)), State()
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
-    first = told(digested(state), house.config_client, house._loop.time(), 3)
+    first = told(digested(state), node.config_client, node.serving.now(), 3)
     first.endpoints.add(
         id="i", service="s1", address="10.1.0.9:80", zone="z", capacity=2, state="ready"
     )
-    house._apply(first, NODE, house._loop.time())
+    node.applier.apply(first, NODE, node.serving.now())
     message = Message()
     message.method, message.target = b"GET", b"/r1/x"
     message.headers = {b"host": b"a.example", b"authorization": b"Token k1", b"x-request-id": b"1"}
-    reading, engine = RequestRouter(house, random.Random(1), house.clock.now), house.engine
-    wanted = reading(message, engine.names, engine.settings.classes, house.clock.now())
+    reading, engine = node.router, node.ingress.engine
+    wanted = reading(message, engine.names, engine.settings.classes, node.clock.now())
     assert wanted.dress and b"X-Tenant: t1" in (wanted.dress("i", 1000) or b"")
     upsert = {"routes": [route("r2")], "tenants": [{"name": "t1"} | put] if put else []}
     frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
     assert state.apply(Command(Verb.UPDATE, "2", frame))
-    watch_response = told(state, house.config_client, house._loop.time(), 3)
+    watch_response = told(state, node.config_client, node.serving.now(), 3)
     assert watch_response.HasField("delta")
-    house._apply(watch_response, NODE, house._loop.time())
+    node.applier.apply(watch_response, NODE, node.serving.now())
     assert (wanted.dress("i", 1000) is not None) == goes
-    house.backends.stop()
+    node.ingress.backends.stop()
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -47,24 +47,24 @@
     config_version = zlib.compress(json.dumps(made).encode())
     for last, settled in (({"j": "s2"}, False), ({}, True)):
         node = DataPlaneNode(parse_settings(SETTINGS))
-        now = node._loop.time()
-        node._apply(
-            watch_response("1~", {}, has_content=True, content=config_version), node._node(), now
+        now = node.serving.now()
+        node.applier.apply(
+            watch_response("1~", {}, has_content=True, content=config_version), node.describe(), now
         )
-        assert not node.ready() and not node._node().ready
-        node._apply(watch_response("1~", {"i": "s1"}), node._node(), now)
-        assert not node.ready() and not node._node().ready
-        node._apply(
+        assert not node.readiness.is_ready() and not node.describe().ready
+        node.applier.apply(watch_response("1~", {"i": "s1"}), node.describe(), now)
+        assert not node.readiness.is_ready() and not node.describe().ready
+        node.applier.apply(
             watch_response("1" if settled else "1~", last, endpoints_settled=settled),
-            node._node(),
+            node.describe(),
             now,
         )
-        assert node.ready() and node._node().ready
-        node._apply(
-            watch_response("2~", {}), node._node(), now
+        assert node.readiness.is_ready() and node.describe().ready
+        node.applier.apply(
+            watch_response("2~", {}), node.describe(), now
         )  # a later leader, who has not heard of all yet
-        assert node.ready()
-        node.backends.stop()
+        assert node.readiness.is_ready()
+        node.ingress.backends.stop()
 
 
 def node_in_contact(**fields: Any) -> DataPlaneNode:
@@ -78,7 +78,7 @@
         counter_active=True,
         endpoints_settled=True,
     )
-    node._apply(told, node._node(), node._loop.time())
+    node.applier.apply(told, node.describe(), node.serving.now())
     return node
 
 
@@ -109,16 +109,16 @@
 
     node.leader_client.call = call  # type: ignore[method-assign]
     for tenant in ("fast", "fast", "fast", "slow", "fast"):
-        customer = node.customer(tenant)
-        node.units.lease(
+        customer = node.numbering.tenant_number(tenant)
+        node.quota_client.lease(
             customer, 2.0, 1.5, lambda outcome, _, left=None: told.append((outcome, left))
         )
-        await asyncio.gather(*node.units.calls)
+        await asyncio.gather(*node.quota_client.calls)
     again = [("fast", 2.0, 1.5), ("fast", 2.0, 0.0)]
     assert asked == [*again, *again, ("fast", 2.0, 1.5), ("slow", 2.0, 1.5), ("fast", 2.0, 1.5)]
     ok = [(Outcome.OK, left) for left in (0.5, -2.0, -1.0, -2.0)]
     assert told == [*ok, (Outcome.RESET, None)]
-    node.backends.stop()
+    node.ingress.backends.stop()
 
 
 async def test_units_are_asked_for_by_name_and_a_no_holds_for_a_while() -> None:
@@ -138,51 +138,50 @@
         return pb.Envelope(budget_response=answer)
 
     node.leader_client.call = call  # type: ignore[method-assign]
-    units = ((RETRY, node.service("s1")), (WARMUP, 1))
+    units = ((RETRY, node.numbering.service_number("s1")), (WARMUP, 1))
     began = node.clock.now()
     for _ in range(3):
-        node.units.deal(units, granted.append)
-        await asyncio.gather(*node.units.calls)
+        node.quota_client.deal(units, granted.append)
+        await asyncio.gather(*node.quota_client.calls)
     assert [list(deal.budgets) for deal in asked] == [["further/s1", "starts/i"]] * 3
     assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [
         0,
         0,
     ]
-    assert node.selector.is_denied(units[0], began + 150_000)
+    assert node.ingress.selector.is_denied(units[0], began + 150_000)
     node.config_client.last_response_at = float("-inf")  # out of touch: nothing is asked for
-    node.units.deal(units, granted.append)
-    await asyncio.gather(*node.units.calls)
+    node.quota_client.deal(units, granted.append)
+    await asyncio.gather(*node.quota_client.calls)
     assert len(asked) == 3 and granted[3] == 0
-    node.backends.stop()
+    node.ingress.backends.stop()
 
 
 async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
     """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
     node = DataPlaneNode(parse_settings(SETTINGS))
     config_version = zlib.compress(json.dumps(content()).encode())
-    node._apply(
+    node.applier.apply(
         watch_response("1", {"i": "s1"}, has_content=True, content=config_version),
-        node._node(),
-        node._loop.time(),
+        node.describe(),
+        node.serving.now(),
     )
-    began, at = node._loop.time(), 0.0
-    node._loop = clock = Mock(wraps=node._loop)
-    clock.time.side_effect = lambda: began + at
+    began, at = node.serving.now(), 0.0
+    node.serving.now = lambda: began + at
     grace, usual, long = node.settings.bounds.grace, 1_000_000, 30_000_000
-    node.selector.usual_latency[1] = usual
-    assert node.may_begin(1, long)
+    node.ingress.selector.usual_latency[1] = usual
+    assert node.serving.may_begin(1, long)
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)
     begins = {}
     for tenth in range(round(grace * 10) + 1):
         at = tenth / 10
-        begins[tenth] = node.may_begin(1, long), node.may_begin(1, 1_600_000)
+        begins[tenth] = node.serving.may_begin(1, long), node.serving.may_begin(1, 1_600_000)
     stopping.cancel()
     last = max(tenth for tenth, (any_, _) in begins.items() if any_)
     assert 25 <= last < 30 and all(begins[t] == (True, True) for t in range(last + 1))
     last = max(tenth for tenth, (_, short) in begins.items() if short)
     assert grace * 10 - 22 <= last <= grace * 10 - 16
-    node.backends.stop()
+    node.ingress.backends.stop()
 
 
 async def serving(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
@@ -201,8 +200,8 @@
     told.endpoints.append(
         pb.Endpoint(id="i", service="s1", address=address, zone="z", capacity=2, state="ready")
     )
-    node._apply(told, node._node(), node._loop.time())
-    lessor = node.engine.lessor = Mock()
+    node.applier.apply(told, node.describe(), node.serving.now())
+    lessor = node.ingress.engine.lessor = Mock()
     lessor.lease = lambda customer, amount, told, answered: answered(Outcome.OK, 0.0, 50.0)
     return node, await node.listener.listen(HOST, 0)
 
@@ -220,9 +219,9 @@
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     client.close()
     await server.until(lambda: len(server.closed) == 1)
-    assert node.engine.open == 0
+    assert node.ingress.engine.open == 0
     node.listener.stop_listening()
-    node.backends.stop()
+    node.ingress.backends.stop()
     server.stop()
 
 
@@ -238,5 +237,5 @@
         assert (await asyncio.wait_for(reader.readline(), 10)).split()[1] == b"431"
     client.close()
     node.listener.stop_listening()
-    node.backends.stop()
+    node.ingress.backends.stop()
     server.stop()
