--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -253,8 +253,8 @@
             self.line_error(f"{folder}: {error}")
             return REFUSED
         applier = Applier(state)
-        applier.take(kept.entries)
-        while applier.is_behind:
+        applier.enqueue(kept.entries)
+        while applier.has_backlog:
             applier.step()
         if self.option("config"):
             self.line(json.dumps(state.content, indent=2))
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -1,8 +1,9 @@
-"""Delivered entries come into force, in order and in steps of which none holds the loop. Pure.
+"""Applies committed entries to the state, in steps of which none holds the event loop. Pure.
 
-A large command stands in the log in parts (`parts.py`) and is read as they are delivered; the last
-one decides. What becomes of it rests on the log alone: it is void, alike at all members, if its
-parts are not one after the other in one term, if it was given up, or if it is not as it was made.
+A large command stands in the log in fragments (`cairndale.raft.fragments`), which are decoded as
+they are committed; the last one decides. What becomes of the command depends on the log alone, so
+it is alike at all members: it is void if its fragments do not follow one another in one term, if it
+was given up, or if its digest does not match.
 """
 
 from __future__ import annotations
@@ -16,83 +17,99 @@
 
 from cairndale.configuration import serialization
 from cairndale.configuration.state import Command, State
-from cairndale.control.snapshot_worker import uncollected
+from cairndale.control.gc_pause import gc_paused
 from cairndale.raft import fragments
+from cairndale.raft.fragments import Fragment, FragmentKind
 from cairndale.raft.messages import Entry, state_digest
 
-LARGE = (
-    64 * 1024
-)  # bytes of a command in one entry, as earlier programs wrote it, that makes many objects
+# Bytes of a command in one entry, as earlier versions wrote it, beyond which it makes many objects.
+LARGE_ENTRY = 64 * 1024
 
 
-def encoded(command: Command) -> bytes | Iterator[bytes]:
-    """As one entry's data, or that of several (`parts.cut`): a step of work each, empty ones only
-    that."""
-    pieces = serialization.encode_parts(command.to_dict())
-    begun = list(islice(pieces, 3))  # the format, and a second part if there is one
-    if len(begun) < 3 and len(data := command.encode()) <= fragments.PART:
+def encode_command(command: Command) -> bytes | Iterator[bytes]:
+    """The command as one entry's data, or as the data of several entries (`fragments.cut`).
+
+    Each item of the iterator is a step of work; an empty one is no entry, only a pause.
+    """
+    parts = serialization.encode_parts(command.to_dict())
+    first = list(islice(parts, 3))  # the format's header, and a second part if there is one
+    if len(first) < 3 and len(data := command.encode()) <= fragments.PART:
         return data
-    return fragments.cut(chain(begun, pieces))
+    return fragments.cut(chain(first, parts))
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedEntry:
+    """An entry that has been applied."""
+
     entry: Entry
-    changed: bool  # the state is another one for it
+    changed: bool  # whether it changed the state; False for a void command
 
 
 @dataclass(slots=True)
 class _PartialCommand:
-    """A command of which not all parts have come."""
+    """A command of which not all fragments are committed."""
 
-    count: int = 0
+    count: int = 0  # fragments so far
     raw: dict[str, Any] = field(default_factory=dict)
     digest: Any = field(default_factory=state_digest)
-    reading: serialization.PartsDecoder = field(init=False)
+    decoder: serialization.PartsDecoder = field(init=False)
 
     def __post_init__(self) -> None:
-        self.reading = serialization.PartsDecoder(self.raw)
+        self.decoder = serialization.PartsDecoder(self.raw)
 
 
 class Applier:
+    """The replicated state, and the committed entries that are still to be applied to it.
+
+    `state` is as it is after the entry at `index`, which is of `term`. `encodes_content` is set
+    while this node leads: the configuration is then encoded for ingresses as it is applied, in
+    steps, and not all at once when the first one asks for it.
+    """
+
     def __init__(self, state: State, index: int = 0, term: int = 0) -> None:
-        """The state as it is after the entry at this index, of this term."""
-        # this one leads: what ingresses are told is there once an entry is in force
-        self.tells = False
+        self.encodes_content = False
         self._queue: deque[Entry] = deque()
         self.restore(state, index, term)
 
     def restore(self, state: State, index: int, term: int) -> None:
-        """A snapshot takes the place of all that was delivered up to it."""
+        """Replaces the state by a snapshot's; entries that were enqueued are dropped."""
         self.state, self.index, self.term = state, index, term
         self._queue.clear()
         self._work: Generator[None, None, bool] | None = None
-        self._begun: _PartialCommand | None = None
+        self._partial: _PartialCommand | None = None
 
     @property
-    def is_behind(self) -> bool:
-        """Something was delivered that is not in force yet."""
+    def has_backlog(self) -> bool:
+        """Whether committed entries are still to be applied."""
         return bool(self._queue)
 
     @property
-    def is_whole(self) -> bool:
-        """No command has come in part: the state is all that the log says up to here."""
-        return self._begun is None and self._work is None
+    def is_between_commands(self) -> bool:
+        """Whether the state is all that the log says up to `index`.
 
-    def take(self, entries: Iterable[Entry]) -> None:
+        Within a command's fragments it is not, and no snapshot can take their place.
+        """
+        return self._partial is None and self._work is None
+
+    def enqueue(self, entries: Iterable[Entry]) -> None:
+        """Adds committed entries, in the order of the log."""
         self._queue.extend(entries)
 
     def step(self) -> AppliedEntry | None:
-        """A step of work, where there is one; what has come into force with it, if it is an entry's
-        last."""
+        """Does one step of work, if there is any.
+
+        Returns the entry if this was the last step of applying it.
+        """
         if not self._queue:
             return None
         entry = self._queue[0]
         if self._work is None:
-            self._work = self._applying(entry)
-        large = self._begun or len(entry.data) > LARGE or fragments.is_fragment(entry.data)
+            self._work = self._apply_steps(entry)
+        is_part = fragments.is_fragment(entry.data)
+        is_large = self._partial or len(entry.data) > LARGE_ENTRY or is_part
         try:
-            with uncollected() if large else contextlib.nullcontext():
+            with gc_paused() if is_large else contextlib.nullcontext():
                 next(self._work)
         except StopIteration as ended:
             self._queue.popleft()
@@ -100,36 +117,40 @@
             return AppliedEntry(entry, ended.value)
         return None
 
-    def _applying(self, entry: Entry) -> Generator[None, None, bool]:
-        if entry.is_term_start:  # who made the parts before it leads no longer
-            self._begun = None
-            if self.tells:
+    def _apply_steps(self, entry: Entry) -> Generator[None, None, bool]:
+        if entry.is_term_start:  # the fragments before it are of a leader of an earlier term
+            self._partial = None
+            if self.encodes_content:
                 yield from self.state.encode_content_steps()
         if not entry.data:
             return False
         if fragments.is_fragment(entry.data):
-            command = yield from self._gathered(fragments.read(entry.data))
+            command = yield from self._assemble(fragments.read(entry.data))
         else:
             command = Command.decode(entry.data)
-        return (yield from self.state.apply_steps(command, self.tells)) if command else False
-
-    def _gathered(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
-        """The command whose last part this is."""
-        if part.number == 0 and part.kind is not fragments.FragmentKind.VOID:
-            self._begun = _PartialCommand()
-        begun, self._begun = self._begun, None
-        if begun is None or part.kind is fragments.FragmentKind.VOID or part.number != begun.count:
+        return (
+            (yield from self.state.apply_steps(command, self.encodes_content)) if command else False
+        )
+
+    def _assemble(self, fragment: Fragment) -> Generator[None, None, Command | None]:
+        """Decodes a fragment; returns the command if this is its last one."""
+        if fragment.number == 0 and fragment.kind is not FragmentKind.VOID:
+            self._partial = _PartialCommand()
+        partial, self._partial = self._partial, None
+        if partial is None or fragment.kind is FragmentKind.VOID:
+            return None
+        if fragment.number != partial.count:
             return None
-        last = part.kind is fragments.FragmentKind.LAST
-        data = part.data[fragments.DIGEST :] if last else part.data
-        begun.count += 1
-        begun.digest.update(data)
+        is_last = fragment.kind is FragmentKind.LAST
+        data = fragment.data[fragments.DIGEST :] if is_last else fragment.data
+        partial.count += 1
+        partial.digest.update(data)
         try:
-            yield from begun.reading.feed(data)
-            if last and begun.digest.digest() == part.data[: fragments.DIGEST]:
-                begun.reading.finish()
-                return Command.from_dict(begun.raw)
+            yield from partial.decoder.feed(data)
+            if is_last and partial.digest.digest() == fragment.data[: fragments.DIGEST]:
+                partial.decoder.finish()
+                return Command.from_dict(partial.raw)
         except (ValueError, KeyError, TypeError):
             return None
-        self._begun = None if last else begun
+        self._partial = None if is_last else partial
         return None
--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -58,28 +58,28 @@
         """Takes over what a step has restored or committed, and begins to apply it."""
         if step.restored_snapshot:
             self._applier.restore(
-                self._snapshot_worker.read,
+                self._snapshot_worker.installed_state,
                 step.restored_snapshot.index,
                 step.restored_snapshot.term,
             )
             self._is_snapshot_due = False
-        self._applier.take(step.committed_entries)
+        self._applier.enqueue(step.committed_entries)
         self._run_turn()
 
     def _run_turn(self) -> None:
-        if self._is_running or not self._applier.is_behind:
+        if self._is_running or not self._applier.has_backlog:
             return
         self._is_running, until = True, time.perf_counter() + APPLY
-        self._applier.tells = self._raft.role is Role.LEADER
+        self._applier.encodes_content = self._raft.role is Role.LEADER
         more = True
         while more:
             if applied := self._applier.step():
                 self._entry_applied(applied)
-            more = self._applier.is_behind and time.perf_counter() < until
+            more = self._applier.has_backlog and time.perf_counter() < until
         self._on_turn_end()
-        if self._applier.is_whole and self._is_log_long():
-            self._snapshot_worker.make(self.state.to_dict(), self._applier.index)
-        if self._applier.is_behind:
+        if self._applier.is_between_commands and self._is_log_long():
+            self._snapshot_worker.create(self.state.to_dict(), self._applier.index)
+        if self._applier.has_backlog:
             self._yield_to_loop(self._resume)
         else:
             self._is_running = False
@@ -95,9 +95,9 @@
     def _entry_applied(self, applied: AppliedEntry) -> None:
         # By the index alone, so alike at all members: whoever leads next has the same snapshot.
         self._is_snapshot_due |= applied.entry.index % ENTRIES == 0
-        if self._is_snapshot_due and self._applier.is_whole:
+        if self._is_snapshot_due and self._applier.is_between_commands:
             self._is_snapshot_due = False
-            self._snapshot_worker.make(self.state.to_dict(), applied.entry.index)
+            self._snapshot_worker.create(self.state.to_dict(), applied.entry.index)
         for listener in self._on_applied:
             listener(applied)
 
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -143,7 +143,7 @@
         self.driver.subscribe(self._install_snapshot)
         self.driver.subscribe(self._log_members)
         self.driver.subscribe(lambda _: self.leadership_tracker.update())
-        self.driver.subscribe(lambda _: self.read_index.look())
+        self.driver.subscribe(lambda _: self.read_index.resolve())
         self.driver.subscribe(lambda _: self.proposals.fail_those_of_past_terms())
 
     # Process life.
@@ -212,7 +212,7 @@
 
     async def _make_snapshots_forever(self) -> None:
         while True:
-            await asyncio.sleep(self.snapshot_worker.work())
+            await asyncio.sleep(self.snapshot_worker.timed_step())
 
     def _open_disk(self, own: str) -> tuple[str, PersistedState]:
         """The disk's name and what it holds; an empty disk is given a name.
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -17,8 +17,8 @@
 from cairndale.configuration.json_stream import LARGE_BODY_BYTES, loads_steps
 from cairndale.configuration.state import REJECTED, Command, State, Verb
 from cairndale.configuration.validation import iter_content_errors, order_errors
+from cairndale.control.gc_pause import gc_paused
 from cairndale.control.leadership import Leadership
-from cairndale.control.snapshot_worker import uncollected
 from cairndale.errors import CallTimeoutError, StaleCallError
 from cairndale.events import Event, log_event
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, match
@@ -40,7 +40,7 @@
 async def in_turns(work: Generator[None, None, T], large: bool = False) -> T:
     """What work in steps comes to; others get their turn after each. `large`: it makes many
     objects."""
-    with uncollected() if large else contextlib.nullcontext():
+    with gc_paused() if large else contextlib.nullcontext():
         while True:
             try:
                 next(work)
@@ -242,7 +242,7 @@
 
     async def _content_errors(self, state: State, command: Command) -> list[str]:
         content, errors = await in_turns(state.resulting_content_steps(command)), list[str]()
-        with uncollected(stay=False):
+        with gc_paused(freeze=False):
             for some in iter_content_errors(content):
                 errors += some
                 await asyncio.sleep(0)
--- a/cairndale/control/proposals.py
+++ b/cairndale/control/proposals.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from cairndale.configuration.state import Command
-from cairndale.control.applier import AppliedEntry, encoded
+from cairndale.control.applier import AppliedEntry, encode_command
 from cairndale.control.clock import Clock
 from cairndale.control.raft_driver import RaftDriver
 from cairndale.errors import CallError, CallTimeoutError, NotLeaderError
@@ -49,7 +49,7 @@
         True if it changed the state, False if it is void. Raises NotLeaderError where it was not
         proposed, CallTimeoutError where its outcome is not known.
         """
-        data = encoded(command)
+        data = encode_command(command)
         if isinstance(data, bytes):
             return await self._outcome(self._propose(data, self._raft.term))
         # It goes on though the caller no longer waits: half a command would delay snapshots.
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -1,16 +1,16 @@
-"""The read index: an answer waits until a majority is known to have followed this leader after the
-call came.
+"""The read index (Raft, section 8): a leader answers a call once a majority has followed it since.
 
-Why that is enough. A majority answered, in this term, what was sent after the call had come.
-Whoever holds a later term needs the vote of one of them, which was given after its answer, so after
-the call: when the call came, nobody held a later term, and all that had been decided by then was
-decided by this leader or before its first entry. Its state holds all of that once it is applied as
-far as was decided when the call came. Nothing is asked of clocks but that this process's own does
-not go back, and a freeze at any line only makes the call longer.
+Why that is enough. A majority answered, in this term, what was sent after the call came. Whoever
+leads in a later term needs the vote of one of them, which was given after its answer, so after the
+call: when the call came nobody led in a later term, and all that had been committed by then was
+committed by this leader, or before its first entry. Its state holds all of that once it is applied
+up to the commit index of that moment. Nothing is required of clocks but that this process's own
+does not go back; a pause of the process at any line only makes the call longer.
 
-A loop looks at its clock once a round. What was sent in the round of a call bears the call's time,
-and may have been sent before it, with a freeze between the two: so only what bears a later time
-counts."""
+The event loop reads its clock once a turn. What was sent in the turn of a call bears the call's
+time, and may have been sent before it, with a pause of the process between the two: so only what
+bears a later time counts.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +23,9 @@
 from cairndale.errors import CallError, NotLeaderError
 from cairndale.raft.messages import Ready
 
-PATIENCE = 0.6  # s for a majority to answer: a leader without one has time left to pass a call on
-# s after which a beat is sent for those who wait: it is to bear a later time than the call ...
-SOON = 0.002
-APART = 0.01  # ... and so many at least after the last one
+QUORUM_TIMEOUT = 0.6  # s for a majority to answer; time is left then to pass a call on
+HEARTBEAT_DELAY = 0.002  # s after a call: the heartbeat has to bear a later time than the call
+HEARTBEAT_SPACING = 0.01  # s at least between two heartbeats that were sent for calls
 
 
 class Log(Protocol):
@@ -45,7 +44,9 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _PendingRead:
+    """A call that waits for a majority."""
+
     called: float
     term: int
     index: int
@@ -53,16 +54,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Stand:
-    """How the log stands at one moment."""
+class _LogStatus:
+    """What confirms calls, at one moment."""
 
     term: int
     leads: bool
     contact: float
-    applied: int  # the newest entry that is in force here
+    applied: int  # the index of the last applied entry
 
 
 class ReadIndex:
+    """The calls that wait until this node is known to have led after they came.
+
+    `carry_out` carries out a step of the Raft state machine.
+    """
+
     def __init__(
         self,
         raft: Log,
@@ -72,65 +78,70 @@
     ) -> None:
         self._raft, self._clock = raft, clock
         self._applied_index, self._carry_out = applied_index, carry_out
-        self._waiting: set[_Waiting] = set()
+        self._pending: set[_PendingRead] = set()
         self._timer: asyncio.TimerHandle | None = None
 
-    def _stand(self) -> _Stand:
+    def _status(self) -> _LogStatus:
         raft, now = self._raft, self._clock.now()
-        return _Stand(
+        return _LogStatus(
             raft.term, raft.leads(now), raft.last_quorum_contact(now), self._applied_index()
         )
 
-    def _is_met(self, waiting: _Waiting, stand: _Stand) -> bool:
-        if stand.term != waiting.term:
+    def _is_met(self, pending: _PendingRead, status: _LogStatus) -> bool:
+        if status.term != pending.term:
             raise NotLeaderError()
-        return stand.leads and stand.contact > waiting.called and stand.applied >= waiting.index
+        return status.leads and status.contact > pending.called and status.applied >= pending.index
 
     async def confirm(self, called: float, term: int, index: int = 0, at_once: bool = True) -> None:
-        """Until a majority has answered what was sent later than `called`, in the term in which the
-        state was looked at, and the log is in force up to `index`. `at_once`: a beat is sent for
-        it, else the next one is waited for. Raises CallError: this one may hold the duty no
-        longer."""
-        waiting = _Waiting(called, term, index, asyncio.get_running_loop().create_future())
-        if self._is_met(waiting, self._stand()):
+        """Returns once a majority has followed this leader, in `term`, since the time `called`.
+
+        The log is applied up to `index` then. `at_once`: a heartbeat is sent for the call, else the
+        next one is waited for. Raises NotLeaderError where the term is over or no majority answers
+        in time: this node may lead no longer.
+        """
+        pending = _PendingRead(called, term, index, asyncio.get_running_loop().create_future())
+        if self._is_met(pending, self._status()):
             return
-        self._waiting.add(waiting)
+        self._pending.add(pending)
         try:
             if at_once:
-                self._hurry(SOON)
-            async with asyncio.timeout(PATIENCE):
-                await waiting.future
+                self._schedule_heartbeat(HEARTBEAT_DELAY)
+            async with asyncio.timeout(QUORUM_TIMEOUT):
+                await pending.future
         except TimeoutError:
             raise NotLeaderError("no majority has answered") from None
         finally:
-            self._waiting.discard(waiting)
+            self._pending.discard(pending)
 
-    def _hurry(self, within: float) -> None:
-        """One beat for all who wait."""
+    def _schedule_heartbeat(self, delay: float) -> None:
+        """One heartbeat for all calls that wait."""
         if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(within, self._beat)
+            self._timer = asyncio.get_running_loop().call_later(delay, self._send_heartbeat)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         self._timer = None
-        if not self._waiting:
+        if not self._pending:
             return
-        step = self._raft.heartbeat_soon(self._clock.now(), APART)
+        step = self._raft.heartbeat_soon(self._clock.now(), HEARTBEAT_SPACING)
         if step.sends:
             self._carry_out(step)
         else:
-            self._hurry(APART)
-            self.look()
+            self._schedule_heartbeat(HEARTBEAT_SPACING)
+            self.resolve()
+
+    def resolve(self) -> None:
+        """Ends the calls that are confirmed by now, or whose term is over; after each step.
 
-    def look(self) -> None:
-        """After each step. What is asked of the log is asked once for all who wait."""
-        if not self._waiting:
+        The log is asked once for all of them.
+        """
+        if not self._pending:
             return
-        stand = self._stand()
-        for waiting in list(self._waiting):
-            if waiting.future.done():
+        status = self._status()
+        for pending in list(self._pending):
+            if pending.future.done():
                 continue
             try:
-                if self._is_met(waiting, stand):
-                    waiting.future.set_result(None)
+                if self._is_met(pending, status):
+                    pending.future.set_result(None)
             except CallError as failure:
-                waiting.future.set_exception(failure)
+                pending.future.set_exception(failure)
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -1,154 +1,149 @@
-"""What would hold the loop if done at once, in steps: snapshots made, put on disk, read and
-installed.
+"""Creates, stores, decodes and installs snapshots in steps that do not hold the event loop.
 
-A job is a generator that pauses after each step. `step` takes the oldest job on; who runs it leaves
-the loop free in between (`pause`). Small states are done within the call that brings them."""
+A job is a generator that pauses after each step. The worker takes the oldest job one step on and
+then leaves the loop free for a while. Snapshots of small states are done within the call that asks
+for them.
+"""
 
 from __future__ import annotations
 
-import gc
 import time
 from collections import deque
 from collections.abc import Callable, Iterator
-from contextlib import contextmanager
 from typing import Any
 
 from cairndale.configuration import serialization
 from cairndale.configuration.state import State
+from cairndale.control.gc_pause import gc_paused
 from cairndale.events import Event, log_event
 from cairndale.raft.messages import Ready, SaveSnapshotChunk, Snapshot, state_digest
 from cairndale.raft.node import RaftNode
 from cairndale.raft.storage import RaftStorage, StorageError
 
-AT_ONCE = 2  # steps that a small state takes
-STAGED = 64 * 1024  # bytes of a snapshot put on disk in one step
-PAUSE = 0.002  # s at least between two steps, and ...
-SHARE = 3.0  # ... so many times what the last one took: on a slow disk others still get their turn
-RETRY = 5.0  # s after a disk did not take a snapshot
+INLINE_STEPS = 2  # steps done within the call: enough for a small state
+CHUNK = 64 * 1024  # bytes of a snapshot written to disk in one step
+MIN_PAUSE = 0.002  # s at least between two steps, and ...
+PAUSE_RATIO = 3.0  # ... so many times what the last one took: on a slow disk others get their turn
+RETRY_AFTER = 5.0  # s after a snapshot could not be written
 
 Job = Iterator[None]
 
 
-@contextmanager
-def uncollected(stay: bool = True) -> Iterator[None]:
-    """For what makes many objects: the collector would look at all of them again and again, for 0.2
-    s each time with 160,000 tenants. They have no cycles and are freed when their last holder goes;
-    `stay`: they are never looked at."""
-    was = gc.isenabled()
-    gc.disable()
-    try:
-        yield
-    finally:
-        if stay:
-            gc.freeze()
-        if was:
-            gc.enable()
+class SnapshotWorker:
+    """The one place that works on snapshots; one is created at a time.
 
+    `carry_out` carries out a step of the Raft state machine, `now` is the time in seconds. A
+    snapshot that the disk does not take is logged and dropped: the log still holds its entries.
+    """
 
-class SnapshotWorker:
     def __init__(
         self,
-        store: RaftStorage,
-        machine: RaftNode,
-        carry: Callable[[Ready], None],
+        storage: RaftStorage,
+        raft: RaftNode,
+        carry_out: Callable[[Ready], None],
         now: Callable[[], float],
     ) -> None:
-        """`carry` carries out a step of the machine."""
-        self._store, self._machine, self._carry, self._now = store, machine, carry, now
-        self._jobs: deque[Job] = deque([self._sweeping()])
-        self._makes = False
+        self._storage, self._raft, self._carry_out, self._now = storage, raft, carry_out, now
+        self._jobs: deque[Job] = deque([self._sweep_steps()])
+        self._is_creating = False
         self._not_before = float("-inf")
-        self.read = State()  # that of the snapshot that is being installed
-
-    def make(self, raw: dict[str, Any], index: int) -> None:
-        """A snapshot of the state as it is after this entry. One at a time."""
-        if (
-            not self._makes
-            and index > self._machine.base_snapshot.index
-            and self._now() >= self._not_before
-        ):
-            self._makes = True
-            self._begin(self._making(raw, index))
+        self.installed_state = State()  # of the snapshot that is being installed
+
+    def create(self, raw: dict[str, Any], index: int) -> None:
+        """Begins a snapshot of the state as it is after the entry at `index`.
+
+        Does nothing while another is being created, if one of that index exists, or for
+        `RETRY_AFTER` seconds after a failure.
+        """
+        is_newer = index > self._raft.base_snapshot.index
+        if not self._is_creating and is_newer and self._now() >= self._not_before:
+            self._is_creating = True
+            self._begin(self._create_steps(raw, index))
 
     def install(self, snapshot: Snapshot) -> None:
-        self._begin(self._installing(snapshot))
+        """Begins to install a received snapshot; logs and drops one that cannot be decoded."""
+        self._begin(self._install_steps(snapshot))
 
     def _begin(self, job: Job) -> None:
-        for _ in range(AT_ONCE):
-            if not self._on(job):
+        for _ in range(INLINE_STEPS):
+            if not self._advance(job):
                 return
         self._jobs.append(job)
 
-    def _on(self, job: Job) -> bool:
-        """False once it has ended."""
+    def _advance(self, job: Job) -> bool:
+        """Takes a job one step on; False once it has ended."""
         try:
             next(job)
         except StopIteration:
             return False
-        except StorageError as error:  # what has to be on disk is not among this
+        except StorageError as error:  # a job itself writes nothing that must be durable
             log_event(Event.SNAPSHOT_FAILED, "%s", error)
-            self._not_before = self._now() + RETRY
-            self._jobs.append(self._sweeping(failed=True))
+            self._not_before = self._now() + RETRY_AFTER
+            self._jobs.append(self._sweep_steps(failed=True))
             return False
         return True
 
     def step(self) -> bool:
-        """A bit of work. False if there is none."""
+        """Does one step of the oldest job; False once no work is left."""
         if self._jobs:
             job = self._jobs.popleft()
-            if self._on(job):
+            if self._advance(job):
                 self._jobs.append(job)
         return bool(self._jobs)
 
-    def work(self) -> float:
-        """s until the next bit is to be done."""
+    def timed_step(self) -> float:
+        """Does one step; the seconds to wait until the next one."""
         begun = time.perf_counter()
         more = self.step()
-        return max(PAUSE, SHARE * (time.perf_counter() - begun)) if more else 10 * PAUSE
+        return (
+            max(MIN_PAUSE, PAUSE_RATIO * (time.perf_counter() - begun)) if more else 10 * MIN_PAUSE
+        )
 
-    def _making(self, raw: dict[str, Any], index: int) -> Job:
+    def _create_steps(self, raw: dict[str, Any], index: int) -> Job:
         try:
             made, digest = [], state_digest()
             for part in serialization.encode_parts(raw):
                 made.append(part)
                 digest.update(part)
-                if len(made) > AT_ONCE:
+                if len(made) > INLINE_STEPS:
                     yield
-            if index <= self._machine.base_snapshot.index:  # one was installed meanwhile
+            if index <= self._raft.base_snapshot.index:  # a newer one was installed meanwhile
                 return
-            snapshot = self._machine.make_snapshot(index, b"".join(made), digest.digest())
-            if len(snapshot.state) > STAGED:
-                for at in range(0, len(snapshot.state), STAGED):
+            snapshot = self._raft.make_snapshot(index, b"".join(made), digest.digest())
+            if len(snapshot.state) > CHUNK:
+                for at in range(0, len(snapshot.state), CHUNK):
                     yield
-                    piece = snapshot.state[at : at + STAGED]
-                    self._store.write([SaveSnapshotChunk(snapshot.head, at, piece, received=False)])
+                    piece = snapshot.state[at : at + CHUNK]
+                    self._storage.write(
+                        [SaveSnapshotChunk(snapshot.head, at, piece, received=False)]
+                    )
                 yield
-            self._carry(self._machine.compact(snapshot))
+            self._carry_out(self._raft.compact(snapshot))
         finally:
-            self._makes = False
-        yield from self._sweeping()
+            self._is_creating = False
+        yield from self._sweep_steps()
 
-    def _installing(self, snapshot: Snapshot) -> Job:
+    def _install_steps(self, snapshot: Snapshot) -> Job:
         try:
             raw: dict[str, Any] = {}
-            with uncollected():
+            with gc_paused():
                 for _ in serialization.decode_parts(snapshot.state, raw):
                     yield
-            self.read = State.from_dict(raw)
+            self.installed_state = State.from_dict(raw)
         except serialization.FormatError as error:
             log_event(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
             return
-        step = self._machine.install_snapshot(self._now(), snapshot)
-        self._carry(step)
+        step = self._raft.install_snapshot(self._now(), snapshot)
+        self._carry_out(step)
         if step.restored_snapshot:
             log_event(
                 Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state)
             )
-        yield from self._sweeping()
+        yield from self._sweep_steps()
 
-    def _sweeping(self, failed: bool = False) -> Job:
+    def _sweep_steps(self, failed: bool = False) -> Job:
         yield
         if failed:
-            self._store.drop_made()
-        while self._store.sweep():
+            self._storage.drop_made()
+        while self._storage.sweep():
             yield
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -200,11 +200,11 @@
         ]
         await asyncio.sleep(0)
         asked, reached = 0, began + 0.25
-        made.look()
+        made.resolve()
         await asyncio.sleep(0)
         assert asked == 1 and sum(task.done() for task in tasks) == 200
         log.term = 2
-        made.look()
+        made.resolve()
         ended = await asyncio.gather(*tasks, return_exceptions=True)
         assert sum(isinstance(one, CallError) for one in ended) == 100
 
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -21,8 +21,9 @@
 from cairndale.configuration.json_stream import loads_steps
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.configuration.validation import iter_content_errors
-from cairndale.control.applier import Applier, encoded
-from cairndale.control.snapshot_worker import SnapshotWorker, uncollected
+from cairndale.control.applier import Applier, encode_command
+from cairndale.control.gc_pause import gc_paused
+from cairndale.control.snapshot_worker import SnapshotWorker
 from cairndale.raft import codec, fragments
 from cairndale.raft.messages import (
     Entry,
@@ -103,7 +104,7 @@
         self.store.write(made.writes)
         self.received = made.received_snapshot or self.received
         if made.restored_snapshot:
-            self.state = self.snapshot_worker.read
+            self.state = self.snapshot_worker.installed_state
 
     def run(self, name: str) -> None:
         more = True
@@ -116,7 +117,7 @@
     log = [Entry(n, 1, b"x" * 400) for n in range(1, 129)]
     leader = Side(folder / "a", ME, PersistedState(snapshot=Snapshot(0, 0, (ME, OTHER))), log)
     with step("make: begin"):
-        leader.snapshot_worker.make(state.to_dict(), 128)
+        leader.snapshot_worker.create(state.to_dict(), 128)
     leader.run("make: encode, stage, point, sweep")
     made = leader.machine.base_snapshot
     print(f"snapshot: {len(made.state)} bytes")
@@ -162,10 +163,10 @@
     }
     data = whole.encode()
     for name, work in kinds.items():
-        with step(name), uncollected():
+        with step(name), gc_paused():
             work()
     body = json.dumps(first).encode()
-    with step("at once: read the body"), uncollected():
+    with step("at once: read the body"), gc_paused():
         json.loads(body)
 
 
@@ -183,7 +184,7 @@
         ("read the body", loads_steps(body)),
         ("judge, look at it", iter_content_errors(content)),
     ):
-        with uncollected(stay=name == "read the body"):
+        with gc_paused(freeze=name == "read the body"):
             for _ in timed(f"replace: {name}", work):
                 pass
     del work
@@ -196,7 +197,7 @@
         ):
             pass
         with step(f"{kind}: begin to encode"):
-            made = encoded(command)
+            made = encode_command(command)
         for data in (
             [made] if isinstance(made, bytes) else timed(f"{kind}: encode, cut a part", made)
         ):
@@ -207,8 +208,8 @@
             assert len(data) <= fragments.PART
             with step(f"{kind}: a part on disk"):
                 side.store.write([SaveEntries(count, (entry,))])
-            applier.take([entry])
-            while applier.is_behind:
+            applier.enqueue([entry])
+            while applier.has_backlog:
                 with step(f"{kind}: read and apply a part"):
                     applier.step()
     for _ in timed("told: encode it for ingresses", applier.state.encode_content_steps()):
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -20,7 +20,7 @@
 from cairndale.configuration import state as config_version
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.control import applier, apply_loop, proposals
-from cairndale.control.applier import Applier, encoded
+from cairndale.control.applier import Applier, encode_command
 from cairndale.control.apply_loop import ApplyLoop
 from cairndale.control.leadership_tracker import LeadershipTracker
 from cairndale.control.node import ControlNode
@@ -38,7 +38,7 @@
 
 
 def whole_or_parts(command: Command) -> list[bytes]:
-    made = encoded(command)
+    made = encode_command(command)
     return [made] if isinstance(made, bytes) else [data for data in made if data]
 
 
@@ -56,8 +56,8 @@
 
 def in_force(entries: Iterable[Entry], applier: Applier | None = None) -> Applier:
     applier = applier or Applier(State())
-    applier.take(entries)
-    while applier.is_behind:
+    applier.enqueue(entries)
+    while applier.has_backlog:
         applier.step()
     return applier
 
@@ -83,8 +83,8 @@
     data, applier, steps = whole_or_parts(command), Applier(State()), 0
     assert len(data) > 8 and {len(d) for d in data[:-1]} == {fragments.PART - fragments.DIGEST}
     assert 2 * fragments.PART <= BATCH
-    applier.take(Entry(n, 1, d) for n, d in enumerate(data, 1))
-    while applier.is_behind:
+    applier.enqueue(Entry(n, 1, d) for n, d in enumerate(data, 1))
+    while applier.has_backlog:
         assert applier.state == State()
         applier.step()
         steps += 1
@@ -170,10 +170,10 @@
     applier = made(State())
     for entry in log:
         in_force([entry], applier)
-        if applier.is_whole and rng.random() < 0.3:  # a snapshot, and a start from it
+        if applier.is_between_commands and rng.random() < 0.3:  # a snapshot, and a start from it
             applier = made(State.decode(applier.state.encode()), entry.index, entry.term)
     assert applier.state == plain_reading(log), "not as the plain reading of the log"
-    assert in_force([Entry(len(log) + 1, 99, is_term_start=True)], applier).is_whole, (
+    assert in_force([Entry(len(log) + 1, 99, is_term_start=True)], applier).is_between_commands, (
         "not as the plain reading: open"
     )
     return applier.state.gen > 0
@@ -194,9 +194,9 @@
     change: Callable[[Applier, fragments.Fragment], fragments.Fragment | None],
 ) -> type[Applier]:
     class Planted(Applier):
-        def _gathered(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
+        def _assemble(self, part: fragments.Fragment) -> Generator[None, None, Command | None]:
             changed = change(self, part)
-            return (yield from super()._gathered(changed)) if changed else None
+            return (yield from super()._assemble(changed)) if changed else None
 
     return Planted
 
@@ -205,7 +205,7 @@
     if part.kind is not FragmentKind.LAST:
         return part
     digest = (
-        applier._begun.digest if applier._begun and part.number else fragments.state_digest()
+        applier._partial.digest if applier._partial and part.number else fragments.state_digest()
     ).copy()
     digest.update(part.data[fragments.DIGEST :])
     return replace(part, data=digest.digest() + part.data[fragments.DIGEST :])
@@ -213,17 +213,17 @@
 
 def neither_number(applier: Applier, part: fragments.Fragment) -> fragments.Fragment:
     """Each of the two alone finds a part that is missing."""
-    number = applier._begun.count if applier._begun and part.number else part.number
+    number = applier._partial.count if applier._partial and part.number else part.number
     return replace(no_digest(applier, part), number=number)
 
 
 class StaysOpen(Applier):
-    def _applying(self, entry: Entry) -> Generator[None, None, bool]:
-        return (yield from super()._applying(replace(entry, is_term_start=False)))
+    def _apply_steps(self, entry: Entry) -> Generator[None, None, bool]:
+        return (yield from super()._apply_steps(replace(entry, is_term_start=False)))
 
 
 class AlwaysWhole(Applier):
-    is_whole = True  # type: ignore[assignment]
+    is_between_commands = True  # type: ignore[assignment]
 
 
 PLANTED = {
@@ -331,7 +331,7 @@
 async def alike(world: World) -> State:
     await asyncio.sleep(8.0)
     (state,) = {c.state.encode() for c in world.cores.values()}
-    assert all(c.applier.is_whole for c in world.cores.values()), (
+    assert all(c.applier.is_between_commands for c in world.cores.values()), (
         "it waits for what will never come"
     )
     return State.decode(state)
@@ -491,7 +491,10 @@
     monkeypatch.setattr(serialization, "run_to_completion", counted)
     play(told_in_steps(made))
     monkeypatch.setattr(
-        Applier, "tells", property(lambda self: False, lambda self, value: None), raising=False
+        Applier,
+        "encodes_content",
+        property(lambda self: False, lambda self, value: None),
+        raising=False,
     )
     with pytest.raises(AssertionError, match="made at once"):
         play(told_in_steps(made))
@@ -510,7 +513,7 @@
 def test_commands_of_disks_of_old_are_read() -> None:
     """A large one in one entry."""
     data = replaced(1, 0, 30_000).encode()
-    assert len(data) > applier.LARGE and in_force([Entry(1, 1, data)]).state.gen == 1
+    assert len(data) > applier.LARGE_ENTRY and in_force([Entry(1, 1, data)]).state.gen == 1
 
 
 # The body of a call.
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -17,7 +17,7 @@
 from cairndale.configuration import serialization
 from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control.snapshot_worker import RETRY, STAGED, SnapshotWorker
+from cairndale.control.snapshot_worker import CHUNK, RETRY_AFTER, SnapshotWorker
 from cairndale.raft import codec
 from cairndale.raft.messages import (
     Entry,
@@ -455,12 +455,12 @@
         write(writes)
 
     monkeypatch.setattr(store, "write", counted)
-    steps.snapshot_worker.make(state.to_dict(), 9)
+    steps.snapshot_worker.create(state.to_dict(), 9)
     state.apply(Command(Verb.EVACUATE, "meanwhile", zone="z"))
     steps.machine.log.append(Entry(10, 1, b"10"))
     store.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
     assert steps.machine.base_snapshot.index == 0 and store.load().snapshot.index == 0
-    assert steps.run() > 10 and max(written) <= STAGED
+    assert steps.run() > 10 and max(written) <= CHUNK
     kept = store.load()
     assert (
         kept.snapshot.state == before and kept.entries == [Entry(10, 1, b"10")] == steps.machine.log
@@ -474,8 +474,8 @@
     store = RaftStorage(tmp_path, room=512 * 1024)
     steps = Steps(store, grown(8, tenants=30_000))
     for n in range(3):
-        steps.now += 2 * RETRY
-        steps.snapshot_worker.make(steps.state.to_dict(), 9)
+        steps.now += 2 * RETRY_AFTER
+        steps.snapshot_worker.create(steps.state.to_dict(), 9)
         steps.run()
         index = 10 + n
         store.write([SaveEntries(index, (Entry(index, 1, b"on"),))])
@@ -484,8 +484,8 @@
             kept.snapshot.index == steps.machine.base_snapshot.index == 0
             and kept.entries[-1].index == index
         )
-    steps.now += 2 * RETRY
-    steps.snapshot_worker.make(State().to_dict(), 9)
+    steps.now += 2 * RETRY_AFTER
+    steps.snapshot_worker.create(State().to_dict(), 9)
     steps.run()
     assert store.load().snapshot.index == 9
 
