--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -82,7 +82,7 @@
             seen := self._collector.parse(found.args["id"], body, now)
         ):
             try:
-                await self._follower.arrivals.say(seen)
+                await self._follower.batcher.register(seen)
             except CallError as failure:
                 return wrong(503, str(failure))
             return told(200, self._nearer(body))
@@ -132,6 +132,6 @@
             zone=found.args["zone"], order_id=json.loads(answer[1])["order"]
         )
         if process.leadership:
-            process.leadership.moves.read(receipt.zone, receipt.order_id)
+            process.leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
         elif process.leader_client.hint:
             process.leader_client.tell(pb.Envelope(evacuation_receipt=receipt))
--- /dev/null
+++ b/cairndale/control/endpoint_codec.py
@@ -0,0 +1,56 @@
+"""Endpoints as messages between control and data-plane nodes.
+
+Times leave a process as what is left of a span, in ms, since clocks are not comparable.
+"""
+
+from __future__ import annotations
+
+from cairndale.registry.endpoints import EncodedEndpoint, Endpoint
+from cairndale.rpc import protocol_pb2 as pb
+
+
+def endpoint_to_message(endpoint: Endpoint, now: float) -> pb.Endpoint:
+    """The message for an endpoint, as of `now`."""
+    return pb.Endpoint(
+        id=endpoint.id,
+        service=endpoint.service,
+        address=endpoint.addr,
+        zone=endpoint.zone,
+        generation=endpoint.gen,
+        capacity=endpoint.capacity,
+        state=endpoint.state,
+        warmup_left_ms=max(0, round((endpoint.warmup_until - now) * 1000)),
+        seq=endpoint.seq,
+    )
+
+
+def encode_endpoint(endpoint: Endpoint, now: float) -> bytes:
+    """The field of a `WatchResponse` that holds this endpoint, serialised.
+
+    Made once for each change of an endpoint, unless it is warming up: then the message depends on
+    the time.
+    """
+    is_warm = endpoint.warmup_until <= now
+    if is_warm and endpoint.encoded.version == endpoint.changed_at_version:
+        return endpoint.encoded.data
+    data = pb.WatchResponse(endpoints=[endpoint_to_message(endpoint, now)]).SerializeToString()
+    if is_warm:
+        endpoint.encoded = EncodedEndpoint(endpoint.changed_at_version, data)
+    return data
+
+
+def endpoint_from_message(message: pb.Endpoint, now: float) -> Endpoint:
+    """The endpoint that a message describes, as if its heartbeat had come `now`."""
+    return Endpoint(
+        id=message.id,
+        service=message.service,
+        addr=message.address,
+        zone=message.zone,
+        gen=message.generation,
+        capacity=message.capacity,
+        state=message.state,
+        warmup_until=now + message.warmup_left_ms / 1000,
+        seq=message.seq,
+        last_heartbeat_at=now,
+        has_ended=message.state == "gone",
+    )
--- a/cairndale/control/evacuation_log.py
+++ b/cairndale/control/evacuation_log.py
@@ -1,71 +1,80 @@
-"""Which calls for a zone are one order. An evacuation has neither a body nor a name: a second call
-may be the same operator's, who got no clear answer, or another's, whose evacuation stands until
-that one, too, is taken back.
+"""Which calls to evacuate or restore a zone belong to one order.
 
-A call is the same order as the one before it while that is not answered, or for a while after,
-unless whoever called is known to have had the answer. One call may come by two ways, and late: it
-has an id from where it came in, and an order has that of its first call."""
+An evacuation has neither a body nor a name. A second call may be the same operator's, who got no
+clear answer, or another operator's, whose evacuation stands until that one, too, is taken back.
+
+A call belongs to the order before it while that is not answered, or for a while after, unless the
+caller is known to have received the answer. One call may arrive by two ways, and late: it carries
+an id from where it entered the system, and an order has the id of its first call.
+"""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
+MAX_CALLS = 1024  # that are remembered here; the replicated state remembers more
+
 
 @dataclass(slots=True)
 class _Order:
     verb: str
-    token: str
-    at: float  # when its first call came
-    open: int = 0  # calls that are not answered
-    read: bool = False  # the answer was
+    id: str
+    began_at: float  # when its first call arrived
+    calls_in_flight: int = 0
+    is_acknowledged: bool = False  # the caller has received the answer
 
 
-CALLS = 1024  # that are remembered here; the state that is agreed on remembers more
+class EvacuationLog:
+    """The newest order of each zone, within one term. Times are seconds on the leader's clock."""
 
+    def __init__(self, now: float, retry_window: float, had_predecessor: bool) -> None:
+        """`retry_window`: seconds in which an order without an answer may be sent again.
 
-class EvacuationLog:
-    """Times are seconds on the leader's clock."""
-
-    def __init__(self, now: float, again: float, ever: bool) -> None:
-        """`again`: for how long an order without an answer may be sent anew. `ever`: another held
-        the duty before, and may have heard orders that are sent again here."""
-        self._again, self._unknown = again, now + again if ever else now
-        self._last: dict[str, _Order] = {}
-        self._calls: dict[str, str] = {}  # ids of calls, and their orders
-
-    def came(self, now: float, zone: str, verb: str, stands: bool, call: str = "") -> str:
-        """The order that a call belongs to, or nothing if there is nothing to be done. `stands`:
-        the zone is as the call wants it; `call`: its id. The call is to be `over` later."""
-        last = self._last.get(zone)
-        if (
-            call in self._calls
-        ):  # by another way: whatever has come since, it is the order that it was
-            if last and last.token == self._calls[call]:
-                last.open += 1
-            return self._calls[call]
-        if last is None and stands and now < self._unknown:
-            return self._is(call, "")
-        if last is None or last.verb != verb or not self._is_same(now, last):
-            last = self._last[zone] = _Order(verb, call or f"{random.getrandbits(64):016x}", now)
-        last.open += 1
-        return self._is(call, last.token)
-
-    def _is(self, call: str, token: str) -> str:
-        if call:
-            self._calls[call] = token
-            while len(self._calls) > CALLS:
-                del self._calls[next(iter(self._calls))]
-        return token
-
-    def _is_same(self, now: float, last: _Order) -> bool:
-        return not last.read and (last.open > 0 or now - last.at < self._again)
-
-    def over(self, zone: str, token: str) -> None:
-        if (last := self._last.get(zone)) and last.token == token:
-            last.open -= 1
-
-    def read(self, zone: str, token: str) -> None:
-        """Who called has the answer: a later call is another order."""
-        if (last := self._last.get(zone)) and last.token == token:
-            last.read = True
+        `had_predecessor`: another leader may have had orders that are sent again to this one.
+        """
+        self._retry_window = retry_window
+        self._unknown_until = now + retry_window if had_predecessor else now
+        self._newest: dict[str, _Order] = {}  # by zone
+        self._order_ids: dict[str, str] = {}  # by call id
+
+    def begin_call(
+        self, now: float, zone: str, verb: str, is_in_force: bool, call_id: str = ""
+    ) -> str:
+        """The id of the order that a call belongs to; empty if there is nothing to do.
+
+        `is_in_force`: the zone is as the call wants it. Each call is ended with `end_call`.
+        """
+        newest = self._newest.get(zone)
+        if call_id in self._order_ids:  # a copy: it belongs to its order, whatever came since
+            if newest and newest.id == self._order_ids[call_id]:
+                newest.calls_in_flight += 1
+            return self._order_ids[call_id]
+        if newest is None and is_in_force and now < self._unknown_until:
+            return self._remember(call_id, "")
+        if newest is None or newest.verb != verb or not self._may_be_repeated(now, newest):
+            order_id = call_id or f"{random.getrandbits(64):016x}"
+            newest = self._newest[zone] = _Order(verb, order_id, now)
+        newest.calls_in_flight += 1
+        return self._remember(call_id, newest.id)
+
+    def _remember(self, call_id: str, order_id: str) -> str:
+        if call_id:
+            self._order_ids[call_id] = order_id
+            while len(self._order_ids) > MAX_CALLS:
+                del self._order_ids[next(iter(self._order_ids))]
+        return order_id
+
+    def _may_be_repeated(self, now: float, order: _Order) -> bool:
+        is_recent = now - order.began_at < self._retry_window
+        return not order.is_acknowledged and (order.calls_in_flight > 0 or is_recent)
+
+    def end_call(self, zone: str, order_id: str) -> None:
+        """A call of this order is answered, or has failed."""
+        if (newest := self._newest.get(zone)) and newest.id == order_id:
+            newest.calls_in_flight -= 1
+
+    def acknowledge(self, zone: str, order_id: str) -> None:
+        """The caller has received the answer: a later call is another order."""
+        if (newest := self._newest.get(zone)) and newest.id == order_id:
+            newest.is_acknowledged = True
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -11,8 +11,9 @@
 from typing import Protocol
 
 from cairndale.configuration.state import State
-from cairndale.control.heartbeat_batch import Arrivals, HeartbeatBatch
-from cairndale.control.leadership import Leadership, server_in
+from cairndale.control.endpoint_codec import endpoint_from_message
+from cairndale.control.heartbeat_batch import HeartbeatBatch, HeartbeatBatcher
+from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError
 from cairndale.raft.messages import Member
 from cairndale.registry.endpoints import EndpointRegistry
@@ -66,8 +67,8 @@
         self._seen: tuple[str, int, int] = ("", 0, 0)  # epoch, servers, nodes
         self._answered = float("-inf")  # when the newest was sent that the leader has answered
         self._failed = float("-inf")  # when a call was last given up
-        self.arrivals = Arrivals(
-            process.now, lambda: len(process.raft.members), self._tell_arrivals
+        self.batcher = HeartbeatBatcher(
+            process.now, lambda: len(process.raft.members), self._send_batch
         )
 
     def span(self) -> float:
@@ -92,17 +93,17 @@
         self._answered = max(self._answered, sent)
         return answer
 
-    async def _tell_arrivals(self, batch: HeartbeatBatch) -> None:
+    async def _send_batch(self, batch: HeartbeatBatch) -> None:
         """Within the time of the beat that came first. Raises CallError."""
         process, now = self._process, self._process.now()
-        arrivals = batch.out(now)
+        report = batch.report(now)
         if process.leadership:  # this one leads by now
-            await process.register_endpoints(arrivals)
+            await process.register_endpoints(report)
             return
         is_in_contact = self.in_contact(now)
-        within = batch.began + (PASS_ON if is_in_contact else BEAT) - now
+        within = batch.began_at + (PASS_ON if is_in_contact else BEAT) - now
         await self.call(
-            pb.Envelope(endpoint_report=arrivals), within, within if is_in_contact else WAY
+            pb.Envelope(endpoint_report=report), within, within if is_in_contact else WAY
         )
 
     def _node(self) -> pb.Node:
@@ -150,7 +151,7 @@
 
     def _take(self, watch_response: pb.WatchResponse) -> None:
         process, now = self._process, self._process.now()
-        seen = [server_in(s, now) for s in watch_response.endpoints]
+        seen = [endpoint_from_message(s, now) for s in watch_response.endpoints]
         if watch_response.endpoints_version != self._seen[1] or watch_response.endpoints_complete:
             process.endpoint_registry.apply_update(
                 seen, watch_response.endpoints_version, watch_response.endpoints_complete
@@ -179,7 +180,7 @@
             await asyncio.sleep(REPORT * self.span() * random.uniform(0.8, 1.2))
             beats = self._collector.report(process.now())
             if process.leadership:
-                process.leadership.beats(process.now(), beats)
+                process.leadership.record_report(process.now(), beats)
                 self._collector.acknowledge(beats)
                 continue
             try:
--- a/cairndale/control/heartbeat_batch.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -1,98 +1,106 @@
-"""Beats that say something new, as they come to a core machine that does not lead: the leader is
-told of them together, and whoever sent one is answered once the leader has heard it with a majority
-behind it.
+"""Heartbeats that report something new and reach a follower, sent to the leader in batches.
 
-The first is told of at once; what comes soon after that goes together, so that after a start of all
-the leader is called so many times a second, and not once for each server."""
+A server is answered once the leader has registered its heartbeat with a majority behind it. The
+first heartbeat is sent at once; those that follow soon after go together. So after a restart of all
+servers the leader takes so many calls a second, and not one for each server.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from cairndale.control.leadership import server_in, server_out
+from cairndale.control.endpoint_codec import endpoint_from_message, endpoint_to_message
 from cairndale.errors import CallError, QueueFullError
 from cairndale.events import Event, log_event
 from cairndale.registry.endpoints import REPORTED_STATES, Endpoint, EndpointRegistry
 from cairndale.rpc import protocol_pb2 as pb
 
-# s between two calls, for each core machine: the leader takes so many in all a second ...
-APART_EACH = 0.01
-APART_MOST = 0.25  # ... and no more than so many: a server waits a second for its answer
-MOST = 512  # beats in one call
+# Between two batches of one control node, for each control node there is: the leader takes the
+# reciprocal a second in all.
+BATCH_INTERVAL_PER_NODE_S = 0.01
+MAX_BATCH_INTERVAL_S = 0.25  # a server waits a second for its answer
+MAX_BATCH_SIZE = 512
 
 
-def apart(cores: int) -> float:
-    """s between two calls of one core machine, of so many."""
-    return min(APART_MOST, APART_EACH * cores)
+def batch_interval(control_nodes: int) -> float:
+    """Seconds between two batches of one control node, of so many."""
+    return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_NODE_S * control_nodes)
 
 
-def hear(endpoint_registry: EndpointRegistry, arrivals: pb.EndpointReport, now: float) -> bool:
-    """At the leader. True if there is news for the data plane."""
-    told = [
-        server_in(server, now) for server in arrivals.endpoints if server.state in REPORTED_STATES
+def register_endpoints(
+    endpoint_registry: EndpointRegistry, report: pb.EndpointReport, now: float
+) -> bool:
+    """Register a batch at the leader. True if the data plane has to know."""
+    heartbeats = [
+        endpoint_from_message(message, now)
+        for message in report.endpoints
+        if message.state in REPORTED_STATES
     ]
-    news = [seen for seen in told if endpoint_registry.record_heartbeat(seen)]
-    if news:
-        log_event(
-            Event.ENDPOINTS_CHANGED, "%s", ", ".join(f"{s.id} {s.service} {s.state}" for s in news)
-        )
-    return bool(news)
+    changed = [h for h in heartbeats if endpoint_registry.record_heartbeat(h)]
+    if changed:
+        names = ", ".join(f"{e.id} {e.service} {e.state}" for e in changed)
+        log_event(Event.ENDPOINTS_CHANGED, "%s", names)
+    return bool(changed)
 
 
 class HeartbeatBatch:
-    """What is told in one call."""
+    """Heartbeats that are sent in one call."""
 
     def __init__(self, now: float) -> None:
-        self.began = now
-        self.beats: list[Endpoint] = []
+        self.began_at = now
+        self.heartbeats: list[Endpoint] = []
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
-    def out(self, now: float) -> pb.EndpointReport:
-        return pb.EndpointReport(endpoints=[server_out(seen, now) for seen in self.beats])
+    def report(self, now: float) -> pb.EndpointReport:
+        """The message for the leader."""
+        return pb.EndpointReport(endpoints=[endpoint_to_message(h, now) for h in self.heartbeats])
 
 
-class Arrivals:
-    """Times are seconds on this process's clock."""
+class HeartbeatBatcher:
+    """Collects heartbeats into batches. Times are seconds on this process's clock."""
 
     def __init__(
         self,
         now: Callable[[], float],
-        cores: Callable[[], int],
-        tell: Callable[[HeartbeatBatch], Awaitable[None]],
+        count_control_nodes: Callable[[], int],
+        send: Callable[[HeartbeatBatch], Awaitable[None]],
     ) -> None:
-        """`cores`: how many core machines there are; `tell` calls the leader, and raises
-        CallError where it is not known to have heard."""
-        self._now, self._cores, self._tell = now, cores, tell
-        self._open: HeartbeatBatch | None = None  # not told yet
-        self._told_at = float("-inf")
+        """`send` calls the leader, and raises CallError where it may not have registered all."""
+        self._now, self._count_control_nodes, self._send = now, count_control_nodes, send
+        self._open: HeartbeatBatch | None = None  # not sent yet
+        self._sent_at = float("-inf")
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def say(self, seen: Endpoint) -> None:
-        """Until the leader has heard it. Raises CallError."""
+    async def register(self, heartbeat: Endpoint) -> None:
+        """Return once the leader has registered a heartbeat.
+
+        Raises QueueFullError if the batch is full, and CallError where that is not known.
+        """
         batch, now = self._open, self._now()
         if batch is None:
             batch = self._open = HeartbeatBatch(now)
-            wait = max(0.0, self._told_at + apart(self._cores()) - now)
-            asyncio.get_running_loop().call_later(wait, self._go, batch)
-        if len(batch.beats) >= MOST:
+            next_at = self._sent_at + batch_interval(self._count_control_nodes())
+            delay = max(0.0, next_at - now)
+            asyncio.get_running_loop().call_later(delay, self._close_batch, batch)
+        if len(batch.heartbeats) >= MAX_BATCH_SIZE:
             raise QueueFullError("too many servers at once")
-        batch.beats.append(seen)
+        batch.heartbeats.append(heartbeat)
         await asyncio.shield(batch.done)
 
-    def _go(self, batch: HeartbeatBatch) -> None:
-        self._open, self._told_at = None, self._now()
-        task = asyncio.get_running_loop().create_task(self._end(batch))
+    def _close_batch(self, batch: HeartbeatBatch) -> None:
+        self._open, self._sent_at = None, self._now()
+        task = asyncio.get_running_loop().create_task(self._send_batch(batch))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _end(self, batch: HeartbeatBatch) -> None:
+    async def _send_batch(self, batch: HeartbeatBatch) -> None:
         try:
-            await self._tell(batch)
+            await self._send(batch)
         except CallError as failure:
             batch.done.set_exception(failure)
-            batch.done.exception()  # nobody may wait for it any longer
+            batch.done.exception()  # marks it as seen: nobody may wait for it any longer
         else:
             batch.done.set_result(None)
         finally:
-            batch.done.cancel()  # no other failure leaves anybody waiting
+            batch.done.cancel()  # after any other failure nobody is left waiting
--- a/cairndale/control/idempotency.py
+++ b/cairndale/control/idempotency.py
@@ -1,39 +1,50 @@
-"""Answers to calls that are not to be acted on twice: remembered for as a copy may
-arrive."""
+"""Answers to calls that must not take effect twice, cached for as long as a copy may arrive."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from cairndale.rpc import protocol_pb2 as pb
 
-# A caller sends copies for 0.5 s, a peer waits 2 s for the answer to what it passes on, and bytes
+# A caller sends copies for 0.5 s, a peer waits 2 s for the answer to what it forwards, and bytes
 # that nobody acknowledges are given up after 1.5 s.
-KEEP = 4.0  # s
-MOST = 4096  # answers; about 300 bytes each
+ANSWER_LIFE_S = 4.0
+MAX_ANSWERS = 4096  # about 300 bytes each
+
+
+@dataclass(frozen=True, slots=True)
+class _CachedAnswer:
+    made_at: float
+    data: bytes
 
 
 class IdempotencyCache:
-    """A copy that comes later than this, as from a peer that stood still, is taken for another
-    call: units are granted once more, to nobody. That wastes them and never exceeds a bound.
+    """Answers by the caller's life and the call's id (its idempotency key).
 
-    Times are seconds on the leader's clock."""
+    A copy that comes later than ANSWER_LIFE_S, as from a peer that stood still, is taken for
+    another call: units are granted once more, to nobody. That wastes them and never exceeds a
+    bound. Times are seconds on the leader's clock.
+    """
 
     def __init__(self) -> None:
-        self._answers: dict[tuple[str, int], tuple[float, bytes]] = {}  # by life and id, in order
+        self._answers: dict[tuple[str, int], _CachedAnswer] = {}  # by life and id, the oldest first
 
-    def answer(self, now: float, origin: str, id: int) -> pb.Envelope | None:
-        """What a copy of this call was answered before."""
-        self._forget(now)
-        found = self._answers.get((origin, id)) if origin and id else None
-        return pb.Envelope.FromString(found[1]) if found else None
+    def get(self, now: float, origin: str, id: int) -> pb.Envelope | None:
+        """The answer that a copy of this call was given before."""
+        self._evict(now)
+        cached = self._answers.get((origin, id)) if origin and id else None
+        return pb.Envelope.FromString(cached.data) if cached else None
 
-    def keep(self, now: float, origin: str, id: int, answer: pb.Envelope) -> None:
+    def put(self, now: float, origin: str, id: int, answer: pb.Envelope) -> None:
+        """Remember an answer; calls without origin or id have no copies."""
         if origin and id:
-            self._answers[origin, id] = (now, answer.SerializeToString())
+            self._answers[origin, id] = _CachedAnswer(now, answer.SerializeToString())
 
-    def _forget(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
         answers = self._answers
         while answers:
-            first = next(iter(answers))
-            if answers[first][0] + KEEP > now and len(answers) < MOST:
+            oldest = next(iter(answers))
+            is_alive = answers[oldest].made_at + ANSWER_LIFE_S > now
+            if is_alive and len(answers) < MAX_ANSWERS:
                 return
-            del answers[first]
+            del answers[oldest]
--- /dev/null
+++ b/cairndale/control/ingress_counter.py
@@ -0,0 +1,37 @@
+"""The number of ingresses that static shares of quotas and budgets are divided by."""
+
+from __future__ import annotations
+
+from cairndale.registry.nodes import NodeRegistry
+
+COUNTED_AFTER_S = 20.0  # that an ingress still counts after it was last known
+RECOUNT_S = 0.05  # between two counts over all nodes, whose cost grows with their number
+
+
+class IngressCounter:
+    """Counts ingresses with a lease of late: shares must not grow as soon as one is missed."""
+
+    def __init__(self, node_registry: NodeRegistry) -> None:
+        self._node_registry = node_registry
+        self._counted_until: dict[str, float] = {}  # by name
+        self._counted_at = float("-inf")
+        self._names_added = -1  # to the registry, by the time of the newest count
+
+    def count(self, now: float) -> int:
+        """The number of ingresses, 1 at the least.
+
+        It may be RECOUNT_S old, but never lacks a name that is new.
+        """
+        names_added = self._node_registry.names_added
+        is_recent = 0 <= now - self._counted_at < RECOUNT_S
+        if self._names_added != names_added or not is_recent:
+            self._counted_at, self._names_added = now, names_added
+            self._recount(now)
+        return max(1, len(self._counted_until))
+
+    def _recount(self, now: float) -> None:
+        for lease in self._node_registry.leases.values():
+            if lease.node.kind == "edge":
+                self._counted_until[lease.node.name] = now + COUNTED_AFTER_S
+        counted = self._counted_until
+        self._counted_until = {name: until for name, until in counted.items() if until > now}
--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -66,7 +66,7 @@
         """Takes a changed state over, and reports the change."""
         if applied.changed:
             if self._current:
-                self._current.follow(self._applier.state)
+                self._current.apply_state(self._applier.state)
             self._notifier.notify()
 
     def update(self) -> None:
@@ -96,6 +96,6 @@
             self._settings.bounds,
             self._settings.heartbeat_interval_s,
         )
-        self._current.follow(state)
+        self._current.apply_state(state)
         log_event(Event.LEADERSHIP_BEGINS, "term %d", raft.term)
         self._notifier.notify()
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -163,7 +163,7 @@
                 self.follower.asks,
                 self.follower.reports,
                 self.watch_server.run,
-                self.watch_server.strike,
+                self.watch_server.enrolment.remove_forever,
             )
         ]
 
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -112,7 +112,8 @@
             case "show":
                 return told(
                     200,
-                    leadership.show(self._leader.now(), state) | self._leader.describe_cluster(),
+                    leadership.fleet_view(self._leader.now(), state)
+                    | self._leader.describe_cluster(),
                 )
         return wrong(404, "no such call")
 
@@ -293,11 +294,11 @@
             await self._everywhere(state.version)
             return self._moved(zone, state.evacuation_calls[call])
         stands = (zone in state.evacuated) == (verb is Verb.EVACUATE)
-        order = leadership.moves.came(now, zone, verb.value, stands, call)
+        order = leadership.evacuation_log.begin_call(now, zone, verb.value, stands, call)
         try:
             return await self._in_turn(lambda: self._move(verb, zone, order, call, now))
         finally:
-            leadership.moves.over(zone, order)
+            leadership.evacuation_log.end_call(zone, order)
 
     async def _everywhere(self, version: int) -> None:
         """Until every ingress serves by it, or has stopped as its lease is over. Raises
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -4,7 +4,7 @@
 
 from cairndale.control.change_notifier import ChangeNotifier
 from cairndale.control.clock import Clock
-from cairndale.control.heartbeat_batch import hear
+from cairndale.control.heartbeat_batch import register_endpoints
 from cairndale.control.leadership_tracker import LeadershipTracker
 from cairndale.control.operations import OperationHandler
 from cairndale.control.raft_driver import RaftDriver
@@ -46,7 +46,7 @@
                 self._driver.receive(message)
             case "evacuation_receipt" if leadership and leadership.term == envelope.term:
                 receipt = envelope.evacuation_receipt
-                leadership.moves.read(receipt.zone, receipt.order_id)
+                leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
 
     async def answer(self, envelope: pb.Envelope) -> pb.Envelope:
         """The answer to a call.
@@ -66,13 +66,13 @@
         match envelope.WhichOneof("body"):
             case "watch_request":
                 leads.require(envelope.term)
-                watch_response = await self._watch_server.ask(envelope.watch_request)
+                watch_response = await self._watch_server.watch(envelope.watch_request)
                 return pb.Envelope(watch_response=watch_response, term=leads.require().term)
             case "quota_request" | "budget_request":
-                return leads.require(envelope.term).units(self._clock.now(), envelope)
+                return leads.require(envelope.term).grants.answer(self._clock.now(), envelope)
             case "heartbeat_report":
                 leadership, now = leads.require(envelope.term), self._clock.now()
-                leadership.beats(now, envelope.heartbeat_report)
+                leadership.record_report(now, envelope.heartbeat_report)
                 await self._confirm(now, leadership.term)
                 return pb.Envelope(term=leadership.term)
             case "endpoint_report":
@@ -95,7 +95,7 @@
         meanwhile.
         """
         leadership, now = self._leadership.require(term), self._clock.now()
-        if hear(leadership.endpoint_registry, report, now):
+        if register_endpoints(leadership.endpoint_registry, report, now):
             self._notifier.notify()
         await self._confirm(now, leadership.term)
         return leadership.term
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -1,40 +1,41 @@
-"""The leader's answers to asks: who is told what is new, when, and in which order.
+"""The leader's queue of watch requests: who is answered, when, and in which order.
 
-An ask is kept until there is news for it or its hold is over. Changes that come close together are
-told together, as each wakes all asks; what is told in a second is bounded, so that it neither fills
-the leader's link, behind which the log's beats would wait, nor its processor; those who have
-nothing come first. Whoever is not reached in time has its lease renewed and asks again: nothing
-that was made for it is thrown away."""
+A request is kept until there is an update for it or its long-poll timeout is over. Changes that
+come close together are sent in one round, as each wakes all requests. Bytes a second are capped, so
+that heartbeats of the log are not delayed on the leader's link, and responses built in a row are
+capped for its processor. Nodes that know nothing of this term come first, the others by how long
+they have waited. A request whose turn does not come in time has its node's lease renewed, and the
+node asks again: no response is built in vain.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import heapq
-import random
 from dataclasses import dataclass
 from typing import Protocol
 
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.state import Command, State
 from cairndale.control.leadership import Leadership
-from cairndale.errors import CallError, CallTimeoutError, QueueFullError, StaleCallError
+from cairndale.control.lease_enrolment import LeaseEnrolment
+from cairndale.errors import CallError, QueueFullError, StaleCallError
 from cairndale.rpc import protocol_pb2 as pb
 
-LONGEST = 5.0  # s, at the most, that an ask is kept
-LATE = 1.0  # s beyond its hold after which an ask is given up
-# s, for each ingress, between two rounds in which all are told of servers and nodes ...
-GATHER_EACH = 0.0015
-GATHER_MOST = 0.5  # ... and no more than so many
-BYTES_PER_S = 7_500_000  # told in a second, over a while; half of a link of 120 Mbit/s ...
-BYTES = 400_000  # ... and at once
-AT_ONCE = 16  # answers made before others have a turn
-JOINING = 0.02  # s in which those who come at the same time are enrolled together
-ENROLLED = 3.0  # s for which an ask waits for a round of enrolment
-STRIKE = 10.0  # s between looks for ingresses that hold no lease any longer
+MAX_PENDING_S = 5.0
+RESPONSE_GRACE_S = 1.0  # beyond its long-poll timeout, after which a request is given up
+# Between two rounds in which all nodes are sent changes of endpoints and nodes, for each ingress.
+ROUND_INTERVAL_PER_INGRESS_S = 0.0015
+MAX_ROUND_INTERVAL_S = 0.5
+SEND_RATE_BYTES_PER_S = 7_500_000  # on average; half of a link of 120 Mbit/s
+SEND_BURST_BYTES = 400_000
+MAX_RESPONSES_IN_A_ROW = 16  # before other tasks have their turn
+MIN_WAIT_S = 0.001
+MAX_CREDIT_S = 1.0  # of the send rate, that is added for time without a turn
 
 
 class Leader(Protocol):
-    """The process whose duty it is, if it is."""
+    """What the watch server needs of its process."""
 
     @property
     def state(self) -> State: ...
@@ -42,105 +43,140 @@
     def leadership(self) -> Leadership | None: ...
     def now(self) -> float: ...
     def require_leadership(self) -> Leadership:
-        """Raises CallError where the duty is not held, or no longer."""
+        """The leadership. Raises CallError where this process does not lead."""
 
     async def decide(self, command: Command) -> bool:
-        """Raises CallError where it is not known what became of it."""
+        """Commit a command. Raises CallError where its outcome is not known."""
 
     def notify_change(self) -> None: ...
 
 
-def gather(edges: int) -> float:
-    """s between two rounds of news, with so many ingresses."""
-    return min(GATHER_MOST, GATHER_EACH * edges)
+def round_interval(ingresses: int) -> float:
+    """Seconds between two rounds of changes, with so many ingresses."""
+    return min(MAX_ROUND_INTERVAL_S, ROUND_INTERVAL_PER_INGRESS_S * ingresses)
+
+
+@dataclass(frozen=True, slots=True)
+class _UrgentState:
+    """What all nodes are sent at once, without waiting for the next round."""
+
+    epoch: str
+    config_version: int
+    is_counting: bool
 
 
 @dataclass(slots=True, eq=False)
 class _PendingWatch:
-    ask: pb.WatchRequest
-    until: float
-    since: float  # when it first asked for what it has not been told yet
-    future: asyncio.Future[pb.WatchResponse]
+    request: pb.WatchRequest
+    deadline: float  # when its long-poll timeout is over
+    waiting_since: float  # the node's first request for what it has not been sent yet
+    response: asyncio.Future[pb.WatchResponse]
+
+
+class _SendBudget:
+    """A token bucket of bytes that may go into debt by one response."""
+
+    def __init__(self) -> None:
+        self.bytes = float(SEND_BURST_BYTES)
+        self._refilled_at = float("-inf")
+
+    def refill(self, now: float) -> None:
+        elapsed = now - max(self._refilled_at, now - MAX_CREDIT_S)
+        self.bytes = min(SEND_BURST_BYTES, self.bytes + elapsed * SEND_RATE_BYTES_PER_S)
+        self._refilled_at = now
+
+    def time_to_credit(self) -> float:
+        """Seconds until there is something to send, MIN_WAIT_S at the least."""
+        return max(MIN_WAIT_S, -self.bytes / SEND_RATE_BYTES_PER_S)
 
 
 class WatchServer:
+    """Answers watch requests while this process leads. Times are seconds on its clock."""
+
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
-        self._kept: dict[_PendingWatch, None] = {}  # in the order in which they came
-        self._newest: dict[
-            str, _PendingWatch
-        ] = {}  # by name: no other ask of the same one is waited for any longer
-        self._ends: list[tuple[float, int, _PendingWatch]] = []  # a heap
-        self._ready: list[_PendingWatch] = []  # there is news for these
-        self._in_order = True  # they are
-        self._since: dict[
-            str, float
-        ] = {}  # by name: when it first asked for what it has not been told yet
-        self._count = 0
+        self.enrolment = LeaseEnrolment(leader)
+        self._pending: dict[_PendingWatch, None] = {}  # in the order of arrival
+        self._newest: dict[str, _PendingWatch] = {}  # by node: it does not wait for an earlier one
+        self._by_deadline: list[tuple[float, int, _PendingWatch]] = []  # a heap
+        self._arrivals = 0  # so that requests of one deadline are ordered
+        self._ready: list[_PendingWatch] = []  # there is an update for these
+        self._ready_is_sorted = True
+        self._waiting_since: dict[str, float] = {}  # by node, while it waits for an update
         self._woken = asyncio.Event()
-        self._changed = False  # since the last round
+        self._has_changed = False  # endpoints or nodes, since the last round
         self._round_at = float("-inf")
-        self._told: tuple[str, int, bool] = ("", -1, False)
-        self._room, self._room_at = float(BYTES), float("-inf")  # bytes that may be told now
-        self._joining: set[str] = set()
-        self._enrolling = False
-        self._enrolled = asyncio.Event()  # set when a round of enrolment is over
-        self._striking: set[str] = (
-            set()
-        )  # no lease is granted to these until it is known what became of that
-        self._edges: tuple[list[str], frozenset[str]] = ([], frozenset())
+        self._sent_state: _UrgentState | None = None  # as of the last round
+        self._budget = _SendBudget()
 
     def wake(self) -> None:
-        """Something has changed."""
-        self._changed = True
+        """Something has changed: nodes are sent it in the next round."""
+        self._has_changed = True
         self._woken.set()
 
-    async def ask(self, ask: pb.WatchRequest) -> pb.WatchResponse:
-        """Raises CallError."""
+    async def watch(self, request: pb.WatchRequest) -> pb.WatchResponse:
+        """The response to a request, once there is an update or its long-poll timeout is over.
+
+        A node has one request at a time: an earlier one fails. Raises QueueFullError if there is no
+        response within RESPONSE_GRACE_S beyond the timeout, StaleCallError, and CallError where
+        this process does not lead.
+        """
         leader = self._leader
         leader.require_leadership()
-        if not ask.HasField("node") or ask.node.kind == "edge":
-            await self._enrol(ask.name or ask.node.name)
+        if not request.HasField("node") or request.node.kind == "edge":
+            await self.enrolment.enrol(request.name or request.node.name)
         leadership, now = leader.require_leadership(), leader.now()
-        if leadership.asked(now, ask):
+        if leadership.record_watch_request(now, request):
             leader.notify_change()
-        until = now + min(LONGEST, ask.wait_ms / 1000)
-        since = self._since.setdefault(ask.node.name, now)
-        kept = _PendingWatch(ask, until, since, asyncio.get_running_loop().create_future())
-        self._kept[kept] = None
-        if (before := self._newest.get(ask.node.name)) and not before.future.done():
-            before.future.set_exception(StaleCallError("asked anew"))
-        self._newest[ask.node.name] = kept
-        self._count += 1
-        heapq.heappush(self._ends, (until, self._count, kept))
-        if self._is_urgent(leadership, ask, now):
-            self._ready.append(kept)
-            self._in_order = False
-            self._woken.set()
-        elif leadership.has_news(now, ask, leader.state):
-            self.wake()
-        elif self._ends[0][2] is kept:
-            self._woken.set()
+        pending = self._enqueue(request, now)
+        self._schedule(pending, leadership, now)
         try:
-            async with asyncio.timeout(until - now + LATE):
-                return await kept.future
+            async with asyncio.timeout(pending.deadline - now + RESPONSE_GRACE_S):
+                return await pending.response
         except TimeoutError:
             raise QueueFullError("too many ask") from None
         finally:
-            self._kept.pop(kept, None)
-            if self._newest.get(ask.node.name) is kept:
-                del self._newest[ask.node.name]
-
-    def _is_urgent(self, leadership: Leadership, ask: pb.WatchRequest, now: float) -> bool:
-        """It knows nothing of this term, or another configuration than the one in force."""
-        return (
-            ask.epoch != leadership.epoch(now) or ask.config_version != self._leader.state.version
+            self._dequeue(pending)
+
+    def _enqueue(self, request: pb.WatchRequest, now: float) -> _PendingWatch:
+        name = request.node.name
+        pending = _PendingWatch(
+            request=request,
+            deadline=now + min(MAX_PENDING_S, request.wait_ms / 1000),
+            waiting_since=self._waiting_since.setdefault(name, now),
+            response=asyncio.get_running_loop().create_future(),
         )
+        self._pending[pending] = None
+        if (previous := self._newest.get(name)) and not previous.response.done():
+            previous.response.set_exception(StaleCallError("asked anew"))
+        self._newest[name] = pending
+        self._arrivals += 1
+        heapq.heappush(self._by_deadline, (pending.deadline, self._arrivals, pending))
+        return pending
+
+    def _dequeue(self, pending: _PendingWatch) -> None:
+        self._pending.pop(pending, None)
+        name = pending.request.node.name
+        if self._newest.get(name) is pending:
+            del self._newest[name]
+
+    def _schedule(self, pending: _PendingWatch, leadership: Leadership, now: float) -> None:
+        """See to it that the next turn comes early enough for a new request."""
+        request, state = pending.request, self._leader.state
+        if request.epoch != leadership.epoch(now) or request.config_version != state.version:
+            self._ready.append(pending)
+            self._ready_is_sorted = False
+            self._woken.set()
+        elif leadership.watch_responses.has_update(now, request, state):
+            self.wake()
+        elif self._by_deadline[0][2] is pending:
+            self._woken.set()
 
     async def run(self) -> None:
+        """Answer requests for as long as the process runs."""
         while True:
             self._woken.clear()
-            wait = self.turn()
+            wait = self.answer_due()
             if wait > 0:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(wait):
@@ -148,123 +184,92 @@
             else:
                 await asyncio.sleep(0)
 
-    def turn(self) -> float:
-        """Answers whom it is time to; the seconds until the next turn, if nothing changes."""
+    def answer_due(self) -> float:
+        """Answer the requests whose time it is.
+
+        Returns the seconds until the next turn, if nothing changes before.
+        """
         now = self._leader.now()
         try:
             leadership = self._leader.require_leadership()
         except CallError as failure:
-            for kept in self._kept:
-                if not kept.future.done():
-                    kept.future.set_exception(type(failure)())
-            self._ready, self._ends, self._since = [], [], {}
-            self._told = ("", -1, False)
-            return LONGEST
-        self._look(leadership, now)
-        self._room = min(BYTES, self._room + (now - max(self._room_at, now - 1.0)) * BYTES_PER_S)
-        self._room_at = now
-        waits = [LONGEST]
-        if self._ready and self._answer(leadership, now):
+            self._fail_all(failure)
+            return MAX_PENDING_S
+        self._begin_round(leadership, now)
+        self._budget.refill(now)
+        waits = [MAX_PENDING_S]
+        if self._ready and self._answer_ready(leadership, now):
             waits.append(0.0)
         elif self._ready:
-            waits.append(max(0.001, -self._room / BYTES_PER_S))
-        over = bool(self._ends) and self._ends[0][0] <= now
-        ready = set(self._ready) if over else set()
-        while self._ends and (self._ends[0][0] <= now or self._ends[0][2].future.done()):
-            kept = heapq.heappop(self._ends)[2]
-            if not kept.future.done():
-                if kept not in ready:
-                    self._since.pop(kept.ask.node.name, None)
-                kept.future.set_result(leadership.renew(now, kept.ask))
-        if self._ends:
-            waits.append(max(0.001, self._ends[0][0] - now))
-        if self._changed:
-            waits.append(max(0.001, self._round_at + gather(leadership.shared_by(now)) - now))
+            waits.append(self._budget.time_to_credit())
+        self._renew_overdue(leadership, now)
+        if self._by_deadline:
+            waits.append(max(MIN_WAIT_S, self._by_deadline[0][0] - now))
+        if self._has_changed:
+            waits.append(max(MIN_WAIT_S, self._next_round_at(leadership, now) - now))
         return min(waits)
 
-    def _look(self, leadership: Leadership, now: float) -> None:
-        """Sorts out for whom there is news, once for all changes of a while."""
-        told = (leadership.epoch(now), self._leader.state.version, leadership.counting)
-        if told == self._told and not (
-            self._changed and now >= self._round_at + gather(leadership.shared_by(now))
-        ):
-            return
-        self._told, self._changed, self._round_at = told, False, now
+    def _fail_all(self, failure: CallError) -> None:
+        for pending in self._pending:
+            if not pending.response.done():
+                pending.response.set_exception(type(failure)())
+        self._ready, self._by_deadline, self._waiting_since = [], [], {}
+        self._sent_state = None
+
+    def _next_round_at(self, leadership: Leadership, now: float) -> float:
+        return self._round_at + round_interval(leadership.ingress_counter.count(now))
+
+    def _begin_round(self, leadership: Leadership, now: float) -> None:
+        """Find all requests with an update, once for all changes of a round."""
         state = self._leader.state
-        news = [
-            k for k in self._kept if not k.future.done() and leadership.has_news(now, k.ask, state)
+        urgent = _UrgentState(
+            epoch=leadership.epoch(now),
+            config_version=state.version,
+            is_counting=leadership.grants.is_counting,
+        )
+        is_round_due = self._has_changed and now >= self._next_round_at(leadership, now)
+        if urgent == self._sent_state and not is_round_due:
+            return
+        self._sent_state, self._has_changed, self._round_at = urgent, False, now
+        has_update = leadership.watch_responses.has_update
+        self._ready = [
+            pending
+            for pending in self._pending
+            if not pending.response.done() and has_update(now, pending.request, state)
         ]
-        self._ready, self._in_order = news, False
-
-    def _answer(self, leadership: Leadership, now: float) -> bool:
-        """Some of those that are ready; True if others may be answered at once."""
-        if not self._in_order:
-            self._ready.sort(key=lambda kept: (kept.ask.epoch != "", kept.since))
-            self._in_order = True
-        at = 0
-        for at, kept in enumerate(self._ready):
-            if self._room <= 0 or at >= AT_ONCE:
+        self._ready_is_sorted = False
+
+    def _answer_ready(self, leadership: Leadership, now: float) -> bool:
+        """Answer some of those that are ready; True if others may be answered at once."""
+        if not self._ready_is_sorted:
+            self._ready.sort(key=lambda p: (p.request.epoch != "", p.waiting_since))
+            self._ready_is_sorted = True
+        position = 0
+        for position, pending in enumerate(self._ready):
+            if self._budget.bytes <= 0 or position >= MAX_RESPONSES_IN_A_ROW:
                 break
-            if not kept.future.done():
-                watch_response = leadership.watch_response(now, kept.ask, self._leader.state)
-                self._room -= watch_response.ByteSize()
-                self._since.pop(kept.ask.node.name, None)
-                kept.future.set_result(watch_response)
+            if not pending.response.done():
+                self._send_update(pending, leadership, now)
         else:
-            at = len(self._ready)
-        del self._ready[:at]
-        return bool(self._ready) and self._room > 0
-
-    # Who holds leases.
-
-    def _is_enrolled(self, name: str) -> bool:
-        edges = self._leader.state.edges
-        if self._edges[0] is not edges:
-            self._edges = (edges, frozenset(edges))
-        return name in self._edges[1] and name not in self._striking
-
-    async def _enrol(self, name: str) -> None:
-        """Who is to hold a lease is known to whoever may have the duty next. Raises
-        CallError."""
-        while not self._is_enrolled(name):
-            if name not in self._striking:
-                self._joining.add(name)
-            if self._enrolling or name in self._striking:
-                try:
-                    async with asyncio.timeout(ENROLLED):
-                        await self._enrolled.wait()
-                except TimeoutError:
-                    raise CallTimeoutError("not enrolled yet") from None
-            else:
-                await self._enrol_all()
-            self._leader.require_leadership()
+            position = len(self._ready)
+        del self._ready[:position]
+        return bool(self._ready) and self._budget.bytes > 0
 
-    async def _enrol_all(self) -> None:
-        self._enrolling = True
-        try:
-            await asyncio.sleep(JOINING)
-            names, self._joining = tuple(sorted(self._joining - self._striking)), set()
-            if names:
-                await self._leader.decide(Command(Verb.ENROL, added_nodes=names))
-        finally:
-            self._enrolling = False
-            self._round_of_enrolment_over()
-
-    def _round_of_enrolment_over(self) -> None:
-        over, self._enrolled = self._enrolled, asyncio.Event()
-        over.set()
+    def _send_update(self, pending: _PendingWatch, leadership: Leadership, now: float) -> None:
+        response = leadership.watch_responses.update(now, pending.request, self._leader.state)
+        self._budget.bytes -= response.ByteSize()
+        self._waiting_since.pop(pending.request.node.name, None)
+        pending.response.set_result(response)
 
-    async def strike(self) -> None:
-        """Those long gone are enrolled no longer."""
-        while True:
-            await asyncio.sleep(STRIKE * random.uniform(0.8, 1.2))
-            if leadership := self._leader.leadership:
-                gone = tuple(
-                    n for n in self._leader.state.edges if n not in leadership.node_registry.leases
-                )
-                self._striking = set(gone)
-                with contextlib.suppress(CallError):
-                    if gone:
-                        await self._leader.decide(Command(Verb.ENROL, removed_nodes=gone))
-                        self._striking = set()
-                self._round_of_enrolment_over()
+    def _renew_overdue(self, leadership: Leadership, now: float) -> None:
+        """Renew the leases of nodes whose long-poll timeout is over."""
+        by_deadline = self._by_deadline
+        is_any_overdue = bool(by_deadline) and by_deadline[0][0] <= now
+        ready = set(self._ready) if is_any_overdue else set()
+        while by_deadline and (by_deadline[0][0] <= now or by_deadline[0][2].response.done()):
+            pending = heapq.heappop(by_deadline)[2]
+            if pending.response.done():
+                continue
+            if pending not in ready:  # else it goes on waiting for its update
+                self._waiting_since.pop(pending.request.node.name, None)
+            pending.response.set_result(leadership.watch_responses.renewal(now, pending.request))
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from cairndale.chaos.world import ROOT
-from cairndale.control.watch_server import BYTES_PER_S
+from cairndale.control.watch_server import SEND_RATE_BYTES_PER_S
 from cairndale.lookup.selection import TTL
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import packed
@@ -134,9 +134,13 @@
         size = len(packed(pb.WatchResponse(nodes=nodes)))
         what = f"all ingresses told of to one, KB, at {count:,}"
         rows.append((what, format_number(size / 1e3), "made up here and packed"))
-        within = format_number(size * count / BYTES_PER_S)
+        within = format_number(size * count / SEND_RATE_BYTES_PER_S)
         rows.append(
-            ("... told whole to all as they return, s", within, f"at {BYTES_PER_S / 1e6:g} MB/s")
+            (
+                "... told whole to all as they return, s",
+                within,
+                f"at {SEND_RATE_BYTES_PER_S / 1e6:g} MB/s",
+            )
         )
     return rows
 
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -126,8 +126,8 @@
     )
     ask = client.watch_request(NODE, now, 0)
     ask.node.CopyFrom(NODE)
-    leadership.follow(state)
-    return leadership.watch_response(now, ask, state)
+    leadership.apply_state(state)
+    return leadership.watch_responses.update(now, ask, state)
 
 
 def changes(rng: random.Random, count: int, restored: float = 0.0) -> Iterator[tuple[State, State]]:
@@ -215,13 +215,15 @@
     for number, states in enumerate(changes(rng, 30)):
         leader = states[number % 2]
         for state in states:  # as the leader's does, a few items at a time
-            leadership.follow(state)
+            leadership.apply_state(state)
             leadership.tick(number)
         raw, rates = leader.content, (t for t in leader.content["tenants"] if t["ratePerS"])
-        assert leadership.quota_counter._quotas == {
+        assert leadership.grants._quota_counter._quotas == {
             t["name"]: (t["ratePerS"], t["burst"]) for t in rates
         }
-        assert leadership._warm_per_s == {b["name"]: b["warmupPerS"] for b in raw["backends"]}
+        assert leadership.grants._requests_per_s_in_warmup == {
+            b["name"]: b["warmupPerS"] for b in raw["backends"]
+        }
         watch_response = told(leader, client, 100.0 + number, number)
         assert watch_response.has_content == (number == 0)
         client.apply(watch_response, NODE, 100.0, 100.0, 0)
@@ -234,7 +236,7 @@
     ask = client.watch_request(NODE, 200.0, 0)
     ask.node.CopyFrom(NODE)
     ask.node.kind, ask.config_version, ask.generation = "core", 1, 1
-    watch_response = leadership.watch_response(200.0, ask, leader)  # which has the log
+    watch_response = leadership.watch_responses.update(200.0, ask, leader)  # which has the log
     assert (
         watch_response.has_evacuated_zones
         and not watch_response.has_content
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -11,11 +11,16 @@
 
 import pytest
 
-from cairndale.control import heartbeat_batch
-from cairndale.control import leadership as leadership_module
-from cairndale.control import watch_server as prompting
-from cairndale.control.heartbeat_batch import APART_MOST, Arrivals, HeartbeatBatch, apart, hear
-from cairndale.control.leadership import server_out
+from cairndale.control import endpoint_codec, heartbeat_batch, watch_responses
+from cairndale.control import watch_server as watch_server_module
+from cairndale.control.endpoint_codec import endpoint_to_message
+from cairndale.control.heartbeat_batch import (
+    MAX_BATCH_INTERVAL_S,
+    HeartbeatBatch,
+    HeartbeatBatcher,
+    batch_interval,
+    register_endpoints,
+)
 from cairndale.control.read_index import ReadIndex
 from cairndale.errors import CallError, CallTimeoutError
 from cairndale.raft.messages import Ready
@@ -51,22 +56,24 @@
         rng, told, answered = random.Random(cores), list[tuple[float, int]](), dict[str, float]()
 
         async def tell(batch: HeartbeatBatch) -> None:
-            told.append((now(), len(batch.out(now()).endpoints)))
+            told.append((now(), len(batch.report(now()).endpoints)))
             await asyncio.sleep(WAY)
 
-        made, began = Arrivals(now, lambda: cores, tell), now()
+        made, began = HeartbeatBatcher(now, lambda: cores, tell), now()
         came = sorted(began + rng.uniform(0.0, within) for _ in range(beats))
 
         async def server(id: str, at: float) -> None:
             await asyncio.sleep(at - now())
-            await made.say(read_heartbeat(id, beat(1), now()))
+            await made.register(read_heartbeat(id, beat(1), now()))
             answered[id] = now() - at
 
         await asyncio.gather(*(server(f"i{n}", at) for n, at in enumerate(came)))
-        model = plainly(came, min(APART_MOST, 0.01 * cores))
+        model = plainly(came, min(MAX_BATCH_INTERVAL_S, 0.01 * cores))
         assert [n for _, n in told] == [n for _, n in model]
         assert [at for at, _ in told] == pytest.approx([at for at, _ in model], abs=1e-6)
-        assert max(answered.values()) < apart(cores) + WAY + 1e-6 and len(answered) == beats
+        assert (
+            max(answered.values()) < batch_interval(cores) + WAY + 1e-6 and len(answered) == beats
+        )
 
     play(scene())
 
@@ -83,12 +90,12 @@
             if number == 2:
                 raise CallTimeoutError()
 
-        made = Arrivals(now, lambda: 36, tell)
+        made = HeartbeatBatcher(now, lambda: 36, tell)
 
         async def server(id: str, at: float) -> bool:
             await asyncio.sleep(at)
             try:
-                await made.say(read_heartbeat(id, beat(1), now()))
+                await made.register(read_heartbeat(id, beat(1), now()))
             except CallError:
                 return False
             return True
@@ -98,22 +105,26 @@
         )
         assert done == [True, False, False, True]
         tasks = [
-            asyncio.ensure_future(server(f"j{n}", 0.0)) for n in range(heartbeat_batch.MOST + 3)
+            asyncio.ensure_future(server(f"j{n}", 0.0))
+            for n in range(heartbeat_batch.MAX_BATCH_SIZE + 3)
         ]
         # The rest goes to another machine at once.
-        assert sum(await asyncio.gather(*tasks)) == heartbeat_batch.MOST
+        assert sum(await asyncio.gather(*tasks)) == heartbeat_batch.MAX_BATCH_SIZE
 
     play(scene())
 
 
 def test_the_leader_hears_a_copy_or_an_older_word_once_and_nothing_unsound() -> None:
     endpoint_registry = EndpointRegistry()
-    told = [server_out(read_heartbeat(id, beat(seq), 5.0), 5.0) for id, seq in (("i", 7), ("j", 3))]
-    assert hear(endpoint_registry, pb.EndpointReport(endpoints=told), 6.0)
-    assert not hear(endpoint_registry, pb.EndpointReport(endpoints=told), 7.0)
-    older = server_out(read_heartbeat("i", beat(6, state="draining"), 5.0), 5.0)
+    told = [
+        endpoint_to_message(read_heartbeat(id, beat(seq), 5.0), 5.0)
+        for id, seq in (("i", 7), ("j", 3))
+    ]
+    assert register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=told), 6.0)
+    assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=told), 7.0)
+    older = endpoint_to_message(read_heartbeat("i", beat(6, state="draining"), 5.0), 5.0)
     odd = pb.Endpoint(id="k", service="s", address="10.0.0.1:1", state="gone", capacity=1)
-    assert not hear(endpoint_registry, pb.EndpointReport(endpoints=[older, odd]), 8.0)
+    assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=[older, odd]), 8.0)
     assert {
         s.id: (s.seq, s.state, s.last_heartbeat_at) for s in endpoint_registry.endpoints.values()
     } == {
@@ -166,7 +177,7 @@
             await world.crash(leader.settings.ip)
         await asyncio.gather(*tasks)
         if not killed:
-            assert calls < 4 * (1.5 / apart(5) + 2) and max(acked.values()) < 0.45
+            assert calls < 4 * (1.5 / batch_interval(5) + 2) and max(acked.values()) < 0.45
         await asyncio.sleep(1.0)
         holder = world.leader()
         assert holder and {
@@ -236,8 +247,8 @@
         }
         assert len({s.id for s in since}) == len(since)
         for seen in since:  # and what was made before is what would be made now
-            fresh = pb.WatchResponse(endpoints=[server_out(seen, at)])
-            made = pb.WatchResponse.FromString(leadership_module.encoded(seen, at))
+            fresh = pb.WatchResponse(endpoints=[endpoint_to_message(seen, at)])
+            made = pb.WatchResponse.FromString(endpoint_codec.encode_endpoint(seen, at))
             made.endpoints[0].seq = fresh.endpoints[0].seq
             assert made == fresh
         if rng.random() < 0.1:
@@ -252,21 +263,20 @@
 def test_servers_are_encoded_once_each_and_lists_once_a_round(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    counts = {"server_out": 0, "packed": 0}
+    counts = {"endpoint_to_message": 0, "packed": 0}
 
     async def scene(world: Fleet) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(4.0)
         for name in counts:
-            monkeypatch.setattr(
-                leadership_module, name, counted(name, getattr(leadership_module, name))
-            )
+            module = watch_responses if name == "packed" else endpoint_codec
+            monkeypatch.setattr(module, name, counted(name, getattr(module, name)))
         world.begin()  # a later leader that knows of no server
         began = world.now()
         await world.until(world.returned, 5.0)
         await asyncio.sleep(2 * 1.5)
-        assert counts["server_out"] <= 1.2 * len(world.up)
-        assert counts["packed"] <= 2.5 * (world.now() - began) / prompting.gather(
+        assert counts["endpoint_to_message"] <= 1.2 * len(world.up)
+        assert counts["packed"] <= 2.5 * (world.now() - began) / watch_server_module.round_interval(
             len(world.ingresses)
         )
 
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -301,7 +301,7 @@
         if answer[0] == 200:
             leader = world.leader()
             if leader and leader.leadership:  # the receipt came
-                leader.leadership.moves.read(zone, json.loads(answer[1])["order"])
+                leader.leadership.evacuation_log.acknowledge(zone, json.loads(answer[1])["order"])
             return
         hosts = [*hosts, *world.hosts]
         await asyncio.sleep(0.05)
@@ -673,7 +673,9 @@
         1, 100.0, False, EndpointRegistry(), NodeRegistry(), [], settings.bounds, 1.5
     )
     leadership.endpoint_registry.record_heartbeat(read_heartbeat("i", beat(1), 96.0))
-    leadership.beats(100.0, pb.HeartbeatReport(ids=["i", "x"], seqs=[3, 1], ages_ms=[3000, 0]))
+    leadership.record_report(
+        100.0, pb.HeartbeatReport(ids=["i", "x"], seqs=[3, 1], ages_ms=[3000, 0])
+    )
     assert (
         leadership.endpoint_registry.endpoints["i"].last_heartbeat_at == 98.0
         and "x" not in leadership.endpoint_registry.endpoints
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -18,9 +18,11 @@
 import uvloop
 
 from cairndale.configuration.state import Command, State, Verb
-from cairndale.control import leadership as leadership_module
-from cairndale.control import watch_server as prompting
+from cairndale.control import endpoint_codec, watch_responses
+from cairndale.control import watch_server as watch_server_module
+from cairndale.control.ingress_counter import COUNTED_AFTER_S, RECOUNT_S
 from cairndale.control.leadership import Leadership
+from cairndale.control.watch_responses import WatchResponseBuilder
 from cairndale.control.watch_server import WatchServer
 from cairndale.errors import CallError, FaultCode, NotLeaderError
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
@@ -189,7 +191,7 @@
             Bounds(),
             BEAT,
         )
-        self.leadership.follow(self.state)
+        self.leadership.apply_state(self.state)
 
     # The leader, as `Prompter` knows it.
 
@@ -216,7 +218,7 @@
     async def call(self, ingress: Ingress, ask: pb.WatchRequest) -> pb.WatchResponse:
         await asyncio.sleep(WAY)
         self.work(FRAME)
-        watch_response = await self.watch_server.ask(ask)
+        watch_response = await self.watch_server.watch(ask)
         data = watch_response.SerializeToString()
         self.bytes, ingress.bytes = self.bytes + len(data), ingress.bytes + len(data)
         self.sent_at = max(self.sent_at, self.now()) + len(data) / LINK
@@ -301,10 +303,10 @@
 def charged(world: World, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """What the leader does takes its time."""
     server_out, silent, whole, pack = (
-        leadership_module.server_out,
+        endpoint_codec.endpoint_to_message,
         NodeRegistry.count_isolated,
-        Leadership.watch_response,
-        leadership_module.packed,
+        WatchResponseBuilder.update,
+        watch_responses.packed,
     )
 
     def charge(seconds: float, done: Any) -> Any:
@@ -316,13 +318,13 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(
-            leadership_module, "server_out", lambda *args: charge(SERVER, server_out(*args))
+            endpoint_codec, "endpoint_to_message", lambda *args: charge(SERVER, server_out(*args))
         )
         patch.setattr(
-            leadership_module, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part))
+            watch_responses, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part))
         )
         patch.setattr(NodeRegistry, "count_isolated", of)
-        patch.setattr(Leadership, "watch_response", lambda *args: charge(FRAME, whole(*args)))
+        patch.setattr(WatchResponseBuilder, "update", lambda *args: charge(FRAME, whole(*args)))
         yield
 
 
@@ -377,9 +379,9 @@
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
         world.bytes, told, began = 0, [], world.now()
-        whole = Leadership.watch_response
+        whole = WatchResponseBuilder.update
         monkeypatch.setattr(
-            Leadership, "watch_response", lambda *args: (told.append(args), whole(*args))[1]
+            WatchResponseBuilder, "update", lambda *args: (told.append(args), whole(*args))[1]
         )
         for number in range(100):
             world.require_leadership().endpoint_registry.mark_ended(f"i{number}", world.now())
@@ -387,7 +389,7 @@
             world.notify_change()
             await asyncio.sleep(0.02)
         await world.until(world.returned, 1.0)
-        rounds = (world.now() - began) / prompting.gather(100)
+        rounds = (world.now() - began) / watch_server_module.round_interval(100)
         assert 0 < len(told) <= 100 * (rounds + 2)
         assert world.bytes / 100 < 8_000  # an ingress: 100 changes of 70 bytes
 
@@ -420,7 +422,7 @@
     async def told(world: World) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
-        turns, turn = list[float](), WatchServer.turn
+        turns, turn = list[float](), WatchServer.answer_due
 
         def timed(self: WatchServer) -> float:
             before = world.now()
@@ -428,7 +430,7 @@
             turns.append(world.now() - before)
             return wait
 
-        monkeypatch.setattr(WatchServer, "turn", timed)
+        monkeypatch.setattr(WatchServer, "answer_due", timed)
         world.require_leadership().endpoint_registry.mark_ended("i0", world.now())
         del world.up["i0"]
         world.notify_change()
@@ -464,14 +466,14 @@
         )
         assert long_poll_timeout(edges) + NODE_CONTACT_MARGIN_S < NODE_LEASE_S / 2
         assert long_poll_timeout(edges) >= MIN_LONG_POLL_S
-    assert LEADER_CONTACT_MARGIN_S + leadership_module.LOOK < NODE_CONTACT_MARGIN_S
+    assert LEADER_CONTACT_MARGIN_S + RECOUNT_S < NODE_CONTACT_MARGIN_S
 
 
 def test_who_cannot_be_told_yet_keeps_its_lease_and_is_told_later(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(prompting, "BYTES_PER_S", 200_000)
-    monkeypatch.setattr(prompting, "BYTES", 20_000)
+    monkeypatch.setattr(watch_server_module, "SEND_RATE_BYTES_PER_S", 200_000)
+    monkeypatch.setattr(watch_server_module, "SEND_BURST_BYTES", 20_000)
 
     async def slow(world: World) -> None:
         await world.until(lambda: all(e.lease_end > 0 for e in world.ingresses.values()), 2.0)
@@ -595,15 +597,15 @@
     rng, node_registry, names = random.Random(4), NodeRegistry(), [f"e{n}" for n in range(300)]
     looked = node_registry.leases = Looked()
     leadership = Leadership(1, 0.0, True, EndpointRegistry(), node_registry, names, Bounds(), BEAT)
-    counted = {name: leadership_module.COUNTED for name in names}
+    counted = {name: COUNTED_AFTER_S for name in names}
     for turn in range(600):
         now, looked.looks = 0.001 * turn, 0
         name = rng.choice(names) if turn % 100 else f"new{turn}"
         node_registry.record_request(now, pb.Node(name=name, incarnation=f"{turn}", kind="edge"), 0)
-        counted[name] = now + leadership_module.COUNTED
-        before = leadership._shared_at
-        assert leadership.shared_by(now) == len(counted)
-        assert looked.looks == 0 or name.startswith("new") or now - before >= leadership_module.LOOK
+        counted[name] = now + COUNTED_AFTER_S
+        before = leadership.ingress_counter._counted_at
+        assert leadership.ingress_counter.count(now) == len(counted)
+        assert looked.looks == 0 or name.startswith("new") or now - before >= RECOUNT_S
 
 
 def test_long_lists_are_not_made_anew_for_each_that_returns(
@@ -611,9 +613,9 @@
 ) -> None:
     """While 1,000 come back, each of which changes the roll: told by it as it was a little before,
     and all told in the end what a plain reader of the roll finds."""
-    made, pack = list[int](), leadership_module.packed
+    made, pack = list[int](), watch_responses.packed
     monkeypatch.setattr(
-        leadership_module, "packed", lambda part: (made.append(part.ByteSize()), pack(part))[1]
+        watch_responses, "packed", lambda part: (made.append(part.ByteSize()), pack(part))[1]
     )
     node_registry, endpoint_registry, state, now = NodeRegistry(), EndpointRegistry(), State(), 10.0
     leadership = Leadership(1, 0.0, True, endpoint_registry, node_registry, [], Bounds(), BEAT)
@@ -630,7 +632,7 @@
     for number in range(1000):
         now += 0.001
         node_registry.record_request(now, node(number, 2), 0)
-        watch_response = leadership.watch_response(
+        watch_response = leadership.watch_responses.update(
             now,
             pb.WatchRequest(epoch=leadership.epoch(now), nodes_version=known, node=node(number, 2)),
             state,
@@ -638,7 +640,7 @@
     assert len(made) < 120 and watch_response.nodes_version > known
     unpack(watch_response)
     nodes |= {n.name: n.incarnation for n in watch_response.nodes}
-    watch_response = leadership.watch_response(
+    watch_response = leadership.watch_responses.update(
         now,
         pb.WatchRequest(
             epoch=leadership.epoch(now), nodes_version=watch_response.nodes_version, node=node(0, 2)
@@ -658,26 +660,26 @@
         node, told, whole = (
             pb.Node(name="e0", incarnation="x", address="e0", kind="edge"),
             list[str](),
-            Leadership.watch_response,
+            WatchResponseBuilder.update,
         )
         monkeypatch.setattr(
-            Leadership,
-            "watch_response",
+            WatchResponseBuilder,
+            "update",
             lambda *args: (told.append(args[2].node.incarnation), whole(*args))[1],
         )
-        monkeypatch.setattr(world.watch_server, "_room", -1e9)
+        monkeypatch.setattr(world.watch_server._budget, "bytes", -1e9)
         world.ingresses["e0"].task.cancel()
         asks = []
         for _ in range(3):
             asks.append(
                 asyncio.create_task(
-                    world.watch_server.ask(pb.WatchRequest(node=node, wait_ms=1000))
+                    world.watch_server.watch(pb.WatchRequest(node=node, wait_ms=1000))
                 )
             )
             await asyncio.sleep(0.1)
         assert [task.done() for task in asks] == [True, True, False]
         assert all("asked anew" in str(task.exception()) for task in asks[:2])
-        world.watch_server._room = prompting.BYTES
+        world.watch_server._budget.bytes = watch_server_module.SEND_BURST_BYTES
         world.notify_change()
         assert (await asks[2]).has_evacuated_zones and told.count("x") == 1
 
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -17,8 +17,8 @@
 from cairndale.configuration.route_table import RouteTable
 from cairndale.configuration.state import Command, State, Verb
 from cairndale.configuration.validation import content_errors, iter_content_errors, order_errors
+from cairndale.control.endpoint_codec import endpoint_to_message
 from cairndale.control.evacuation_log import EvacuationLog
-from cairndale.control.leadership import server_out
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
 from cairndale.lookup.selection import lookup
 from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, QuotaCounter
@@ -198,30 +198,34 @@
 
 
 def test_calls_for_a_zone_are_one_order_until_the_answer_was_read() -> None:
-    moves = EvacuationLog(100.0, 6.0, ever=False)
-    first = moves.came(100.0, "z", "evacuate", False)
-    assert moves.came(101.0, "z", "evacuate", False) == first  # the first is not answered yet
-    moves.over("z", first)
-    moves.over("z", first)
-    assert moves.came(105.0, "z", "evacuate", True) == first  # the answer may have been lost
-    moves.over("z", first)
-    moves.read("z", first)
-    second = moves.came(105.1, "z", "evacuate", True)
+    evacuation_log = EvacuationLog(100.0, 6.0, had_predecessor=False)
+    first = evacuation_log.begin_call(100.0, "z", "evacuate", False)
+    assert (
+        evacuation_log.begin_call(101.0, "z", "evacuate", False) == first
+    )  # the first is not answered yet
+    evacuation_log.end_call("z", first)
+    evacuation_log.end_call("z", first)
+    assert (
+        evacuation_log.begin_call(105.0, "z", "evacuate", True) == first
+    )  # the answer may have been lost
+    evacuation_log.end_call("z", first)
+    evacuation_log.acknowledge("z", first)
+    second = evacuation_log.begin_call(105.1, "z", "evacuate", True)
     assert second not in ("", first)
-    moves.over("z", second)
-    assert moves.came(112.0, "z", "evacuate", True) not in (
+    evacuation_log.end_call("z", second)
+    assert evacuation_log.begin_call(112.0, "z", "evacuate", True) not in (
         "",
         second,
     )  # sent again for so long only
-    back = moves.came(113.0, "z", "take back", False)
-    assert back and moves.came(113.1, "y", "take back", True)
+    back = evacuation_log.begin_call(113.0, "z", "take back", False)
+    assert back and evacuation_log.begin_call(113.1, "y", "take back", True)
     later = EvacuationLog(
-        200.0, 6.0, ever=True
+        200.0, 6.0, had_predecessor=True
     )  # another has the duty: who held it before may have heard this one
-    assert later.came(201.0, "z", "evacuate", True) == "" and later.came(
+    assert later.begin_call(201.0, "z", "evacuate", True) == "" and later.begin_call(
         201.0, "z", "take back", False
     )
-    assert later.came(207.0, "y", "evacuate", True)
+    assert later.begin_call(207.0, "y", "evacuate", True)
 
 
 def test_the_longest_prefix_of_the_host_wins_as_in_a_plain_search() -> None:
@@ -350,7 +354,7 @@
 def test_a_server_that_says_it_is_cold_for_ages_is_not_taken_at_its_word() -> None:
     raw = beat(1)
     raw["status"]["warmupLeft"] = "999999999s"
-    assert 0 < server_out(read_heartbeat("i", raw, 5.0), 5.0).warmup_left_ms <= 3_600_000
+    assert 0 < endpoint_to_message(read_heartbeat("i", raw, 5.0), 5.0).warmup_left_ms <= 3_600_000
 
 
 # Ingresses.
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -64,7 +64,7 @@
 
     def lease(self, edge: Edge) -> None:
         assert self.leadership
-        left = self.leadership.lease(self.now, pb.QuotaRequest(tenant="t", amount=1.0))
+        left = self.leadership.grants.grant_quota(self.now, pb.QuotaRequest(tenant="t", amount=1.0))
         if left is not None and left >= 0.0:
             self.spent.append((self.now, 1.0))
 
@@ -94,8 +94,12 @@
     world = OneAsks(1, quota=SMALL)
     world.spend = lambda edge: None  # type: ignore[method-assign]
     world.run(LOST, 9.5)
-    assert world.leadership and world.leadership.counting and world.now - world.began < 4.0
-    left = world.leadership.lease(world.now, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
+    assert (
+        world.leadership and world.leadership.grants.is_counting and world.now - world.began < 4.0
+    )
+    left = world.leadership.grants.grant_quota(
+        world.now, pb.QuotaRequest(tenant="t", amount=SMALL[1])
+    )
     assert left is not None and left >= 0.0
 
 
@@ -109,16 +113,16 @@
     leadership = Leadership(
         2, 10.0, True, EndpointRegistry(), NodeRegistry(), ["e0", "e1"], BOUNDS, 1.5
     )
-    leadership.follow(world.state)
+    leadership.apply_state(world.state)
 
     def ask(name: str, now: float, epoch: str, idle: int) -> None:
         node = pb.Node(name=name, incarnation="1", kind="edge", address="d")
-        leadership.asked(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
+        leadership.record_watch_request(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
 
     ask("e0", 10.1, "1" if told else "", 0)
-    assert leadership.counting == told
+    assert leadership.grants.is_counting == told
     ask("e1", 12.0, "", 1900)
-    left = leadership.lease(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
+    left = leadership.grants.grant_quota(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
     assert left is not None and (left >= 0.0) == (not told)
 
 
@@ -148,20 +152,20 @@
             world.ingresses.pop(name).task.cancel()
         await asyncio.sleep(0.6)
         world.begin()  # the next leader, which has heard of no server
-        counted = await world.until(lambda: world.require_leadership().counting, 1.0)
+        counted = await world.until(lambda: world.require_leadership().grants.is_counting, 1.0)
         for id in (
             gone
         ):  # those that are left serve by what they know: nobody is told that others are gone
             assert all(id in e.servers for e in world.ingresses.values())
         await world.until(world.returned, 5.0)
-        assert counted < 1.0 and world.require_leadership().counting
+        assert counted < 1.0 and world.require_leadership().grants.is_counting
         world.up |= gone
         world.ingresses |= {name: FleetIngress(world, name) for name in names}
         await world.until(world.returned, 5.0)
         await asyncio.sleep(1.0)
         assert (
             world.returned()
-            and world.require_leadership().counting
+            and world.require_leadership().grants.is_counting
             and not world.lapsed
             and world.longest < 0.3
         )
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -133,7 +133,7 @@
         self.leadership = Leadership(
             self.term, self.now, ever, endpoint_registry, self.node_registry, names, BOUNDS, 1.5
         )
-        self.leadership.follow(self.state)
+        self.leadership.apply_state(self.state)
 
     def in_touch(self, edge: Edge) -> bool:
         return (
@@ -172,7 +172,7 @@
             )
             leadership = self.leadership
             try:
-                leadership.asked(self.now, made)
+                leadership.record_watch_request(self.now, made)
             except CallError:
                 return
             self.later(
@@ -183,7 +183,7 @@
         def answer(leadership: Leadership, made: pb.WatchRequest) -> None:
             if leadership is not self.leadership or edge.name in self.cut:
                 return
-            watch_response = leadership.watch_response(self.now, made, self.state)
+            watch_response = leadership.watch_responses.update(self.now, made, self.state)
             self.later(lag, lambda: heard(watch_response))
 
         def heard(watch_response: pb.WatchResponse) -> None:
@@ -262,7 +262,9 @@
         assert self.leadership
         asked, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
         try:
-            left = self.leadership.lease(self.now, pb.QuotaRequest(tenant="t", amount=amount))
+            left = self.leadership.grants.grant_quota(
+                self.now, pb.QuotaRequest(tenant="t", amount=amount)
+            )
         except CallError:
             return
         if left is not None and (granted := amount - min(amount, max(0.0, -left))) > 0:
@@ -278,7 +280,9 @@
         assert self.leadership
         for name, used in self.used.items():
             asked, until = self.now, self.now + self.life * 0.98 / edge.rate
-            if self.leadership.deal(self.now, pb.BudgetRequest(budgets=[name])).granted:
+            if self.leadership.grants.grant_budget(
+                self.now, pb.BudgetRequest(budgets=[name])
+            ).granted:
                 self.hand_out(edge, edge.life, used, until, self.rng.choice((asked + 0.02, until)))
 
     def hand_out(
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -587,7 +587,7 @@
         Bounds(quota_slack=20, warmup_slack=5),
         1.5,
     )
-    made.follow(state)
+    made.apply_state(state)
     return made
 
 
@@ -619,9 +619,9 @@
     for deal, id, origin in calls:
         now += 0.01
         id = id + 10 * deal
-        answer = made.units(now, unit_call(id, origin, deal=deal))
+        answer = made.grants.answer(now, unit_call(id, origin, deal=deal))
         if (id, origin) not in answers:
-            answers[id, origin] = plain.units(now, unit_call(0, "", deal=deal))
+            answers[id, origin] = plain.grants.answer(now, unit_call(0, "", deal=deal))
         assert answer == answers[id, origin]
         answer.call_id = 9  # what the connection does with one is nothing to the next
 
@@ -630,18 +630,21 @@
     made = leadership()
     call = unit_call(1)
     call.quota_request.amount = 80
-    first = made.units(100.0, call)
-    assert made.units(100.0 + idempotency.KEEP - 0.01, call) == first
-    assert made.units(100.0 + idempotency.KEEP, call) != first  # wasted, and bounded
-    for id in range(2, 2 * idempotency.MOST):
-        made.units(105.0, unit_call(id))
-    assert len(made._repeats._answers) <= idempotency.MOST
+    first = made.grants.answer(100.0, call)
+    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
+    assert (
+        made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
+    )  # wasted, and bounded
+    for id in range(2, 2 * idempotency.MAX_ANSWERS):
+        made.grants.answer(105.0, unit_call(id))
+    assert len(made.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
     with pytest.raises(CallError) as stale:
-        made.units(105.0, unit_call(1, term=2))
+        made.grants.answer(105.0, unit_call(1, term=2))
     assert stale.value.code is FaultCode.STALE
     size = warmup_budget(Bounds(warmup_slack=5), 5.3).capacity
     granted = [
-        made.units(105.0, unit_call(9000 + n, deal=True)).budget_response.granted for n in range(10)
+        made.grants.answer(105.0, unit_call(9000 + n, deal=True)).budget_response.granted
+        for n in range(10)
     ]
     assert granted.count(True) == int(size)  # another id is another unit
 
@@ -649,7 +652,7 @@
 def asks(made: Leadership, now: float, clock: int, epoch: str = "3", life: str = "1") -> None:
     node = pb.Node(name="e", incarnation=life, kind="edge", address="d", http_address="h")
     ask = pb.WatchRequest(node=node, epoch=epoch, leader_clock_ms=clock, counter_active=True)
-    made.asked(now, ask)
+    made.record_watch_request(now, ask)
 
 
 def test_a_copy_of_an_ask_that_was_held_up_is_no_sign_of_life() -> None:
@@ -658,7 +661,7 @@
     made = leadership()
     asks(made, 100.0, 0, "")
     held = made.node_registry.leases["e"]
-    made.watch_response(100.2, pb.WatchRequest(node=held.node), State())
+    made.watch_responses.update(100.2, pb.WatchRequest(node=held.node), State())
     assert not held.uses_quota_counter  # it has not heard yet that this term counts
     asks(made, 100.3, 290)
     assert held.uses_quota_counter and held.requested_at == 100.3
