--- a/cairndale/chaos/storm.py
+++ b/cairndale/chaos/storm.py
@@ -27,7 +27,7 @@
 from cairndale.chaos.relayed import RelayedWorld
 from cairndale.chaos.standins import Server, ask
 from cairndale.chaos.world import OTHER_KEY, ROOT, Machine
-from cairndale.raft.voters import LEAST
+from cairndale.raft.voters import MIN_VOTERS
 
 HEALED = 15.0  # s for all to be well again (`recovery`)
 WARMUP, WARM_PER_S = (
@@ -243,7 +243,7 @@
             _, shown = await self.order("GET", "Fleet.Show", within=HEALED)
             voters = [m[0] for m in shown["members"] if m[2:] != ["learner"]]
             away = [address for address in voters if address not in here]
-            if not away and len(voters) % 2 and len(voters) >= min(self.plan.cores, LEAST):
+            if not away and len(voters) % 2 and len(voters) >= min(self.plan.cores, MIN_VOTERS):
                 return []
             if loop.time() > until:
                 return [f"{len(voters)} vote, of whom {len(away)} are gone: {' '.join(away)}"]
--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -245,7 +245,7 @@
             self.line_error(f"{folder}: holds no promptbook")
             return USAGE
         try:
-            store = RaftStorage(folder, look=True)
+            store = RaftStorage(folder, read_only=True)
             disk, kept = store.disk_id(), store.load()
             store.close()
             state = State.decode(kept.snapshot.state)
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -27,15 +27,15 @@
 
 
 def encode_command(command: Command) -> bytes | Iterator[bytes]:
-    """The command as one entry's data, or as the data of several entries (`fragments.cut`).
+    """The command as one entry's data, or as the data of several entries (`fragments.split`).
 
     Each item of the iterator is a step of work; an empty one is no entry, only a pause.
     """
     parts = serialization.encode_parts(command.to_dict())
     first = list(islice(parts, 3))  # the format's header, and a second part if there is one
-    if len(first) < 3 and len(data := command.encode()) <= fragments.PART:
+    if len(first) < 3 and len(data := command.encode()) <= fragments.FRAGMENT_BYTES:
         return data
-    return fragments.cut(chain(first, parts))
+    return fragments.split(chain(first, parts))
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
         if not entry.data:
             return False
         if fragments.is_fragment(entry.data):
-            command = yield from self._assemble(fragments.read(entry.data))
+            command = yield from self._assemble(fragments.decode_fragment(entry.data))
         else:
             command = Command.decode(entry.data)
         return (
@@ -134,20 +134,20 @@
 
     def _assemble(self, fragment: Fragment) -> Generator[None, None, Command | None]:
         """Decodes a fragment; returns the command if this is its last one."""
-        if fragment.number == 0 and fragment.kind is not FragmentKind.VOID:
+        if fragment.number == 0 and fragment.kind is not FragmentKind.ABORT:
             self._partial = _PartialCommand()
         partial, self._partial = self._partial, None
-        if partial is None or fragment.kind is FragmentKind.VOID:
+        if partial is None or fragment.kind is FragmentKind.ABORT:
             return None
         if fragment.number != partial.count:
             return None
         is_last = fragment.kind is FragmentKind.LAST
-        data = fragment.data[fragments.DIGEST :] if is_last else fragment.data
+        data = fragment.data[fragments.DIGEST_BYTES :] if is_last else fragment.data
         partial.count += 1
         partial.digest.update(data)
         try:
             yield from partial.decoder.feed(data)
-            if is_last and partial.digest.digest() == fragment.data[: fragments.DIGEST]:
+            if is_last and partial.digest.digest() == fragment.data[: fragments.DIGEST_BYTES]:
                 partial.decoder.finish()
                 return Command.from_dict(partial.raw)
         except (ValueError, KeyError, TypeError):
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -228,7 +228,7 @@
             persisted = bootstrap_state(bootstrap_member(address) for address in self._seeds)
         else:
             disk, persisted = f"{random.SystemRandom().getrandbits(64):016x}", bootstrap_state(())
-        self._storage.begin(disk, persisted)
+        self._storage.initialize(disk, persisted)
         log_event(Event.DISK_NAMED, "%s", disk)
         return disk, persisted
 
--- a/cairndale/control/proposals.py
+++ b/cairndale/control/proposals.py
@@ -18,7 +18,7 @@
 from cairndale.control.clock import Clock
 from cairndale.control.raft_driver import RaftDriver
 from cairndale.errors import CallError, CallTimeoutError, NotLeaderError
-from cairndale.raft.fragments import WINDOW, FragmentKind, part
+from cairndale.raft.fragments import MAX_UNCOMMITTED, FragmentKind, encode_fragment
 from cairndale.raft.messages import Ready
 from cairndale.raft.node import RaftNode
 
@@ -92,7 +92,7 @@
                 for data in fragments:
                     await asyncio.sleep(0)
                     if data:
-                        while len(window) >= WINDOW:
+                        while len(window) >= MAX_UNCOMMITTED:
                             await self._outcome(window.popleft())
                         window.append(self._propose(data, term))
                 for pending in window:
@@ -103,7 +103,7 @@
                     pending.future.cancel()
                 # In a later term its leader's first entry makes the fragments void.
                 if self._raft.term == term:
-                    void = part(FragmentKind.VOID, 0, b"")
+                    void = encode_fragment(FragmentKind.ABORT, 0, b"")
                     self._driver.carry_out(self._raft.propose(self._clock.now(), void)[1])
                 raise
             return changed
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -40,7 +40,7 @@
         match envelope.WhichOneof("body"):
             case "log_message":
                 try:
-                    message = codec.message_in(envelope.log_message)
+                    message = codec.decode_message(envelope.log_message)
                 except ValueError:
                     return
                 self._driver.receive(message)
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -144,6 +144,6 @@
     def _sweep_steps(self, failed: bool = False) -> Job:
         yield
         if failed:
-            self._storage.drop_made()
+            self._storage.discard_unfinished()
         while self._storage.sweep():
             yield
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -35,14 +35,14 @@
         self._storage, self._applier, self._leadership = storage, applier, leadership
         self._rpc_peer = rpc_peer
         self._drawn_in_term = 0
-        rpc_peer.system = storage.system() or applier.state.system_name
+        rpc_peer.system = storage.system_name() or applier.state.system_name
 
     def adopt(self) -> None:
         """Takes the name over that the log says, from the first entry that says one."""
         if (name := self._applier.state.system_name) and name != self._rpc_peer.system:
             # If the disk is full, a later start learns it from the log, or from whom it dials.
             with contextlib.suppress(StorageError):
-                self._storage.name_system(name)
+                self._storage.set_system_name(name)
             self._rpc_peer.name_system(name)
 
     def draw(self) -> None:
--- a/cairndale/raft/codec.py
+++ b/cairndale/raft/codec.py
@@ -1,4 +1,7 @@
-"""The promptbook's messages, entries and snapshots as protobuf, and back."""
+"""Raft messages, log entries and snapshot heads to protobuf and back.
+
+The field numbers in `protocol.proto` are the format, on the wire and on disk. Attributes and
+protobuf fields need not have the same name; this module is the one place that knows both."""
 
 from __future__ import annotations
 
@@ -22,8 +25,10 @@
 )
 from cairndale.rpc import protocol_pb2 as pb
 
+# Entries, members and snapshot heads.
+
 
-def _members_out(members: Iterable[Member]) -> list[pb.Member]:
+def _members_to_pb(members: Iterable[Member]) -> list[pb.Member]:
     return [
         pb.Member(
             address=m.address, disk=m.disk_id, zone=m.zone, region=m.region, learner=m.learner
@@ -32,168 +37,233 @@
     ]
 
 
-def _member(made: pb.Member) -> Member:
-    return Member(made.address, made.disk, made.zone, made.region, made.learner)
+def _member_from_pb(member: pb.Member) -> Member:
+    return Member(member.address, member.disk, member.zone, member.region, member.learner)
 
 
-def _members_in(members: Iterable[pb.Member]) -> tuple[Member, ...]:
-    """Those of an older format tell neither place nor role: voters at places not known."""
-    return tuple(_member(m) for m in members)
+def _members_from_pb(members: Iterable[pb.Member]) -> tuple[Member, ...]:
+    """Members written before zones and learners existed are voters without a location."""
+    return tuple(_member_from_pb(m) for m in members)
 
 
-def _entry_pb(entry: Entry) -> pb.Entry:
+def _entry_to_pb(entry: Entry) -> pb.Entry:
     return pb.Entry(
         index=entry.index,
         term=entry.term,
         data=entry.data,
-        members=_members_out(entry.members),
+        members=_members_to_pb(entry.members),
         opens_term=entry.is_term_start,
     )
 
 
-def _entry_of(made: pb.Entry) -> Entry:
-    return Entry(made.index, made.term, made.data, _members_in(made.members), made.opens_term)
+def _entry_from_pb(entry: pb.Entry) -> Entry:
+    return Entry(
+        entry.index, entry.term, entry.data, _members_from_pb(entry.members), entry.opens_term
+    )
 
 
-def entry_out(entry: Entry) -> bytes:
-    data: bytes = _entry_pb(entry).SerializeToString()
+def encode_entry(entry: Entry) -> bytes:
+    """The entry as it is stored on disk."""
+    data: bytes = _entry_to_pb(entry).SerializeToString()
     return data
 
 
-def entry_in(data: bytes) -> Entry:
-    return _entry_of(pb.Entry.FromString(data))
+def decode_entry(data: bytes) -> Entry:
+    """The entry in these bytes. Raises protobuf's `DecodeError`."""
+    return _entry_from_pb(pb.Entry.FromString(data))
 
 
-def _head_pb(head: SnapshotHead) -> pb.InstallSnapshot:
+def _head_to_pb(head: SnapshotHead) -> pb.InstallSnapshot:
     return pb.InstallSnapshot(
         index=head.index,
         index_term=head.term,
-        members=_members_out(head.members),
+        members=_members_to_pb(head.members),
         size=head.size,
         digest=head.digest,
     )
 
 
-def _head_of(made: pb.InstallSnapshot) -> SnapshotHead:
+def _head_from_pb(head: pb.InstallSnapshot) -> SnapshotHead:
     return SnapshotHead(
-        made.index, made.index_term, _members_in(made.members), made.size, made.digest
+        head.index, head.index_term, _members_from_pb(head.members), head.size, head.digest
     )
 
 
-def head_out(head: SnapshotHead) -> bytes:
-    data: bytes = _head_pb(head).SerializeToString()
+def encode_snapshot_head(head: SnapshotHead) -> bytes:
+    """The head as it is stored on disk: an `InstallSnapshot` without data."""
+    data: bytes = _head_to_pb(head).SerializeToString()
     return data
 
 
-def head_in(data: bytes) -> SnapshotHead:
-    return _head_of(pb.InstallSnapshot.FromString(data))
+def decode_snapshot_head(data: bytes) -> SnapshotHead:
+    """The head in these bytes. Raises protobuf's `DecodeError`."""
+    return _head_from_pb(pb.InstallSnapshot.FromString(data))
 
 
-def snapshot_in_format_1(data: bytes) -> Snapshot:
-    """Whole, as disks of that format hold it."""
-    made = pb.InstallSnapshot.FromString(data)
-    return Snapshot(made.index, made.index_term, _members_in(made.members), made.data)
+def decode_snapshot_v1(data: bytes) -> Snapshot:
+    """A snapshot in disk format 1, which stored head and state as one value.
 
+    Raises protobuf's `DecodeError`."""
+    stored = pb.InstallSnapshot.FromString(data)
+    return Snapshot(stored.index, stored.index_term, _members_from_pb(stored.members), stored.data)
 
-def message_out(message: Message) -> pb.LogMessage:
-    sender = message.sender
-    made = pb.LogMessage(
-        term=message.term, sender=pb.Member(address=sender.address, disk=sender.disk_id)
-    )
-    if isinstance(
-        message, Join | Leave
-    ):  # the others are sent often: whom they come from is enough
-        made.sender.zone, made.sender.region = sender.zone, sender.region
+
+# Messages.
+
+
+def encode_message(message: Message) -> pb.LogMessage:
+    """The message as it is sent to another member."""
+    sender = pb.Member(address=message.sender.address, disk=message.sender.disk_id)
+    if isinstance(message, Join | Leave):
+        # The other messages are frequent, and the receiver needs only the sender's identity.
+        sender.zone, sender.region = message.sender.zone, message.sender.region
+    encoded = pb.LogMessage(term=message.term, sender=sender)
     match message:
         case RequestVote():
-            made.request_vote.CopyFrom(
-                pb.RequestVote(
-                    pre_vote=message.pre_vote,
-                    last_index=message.last_log_index,
-                    last_term=message.last_log_term,
-                    leader_transfer=message.transfer,
-                )
-            )
+            encoded.request_vote.CopyFrom(_request_vote_to_pb(message))
         case VoteReply():
-            made.vote_reply.CopyFrom(
+            encoded.vote_reply.CopyFrom(
                 pb.VoteReply(pre_vote=message.pre_vote, granted=message.granted)
             )
         case AppendEntries():
-            entries = [_entry_pb(e) for e in message.entries]
-            made.append_entries.CopyFrom(
-                pb.AppendEntries(
-                    prev_index=message.prev_index,
-                    prev_term=message.prev_term,
-                    entries=entries,
-                    commit_index=message.commit_index,
-                    sent_us=message.sent_at_us,
-                )
-            )
+            encoded.append_entries.CopyFrom(_append_entries_to_pb(message))
         case AppendReply():
-            made.append_reply.CopyFrom(
-                pb.AppendReply(
-                    success=message.success,
-                    match_index=message.match_index,
-                    sent_us=message.sent_at_us,
-                )
-            )
+            encoded.append_reply.CopyFrom(_append_reply_to_pb(message))
         case InstallSnapshot():
-            part = _head_pb(message.head)
-            part.offset, part.data, part.checksum = message.offset, message.data, message.checksum
-            part.sent_us = message.sent_at_us
-            made.install_snapshot.CopyFrom(part)
+            encoded.install_snapshot.CopyFrom(_install_snapshot_to_pb(message))
         case SnapshotReply():
-            made.snapshot_reply.CopyFrom(
-                pb.SnapshotReply(
-                    index=message.index, next_offset=message.wanted, sent_us=message.sent_at_us
-                )
-            )
+            encoded.snapshot_reply.CopyFrom(_snapshot_reply_to_pb(message))
         case Join():
-            made.join.SetInParent()
+            encoded.join.SetInParent()
         case Leave():
-            made.leave.SetInParent()
+            encoded.leave.SetInParent()
         case TimeoutNow():
-            made.timeout_now.SetInParent()
-    return made
+            encoded.timeout_now.SetInParent()
+    return encoded
+
+
+def _request_vote_to_pb(message: RequestVote) -> pb.RequestVote:
+    return pb.RequestVote(
+        pre_vote=message.pre_vote,
+        last_index=message.last_log_index,
+        last_term=message.last_log_term,
+        leader_transfer=message.transfer,
+    )
+
+
+def _append_entries_to_pb(message: AppendEntries) -> pb.AppendEntries:
+    return pb.AppendEntries(
+        prev_index=message.prev_index,
+        prev_term=message.prev_term,
+        entries=[_entry_to_pb(e) for e in message.entries],
+        commit_index=message.commit_index,
+        sent_us=message.sent_at_us,
+    )
+
+
+def _append_reply_to_pb(message: AppendReply) -> pb.AppendReply:
+    return pb.AppendReply(
+        success=message.success,
+        match_index=message.match_index,
+        sent_us=message.sent_at_us,
+    )
+
+
+def _install_snapshot_to_pb(message: InstallSnapshot) -> pb.InstallSnapshot:
+    encoded = _head_to_pb(message.head)
+    encoded.offset = message.offset
+    encoded.data = message.data
+    encoded.checksum = message.checksum
+    encoded.sent_us = message.sent_at_us
+    return encoded
 
 
-def message_in(made: pb.LogMessage) -> Message:
-    """Raises ValueError for one that says nothing."""
-    term, sender = made.term, _member(made.sender)
-    match made.WhichOneof("body"):
+def _snapshot_reply_to_pb(message: SnapshotReply) -> pb.SnapshotReply:
+    return pb.SnapshotReply(
+        index=message.snapshot_index,
+        next_offset=message.next_offset,
+        sent_us=message.sent_at_us,
+    )
+
+
+def decode_message(encoded: pb.LogMessage) -> Message:
+    """The message that was sent. Raises ValueError for one without a body."""
+    term, sender = encoded.term, _member_from_pb(encoded.sender)
+    match encoded.WhichOneof("body"):
         case "request_vote":
-            c = made.request_vote
-            return RequestVote(
-                term, sender, c.pre_vote, c.last_index, c.last_term, c.leader_transfer
-            )
+            return _request_vote_from_pb(term, sender, encoded.request_vote)
         case "vote_reply":
-            return VoteReply(term, sender, made.vote_reply.pre_vote, made.vote_reply.granted)
+            reply = encoded.vote_reply
+            return VoteReply(term, sender, reply.pre_vote, reply.granted)
         case "append_entries":
-            a = made.append_entries
-            entries = tuple(_entry_of(e) for e in a.entries)
-            return AppendEntries(
-                term, sender, a.prev_index, a.prev_term, entries, a.commit_index, a.sent_us
-            )
+            return _append_entries_from_pb(term, sender, encoded.append_entries)
         case "append_reply":
-            return AppendReply(
-                term,
-                sender,
-                made.append_reply.success,
-                made.append_reply.match_index,
-                made.append_reply.sent_us,
-            )
+            return _append_reply_from_pb(term, sender, encoded.append_reply)
         case "install_snapshot":
-            p = made.install_snapshot
-            return InstallSnapshot(
-                term, sender, _head_of(p), p.offset, p.data, p.checksum, p.sent_us
-            )
+            return _install_snapshot_from_pb(term, sender, encoded.install_snapshot)
         case "snapshot_reply":
-            r = made.snapshot_reply
-            return SnapshotReply(term, sender, r.index, r.next_offset, r.sent_us)
+            return _snapshot_reply_from_pb(term, sender, encoded.snapshot_reply)
         case "join":
             return Join(term, sender)
         case "leave":
             return Leave(term, sender)
         case "timeout_now":
             return TimeoutNow(term, sender)
-    raise ValueError("a message that says nothing")
+    raise ValueError("a message without a body")
+
+
+def _request_vote_from_pb(term: int, sender: Member, request: pb.RequestVote) -> RequestVote:
+    return RequestVote(
+        term,
+        sender,
+        pre_vote=request.pre_vote,
+        last_log_index=request.last_index,
+        last_log_term=request.last_term,
+        transfer=request.leader_transfer,
+    )
+
+
+def _append_entries_from_pb(term: int, sender: Member, request: pb.AppendEntries) -> AppendEntries:
+    return AppendEntries(
+        term,
+        sender,
+        prev_index=request.prev_index,
+        prev_term=request.prev_term,
+        entries=tuple(_entry_from_pb(e) for e in request.entries),
+        commit_index=request.commit_index,
+        sent_at_us=request.sent_us,
+    )
+
+
+def _append_reply_from_pb(term: int, sender: Member, reply: pb.AppendReply) -> AppendReply:
+    return AppendReply(
+        term,
+        sender,
+        success=reply.success,
+        match_index=reply.match_index,
+        sent_at_us=reply.sent_us,
+    )
+
+
+def _install_snapshot_from_pb(
+    term: int, sender: Member, request: pb.InstallSnapshot
+) -> InstallSnapshot:
+    return InstallSnapshot(
+        term,
+        sender,
+        head=_head_from_pb(request),
+        offset=request.offset,
+        data=request.data,
+        checksum=request.checksum,
+        sent_at_us=request.sent_us,
+    )
+
+
+def _snapshot_reply_from_pb(term: int, sender: Member, reply: pb.SnapshotReply) -> SnapshotReply:
+    return SnapshotReply(
+        term,
+        sender,
+        snapshot_index=reply.index,
+        next_offset=reply.next_offset,
+        sent_at_us=reply.sent_us,
+    )
--- a/cairndale/raft/compaction.py
+++ b/cairndale/raft/compaction.py
@@ -16,9 +16,9 @@
 from cairndale.raft.snapshot_transfer import (
     CompactedTail,
     SnapshotReceiver,
-    messages,
-    offer,
-    still_serves,
+    choose_transfer,
+    chunk_messages,
+    is_still_useful,
 )
 
 
@@ -62,18 +62,18 @@
             for p in self.peers.values()
         ):
             return  # another disk is there by now, and is sent it
-        if peer.transfer is None or not still_serves(
+        if peer.transfer is None or not is_still_useful(
             peer.transfer, now, self.base_snapshot, self.compacted_tail
         ):
             others = [p.transfer for p in self.peers.values() if p.transfer and p is not peer]
-            peer.transfer = offer(now, others, self.base_snapshot, self.compacted_tail)
-        for message in messages(self.term, self.me, peer.transfer, now, beat):
+            peer.transfer = choose_transfer(now, others, self.base_snapshot, self.compacted_tail)
+        for message in chunk_messages(self.term, self.me, peer.transfer, now, beat):
             step.sends.append((address, message))
 
     def _handle_snapshot_reply(self, now: float, step: Ready, message: SnapshotReply) -> None:
         peer = self._record_reply(now, step, message)
         if peer and peer.transfer:
-            peer.transfer.replied(now, message.index, message.wanted)
+            peer.transfer.acknowledge(now, message.snapshot_index, message.next_offset)
             self._send_snapshot(now, step, peer, beat=False)
 
     # Those who follow.
@@ -86,10 +86,10 @@
             self.term, self.me, True, self.commit_index, message.sent_at_us
         )
         if index > self.commit_index or not self.base_snapshot.members:
-            taken = self.snapshot_receiver.take(message)
+            taken = self.snapshot_receiver.receive(message)
             step.writes += taken.writes
-            step.received_snapshot, step.rejected_chunk = taken.whole, taken.dropped
-            reply = SnapshotReply(self.term, self.me, index, taken.wanted, message.sent_at_us)
+            step.received_snapshot, step.rejected_chunk = taken.complete, taken.rejected
+            reply = SnapshotReply(self.term, self.me, index, taken.next_offset, message.sent_at_us)
         step.sends.append((message.sender.address, reply))
 
     def install_snapshot(self, now: float, made: Snapshot) -> Ready:
--- a/cairndale/raft/fragments.py
+++ b/cairndale/raft/fragments.py
@@ -15,20 +15,20 @@
 
 from cairndale.raft.messages import state_digest
 
-PART = (
+FRAGMENT_BYTES = (
     16 * 1024
 )  # bytes of an entry's data at the most: two are one append, so that a beat waits for no more
 # parts that are not in force yet, while one more is appended: others' commands get in between
-WINDOW = 4
-MARK = 2
-_HEAD, _CRC, DIGEST = struct.Struct(">BBI"), struct.Struct(">I"), 16
-ROOM = PART - _HEAD.size - _CRC.size  # bytes in one part
+MAX_UNCOMMITTED = 4
+FRAGMENT_MARK = 2
+_HEADER, _CRC, DIGEST_BYTES = struct.Struct(">BBI"), struct.Struct(">I"), 16
+PAYLOAD_BYTES = FRAGMENT_BYTES - _HEADER.size - _CRC.size  # bytes in one part
 
 
 class FragmentKind(IntEnum):
     MORE = 0
     LAST = 1
-    VOID = 2  # the one before is given up: its rest will not come
+    ABORT = 2  # the one before is given up: its rest will not come
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,44 +43,49 @@
 
 
 def is_fragment(data: bytes) -> bool:
-    return data[:1] == bytes([MARK])
+    return data[:1] == bytes([FRAGMENT_MARK])
 
 
-def is_sound(data: bytes) -> bool:
+def is_intact(data: bytes) -> bool:
     """Of an entry's data: whether it is as it was made, as it tells."""
     try:
-        return not is_fragment(data) or bool(read(data))
+        return not is_fragment(data) or bool(decode_fragment(data))
     except FragmentError:
         return False
 
 
-def part(kind: FragmentKind, number: int, data: bytes) -> bytes:
-    head = _HEAD.pack(MARK, kind, number)
+def encode_fragment(kind: FragmentKind, number: int, data: bytes) -> bytes:
+    head = _HEADER.pack(FRAGMENT_MARK, kind, number)
     return head + _CRC.pack(zlib.crc32(data, zlib.crc32(head))) + data
 
 
-def read(data: bytes) -> Fragment:
+def decode_fragment(data: bytes) -> Fragment:
     """Raises PartError."""
     try:
-        (mark, kind, number), (crc,) = _HEAD.unpack_from(data), _CRC.unpack_from(data, _HEAD.size)
-        rest = data[_HEAD.size + _CRC.size :]
-        if mark != MARK or crc != zlib.crc32(rest, zlib.crc32(data[: _HEAD.size])):
+        (mark, kind, number), (crc,) = (
+            _HEADER.unpack_from(data),
+            _CRC.unpack_from(data, _HEADER.size),
+        )
+        rest = data[_HEADER.size + _CRC.size :]
+        if mark != FRAGMENT_MARK or crc != zlib.crc32(rest, zlib.crc32(data[: _HEADER.size])):
             raise FragmentError("a part is not as it was made")
         return Fragment(FragmentKind(kind), number, rest)
     except (struct.error, ValueError) as error:
         raise FragmentError(str(error)) from error
 
 
-def cut(stream: Iterable[bytes]) -> Iterator[bytes]:
+def split(stream: Iterable[bytes]) -> Iterator[bytes]:
     """The data of one entry after the other. Empty: only a pause, after each piece of the
     stream."""
     digest, held, number = state_digest(), bytearray(), 0
     for piece in stream:
         digest.update(piece)
         held += piece
-        while len(held) > ROOM - DIGEST:
-            yield part(FragmentKind.MORE, number, bytes(held[: ROOM - DIGEST]))
-            del held[: ROOM - DIGEST]
+        while len(held) > PAYLOAD_BYTES - DIGEST_BYTES:
+            yield encode_fragment(
+                FragmentKind.MORE, number, bytes(held[: PAYLOAD_BYTES - DIGEST_BYTES])
+            )
+            del held[: PAYLOAD_BYTES - DIGEST_BYTES]
             number += 1
         yield b""
-    yield part(FragmentKind.LAST, number, digest.digest() + held)
+    yield encode_fragment(FragmentKind.LAST, number, digest.digest() + held)
--- a/cairndale/raft/messages.py
+++ b/cairndale/raft/messages.py
@@ -130,8 +130,8 @@
 class SnapshotReply:
     term: int
     sender: Member
-    index: int  # of the snapshot
-    wanted: int  # all before this offset is on disk
+    snapshot_index: int
+    next_offset: int  # all before this offset is on disk
     sent_at_us: int
 
 
--- a/cairndale/raft/node.py
+++ b/cairndale/raft/node.py
@@ -42,7 +42,7 @@
 
 # Bytes of entries in one append, as heartbeats wait for it; one entry of earlier programs may be
 # larger.
-BATCH = 2 * fragments.PART
+MAX_APPEND_BYTES = 2 * fragments.FRAGMENT_BYTES
 
 
 class RaftNode(Election, Membership, Compaction):
@@ -181,7 +181,7 @@
             at = peer.next_index - self.base_snapshot.index - 1
             for entry in self.log[at:] if at >= 0 else self.compacted_tail.since(peer.next_index):
                 size += len(entry.data)
-                if entries and size > BATCH:
+                if entries and size > MAX_APPEND_BYTES:
                     break
                 entries.append(entry)
             peer.in_flight_since = now if entries else -1.0
@@ -283,7 +283,7 @@
         if not self._accept_leader(now, step, message):
             return
         entries, before, before_term = list(message.entries), message.prev_index, message.prev_term
-        sound = list(takewhile(lambda entry: fragments.is_sound(entry.data), entries))
+        sound = list(takewhile(lambda entry: fragments.is_intact(entry.data), entries))
         if len(sound) < len(entries):
             step.corrupt_entry, entries = (
                 f"entry {entries[len(sound)].index}: not as it was made",
--- a/cairndale/raft/snapshot_transfer.py
+++ b/cairndale/raft/snapshot_transfer.py
@@ -1,10 +1,9 @@
-"""Install snapshot: a snapshot cut in parts and sent by the leader, put together by a follower.
-Pure.
+"""InstallSnapshot in chunks (Raft 7, PhD 5): sender, receiver and the compacted tail. No I/O.
 
-At most `WINDOW` parts are on their way, so that a beat is never behind more than these; what is
-wanted next comes with each answer, so that sending goes on where it was after a cut, a change of
-the leader to one that has the same snapshot, or a restart of either side. Only a whole snapshot
-whose digest agrees is handed on."""
+A sender has at most `WINDOW_CHUNKS` unacknowledged chunks per follower, which bounds how long a
+heartbeat can queue behind them. Each reply carries the next offset wanted, so a transfer resumes
+after a broken connection, a restart of either side, or a change to a leader that has the same
+snapshot. The receiver yields a snapshot only when it is complete and its digest agrees."""
 
 from __future__ import annotations
 
@@ -23,13 +22,14 @@
     state_digest,
 )
 
-PART = 16 * 1024  # bytes of the state in one message
-WINDOW = 2  # parts on their way: 32 KiB, which 2 Mbit/s carry in 0.13 s, within one beat
-AGAIN = (0.5, 4.0)  # s without an answer after which parts are sent again: at first, at the most
-STALLED = 10.0  # s without progress after which a newer snapshot may take its place
-TAIL = 4 * 1024 * 1024  # bytes of entries kept behind a snapshot ...
-TAIL_SENDING = 16 * 1024 * 1024  # ... and while an older one is being sent
-TAIL_ENTRY = 256 * 1024  # bytes: one behind which a snapshot is the shorter way
+CHUNK_BYTES = 16 * 1024  # bytes of the state in one message
+WINDOW_CHUNKS = 2  # parts on their way: 32 KiB, which 2 Mbit/s carry in 0.13 s, within one beat
+# s without an answer after which chunks are sent again: at first, and at the most
+RESEND_MIN_S, RESEND_MAX_S = 0.5, 4.0
+STALL_TIMEOUT_S = 10.0  # s without progress after which a newer snapshot may take its place
+TAIL_BYTES = 4 * 1024 * 1024  # bytes of entries persisted behind a snapshot ...
+TAIL_BYTES_WHILE_SENDING = 16 * 1024 * 1024  # ... and while an older one is being sent
+MAX_TAIL_ENTRY_BYTES = 256 * 1024  # bytes: one behind which a snapshot is the shorter way
 
 
 class SnapshotTransfer:
@@ -37,71 +37,92 @@
 
     def __init__(self, snapshot: Snapshot, now: float) -> None:
         self.snapshot, self.head = snapshot, snapshot.head
-        self._wanted = self._sent = 0  # offsets
-        self._at, self._wait = now, AGAIN[0]
+        self._next_offset = self._sent_offset = 0  # offsets
+        self._last_progress_at, self._resend_after = now, RESEND_MIN_S
 
     @property
-    def wanted(self) -> int:
-        return self._wanted
+    def next_offset(self) -> int:
+        return self._next_offset
 
     def is_stalled(self, now: float) -> bool:
-        return now - self._at > STALLED
+        return now - self._last_progress_at > STALL_TIMEOUT_S
 
-    def parts(self, now: float) -> list[tuple[int, bytes]]:
+    def next_chunks(self, now: float) -> list[tuple[int, bytes]]:
         """Those to be sent now, with their offsets."""
-        if self._sent > self._wanted and now - self._at >= self._wait:
-            self._sent, self._wait = self._wanted, min(2 * self._wait, AGAIN[1])
+        if (
+            self._sent_offset > self._next_offset
+            and now - self._last_progress_at >= self._resend_after
+        ):
+            self._sent_offset, self._resend_after = (
+                self._next_offset,
+                min(2 * self._resend_after, RESEND_MAX_S),
+            )
         made = []
-        while self._sent < self.head.size and self._sent - self._wanted < WINDOW * PART:
-            if self._sent == self._wanted:
-                self._at = now
+        while (
+            self._sent_offset < self.head.size
+            and self._sent_offset - self._next_offset < WINDOW_CHUNKS * CHUNK_BYTES
+        ):
+            if self._sent_offset == self._next_offset:
+                self._last_progress_at = now
             data = self.snapshot.state[
-                self._sent : min(self._sent + PART, self._wanted + WINDOW * PART)
+                self._sent_offset : min(
+                    self._sent_offset + CHUNK_BYTES, self._next_offset + WINDOW_CHUNKS * CHUNK_BYTES
+                )
             ]
-            made.append((self._sent, data))
-            self._sent += len(data)
+            made.append((self._sent_offset, data))
+            self._sent_offset += len(data)
         return made
 
-    def replied(self, now: float, index: int, wanted: int) -> None:
-        if index != self.head.index or not 0 <= wanted <= self.head.size or wanted == self._wanted:
+    def acknowledge(self, now: float, index: int, next_offset: int) -> None:
+        if (
+            index != self.head.index
+            or not 0 <= next_offset <= self.head.size
+            or next_offset == self._next_offset
+        ):
             return
         # Less than before: a part was dropped there, or it is an answer that was late, and the next
         # sets it right.
-        self._sent = max(self._sent, wanted) if wanted > self._wanted else wanted
-        self._wanted, self._at, self._wait = wanted, now, AGAIN[0]
+        self._sent_offset = (
+            max(self._sent_offset, next_offset) if next_offset > self._next_offset else next_offset
+        )
+        self._next_offset, self._last_progress_at, self._resend_after = (
+            next_offset,
+            now,
+            RESEND_MIN_S,
+        )
 
 
 @dataclass(slots=True)
 class ReceiveResult:
-    wanted: int  # offset, for the answer
+    next_offset: int  # offset, for the answer
     writes: list[Write] = field(default_factory=list)
-    whole: Snapshot | None = None
-    dropped: str = ""
+    complete: Snapshot | None = None
+    rejected: str = ""
 
 
 class SnapshotReceiver:
     """The snapshot that is being received."""
 
-    def __init__(self, kept: tuple[SnapshotHead, bytes] | None = None) -> None:
+    def __init__(self, persisted: tuple[SnapshotHead, bytes] | None = None) -> None:
         self.head: SnapshotHead | None = None
         self._data, self._term = bytearray(), 0
-        if kept:
-            self.head, self._data = kept[0], bytearray(kept[1])
-        self._digest = state_digest(kept[1]) if kept else None  # grows with the data
-        self._handed_on = False
+        if persisted:
+            self.head, self._data = persisted[0], bytearray(persisted[1])
+        self._digest = state_digest(persisted[1]) if persisted else None  # grows with the data
+        self._is_complete = False
 
-    def take(self, message: InstallSnapshot) -> ReceiveResult:
+    def receive(self, message: InstallSnapshot) -> ReceiveResult:
         """A part from the leader of this term."""
         head, data = message.head, message.data
         if head != self.head:
             if self.head and message.term == self._term and head.index < self.head.index:
                 return ReceiveResult(0)  # late, from before the leader turned to a newer one
             self.head = head
-            self._begin()
+            self._restart()
         self._term = message.term
         taken = ReceiveResult(len(self._data))
         if zlib.crc32(data) != message.checksum or message.offset + len(data) > head.size:
-            taken.dropped = (
+            taken.rejected = (
                 f"part at {message.offset} of the snapshot at {head.index}: not as it was sent"
             )
             return taken
@@ -110,21 +131,21 @@
             self._digest = self._digest or state_digest()
             self._digest.update(data)
             taken.writes.append(SaveSnapshotChunk(head, message.offset, data, received=True))
-        if len(self._data) == head.size and not self._handed_on:
+        if len(self._data) == head.size and not self._is_complete:
             if (self._digest or state_digest()).digest() == head.digest:
-                self._handed_on = True
-                taken.whole = Snapshot(
+                self._is_complete = True
+                taken.complete = Snapshot(
                     head.index, head.term, head.members, bytes(self._data), head.digest
                 )
             else:
-                taken.dropped = f"the snapshot at {head.index}: the digest does not agree"
-                self._begin()
-        taken.wanted = len(self._data)
+                taken.rejected = f"the snapshot at {head.index}: the digest does not agree"
+                self._restart()
+        taken.next_offset = len(self._data)
         return taken
 
-    def _begin(self) -> None:
+    def _restart(self) -> None:
         self._data.clear()
-        self._digest, self._handed_on = None, False
+        self._digest, self._is_complete = None, False
 
 
 class CompactedTail:
@@ -157,9 +178,9 @@
         for entry in entries:
             self._entries.append(entry)
             self._size += len(entry.data)
-            if len(entry.data) > TAIL_ENTRY:
+            if len(entry.data) > MAX_TAIL_ENTRY_BYTES:
                 self._drop(len(self._entries))
-        most, gone, size = TAIL_SENDING if sending else TAIL, 0, self._size
+        most, gone, size = TAIL_BYTES_WHILE_SENDING if sending else TAIL_BYTES, 0, self._size
         while size > most:
             size -= len(self._entries[gone].data)
             gone += 1
@@ -173,7 +194,7 @@
             del self._entries[:count]
 
 
-def offer(
+def choose_transfer(
     now: float, transfers: Iterable[SnapshotTransfer], base: Snapshot, tail: CompactedTail
 ) -> SnapshotTransfer:
     """What one that has none is sent: what is on its way to others already, if it serves, so that
@@ -184,7 +205,7 @@
     return SnapshotTransfer(base, now)
 
 
-def still_serves(
+def is_still_useful(
     transfer: SnapshotTransfer, now: float, base: Snapshot, tail: CompactedTail
 ) -> bool:
     """It is sent to its end though there is a newer one, else one that is renewed faster than it is
@@ -193,10 +214,10 @@
     return followed or not transfer.is_stalled(now)
 
 
-def messages(
+def chunk_messages(
     term: int, sender: Member, transfer: SnapshotTransfer, now: float, beat: bool
 ) -> Iterator[InstallSnapshot]:
     """The parts that are due; with `beat` at least a word."""
-    sent, parts = int(now * 1e6), transfer.parts(now)
-    for offset, data in parts or ([(transfer.wanted, b"")] if beat else []):
+    sent, parts = int(now * 1e6), transfer.next_chunks(now)
+    for offset, data in parts or ([(transfer.next_offset, b"")] if beat else []):
         yield InstallSnapshot(term, sender, transfer.head, offset, data, zlib.crc32(data), sent)
--- a/cairndale/raft/voters.py
+++ b/cairndale/raft/voters.py
@@ -10,9 +10,9 @@
 from cairndale.raft.messages import Member
 
 # voters, where there are as many: one more may be lost while the first one's place is taken
-LEAST = 5
-MOST = 9  # a change waits for a majority of them
-SWAPS = 2  # at once, for the sake of the spread
+MIN_VOTERS = 5
+MAX_VOTERS = 9  # a change waits for a majority of them
+MAX_SWAPS = 2  # at once, for the sake of the spread
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,23 +32,23 @@
     return member.region or f" {member.disk_id}"
 
 
-def _top(places: Iterable[str], count: int) -> int:
+def _largest_loss(places: Iterable[str], count: int) -> int:
     return sum(sorted(Counter(places).values(), reverse=True)[:count]) if count else 0
 
 
-def shortfall(voters: Sequence[Member], lost: Collection[str], tolerance: Tolerance) -> int:
+def quorum_shortfall(voters: Sequence[Member], lost: Collection[str], tolerance: Tolerance) -> int:
     """How many voters a majority lacks after the worst loss, with those disks lost already; 0:
     none."""
     live = [m for m in voters if m.disk_id not in lost]
     worst = max(
         min(tolerance.nodes, len(live)),
-        _top((_zone(m) for m in live), tolerance.zones),
-        _top((_region(m) for m in live), tolerance.regions),
+        _largest_loss((_zone(m) for m in live), tolerance.zones),
+        _largest_loss((_region(m) for m in live), tolerance.regions),
     )
     return max(0, len(voters) // 2 + 1 - (len(live) - worst))
 
 
-def _crowd(
+def _crowding(
     member: Member, among: Iterable[Member], tolerance: Tolerance
 ) -> tuple[int, int, int, str]:
     """How many share its places; the fewer, the better it spreads them."""
@@ -59,7 +59,7 @@
     return (region if tolerance.regions else 0, zone, region, member.address)
 
 
-def _pairs(voters: Sequence[Member]) -> int:
+def _shared_locations(voters: Sequence[Member]) -> int:
     """How many share a zone, and how many a region."""
     counts = (*Counter(map(_zone, voters)).values(), *Counter(map(_region, voters)).values())
     return sum(n * (n - 1) // 2 for n in counts)
@@ -69,21 +69,26 @@
     """So many of them, in as many places as there are."""
     left, found = list(members), list[Member]()
     while left and len(found) < count:
-        one = min(left, key=lambda m: _crowd(m, found, tolerance))
+        one = min(left, key=lambda m: _crowding(m, found, tolerance))
         left.remove(one)
         found.append(one)
     return found
 
 
-def wanted(members: Collection[Member], tolerance: Tolerance) -> int:
-    """How many voters there are to be, an odd number: LEAST or more if that bears the tolerance,
-    else fewer that do, else what the number of members gives."""
+def target_voter_count(members: Collection[Member], tolerance: Tolerance) -> int:
+    """The odd number of voters to aim for.
+
+    `MIN_VOTERS` or more if that bears the tolerance, else fewer that do, else as many as the number
+    of members allows."""
     needed = 2 * tolerance.nodes + 1
-    least, most = max(needed, LEAST), max(1, len(members) - 1 + len(members) % 2)
-    more, fewer = range(min(least, most), min(MOST, most) + 1, 2), range(least - 2, needed - 1, -2)
+    least, most = max(needed, MIN_VOTERS), max(1, len(members) - 1 + len(members) % 2)
+    more, fewer = (
+        range(min(least, most), min(MAX_VOTERS, most) + 1, 2),
+        range(least - 2, needed - 1, -2),
+    )
     counts: list[int] = [*more, *fewer]
     for count in counts:
-        if count <= most and not shortfall(spread(members, count, tolerance), (), tolerance):
+        if count <= most and not quorum_shortfall(spread(members, count, tolerance), (), tolerance):
             return count
     return min(least, most)
 
@@ -110,18 +115,18 @@
     there = [
         m for m in members if (m.disk_id in steady or m.disk_id == keep) and m.disk_id not in away
     ]
-    now, count = list(before), wanted(there, tolerance)
-    most = max(count, wanted(members, tolerance))
+    now, count = list(before), target_voter_count(there, tolerance)
+    most = max(count, target_voter_count(members, tolerance))
 
     def lacks(voters: Sequence[Member]) -> int:
-        return shortfall(voters, away, tolerance)
+        return quorum_shortfall(voters, away, tolerance)
 
     def swapped(out: Member) -> list[Member] | None:
         """The best learner in the place of that one."""
         rest = [m for m in now if m != out]
         if not spare:
             return None
-        return [*rest, min(spare, key=lambda m: (lacks([*rest, m]), _crowd(m, rest, tolerance)))]
+        return [*rest, min(spare, key=lambda m: (lacks([*rest, m]), _crowding(m, rest, tolerance)))]
 
     def take(voters: list[Member]) -> None:
         nonlocal now
@@ -142,7 +147,7 @@
     if len(now) < count:
         more, free = list(now), [m for m in spare if m in there]
         while free and len(more) < count:
-            more.append(min(free, key=lambda m: _crowd(m, more, tolerance)))
+            more.append(min(free, key=lambda m: _crowding(m, more, tolerance)))
             free.remove(more[-1])
         if len(more) % 2 == 0:
             more.pop()
@@ -158,10 +163,10 @@
             fewer.remove(out)
         if lacks(fewer) <= lacks(now):
             take(fewer)
-    for _ in range(SWAPS):
+    for _ in range(MAX_SWAPS):
         options = [o for m in now if m.disk_id != keep and (o := swapped(m))]
-        best = min(options, key=lambda o: (lacks(o), _pairs(o)), default=now)
-        if (lacks(best), _pairs(best)) >= (lacks(now), _pairs(now)):
+        best = min(options, key=lambda o: (lacks(o), _shared_locations(o)), default=now)
+        if (lacks(best), _shared_locations(best)) >= (lacks(now), _shared_locations(now)):
             break
         take(best)
     return frozenset(m.disk_id for m in now)
--- a/tests/measurements/measure_control.py
+++ b/tests/measurements/measure_control.py
@@ -73,7 +73,7 @@
         named = [Member(f"m{n}:1", f"d{n}") for n in range(members)]
         kept = PersistedState(snapshot=Snapshot(0, 0, tuple(named)))
         for store, member in zip(stores, named, strict=True):
-            store.begin(member.disk_id, kept)
+            store.initialize(member.disk_id, kept)
         begun, syncs = time.perf_counter(), 0
         for index in range(1, count + 1):
             for store in stores[: members // 2 + 1]:  # what an acknowledgement waits for
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -35,7 +35,7 @@
     Snapshot,
 )
 from cairndale.raft.node import RaftNode, bootstrap_state
-from cairndale.raft.snapshot_transfer import SnapshotTransfer, messages
+from cairndale.raft.snapshot_transfer import SnapshotTransfer, chunk_messages
 from cairndale.raft.storage import RaftStorage
 from tests.raft.test_catch_up import PADDING, away, in_parts, large
 
@@ -91,7 +91,7 @@
 
     def __init__(self, folder: Path, me: Member, kept: PersistedState, log: list[Entry]) -> None:
         self.store = RaftStorage(folder)
-        self.store.begin(me.disk_id, kept)
+        self.store.initialize(me.disk_id, kept)
         self.store.write([SaveEntries(1, tuple(log))])
         self.machine = RaftNode(
             me, PersistedState(1, "", kept.snapshot, log), 0.0, random.Random(1)
@@ -127,15 +127,15 @@
         now += 0.001
         with step("send: cut two parts"):
             parts = [
-                codec.message_out(m).SerializeToString()
-                for m in messages(1, ME, out, now, beat=True)
+                codec.encode_message(m).SerializeToString()
+                for m in chunk_messages(1, ME, out, now, beat=True)
             ]
         for data in parts:
             with step("receive: take a part, on disk"):
-                message = codec.message_in(codec.pb.LogMessage.FromString(data))
+                message = codec.decode_message(codec.pb.LogMessage.FromString(data))
                 assert isinstance(message, InstallSnapshot)
                 other.do(other.machine.receive(now, message))
-                out.replied(now, made.index, len(other.machine.snapshot_receiver._data))
+                out.acknowledge(now, made.index, len(other.machine.snapshot_receiver._data))
     with step("install: begin"):
         other.snapshot_worker.install(other.received)
     other.run("install: read, point, sweep")
@@ -205,7 +205,7 @@
                 continue
             count += 1
             entry = Entry(count, 1, data)
-            assert len(data) <= fragments.PART
+            assert len(data) <= fragments.FRAGMENT_BYTES
             with step(f"{kind}: a part on disk"):
                 side.store.write([SaveEntries(count, (entry,))])
             applier.enqueue([entry])
--- a/tests/raft/test_catch_up.py
+++ b/tests/raft/test_catch_up.py
@@ -13,7 +13,7 @@
 from cairndale.raft.messages import AppendEntries, InstallSnapshot, Message, Ready
 from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
-from cairndale.raft.snapshot_transfer import PART, WINDOW, SnapshotReceiver
+from cairndale.raft.snapshot_transfer import CHUNK_BYTES, WINDOW_CHUNKS, SnapshotReceiver
 from tests.raft.test_replication import SEEDS, World
 
 RATE = 250_000  # bytes a second: 2 Mbit/s
@@ -69,7 +69,7 @@
         way = (address, to)
         if to not in self.machines:
             return
-        size = len(codec.message_out(message).SerializeToString()) + 16
+        size = len(codec.encode_message(message).SerializeToString()) + 16
         begun = max(self.now, self.free.get(way, 0.0))
         if isinstance(message, AppendEntries | InstallSnapshot):
             self.behind = max(self.behind, begun - self.now)
@@ -147,7 +147,7 @@
     world.start(one)
     took = world.under_load(25.0, until=lambda: world.caught_up(one))
     assert 16.0 < took < 25.0
-    assert world.leader() == leader and world.behind < WINDOW * PART / RATE + 0.05
+    assert world.leader() == leader and world.behind < WINDOW_CHUNKS * CHUNK_BYTES / RATE + 0.05
     assert world.carried[leader, one] < 1.1 * STATE + world.words * 2 * WORD
 
 
@@ -202,7 +202,7 @@
     assert world.machines[third].role is Role.LEADER
     world.under_load(25.0, until=lambda: world.caught_up(one) and world.leader() == third)
     told = world.carried[third, one]
-    assert told < 1.1 * (STATE - got) + 4 * PART + world.words * 2 * WORD, "it began anew"
+    assert told < 1.1 * (STATE - got) + 4 * CHUNK_BYTES + world.words * 2 * WORD, "it began anew"
 
 
 def test_snapshots_renewed_faster_than_they_are_sent_do_not_keep_it_out() -> None:
@@ -224,27 +224,27 @@
     all its parts at once."""
     if planted == "renewed":
         monkeypatch.setattr(
-            compaction, "still_serves", lambda t, now, base, tail: t.snapshot is base
+            compaction, "is_still_useful", lambda t, now, base, tail: t.snapshot is base
         )
         seen = test_snapshots_renewed_faster_than_they_are_sent_do_not_keep_it_out
     elif planted == "one entry":
-        monkeypatch.setattr(fragments, "ROOM", 1 << 22)
+        monkeypatch.setattr(fragments, "PAYLOAD_BYTES", 1 << 22)
         seen = test_a_command_of_2_mb_in_parts_keeps_beats_lease_and_other_commands
     elif planted == "no window":
-        monkeypatch.setattr(fragments, "WINDOW", 1000)
+        monkeypatch.setattr(fragments, "MAX_UNCOMMITTED", 1000)
         seen = test_a_command_of_2_mb_in_parts_keeps_beats_lease_and_other_commands
     elif planted == "whole":
-        monkeypatch.setattr("cairndale.raft.snapshot_transfer.WINDOW", 100_000)
+        monkeypatch.setattr("cairndale.raft.snapshot_transfer.WINDOW_CHUNKS", 100_000)
         seen = test_who_is_sent_a_snapshot_keeps_the_leader_that_needs_it
     else:
-        take = SnapshotReceiver.take
+        receive = SnapshotReceiver.receive
 
         def forgets(self: SnapshotReceiver, message: InstallSnapshot) -> object:
             if message.term != self._term:
                 self.head = None
-            return take(self, message)
+            return receive(self, message)
 
-        monkeypatch.setattr(SnapshotReceiver, "take", forgets)
+        monkeypatch.setattr(SnapshotReceiver, "receive", forgets)
         seen = test_it_goes_on_where_it_was_after_a_cut_a_restart_and_a_change_of_the_leader
     said = {"renewed": "did not come", "whole": "the duty was lost", "no resume": "it began anew"}
     said |= {"one entry": "behind", "no window": "small"}
@@ -268,7 +268,8 @@
 def large(
     seed: int, data: list[bytes], then: Callable[[Way, str, int], None] | None = None
 ) -> Told:
-    """Each of these entries' data once the one `WINDOW` before it is in force, as `Core` does."""
+    """Each of these entries' data once the one `MAX_UNCOMMITTED` before it is in
+    force, as proposals do."""
     world = Way(seed)
     world.size = 8
     world.run(3.0)
@@ -277,7 +278,8 @@
     world.behind, polls = 0.0, 0
     while left or made.commit_index < ahead[-1]:
         while left and (
-            len(ahead) < fragments.WINDOW or made.commit_index >= ahead[-fragments.WINDOW]
+            len(ahead) < fragments.MAX_UNCOMMITTED
+            or made.commit_index >= ahead[-fragments.MAX_UNCOMMITTED]
         ):
             index, step = made.propose(world.now, left.pop(0))
             assert index, "nobody leads"
@@ -302,7 +304,7 @@
 
 
 def in_parts(size: int) -> list[bytes]:
-    return [data for data in fragments.cut([PADDING[:size]]) if data]
+    return [data for data in fragments.split([PADDING[:size]]) if data]
 
 
 def test_a_command_of_2_mb_in_parts_keeps_beats_lease_and_other_commands() -> None:
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -27,7 +27,7 @@
 from cairndale.raft import fragments
 from cairndale.raft.fragments import FragmentKind
 from cairndale.raft.messages import AppendEntries, AppendReply, Entry, Member, SaveEntries
-from cairndale.raft.node import BATCH, RaftNode, bootstrap_state
+from cairndale.raft.node import MAX_APPEND_BYTES, RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
 from tests.control.test_operations import History, first, operator, read
@@ -81,8 +81,10 @@
     these take."""
     command = replaced(1, 0, 20_000)
     data, applier, steps = whole_or_parts(command), Applier(State()), 0
-    assert len(data) > 8 and {len(d) for d in data[:-1]} == {fragments.PART - fragments.DIGEST}
-    assert 2 * fragments.PART <= BATCH
+    assert len(data) > 8 and {len(d) for d in data[:-1]} == {
+        fragments.FRAGMENT_BYTES - fragments.DIGEST_BYTES
+    }
+    assert 2 * fragments.FRAGMENT_BYTES <= MAX_APPEND_BYTES
     applier.enqueue(Entry(n, 1, d) for n, d in enumerate(data, 1))
     while applier.has_backlog:
         assert applier.state == State()
@@ -109,7 +111,7 @@
     item = {"name": "t", "apiKeys": [random.Random(1).randbytes(40_000).hex()]}
     one = Command(Verb.REPLACE, "d", {"gen": 1, "parent": 0, "tenants": [item]})
     # One item is cut as well.
-    assert max(len(d) for d in whole_or_parts(one)) <= fragments.PART < len(one.encode())
+    assert max(len(d) for d in whole_or_parts(one)) <= fragments.FRAGMENT_BYTES < len(one.encode())
 
 
 def drawn_log(seed: int) -> list[Entry]:
@@ -126,10 +128,12 @@
                 rest = made[at:]
                 made = rng.choice((made[:at], rest, made[:at] + made[at + 1 :], made[:at] + made))
             elif kind < 0.5:
-                last = fragments.read(made[-1])
-                made[-1] = fragments.part(FragmentKind.LAST, last.number, spoils(last.data, 0))
+                last = fragments.decode_fragment(made[-1])
+                made[-1] = fragments.encode_fragment(
+                    FragmentKind.LAST, last.number, spoils(last.data, 0)
+                )
             elif kind < 0.6:
-                made.insert(at, fragments.part(FragmentKind.VOID, 0, b""))
+                made.insert(at, fragments.encode_fragment(FragmentKind.ABORT, 0, b""))
             for part in made:
                 data.append(part)
                 if rng.random() < 0.2:
@@ -149,17 +153,21 @@
             state.apply(Command.decode(entry.data))
         if (
             not fragments.is_fragment(entry.data)
-            or (last := fragments.read(entry.data)).kind is not FragmentKind.LAST
+            or (last := fragments.decode_fragment(entry.data)).kind is not FragmentKind.LAST
         ):
             continue
         opened = max((n for n in range(at) if log[n].is_term_start), default=0)
-        before = [fragments.read(e.data) for e in log[opened:at] if fragments.is_fragment(e.data)]
+        before = [
+            fragments.decode_fragment(e.data)
+            for e in log[opened:at]
+            if fragments.is_fragment(e.data)
+        ]
         found = before[max(0, len(before) - last.number) :]
         if [(p.kind, p.number) for p in found] == [
             (FragmentKind.MORE, n) for n in range(last.number)
         ]:
-            whole = b"".join(p.data for p in found) + last.data[fragments.DIGEST :]
-            if fragments.state_digest(whole).digest() == last.data[: fragments.DIGEST]:
+            whole = b"".join(p.data for p in found) + last.data[fragments.DIGEST_BYTES :]
+            if fragments.state_digest(whole).digest() == last.data[: fragments.DIGEST_BYTES]:
                 state.apply(Command.from_dict(serialization.decode(whole)))
     return state
 
@@ -181,7 +189,7 @@
 
 @pytest.fixture
 def small_parts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(fragments, "ROOM", 150)
+    monkeypatch.setattr(fragments, "PAYLOAD_BYTES", 150)
     monkeypatch.setattr(serialization, "PART_TEXT_BYTES", 100)
     monkeypatch.setattr(serialization, "ITEMS_PER_RECORD", 3)
 
@@ -207,8 +215,8 @@
     digest = (
         applier._partial.digest if applier._partial and part.number else fragments.state_digest()
     ).copy()
-    digest.update(part.data[fragments.DIGEST :])
-    return replace(part, data=digest.digest() + part.data[fragments.DIGEST :])
+    digest.update(part.data[fragments.DIGEST_BYTES :])
+    return replace(part, data=digest.digest() + part.data[fragments.DIGEST_BYTES :])
 
 
 def neither_number(applier: Applier, part: fragments.Fragment) -> fragments.Fragment:
@@ -229,7 +237,7 @@
 PLANTED = {
     "digest": reads(no_digest),
     "number": reads(neither_number),
-    "void": reads(lambda applier, part: None if part.kind is FragmentKind.VOID else part),
+    "void": reads(lambda applier, part: None if part.kind is FragmentKind.ABORT else part),
     "is_term_start": StaysOpen,
 }
 
@@ -252,7 +260,7 @@
     assert len(log) > 3
     for after in range(100):
         store = RaftStorage(tmp_path / str(after))
-        store.begin("x", bootstrap_state([ME]))
+        store.initialize("x", bootstrap_state([ME]))
         env, store._env = store._env, Killed(store._env, after)
         try:
             for entry in log:
@@ -270,7 +278,7 @@
 
 def test_a_part_that_a_disk_has_spoilt_is_told(tmp_path: Path) -> None:
     store = RaftStorage(tmp_path)
-    store.begin("x", bootstrap_state([ME]))
+    store.initialize("x", bootstrap_state([ME]))
     store.write([SaveEntries(1, (Entry(1, 1, spoils(whole_or_parts(replaced(1, 0))[0])),))])
     with pytest.raises(StorageError, match="entry 1 is not as it was written"):
         store.load()
@@ -291,7 +299,7 @@
             and bool(step.corrupt_entry) == (match == 1)
         )
     assert machine.log == log
-    monkeypatch.setattr(fragments, "is_sound", lambda data: True)
+    monkeypatch.setattr(fragments, "is_intact", lambda data: True)
     machine = RaftNode(ME, bootstrap_state([ME, Member("b:1", "y")]), 0.0, random.Random(1))
     machine.receive(1.0, AppendEntries(1, Member("b:1", "y"), 0, 0, came, 0, 7))
     assert machine.last_index == 3  # the plant is seen: what is spoilt is acknowledged
@@ -343,7 +351,9 @@
 
 def told(core: ControlNode) -> list[fragments.Fragment]:
     """The parts in its log."""
-    return [fragments.read(e.data) for e in log_of(core) if fragments.is_fragment(e.data)]
+    return [
+        fragments.decode_fragment(e.data) for e in log_of(core) if fragments.is_fragment(e.data)
+    ]
 
 
 async def amid_a_snapshot() -> None:
@@ -420,7 +430,10 @@
         assert len((await alike(world)).content["tenants"]) == 6_000
         *before, last = (p.kind for p in told(leader))
         assert last is FragmentKind.LAST and {*before} == {FragmentKind.MORE} and len(before) > 2
-        assert max(len(e.data) for c in world.cores.values() for e in log_of(c)) <= fragments.PART
+        assert (
+            max(len(e.data) for c in world.cores.values() for e in log_of(c))
+            <= fragments.FRAGMENT_BYTES
+        )
 
     play(scene())
 
@@ -505,7 +518,7 @@
 ) -> None:
     play(ends_amid())
     play(given_up(monkeypatch))
-    monkeypatch.setattr(proposals, "part", lambda *_: b"")
+    monkeypatch.setattr(proposals, "encode_fragment", lambda *_: b"")
     with pytest.raises(AssertionError, match="it waits"):
         play(given_up(monkeypatch))
 
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -13,7 +13,14 @@
 from cairndale.raft.messages import Member, Message, Ready, TimeoutNow
 from cairndale.raft.node import RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
-from cairndale.raft.voters import LEAST, Tolerance, next_voters, shortfall, spread, wanted
+from cairndale.raft.voters import (
+    MIN_VOTERS,
+    Tolerance,
+    next_voters,
+    quorum_shortfall,
+    spread,
+    target_voter_count,
+)
 from cairndale.rpc import protocol_pb2 as pb
 from tests.raft.test_replication import SEEDS, Disk, World
 
@@ -64,7 +71,7 @@
             return [m for m in members if not m.learner]
         assert keep in votes and votes <= before | fit
         now = [[m for m in members if m.disk_id in some] for some in (before, votes)]
-        lacks = [shortfall(some, away, tolerance) for some in now]
+        lacks = [quorum_shortfall(some, away, tolerance) for some in now]
         assert lacks[1] <= lacks[0], "a change that bears less"
         members = [replace(m, learner=m.disk_id not in votes) for m in members]
     assert rng, "it never comes to rest"
@@ -111,9 +118,9 @@
 def test_how_many_vote(
     members: list[Member], tolerance: Tolerance, count: int, borne: bool
 ) -> None:
-    assert wanted(members, tolerance) == count
+    assert target_voter_count(members, tolerance) == count
     voters = settled(with_voters(members, 1), tolerance)
-    assert (len(voters), shortfall(voters, (), tolerance) == 0) == (count, borne)
+    assert (len(voters), quorum_shortfall(voters, (), tolerance) == 0) == (count, borne)
 
 
 def test_all_that_older_disks_name_are_voters_and_the_surplus_goes() -> None:
@@ -137,16 +144,16 @@
                 m.disk_id for m in rng.sample(members, rng.randint(0, min(2, len(members) - 1)))
             )
             lacks = max(0, count // 2 + 1 - worst(some, away, tolerance))
-            assert shortfall(some, away, tolerance) == lacks
+            assert quorum_shortfall(some, away, tolerance) == lacks
         odd = [n for n in range(1, 10, 2) if 2 * tolerance.nodes < n <= len(members)]
-        odd.sort(key=lambda n: (n < LEAST, abs(n - LEAST)))
+        odd.sort(key=lambda n: (n < MIN_VOTERS, abs(n - MIN_VOTERS)))
         able = [
             n
             for n in odd
             if any(bears(list(s), tolerance) for s in itertools.combinations(members, n))
         ]
         if able:
-            assert wanted(members, tolerance) == able[0]
+            assert target_voter_count(members, tolerance) == able[0]
             assert bears(spread(members, able[0], tolerance), tolerance)
             voters = settled(
                 with_voters(members, 1 if len(members) < 3 else rng.choice((1, 3))), tolerance
@@ -411,7 +418,7 @@
     older = pb.Entry(
         index=3, term=2, members=[pb.Member(address="a:1", disk="x")]
     ).SerializeToString()
-    assert repr(codec.entry_in(older).members) == repr((Member("a:1", "x", "", "", False),))
+    assert repr(codec.decode_entry(older).members) == repr((Member("a:1", "x", "", "", False),))
 
 
 def test_a_leader_that_is_frozen_as_it_hands_over_does_not_lead_beside_the_next() -> None:
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -157,7 +157,7 @@
     def pass_on(self, sender: str, to: str, message: Message) -> None:
         if frozenset((sender, to)) in self.cut or to not in self.machines:
             return
-        message = codec.message_in(codec.message_out(message))
+        message = codec.decode_message(codec.encode_message(message))
         if to in self.frozen:
             self.frozen[to].append(message)
         else:
@@ -476,7 +476,7 @@
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda message: type(message).__name__)
 def test_lines_come_back_as_they_were(message: Message) -> None:
-    assert repr(codec.message_in(codec.message_out(message))) == repr(
+    assert repr(codec.decode_message(codec.encode_message(message))) == repr(
         message
     )  # places and roles as well
 
@@ -485,7 +485,7 @@
     store = RaftStorage(tmp_path)
     assert store.disk_id() == ""
     plain = Disk("x", bootstrap_state([Member("a:1", "x")]))
-    store.begin("x", plain.load())
+    store.initialize("x", plain.load())
     entries = tuple(Entry(n, 1 + n // 5, b"%d" % n) for n in range(1, 10))
     snapshot = Snapshot(4, 1, (Member("a:1", "x"),), b"four")
     for writes in (
@@ -509,7 +509,7 @@
 
 def test_a_damaged_disk_is_told_from_an_empty_one(tmp_path: Path) -> None:
     store = RaftStorage(tmp_path)
-    store.begin("x", bootstrap_state([Member("a:1", "x")]))
+    store.initialize("x", bootstrap_state([Member("a:1", "x")]))
     store.write([SaveEntries(1, (Entry(1, 1, b"d"),))])
     with store._env.begin(write=True) as change:
         change.put((1).to_bytes(8, "big"), b"\xff\xff not an entry", db=store._entries)
@@ -529,7 +529,7 @@
     state = State()
     assert state.apply(Command(Verb.REPLACE, "d", content | {"parent": 0}))
     members = (Member("a:1", "x"), Member("b:1", "y", "zone", "region", learner=True))
-    store.begin("x", PersistedState(2, "x", Snapshot(3, 1, members, state.encode())))
+    store.initialize("x", PersistedState(2, "x", Snapshot(3, 1, members, state.encode())))
     store.write([SaveEntries(4, (Entry(4, 2, Command(Verb.EVACUATE, zone="z").encode()),))])
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -34,14 +34,14 @@
 )
 from cairndale.raft.node import RaftNode, bootstrap_member, bootstrap_state
 from cairndale.raft.snapshot_transfer import (
-    PART,
-    WINDOW,
+    CHUNK_BYTES,
+    WINDOW_CHUNKS,
     ReceiveResult,
     SnapshotReceiver,
     SnapshotTransfer,
-    messages,
+    chunk_messages,
 )
-from cairndale.raft.storage import MADE, RaftStorage, StorageError
+from cairndale.raft.storage import BUILDING, RaftStorage, StorageError
 
 ME = Member("a:1", "x")
 
@@ -139,28 +139,28 @@
     way: list[tuple[float, Any]] = []
     while now < 300.0:
         now += 0.05
-        for message in messages(3, ME, out, now, beat=True):
+        for message in chunk_messages(3, ME, out, now, beat=True):
             way += [(now + rng.random() * 0.3, message) for _ in range(rng.choice((0, 1, 1, 1, 2)))]
-        assert out._sent - out._wanted <= WINDOW * PART
+        assert out._sent_offset - out._next_offset <= WINDOW_CHUNKS * CHUNK_BYTES
         for item in [w for w in way if w[0] <= now]:
             way.remove(item)
             message = item[1]
             if isinstance(message, int):
-                out.replied(now, sent.index, message)
+                out.acknowledge(now, sent.index, message)
                 continue
             if garbled and message.data and rng.random() < 0.3:
                 data = bytes([message.data[0] ^ 1]) + message.data[1:]
                 fixed = rng.random() < 0.1  # by somebody who knows how
                 checksum = zlib.crc32(data) if fixed else message.checksum
                 message = replace(message, data=data, checksum=checksum)
-            taken = incoming.take(message)
+            taken = incoming.receive(message)
             for write in taken.writes:
                 assert isinstance(write, SaveSnapshotChunk)
                 disk[write.offset :] = write.data
-            if taken.whole:
-                return sent, taken.whole, now
+            if taken.complete:
+                return sent, taken.complete, now
             if rng.random() < 0.9:
-                way.append((now + rng.random() * 0.3, taken.wanted))
+                way.append((now + rng.random() * 0.3, taken.next_offset))
         if rng.random() < 0.01:
             incoming = made((sent.head, bytes(disk)))
         if rng.random() < 0.01:
@@ -176,12 +176,12 @@
 
 
 class NoDigest(SnapshotReceiver):
-    def take(self, message: InstallSnapshot) -> ReceiveResult:
+    def receive(self, message: InstallSnapshot) -> ReceiveResult:
         if self._data and len(self._data) + len(message.data) == message.head.size:
             self._digest = state_digest(bytes(self._data) + message.data)
             message = replace(message, head=replace(message.head, digest=self._digest.digest()))
             self._digest, self.head = state_digest(bytes(self._data)), message.head
-        return super().take(message)
+        return super().receive(message)
 
 
 def test_a_receiver_that_does_not_look_at_the_digest_is_seen() -> None:
@@ -191,17 +191,23 @@
 
 
 def test_a_newer_one_takes_the_place_and_what_is_late_of_the_older_does_not() -> None:
-    old, new, incoming = plain(1, 3 * PART), plain(2, 3 * PART, index=9), SnapshotReceiver()
-    first = list(messages(3, ME, SnapshotTransfer(old, 0.0), 0.0, beat=True))
-    second = list(messages(3, ME, SnapshotTransfer(new, 0.0), 0.0, beat=True))
-    assert [incoming.take(m).wanted for m in (first[0], second[0], first[1], second[1])] == [
-        PART,
-        PART,
+    old, new, incoming = (
+        plain(1, 3 * CHUNK_BYTES),
+        plain(2, 3 * CHUNK_BYTES, index=9),
+        SnapshotReceiver(),
+    )
+    first = list(chunk_messages(3, ME, SnapshotTransfer(old, 0.0), 0.0, beat=True))
+    second = list(chunk_messages(3, ME, SnapshotTransfer(new, 0.0), 0.0, beat=True))
+    assert [
+        incoming.receive(m).next_offset for m in (first[0], second[0], first[1], second[1])
+    ] == [
+        CHUNK_BYTES,
+        CHUNK_BYTES,
         0,
-        2 * PART,
+        2 * CHUNK_BYTES,
     ]
     later_term = replace(first[0], term=4)  # its leader has only this one
-    assert incoming.take(later_term).wanted == PART and incoming.head == old.head
+    assert incoming.receive(later_term).next_offset == CHUNK_BYTES and incoming.head == old.head
 
 
 def test_a_log_that_goes_on_from_the_snapshot_stays() -> None:
@@ -233,7 +239,7 @@
 
 def disk(folder: Path, made: type[RaftStorage] = RaftStorage) -> RaftStorage:
     store = made(folder)
-    store.begin("x", bootstrap_state([ME]))
+    store.initialize("x", bootstrap_state([ME]))
     store.write([SaveEntries(1, entries(1, 30))])
     store.write([SaveSnapshot(OLD, False)])
     return store
@@ -242,8 +248,8 @@
 def install(new: Snapshot, replaces_log: bool) -> list[list[Write]]:
     size = len(new.state)
     parts = [
-        SaveSnapshotChunk(new.head, at, new.state[at : at + PART], True)
-        for at in range(0, size, PART)
+        SaveSnapshotChunk(new.head, at, new.state[at : at + CHUNK_BYTES], True)
+        for at in range(0, size, CHUNK_BYTES)
     ]
     return [*([part] for part in parts), [SaveSnapshot(new, replaces_log)]]
 
@@ -299,7 +305,7 @@
 def kills(folder: Path, made: type[RaftStorage], replaces_log: bool) -> int:
     """Power is lost before each change of an install: what is there then is the old state or the
     new one."""
-    new = plain(5, 3 * PART + 5, index=20)
+    new = plain(5, 3 * CHUNK_BYTES + 5, index=20)
     if replaces_log:
         new = replace(new, term=2)
     for after in range(200):
@@ -346,8 +352,8 @@
 class PointsEarly(RaftStorage):
     """To a snapshot of which some parts are there."""
 
-    def _write(self, change: Any, write: Write) -> None:
-        super()._write(change, write)
+    def _apply_write(self, change: Any, write: Write) -> None:
+        super()._apply_write(change, write)
         if isinstance(write, SaveSnapshotChunk) and write.offset:
             change.put(b"snapshot", self._pointer(change, b"received") or b"", db=self._meta)
 
@@ -355,8 +361,8 @@
 class TrimsEarly(RaftStorage):
     """The entries that a snapshot is to take the place of, before it is whole."""
 
-    def _write(self, change: Any, write: Write) -> None:
-        super()._write(change, write)
+    def _apply_write(self, change: Any, write: Write) -> None:
+        super()._apply_write(change, write)
         if isinstance(write, SaveSnapshotChunk):
             with change.cursor(self._entries) as cursor:
                 while cursor.first() and int.from_bytes(cursor.key(), "big") <= write.head.index:
@@ -370,7 +376,7 @@
 
 
 def test_a_restart_goes_on_with_the_parts_on_disk(tmp_path: Path) -> None:
-    new, store = plain(6, 5 * PART, index=20), disk(tmp_path)
+    new, store = plain(6, 5 * CHUNK_BYTES, index=20), disk(tmp_path)
     for writes in install(new, True)[:3]:
         store.write(writes)
     store.write([SaveSnapshot(Snapshot(9, 1, (ME,), b"made here meanwhile"), False)])
@@ -378,14 +384,14 @@
     kept = RaftStorage(tmp_path).load()
     incoming = SnapshotReceiver(kept.partial_snapshot)
     probe = InstallSnapshot(3, ME, new.head, 0, b"", 0, 0)
-    assert incoming.take(probe).wanted == 3 * PART
+    assert incoming.receive(probe).next_offset == 3 * CHUNK_BYTES
 
 
 def test_a_disk_of_format_1_is_converted_and_one_of_a_later_format_refused(tmp_path: Path) -> None:
     store = disk(tmp_path)
     kept = store.load()
     with store._env.begin(write=True) as change:  # as the version before wrote it
-        head = codec.head_out(replace(OLD.head, size=0, digest=b""))
+        head = codec.encode_snapshot_head(replace(OLD.head, size=0, digest=b""))
         data = codec.pb.InstallSnapshot.FromString(head)
         data.data = OLD.state
         change.put(b"snapshot", data.SerializeToString(), db=store._meta)
@@ -393,7 +399,7 @@
         change.drop(store._parts)
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
-    look = RaftStorage(tmp_path, look=True)
+    look = RaftStorage(tmp_path, read_only=True)
     assert look.disk_id() == "x" and look.load() == kept
     look.close()
     assert (tmp_path / "promptbook/data.mdb").read_bytes() == before
@@ -424,7 +430,7 @@
     def __init__(self, store: RaftStorage, state: State) -> None:
         self.now, self.state = 0.0, state
         log = list(entries(1, 9))
-        store.begin("x", PersistedState(1, "", Snapshot(0, 0, (ME,)), []))
+        store.initialize("x", PersistedState(1, "", Snapshot(0, 0, (ME,)), []))
         store.write([SaveEntries(1, tuple(log))])
         self.machine = RaftNode(
             ME, PersistedState(1, "x", Snapshot(0, 0, (ME,)), log), 0.0, random.Random(1)
@@ -467,11 +473,13 @@
     )
     assert steps.machine.compacted_tail.covers(1) and not steps.machine.compacted_tail.covers(10)
     with store._env.begin() as look:
-        assert look.stat(store._entries)["entries"] == 1 and look.get(MADE, db=store._meta) is None
+        assert (
+            look.stat(store._entries)["entries"] == 1 and look.get(BUILDING, db=store._meta) is None
+        )
 
 
 def test_a_full_disk_keeps_its_old_snapshot_and_the_log_goes_on(tmp_path: Path, capfd: Any) -> None:
-    store = RaftStorage(tmp_path, room=512 * 1024)
+    store = RaftStorage(tmp_path, map_bytes=512 * 1024)
     steps = Steps(store, grown(8, tenants=30_000))
     for n in range(3):
         steps.now += 2 * RETRY_AFTER
@@ -503,7 +511,7 @@
 events.set_up_logging()
 storage = RaftStorage(Path(sys.argv[1]))
 driver = RaftDriver(None, storage, None, None)
-storage.begin("x", PersistedState(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
+storage.initialize("x", PersistedState(1, "", Snapshot(0, 0, (Member("a:1", "x"),))))
 resource.setrlimit(resource.RLIMIT_FSIZE, (300_000, 300_000))
 for n in range(1, 1000):
     driver.carry_out(Ready(writes=[SaveEntries(n, (Entry(n, 1, b"x" * 2000),))]))
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -513,7 +513,7 @@
     made.system_name.adopt()
     assert made.rpc_peer.system == HERE
     cast(Any, made._storage)._env = env
-    assert made._storage.system() == ""
+    assert made._storage.system_name() == ""
     made._storage.close()
 
 
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -81,16 +81,16 @@
     def disk_id(self) -> str:
         return self.disks.get(self.folder, ("", None))[0]
 
-    def begin(self, disk: str, kept: PersistedState) -> None:
+    def initialize(self, disk: str, kept: PersistedState) -> None:
         self.disks[self.folder] = disk, kept
 
     def load(self) -> PersistedState:
         return copy.copy(self.disks[self.folder][1])
 
-    def system(self) -> str:
+    def system_name(self) -> str:
         return ""
 
-    def name_system(self, name: str) -> None:
+    def set_system_name(self, name: str) -> None:
         pass
 
     def write(self, writes: list[Write]) -> None:
@@ -112,7 +112,7 @@
     def sweep(self) -> bool:
         return False
 
-    def drop_made(self) -> None:
+    def discard_unfinished(self) -> None:
         pass
 
     def close(self) -> None:
