--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -70,8 +70,8 @@
             if info.state is it.BackendState.GONE:
                 self.backends.pop(info.id, None)
         self.ready_by_service = {}
-        for backend in self.ready:
-            self.ready_by_service.setdefault(backend.info.service, []).append(backend)
+        for endpoint in self.ready:
+            self.ready_by_service.setdefault(endpoint.info.service, []).append(endpoint)
         self.update_slots()
 
     def update_slots(self) -> None:
@@ -95,29 +95,30 @@
         """Whether a grant of this unit was denied for a time that lasts still."""
         return self._denied_until.get(unit, 0) > now
 
-    def slot_share(self, backend: Endpoint) -> float:
+    def slot_share(self, endpoint: Endpoint) -> float:
         """Return this ingress's share of an endpoint's slots, 1 at the least.
 
-        They are shared by the ingresses of its zone, or by all if its zone has none.
+        An endpoint in this ingress's zone is shared with the ingresses there, any other with all.
         """
-        in_its_zone = self.placement.ingresses_by_zone.get(backend.info.zone, 0)
-        same_zone = backend.info.zone == self.placement.zone
-        sharing = in_its_zone if same_zone else self.placement.ingress_count
-        return max(1.0, backend.info.slots / max(1, sharing))
+        placement, info = self.placement, endpoint.info
+        sharing = placement.ingress_count
+        if info.zone == placement.zone:
+            sharing = placement.ingresses_by_zone.get(info.zone, 0)
+        return max(1.0, info.slots / max(1, sharing))
 
-    def distance_cost(self, backend: Endpoint) -> float:
+    def distance_cost(self, endpoint: Endpoint) -> float:
         """Return what the way to the endpoint costs, in usual answers' times."""
-        if backend.info.zone == self.placement.zone:
+        placement, info = self.placement, endpoint.info
+        if info.zone == placement.zone:
             return 0.0
-        same_region = backend.info.region == self.placement.region
-        return OTHER_ZONE_COST if same_region else OTHER_REGION_COST
+        return OTHER_ZONE_COST if info.region == placement.region else OTHER_REGION_COST
 
-    def cost(self, backend: Endpoint, cls: int, now: int) -> float:
+    def cost(self, endpoint: Endpoint, cls: int, now: int) -> float:
         """Return the cost of one more request at the endpoint, in usual answers' times."""
-        share = self.slot_share(backend)
-        over = max(0.0, backend.out + 1 - share) / share
-        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * backend.out / share
-        return self.slowness(backend, cls, now) * (1 + wait) + self.distance_cost(backend)
+        share = self.slot_share(endpoint)
+        over = max(0.0, endpoint.out + 1 - share) / share
+        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * endpoint.out / share
+        return self.slowness(endpoint, cls, now) * (1 + wait) + self.distance_cost(endpoint)
 
     def pick(
         self,
@@ -157,16 +158,16 @@
         self, now: int, cls: int, allowed: Callable[[Endpoint], bool], asked: it.RequestArrived
     ) -> Endpoint | None:
         best, best_cost = None, float("inf")
-        for backend in self.ready_by_service.get(asked.service, ()):
-            info = backend.info
+        for endpoint in self.ready_by_service.get(asked.service, ()):
+            info = endpoint.info
             if asked.regions is not None and info.region not in asked.regions:
                 continue
-            cost = self.cost(backend, cls, now) + COST_NOISE * self.rng.random()
-            if cost >= best_cost or not allowed(backend):
+            cost = self.cost(endpoint, cls, now) + COST_NOISE * self.rng.random()
+            if cost >= best_cost or not allowed(endpoint):
                 continue
             if info.cold_until > now and self.is_denied((WARMUP, info.id), now):
                 continue
-            best, best_cost = backend, cost
+            best, best_cost = endpoint, cost
         return best
 
     def _earn(self, budget: RetryBudget) -> None:
