--- a/cairndale/configuration/delta.py
+++ b/cairndale/configuration/delta.py
@@ -1,221 +1,200 @@
-"""What changed of the configuration from one gen to the next: told in place of the whole content.
+"""Deltas of the configuration: what differs between two generations, item by item.
 
-A content is weighed by a sum over its items, whatever their order: the sum of their digests (64
-bits) and of their texts' lengths. A difference names the gen and the digest before it and after it,
-so that who takes it finds out whether it fits."""
+Ingresses are sent a delta in place of the whole content. It names the generation and the digest of
+the content before and after, so that its receiver finds out whether it fits.
+"""
 
 from __future__ import annotations
 
 import json
 import zlib
-from collections import deque
-from collections.abc import Generator, Iterable, Iterator, Mapping
-from dataclasses import dataclass
-from hashlib import blake2b
+from collections.abc import Iterable, Iterator, Mapping
+from dataclasses import dataclass, field
 from itertools import islice
 from marshal import dumps
 from typing import Any
 
-from cairndale.configuration.validation import TABLES
-
-MAX_RECORDED_CHANGES = 256  # gens back to which differences are known
-MAX_CHANGED_ITEMS = (
-    2_000  # that a difference may put or remove, over all its steps; for more the whole is told
-)
-DIGESTED_PER_STEP = 400  # items weighed at once: some 2 ms ...
-COMPARED_PER_STEP, SCANNED_PER_STEP = 400, 4_000  # ... or compared, or looked at for their names
-MIN_SAVING_FACTOR = (
-    8  # a difference is told where its text is this many times shorter than the whole's, or more
-)
-MAX_CHANGES_TEXT_BYTES = 64 * 1024 * 1024  # bytes of text of a difference that are unpacked
-TOP_LEVEL_FIELDS = (
-    ""  # in the place of a table: what else a content says, each by its name as a list of one
+from cairndale.configuration import content_digest
+from cairndale.configuration.content import TABLES
+from cairndale.configuration.content_digest import (
+    NO_DIGEST,
+    TOP_LEVEL_FIELDS,
+    canonical_json,
+    iter_items,
 )
-DIGEST_MODULUS = 1 << 64
+from cairndale.configuration.stepwise import Steps
 
-Changes = dict[
-    str, dict[str, Any]
-]  # by table and name: the item from now on, or None if it is gone
+MAX_CHANGED_ITEMS = 2_000  # in one delta; for more the whole content is sent
+COMPARED_PER_STEP = 400  # items: some 2 ms
+SCANNED_PER_STEP = 4_000  # items of which only the names are looked at: some 2 ms
+MAX_CHANGES_TEXT_BYTES = 64 * 1024 * 1024  # of JSON that a delta may unpack to
 
-_text = json.JSONEncoder(separators=(",", ":"), sort_keys=True).encode
+# By table and name: the item from now on, or None if it is removed.
+Changes = dict[str, dict[str, Any]]
 
 
 class DeltaError(ValueError):
-    """A difference that does not fit what it is to be applied to."""
+    """A delta does not fit the content that it is applied to, or cannot be read."""
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigDelta:
+    """A delta as ingresses receive it.
+
+    Attributes:
+        base_gen: the generation that it applies to.
+        gen: the generation that it leads to.
+        base_digest: the digest of the content before.
+        digest: the digest of the content after.
+        encoded_changes: the changes (JSON, zlib).
+    """
+
     base_gen: int
     gen: int
     base_digest: int
     digest: int
-    encoded_changes: bytes  # JSON, zlib
+    encoded_changes: bytes
 
     def decode_changes(self) -> Changes:
-        """Raises DeltaError."""
-        packer = zlib.decompressobj()
+        """The changed items. Raises DeltaError."""
+        decompressor = zlib.decompressobj()
         try:
-            made = json.loads(packer.decompress(self.encoded_changes, MAX_CHANGES_TEXT_BYTES))
-            sound = isinstance(made, dict) and made.keys() <= {*TABLES, TOP_LEVEL_FIELDS}
-            if not (
-                packer.eof and sound and all(isinstance(named, dict) for named in made.values())
-            ):
-                raise DeltaError("no difference, or not a whole one")
+            text = decompressor.decompress(self.encoded_changes, MAX_CHANGES_TEXT_BYTES)
+            changes = json.loads(text)
         except (ValueError, zlib.error) as error:
-            raise DeltaError(str(error)) from None
-        return dict(made)
+            raise DeltaError(str(error)) from error
+        if not decompressor.eof or not _are_changes(changes):
+            raise DeltaError("no difference, or not a whole one")
+        return dict(changes)
 
 
-def item_digest(table: str, name: str, item: Any) -> tuple[int, int]:
-    """An item's digest, and the bytes of its text."""
-    text = _text([table, name, item]).encode()
-    return int.from_bytes(blake2b(text, digest_size=8).digest(), "big"), len(text)
+def _are_changes(value: Any) -> bool:
+    return (
+        isinstance(value, dict)
+        and value.keys() <= {*TABLES, TOP_LEVEL_FIELDS}
+        and all(isinstance(items, dict) for items in value.values())
+    )
 
 
-def iter_items(content: Mapping[str, Any], table: str) -> Iterator[tuple[str, Any]]:
-    """A table's items, or the fields, each with its name."""
-    if table == TOP_LEVEL_FIELDS:
-        return ((n, [value]) for n, value in content.items() if n not in TABLES and n != "gen")
-    return ((item["name"], item) for item in content.get(table, ()))
+def encode_changes(changes: Changes) -> bytes:
+    """The JSON of changes, not compressed."""
+    return canonical_json(changes).encode()
 
 
-def iter_item_digests(content: Mapping[str, Any]) -> Iterator[tuple[int, int]]:
-    """Of each item."""
-    return (
-        item_digest(table, name, item)
-        for table in (*TABLES, TOP_LEVEL_FIELDS)
-        for name, item in iter_items(content, table)
-    )
+def merge_changes(successive: Iterable[Changes]) -> Changes:
+    """The changes that several, one after the other, come to."""
+    merged: Changes = {}
+    for changes in successive:
+        for table, items in changes.items():
+            merged.setdefault(table, {}).update(items)
+    return merged
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class GenerationChange:
-    """From one gen to the next."""
+    """What changed from one generation to the next.
+
+    Attributes:
+        base_gen: the generation before.
+        gen: the generation after.
+        changes: the changed items.
+        digest: what the digest of the content grew by; may be negative.
+        size: what the content's canonical JSON grew by, in bytes; may be negative.
+        count: how many items changed.
+    """
 
     base_gen: int
     gen: int
     changes: Changes
-    digest: int  # added to the content's
+    digest: int
     size: int
-    count: int  # of items
+    count: int
 
 
 def compare_steps(
-    before: Mapping[str, Any], after: Mapping[str, Any], order: Mapping[str, Any] | None
-) -> Generator[None, None, GenerationChange | None]:
-    """In steps. `order`: the update that led from one to the other; without one they are compared
-    whole. None: too many items differ."""
-    changes: Changes = {}
-    digest = size = count = 0
+    before: Mapping[str, Any], after: Mapping[str, Any], update: Mapping[str, Any] | None
+) -> Steps[GenerationChange | None]:
+    """What changed from one content to the next; None if more than MAX_CHANGED_ITEMS did.
+
+    `update`: the body of the Update that led from one to the other, which names what may have
+    changed. Without one all items are compared.
+    """
+    comparison = _Comparison()
     for table in (*TABLES, TOP_LEVEL_FIELDS):
         if before.get(table) is after.get(table) and table != TOP_LEVEL_FIELDS:
             continue
-        only: set[str] | None = None
-        if order is not None:
-            only = {item["name"] for item in order.get("upsert", {}).get(table, ())}
-            only.update(order.get("remove", {}).get(table, ()))
-        gone = yield from _collect_steps(iter_items(before, table), only)
-        new = yield from _collect_steps(iter_items(after, table), only)
-        for at, (name, item) in enumerate(new.items()):
-            if at % COMPARED_PER_STEP == 0:
+        names = None if update is None else _updated_names(update, table)
+        old = yield from _collect_steps(iter_items(before, table), names)
+        new = yield from _collect_steps(iter_items(after, table), names)
+        if not (yield from comparison.compare_table_steps(table, old, new)):
+            return None
+    return GenerationChange(
+        base_gen=before.get("gen", 0),
+        gen=after["gen"],
+        changes=comparison.changes,
+        digest=comparison.digest,
+        size=comparison.size,
+        count=comparison.count,
+    )
+
+
+@dataclass(slots=True)
+class _Comparison:
+    """The changes that were found so far."""
+
+    changes: Changes = field(default_factory=dict)
+    digest: int = 0
+    size: int = 0
+    count: int = 0
+
+    def compare_table_steps(
+        self, table: str, old: dict[str, Any], new: dict[str, Any]
+    ) -> Steps[bool]:
+        """False if too many items differ. `old` is used up."""
+        for number, (name, item) in enumerate(new.items()):
+            if number % COMPARED_PER_STEP == 0:
                 yield
-            was = gone.pop(name, None)
-            if was is not None and dumps(was, 2) == dumps(
-                item, 2
-            ):  # by type too: 1 and 1.0 are two texts
+            old_item = old.pop(name, None)
+            if old_item is not None and _is_same(old_item, item):
                 continue
-            count += 1
-            if count > MAX_CHANGED_ITEMS:
-                return None
-            changes.setdefault(table, {})[name] = item
-            more, less = (
-                item_digest(table, name, item),
-                (0, 0) if was is None else item_digest(table, name, was),
-            )
-            digest, size = digest + more[0] - less[0], size + more[1] - less[1]
-        count += len(gone)
-        if count > MAX_CHANGED_ITEMS:
-            return None
-        for name, was in gone.items():
-            changes.setdefault(table, {})[name] = None
-            less = item_digest(table, name, was)
-            digest, size = digest - less[0], size - less[1]
-    return GenerationChange(before.get("gen", 0), after["gen"], changes, digest, size, count)
+            if not self._count_in(1):
+                return False
+            self._change(table, name, old_item, item)
+        if not self._count_in(len(old)):
+            return False
+        for name, old_item in old.items():
+            self._change(table, name, old_item, None)
+        return True
+
+    def _count_in(self, count: int) -> bool:
+        """Counts changed items before their digests are made; False if there are too many."""
+        self.count += count
+        return self.count <= MAX_CHANGED_ITEMS
+
+    def _change(self, table: str, name: str, old: Any, new: Any) -> None:
+        self.changes.setdefault(table, {})[name] = new
+        added = NO_DIGEST if new is None else content_digest.item_digest(table, name, new)
+        removed = NO_DIGEST if old is None else content_digest.item_digest(table, name, old)
+        self.digest += added.value - removed.value
+        self.size += added.size - removed.size
+
+
+def _is_same(one: Any, other: Any) -> bool:
+    """Equal with the types: 1 and 1.0 are equal numbers, but two texts."""
+    return dumps(one, 2) == dumps(other, 2)
+
+
+def _updated_names(update: Mapping[str, Any], table: str) -> set[str]:
+    names = {item["name"] for item in update.get("upsert", {}).get(table, ())}
+    return names.union(update.get("remove", {}).get(table, ()))
 
 
 def _collect_steps(
-    items: Iterator[tuple[str, Any]], only: set[str] | None
-) -> Generator[None, None, dict[str, Any]]:
-    """Items by name, in steps; `only` those, if any are named."""
-    picked: dict[str, Any] = {}
+    items: Iterator[tuple[str, Any]], names: set[str] | None
+) -> Steps[dict[str, Any]]:
+    """Items by name: all, or those of `names`."""
+    collected: dict[str, Any] = {}
     while chunk := list(islice(items, SCANNED_PER_STEP)):
-        picked.update(chunk if only is None else [one for one in chunk if one[0] in only])
+        collected.update(chunk if names is None else [one for one in chunk if one[0] in names])
         yield
-    return picked
-
-
-class DeltaHistory:
-    """The newest steps, alike at every member of the core that applied them, and what the content
-    in force weighs: counted a few items at a time, as nobody waits for it."""
-
-    def __init__(self) -> None:
-        self._recorded: deque[GenerationChange] = deque(maxlen=MAX_RECORDED_CHANGES)
-        self._digest = self._size = 0
-        self._undigested: Iterator[tuple[int, int]] | None = None  # of what is being weighed
-        self._is_digested = False
-        self._deltas: dict[
-            int, ConfigDelta | None
-        ] = {}  # by the gen that they begin at, up to the newest
-
-    def record(self, made: GenerationChange | None) -> None:
-        """Another content came in the place of the one before, by this step; None: that is not
-        known."""
-        self._deltas = {}
-        if made is None:
-            self._recorded.clear()
-            self._undigested, self._is_digested = None, False
-            return
-        self._recorded.append(made)
-        self._add(made.digest, made.size)  # also while what was before is being weighed
-
-    def _add(self, digest: int, size: int) -> None:
-        self._digest, self._size = (self._digest + digest) % DIGEST_MODULUS, self._size + size
-
-    def digest_next_items(self, content: Mapping[str, Any]) -> bool:
-        """Some more items of the content in force; True once all are. Before, no difference is
-        known."""
-        if not self._is_digested:
-            if self._undigested is None:
-                self._undigested, self._digest, self._size = iter_item_digests(content), 0, 0
-            chunk = list(islice(self._undigested, DIGESTED_PER_STEP))
-            self._add(sum(digest for digest, _ in chunk), sum(size for _, size in chunk))
-            self._is_digested = len(chunk) < DIGESTED_PER_STEP
-            self._deltas = {}
-        return self._is_digested
-
-    def delta_since(self, gen: int) -> ConfigDelta | None:
-        """From there to the newest; None: not known, or not worth it."""
-        if gen not in self._deltas:
-            self._deltas[gen] = self._make_delta(gen) if self._is_digested else None
-        return self._deltas[gen]
-
-    def _make_delta(self, gen: int) -> ConfigDelta | None:
-        steps = list(self._recorded)
-        at = next((n for n, one in enumerate(steps) if one.base_gen == gen), len(steps))
-        if at == len(steps) or sum(one.count for one in steps[at:]) > MAX_CHANGED_ITEMS:
-            return None
-        text = _text(merge_changes(one.changes for one in steps[at:])).encode()
-        if len(text) * MIN_SAVING_FACTOR > self._size:
-            return None
-        before = (self._digest - sum(one.digest for one in steps[at:])) % DIGEST_MODULUS
-        return ConfigDelta(gen, steps[-1].gen, before, self._digest, zlib.compress(text, 6))
-
-
-def merge_changes(some: Iterable[Changes]) -> Changes:
-    """One after the other."""
-    merged: Changes = {}
-    for changes in some:
-        for table, items in changes.items():
-            merged.setdefault(table, {}).update(items)
-    return merged
+    return collected
--- a/cairndale/configuration/route_table.py
+++ b/cairndale/configuration/route_table.py
@@ -2,103 +2,35 @@
 
 from __future__ import annotations
 
-import random
 import re
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass
 from typing import Any
 
-from cairndale.configuration.delta import (
-    DIGEST_MODULUS,
-    TOP_LEVEL_FIELDS,
-    ConfigDelta,
-    DeltaError,
-    item_digest,
-    iter_items,
-)
-from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.interface import Repeat
-from cairndale.settings import parse_duration
+from cairndale.configuration.content_digest import DIGEST_MODULUS, TOP_LEVEL_FIELDS, iter_items
+from cairndale.configuration.delta import ConfigDelta, DeltaError
+from cairndale.configuration.routes import Field, Item, Route, Service, Tenant, read_item
+from cairndale.ingress.policy.interface import RequestClass
 
-TOKEN = re.compile(rb"[Tt][Oo][Kk][Ee][Nn] +([!-~]+)")
-DEADLINE, AIM = "30s", "1s"  # of a route that names none
-
-
-@dataclass(frozen=True, slots=True)
-class Route:
-    name: str
-    request_class: it.RequestClass
-    services: tuple[str, ...]
-    weights: tuple[float, ...]
-    public: bool
-    home_regions: frozenset[str]  # empty: anywhere
-    priority: int
-    host: bytes
-    prefix: bytes
-    digest: int  # of what it was read from
-
-    def service(self, rng: random.Random) -> str:
-        return (
-            self.services[0]
-            if len(self.services) == 1
-            else rng.choices(self.services, self.weights)[0]
-        )
-
-
-@dataclass(frozen=True, slots=True)
-class Tenant:
-    name: str
-    priority: int
-    rate_per_s: float  # requests a second; 0: no limit
-    burst: float
-    home_regions: frozenset[str]
-    api_keys: tuple[bytes, ...]
-    digest: int
-
-
-@dataclass(frozen=True, slots=True)
-class Service:
-    name: str
-    warmup_s: float  # s that a server is cold after a start
-    warm_per_s: float  # requests a second that it can handle while cold; 0: unknown
-    max_connections: int  # connections that it takes from all callers
-    digest: int
-
-
-@dataclass(frozen=True, slots=True)
-class Field:
-    """What else a content says."""
-
-    name: str
-    value: Any
-    digest: int
-
-
-Item = Route | Tenant | Service | Field
+AUTHORIZATION = re.compile(rb"[Tt][Oo][Kk][Ee][Nn] +([!-~]+)")
 
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """Items that stand otherwise than before, as they are now."""
+    """Routes and tenants that are new or otherwise than before, as they are now."""
 
     routes: list[Route]
     tenants: list[Tenant]
 
 
-def _us(text: str) -> int:
-    return max(1, round(parse_duration(text) * 1e6))
-
-
-def _digest(item: Item | None) -> int:
-    return item.digest if item else 0
-
+@dataclass(frozen=True, slots=True)
+class _ItemChange:
+    """An item from now on, or None if it is removed."""
 
-def _less(counts: Counter[str], names: Iterable[str]) -> None:
-    for name in names:
-        counts[name] -= 1
-        if not counts[name]:
-            del counts[name]
+    table: str
+    name: str
+    item: Item | None
 
 
 class RouteTable:
@@ -106,104 +38,106 @@
 
     A delta changes it in place, item by item (`apply_delta`). Whoever keeps what was found here
     compares `gen` to learn whether it may have changed since.
+
+    Attributes:
+        gen: the generation; 0: no configuration.
+        digest: of the content (`content_digest`).
+        routes, tenants, services, fields: the items by name.
+        routes_by_host: routes by host (the virtual host), then by path prefix.
+        tenants_by_key: tenants by API key.
+        request_classes: the classes of the routes, by name.
+        service_references: how many routes name a service, by its name.
     """
 
     def __init__(self, content: dict[str, Any]) -> None:
         self.gen: int = content.get("gen", 0)
-        self.digest = 0  # as `cairndale.configuration.delta` has it
-        self.routes_by_host: dict[bytes, dict[bytes, Route]] = {}
-        self.tenants_by_key: dict[bytes, Tenant] = {}
+        self.digest = 0
         self.routes: dict[str, Route] = {}
         self.tenants: dict[str, Tenant] = {}
         self.services: dict[str, Service] = {}
-        self.service_references: Counter[str] = (
-            Counter()
-        )  # services that routes name, and how many do
-        self.request_classes: dict[str, it.RequestClass] = {}  # of routes
-        self._of_class: Counter[str] = Counter()  # how many are of each
         self.fields: dict[str, Field] = {}
+        self.routes_by_host: dict[bytes, dict[bytes, Route]] = {}
+        self.tenants_by_key: dict[bytes, Tenant] = {}
+        self.request_classes: dict[str, RequestClass] = {}
+        self.service_references: Counter[str] = Counter()
+        self._class_references: Counter[str] = Counter()
         self._tables: dict[str, dict[str, Any]] = {
             "routes": self.routes,
             "tenants": self.tenants,
             "backends": self.services,
             TOP_LEVEL_FIELDS: self.fields,
         }
-        for table in self._tables:
+        for table, items in self._tables.items():
             for name, raw in iter_items(content, table):
-                if name in self._tables[table]:
-                    self._drop(table, name)
-                self._put(table, self._read(table, name, raw))
+                if name in items:
+                    self._remove(table, name)
+                self._add(table, self._read(table, name, raw))
 
     @property
     def limits(self) -> dict[str, Any]:
+        """The listener's limits, by their names in the configuration."""
         return self.fields["limits"].value if "limits" in self.fields else {}
 
+    def find_route(self, host: bytes, target: bytes) -> Route | None:
+        """The route with the longest prefix of the path, of this host (with or without a port)."""
+        routes = self.routes_by_host.get(_without_port(host.lower()))
+        if not routes:
+            return None
+        path = target.partition(b"?")[0]
+        end = path.rfind(b"/")
+        while end >= 0:
+            if route := routes.get(path[: end + 1]):
+                return route
+            end = path.rfind(b"/", 0, end)
+        return None
+
+    def find_tenant(self, authorization: bytes) -> Tenant | None:
+        """The tenant whose key stands in this value of `Authorization`."""
+        match = AUTHORIZATION.fullmatch(authorization)
+        return self.tenants_by_key.get(match[1]) if match else None
+
     def apply_delta(self, delta: ConfigDelta) -> TableChange:
-        """Whole or not at all. Raises DeltaError where it does not fit."""
+        """Applies a delta as a whole, or not at all: raises DeltaError where it does not fit."""
         if (delta.base_gen, delta.base_digest) != (self.gen, self.digest):
             raise DeltaError(
                 f"from gen {delta.base_gen}, where gen {self.gen} stands, or by its digest"
             )
-        changes, digest = delta.decode_changes(), self.digest
-        made: list[tuple[str, str, Item | None]] = []
-        try:
-            for table, items in changes.items():
-                for name, raw in items.items():
-                    item = None if raw is None else self._read(table, name, raw)
-                    made.append((table, name, item))
-                    digest += _digest(item) - _digest(self._tables[table].get(name))
-        except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-            raise DeltaError(f"{name!r} in {table!r}: {error!r}") from None
-        if digest % DIGEST_MODULUS != delta.digest:
+        changes = self._read_changes(delta)
+        if self._digest_after(changes) != delta.digest:
             raise DeltaError(f"gen {delta.gen}: another digest than was told")
-        for table, name, item in made:
-            self._drop(table, name)
-            if item is not None:
-                self._put(table, item)
+        for change in changes:
+            self._remove(change.table, change.name)
+            if change.item is not None:
+                self._add(change.table, change.item)
         self.gen = delta.gen
-        now = [item for _, _, item in made]
+        items = [change.item for change in changes]
         return TableChange(
-            [i for i in now if isinstance(i, Route)], [i for i in now if isinstance(i, Tenant)]
+            routes=[item for item in items if isinstance(item, Route)],
+            tenants=[item for item in items if isinstance(item, Tenant)],
         )
 
+    def _read_changes(self, delta: ConfigDelta) -> list[_ItemChange]:
+        changes: list[_ItemChange] = []
+        for table, items in delta.decode_changes().items():
+            for name, raw in items.items():
+                try:
+                    item = None if raw is None else self._read(table, name, raw)
+                except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
+                    raise DeltaError(f"{name!r} in {table!r}: {error!r}") from error
+                changes.append(_ItemChange(table, name, item))
+        return changes
+
+    def _digest_after(self, changes: list[_ItemChange]) -> int:
+        digest = self.digest
+        for change in changes:
+            digest += _digest_of(change.item)
+            digest -= _digest_of(self._tables[change.table].get(change.name))
+        return digest % DIGEST_MODULUS
+
     def _read(self, table: str, name: str, raw: Any) -> Item:
-        digest = item_digest(table, name, raw)[0]
-        match table:
-            case "backends":
-                return Service(
-                    name,
-                    parse_duration(raw.get("warmup", "0s")),
-                    float(raw.get("warmupPerS", 0)),
-                    int(raw.get("maxConns", 0)),
-                    digest,
-                )
-            case "tenants":
-                return Tenant(
-                    name,
-                    int(raw.get("prio", 0)),
-                    float(raw.get("ratePerS") or 0),
-                    float(raw.get("burst") or 0),
-                    frozenset(raw.get("homeRegions") or ()),
-                    tuple(key.encode() for key in raw["apiKeys"]),
-                    digest,
-                )
-            case "routes":
-                split = raw.get("split") or [{"backend": raw["backend"], "weight": 1}]
-                return Route(
-                    name,
-                    self._cls(raw),
-                    tuple(p["backend"] for p in split),
-                    tuple(float(p["weight"]) for p in split),
-                    bool(raw.get("public")),
-                    frozenset(raw.get("homeRegions") or ()),
-                    int(raw.get("prio", 0)),
-                    raw["host"].lower().encode(),
-                    raw["pathPrefix"].encode(),
-                    digest,
-                )
-        return Field(name, raw[0], digest)
+        return read_item(table, name, raw, self.request_classes)
 
-    def _put(self, table: str, item: Item) -> None:
+    def _add(self, table: str, item: Item) -> None:
         self.digest = (self.digest + item.digest) % DIGEST_MODULUS
         self._tables[table][item.name] = item
         if isinstance(item, Tenant):
@@ -212,55 +146,45 @@
         elif isinstance(item, Route):
             self.routes_by_host.setdefault(item.host, {})[item.prefix] = item
             self.request_classes.setdefault(item.request_class.name, item.request_class)
-            self._of_class[item.request_class.name] += 1
+            self._class_references[item.request_class.name] += 1
             self.service_references.update(item.services)
 
-    def _drop(self, table: str, name: str) -> None:
+    def _remove(self, table: str, name: str) -> None:
+        """Removes an item, if there is one of this name."""
         item: Item | None = self._tables[table].pop(name, None)
-        self.digest = (self.digest - _digest(item)) % DIGEST_MODULUS
+        self.digest = (self.digest - _digest_of(item)) % DIGEST_MODULUS
         if isinstance(item, Tenant):
             for key in item.api_keys:
-                if self.tenants_by_key.get(key) is item:
+                if self.tenants_by_key.get(key) is item:  # else another tenant has taken it
                     del self.tenants_by_key[key]
         elif isinstance(item, Route):
-            prefixes = self.routes_by_host[item.host]
-            if prefixes.get(item.prefix) is item:
-                del prefixes[item.prefix]
-            if not prefixes:
-                del self.routes_by_host[item.host]
-            _less(self._of_class, [item.request_class.name])
-            if item.request_class.name not in self._of_class:
-                del self.request_classes[item.request_class.name]
-            _less(self.service_references, item.services)
+            self._remove_route(item)
+
+    def _remove_route(self, route: Route) -> None:
+        routes = self.routes_by_host[route.host]
+        if routes.get(route.prefix) is route:  # else another route has taken its place
+            del routes[route.prefix]
+        if not routes:
+            del self.routes_by_host[route.host]
+        class_name = route.request_class.name
+        _release(self._class_references, [class_name])
+        if class_name not in self._class_references:
+            del self.request_classes[class_name]
+        _release(self.service_references, route.services)
+
+
+def _digest_of(item: Item | None) -> int:
+    return item.digest if item else 0
 
-    def _cls(self, raw: dict[str, Any]) -> it.RequestClass:
-        """Routes of the same kind, times and tries are one class to the module."""
-        deadline, aim = raw.get("deadline", DEADLINE), raw.get("target_time", AIM)
-        tries = int(raw.get("tries", 1))
-        name = f"{raw['kind']} {deadline} {aim} {tries}"
-        if known := self.request_classes.get(name):
-            return known
-        repeat = Repeat.SAFE if raw["kind"] == "idempotent" else Repeat.UNSAFE
-        return it.RequestClass(
-            name, _us(aim), _us(deadline), repeat, late_worth=0.5, tries=max(1, tries)
-        )
 
-    def find_route(self, host: bytes, target: bytes) -> Route | None:
-        """The one whose prefix is the longest that begins the path."""
-        name = host.lower()
-        if name.rpartition(b":")[2].isdigit() and b":" in name:
-            name = name.rpartition(b":")[0]
-        prefixes = self.routes_by_host.get(name)
-        if not prefixes:
-            return None
-        path = target.partition(b"?")[0]
-        end = path.rfind(b"/")
-        while end >= 0:
-            if found := prefixes.get(path[: end + 1]):
-                return found
-            end = path.rfind(b"/", 0, end)
-        return None
+def _release(references: Counter[str], names: Iterable[str]) -> None:
+    """Takes one reference off each name; names without any are not kept."""
+    for name in names:
+        references[name] -= 1
+        if not references[name]:
+            del references[name]
 
-    def find_tenant(self, authorization: bytes) -> Tenant | None:
-        match = TOKEN.fullmatch(authorization)
-        return self.tenants_by_key.get(match[1]) if match else None
+
+def _without_port(host: bytes) -> bytes:
+    name, colon, port = host.rpartition(b":")
+    return name if colon and port.isdigit() else host
--- /dev/null
+++ b/cairndale/configuration/routes.py
@@ -0,0 +1,182 @@
+"""Items of the configuration as the data plane uses them, read from their JSON objects.
+
+Each item carries the digest of what it was read from (`content_digest`).
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from cairndale.configuration.content_digest import item_digest
+from cairndale.ingress.policy.interface import Repeat, RequestClass
+from cairndale.settings import parse_duration
+
+DEFAULT_DEADLINE = "30s"  # of a route that names none
+DEFAULT_TARGET_TIME = "1s"  # of a route that names none
+LATE_WORTH = 0.5  # the value of an answer after the target time, as a part of one in time
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Route:
+    """Which requests go to which services.
+
+    Attributes:
+        request_class: the kind, times and attempts that it shares with routes alike.
+        services: where to, with a weight for each in `weights`.
+        public: whether requests need no tenant's key.
+        home_regions: the regions that may serve it; empty: any.
+        priority: 0 is the most important.
+        host: in lower case.
+        prefix: of the path; begins and ends with a slash.
+    """
+
+    name: str
+    request_class: RequestClass
+    services: tuple[str, ...]
+    weights: tuple[float, ...]
+    public: bool
+    home_regions: frozenset[str]
+    priority: int
+    host: bytes
+    prefix: bytes
+    digest: int
+
+    def service(self, rng: random.Random) -> str:
+        """The service for one request, drawn by weight."""
+        if len(self.services) == 1:
+            return self.services[0]
+        return rng.choices(self.services, self.weights)[0]
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Tenant:
+    """Who sends requests, known by an API key.
+
+    Attributes:
+        priority: 0 is the most important.
+        rate_per_s: requests per second of its quota; 0: no limit.
+        burst: requests that it may send at once.
+        home_regions: the regions that may serve it; empty: any.
+        api_keys: any of which stands in `Authorization`.
+    """
+
+    name: str
+    priority: int
+    rate_per_s: float
+    burst: float
+    home_regions: frozenset[str]
+    api_keys: tuple[bytes, ...]
+    digest: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Service:
+    """A cluster of servers that serve the same.
+
+    Attributes:
+        warmup_s: seconds of slow start of a server.
+        warm_per_s: requests per second that a server can handle in slow start; 0: unknown.
+        max_connections: that a server takes from all callers; 0: unknown.
+    """
+
+    name: str
+    warmup_s: float
+    warm_per_s: float
+    max_connections: int
+    digest: int
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class Field:
+    """A top-level field of the content that is no table, such as `limits`."""
+
+    name: str
+    value: Any
+    digest: int
+
+
+Item = Route | Tenant | Service | Field
+
+
+def read_item(table: str, name: str, raw: Any, request_classes: Mapping[str, RequestClass]) -> Item:
+    """An item of a table, or of TOP_LEVEL_FIELDS, from its JSON.
+
+    `request_classes`: those that exist, by name; a route alike shares its class. Raises ValueError,
+    KeyError, TypeError, AttributeError or IndexError if the JSON is no such item.
+    """
+    digest = item_digest(table, name, raw).value
+    match table:
+        case "backends":
+            return _read_service(name, raw, digest)
+        case "tenants":
+            return _read_tenant(name, raw, digest)
+        case "routes":
+            return _read_route(name, raw, digest, request_classes)
+    return Field(name=name, value=raw[0], digest=digest)
+
+
+def _read_service(name: str, raw: dict[str, Any], digest: int) -> Service:
+    return Service(
+        name=name,
+        warmup_s=parse_duration(raw.get("warmup", "0s")),
+        warm_per_s=float(raw.get("warmupPerS", 0)),
+        max_connections=int(raw.get("maxConns", 0)),
+        digest=digest,
+    )
+
+
+def _read_tenant(name: str, raw: dict[str, Any], digest: int) -> Tenant:
+    return Tenant(
+        name=name,
+        priority=int(raw.get("prio", 0)),
+        rate_per_s=float(raw.get("ratePerS") or 0),
+        burst=float(raw.get("burst") or 0),
+        home_regions=frozenset(raw.get("homeRegions") or ()),
+        api_keys=tuple(key.encode() for key in raw["apiKeys"]),
+        digest=digest,
+    )
+
+
+def _read_route(
+    name: str, raw: dict[str, Any], digest: int, request_classes: Mapping[str, RequestClass]
+) -> Route:
+    split = raw.get("split") or [{"backend": raw["backend"], "weight": 1}]
+    return Route(
+        name=name,
+        request_class=_read_request_class(raw, request_classes),
+        services=tuple(part["backend"] for part in split),
+        weights=tuple(float(part["weight"]) for part in split),
+        public=bool(raw.get("public")),
+        home_regions=frozenset(raw.get("homeRegions") or ()),
+        priority=int(raw.get("prio", 0)),
+        host=raw["host"].lower().encode(),
+        prefix=raw["pathPrefix"].encode(),
+        digest=digest,
+    )
+
+
+def _read_request_class(
+    raw: dict[str, Any], request_classes: Mapping[str, RequestClass]
+) -> RequestClass:
+    """Routes of the same kind, times and attempts are one class to the request policy."""
+    deadline = raw.get("deadline", DEFAULT_DEADLINE)
+    target_time = raw.get("target_time", DEFAULT_TARGET_TIME)
+    attempts = int(raw.get("tries", 1))
+    name = f"{raw['kind']} {deadline} {target_time} {attempts}"
+    if existing := request_classes.get(name):
+        return existing
+    return RequestClass(
+        name,
+        _parse_duration_us(target_time),
+        _parse_duration_us(deadline),
+        Repeat.SAFE if raw["kind"] == "idempotent" else Repeat.UNSAFE,
+        late_worth=LATE_WORTH,
+        tries=max(1, attempts),
+    )
+
+
+def _parse_duration_us(text: str) -> int:
+    return max(1, round(parse_duration(text) * 1e6))
--- a/cairndale/configuration/state.py
+++ b/cairndale/configuration/state.py
@@ -1,30 +1,30 @@
-"""The state that the core agrees on: the configuration in force and the zones that are evacuated.
+"""The replicated state machine: the configuration in force and the zones that are evacuated.
 
-A command is applied alike at every member of the core; what it leads to depends on the state and
-the command alone."""
+Each member of the control cluster applies the same commands in the order of the log. What a command
+leads to depends on the state and the command alone, so that the states stay alike, byte for byte
+when encoded.
+"""
 
 from __future__ import annotations
 
-import json
-import zlib
-from collections.abc import Generator, Iterator, Sequence
 from dataclasses import dataclass, field
-from enum import Enum
 from typing import Any
 
-from cairndale.configuration import serialization
-from cairndale.configuration.delta import DeltaHistory, compare_steps
-from cairndale.configuration.validation import TABLES
+from cairndale.configuration import serialization, stepwise
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.content import Content, encode_content_steps, updated_content_steps
+from cairndale.configuration.delta import compare_steps
+from cairndale.configuration.delta_history import DeltaHistory
+from cairndale.configuration.stepwise import Steps
 
-# accepted calls that are remembered, so that one sent again is known: a day's changes
-MAX_IDEMPOTENCY_RECORDS = 20_000
-MAX_EVACUATION_CALLS = 4_096  # calls for zones that are
-ITEMS_PER_STEP = 4_096  # items that one step goes through ...
-ENCODED_ITEMS_PER_STEP = 512  # ... and makes text of, for ingresses
-REJECTED = -1  # in place of a gen: the call was refused, for good
+MAX_IDEMPOTENCY_RECORDS = 20_000  # a day's changes: a change sent again within it is recognised
+MAX_EVACUATION_CALLS = 4_096  # calls for zones that are recognised when they are sent again
+REJECTED = -1  # in an idempotency record in place of a gen: the change was rejected for good
+EARLIEST_MAX_RECORDS = 256  # idempotency records that the first versions kept
 
 # The state's attributes in the order in which they are stored, and the key of each in the stored
-# JSON. The keys are a format: members of older versions read and write them (docs/state.md).
+# JSON. Keys and order are a format: members of older versions read them, and members compare
+# encoded states by digest (docs/state.md).
 STORED_KEYS = {
     "gen": "gen",
     "content": "content",
@@ -39,262 +39,196 @@
 }
 _ATTRIBUTES = {key: name for name, key in STORED_KEYS.items()}
 
-_text = json.JSONEncoder(separators=(",", ":")).encode
-
-
-class Verb(Enum):
-    REPLACE = "replace"
-    UPDATE = "update"
-    EVACUATE = "evacuate"
-    RESTORE = "take back"
-    ENROL = "enrol"
-    REJECT = "refuse"
-    NAME = "name"
-
 
 @dataclass(frozen=True, slots=True)
-class Command:
-    verb: Verb
-    # of the call as it came, or the order that it belongs to, or the system's name
-    digest: str = ""
-    body: dict[str, Any] = field(default_factory=dict)
-    zone: str = ""
-    added_nodes: tuple[str, ...] = ()  # of ingresses that may hold leases from here on ...
-    removed_nodes: tuple[str, ...] = ()  # ... and that hold none any longer
-    call_id: str = ""  # the id of a call for a zone, given where it came in
+class _EncodedContent:
+    """The content of a generation as ingresses receive it."""
 
-    def to_dict(self) -> dict[str, Any]:
-        return {
-            "verb": self.verb.value,
-            "digest": self.digest,
-            "order": self.body,
-            "zone": self.zone,
-            "names": list(self.added_nodes),
-            "gone": list(self.removed_nodes),
-            "call": self.call_id,
-        }
-
-    def encode(self) -> bytes:
-        return zlib.compress(json.dumps(self.to_dict(), separators=(",", ":")).encode(), 6)
-
-    @classmethod
-    def decode(cls, data: bytes) -> Command:
-        return cls.from_dict(json.loads(zlib.decompress(data)))
-
-    @classmethod
-    def from_dict(cls, raw: dict[str, Any]) -> Command:
-        return cls(
-            Verb(raw["verb"]),
-            raw["digest"],
-            raw["order"],
-            raw["zone"],
-            tuple(raw["names"]),
-            tuple(raw["gone"]),
-            raw.get("call", ""),
-        )
-
-
-def updated_content_steps(
-    content: dict[str, Any], order: dict[str, Any]
-) -> Generator[None, None, dict[str, Any]]:
-    """The configuration with items replaced by name, added behind, and removed; in steps."""
-    made = {**content, "gen": order["gen"]}
-    for table in TABLES:
-        put: dict[str, Any] = {}
-        for chunk in _chunks(order.get("upsert", {}).get(table, ())):
-            put |= {item["name"]: item for item in chunk}
-            yield
-        out = set(order.get("remove", {}).get(table, ()))
-        if not put and not out:
-            continue
-        out -= put.keys()
-        kept: list[Any] = []
-        for chunk in _chunks(content.get(table, [])):
-            kept += [put.pop(item["name"], item) for item in chunk if item["name"] not in out]
-            yield
-        made[table] = kept + list(put.values())
-    return made
-
-
-def _encode_content_steps(content: dict[str, Any]) -> Generator[None, None, bytes]:
-    """JSON, zlib; in steps."""
-    packed, made, begin = zlib.compressobj(6), list[bytes](), "{"
-    for name, value in content.items():
-        text = f"{begin}{_text(name)}:"
-        if isinstance(value, list):
-            text, begin = f"{text}[", ""
-            for chunk in _chunks(value, ENCODED_ITEMS_PER_STEP):
-                made.append(packed.compress(f"{text}{begin}{_text(chunk)[1:-1]}".encode()))
-                text, begin = "", ","
-                yield
-            made.append(packed.compress(f"{text}]".encode()))
-        else:
-            made.append(packed.compress(f"{text}{_text(value)}".encode()))
-        begin = ","
-    return b"".join([*made, packed.compress(b"}" if content else b"{}"), packed.flush()])
-
-
-def _chunks(items: Sequence[Any], many: int = 0) -> Iterator[Sequence[Any]]:
-    many = many or ITEMS_PER_STEP
-    for at in range(0, len(items), many):
-        yield items[at : at + many]
+    gen: int
+    data: bytes
 
 
 @dataclass(slots=True)
 class State:
+    """What the members of the control cluster agree on.
+
+    Attributes:
+        gen: the generation of the configuration in force; 0 before the first.
+        content: the configuration in force, as a JSON object.
+        evacuated: evacuated zones, each with the number of orders in force for it.
+        latest_evacuation_orders: by zone, the id of the order that was applied last.
+        version: rises with each change that the data plane has to hear of.
+        edges: names of data-plane nodes that may hold leases, whoever leads; sorted.
+        idempotency_records: by the digest of a change, the gen that it led to, or REJECTED; oldest
+            first.
+        evicted_gen: the highest gen among evicted idempotency records.
+        evacuation_calls: by the id of a call for a zone, the order that it belongs to; oldest
+            first.
+        system_name: the name of the whole system: the first that was drawn.
+    """
+
     gen: int = 0
-    content: dict[str, Any] = field(default_factory=dict)
-    evacuated: dict[str, int] = field(default_factory=dict)  # zones, and by how many orders
-    latest_evacuation_orders: dict[str, str] = field(
-        default_factory=dict
-    )  # the newest order for each zone
-    version: int = 0  # counts what was applied; rises at every change
-    edges: list[str] = field(
-        default_factory=list
-    )  # ingresses that may hold leases, whoever has the duty
-    # The gen that each accepted command led to, or REJECTED, by the digest of the command.
+    content: Content = field(default_factory=dict)
+    evacuated: dict[str, int] = field(default_factory=dict)
+    latest_evacuation_orders: dict[str, str] = field(default_factory=dict)
+    version: int = 0
+    edges: list[str] = field(default_factory=list)
     idempotency_records: dict[str, int] = field(default_factory=dict)
-    evicted_gen: int = -1  # the newest gen of a call that was accepted and is not known any longer
-    evacuation_calls: dict[str, str] = field(
-        default_factory=dict
-    )  # calls for zones, and the order that each belongs to
-    system_name: str = ""  # its name: the first that was drawn
-    # A gen, and its content as ingresses are told it.
-    _encoded_content: tuple[int, bytes] = field(default=(-1, b""), compare=False, repr=False)
+    evicted_gen: int = -1
+    evacuation_calls: dict[str, str] = field(default_factory=dict)
+    system_name: str = ""
+    _encoded_content: _EncodedContent = field(
+        default=_EncodedContent(gen=-1, data=b""), compare=False, repr=False
+    )
     _history: DeltaHistory = field(default_factory=DeltaHistory, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        if self.evicted_gen < 0:  # stored when 256 were known, and not what was forgotten
-            self.evicted_gen = (
-                min(self.idempotency_records.values()) - 1
-                if len(self.idempotency_records) >= 256
-                else 0
-            )
-
-    def resulting_content_steps(self, command: Command) -> Generator[None, None, dict[str, Any]]:
-        """The configuration that a Replace or Update would bring about; in steps."""
-        if command.verb is Verb.UPDATE:
-            return (yield from updated_content_steps(self.content, command.body))
-        return {name: value for name, value in command.body.items() if name != "parent"}
-
-    def encoded_content(self) -> bytes:
-        """The content as ingresses are told it, made once for all of them: at once, if it was not
-        told before (`encode_content_steps`)."""
-        serialization.run_to_completion(self.encode_content_steps())
-        return self._encoded_content[1]
-
-    def encode_content_steps(self) -> Generator[None, None, None]:
-        """Makes what ingresses are told, in steps."""
-        if self._encoded_content[0] != self.gen:
-            gen = self.gen
-            self._encoded_content = (gen, (yield from _encode_content_steps(self.content)))
+        if self.evicted_gen < 0:  # the first versions did not store it
+            gens = self.idempotency_records.values()
+            self.evicted_gen = min(gens) - 1 if len(gens) >= EARLIEST_MAX_RECORDS else 0
 
     @property
     def history(self) -> DeltaHistory:
+        """The newest changes of the content, from which deltas are made."""
         return self._history
 
+    def encoded_content(self) -> bytes:
+        """The content as ingresses receive it, encoded once for all of them.
+
+        Encodes it without a pause if `encode_content_steps` has not done so before.
+        """
+        stepwise.run_to_completion(self.encode_content_steps())
+        return self._encoded_content.data
+
+    def encode_content_steps(self) -> Steps[None]:
+        """Encodes the content in force for `encoded_content`, if it is not encoded yet."""
+        if self._encoded_content.gen != self.gen:
+            gen = self.gen
+            data = yield from encode_content_steps(self.content)
+            self._encoded_content = _EncodedContent(gen=gen, data=data)
+
+    def resulting_content_steps(self, command: Command) -> Steps[Content]:
+        """The content that a Replace or Update would bring about; the state stays as it is."""
+        if command.verb is Verb.UPDATE:
+            return (yield from updated_content_steps(self.content, command.body))
+        return {name: value for name, value in command.body.items() if name != "parent"}
+
     def apply(self, command: Command) -> bool:
-        return serialization.run_to_completion(self.apply_steps(command))
+        """Applies a command without a pause; see `apply_steps`."""
+        return stepwise.run_to_completion(self.apply_steps(command))
 
-    def apply_steps(
-        self, command: Command, encodes_content: bool = False
-    ) -> Generator[None, None, bool]:
-        """Applies a command in steps: the state changes with the last of them.
+    def apply_steps(self, command: Command, encodes_content: bool = False) -> Steps[bool]:
+        """Applies a command; the state changes with the last step, and not before.
 
-        False if the command is void, as another change came first, or is of no interest to the
-        data plane. `encodes_content`: the content for ingresses is encoded as well."""
+        Returns False if the command is void (another change came first, or it was applied before)
+        or of no interest to the data plane. `encodes_content`: a new content is encoded for
+        ingresses as well, before it comes into force.
+        """
         match command.verb:
             case Verb.REPLACE | Verb.UPDATE:
-                if command.body["parent"] != self.gen or command.body["gen"] <= self.gen:
-                    return False
-                if command.digest in self.idempotency_records:  # it was refused: that holds
-                    return False
-                content, gen = (
-                    (yield from self.resulting_content_steps(command)),
-                    command.body["gen"],
-                )
-                order = command.body if command.verb is Verb.UPDATE else None
-                made = (
-                    (yield from compare_steps(self.content, content, order)) if self.gen else None
-                )
-                if encodes_content:
-                    self._encoded_content = (gen, (yield from _encode_content_steps(content)))
-                self.content, self.gen = content, gen
-                self._history.record(made)
-                self._remember(command.digest, self.gen)
+                return (yield from self._apply_change_steps(command, encodes_content))
+            case Verb.EVACUATE | Verb.RESTORE:
+                return self._apply_evacuation(command)
             case Verb.REJECT:
                 if command.digest not in self.idempotency_records:
-                    self._remember(command.digest, REJECTED)
-                return False
+                    self._record(command.digest, REJECTED)
             case Verb.ENROL:
-                self.edges = sorted(
-                    {*self.edges, *command.added_nodes} - set(command.removed_nodes)
-                )
-                return False
+                enrolled = {*self.edges, *command.added_nodes}
+                self.edges = sorted(enrolled - set(command.removed_nodes))
             case Verb.NAME:
                 self.system_name = self.system_name or command.digest
-                return False
-            case Verb.EVACUATE | Verb.RESTORE:
-                if not self._is_first_call(command):
-                    return False
-                before = self.evacuated.get(command.zone, 0)
-                orders = before + (1 if command.verb is Verb.EVACUATE else -1)
-                if self.latest_evacuation_orders.get(command.zone) == command.digest or orders < 0:
-                    return False
-                self.latest_evacuation_orders[command.zone] = command.digest
-                self.evacuated = {z: n for z, n in self.evacuated.items() if z != command.zone}
-                self.evacuated |= {command.zone: orders} if orders else {}
-                if before and orders:  # it stays as it is
-                    return True
+        return False
+
+    def _apply_change_steps(self, command: Command, encodes_content: bool) -> Steps[bool]:
+        gen = command.body["gen"]
+        if command.body["parent"] != self.gen or gen <= self.gen:
+            return False
+        if command.digest in self.idempotency_records:  # it was rejected: that is final
+            return False
+        content = yield from self.resulting_content_steps(command)
+        change = None
+        if self.gen:
+            update = command.body if command.verb is Verb.UPDATE else None
+            change = yield from compare_steps(self.content, content, update)
+        if encodes_content:
+            data = yield from encode_content_steps(content)
+            self._encoded_content = _EncodedContent(gen=gen, data=data)
+        self.content, self.gen = content, gen
+        self._history.record(change)
+        self._record(command.digest, gen)
         self.version += 1
         return True
 
-    def _remember(self, digest: str, gen: int) -> None:
-        self.idempotency_records[digest] = gen
-        while len(self.idempotency_records) > MAX_IDEMPOTENCY_RECORDS:
-            self.evicted_gen = max(
-                self.evicted_gen, self.idempotency_records.pop(next(iter(self.idempotency_records)))
-            )
-
-    def record_may_be_evicted(self, gen: int) -> bool:
-        """It can no longer be known whether a call that is not known, for this gen, was
-        accepted."""
-        return gen <= self.evicted_gen
+    def _apply_evacuation(self, command: Command) -> bool:
+        zone, order = command.zone, command.digest
+        if not self._is_first_call(command):
+            return False
+        orders_before = self.evacuated.get(zone, 0)
+        orders = orders_before + (1 if command.verb is Verb.EVACUATE else -1)
+        if self.latest_evacuation_orders.get(zone) == order or orders < 0:
+            return False
+        self.latest_evacuation_orders[zone] = order
+        self.evacuated = {z: count for z, count in self.evacuated.items() if z != zone}
+        if orders:
+            self.evacuated[zone] = orders
+        if not (orders_before and orders):  # else the zone stays evacuated: no news
+            self.version += 1
+        return True
 
     def _is_first_call(self, command: Command) -> bool:
-        """Of the calls and orders for a zone. An order has the name of its first call."""
-        if command.call_id in self.evacuation_calls:
-            return False  # it came by another way as well
-        again = bool(command.call_id) and (
-            not command.digest or command.digest in self.evacuation_calls
-        )
-        if command.call_id:
-            self.evacuation_calls[command.call_id] = command.digest
+        """Whether neither the call nor its order was applied before.
+
+        An order is named after its first call. A call may come by way of several nodes, and an
+        order by several calls.
+        """
+        call = command.call_id
+        if call in self.evacuation_calls:
+            return False
+        is_repeated = bool(call) and (not command.digest or command.digest in self.evacuation_calls)
+        if call:
+            self.evacuation_calls[call] = command.digest
             self.evacuation_calls.setdefault(command.digest, command.digest)
             while len(self.evacuation_calls) > MAX_EVACUATION_CALLS:
                 del self.evacuation_calls[next(iter(self.evacuation_calls))]
-        return not again
+        return not is_repeated
 
-    def to_dict(self) -> dict[str, Any]:
-        """As it is now, whatever is applied later: what is in it is replaced then, and not
-        changed."""
-        values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
-        return {k: v.copy() if isinstance(v, dict | list) else v for k, v in values.items()}
+    def _record(self, digest: str, gen: int) -> None:
+        self.idempotency_records[digest] = gen
+        while len(self.idempotency_records) > MAX_IDEMPOTENCY_RECORDS:
+            evicted = self.idempotency_records.pop(next(iter(self.idempotency_records)))
+            self.evicted_gen = max(self.evicted_gen, evicted)
 
-    def encode(self) -> bytes:
-        return serialization.encode(self.to_dict())
+    def record_may_be_evicted(self, gen: int) -> bool:
+        """Whether a change to this gen may have been accepted though it has no record now."""
+        return gen <= self.evicted_gen
 
-    @classmethod
-    def decode(cls, data: bytes) -> State:
-        """Raises FormatError."""
-        return cls.from_dict(serialization.decode(data))
+    def to_dict(self) -> dict[str, Any]:
+        """The state as a JSON object, for a snapshot that is encoded while commands are applied.
+
+        Lists and objects are copied one level deep: what stands deeper is replaced by commands, and
+        never changed.
+        """
+        values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
+        return {
+            key: value.copy() if isinstance(value, dict | list) else value
+            for key, value in values.items()
+        }
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> State:
-        """Raises FormatError."""
+        """The reverse of `to_dict`; a key that is missing has its default. Raises FormatError."""
         try:
             return cls(**{_ATTRIBUTES[key]: value for key, value in raw.items()})
         except KeyError as error:
-            raise serialization.FormatError(f"{error} is no key of the state") from error
-        except TypeError as error:
+            raise serialization.FormatError(f"the state has no key {error}") from error
+        except (AttributeError, TypeError) as error:
             raise serialization.FormatError(str(error)) from error
+
+    def encode(self) -> bytes:
+        """The stored form (format 2 of `serialization`), alike at each member."""
+        return serialization.encode(self.to_dict())
+
+    @classmethod
+    def decode(cls, data: bytes) -> State:
+        """The state of a stored form of either format. Raises FormatError."""
+        return cls.from_dict(serialization.decode(data))
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -8,6 +8,7 @@
 
 from schema import Optional
 
+from cairndale.configuration.content import TABLES
 from cairndale.field_rules import (
     NO_TIME,
     Fields,
@@ -23,7 +24,6 @@
 from cairndale.settings import parse_duration
 
 KINDS = ("idempotent", "mutating")
-TABLES = ("routes", "backends", "tenants")
 MANY = 100  # items that are looked at before others get their turn
 
 
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -16,7 +16,8 @@
 from typing import Any
 
 from cairndale.configuration import serialization
-from cairndale.configuration.state import Command, State
+from cairndale.configuration.commands import Command
+from cairndale.configuration.state import State
 from cairndale.control.gc_pause import gc_paused
 from cairndale.raft import fragments
 from cairndale.raft.fragments import Fragment, FragmentKind
--- a/cairndale/control/lease_enrolment.py
+++ b/cairndale/control/lease_enrolment.py
@@ -13,7 +13,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.state import State
 from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError, CallTimeoutError
 
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -10,8 +10,9 @@
 import random
 from typing import Any
 
+from cairndale.configuration.commands import Command
 from cairndale.configuration.serialization import FormatError
-from cairndale.configuration.state import Command, State
+from cairndale.configuration.state import State
 from cairndale.control.api import ControlApi
 from cairndale.control.applier import Applier
 from cairndale.control.apply_loop import ApplyLoop
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -14,8 +14,9 @@
 from hashlib import blake2b
 from typing import Any, Protocol, TypeVar
 
+from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.json_stream import LARGE_BODY_BYTES, loads_steps
-from cairndale.configuration.state import REJECTED, Command, State, Verb
+from cairndale.configuration.state import REJECTED, State
 from cairndale.configuration.validation import iter_content_errors, order_errors
 from cairndale.control.gc_pause import gc_paused
 from cairndale.control.leadership import Leadership
--- a/cairndale/control/proposals.py
+++ b/cairndale/control/proposals.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from cairndale.configuration.state import Command
+from cairndale.configuration.commands import Command
 from cairndale.control.applier import AppliedEntry, encode_command
 from cairndale.control.clock import Clock
 from cairndale.control.raft_driver import RaftDriver
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -8,7 +8,7 @@
 import contextlib
 import random
 
-from cairndale.configuration.state import Command, Verb
+from cairndale.configuration.commands import Command, Verb
 from cairndale.control.applier import Applier
 from cairndale.control.clock import Clock
 from cairndale.control.leadership_tracker import LeadershipTracker
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -16,7 +16,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from cairndale.configuration.state import Command, State
+from cairndale.configuration.commands import Command
+from cairndale.configuration.state import State
 from cairndale.control.leadership import Leadership
 from cairndale.control.lease_enrolment import LeaseEnrolment
 from cairndale.errors import CallError, QueueFullError, StaleCallError
--- a/cairndale/dataplane/config_applier.py
+++ b/cairndale/dataplane/config_applier.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from cairndale.configuration.route_table import RouteTable, TableChange, Tenant
+from cairndale.configuration.route_table import RouteTable, TableChange
+from cairndale.configuration.routes import Tenant
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.endpoint_list import EndpointList
 from cairndale.dataplane.ingress_engine import IngressEngine
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -10,7 +10,7 @@
 import re
 from collections.abc import Mapping, Sequence
 
-from cairndale.configuration.route_table import Route, Tenant
+from cairndale.configuration.routes import Route, Tenant
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.numbering import Numbering
 from cairndale.dataplane.serving_state import ServingState
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -14,10 +14,12 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from cairndale.configuration import delta
+from cairndale.configuration import content_digest, delta, delta_history
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.content import TABLES
 from cairndale.configuration.route_table import RouteTable
-from cairndale.configuration.state import Command, State, Verb
-from cairndale.configuration.validation import TABLES, content_errors
+from cairndale.configuration.state import State
+from cairndale.configuration.validation import content_errors
 from cairndale.control.leadership import Leadership
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.node import DataPlaneNode
@@ -153,7 +155,10 @@
         name
         for name, item in raw[table].items()
         if item is not None
-        and not (name in held and held[name].digest == delta.item_digest(table, name, item)[0])
+        and not (
+            name in held
+            and held[name].digest == content_digest.item_digest(table, name, item).value
+        )
     ]
     match rng.randrange(6):
         case 0:
@@ -245,7 +250,7 @@
 
 
 def test_what_is_kept_weighed_at_once_and_told_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    rng, state, counted, real = random.Random(3), State(), list[str](), delta.item_digest
+    rng, state, counted, real = random.Random(3), State(), list[str](), content_digest.item_digest
     assert (
         state.apply(first(rng)) and digested(state).history.delta_since(0) is None
     )  # from nothing it is the whole
@@ -258,14 +263,16 @@
     assert (
         state.apply(many(30)) and state.history.delta_since(1) is None
     )  # over an eighth of the whole
-    for name, bound in (
-        ("DIGESTED_PER_STEP", 7),
-        ("MAX_RECORDED_CHANGES", 5),
-        ("MAX_CHANGED_ITEMS", 12),
-        ("MIN_SAVING_FACTOR", 0),
+    for module, name, bound in (
+        (delta_history, "DIGESTED_PER_STEP", 7),
+        (delta_history, "MAX_RECORDED_CHANGES", 5),
+        (delta, "MAX_CHANGED_ITEMS", 12),
+        (delta_history, "MIN_SAVING_FACTOR", 0),
     ):
-        monkeypatch.setattr(delta, name, bound)
-    monkeypatch.setattr(delta, "item_digest", lambda *of: counted.append(of[1]) or real(*of))
+        monkeypatch.setattr(module, name, bound)
+    monkeypatch.setattr(
+        content_digest, "item_digest", lambda *of: counted.append(of[1]) or real(*of)
+    )
     state = State()
     assert state.apply(first(rng))
     for _ in range(3):
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -17,7 +17,8 @@
 import pytest
 
 import cairndale.configuration.state
-from cairndale.configuration.state import REJECTED, Command, State, Verb
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.state import REJECTED, State
 from cairndale.control.follower import Follower
 from cairndale.control.leadership import Leadership
 from cairndale.control.operations import OperationHandler
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -17,7 +17,8 @@
 import pytest
 import uvloop
 
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.state import State
 from cairndale.control import endpoint_codec, watch_responses
 from cairndale.control import watch_server as watch_server_module
 from cairndale.control.ingress_counter import COUNTED_AFTER_S, RECOUNT_S
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -14,8 +14,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.route_table import RouteTable
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.state import State
 from cairndale.configuration.validation import content_errors, iter_content_errors, order_errors
 from cairndale.control.endpoint_codec import endpoint_to_message
 from cairndale.control.evacuation_log import EvacuationLog
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -18,8 +18,9 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
+from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.json_stream import loads_steps
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.state import State
 from cairndale.configuration.validation import iter_content_errors
 from cairndale.control.applier import Applier, encode_command
 from cairndale.control.gc_pause import gc_paused
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -13,7 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.state import State
 from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError
 from cairndale.ingress.policy.account import ISOLATED_SAVINGS_S
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -16,9 +16,10 @@
 import pytest
 
 import cairndale.control.node
-from cairndale.configuration import json_stream, serialization
-from cairndale.configuration import state as config_version
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration import json_stream, serialization, stepwise
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.content import ITEMS_PER_STEP
+from cairndale.configuration.state import State
 from cairndale.control import applier, apply_loop, proposals
 from cairndale.control.applier import Applier, encode_command
 from cairndale.control.apply_loop import ApplyLoop
@@ -105,7 +106,7 @@
     assert Command.decode(small) == update
     many = sum(1 for _ in applier.state.apply_steps(update))
     assert (
-        many >= 20_000 // config_version.ITEMS_PER_STEP
+        many >= 20_000 // ITEMS_PER_STEP
         and applier.state.content["tenants"][7] == tenants(5, 1, 7)[0]
     )
     item = {"name": "t", "apiKeys": [random.Random(1).randbytes(40_000).hex()]}
@@ -501,7 +502,7 @@
         steps = list(work)
         made.append(len(steps))
 
-    monkeypatch.setattr(serialization, "run_to_completion", counted)
+    monkeypatch.setattr(stepwise, "run_to_completion", counted)
     play(told_in_steps(made))
     monkeypatch.setattr(
         Applier,
@@ -551,8 +552,8 @@
         except ValueError:
             wrong += 1
             with pytest.raises(ValueError):
-                serialization.run_to_completion(json_stream.loads_steps(data))
+                stepwise.run_to_completion(json_stream.loads_steps(data))
             continue
-        assert repr(serialization.run_to_completion(json_stream.loads_steps(data))) == wanted
+        assert repr(stepwise.run_to_completion(json_stream.loads_steps(data))) == wanted
         steps += sum(1 for _ in json_stream.loads_steps(data))
     assert 300 < wrong < 2_900 and steps > 3_000
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -13,7 +13,8 @@
 from cleo.testers.command_tester import CommandTester
 
 from cairndale.cli.__main__ import Look
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.state import State
 from cairndale.raft import codec
 from cairndale.raft.messages import (
     AppendEntries,
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -15,8 +15,9 @@
 import pytest
 
 from cairndale.configuration import serialization
+from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.serialization import FormatError
-from cairndale.configuration.state import Command, State, Verb
+from cairndale.configuration.state import State
 from cairndale.control.snapshot_worker import CHUNK, RETRY_AFTER, SnapshotWorker
 from cairndale.raft import codec
 from cairndale.raft.messages import (
