--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -24,15 +24,15 @@
 from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S
 from cairndale.settings import Settings
 
-RETRY_AFTER_US = 300_000  # that a refused client is told to wait at most: T0, d_0
+RETRY_AFTER_US = 300_000  # longest Retry-After advice to a refused client: T0, d_0
 CONNECT_TIMEOUT_US = 400_000  # of a connection to an endpoint: a region is 40 ms away and back
-# that an idle connection to an endpoint is kept, if the endpoint does not say how long
+# An idle connection to an endpoint is kept so long, if the endpoint does not say how long.
 KEEPALIVE_US = 6_000_000
 # Without an acknowledgement for so long an endpoint counts as gone (TCP_USER_TIMEOUT).
 UNACKED_TIMEOUT_MS = 900
 OWN_DESCRIPTORS = 200  # of the process's file descriptors, for what is not traffic
 TRAFFIC_MEMORY = 0.5  # of the process's memory, that bodies in transit may take
-EXPIRY_MARGIN = 0.95  # of the time that units may be held by the counter, they are used here
+EXPIRY_MARGIN = 0.95  # of the time for which the counter grants units, in which they are used
 TICK_US = 50_000  # of the policy
 LEASE_PART = 0.25  # of a store's room that one lease may take ahead
 # The class with number 0, that no route has.
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -25,7 +25,7 @@
 # Retry-After advice, in us: while this ingress may not serve, and to go to another one at once.
 NOT_SERVING_RETRY_US = 300_000
 DRAINING_RETRY_US = 20_000
-LEAST_DEADLINE_MS = 1  # that an endpoint is told it has
+LEAST_DEADLINE_MS = 1  # that an endpoint is given
 UNKNOWN_FLEET = 1_000_000  # ingresses, while their count is not known: no share is worth a unit
 
 
@@ -35,14 +35,22 @@
     return frozenset.intersection(*both) if both else None
 
 
+def _request_id(headers: Mapping[bytes, bytes]) -> bytes:
+    """Return the client's id of the request (`X-Request-Id`). Raises BadRequest."""
+    request_id = headers.get(b"x-request-id", b"")
+    if not REQUEST_ID.fullmatch(request_id):
+        raise BadRequest(400, "X-Request-Id is missing or invalid")
+    return request_id
+
+
 def _timeout_us(headers: Mapping[bytes, bytes], longest_us: int) -> int:
     """Return the client's deadline (`X-Deadline-Ms`), at most the route's. Raises BadRequest."""
     if b"x-deadline-ms" not in headers:
         return longest_us
-    asked_ms = DEADLINE_MS.fullmatch(headers[b"x-deadline-ms"])
-    if asked_ms is None:
+    client_ms = DEADLINE_MS.fullmatch(headers[b"x-deadline-ms"])
+    if client_ms is None:
         raise BadRequest(400, "X-Deadline-Ms is no number")
-    return min(longest_us, round(float(asked_ms[0]) * 1000))
+    return min(longest_us, round(float(client_ms[0]) * 1000))
 
 
 class RequestRouter:
@@ -95,9 +103,7 @@
         host, target = headers.get(b"host", b""), message.target
         authorization = headers.get(b"authorization", b"")
         route, tenant = self.match(host, target, authorization)
-        request_id = headers.get(b"x-request-id", b"")
-        if not REQUEST_ID.fullmatch(request_id):
-            raise BadRequest(400, "X-Request-Id is missing or invalid")
+        request_id = _request_id(headers)
         timeout_us = _timeout_us(headers, route.request_class.deadline)
         cls = names.classes[route.request_class.name.encode()]
         if not self._serving.may_begin(cls, timeout_us):
@@ -106,27 +112,10 @@
         regions = allowed_regions(route, tenant)
         head, body = request_head(message, request_id), message.body
         generation = config.route_table.gen
-
-        def render(endpoint: str, time_left_us: int) -> bytes | None:
-            """Return the bytes for an endpoint, as the first of them is written.
-
-            None if what allowed the request holds no longer.
-            """
-            if not self._serving.may_serve() or not config.is_available(endpoint, service):
-                return None
-            if config.route_table.gen != generation and not self._still_allowed(
-                host, target, authorization, route, tenant, service
-            ):
-                return None
-            fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
-                endpoint.encode(),
-                max(LEAST_DEADLINE_MS, time_left_us // 1000),
-            )
-            if tenant:
-                fields += b"X-Tenant: %b\r\n" % tenant.name.encode()
-            return head + fields + b"\r\n" + body
-
-        # By position: keywords would cost each request about a microsecond.
+        # Both by position: keywords would cost each request over a microsecond more.
+        upstream = UpstreamRequest(
+            self, host, target, authorization, route, tenant, service, generation, head, body
+        )
         return Wanted(
             request_id,
             cls,
@@ -138,36 +127,85 @@
             timeout_us,
             began,
             False,  # clients do not say that they retry
-            b"",  # the head is rendered
+            b"",  # head: made by `upstream`
             body,
             message.upload,
             self._numbering.service_number(service),
             None if regions is None else self._numbering.region_numbers(regions),
             min(route.priority, tenant.priority) if tenant else route.priority,
-            render,
+            upstream,
         )
 
-    def _still_allowed(
-        self,
-        host: bytes,
-        target: bytes,
-        authorization: bytes,
-        route: Route,
-        tenant: Tenant | None,
-        service: str,
-    ) -> bool:
-        """Whether the configuration in force allows what was begun by an earlier one.
+    def may_forward(self, request: UpstreamRequest, endpoint: str) -> bool:
+        """Whether lease, endpoint and configuration allow the request to go there, as it does."""
+        config = self._config
+        if not self._serving.may_serve() or not config.is_available(endpoint, request.service):
+            return False
+        return config.route_table.gen == request.generation or self._still_allowed(request)
+
+    def _still_allowed(self, request: UpstreamRequest) -> bool:
+        """Whether the configuration in force allows what was read by an earlier one.
 
         The same tenant, the service still on the route, the same class of repeatability and the
         same regions.
         """
+        route, tenant = request.route, request.tenant
         try:
-            route_now, tenant_now = self.match(host, target, authorization)
+            route_now, tenant_now = self.match(request.host, request.target, request.authorization)
         except BadRequest:
             return False
         return (
             (tenant_now.name if tenant_now else "") == (tenant.name if tenant else "")
-            and service in route_now.services
+            and request.service in route_now.services
             and route_now.request_class.repeat == route.request_class.repeat
             and allowed_regions(route_now, tenant_now) == allowed_regions(route, tenant)
         )
+
+
+class UpstreamRequest:
+    """A request as endpoints get it: the engine calls it as the first byte is to be written."""
+
+    __slots__ = (
+        "_body",
+        "_head",
+        "_router",
+        "authorization",
+        "generation",
+        "host",
+        "route",
+        "service",
+        "target",
+        "tenant",
+    )
+
+    def __init__(
+        self,
+        router: RequestRouter,
+        host: bytes,
+        target: bytes,
+        authorization: bytes,
+        route: Route,
+        tenant: Tenant | None,
+        service: str,
+        generation: int,
+        head: bytes,
+        body: bytes,
+    ) -> None:
+        """`generation`: of the configuration that it was read by; `head`: as `request_head`'s."""
+        self._router = router
+        self.host, self.target, self.authorization = host, target, authorization
+        self.route, self.tenant, self.service = route, tenant, service
+        self.generation = generation
+        self._head, self._body = head, body
+
+    def __call__(self, endpoint: str, time_left_us: int) -> bytes | None:
+        """Return the bytes for an endpoint; None if what allowed the request holds no longer."""
+        if not self._router.may_forward(self, endpoint):
+            return None
+        fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
+            endpoint.encode(),
+            max(LEAST_DEADLINE_MS, time_left_us // 1000),
+        )
+        if self.tenant:
+            fields += b"X-Tenant: %b\r\n" % self.tenant.name.encode()
+        return self._head + fields + b"\r\n" + self._body
