--- a/cairndale/raft/compaction.py
+++ b/cairndale/raft/compaction.py
@@ -1,7 +1,12 @@
-"""Snapshots in the place of entries: made here, sent to those far behind, installed by these."""
+"""Log compaction (Raft 7, PhD 5): snapshots replace the entries that led to them.
+
+A member makes its own snapshots. The leader sends one to a follower whose next entry is neither in
+its log nor in the compacted tail."""
 
 from __future__ import annotations
 
+from abc import abstractmethod
+
 from cairndale.raft.messages import (
     AppendEntries,
     AppendReply,
@@ -23,100 +28,120 @@
 
 
 class Compaction(Replica):
-    # Making one.
+    """The part of a node that makes, sends and installs snapshots."""
+
+    # Making.
 
     def make_snapshot(self, index: int, state: bytes, digest: bytes = b"") -> Snapshot:
-        """That of the state after a delivered entry that is still in the log."""
+        """A snapshot of `state`, which is the state after the entry at `index`.
+
+        The entry has to be committed and still in the log. `digest` is that of `state`, if it is
+        known already."""
         members = self.base_snapshot.members
         for entry in self.log[: index - self.base_snapshot.index]:
             members = entry.members or members
         return Snapshot(index, self.term_at(index), members, state, digest)
 
-    def compact(self, made: Snapshot | bytes) -> Ready:
-        """A snapshot, or the state after all that was delivered, takes the place of the entries
-        that led to it. Nothing, if a newer one is here already."""
-        step = Ready()
-        made = self.make_snapshot(self.commit_index, made) if isinstance(made, bytes) else made
-        if made.index <= self.base_snapshot.index:
-            return step
-        sending = any(p.transfer for p in self.peers.values())
-        self.compacted_tail.add(
-            self.base_snapshot, self.log[: made.index - self.base_snapshot.index], sending
-        )
-        self.log = self.log[made.index - self.base_snapshot.index :]
-        self.base_snapshot = made
+    def compact(self, snapshot: Snapshot | bytes) -> Ready:
+        """Replaces the entries up to the snapshot's index by the snapshot.
+
+        Bytes are the state after the last committed entry. A snapshot that is not newer than the
+        present one is ignored."""
+        ready = Ready()
+        if isinstance(snapshot, bytes):
+            snapshot = self.make_snapshot(self.commit_index, snapshot)
+        if snapshot.index <= self.base_snapshot.index:
+            return ready
+        count = snapshot.index - self.base_snapshot.index
+        is_sending = any(p.transfer for p in self.peers.values())
+        self.compacted_tail.add(self.base_snapshot, self.log[:count], is_sending)
+        self.log = self.log[count:]
+        self.base_snapshot = snapshot
         self._refresh_members()
-        step.writes.append(SaveSnapshot(made, replaces_log=False))
-        return step
+        ready.writes.append(SaveSnapshot(snapshot, replaces_log=False))
+        return ready
 
-    # The leader.
+    # Leader.
 
     def _is_sending_snapshot(self, now: float) -> bool:
-        """Somebody is sent a snapshot, and it may be their word that is wanting."""
+        """A transfer makes progress; its receiver may be the voter that is missing."""
         return any(p.transfer and not p.transfer.is_stalled(now) for p in self.peers.values())
 
-    def _send_snapshot(self, now: float, step: Ready, peer: Progress, beat: bool) -> None:
-        address = peer.member.address
-        if peer.member in self._members and any(
-            p.member.address == address and p.member not in self._members
-            for p in self.peers.values()
-        ):
-            return  # another disk is there by now, and is sent it
-        if peer.transfer is None or not is_still_useful(
-            peer.transfer, now, self.base_snapshot, self.compacted_tail
-        ):
+    def _send_snapshot(
+        self, now: float, ready: Ready, peer: Progress, *, with_heartbeat: bool
+    ) -> None:
+        if self._is_superseded(peer):
+            return
+        base, tail = self.base_snapshot, self.compacted_tail
+        if peer.transfer is None or not is_still_useful(peer.transfer, now, base, tail):
             others = [p.transfer for p in self.peers.values() if p.transfer and p is not peer]
-            peer.transfer = choose_transfer(now, others, self.base_snapshot, self.compacted_tail)
-        for message in chunk_messages(self.term, self.me, peer.transfer, now, beat):
-            step.sends.append((address, message))
+            peer.transfer = choose_transfer(now, others, base, tail)
+        messages = chunk_messages(self.term, self.me, peer.transfer, now, with_heartbeat)
+        ready.sends += [(peer.member.address, message) for message in messages]
 
-    def _handle_snapshot_reply(self, now: float, step: Ready, message: SnapshotReply) -> None:
-        peer = self._record_reply(now, step, message)
+    def _is_superseded(self, peer: Progress) -> bool:
+        """Another disk at the address of this member is joining, and is sent the snapshot."""
+        return peer.member in self._members and any(
+            p.member.address == peer.member.address and p.member not in self._members
+            for p in self.peers.values()
+        )
+
+    def _handle_snapshot_reply(self, now: float, ready: Ready, message: SnapshotReply) -> None:
+        peer = self._record_reply(now, ready, message)
         if peer and peer.transfer:
             peer.transfer.acknowledge(now, message.snapshot_index, message.next_offset)
-            self._send_snapshot(now, step, peer, beat=False)
+            self._send_snapshot(now, ready, peer, with_heartbeat=False)
 
-    # Those who follow.
+    # Follower.
 
-    def _handle_install_snapshot(self, now: float, step: Ready, message: InstallSnapshot) -> None:
-        if not self._accept_leader(now, step, message):
+    def _handle_install_snapshot(self, now: float, ready: Ready, message: InstallSnapshot) -> None:
+        if not self._accept_leader(now, ready, message):
             return
-        index = message.head.index
-        reply: Message = AppendReply(
-            self.term, self.me, True, self.commit_index, message.sent_at_us
-        )
-        if index > self.commit_index or not self.base_snapshot.members:
-            taken = self.snapshot_receiver.receive(message)
-            step.writes += taken.writes
-            step.received_snapshot, step.rejected_chunk = taken.complete, taken.rejected
-            reply = SnapshotReply(self.term, self.me, index, taken.next_offset, message.sent_at_us)
-        step.sends.append((message.sender.address, reply))
-
-    def install_snapshot(self, now: float, made: Snapshot) -> Ready:
-        """One that was received, and whose state has been read, takes the place of what is here."""
-        step = Ready()
-        if self.role is not Role.LEADER and (
-            made.index > self.commit_index or not self.base_snapshot.members
-        ):
-            follows = (
-                self.base_snapshot.members and self.term_at(made.index) == made.term
-            )  # the log goes on from it
-            self.log = self.log[made.index - self.base_snapshot.index :] if follows else []
-            self.base_snapshot, self.commit_index, self.compacted_tail = (
-                made,
-                made.index,
-                CompactedTail(),
+        reply: Message
+        if self._needs(message.head.index):
+            result = self.snapshot_receiver.receive(message)
+            ready.writes += result.writes
+            ready.received_snapshot = result.complete
+            ready.rejected_chunk = result.rejected
+            reply = SnapshotReply(
+                self.term, self.me, message.head.index, result.next_offset, message.sent_at_us
             )
-            self._refresh_members()
-            step.writes.append(SaveSnapshot(made, replaces_log=not follows))
-            step.restored_snapshot = made
+        else:
+            reply = AppendReply(self.term, self.me, True, self.commit_index, message.sent_at_us)
+        ready.sends.append((message.sender.address, reply))
+
+    def _needs(self, index: int) -> bool:
+        """A snapshot at `index` is ahead of this member, or tells it the first configuration."""
+        return index > self.commit_index or not self.base_snapshot.members
+
+    def install_snapshot(self, now: float, snapshot: Snapshot) -> Ready:
+        """Replaces log and state by a snapshot that was received and has been read.
+
+        The entries after it stay if the log agrees with it (Raft 7): they may have been
+        acknowledged. Ignored if this member has caught up or become leader meanwhile."""
+        ready = Ready()
+        if self.role is not Role.LEADER and self._needs(snapshot.index):
+            self._restore(snapshot, ready)
         self.snapshot_receiver = SnapshotReceiver()
         if self.leader and self.leader != self.me:
             reply = AppendReply(self.term, self.me, True, self.commit_index, 0)
-            step.sends.append((self.leader.address, reply))
-        return step
+            ready.sends.append((self.leader.address, reply))
+        return ready
+
+    def _restore(self, snapshot: Snapshot, ready: Ready) -> None:
+        keeps_log = self.base_snapshot.members and self.term_at(snapshot.index) == snapshot.term
+        if keeps_log:
+            self.log = self.log[snapshot.index - self.base_snapshot.index :]
+        else:
+            self.log = []
+        self.base_snapshot = snapshot
+        self.commit_index = snapshot.index
+        self.compacted_tail = CompactedTail()
+        self._refresh_members()
+        ready.writes.append(SaveSnapshot(snapshot, replaces_log=not keeps_log))
+        ready.restored_snapshot = snapshot
 
+    @abstractmethod
     def _accept_leader(
-        self, now: float, step: Ready, message: AppendEntries | InstallSnapshot
-    ) -> bool:
-        raise NotImplementedError
+        self, now: float, ready: Ready, message: AppendEntries | InstallSnapshot
+    ) -> bool: ...
--- a/cairndale/raft/election.py
+++ b/cairndale/raft/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and the leadership handed over."""
+"""Leader election (Raft 5.2) with pre-vote (PhD 9.6), and leadership transfer (PhD 3.10)."""
 
 from __future__ import annotations
 
@@ -15,141 +15,163 @@
 
 
 class Election(Replica):
-    def _campaign(self, now: float, step: Ready, pre_vote: bool, transfer: bool = False) -> None:
+    """The part of a node that campaigns, votes and hands its leadership over."""
+
+    def _campaign(self, now: float, ready: Ready, pre_vote: bool, transfer: bool = False) -> None:
         self._reset_election_timer(now)
-        if pre_vote and now < self._early_election_until:  # others may be about to start
+        if pre_vote and now < self._early_election_until:
+            # Other members may be restarting as well and not be there to vote yet.
             self._election_due = now + self.timings.early_election_spread
         self._votes = {self.me.disk_id}
         self.leader = None
         if pre_vote:
             self.role = Role.PRE_CANDIDATE
         else:
-            self.role, self.term, self.voted_for = Role.CANDIDATE, self.term + 1, self.me.disk_id
-            step.writes.append(HardState(self.term, self.voted_for))
-        asked = RequestVote(
-            self.term + pre_vote,
+            self.role = Role.CANDIDATE
+            self.term += 1
+            self.voted_for = self.me.disk_id
+            ready.writes.append(HardState(self.term, self.voted_for))
+        request = RequestVote(
+            self.term + 1 if pre_vote else self.term,
             self.me,
-            pre_vote,
-            self.last_index,
-            self.term_at(self.last_index),
-            transfer,
-        )
-        step.sends += [
-            (address, asked) for address in dict.fromkeys(m.address for m in self._other_voters())
-        ]
-        self._count_votes(now, step)
-
-    def _handle_vote_request(self, now: float, step: Ready, message: RequestVote) -> None:
-        """Answered by whoever is asked: the candidate's log says who votes, and may be ahead of
-        this one."""
-        follows = (
-            self.role is Role.LEADER and not self._lease_released and now < self.lease_end(now)
-        )
-        follows = follows or (
-            self.role is not Role.LEADER
-            and now - self.last_heartbeat_at < self.timings.election_timeout
-        )
-        # The promise was to give no other a vote. Who it was to asks only in a new life, the old
-        # one is over; or it has given its lease up, and asked for this.
-        released = self.voted_for == message.sender.disk_id or message.transfer
-        follows = follows and not (self.role is not Role.LEADER and released)
-        current = (message.last_log_term, message.last_log_index) >= (
-            self.term_at(self.last_index),
-            self.last_index,
+            pre_vote=pre_vote,
+            last_log_index=self.last_index,
+            last_log_term=self.term_at(self.last_index),
+            transfer=transfer,
         )
+        addresses = dict.fromkeys(m.address for m in self._other_voters())
+        ready.sends += [(address, request) for address in addresses]
+        self._count_votes(now, ready)
+
+    # Voter.
+
+    def _handle_vote_request(self, now: float, ready: Ready, message: RequestVote) -> None:
+        """Answers whoever asks, voter or not.
+
+        The candidate's log decides who votes, and may be ahead of this one."""
+        supports_leader = self._supports_leader(now, message)
+        last = (self.term_at(self.last_index), self.last_index)
+        is_up_to_date = (message.last_log_term, message.last_log_index) >= last
         if message.pre_vote:
-            granted = message.term > self.term and current and not follows
-            # A no tells the term here: whoever lags behind it has to ask above it to be heard at
-            # all.
+            granted = message.term > self.term and is_up_to_date and not supports_leader
+            # A rejection carries this member's term: a candidate behind it has to ask for a later
+            # one to be granted anything.
             term = message.term if granted else self.term
-            step.sends.append((message.sender.address, VoteReply(term, self.me, True, granted)))
-            return
-        if follows:
-            return  # a majority promised the leader this span: that is what its lease rests on
+            self._reply_to_vote(ready, message, term, granted)
+        elif not supports_leader:
+            self._vote(now, ready, message, is_up_to_date)
+
+    def _supports_leader(self, now: float, message: RequestVote) -> bool:
+        """A leader was heard within the election timeout, and its lease rests on no vote now."""
+        if self.role is Role.LEADER:
+            return not self._lease_released and now < self.lease_end(now)
+        # The lease binds this member to one leader. If that member itself asks, it has restarted
+        # and holds no lease any longer; with `transfer`, it was asked to by a leader that has
+        # released its lease.
+        is_released = self.voted_for == message.sender.disk_id or message.transfer
+        is_recent = now - self.last_heartbeat_at < self.timings.election_timeout
+        return is_recent and not is_released
+
+    def _vote(self, now: float, ready: Ready, message: RequestVote, is_up_to_date: bool) -> None:
         if message.term > self.term:
-            self._become_follower(now, step, message.term, None)
+            self._become_follower(now, ready, message.term, None)
         granted = (
-            message.term == self.term and current and self.voted_for in ("", message.sender.disk_id)
+            message.term == self.term
+            and is_up_to_date
+            and self.voted_for in ("", message.sender.disk_id)
+            and self.role is Role.FOLLOWER
         )
-        granted = granted and self.role is Role.FOLLOWER
         if granted:
             self.voted_for = message.sender.disk_id
-            step.writes.append(HardState(self.term, self.voted_for))
+            ready.writes.append(HardState(self.term, self.voted_for))
             self._reset_election_timer(now)
-        step.sends.append((message.sender.address, VoteReply(self.term, self.me, False, granted)))
+        self._reply_to_vote(ready, message, self.term, granted)
 
-    def _handle_vote_reply(self, now: float, step: Ready, message: VoteReply) -> None:
-        behind = not message.pre_vote or (not message.granted and self.role is Role.PRE_CANDIDATE)
-        if message.term > self.term and behind:
-            self._become_follower(now, step, message.term, None)
+    def _reply_to_vote(self, ready: Ready, message: RequestVote, term: int, granted: bool) -> None:
+        reply = VoteReply(term, self.me, message.pre_vote, granted)
+        ready.sends.append((message.sender.address, reply))
+
+    # Candidate.
+
+    def _handle_vote_reply(self, now: float, ready: Ready, message: VoteReply) -> None:
+        # The term of a granted pre-vote is the one asked for, and nobody is in it yet.
+        is_current_term = not message.pre_vote or (
+            not message.granted and self.role is Role.PRE_CANDIDATE
+        )
+        if message.term > self.term and is_current_term:
+            self._become_follower(now, ready, message.term, None)
             return
-        wanted = self.term + 1 if self.role is Role.PRE_CANDIDATE else self.term
-        asks = self.role is (Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE)
-        if asks and message.granted and message.term == wanted:
+        requested_term = self.term + 1 if self.role is Role.PRE_CANDIDATE else self.term
+        is_asking = self.role is (Role.PRE_CANDIDATE if message.pre_vote else Role.CANDIDATE)
+        if is_asking and message.granted and message.term == requested_term:
             self._votes.add(message.sender.disk_id)
-            self._count_votes(now, step)
+            self._count_votes(now, ready)
 
-    def _count_votes(self, now: float, step: Ready) -> None:
+    def _count_votes(self, now: float, ready: Ready) -> None:
         if not self._has_majority(lambda m: m.disk_id in self._votes):
             return
         if self.role is Role.PRE_CANDIDATE:
-            self._campaign(now, step, pre_vote=False)
-            return
-        self.role, self.leader, self.role_changed_at, self._has_committed_in_term = (
-            Role.LEADER,
-            self.me,
-            now,
-            False,
-        )
-        self._lease_released, self._transfer_requested_at = False, float("-inf")
-        others = dict.fromkeys(
-            (
-                *self._members,
-                *(() if self._is_configuration_committed() else self._previous_members),
-            )
-        )
+            self._campaign(now, ready, pre_vote=False)
+        else:
+            self._become_leader(now, ready)
+
+    def _become_leader(self, now: float, ready: Ready) -> None:
+        self.role = Role.LEADER
+        self.leader = self.me
+        self.role_changed_at = now
+        self._has_committed_in_term = False
+        self._lease_released = False
+        self._transfer_requested_at = float("-inf")
         self.peers = {
             m.disk_id: Progress(m, self.last_index + 1, tracked_since=now)
-            for m in others
+            for m in self._effective_members()
             if m != self.me
         }
-        self._append_entry(now, step, Entry(self.last_index + 1, self.term, is_term_start=True))
+        # Committing an entry of its own term tells the leader what is committed (Raft 8).
+        self._append_entry(now, ready, Entry(self.last_index + 1, self.term, is_term_start=True))
 
-    def _become_follower(self, now: float, step: Ready, term: int, leader: Member | None) -> None:
+    def _become_follower(self, now: float, ready: Ready, term: int, leader: Member | None) -> None:
         if term > self.term:
             self.term, self.voted_for = term, ""
-            step.writes.append(HardState(term, ""))
+            ready.writes.append(HardState(term, ""))
         if self.role is not Role.FOLLOWER or leader != self.leader:
             self.role_changed_at = now
-        self.role, self.leader, self.peers = Role.FOLLOWER, leader, {}
+        self.role = Role.FOLLOWER
+        self.leader = leader
+        self.peers = {}
         self._reset_election_timer(now)
 
-    # A leader that leaves, or does not vote any longer.
+    # Leadership transfer.
 
-    def _transfer_leadership(self, now: float, step: Ready) -> None:
-        """To a voter that holds all there is. The lease is given up before that one is asked, for
-        this term for good: so those who promised to follow may vote for it at once."""
+    def _transfer_leadership(self, now: float, ready: Ready) -> None:
+        """Asks an up-to-date voter to campaign at once.
+
+        The lease is released before, for the rest of the term, so that the voters that support it
+        may vote for another member at once."""
         if now - self._transfer_requested_at < 2 * self.timings.heartbeat_interval:
             return
-        able = [
-            p
-            for p in self.peers.values()
-            if p.member in self._voters
-            and p.match_index == self.last_index
-            and now - p.last_ack_sent_at < self.timings.caught_up_window
-            and now - p.leave_requested_at > self.timings.caught_up_window
-        ]
-        if able:
-            best = max(able, key=lambda p: (p.last_ack_sent_at, p.member))
-            best.last_ack_sent_at = float(
-                "-inf"
-            )  # the next time, if there is one, it is another's turn
-            if not self._lease_released:
-                self._lease_released, self.role_changed_at = True, now
-            self._transfer_requested_at = now
-            step.sends.append((best.member.address, TimeoutNow(self.term, self.me)))
-
-    def _handle_timeout_now(self, now: float, step: Ready, message: TimeoutNow) -> None:
-        known = self.role is Role.FOLLOWER and self.leader == message.sender
-        if known and message.term == self.term and self.may_campaign() and not self.leaving:
-            self._campaign(now, step, pre_vote=False, transfer=True)
+        targets = [p for p in self.peers.values() if self._may_take_over(now, p)]
+        if not targets:
+            return
+        target = max(targets, key=lambda p: (p.last_ack_sent_at, p.member))
+        target.last_ack_sent_at = float("-inf")  # a further attempt goes to another member
+        if not self._lease_released:
+            self._lease_released = True
+            self.role_changed_at = now
+        self._transfer_requested_at = now
+        ready.sends.append((target.member.address, TimeoutNow(self.term, self.me)))
+
+    def _may_take_over(self, now: float, peer: Progress) -> bool:
+        window = self.timings.caught_up_window
+        return (
+            peer.member in self._voters
+            and peer.match_index == self.last_index
+            and now - peer.last_ack_sent_at < window
+            and now - peer.leave_requested_at > window
+        )
+
+    def _handle_timeout_now(self, now: float, ready: Ready, message: TimeoutNow) -> None:
+        is_from_leader = self.role is Role.FOLLOWER and self.leader == message.sender
+        may_start = self.may_campaign() and not self.leaving
+        if is_from_leader and message.term == self.term and may_start:
+            self._campaign(now, ready, pre_vote=False, transfer=True)
--- a/cairndale/raft/membership.py
+++ b/cairndale/raft/membership.py
@@ -1,120 +1,142 @@
-"""Changes of the configuration: who comes, who leaves, who votes.
+"""Membership changes: joining, leaving, and which members vote.
 
-A change is one entry, appended by the leader once its term's first entry and the change before are
-decided. Who joins is given the log first; once it holds all that was decided, it is a learner, and
-votes from the configuration on that says so."""
+A change is one configuration entry, appended by the leader once the first entry of its term and the
+previous change are committed. A joining member is sent the log first; once it holds all committed
+entries it becomes a learner (PhD 4.2.1), and may become a voter in a later configuration."""
 
 from __future__ import annotations
 
+from collections.abc import Collection
 from dataclasses import astuple, replace
 
 from cairndale.raft.messages import Entry, Join, Leave, Member, Ready
-from cairndale.raft.replica import Progress, Replica, Role
-from cairndale.raft.voters import next_voters
+from cairndale.raft.replica import NEVER, Progress, Replica, Role
+from cairndale.raft.voters import MemberHealth, next_voters
 
-MAX_JOINING = 32  # that are given the log and are no members yet
-MAX_SILENT_LEARNERS = 8  # learners that are silent and still known
+MAX_JOINING = 32  # members that are sent the log before they are in the configuration
+MAX_SILENT_LEARNERS = 8  # learners in the configuration that do not reply
 
 
 class Membership(Replica):
+    """The part of a node that joins, leaves, and as leader changes the configuration."""
+
+    # Member.
+
     def leave(self) -> None:
-        """This one is about to end: as a leader it hands over, else it asks to be taken out."""
-        self.leaving, self._membership_request_due = True, float("-inf")
+        """Starts to leave: a leader transfers its leadership, others ask to be removed."""
+        self.leaving = True
+        self._membership_request_due = NEVER
 
     def has_left(self) -> bool:
-        """Neither the leader nor, as is known here, one whose word is needed."""
+        """This member is neither leader nor, as far as it knows, a voter; it may stop."""
         return self.role is not Role.LEADER and not self.may_campaign()
 
     def _known_addresses(self) -> list[str]:
-        named = [m.address for m in self._members] + list(self.addresses)
-        return [d for d in dict.fromkeys(named) if d != self.me.address]
-
-    def _send_membership_request(self, now: float, step: Ready, asked: Join | Leave) -> None:
-        """The leader, if it is known, else whoever may know it."""
-        if now >= self._membership_request_due:
-            self._membership_request_due = now + self.timings.join_interval * (
-                1 + self.rng.random()
-            )
-            heard = (
-                self.leader
-                and now - self.last_heartbeat_at < self.timings.election_timeout
-                and self.is_member()
-            )
-            addresses = [self.leader.address] if self.leader and heard else self._known_addresses()
-            step.sends += [(address, asked) for address in addresses]
-
-    def _request_join(self, now: float, step: Ready) -> None:
-        self._send_membership_request(now, step, Join(self.term, self.me))
+        addresses = dict.fromkeys((*(m.address for m in self._members), *self.addresses))
+        return [address for address in addresses if address != self.me.address]
+
+    def _send_membership_request(self, now: float, ready: Ready, request: Join | Leave) -> None:
+        """Sends to the leader if there is one, else to all known addresses, now and then."""
+        if now < self._membership_request_due:
+            return
+        wait = self.timings.join_interval * (1 + self.rng.random())
+        self._membership_request_due = now + wait
+        is_recent = now - self.last_heartbeat_at < self.timings.election_timeout
+        if self.leader and is_recent and self.is_member():
+            addresses = [self.leader.address]
+        else:
+            addresses = self._known_addresses()
+        ready.sends += [(address, request) for address in addresses]
+
+    def _request_join(self, now: float, ready: Ready) -> None:
+        self._send_membership_request(now, ready, Join(self.term, self.me))
 
     def _is_location_recorded(self) -> bool:
-        told = next((m for m in self._members if m == self.me), self.me)
-        return (told.zone, told.region) == (self.me.zone, self.me.region)
+        recorded = next((m for m in self._members if m == self.me), self.me)
+        return (recorded.zone, recorded.region) == (self.me.zone, self.me.region)
 
-    def _handle_join(self, now: float, step: Ready, message: Join) -> None:
-        if self.role is not Role.LEADER:
-            held = next((m for m in self._members if m.disk_id == self.voted_for), None)
-            if (
-                held
-                and held.address == message.sender.address
-                and held != message.sender
-                and self.is_member()
-            ):
-                # The last leader's disk is gone, and the life that held the term with it: nobody
-                # holds it.
-                self.last_heartbeat_at = float("-inf")
-                self._election_due = min(
-                    self._election_due, now + self.timings.early_election_spread * self.rng.random()
-                )
-            if self.leader and self.leader != message.sender:
-                step.sends.append((self.leader.address, message))
+    # Requests of others.
+
+    def _handle_join(self, now: float, ready: Ready, message: Join) -> None:
+        if self.role is Role.LEADER:
+            self._track_joining(now, ready, message.sender)
+            return
+        if self._replaces_last_leader(message.sender):
+            # The leader's disk is gone, and the lease with it: there is nothing to wait for.
+            self.last_heartbeat_at = NEVER
+            early = now + self.timings.early_election_spread * self.rng.random()
+            self._election_due = min(self._election_due, early)
+        self._forward_to_leader(ready, message)
+
+    def _replaces_last_leader(self, sender: Member) -> bool:
+        """`sender` has another disk at the address of the leader this member supports."""
+        supported = next((m for m in self._members if m.disk_id == self.voted_for), None)
+        return (
+            supported is not None
+            and supported.address == sender.address
+            and supported != sender
+            and self.is_member()
+        )
+
+    def _forward_to_leader(self, ready: Ready, message: Join | Leave) -> None:
+        if self.leader and self.leader != message.sender:
+            ready.sends.append((self.leader.address, message))
+
+    def _track_joining(self, now: float, ready: Ready, sender: Member) -> None:
+        if sender.address == self.me.address:
             return
-        if message.sender.address == self.me.address:
+        if sender.disk_id not in self.peers and not self._start_tracking(now, ready, sender):
             return
-        if message.sender.disk_id not in self.peers:
-            for disk, other in list(self.peers.items()):
-                if (
-                    other.member.address == message.sender.address
-                    and other.member not in self._members
-                ):
-                    del self.peers[disk]
-            if sum(p.member not in self._members for p in self.peers.values()) >= MAX_JOINING:
-                return
-            # From the snapshot on, if it is the founders' alone: who came before it, only that
-            # tells.
-            self.peers[message.sender.disk_id] = Progress(message.sender, 0, tracked_since=now)
-            self._send_append(now, step, self.peers[message.sender.disk_id])
-        peer = self.peers[message.sender.disk_id]
-        if peer.member.address != message.sender.address:  # the same disk, elsewhere
-            peer.member, peer.in_flight_since = message.sender, -1.0
-        self._reported_locations[message.sender.disk_id] = message.sender
-        peer.leave_requested_at = float("-inf")
-
-    def _handle_leave(self, now: float, step: Ready, message: Leave) -> None:
+        peer = self.peers[sender.disk_id]
+        if peer.member.address != sender.address:  # the same disk at another address
+            peer.member = sender
+            peer.in_flight_since = -1.0
+        self._reported_locations[sender.disk_id] = sender
+        peer.leave_requested_at = NEVER
+
+    def _start_tracking(self, now: float, ready: Ready, sender: Member) -> bool:
+        """Sends a new member the log, in place of an earlier one at its address.
+
+        False if too many are joining."""
+        for disk_id, peer in list(self.peers.items()):
+            if peer.member.address == sender.address and peer.member not in self._members:
+                del self.peers[disk_id]
+        joining = sum(p.member not in self._members for p in self.peers.values())
+        if joining >= MAX_JOINING:
+            return False
+        # From the snapshot on, also if it is the one of the bootstrap members: no entry names them.
+        peer = Progress(sender, next_index=0, tracked_since=now)
+        self.peers[sender.disk_id] = peer
+        self._send_append(now, ready, peer)
+        return True
+
+    def _handle_leave(self, now: float, ready: Ready, message: Leave) -> None:
         if self.role is not Role.LEADER:
-            if self.leader and self.leader != message.sender:
-                step.sends.append((self.leader.address, message))
+            self._forward_to_leader(ready, message)
         elif peer := self.peers.get(message.sender.disk_id):
             peer.leave_requested_at = now
-            self._propose_members(now, step)
+            self._propose_members(now, ready)
+
+    # Leader.
 
-    def _propose_members(self, now: float, step: Ready) -> None:
-        """The next change, if there is one."""
+    def _propose_members(self, now: float, ready: Ready) -> None:
+        """Appends the next configuration, if there is anything to change."""
         if not self._may_change_members():
             return
         members = self._next_members(now)
+        # `Member` compares address and disk only; location and role count as well here.
         if [astuple(m) for m in members] == [astuple(m) for m in self._members]:
             return
-        gone = [
-            m
-            for m in self._members
-            if m not in members and any(m.address == o.address for o in members)
-        ]
-        self._append_entry(now, step, Entry(self.last_index + 1, self.term, members=members))
-        for member in gone:  # another disk stands at its door
+        addresses = {m.address for m in members}
+        replaced = [m for m in self._members if m not in members and m.address in addresses]
+        self._append_entry(now, ready, Entry(self.last_index + 1, self.term, members=members))
+        for member in replaced:
             self.peers.pop(member.disk_id, None)
 
     def _may_change_members(self) -> bool:
-        """One at a time, and none before this term's first entry is decided."""
+        """One change at a time, and none before an entry of this term is committed.
+
+        The latter corrects the single-server change of PhD 4.1 (Ongaro, raft-dev, 2015)."""
         return (
             self._has_committed_in_term
             and self._is_configuration_committed()
@@ -123,74 +145,91 @@
         )
 
     def _next_members(self, now: float) -> tuple[Member, ...]:
-        timings, peers = self.timings, self.peers
-        here = {m.disk_id: m for m in self._members}
-        for (
-            peer
-        ) in peers.values():  # those that came, each in the place of the one at its door before
-            level = (
-                peer.match_index >= self.commit_index > 0
-                and now - peer.caught_up_at < timings.caught_up_window
-            )
+        members = {m.disk_id: m for m in self._members}
+        self._add_joined(now, members)
+        leaving = self._leaving(now, members)
+        self._remove_learners(now, members, leaving)
+        for disk_id, member in members.items():
+            if reported := self._reported_locations.get(disk_id):
+                members[disk_id] = replace(reported, learner=member.learner)
+        voters = self._choose_voters(members, self._health(now, members, leaving))
+        chosen = (replace(m, learner=d not in voters) for d, m in members.items())
+        return tuple(sorted(m for m in chosen if not (m.learner and m.disk_id in leaving)))
+
+    def _is_caught_up(self, now: float, peer: Progress) -> bool:
+        return now - peer.caught_up_at < self.timings.caught_up_window
+
+    def _add_joined(self, now: float, members: dict[str, Member]) -> None:
+        """Adds those that hold all committed entries, each in place of others at its address."""
+        for disk_id, peer in self.peers.items():
+            is_complete = peer.match_index >= self.commit_index > 0
             if (
-                peer.member.disk_id not in here
-                and level
-                and peer.leave_requested_at == float("-inf")
+                peer.member.disk_id in members
+                or not is_complete
+                or not self._is_caught_up(now, peer)
+                or peer.leave_requested_at != NEVER
             ):
-                before = [m for m in here.values() if m.address == peer.member.address]
-                for member in before:
-                    del here[member.disk_id]
-                here[peer.member.disk_id] = replace(
-                    peer.member, learner=all(m.learner for m in before)
-                )
-        leaving = {
+                continue
+            previous = [m for m in members.values() if m.address == peer.member.address]
+            for member in previous:
+                del members[member.disk_id]
+            is_learner = all(m.learner for m in previous)
+            members[disk_id] = replace(peer.member, learner=is_learner)
+
+    def _leaving(self, now: float, members: Collection[str]) -> set[str]:
+        window = self.timings.caught_up_window
+        return {
             d
-            for d in here
-            if d in peers and now - peers[d].leave_requested_at < timings.caught_up_window
+            for d in members
+            if d in self.peers and now - self.peers[d].leave_requested_at < window
         }
-        silent = {d: peers[d].silence(now) for d in here if d in peers}
-        aside = sorted(
-            (d for d, m in here.items() if m.learner and d in silent), key=lambda d: silent[d]
-        )
-        still = sum(silent[d] <= timings.unresponsive_timeout for d in aside)
-        for place, disk in enumerate(aside):
-            if (
-                disk in leaving
-                or silent[disk] > timings.removal_timeout
-                or place >= still + MAX_SILENT_LEARNERS
-            ):
-                del here[disk]
-        for disk, member in here.items():
-            if told := self._reported_locations.get(disk):
-                here[disk] = replace(told, learner=member.learner)
-        fit = {
-            d for d in here if d in peers and now - peers[d].caught_up_at < timings.caught_up_window
+
+    def _remove_learners(
+        self, now: float, members: dict[str, Member], leaving: Collection[str]
+    ) -> None:
+        """Removes learners that leave, that are silent for long, and the longest silent of many."""
+        silence = {
+            d: self.peers[d].silence(now)
+            for d, m in members.items()
+            if m.learner and d in self.peers
         }
-        lost = {d for d in here if silent.get(d, 0.0) > timings.unresponsive_timeout}
-        steady = {d for d in fit if now - peers[d].tracked_since > timings.unresponsive_timeout}
-        votes = frozenset(m.disk_id for m in self._voters)
-        places = tuple((m.disk_id, m.zone, m.region, m.learner) for m in here.values())
-        if (seen := (places, fit, steady, lost, leaving, self.tolerance)) != self._unchanged_inputs:
-            chosen = next_voters(
-                tuple(here.values()), fit, steady, lost, leaving, self.me.disk_id, self.tolerance
-            )
-            self._unchanged_inputs = seen if chosen == votes else None
-            votes = chosen
-        members = (replace(m, learner=d not in votes) for d, m in here.items())
-        return tuple(sorted(m for m in members if not (m.learner and m.disk_id in leaving)))
+        learners = sorted(silence, key=lambda d: silence[d])
+        responsive = sum(silence[d] <= self.timings.unresponsive_timeout for d in learners)
+        for rank, disk_id in enumerate(learners):
+            is_forgotten = silence[disk_id] > self.timings.removal_timeout
+            if disk_id in leaving or is_forgotten or rank >= responsive + MAX_SILENT_LEARNERS:
+                del members[disk_id]
+
+    def _health(
+        self, now: float, members: dict[str, Member], leaving: Collection[str]
+    ) -> MemberHealth:
+        timeout = self.timings.unresponsive_timeout
+        peers = {d: self.peers[d] for d in members if d in self.peers}
+        caught_up = frozenset(d for d, p in peers.items() if self._is_caught_up(now, p))
+        return MemberHealth(
+            caught_up=caught_up,
+            steady=frozenset(d for d in caught_up if now - peers[d].tracked_since > timeout),
+            lost=frozenset(d for d, p in peers.items() if p.silence(now) > timeout),
+            leaving=frozenset(leaving),
+        )
+
+    def _choose_voters(self, members: dict[str, Member], health: MemberHealth) -> frozenset[str]:
+        voters = frozenset(m.disk_id for m in self._voters)
+        locations = tuple((m.disk_id, m.zone, m.region, m.learner) for m in members.values())
+        inputs = (locations, health, self.tolerance)
+        if inputs == self._unchanged_inputs:
+            return voters
+        chosen = next_voters(tuple(members.values()), health, self.me.disk_id, self.tolerance)
+        self._unchanged_inputs = inputs if chosen == voters else None
+        return chosen
 
     def _prune_peers(self, now: float) -> None:
-        """Forgets those who neither belong to the configuration nor answer, and places of
-        others."""
-        known = {
-            m.disk_id
-            for m in (
-                *self._members,
-                *(() if self._is_configuration_committed() else self._previous_members),
-            )
-        }
-        for disk, peer in list(self.peers.items()):
-            if disk not in known and peer.silence(now) > 2 * self.timings.unresponsive_timeout:
-                del self.peers[disk]
-        for disk in set(self._reported_locations) - known - set(self.peers) - {self.me.disk_id}:
-            del self._reported_locations[disk]
+        """Drops silent peers that are in no configuration, and locations of members unknown."""
+        known = {m.disk_id for m in self._effective_members()}
+        limit = 2 * self.timings.unresponsive_timeout
+        for disk_id, peer in list(self.peers.items()):
+            if disk_id not in known and peer.silence(now) > limit:
+                del self.peers[disk_id]
+        known |= {*self.peers, self.me.disk_id}
+        for disk_id in set(self._reported_locations) - known:
+            del self._reported_locations[disk_id]
--- a/cairndale/raft/node.py
+++ b/cairndale/raft/node.py
@@ -1,18 +1,17 @@
-"""The core's log as a pure machine: inputs in, what to write, send and deliver out.
+"""The replicated log as a state machine without I/O: inputs in, writes, sends and commits out.
 
-One leader a term appends; the others follow it. A change of term stops delivery, trims what only a
-minority of the old term holds, and goes on. An entry is delivered once a majority of the voters has
-it on disk. A member is a door and a disk: one whose disk was wiped is another member, and its vote
-counts for nothing until the others have taken it in, which they do with a majority of their own.
-`replica.py` has what is known and whose word counts, `election.py` the elections, `membership.py`
-the changes of the configuration, `compaction.py` the snapshots; here is the log.
+`RaftNode` is Raft with pre-vote (PhD 9.6), leader leases (PhD 6.4.1), leadership transfer (PhD
+3.10) and learners (PhD 4.2.1). A member is an address with a disk: a disk that was wiped makes
+another member, whose vote counts only after a majority has added it. `replica.py` holds the state
+and the quorums, `election.py` elections, `membership.py` changes of the configuration,
+`compaction.py` snapshots. Log replication (Raft 5.3) is here.
 
-Times are seconds on a clock that never goes back; nothing here depends on the time of day. The
-caller carries a `Step` out in order: writes, synced; then sends; then deliveries."""
+Times are seconds on a monotonic clock. The caller carries out each `Ready` in order: write and sync
+`writes`, then send `sends`, then apply `committed_entries`."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 from itertools import takewhile
 
 from cairndale.raft import fragments
@@ -40,299 +39,328 @@
 )
 from cairndale.raft.replica import Progress, Role
 
-# Bytes of entries in one append, as heartbeats wait for it; one entry of earlier programs may be
-# larger.
+# Bytes of entries in one append: it bounds what a heartbeat queues behind. A single entry that an
+# earlier version wrote may be larger and is sent alone.
 MAX_APPEND_BYTES = 2 * fragments.FRAGMENT_BYTES
 
 
 class RaftNode(Election, Membership, Compaction):
+    """One member of the cluster: `tick`, `propose` and `receive` each return a `Ready`."""
+
     # Inputs.
 
     def tick(self, now: float) -> Ready:
-        step = Ready()
+        """Does what is due at `now`; to be called several times per heartbeat interval."""
+        ready = Ready()
         if self.role is Role.LEADER:
-            self._tick_leader(now, step)
+            self._tick_leader(now, ready)
         elif self.leaving:
             if not self.has_left():
-                self._send_membership_request(now, step, Leave(self.term, self.me))
+                self._send_membership_request(now, ready, Leave(self.term, self.me))
         elif not self.is_member():
-            self._request_join(
-                now, step
-            )  # though it is heard: that may be meant for the disk that was here before
+            # Also while heartbeats arrive: they may be meant for the previous disk at this address.
+            self._request_join(now, ready)
+        else:
+            self._tick_follower(now, ready)
+        return ready
+
+    def _tick_follower(self, now: float, ready: Ready) -> None:
+        is_silent = now - self.last_heartbeat_at > self.timings.rejoin_timeout
+        if is_silent or not self._is_location_recorded():
+            # The entry that added this member may never have been committed.
+            self._request_join(now, ready)
+        if now >= self._election_due and self.may_campaign():
+            self._campaign(now, ready, pre_vote=True)
+
+    def _tick_leader(self, now: float, ready: Ready) -> None:
+        if self._has_lost_quorum(now):
+            self._become_follower(now, ready, self.term, None)
+        elif self._has_stalled(now):
+            self._become_follower(now, ready, self.term, None)
+            # Others campaign first: with this member as leader, nothing was committed.
+            self._election_due += 2 * self.timings.election_timeout
+        elif self._has_transfer_timed_out(now):
+            self._become_follower(now, ready, self.term, None)
         else:
-            if (
-                now - self.last_heartbeat_at > self.timings.rejoin_timeout
-                or not self._is_location_recorded()
-            ):
-                self._request_join(now, step)  # that it is a member may never have been decided
-            if now >= self._election_due and self.may_campaign():
-                self._campaign(now, step, pre_vote=True)
-        return step
-
-    def _tick_leader(self, now: float, step: Ready) -> None:
-        if (
-            now >= self.lease_end(now) + self.timings.election_timeout
-            and now - self.role_changed_at > 2 * self.timings.election_timeout
-        ):
-            self._become_follower(
-                now, step, self.term, None
-            )  # nobody follows: others may be better off
-        elif (
+            self._lead(now, ready)
+
+    def _has_lost_quorum(self, now: float) -> bool:
+        """The lease ended long ago, so another member may be better connected."""
+        timeout = self.timings.election_timeout
+        return now >= self.lease_end(now) + timeout and now - self.role_changed_at > 2 * timeout
+
+    def _has_stalled(self, now: float) -> bool:
+        """The first entry of this term is not committed in time, and no snapshot explains it."""
+        return (
             not self._has_committed_in_term
             and now - self.role_changed_at > self.timings.term_start_timeout
             and not self._is_sending_snapshot(now)
-        ):
-            self._become_follower(now, step, self.term, None)  # followed, and nothing is decided
-            self._election_due += 2 * self.timings.election_timeout
-        elif self._lease_released and now - self.role_changed_at > self.timings.transfer_timeout:
-            self._become_follower(
-                now, step, self.term, None
-            )  # nobody has taken it: whoever can, may
-        else:
-            if (
-                self._lease_released
-                or self.leaving
-                or (self._has_committed_in_term and not self.may_campaign())
-            ):
-                self._transfer_leadership(now, step)
-            if now >= self._heartbeat_due:
-                self._broadcast(now, step)
-            if (
-                now >= self._membership_check_due
-            ):  # whether or not beats were sent meanwhile, as each entry does
-                self._membership_check_due = now + self.timings.heartbeat_interval
-                self._prune_peers(now)
-                self._propose_members(now, step)
+        )
+
+    def _has_transfer_timed_out(self, now: float) -> bool:
+        """The lease was released and no other member has become leader."""
+        return self._lease_released and now - self.role_changed_at > self.timings.transfer_timeout
+
+    def _lead(self, now: float, ready: Ready) -> None:
+        is_removed = self._has_committed_in_term and not self.may_campaign()
+        if self._lease_released or self.leaving or is_removed:
+            self._transfer_leadership(now, ready)
+        if now >= self._heartbeat_due:
+            self._broadcast(now, ready)
+        # A timer of its own: each proposal resets the heartbeat's.
+        if now >= self._membership_check_due:
+            self._membership_check_due = now + self.timings.heartbeat_interval
+            self._prune_peers(now)
+            self._propose_members(now, ready)
 
     def propose(self, now: float, data: bytes) -> tuple[int, Ready]:
-        """Appends; the index, or 0 if this one does not hold the term. Delivery tells what became
-        of it."""
-        step = Ready()
+        """Appends an entry; its index, or 0 if this member cannot accept proposals.
+
+        That the entry is committed shows in a later `Ready.committed_entries` with its term; if
+        another entry is committed at that index, it is lost."""
+        ready = Ready()
         if self.role is not Role.LEADER or self._lease_released or self.leaving:
-            return 0, step
-        return self._append_entry(now, step, Entry(self.last_index + 1, self.term, data)), step
+            return 0, ready
+        entry = Entry(self.last_index + 1, self.term, data)
+        return self._append_entry(now, ready, entry), ready
 
     def receive(self, now: float, message: Message) -> Ready:
-        step = Ready()
+        """Handles a message from another member."""
+        ready = Ready()
         match message:
             case RequestVote():
-                self._handle_vote_request(now, step, message)
+                self._handle_vote_request(now, ready, message)
             case VoteReply():
-                self._handle_vote_reply(now, step, message)
+                self._handle_vote_reply(now, ready, message)
             case AppendEntries():
-                self._handle_append_entries(now, step, message)
+                self._handle_append_entries(now, ready, message)
             case AppendReply():
-                self._handle_append_reply(now, step, message)
+                self._handle_append_reply(now, ready, message)
             case InstallSnapshot():
-                self._handle_install_snapshot(now, step, message)
+                self._handle_install_snapshot(now, ready, message)
             case SnapshotReply():
-                self._handle_snapshot_reply(now, step, message)
+                self._handle_snapshot_reply(now, ready, message)
             case Join():
-                self._handle_join(now, step, message)
+                self._handle_join(now, ready, message)
             case Leave():
-                self._handle_leave(now, step, message)
+                self._handle_leave(now, ready, message)
             case TimeoutNow():
-                self._handle_timeout_now(now, step, message)
-        return step
+                self._handle_timeout_now(now, ready, message)
+        return ready
 
-    # The leader.
+    def heartbeat_soon(self, now: float, apart: float) -> Ready:
+        """Sends a heartbeat now unless the last one is less than `apart` seconds old.
 
-    def _append_entry(self, now: float, step: Ready, entry: Entry) -> int:
+        A read index (PhD 6.4) waits for the replies to it."""
+        ready = Ready()
+        last_sent_at = self._heartbeat_due - self.timings.heartbeat_interval
+        if self.role is Role.LEADER and now >= last_sent_at + apart:
+            self._broadcast(now, ready)
+        return ready
+
+    # Leader.
+
+    def _append_entry(self, now: float, ready: Ready, entry: Entry) -> int:
         self.log.append(entry)
-        step.writes.append(SaveEntries(entry.index, (entry,)))
+        ready.writes.append(SaveEntries(entry.index, (entry,)))
         if entry.members:
             self._refresh_members()
-        self._broadcast(now, step)
-        self._advance_commit_index(now, step)
+        self._broadcast(now, ready)
+        self._advance_commit_index(now, ready)
         return entry.index
 
-    def _broadcast(self, now: float, step: Ready) -> None:
+    def _broadcast(self, now: float, ready: Ready) -> None:
         self._heartbeat_due = now + self.timings.heartbeat_interval
         for peer in self.peers.values():
-            self._send_append(now, step, peer)
+            self._send_append(now, ready, peer)
 
-    def heartbeat_soon(self, now: float, apart: float) -> Ready:
-        """A beat at once, if the last one was sent `apart` seconds ago or earlier."""
-        step = Ready()
-        if (
-            self.role is Role.LEADER
-            and now >= self._heartbeat_due - self.timings.heartbeat_interval + apart
-        ):
-            self._broadcast(now, step)
-        return step
-
-    def _send_append(self, now: float, step: Ready, peer: Progress) -> None:
-        sent = int(now * 1e6)
-        if peer.next_index <= self.base_snapshot.index and not self.compacted_tail.covers(
-            peer.next_index
-        ):
-            self._send_snapshot(now, step, peer, beat=True)
+    def _send_append(self, now: float, ready: Ready, peer: Progress) -> None:
+        """Sends what the peer lacks, or a heartbeat: an append without entries."""
+        is_compacted = peer.next_index <= self.base_snapshot.index
+        if is_compacted and not self.compacted_tail.covers(peer.next_index):
+            self._send_snapshot(now, ready, peer, with_heartbeat=True)
             return
         peer.transfer = None
-        entries: list[Entry] = []
-        # Sent again only to who has answered something later: one that is away would have its way
-        # filled.
-        lost = (
-            now - peer.in_flight_since >= self.timings.retransmit_timeout
-            and peer.last_ack_sent_at >= peer.in_flight_since
-        )
-        if peer.in_flight_since < 0 or lost:
-            size = 0
-            at = peer.next_index - self.base_snapshot.index - 1
-            for entry in self.log[at:] if at >= 0 else self.compacted_tail.since(peer.next_index):
-                size += len(entry.data)
-                if entries and size > MAX_APPEND_BYTES:
-                    break
-                entries.append(entry)
+        entries: tuple[Entry, ...] = ()
+        if self._may_send_entries(now, peer):
+            entries = self._entries_from(peer.next_index)
             peer.in_flight_since = now if entries else -1.0
-        before = peer.next_index - 1
+        prev_index = peer.next_index - 1
         message = AppendEntries(
             self.term,
             self.me,
-            before,
-            self.term_at(before),
-            tuple(entries),
-            self.commit_index,
-            sent,
+            prev_index=prev_index,
+            prev_term=self.term_at(prev_index),
+            entries=entries,
+            commit_index=self.commit_index,
+            sent_at_us=int(now * 1e6),
         )
-        step.sends.append((peer.member.address, message))
+        ready.sends.append((peer.member.address, message))
+
+    def _may_send_entries(self, now: float, peer: Progress) -> bool:
+        """One append with entries is in flight per peer; it is sent again after a timeout.
+
+        Only to a peer that has replied to something sent later, since retransmissions to an
+        unreachable peer would fill its connection."""
+        if peer.in_flight_since < 0:
+            return True
+        is_overdue = now - peer.in_flight_since >= self.timings.retransmit_timeout
+        return is_overdue and peer.last_ack_sent_at >= peer.in_flight_since
 
-    def _handle_append_reply(self, now: float, step: Ready, message: AppendReply) -> None:
-        if (peer := self._record_reply(now, step, message)) is None:
+    def _entries_from(self, index: int) -> tuple[Entry, ...]:
+        """Entries from `index` on: at least one, if there is any, within `MAX_APPEND_BYTES`."""
+        offset = index - self.base_snapshot.index - 1
+        available = self.log[offset:] if offset >= 0 else self.compacted_tail.since(index)
+        entries: list[Entry] = []
+        size = 0
+        for entry in available:
+            size += len(entry.data)
+            if entries and size > MAX_APPEND_BYTES:
+                break
+            entries.append(entry)
+        return tuple(entries)
+
+    def _handle_append_reply(self, now: float, ready: Ready, message: AppendReply) -> None:
+        if (peer := self._record_reply(now, ready, message)) is None:
             return
-        if message.success and max(peer.match_index, message.match_index) >= self.commit_index:
-            peer.caught_up_at = now
         if not message.success:
-            if (
-                peer.next_index
-            ):  # else it is to have the snapshot first, whatever was meant for the disk before it
-                peer.next_index, peer.in_flight_since = (
-                    max(1, min(message.match_index + 1, peer.next_index - 1)),
-                    -1.0,
-                )
-            self._send_append(now, step, peer)
+            self._back_up(peer, message.match_index)
+            self._send_append(now, ready, peer)
             return
+        if max(peer.match_index, message.match_index) >= self.commit_index:
+            peer.caught_up_at = now
         if message.match_index > peer.match_index or peer.next_index <= message.match_index:
-            peer.match_index = max(peer.match_index, message.match_index)
-            peer.next_index, peer.in_flight_since = (
-                max(peer.next_index, message.match_index + 1),
-                -1.0,
-            )
-            self._advance_commit_index(now, step)
-            if peer.next_index <= self.last_index and self.role is Role.LEADER:
-                self._send_append(now, step, peer)
+            self._advance_peer(now, ready, peer, message.match_index)
         if peer.member not in self._members:
-            self._propose_members(now, step)
+            self._propose_members(now, ready)
+
+    def _back_up(self, peer: Progress, hint: int) -> None:
+        """Moves next index back after a log mismatch, to the follower's hint at most."""
+        # Next index 0 means that the peer starts from the snapshot, whatever a reply says that was
+        # meant for the previous disk at its address.
+        if peer.next_index:
+            peer.next_index = max(1, min(hint + 1, peer.next_index - 1))
+            peer.in_flight_since = -1.0
 
-    def _is_on_majority(self, index: int, among: tuple[Member, ...]) -> bool:
-        """A majority of these has it on disk."""
-        have = sum(
+    def _advance_peer(self, now: float, ready: Ready, peer: Progress, match_index: int) -> None:
+        peer.match_index = max(peer.match_index, match_index)
+        peer.next_index = max(peer.next_index, match_index + 1)
+        peer.in_flight_since = -1.0
+        self._advance_commit_index(now, ready)
+        if peer.next_index <= self.last_index and self.role is Role.LEADER:
+            self._send_append(now, ready, peer)
+
+    def _is_on_majority(self, index: int, voters: tuple[Member, ...]) -> bool:
+        """A majority of `voters` has the entry at `index` on disk."""
+        count = sum(
             1
-            for m in among
+            for m in voters
             if m == self.me or ((p := self.peers.get(m.disk_id)) and p.match_index >= index)
         )
-        return have > len(among) // 2
+        return count > len(voters) // 2
 
-    def _advance_commit_index(self, now: float, step: Ready) -> None:
+    def _advance_commit_index(self, now: float, ready: Ready) -> None:
+        """Commits entries of this term only; earlier ones are committed with them (Raft 5.4.2)."""
         index = self.last_index
         while index > self.commit_index and self.term_at(index) == self.term:
             if all(self._is_on_majority(index, voters) for voters in self._voter_sets()):
-                self._commit(index, step)
-                self._broadcast(now, step)
+                self._commit(index, ready)
+                self._broadcast(now, ready)
                 break
             index -= 1
 
-    def _commit(self, upto: int, step: Ready) -> None:
-        for entry in self.log[
-            self.commit_index - self.base_snapshot.index : upto - self.base_snapshot.index
-        ]:
-            step.committed_entries.append(entry)
+    def _commit(self, index: int, ready: Ready) -> None:
+        """Commits all entries up to `index`."""
+        base = self.base_snapshot.index
+        for entry in self.log[self.commit_index - base : index - base]:
+            ready.committed_entries.append(entry)
             if entry.term == self.term and self.role is Role.LEADER:
                 self._has_committed_in_term = True
-        self.commit_index = max(self.commit_index, upto)
+        self.commit_index = max(self.commit_index, index)
 
-    # Those who follow.
+    # Follower.
 
     def _accept_leader(
-        self, now: float, step: Ready, message: AppendEntries | InstallSnapshot
+        self, now: float, ready: Ready, message: AppendEntries | InstallSnapshot
     ) -> bool:
-        if message.term < self.term or (message.term == self.term and self.role is Role.LEADER):
-            step.sends.append(
-                (
-                    message.sender.address,
-                    AppendReply(self.term, self.me, False, self.last_index, message.sent_at_us),
-                )
-            )
+        """Follows the sender, or tells it the current term if its own is past."""
+        leader = message.sender
+        is_own_term = message.term == self.term and self.role is Role.LEADER
+        if message.term < self.term or is_own_term:
+            self._reply_to_append(ready, message, success=False, match_index=self.last_index)
             return False
-        if (
-            message.term > self.term
-            or self.role is not Role.FOLLOWER
-            or self.leader != message.sender
-        ):
-            self._become_follower(now, step, message.term, message.sender)
-        if (
-            self.voted_for != message.sender.disk_id
-        ):  # whom its promises are to is known after a start as well
-            self.voted_for = message.sender.disk_id
-            step.writes.append(HardState(self.term, self.voted_for))
+        if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
+            self._become_follower(now, ready, message.term, leader)
+        if self.voted_for != leader.disk_id:
+            # Persisted, so that after a restart it is known whose lease this member supports.
+            self.voted_for = leader.disk_id
+            ready.writes.append(HardState(self.term, self.voted_for))
         self.last_heartbeat_at = now
         self._reset_election_timer(now)
         return True
 
-    def _handle_append_entries(self, now: float, step: Ready, message: AppendEntries) -> None:
-        if not self._accept_leader(now, step, message):
+    def _reply_to_append(
+        self,
+        ready: Ready,
+        message: AppendEntries | InstallSnapshot,
+        *,
+        success: bool,
+        match_index: int,
+    ) -> None:
+        reply = AppendReply(self.term, self.me, success, match_index, message.sent_at_us)
+        ready.sends.append((message.sender.address, reply))
+
+    def _handle_append_entries(self, now: float, ready: Ready, message: AppendEntries) -> None:
+        if not self._accept_leader(now, ready, message):
             return
-        entries, before, before_term = list(message.entries), message.prev_index, message.prev_term
-        sound = list(takewhile(lambda entry: fragments.is_intact(entry.data), entries))
-        if len(sound) < len(entries):
-            step.corrupt_entry, entries = (
-                f"entry {entries[len(sound)].index}: not as it was made",
-                sound,
-            )
-        while (
-            entries and before < self.base_snapshot.index
-        ):  # covered by the snapshot: delivered, so the same
-            before, before_term = entries[0].index, entries[0].term
+        entries = self._intact_entries(message.entries, ready)
+        prev_index, prev_term = message.prev_index, message.prev_term
+        base_index = self.base_snapshot.index
+        while entries and prev_index < base_index:
+            # Covered by the snapshot, hence committed, hence the same entry.
+            prev_index, prev_term = entries[0].index, entries[0].term
             entries.pop(0)
-        fits = (
-            before <= self.base_snapshot.index
-            if before < self.base_snapshot.index
-            else self.term_at(before) == before_term
-        )
-        if not fits:
-            hint = min(self.last_index, before - 1)
-            step.sends.append(
-                (
-                    message.sender.address,
-                    AppendReply(self.term, self.me, False, hint, message.sent_at_us),
-                )
-            )
+        if prev_index >= base_index and self.term_at(prev_index) != prev_term:
+            hint = min(self.last_index, prev_index - 1)
+            self._reply_to_append(ready, message, success=False, match_index=hint)
             return
-        match = max(before, self.base_snapshot.index)
+        self._replace_conflicting(entries, ready)
+        match_index = max(prev_index, base_index)
+        if entries:
+            match_index = max(match_index, entries[-1].index)
+        self._reply_to_append(ready, message, success=True, match_index=match_index)
+        commit_index = min(message.commit_index, match_index)
+        if commit_index > self.commit_index:
+            self._commit(commit_index, ready)
+
+    def _intact_entries(self, received: Sequence[Entry], ready: Ready) -> list[Entry]:
+        """The entries before the first whose checksum does not agree, which is reported."""
+        intact = list(takewhile(lambda entry: fragments.is_intact(entry.data), received))
+        if len(intact) < len(received):
+            ready.corrupt_entry = f"entry {received[len(intact)].index}: not as it was made"
+        return intact
+
+    def _replace_conflicting(self, entries: list[Entry], ready: Ready) -> None:
+        """Drops the log from the first entry of another term on, and appends what was received.
+
+        Entries that are here already stay: the message may be older than what follows them."""
         for number, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
                 del self.log[entry.index - self.base_snapshot.index - 1 :]
                 self.log += entries[number:]
-                step.writes.append(SaveEntries(entry.index, tuple(entries[number:])))
+                ready.writes.append(SaveEntries(entry.index, tuple(entries[number:])))
                 self._refresh_members()
-                break
-        match = max(match, entries[-1].index) if entries else match
-        step.sends.append(
-            (
-                message.sender.address,
-                AppendReply(self.term, self.me, True, match, message.sent_at_us),
-            )
-        )
-        if (upto := min(message.commit_index, match)) > self.commit_index:
-            self._commit(upto, step)
+                return
 
 
 def bootstrap_state(members: Iterable[Member]) -> PersistedState:
-    """The disk of a member at the first start of all."""
+    """What the disk of each of these members holds at the first start of the cluster."""
     return PersistedState(snapshot=Snapshot(0, 0, tuple(sorted(members))))
 
 
 def bootstrap_member(address: str) -> Member:
-    """Who stands at a door at the first start of all: known to the others before they have
-    spoken."""
+    """The member at this address at the first start of the cluster.
+
+    Its disk id follows from the address, so that all bootstrap members know one another before
+    they have exchanged a message."""
     return Member(address, f"first-{address}")
--- a/cairndale/raft/replica.py
+++ b/cairndale/raft/replica.py
@@ -1,14 +1,14 @@
-"""What a member of the core knows of the log, the others and its own role; whose word makes a
-majority.
+"""State of one member: its log, its role, the other members' progress, and the quorums.
 
-The configuration, an entry of the log, names voters and learners and holds from where it stands in
-the log, decided or not. While the newest is not known to be decided, a majority of the voters
-before it has to say yes as well, to votes, commits and the lease. One at a time: the one before the
-newest is decided."""
+The configuration is a log entry that names voters and learners. It takes effect when it is
+appended, committed or not (Raft 6, PhD 4.1). Until it is known to be committed, votes, commits and
+the lease need a majority of the previous voters as well, as in joint consensus (PhD 4.3). There is
+one change at a time: the configuration before the newest is committed."""
 
 from __future__ import annotations
 
 import random
+from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 from enum import Enum
@@ -17,8 +17,12 @@
 from cairndale.raft.snapshot_transfer import CompactedTail, SnapshotReceiver, SnapshotTransfer
 from cairndale.raft.voters import Tolerance
 
+NEVER = float("-inf")  # a time before all others
+
 
 class Role(Enum):
+    """A member's role in its term."""
+
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
     CANDIDATE = "candidate"
@@ -27,238 +31,249 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftTimings:
-    election_timeout: float = 0.5  # s without the leader before which nobody gives another a vote
+    """Timers of a member, in seconds, but for `clock_drift`."""
+
+    # Without a heartbeat for so long, a member may vote for another leader.
+    election_timeout: float = 0.5
     heartbeat_interval: float = 0.15
-    # s that each waits longer than the one before it: two at once would split the votes
+    # Each voter waits longer than the one before it by this, to avoid split votes.
     election_stagger: float = 0.05
-    early_election_spread: float = (
-        0.1  # s that they spread over where the last leader's life is known to be over
-    )
-    retransmit_timeout: float = 0.4  # s after which an append that was not answered is sent again
+    # Campaigns spread over this span where the last leader is known to be gone.
+    early_election_spread: float = 0.1
+    # An append that was not answered is sent again after this.
+    retransmit_timeout: float = 0.4
+    # Between two requests to join or leave; up to twice as much, at random.
     join_interval: float = 0.3
-    term_start_timeout: float = 5.0  # s within which a leader's first entry is to be decided
-    rejoin_timeout: float = 2.0  # s without a leader after which a member asks whether it is one
-    clock_drift: float = 0.05  # of a span that two clocks may differ by
-    caught_up_window: float = 0.6  # s since when a learner that is to vote was last up to date
-    unresponsive_timeout: float = (
-        1.5  # s without a word after which a learner may take a voter's place
-    )
-    removal_timeout: float = 60.0  # s without a word after which a learner is none any longer
-    transfer_timeout: float = 1.0  # s for another to take the leadership over
+    # The first entry of a leader's term has to be committed within this.
+    term_start_timeout: float = 5.0
+    # After this without a leader a member asks again to be added.
+    rejoin_timeout: float = 2.0
+    # Fraction of a span by which two clocks may differ.
+    clock_drift: float = 0.05
+    # A member counts as caught up for so long after it held all committed entries.
+    caught_up_window: float = 0.6
+    # Without a reply for so long, a voter may be replaced by a learner.
+    unresponsive_timeout: float = 1.5
+    # Without a reply for so long, a learner is removed.
+    removal_timeout: float = 60.0
+    # For another member to become leader after this one released its lease.
+    transfer_timeout: float = 1.0
 
     @property
-    def lease_duration(
-        self,
-    ) -> float:  # s from a beat's sending for which a majority has promised to follow
+    def lease_duration(self) -> float:
+        """Seconds from the sending of a heartbeat for which a majority supports the leader."""
         return self.election_timeout * (1 - 2 * self.clock_drift)
 
 
 @dataclass(slots=True)
 class Progress:
-    """How far another member is, as the leader knows."""
+    """What the leader knows of another member; times are seconds on the leader's clock."""
 
     member: Member
-    next_index: int
-    match_index: int = 0
-    in_flight_since: float = (
-        -1.0
-    )  # when entries were sent that were not answered yet; -1: none are out
-    last_ack_sent_at: float = float("-inf")  # when the newest beat was sent that it has answered
-    transfer: SnapshotTransfer | None = (
-        None  # of a snapshot, to one that wants entries that are gone
-    )
-    tracked_since: float = 0.0  # when this began
-    caught_up_at: float = float("-inf")  # when it last held all that was decided
-    leave_requested_at: float = float("-inf")  # when it last said that it is about to end
+    next_index: int  # of the next entry to send; 0: the snapshot first
+    match_index: int = 0  # all entries up to here are on the member's disk
+    in_flight_since: float = -1.0  # when unanswered entries were sent; -1: there are none
+    last_ack_sent_at: float = NEVER  # when the newest message was sent that was answered
+    transfer: SnapshotTransfer | None = None  # in progress, to a member that needs a snapshot
+    tracked_since: float = 0.0
+    caught_up_at: float = NEVER  # when it last held all committed entries
+    leave_requested_at: float = NEVER
 
     def silence(self, now: float) -> float:
-        """For how long, in s."""
+        """Seconds without a reply."""
         return now - max(self.last_ack_sent_at, self.tracked_since)
 
 
-class Replica:
+class Replica(ABC):
+    """State and quorums of a member.
+
+    `addresses` are those of members to contact as long as this one has no configuration. After a
+    restart nothing is granted for one election timeout, since it is not known which leader's lease
+    this member supported before."""
+
     def __init__(
         self,
         me: Member,
-        kept: PersistedState,
+        persisted: PersistedState,
         now: float,
         rng: random.Random,
         timings: RaftTimings | None = None,
         addresses: Iterable[str] = (),
         tolerance: Tolerance | None = None,
     ) -> None:
-        """`doors`: where other members may be, for one that is none yet."""
-        self.me, self.rng, self.timings, self.addresses = (
-            me,
-            rng,
-            timings or RaftTimings(),
-            tuple(addresses),
-        )
+        self.me = me
+        self.rng = rng
+        self.timings = timings or RaftTimings()
+        self.addresses = tuple(addresses)
         self.tolerance = tolerance or Tolerance()
-        self.term, self.voted_for, self.base_snapshot, self.log = (
-            kept.term,
-            kept.voted_for,
-            kept.snapshot,
-            list(kept.entries),
-        )
-        self.commit_index = kept.snapshot.index
-        self.compacted_tail, self.snapshot_receiver = (
-            CompactedTail(),
-            SnapshotReceiver(kept.partial_snapshot),
-        )
+        self.leaving = False  # shutting down: neither campaigns nor joins
+        self._restore_log(persisted)
+        self._init_role(now)
+        self._init_configuration(now)
+        self._reset_election_timer(now)
+        if persisted.voted_for == me.disk_id:
+            # This member may have been the leader: the lease that others support is its own.
+            self._election_due = now
+            self._early_election_until = now + 3 * self.timings.election_timeout
+
+    def _restore_log(self, persisted: PersistedState) -> None:
+        self.term = persisted.term
+        self.voted_for = persisted.voted_for
+        self.base_snapshot = persisted.snapshot
+        self.log = list(persisted.entries)
+        self.commit_index = persisted.snapshot.index
+        self.compacted_tail = CompactedTail()
+        self.snapshot_receiver = SnapshotReceiver(persisted.partial_snapshot)
+
+    def _init_role(self, now: float) -> None:
         self.role = Role.FOLLOWER
         self.leader: Member | None = None
-        self.peers: dict[str, Progress] = {}  # by disk; members and those that are to become some
         self.role_changed_at = 0.0
-        self.leaving = False  # about to end: neither stands nor asks to be taken in
+        self.last_heartbeat_at = now
+        self.peers: dict[str, Progress] = {}  # by disk id, with those that are joining
+        self._votes: set[str] = set()  # disk ids
+        self._has_committed_in_term = False  # as leader, an entry of this term
+        self._lease_released = False  # for the rest of the term
+        self._transfer_requested_at = NEVER
+        self._heartbeat_due = now
+        self._election_due = 0.0
+        self._early_election_until = NEVER
+
+    def _init_configuration(self, now: float) -> None:
         self._members: tuple[Member, ...] = ()
-        self._members_index = 0  # the entry that named them
-        self._previous_members: tuple[Member, ...] = ()  # those before that entry
+        self._members_index = 0  # of the entry that names them
+        self._previous_members: tuple[Member, ...] = ()  # before that entry
         self._voters: tuple[Member, ...] = ()
         self._previous_voters: tuple[Member, ...] = ()
-        self._reported_locations: dict[str, Member] = {me.disk_id: me}  # by disk, as it was told
-        # what the choice of voters came from, when nothing was to change
+        # By disk id: members with the location that they reported last.
+        self._reported_locations: dict[str, Member] = {self.me.disk_id: self.me}
+        # Input of the last choice of voters that changed nothing; it need not be made again.
         self._unchanged_inputs: object = None
-        self._votes: set[str] = set()
-        self._has_committed_in_term = (
-            False  # an entry of the term that this one holds was delivered
-        )
-        self._transfer_requested_at = float(
-            "-inf"
-        )  # when another was last asked to take this term's place
-        self._lease_released = False  # this term's lease was given up, for good
-        self._heartbeat_due = self._membership_request_due = self._membership_check_due = (
-            now  # _membership_check_due: when changes are looked at
-        )
-        # a start counts: what was promised to a leader before it, is not known any longer
-        self.last_heartbeat_at = now
-        self._election_due = 0.0
-        self._early_election_until = float("-inf")
+        self._membership_request_due = now
+        self._membership_check_due = now
         self._refresh_members()
-        self._reset_election_timer(now)
-        if (
-            kept.voted_for == me.disk_id
-        ):  # it may have held this term: the promises of that life were to itself
-            self._election_due, self._early_election_until = (
-                now,
-                now + 3 * self.timings.election_timeout,
-            )
 
-    # What is known.
+    # Log and lease.
 
     @property
     def members(self) -> tuple[Member, ...]:
+        """Voters and learners of the newest configuration in the log."""
         return self._members
 
     @property
     def voters(self) -> tuple[Member, ...]:
+        """Voters of the newest configuration in the log."""
         return self._voters
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry in the log, or of the snapshot if there is none after it."""
         return self.base_snapshot.index + len(self.log)
 
     def term_at(self, index: int) -> int:
+        """Term of the entry at `index`; -1 if that is not known here."""
         if index == self.base_snapshot.index:
             return self.base_snapshot.term
         if index < self.base_snapshot.index:
             return self.compacted_tail.term_at(index)
-        return (
-            self.log[index - self.base_snapshot.index - 1].term if index <= self.last_index else -1
-        )
+        if index > self.last_index:
+            return -1
+        return self.log[index - self.base_snapshot.index - 1].term
 
     def leads(self, now: float) -> bool:
-        """This one holds the term, a majority follows it for sure, and it knows all that was ever
-        delivered."""
-        held = self.role is Role.LEADER and self._has_committed_in_term and not self._lease_released
-        return held and now < self.lease_end(now)
+        """This member is leader with a valid lease and knows all committed entries."""
+        is_leader = self.role is Role.LEADER and self._has_committed_in_term
+        return is_leader and not self._lease_released and now < self.lease_end(now)
 
     def lease_end(self, now: float) -> float:
-        """Until when no other can hold a later term."""
+        """Until when no other member can become leader (PhD 6.4.1)."""
         return self.last_quorum_contact(now) + self.timings.lease_duration
 
     def last_quorum_contact(self, now: float) -> float:
-        """The newest time of which it is sure that a majority has answered, in this term, what was
-        sent at it or after it: a read index rests on that."""
+        """The latest time t such that a majority has answered, in this term, a message sent at t
+        or later. A read index rests on it (PhD 6.4)."""
         return min(self._majority_acked_at(now, voters) for voters in self._voter_sets())
 
     def _majority_acked_at(self, now: float, voters: tuple[Member, ...]) -> float:
-        """When the newest beat was sent that a majority of these has answered."""
-        acked_at = sorted(
-            (
-                now
-                if m == self.me
-                else self.peers[m.disk_id].last_ack_sent_at
-                if m.disk_id in self.peers
-                else float("-inf")
-            )
-            for m in voters
-        )
-        return acked_at[(len(acked_at) - 1) // 2] if acked_at else float("-inf")
+        """When the newest message was sent that a majority of `voters` has answered."""
+        acked_at = sorted(self._acked_at(now, m) for m in voters)
+        return acked_at[(len(acked_at) - 1) // 2] if acked_at else NEVER
+
+    def _acked_at(self, now: float, member: Member) -> float:
+        if member == self.me:
+            return now
+        peer = self.peers.get(member.disk_id)
+        return peer.last_ack_sent_at if peer else NEVER
 
     def wants_snapshot(self) -> bool:
-        """Who the members are is decided, and only the log says so: after a start nobody would know
-        that it is, and those before them would be asked as well, of whom one disk is gone."""
+        """The newest configuration is committed and only the log has it.
+
+        After a restart it would not be known to be committed, and the previous voters would be
+        needed as well, one of whom has lost its disk."""
         return self.base_snapshot.index < self._members_index <= self.commit_index
 
+    # Configuration.
+
     def is_member(self) -> bool:
+        """This member is in the newest configuration, as voter or learner."""
         return self.me in self._members
 
     def may_campaign(self) -> bool:
-        """Votes by the newest configuration, or by the one before while that may still be in
-        force."""
+        """A voter of the newest configuration, or of the previous one as long as it may count."""
         return any(self.me in voters for voters in self._voter_sets())
 
     def _is_configuration_committed(self) -> bool:
-        """The newest configuration is known to be decided."""
         return self._members_index <= self.commit_index
 
+    def _effective_members(self) -> tuple[Member, ...]:
+        """Members of the newest configuration, and of the previous one as long as it may count."""
+        if self._is_configuration_committed():
+            return self._members
+        return tuple(dict.fromkeys((*self._members, *self._previous_members)))
+
     def _voter_sets(self) -> tuple[tuple[Member, ...], ...]:
-        """Sets of voters: what needs a majority needs one of each."""
-        return (
-            (self._voters,)
-            if self._is_configuration_committed()
-            else (self._previous_voters, self._voters)
-        )
+        """The sets of voters of each of which a majority is needed."""
+        if self._is_configuration_committed():
+            return (self._voters,)
+        return (self._previous_voters, self._voters)
 
-    def _has_majority(self, says: Callable[[Member], bool]) -> bool:
-        return all(sum(map(says, voters)) > len(voters) // 2 for voters in self._voter_sets())
+    def _has_majority(self, predicate: Callable[[Member], bool]) -> bool:
+        return all(sum(map(predicate, voters)) > len(voters) // 2 for voters in self._voter_sets())
 
     def _other_voters(self) -> tuple[Member, ...]:
-        """All whose word counts, but for this one."""
-        return tuple(
-            dict.fromkeys(m for voters in self._voter_sets() for m in voters if m != self.me)
-        )
+        """All voters of the voter sets, without this member."""
+        voters = (m for voters in self._voter_sets() for m in voters if m != self.me)
+        return tuple(dict.fromkeys(voters))
 
     def _refresh_members(self) -> None:
-        found, at, before = (
-            self.base_snapshot.members,
-            self.base_snapshot.index,
-            self.base_snapshot.members,
-        )
+        """Finds the newest configuration and the one before it, in the log or the snapshot."""
+        newest = previous = self.base_snapshot.members
+        index = self.base_snapshot.index
         for entry in self.log:
             if entry.members:
-                before, found, at = found, entry.members, entry.index
-        self._members, self._members_index, self._previous_members = found, at, before
-        self._voters = tuple(m for m in found if not m.learner)
-        self._previous_voters = tuple(m for m in before if not m.learner)
+                newest, previous = entry.members, newest
+                index = entry.index
+        self._members = newest
+        self._members_index = index
+        self._previous_members = previous
+        self._voters = tuple(m for m in newest if not m.learner)
+        self._previous_voters = tuple(m for m in previous if not m.learner)
 
     def _reset_election_timer(self, now: float) -> None:
+        """Voters take turns, in the order of the configuration, with a little jitter."""
         others = [m for m in self._voters if m != self.leader]
         turn = others.index(self.me) if self.me in others else len(others)
-        self._election_due = (
-            now
-            + 1.05 * self.timings.election_timeout
-            + self.timings.election_stagger * (turn + 0.4 * self.rng.random())
-        )
+        stagger = self.timings.election_stagger * (turn + 0.4 * self.rng.random())
+        self._election_due = now + 1.05 * self.timings.election_timeout + stagger
 
     def _record_reply(
-        self, now: float, step: Ready, message: AppendReply | SnapshotReply
+        self, now: float, ready: Ready, message: AppendReply | SnapshotReply
     ) -> Progress | None:
-        """Who has answered this leader, in the term that it holds; None where it is nobody that
-        counts."""
+        """Progress of the sender of a reply to this leader in its term, else None.
+
+        A later term makes this member a follower."""
         if message.term > self.term:
-            self._become_follower(now, step, message.term, None)
+            self._become_follower(now, ready, message.term, None)
             return None
         peer = self.peers.get(message.sender.disk_id)
         if self.role is not Role.LEADER or message.term != self.term or peer is None:
@@ -266,16 +281,20 @@
         peer.last_ack_sent_at = max(peer.last_ack_sent_at, message.sent_at_us / 1e6)
         return peer
 
-    # Done by the parts that elect, replicate, and change the configuration.
+    # Implemented by `Election` and `RaftNode`.
 
-    def _campaign(self, now: float, step: Ready, pre_vote: bool, transfer: bool = False) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _campaign(
+        self, now: float, ready: Ready, pre_vote: bool, transfer: bool = False
+    ) -> None: ...
 
-    def _become_follower(self, now: float, step: Ready, term: int, leader: Member | None) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _become_follower(
+        self, now: float, ready: Ready, term: int, leader: Member | None
+    ) -> None: ...
 
-    def _append_entry(self, now: float, step: Ready, entry: Entry) -> int:
-        raise NotImplementedError
+    @abstractmethod
+    def _append_entry(self, now: float, ready: Ready, entry: Entry) -> int: ...
 
-    def _send_append(self, now: float, step: Ready, peer: Progress) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def _send_append(self, now: float, ready: Ready, peer: Progress) -> None: ...
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -15,6 +15,7 @@
 from cairndale.raft.replica import Role
 from cairndale.raft.voters import (
     MIN_VOTERS,
+    MemberHealth,
     Tolerance,
     next_voters,
     quorum_shortfall,
@@ -65,7 +66,8 @@
         fit = {m.disk_id for m in members} - away
         if rng:  # some have not caught up yet
             fit = {d for d in sorted(fit) if rng.random() < 0.5}
-        votes = next_voters(members, fit, fit, away, (), keep, tolerance)
+        health = MemberHealth(frozenset(fit), frozenset(fit), lost=away, leaving=frozenset())
+        votes = next_voters(members, health, keep, tolerance)
         assert len(votes) % 2 or len(before) % 2 == 0, "an even number"
         if rng is None and votes == before:
             return [m for m in members if not m.learner]
