--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -426,8 +426,8 @@
     message = Message()
     message.method, message.target = b"GET", b"/r1/x"
     message.headers = {b"host": b"a.example", b"authorization": b"Token k1", b"x-request-id": b"1"}
-    reading, engine = node.router, node.ingress.engine
-    wanted = reading(message, engine.names, engine.settings.classes, node.clock.now())
+    engine = node.ingress.engine
+    wanted = node.router(message, engine.names, engine.settings.classes, node.clock.now())
     assert wanted.dress and b"X-Tenant: t1" in (wanted.dress("i", 1000) or b"")
     upsert = {"routes": [route("r2")], "tenants": [{"name": "t1"} | put] if put else []}
     frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -1,4 +1,4 @@
-"""The data-plane ingress as the core's news finds it: what it says of itself, and when."""
+"""A data-plane node as discovery responses change it: readiness, units, drain, requests."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from tests.testing.ingress import HOST, PeerServer
 
 
-def watch_response(epoch: str, servers: dict[str, str], **fields: Any) -> pb.WatchResponse:
-    """News of servers by name and service, on top of what was told before."""
-    told = [
+def watch_response(epoch: str, services: dict[str, str], **fields: Any) -> pb.WatchResponse:
+    """A response with endpoints (service by id), beyond what was announced before."""
+    listed = [
         pb.Endpoint(
             id=id, service=service, address="10.1.0.9:80", zone="z", capacity=2, state="ready"
         )
-        for id, service in servers.items()
+        for id, service in services.items()
     ]
     return pb.WatchResponse(
-        epoch=epoch, lease_ms=4500, config_version=1, endpoints=told, ingress_count=1, **fields
+        epoch=epoch, lease_ms=4500, config_version=1, endpoints=listed, ingress_count=1, **fields
     )
 
 
 async def test_an_ingress_is_ready_once_it_knows_a_server_of_each_service_or_all_had_time() -> None:
     """One that knew servers of one service only was named to clients, and refused what went to
     another."""
-    made = content(
+    configuration = content(
         routes=[
             route(),
             route("r2", backend="s2"),
@@ -44,12 +44,12 @@
         ],
         backends=[{"name": "s1"}, {"name": "s2"}, {"name": "unused"}],
     )
-    config_version = zlib.compress(json.dumps(made).encode())
+    encoded = zlib.compress(json.dumps(configuration).encode())
     for last, settled in (({"j": "s2"}, False), ({}, True)):
         node = DataPlaneNode(parse_settings(SETTINGS))
         now = node.serving.now()
         node.applier.apply(
-            watch_response("1~", {}, has_content=True, content=config_version), node.describe(), now
+            watch_response("1~", {}, has_content=True, content=encoded), node.describe(), now
         )
         assert not node.readiness.is_ready() and not node.describe().ready
         node.applier.apply(watch_response("1~", {"i": "s1"}), node.describe(), now)
@@ -69,16 +69,16 @@
 
 def node_in_contact(**fields: Any) -> DataPlaneNode:
     node = DataPlaneNode(parse_settings(SETTINGS))
-    config_version = zlib.compress(json.dumps(content(**fields)).encode())
-    told = watch_response(
+    encoded = zlib.compress(json.dumps(content(**fields)).encode())
+    response = watch_response(
         "1",
         {"i": "s1"},
         has_content=True,
-        content=config_version,
+        content=encoded,
         counter_active=True,
         endpoints_settled=True,
     )
-    node.applier.apply(told, node.describe(), node.serving.now())
+    node.applier.apply(response, node.describe(), node.serving.now())
     return node
 
 
@@ -89,8 +89,8 @@
         for name, rate in (("fast", 1000), ("slow", 5))
     ]
     node = node_in_contact(tenants=tenants)
-    asked, told = list[tuple[str, float, float]](), list[tuple[Outcome, float | None]]()
-    lefts = [
+    requests, outcomes = list[tuple[str, float, float]](), list[tuple[Outcome, float | None]]()
+    answers = [
         -2.0,
         0.5,
         -2.0,
@@ -102,8 +102,8 @@
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
         lease = envelope.quota_request
-        asked.append((lease.tenant, lease.amount, lease.spent))
-        if (left := lefts.pop(0)) is None:
+        requests.append((lease.tenant, lease.amount, lease.spent))
+        if (left := answers.pop(0)) is None:
             raise CallTimeoutError()
         return pb.Envelope(quota_response=pb.QuotaResponse(remaining=left))
 
@@ -111,19 +111,19 @@
     for tenant in ("fast", "fast", "fast", "slow", "fast"):
         customer = node.numbering.tenant_number(tenant)
         node.quota_client.lease(
-            customer, 2.0, 1.5, lambda outcome, _, left=None: told.append((outcome, left))
+            customer, 2.0, 1.5, lambda outcome, _, left=None: outcomes.append((outcome, left))
         )
         await asyncio.gather(*node.quota_client.calls)
-    again = [("fast", 2.0, 1.5), ("fast", 2.0, 0.0)]
-    assert asked == [*again, *again, ("fast", 2.0, 1.5), ("slow", 2.0, 1.5), ("fast", 2.0, 1.5)]
+    twice = [("fast", 2.0, 1.5), ("fast", 2.0, 0.0)]
+    assert requests == [*twice, *twice, ("fast", 2.0, 1.5), ("slow", 2.0, 1.5), ("fast", 2.0, 1.5)]
     ok = [(Outcome.OK, left) for left in (0.5, -2.0, -1.0, -2.0)]
-    assert told == [*ok, (Outcome.RESET, None)]
+    assert outcomes == [*ok, (Outcome.RESET, None)]
     node.ingress.backends.stop()
 
 
 async def test_units_are_asked_for_by_name_and_a_no_holds_for_a_while() -> None:
     node = node_in_contact()
-    asked, granted = list[pb.BudgetRequest](), list[int]()
+    requests, granted = list[pb.BudgetRequest](), list[int]()
     answers: list[pb.BudgetResponse | None] = [
         pb.BudgetResponse(granted=True, valid_ms=300),
         pb.BudgetResponse(retry_after_ms=700),
@@ -132,7 +132,7 @@
     ]
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
-        asked.append(envelope.budget_request)
+        requests.append(envelope.budget_request)
         if (answer := answers.pop(0)) is None:
             raise CallTimeoutError()
         return pb.Envelope(budget_response=answer)
@@ -143,25 +143,25 @@
     for _ in range(3):
         node.quota_client.deal(units, granted.append)
         await asyncio.gather(*node.quota_client.calls)
-    assert [list(deal.budgets) for deal in asked] == [["further/s1", "starts/i"]] * 3
+    assert [list(deal.budgets) for deal in requests] == [["further/s1", "starts/i"]] * 3
     assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [
         0,
         0,
     ]
     assert node.ingress.selector.is_denied(units[0], began + 150_000)
-    node.config_client.last_response_at = float("-inf")  # out of touch: nothing is asked for
+    node.config_client.last_response_at = float("-inf")  # isolated: no grant is requested
     node.quota_client.deal(units, granted.append)
     await asyncio.gather(*node.quota_client.calls)
-    assert len(asked) == 3 and granted[3] == 0
+    assert len(requests) == 3 and granted[3] == 0
     node.ingress.backends.stop()
 
 
 async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
     """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
     node = DataPlaneNode(parse_settings(SETTINGS))
-    config_version = zlib.compress(json.dumps(content()).encode())
+    encoded = zlib.compress(json.dumps(content()).encode())
     node.applier.apply(
-        watch_response("1", {"i": "s1"}, has_content=True, content=config_version),
+        watch_response("1", {"i": "s1"}, has_content=True, content=encoded),
         node.describe(),
         node.serving.now(),
     )
@@ -188,25 +188,25 @@
     """An ingress in front of that server, with units for whoever asks; and the port that clients
     call."""
     node = DataPlaneNode(parse_settings(SETTINGS))
-    made = content(routes=[route(deadline="60s")], **fields)
-    told = watch_response(
+    configuration = content(routes=[route(deadline="60s")], **fields)
+    response = watch_response(
         "1",
         {},
         has_content=True,
-        content=zlib.compress(json.dumps(made).encode()),
+        content=zlib.compress(json.dumps(configuration).encode()),
         counter_active=True,
     )
     address = f"{HOST}:{server.port}"
-    told.endpoints.append(
+    response.endpoints.append(
         pb.Endpoint(id="i", service="s1", address=address, zone="z", capacity=2, state="ready")
     )
-    node.applier.apply(told, node.describe(), node.serving.now())
+    node.applier.apply(response, node.describe(), node.serving.now())
     lessor = node.ingress.engine.lessor = Mock()
-    lessor.lease = lambda customer, amount, told, answered: answered(Outcome.OK, 0.0, 50.0)
+    lessor.lease = lambda customer, amount, spent, answered: answered(Outcome.OK, 0.0, 50.0)
     return node, await node.listener.listen(HOST, 0)
 
 
-def asked(more: bytes = b"") -> bytes:
+def request_bytes(more: bytes = b"") -> bytes:
     head = b"GET /r1/x HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: q\r\nX-Deadline-Ms: 60000\r\n"
     return head + more + b"Authorization: Token k1\r\n\r\n"
 
@@ -215,7 +215,7 @@
     server = await PeerServer().start()
     node, port = await serving(server)
     _, client = await asyncio.open_connection(HOST, port)
-    client.write(asked())
+    client.write(request_bytes())
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     client.close()
     await server.until(lambda: len(server.closed) == 1)
@@ -230,7 +230,7 @@
     server = await PeerServer().start()
     node, port = await serving(server, limits={"maxHeaderBytes": most})
     reader, client = await asyncio.open_connection(HOST, port)
-    client.write(asked(b"X-Long: %b\r\n" % (b"x" * 40_000)))
+    client.write(request_bytes(b"X-Long: %b\r\n" % (b"x" * 40_000)))
     if most:
         await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     else:
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -103,7 +103,7 @@
         super().__init__(10 * SECOND)
         self.sent = list[Sent]()
         self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
-        self.model, self.asked = Model(), 0
+        self.model, self.request_count = Model(), 0
         self.gateway = gateway(SETTINGS, 1, EndpointSelector)
         selector = self.gateway.fleet
         assert isinstance(selector, EndpointSelector)
@@ -136,7 +136,7 @@
     def probe(self, backend: int, ended: Callable[[Answer], None]) -> None: ...
     def close_idle(self, backend: int) -> None: ...
 
-    def lease(self, customer: int, amount: float, told: float, answered: Any) -> None:
+    def lease(self, customer: int, amount: float, spent: float, answered: Any) -> None:
         granted = min(amount, 5.0)
         self.model.leased += [self.time + SETTINGS.counter.expiry] * int(granted)
         answered(Outcome.OK, 0.0, 5.0 - amount)
@@ -180,8 +180,8 @@
             use(model.granted.get((RETRY, 1), []), self.time)
 
     def ask(self, cls: int, quota: bool = False) -> None:
-        self.asked += 1
-        number, model = self.asked, self.model
+        self.request_count += 1
+        number, model = self.request_count, self.model
         model.answers[number], model.arrivals[number], model.runs[number] = [], 0, 0
         model.quota[number] = quota
         wanted = Wanted(
@@ -268,7 +268,7 @@
     for what, number, how in deeds:
         if what == "ask":
             world.ask(number, bool(how))
-            classes[world.asked] = number
+            classes[world.request_count] = number
         elif what == "end":
             world.end(number, how)
         elif what == "deal":
@@ -364,14 +364,14 @@
 def test_further_tries_stay_within_their_part_of_the_budget() -> None:
     """Those that are earned and kept here go out at once; each of the others is asked for."""
     world = World(cold=False)
-    again = asked = 0
+    retries = grants = 0
     for _ in range(400):
         world.ask(0)
         world.end(0, "garbage")
-        again += sum(1 for s in world.sent if not s.over)
-        asked += len(world.deals)
+        retries += sum(1 for s in world.sent if not s.over)
+        grants += len(world.deals)
         world.deal_out(0, False)
         world.end(0, "answered")
         world.pass_time(400_000)
-    assert 60 < again <= 400 * 0.2 + EVEN_RETRY_FRACTION * 60 / 20
-    assert asked == 400 - again
+    assert 60 < retries <= 400 * 0.2 + EVEN_RETRY_FRACTION * 60 / 20
+    assert grants == 400 - retries
--- a/tests/dataplane/test_upstream_protocol.py
+++ b/tests/dataplane/test_upstream_protocol.py
@@ -35,10 +35,10 @@
 @pytest_asyncio.fixture
 async def fleet() -> AsyncIterator[Fleet]:
     server = await PeerServer(answers(OWN)).start()
-    made = Fleet(server)
-    made.backends.judge, made.backends.relays, made.backends.strict = judge, True, True
-    yield made
-    made.backends.stop()
+    pool = Fleet(server)
+    pool.backends.judge, pool.backends.relays, pool.backends.strict = judge, True, True
+    yield pool
+    pool.backends.stop()
     server.stop()
 
 
