--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -47,12 +47,12 @@
 
 def early_ack() -> None:
     """A configuration is acknowledged before every ingress serves by it."""
-    from cairndale.control.operations import OperationHandler
+    from cairndale.control.change_queue import ChangeQueue
 
-    async def at_once(self: OperationHandler, version: int) -> None:
+    async def at_once(self: ChangeQueue, version: int) -> None:
         return
 
-    OperationHandler._everywhere = at_once  # type: ignore[method-assign]
+    ChangeQueue.wait_until_acknowledged = at_once  # type: ignore[method-assign]
 
 
 def broken_promise() -> None:
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -1,4 +1,4 @@
-"""Calls of servers and operators as they come to a core machine: answered there, or passed on."""
+"""Calls of clients, servers and operators at any control node: answered here, or forwarded."""
 
 from __future__ import annotations
 
@@ -6,7 +6,12 @@
 import random
 from typing import Protocol
 
-from cairndale.control.follower import BEAT, PASS_ON, WAY, Follower
+from cairndale.control.follower import (
+    FORWARD_TIMEOUT_S,
+    ISOLATED_ATTEMPT_S,
+    ISOLATED_HEARTBEAT_TIMEOUT_S,
+    Follower,
+)
 from cairndale.control.leadership import Leadership
 from cairndale.control.operations import OperationHandler
 from cairndale.errors import CallError, NotLeaderError
@@ -19,118 +24,137 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import Settings
 
-PASS_LARGE = 2.5  # s for the leader to answer what is passed on to it with a body ...
-LARGE = 16 * 1024  # ... of so many bytes
+# The leader has this long to answer a forwarded call with a body of so many bytes or more.
+LARGE_FORWARD_TIMEOUT_S = 2.5
+LARGE_FORWARD_BYTES = 16 * 1024
 
 
 class Process(Protocol):
+    """What the API needs of its process."""
+
     settings: Settings
     node_registry: NodeRegistry
     operations: OperationHandler
     leader_client: LeaderClient
 
     @property
-    def leadership(self) -> Leadership | None: ...
-    def now(self) -> float: ...
-    def leads(self) -> bool: ...
+    def leadership(self) -> Leadership | None:
+        """The leadership, while this process leads."""
+
+    def now(self) -> float:
+        """Seconds on the process's clock."""
+
+    def leads(self) -> bool:
+        """Whether this process leads, with a majority behind it."""
 
 
 class ControlApi:
+    """The HTTP API of a control node: lookups at `dir`, all other calls at `ctl`."""
+
     def __init__(self, process: Process, follower: Follower, collector: HeartbeatCollector) -> None:
         self._process, self._follower, self._collector = process, follower, collector
 
     def ready(self) -> bool:
-        """A majority is behind it, or behind the leader that it is in contact with."""
+        """Whether this node leads with a majority behind it, or is in contact with that leader."""
         process = self._process
         return process.leads() if process.leadership else self._follower.in_contact(process.now())
 
-    def _ready(self) -> Answer:
-        ready = self.ready()
-        return told(200 if ready else 503, {"ready": ready})
+    def _readiness(self) -> Answer:
+        is_ready = self.ready()
+        return told(200 if is_ready else 503, {"ready": is_ready})
 
     async def lookup_api(self, method: str, target: str, body: bytes) -> Answer:
-        """Calls of clients, at `dir`."""
+        """Answer a client's call, at `dir`."""
         found = match(LOOKUP_ROUTES, method, target)
         if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
         if found.call == "ready":
-            return self._ready()
+            return self._readiness()
         if not self.ready():
             return wrong(503, "out of contact")
-        return lookup(
-            target,
-            self._process.node_registry.listed_nodes(),
-            self._process.settings.bounds.ttl_max,
-        )
+        nodes = self._process.node_registry.listed_nodes()
+        return lookup(target, nodes, self._process.settings.bounds.ttl_max)
 
     async def control(self, method: str, target: str, body: bytes) -> Answer:
-        """Calls of servers and operators, at `ctl`."""
+        """Answer a server's or an operator's call, at `ctl`."""
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
             return wrong(found.status, found.why)
         if found.call == "ready":
-            return self._ready()
+            return self._readiness()
         if found.call != "beat":
-            return await self._settle(method, target, body)
+            return await self._execute(method, target, body, FORWARD_TIMEOUT_S)
+        status, answer = await self._heartbeat(found.args["id"], method, target, body)
+        if status != 200:
+            return status, answer
+        return told(200, self._collector.closer_target(body) if self.ready() else {})
+
+    async def _heartbeat(self, id: str, method: str, target: str, body: bytes) -> Answer:
+        """Have a heartbeat taken in: collected here, in a batch for the leader, or as any call.
+
+        One that is not valid goes the last way: the leader says what is wrong with it.
+        """
         now = self._process.now()
-        plain = self._process.leadership is None and self._follower.in_contact(now)
-        if plain and self._collector.collect(found.args["id"], body, now):
-            return told(200, self._nearer(body))
-        if self._process.leadership is None and self._follower.is_cut_off(now):
-            return wrong(503, "out of contact")
-        if self._process.leadership is None and (
-            seen := self._collector.parse(found.args["id"], body, now)
-        ):
-            try:
-                await self._follower.batcher.register(seen)
-            except CallError as failure:
-                return wrong(503, str(failure))
-            return told(200, self._nearer(body))
-        status, answer = await self._settle(method, target, body, BEAT)
-        return told(200, self._nearer(body)) if status == 200 else (status, answer)
-
-    def _nearer(self, body: bytes) -> dict[str, str]:
-        return self._collector.closer_target(body) if self.ready() else {}
-
-    async def _settle(self, method: str, target: str, body: bytes, most: float = PASS_ON) -> Answer:
-        """Settled here if the duty is held here, else by its leader. Passing it on after it was
-        settled here in vain does no harm: it has an id, and configurations are known by what they
-        are."""
-        process, came, id = self._process, self._process.now(), f"{random.getrandbits(64):016x}"
+        if self._process.leadership is None:
+            if self._follower.in_contact(now) and self._collector.collect(id, body, now):
+                return told(200, {})
+            if self._follower.is_cut_off(now):
+                return wrong(503, "out of contact")
+            if heartbeat := self._collector.parse(id, body, now):
+                try:
+                    await self._follower.batcher.register(heartbeat)
+                except CallError as failure:
+                    return wrong(503, str(failure))
+                return told(200, {})
+        return await self._execute(method, target, body, ISOLATED_HEARTBEAT_TIMEOUT_S)
+
+    async def _execute(
+        self, method: str, target: str, body: bytes, isolated_timeout: float
+    ) -> Answer:
+        """Execute a call here if this node leads, else forward it to the leader.
+
+        Forwarding after it was executed here in vain does no harm: the call has an id, and
+        configurations are known by their digest.
+        """
+        process, called_at = self._process, self._process.now()
+        call_id = f"{random.getrandbits(64):016x}"
         if process.leadership and process.leads():
             try:
-                return await process.operations.settle(method, target, body, id)
+                return await process.operations.handle(method, target, body, call_id)
+            except NotLeaderError:
+                pass
             except CallError as failure:
-                if not isinstance(failure, NotLeaderError):
-                    return wrong(503, str(failure))
-        order = pb.OperationRequest(method=method, path=target, body=body, request_id=id)
-        within = came + PASS_ON - process.now()
-        if self._follower.in_contact(process.now()):
-            patience = within = within if len(body) < LARGE else PASS_LARGE
+                return wrong(503, str(failure))
+        request = pb.OperationRequest(method=method, path=target, body=body, request_id=call_id)
+        timeout = called_at + FORWARD_TIMEOUT_S - process.now()
+        if not self._follower.in_contact(process.now()):
+            timeout, attempt_timeout = min(isolated_timeout, timeout), ISOLATED_ATTEMPT_S
+        elif len(body) < LARGE_FORWARD_BYTES:
+            attempt_timeout = timeout
         else:
-            within, patience = min(most, within), WAY
+            timeout = attempt_timeout = LARGE_FORWARD_TIMEOUT_S
+        return await self._forward(request, timeout, attempt_timeout)
+
+    async def _forward(
+        self, request: pb.OperationRequest, timeout: float, attempt_timeout: float
+    ) -> Answer:
+        call = pb.Envelope(operation_request=request)
         try:
-            answer = await self._follower.call(
-                pb.Envelope(operation_request=order), within, patience
-            )
+            answer = await self._follower.call(call, timeout, attempt_timeout)
         except CallError as failure:
             return wrong(503, str(failure))
         return answer.operation_response.status, answer.operation_response.body
 
     def was_read(self, method: str, target: str, answer: Answer) -> None:
-        """Who gave an order for a zone has its answer: the same call is another order from now
-        on."""
+        """The caller has received an answer: the same call for a zone is another order from now."""
         found = match(CONTROL_ROUTES, method, target)
-        if (
-            isinstance(found, RouteFailure)
-            or found.call not in ("evacuate", "take back")
-            or answer[0] != 200
-        ):
+        if isinstance(found, RouteFailure) or found.call not in ("evacuate", "take back"):
+            return
+        status, body = answer
+        if status != 200:
             return
         process = self._process
-        receipt = pb.EvacuationReceipt(
-            zone=found.args["zone"], order_id=json.loads(answer[1])["order"]
-        )
+        receipt = pb.EvacuationReceipt(zone=found.args["zone"], order_id=json.loads(body)["order"])
         if process.leadership:
             process.leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
         elif process.leader_client.hint:
--- /dev/null
+++ b/cairndale/control/configuration_changes.py
@@ -0,0 +1,168 @@
+"""Operators' changes of the configuration, as the leader decides them.
+
+A change is known by its digest (its idempotency key), however often and by whatever way it is sent.
+A rejection is final: it is given only once all that this leader's log held is committed, for a
+reason that no later state takes back.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from dataclasses import dataclass
+from hashlib import blake2b
+from typing import Any, TypeVar
+
+from cairndale.configuration.commands import Command, Verb
+from cairndale.configuration.json_stream import LARGE_BODY_BYTES, loads_steps
+from cairndale.configuration.state import REJECTED, State
+from cairndale.configuration.stepwise import Steps, advance
+from cairndale.configuration.validation import iter_content_errors, order_errors
+from cairndale.control.change_queue import ChangeOutcome, ChangeQueue
+from cairndale.control.gc_pause import gc_paused
+from cairndale.control.leader import Leader
+from cairndale.errors import CallTimeoutError, StaleCallError
+from cairndale.events import Event, log_event
+from cairndale.http_api.server import Answer, told, wrong
+
+# A change waits so long for the generation that it builds on, which may be on its way.
+PARENT_TIMEOUT_S = 0.2
+HASH_CHUNK_BYTES = 1024 * 1024  # of a body, that are hashed in one step
+
+T = TypeVar("T")
+
+_NOT_DECODED = object()
+
+
+@dataclass(frozen=True, slots=True)
+class _Change:
+    verb: Verb
+    digest: str
+    body: Any  # decoded JSON; _NOT_DECODED: the outcome was known when the call came
+
+
+async def run_in_steps(steps: Steps[T], is_large: bool = False) -> T:
+    """The result of a job, after each step of which other tasks have their turn.
+
+    `is_large`: the job makes so many objects that the garbage collector is paused.
+    """
+    with gc_paused() if is_large else contextlib.nullcontext():
+        while (finished := advance(steps)) is None:
+            await asyncio.sleep(0)
+        return finished.result
+
+
+class ConfigurationChanges:
+    """Handles `Config.Replace` and `Config.Update` at the leader."""
+
+    def __init__(self, leader: Leader, queue: ChangeQueue) -> None:
+        self._leader, self._queue = leader, queue
+
+    async def handle(self, verb: Verb, body: bytes) -> Answer:
+        """The answer to a call. Raises CallError where the outcome is not known."""
+        called = self._leader.now()
+        digest = await self._digest(verb, body)
+        decoded: Any = _NOT_DECODED
+        if digest not in self._leader.state.idempotency_records:
+            is_large = len(body) > LARGE_BODY_BYTES
+            try:
+                decoded = await run_in_steps(loads_steps(body), is_large)
+            except ValueError as error:
+                await self._leader.confirm(called, self._leader.require_leadership().term)
+                return wrong(400, f"not JSON: {error}")
+            await self._wait_for_parent(decoded)
+        change = _Change(verb, digest, decoded)
+        return await self._queue.run(lambda: self._decide(change, called))
+
+    @staticmethod
+    async def _digest(verb: Verb, body: bytes) -> str:
+        digest = blake2b(verb.value.encode() + b" ", digest_size=16)
+        for offset in range(0, len(body), HASH_CHUNK_BYTES):
+            digest.update(body[offset : offset + HASH_CHUNK_BYTES])
+            if offset:
+                await asyncio.sleep(0)
+        return digest.hexdigest()
+
+    async def _wait_for_parent(self, body: Any) -> None:
+        parent = body.get("parent") if isinstance(body, dict) else None
+        if not isinstance(parent, int):
+            return
+        leader = self._leader
+        deadline = leader.now() + PARENT_TIMEOUT_S
+        while leader.state.gen < parent and leader.now() < deadline:
+            await leader.wait_for_change(deadline - leader.now())
+
+    async def _decide(self, change: _Change, called: float) -> ChangeOutcome:
+        """Commit or reject a change, or find out what became of an earlier copy."""
+        leader = self._leader
+        while True:
+            term, state = leader.require_leadership().term, leader.state
+            known = state.idempotency_records.get(change.digest)
+            if known is not None:
+                return await self._known_outcome(known, called, term)
+            if change.body is _NOT_DECODED:
+                raise StaleCallError("it was known, and is forgotten now")
+            judged_gen = state.gen  # the state itself changes while it is judged
+            rejection = await self._judge(change, state)
+            if rejection is None:
+                return await self._commit(change)
+            await leader.confirm(called, term, decided=True)
+            state = leader.state
+            if state.gen == judged_gen and change.digest not in state.idempotency_records:
+                log_event(Event.CONFIG_REJECTED, "%s", rejection[1].decode()[:300])
+                return ChangeOutcome(rejection)
+
+    async def _known_outcome(self, known: int, called: float, term: int) -> ChangeOutcome:
+        await self._leader.confirm(called, term)
+        if known == REJECTED:
+            return ChangeOutcome(wrong(412, "it was refused before"))
+        return ChangeOutcome(told(200, {"gen": known}), self._leader.state.version)
+
+    async def _commit(self, change: _Change) -> ChangeOutcome:
+        """A committed change needs no further confirmation: a majority has followed for it."""
+        if await self._leader.decide(Command(change.verb, change.digest, change.body)):
+            state = self._leader.state
+            log_event(Event.CONFIG_ACCEPTED, "gen %d, version %d", state.gen, state.version)
+            return ChangeOutcome(told(200, {"gen": change.body["gen"]}), state.version)
+        state = self._leader.state
+        known = state.idempotency_records.get(change.digest, REJECTED)
+        if known == REJECTED:
+            return ChangeOutcome(wrong(412, "another change came first"))
+        return ChangeOutcome(told(200, {"gen": known}), state.version)  # an earlier copy's
+
+    async def _judge(self, change: _Change, state: State) -> Answer | None:
+        """A rejection, or None if the change may be committed.
+
+        Raises CallError where neither can be said for sure.
+        """
+        body, is_full = change.body, change.verb is Verb.REPLACE
+        if errors := order_errors(body, is_full, 0):
+            return wrong(400, *errors)  # whatever the state is
+        gen, parent, gen_in_force = body["gen"], body["parent"], state.gen
+        if parent < gen and state.record_may_be_evicted(gen):
+            if is_full and (errors := await self._content_errors(change, state)):
+                return wrong(400, *errors)
+            raise StaleCallError("so old that it is not known what became of it")
+        mismatch = f"parent: {parent} is not {gen_in_force}, which is in force"
+        if parent > gen_in_force:
+            # A state with that parent may follow: the rejection has to be in force there as well.
+            if await self._leader.decide(Command(Verb.REJECT, change.digest)):
+                raise CallTimeoutError()
+            return wrong(412, mismatch)
+        errors = order_errors(body, is_full, gen_in_force)
+        if parent != gen_in_force:
+            return wrong(412, mismatch, *errors)
+        errors = errors or await self._content_errors(change, state)
+        return wrong(400, *errors) if errors else None
+
+    async def _content_errors(self, change: _Change, state: State) -> list[str]:
+        """What is wrong with the content that would be in force after the change."""
+        command = Command(change.verb, change.digest, change.body)
+        content = await run_in_steps(state.resulting_content_steps(command))
+        errors: list[str] = []
+        with gc_paused(freeze=False):
+            for some in iter_content_errors(content):
+                errors += some
+                await asyncio.sleep(0)
+        self._leader.require_leadership()
+        return errors
--- /dev/null
+++ b/cairndale/control/evacuations.py
@@ -0,0 +1,77 @@
+"""Operators' orders to evacuate a zone or to restore it, as the leader decides them.
+
+Several orders may hold at a time; a zone is restored once each is taken back. What belongs to one
+order is decided by the evacuation log.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from cairndale.configuration.commands import Command, Verb
+from cairndale.control.change_queue import ChangeOutcome, ChangeQueue
+from cairndale.control.leader import Leader
+from cairndale.events import Event, log_event
+from cairndale.http_api.server import Answer, told, wrong
+
+
+@dataclass(frozen=True, slots=True)
+class _ZoneCall:
+    verb: Verb
+    zone: str
+    order_id: str  # empty: there is nothing to do
+    call_id: str
+    called_at: float
+
+
+class Evacuations:
+    """Handles `Drain.Begin` and `Drain.Finish` at the leader."""
+
+    def __init__(self, leader: Leader, queue: ChangeQueue) -> None:
+        self._leader, self._queue = leader, queue
+
+    async def handle(self, verb: Verb, zone: str, call_id: str) -> Answer:
+        """The answer to a call, which may arrive more than once with the same id.
+
+        Raises CallError where the outcome is not known.
+        """
+        leader = self._leader
+        leadership, now, state = leader.require_leadership(), leader.now(), leader.state
+        if zone not in leader.settings.zones:
+            await leader.confirm(now, leadership.term)
+            return wrong(404, f"no zone {zone!r}")
+        if call_id in state.evacuation_calls:  # it has arrived by another way before
+            await leader.confirm(now, leadership.term)
+            await self._queue.wait_until_acknowledged(state.version)
+            return self._answer(zone, state.evacuation_calls[call_id])
+        is_in_force = (zone in state.evacuated) == (verb is Verb.EVACUATE)
+        evacuation_log = leadership.evacuation_log
+        order_id = evacuation_log.begin_call(now, zone, verb.value, is_in_force, call_id)
+        call = _ZoneCall(verb, zone, order_id, call_id, now)
+        try:
+            return await self._queue.run(lambda: self._decide(call))
+        finally:
+            evacuation_log.end_call(zone, order_id)
+
+    async def _decide(self, call: _ZoneCall) -> ChangeOutcome:
+        leader, zone = self._leader, call.zone
+        leadership, state = leader.require_leadership(), leader.state
+        orders, is_evacuation = state.evacuated.get(zone, 0), call.verb is Verb.EVACUATE
+        is_new = bool(call.order_id) and state.latest_evacuation_orders.get(zone) != call.order_id
+        has_effect = is_new and (orders > 0 or is_evacuation)
+        if not call.call_id and not has_effect:
+            await leader.confirm(call.called_at, leadership.term)
+            return ChangeOutcome(self._answer(zone, call.order_id), state.version)
+        if is_new and not is_evacuation and orders == 1:
+            warmups = leadership.warmups(state)
+            leadership.endpoint_registry.restart_warmup(zone, leader.now(), warmups)
+        # A committed order needs no further confirmation: a majority has followed for it.
+        await leader.decide(Command(call.verb, call.order_id, zone=zone, call_id=call.call_id))
+        if is_new:
+            event = Event.ZONE_EVACUATED if is_evacuation else Event.ZONE_RESTORED
+            log_event(event, "%s, orders: %d", zone, leader.state.evacuated.get(zone, 0))
+        return ChangeOutcome(self._answer(zone, call.order_id), leader.state.version)
+
+    def _answer(self, zone: str, order_id: str) -> Answer:
+        orders = self._leader.state.evacuated.get(zone, 0)
+        return told(200, {"zone": zone, "order": order_id, "orders": orders})
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -1,13 +1,16 @@
-"""What a core machine that does not lead hears of the leader, and whether it is in contact with it.
+"""What a control node does while it does not lead: watch the leader, and report heartbeats to it.
 
-In contact is: the leader, with a majority behind it, has answered something that was sent from here
-less than `CONTACT` of a server's beat ago. So whoever is cut off, in either direction, confirms one
-beat of a server's after the cut at most, and that one is told as there is a way."""
+A follower is in contact while the leader, with a majority behind it, has answered a call that was
+sent less than `contact_span` ago, which is a part of the servers' heartbeat interval. So a follower
+that is cut off, in either direction, confirms one heartbeat of each server at the most after the
+cut, and that one is reported once there is a way.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
+from dataclasses import dataclass
 from typing import Protocol
 
 from cairndale.configuration.state import State
@@ -24,24 +27,39 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, format_address
 
-CONTACT = 2 / 3  # of a server's beat, or ...
-# ... s, if that is less: under the beat that a server may take to call elsewhere
-CONTACT_MOST = 1.0
-REPORT = 0.5  # of that, between reports: with the way there and the answer it is renewed in time
-REPORT_WAIT = 0.7  # s for the leader's answer, after which the next goes by another way
-AGAIN = 0.5  # s that a failure speaks for what comes after it
-ASK_WAIT = 1.0  # s that the leader may keep an ask for news
-PASS_ON = 0.95  # s for the leader to answer what is passed on to it: callers go elsewhere after one
-WAY = 0.4  # s for one way to the leader, where one is out of contact ...
-BEAT = 0.45  # ... and for a beat, by whatever way: its server has to get to another in time
+# In contact for this part of a heartbeat interval, and under the time that a server may take to
+# call elsewhere.
+CONTACT_FRACTION = 2 / 3
+MAX_CONTACT_S = 1.0
+# Between two reports, of the span of contact: with the way there and the answer it is renewed in
+# time.
+REPORT_FRACTION = 0.5
+REPORT_TIMEOUT_S = 0.7  # after which the next report goes by another way
+FAILURE_MEMORY_S = 0.5  # for which a failed call is taken to speak for the next ones
+LONG_POLL_S = 1.0
+WATCH_TIMEOUT_S = 3.0  # for a watch request over all attempts
+WATCH_ATTEMPT_S = LONG_POLL_S + 0.6
+LEADING_POLL_S = 0.2  # between looks whether this node leads no longer
+RETRY_PAUSE_S = 0.1
+LAG_PAUSE_S = 0.05  # before the next watch request, while the node's own log is behind
+FORWARD_TIMEOUT_S = 0.95  # callers go elsewhere after a second
+ISOLATED_ATTEMPT_S = 0.4  # for one way to the leader, while out of contact
+# For a heartbeat while out of contact, by whatever way: its server has to reach another node in
+# time.
+ISOLATED_HEARTBEAT_TIMEOUT_S = 0.45
 
 
 class Log(Protocol):
+    """What a follower needs of the replicated log."""
+
     @property
-    def members(self) -> tuple[Member, ...]: ...
+    def members(self) -> tuple[Member, ...]:
+        """The control nodes, as of the newest membership."""
 
 
 class Process(Protocol):
+    """What a follower needs of its process."""
+
     settings: Settings
     endpoint_registry: EndpointRegistry
     node_registry: NodeRegistry
@@ -49,66 +67,90 @@
     leader_client: LeaderClient
 
     @property
-    def state(self) -> State: ...
+    def state(self) -> State:
+        """The replicated state, as of the last applied entry."""
+
     @property
-    def leadership(self) -> Leadership | None: ...
+    def leadership(self) -> Leadership | None:
+        """The leadership, while this process leads."""
+
     @property
-    def raft(self) -> Log: ...
-    def now(self) -> float: ...
+    def raft(self) -> Log:
+        """The replicated log."""
+
+    def now(self) -> float:
+        """Seconds on the process's clock."""
+
     async def register_endpoints(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
-        """At the leader. Raises CallError."""
+        """Register endpoints at the leader, which is this node by now. Raises CallError."""
+
+
+@dataclass(frozen=True, slots=True)
+class RegistryCursor:
+    """Up to which versions the leader's registries are known here."""
+
+    epoch: str = ""
+    endpoints_version: int = 0
+    nodes_version: int = 0
 
 
 class Follower:
-    """Times are seconds on this process's clock."""
+    """Keeps contact with the leader. Times are seconds on this process's clock."""
 
     def __init__(self, process: Process, collector: HeartbeatCollector) -> None:
         self._process, self._collector = process, collector
-        self._seen: tuple[str, int, int] = ("", 0, 0)  # epoch, servers, nodes
-        self._answered = float("-inf")  # when the newest was sent that the leader has answered
-        self._failed = float("-inf")  # when a call was last given up
+        self._cursor = RegistryCursor()
+        self._newest_answered_at = float("-inf")  # when the newest call with an answer was sent
+        self._failed_at = float("-inf")  # when a call was last given up
         self.batcher = HeartbeatBatcher(
             process.now, lambda: len(process.raft.members), self._send_batch
         )
 
-    def span(self) -> float:
-        return min(CONTACT_MOST, CONTACT * self._process.settings.heartbeat_interval_s)
+    def contact_span(self) -> float:
+        """Seconds for which an answered call shows that the node is in contact."""
+        return min(MAX_CONTACT_S, CONTACT_FRACTION * self._process.settings.heartbeat_interval_s)
 
     def in_contact(self, now: float) -> bool:
-        return now - self._answered < self.span()
+        """Whether the leader, with a majority behind it, has answered a recent call."""
+        return now - self._newest_answered_at < self.contact_span()
 
     def is_cut_off(self, now: float) -> bool:
-        """Out of contact, and a call to the leader was given up so lately that it need not be tried
-        again."""
-        return not self.in_contact(now) and now - self._failed < AGAIN
+        """Whether the node is out of contact, and a call failed so lately that none need be tried.
+
+        After a while it is tried again.
+        """
+        return not self.in_contact(now) and now - self._failed_at < FAILURE_MEMORY_S
 
-    async def call(self, envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
-        """The leader's answer. Raises CallError."""
-        sent = self._process.now()
+    async def call(
+        self, envelope: pb.Envelope, timeout: float, attempt_timeout: float
+    ) -> pb.Envelope:
+        """The leader's answer, in `timeout` seconds over all attempts. Raises CallError."""
+        sent_at = self._process.now()
         try:
-            answer = await self._process.leader_client.call(envelope, within, patience)
+            answer = await self._process.leader_client.call(envelope, timeout, attempt_timeout)
         except CallError:
-            self._failed = self._process.now()
+            self._failed_at = self._process.now()
             raise
-        self._answered = max(self._answered, sent)
+        self._newest_answered_at = max(self._newest_answered_at, sent_at)
         return answer
 
     async def _send_batch(self, batch: HeartbeatBatch) -> None:
-        """Within the time of the beat that came first. Raises CallError."""
+        """Send a batch within the time of its first heartbeat. Raises CallError."""
         process, now = self._process, self._process.now()
         report = batch.report(now)
-        if process.leadership:  # this one leads by now
+        if process.leadership:
             await process.register_endpoints(report)
             return
-        is_in_contact = self.in_contact(now)
-        within = batch.began_at + (PASS_ON if is_in_contact else BEAT) - now
-        await self.call(
-            pb.Envelope(endpoint_report=report), within, within if is_in_contact else WAY
-        )
-
-    def _node(self) -> pb.Node:
+        if self.in_contact(now):
+            timeout = attempt_timeout = batch.began_at + FORWARD_TIMEOUT_S - now
+        else:
+            timeout = batch.began_at + ISOLATED_HEARTBEAT_TIMEOUT_S - now
+            attempt_timeout = ISOLATED_ATTEMPT_S
+        await self.call(pb.Envelope(endpoint_report=report), timeout, attempt_timeout)
+
+    def _own_node(self) -> pb.Node:
         settings = self._process.settings
-        ctl = format_address(settings.listen["ctl"]) if "ctl" in settings.listen else ""
+        control_address = settings.listen.get("ctl")
         return pb.Node(
             name=settings.name,
             incarnation=self._process.rpc_peer.life,
@@ -117,74 +159,81 @@
             region=settings.region,
             kind="core",
             ready=True,
-            control_address=ctl,
+            control_address=format_address(control_address) if control_address else "",
         )
 
-    async def asks(self) -> None:
-        """News, for good."""
+    async def watch_forever(self) -> None:
+        """Keep copies of the leader's registries, while this node does not lead."""
         process = self._process
         while True:
             if process.leadership:
-                await asyncio.sleep(0.2)
+                await asyncio.sleep(LEADING_POLL_S)
                 continue
-            epoch, servers, nodes = self._seen
-            ask = pb.WatchRequest(
-                node=self._node(),
-                epoch=epoch,
-                config_version=process.state.version,
-                generation=process.state.gen,
-                endpoints_version=servers,
-                nodes_version=nodes,
-                wait_ms=round(ASK_WAIT * 1000),
-            )
+            request = pb.Envelope(watch_request=self._watch_request())
             try:
-                answer = await self.call(pb.Envelope(watch_request=ask), 3.0, ASK_WAIT + 0.6)
+                answer = await self.call(request, WATCH_TIMEOUT_S, WATCH_ATTEMPT_S)
             except CallError:
-                await asyncio.sleep(0.1)
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             if process.leadership is None and answer.WhichOneof("body") == "watch_response":
-                self._take(answer.watch_response)
-                if (
-                    answer.watch_response.config_version != process.state.version
-                ):  # its own log is behind: not at once again
-                    await asyncio.sleep(0.05)
+                self._apply(answer.watch_response)
+                if answer.watch_response.config_version != process.state.version:
+                    await asyncio.sleep(LAG_PAUSE_S)
+
+    def _watch_request(self) -> pb.WatchRequest:
+        state, cursor = self._process.state, self._cursor
+        return pb.WatchRequest(
+            node=self._own_node(),
+            epoch=cursor.epoch,
+            config_version=state.version,
+            generation=state.gen,
+            endpoints_version=cursor.endpoints_version,
+            nodes_version=cursor.nodes_version,
+            wait_ms=round(LONG_POLL_S * 1000),
+        )
 
-    def _take(self, watch_response: pb.WatchResponse) -> None:
+    def _apply(self, response: pb.WatchResponse) -> None:
         process, now = self._process, self._process.now()
-        seen = [endpoint_from_message(s, now) for s in watch_response.endpoints]
-        if watch_response.endpoints_version != self._seen[1] or watch_response.endpoints_complete:
+        has_endpoints = response.endpoints_version != self._cursor.endpoints_version
+        if has_endpoints or response.endpoints_complete:
             process.endpoint_registry.apply_update(
-                seen, watch_response.endpoints_version, watch_response.endpoints_complete
+                [endpoint_from_message(message, now) for message in response.endpoints],
+                version=response.endpoints_version,
+                is_full=response.endpoints_complete,
             )
         process.node_registry.apply_update(
-            watch_response.nodes,
-            watch_response.removed_nodes,
-            watch_response.nodes_complete,
-            now,
-            watch_response.nodes_version,
+            response.nodes,
+            response.removed_nodes,
+            is_full=response.nodes_complete,
+            now=now,
+            version=response.nodes_version,
         )
-        for known in process.endpoint_registry.endpoints.values():
-            known.last_heartbeat_at = now
-        self._seen = (
-            watch_response.epoch,
-            watch_response.endpoints_version,
-            watch_response.nodes_version,
+        for endpoint in process.endpoint_registry.endpoints.values():
+            endpoint.last_heartbeat_at = now
+        self._cursor = RegistryCursor(
+            epoch=response.epoch,
+            endpoints_version=response.endpoints_version,
+            nodes_version=response.nodes_version,
         )
 
-    async def reports(self) -> None:
-        """Beats that said nothing new are told of together, for good. What was not answered is
-        kept, and told again to whoever leads then. With nothing to tell, the answer alone is what
-        counts."""
+    async def report_forever(self) -> None:
+        """Report heartbeats that said nothing new, together.
+
+        What was not answered is reported again, to whoever leads then. An empty report is sent as
+        well: its answer shows that the node is in contact.
+        """
         process = self._process
         while True:
-            await asyncio.sleep(REPORT * self.span() * random.uniform(0.8, 1.2))
-            beats = self._collector.report(process.now())
+            interval = REPORT_FRACTION * self.contact_span()
+            await asyncio.sleep(interval * random.uniform(0.8, 1.2))
+            report = self._collector.report(process.now())
             if process.leadership:
-                process.leadership.record_report(process.now(), beats)
-                self._collector.acknowledge(beats)
+                process.leadership.record_report(process.now(), report)
+                self._collector.acknowledge(report)
                 continue
+            call = pb.Envelope(heartbeat_report=report)
             try:
-                await self.call(pb.Envelope(heartbeat_report=beats), REPORT_WAIT, REPORT_WAIT)
+                await self.call(call, REPORT_TIMEOUT_S, REPORT_TIMEOUT_S)
             except CallError:
                 continue
-            self._collector.acknowledge(beats)
+            self._collector.acknowledge(report)
--- a/cairndale/control/lease_enrolment.py
+++ b/cairndale/control/lease_enrolment.py
@@ -27,9 +27,13 @@
     """What enrolment needs of the process."""
 
     @property
-    def state(self) -> State: ...
+    def state(self) -> State:
+        """The replicated state, as of the last applied entry."""
+
     @property
-    def leadership(self) -> Leadership | None: ...
+    def leadership(self) -> Leadership | None:
+        """The leadership, while this process leads."""
+
     def require_leadership(self) -> Leadership:
         """The leadership. Raises CallError where this process does not lead."""
 
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -161,8 +161,8 @@
             for work in (
                 self._tick_forever,
                 self._make_snapshots_forever,
-                self.follower.asks,
-                self.follower.reports,
+                self.follower.watch_forever,
+                self.follower.report_forever,
                 self.watch_server.run,
                 self.watch_server.enrolment.remove_forever,
             )
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -80,7 +80,7 @@
                 return pb.Envelope(term=term)
             case "operation_request":
                 term, order = leads.require(envelope.term).term, envelope.operation_request
-                status, body = await self._operations.settle(
+                status, body = await self._operations.handle(
                     order.method, order.path, order.body, order.request_id
                 )
                 response = pb.OperationResponse(status=status, body=body)
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -39,17 +39,24 @@
     """What the watch server needs of its process."""
 
     @property
-    def state(self) -> State: ...
+    def state(self) -> State:
+        """The replicated state, as of the last applied entry."""
+
     @property
-    def leadership(self) -> Leadership | None: ...
-    def now(self) -> float: ...
+    def leadership(self) -> Leadership | None:
+        """The leadership, while this process leads."""
+
+    def now(self) -> float:
+        """Seconds on the process's clock."""
+
     def require_leadership(self) -> Leadership:
         """The leadership. Raises CallError where this process does not lead."""
 
     async def decide(self, command: Command) -> bool:
         """Commit a command. Raises CallError where its outcome is not known."""
 
-    def notify_change(self) -> None: ...
+    def notify_change(self) -> None:
+        """Wake all who wait for a change."""
 
 
 def round_interval(ingresses: int) -> float:
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -19,6 +19,8 @@
 import cairndale.configuration.state
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.state import REJECTED, State
+from cairndale.control.change_queue import ChangeOutcome
+from cairndale.control.configuration_changes import ConfigurationChanges
 from cairndale.control.follower import Follower
 from cairndale.control.leadership import Leadership
 from cairndale.control.operations import OperationHandler
@@ -740,9 +742,9 @@
 def void_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is void in the log is refused, though its first copy may have been taken there before
     it."""
-    configure = OperationHandler._configure
+    decide_change = ConfigurationChanges._decide
 
-    async def refused(self: OperationHandler, *args: Any) -> Any:
+    async def refused(self: ConfigurationChanges, *args: Any) -> Any:
         decide, void = self._leader.decide, list[Command]()
 
         async def noted(command: Command) -> bool:
@@ -752,12 +754,12 @@
 
         self._leader.decide = noted  # type: ignore[method-assign]
         try:
-            answer = await configure(self, *args)
+            outcome = await decide_change(self, *args)
         finally:
             self._leader.decide = decide  # type: ignore[method-assign]
-        return (wrong(412, "another change came first"), 0) if void else answer
+        return ChangeOutcome(wrong(412, "another change came first")) if void else outcome
 
-    monkeypatch.setattr(OperationHandler, "_configure", refused)
+    monkeypatch.setattr(ConfigurationChanges, "_decide", refused)
 
 
 def unsaid_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -782,11 +784,11 @@
 
 def nameless(monkeypatch: pytest.MonkeyPatch) -> None:
     """A call for a zone has no id."""
-    settle = OperationHandler.settle
+    handle = OperationHandler.handle
     monkeypatch.setattr(
         OperationHandler,
-        "settle",
-        lambda self, method, target, body, id="": settle(self, method, target, body),
+        "handle",
+        lambda self, method, target, body, call_id="": handle(self, method, target, body),
     )
 
 
