--- a/cairndale/chaos/__main__.py
+++ b/cairndale/chaos/__main__.py
@@ -51,7 +51,7 @@
         deeds: dict[int, tuple[str, Callable[[], Awaitable[object]]]] = {
             3: ("edge-1 is killed", lambda: world.kill("edge-1")),
             5: ("edge-1 comes back", lambda: self._start("edge-1")),
-            6: (f"{leader}, which holds the duty, is killed", lambda: world.kill(leader)),
+            6: (f"{leader}, the leader, is killed", lambda: world.kill(leader)),
             9: ("north-a is evacuated", lambda: world.order("POST", "Drain.Begin/north-a")),
             11: (f"{leader} comes back with an empty disk", lambda: self._wiped(leader)),
             13: ("north-a is taken back", lambda: world.order("POST", "Drain.Finish/north-a")),
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -1,7 +1,7 @@
 """What the stand-ins of a storm wrote down: orders, reads, beats, requests. The judge looks at
 nothing else.
 
-Times are seconds on the rehearsal's clock.
+Times are seconds on the run's clock.
 """
 
 from __future__ import annotations
--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -1,4 +1,4 @@
-"""A rehearsal whose processes meet each other through relays (`cairndale/lab/faults/relay.py`), so
+"""A run whose processes meet each other through relays (`cairndale/lab/faults/relay.py`), so
 that ways between them can be cut. Clients, operators and servers reach them straight."""
 
 from __future__ import annotations
--- a/cairndale/chaos/standins.py
+++ b/cairndale/chaos/standins.py
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """What all servers of a rehearsal ran, in order, and what came to them."""
+    """What all servers of a run have run, in order, and what came to them."""
 
     ran: list[Ran] = field(default_factory=list)
     arrived: list[Arrived] = field(default_factory=list)
--- a/cairndale/scale/run.py
+++ b/cairndale/scale/run.py
@@ -32,7 +32,7 @@
 
 
 class Deployment(World):
-    """The rehearsal's real processes, in as many regions as asked."""
+    """The run's real processes, in as many regions as asked."""
 
     def __init__(self, folder: Path, size: Size) -> None:
         self.size = size
--- a/tests/features/steps/system.py
+++ b/tests/features/steps/system.py
@@ -159,7 +159,7 @@
     return next(n for n, m in world.machines.items() if shown["leader"].startswith(f"{m.ip}:"))
 
 
-@step(when, "the leader of the duty is killed")
+@step(when, "the leader is killed")
 async def _(context: Any, world: World) -> None:
     context.killed = await leader(world)
     await world.kill(context.killed)
@@ -275,7 +275,7 @@
 async def _(context: Any, world: World) -> None:
     _, before = await world.order("GET", "Config.Read")
     for row in context.table:
-        for address in world.control:  # at each: those that do not hold the duty pass it on
+        for address in world.control:  # at each: those that do not lead pass it on
             status, body = await ask(
                 address, row["method"], f"/-/{row['call']}", row["body"].encode()
             )
--- a/tests/features/system.feature
+++ b/tests/features/system.feature
@@ -15,7 +15,7 @@
     When a server of "books" says that it is draining and is heard
     And clients send 40 requests that may not be repeated
     Then every one is served, and none of these reached the one that drains
-    When the leader of the duty is killed
+    When the leader is killed
     And clients send 20 requests that may be repeated and 20 that may not
     Then every one is served, and ran once
     When a route is added by an update
--- a/tests/measurements/measure_control.py
+++ b/tests/measurements/measure_control.py
@@ -38,7 +38,7 @@
 
 
 def without(kind: str, seed: int) -> float:
-    """s from the trouble until another, or the same one again, holds the duty."""
+    """s from the trouble until another, or the same one again, leads."""
     world = Far(seed)
     world.run(6.0 + random.Random(seed).random())
     leader = next(d for d, m in world.machines.items() if m.leads(world.now))
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -269,7 +269,7 @@
         print(
             f"a command of 2 MB, 2 Mbit/s, as {kind}: {told.seconds:.1f} s virtual; a beat waits"
             f" {told.world.behind * 1e3:.0f} ms, another command {told.small:.2f} s at the most;"
-            f" the duty is held for {told.held:.1%} of the time"
+            f" there is a leader for {told.held:.1%} of the time"
         )
 
 
