--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -11,7 +11,6 @@
 from typing import Any
 
 from cairndale.configuration.commands import Command
-from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import State
 from cairndale.control.api import ControlApi
 from cairndale.control.applier import Applier
@@ -21,6 +20,7 @@
 from cairndale.control.follower import Follower
 from cairndale.control.leadership import Leadership
 from cairndale.control.leadership_tracker import LeadershipTracker
+from cairndale.control.member_state import load_member
 from cairndale.control.operations import OperationHandler
 from cairndale.control.proposals import Proposals
 from cairndale.control.raft_driver import RaftDriver
@@ -31,10 +31,10 @@
 from cairndale.control.watch_server import WatchServer
 from cairndale.events import Event, log_event
 from cairndale.http_api.server import HttpServer
-from cairndale.raft.messages import Member, PersistedState, Ready
-from cairndale.raft.node import RaftNode, bootstrap_member, bootstrap_state
+from cairndale.raft.messages import Member, Ready
+from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
-from cairndale.raft.storage import RaftStorage, StorageError
+from cairndale.raft.storage import RaftStorage
 from cairndale.registry.endpoints import EndpointRegistry
 from cairndale.registry.heartbeats import HeartbeatCollector
 from cairndale.registry.nodes import NodeRegistry
@@ -61,18 +61,13 @@
         self.settings = settings
         self.clock = Clock()
         self._storage = RaftStorage(settings.state_dir)
-        own = (settings.ip, settings.own_port)
-        self.rpc_peer = RpcPeer(own, self._receive, self._answer)
+        self.rpc_peer = RpcPeer((settings.ip, settings.own_port), self._receive, self._answer)
         self._seeds = self._seed_addresses(settings)
-        disk, persisted = self._open_disk(format_address(own))
-        try:
-            state = State.decode(persisted.snapshot.state)
-        except FormatError as error:
-            raise StorageError(f"the state cannot be read: {error}") from error
-        self.me = Member(format_address(own), disk, settings.zone, settings.region)
+        loaded = load_member(settings, self._storage, self._seeds)
+        self.me = loaded.member
         self.raft = RaftNode(
             self.me,
-            persisted,
+            loaded.persisted,
             self.clock.now(),
             random.Random(random.getrandbits(64)),
             addresses=self._seeds,
@@ -85,31 +80,32 @@
             self._storage, self.raft, self.driver.carry_out, self.clock.now
         )
         self.proposals = Proposals(self.raft, self.driver, self.clock)
-        self.applier = Applier(state, persisted.snapshot.index, persisted.snapshot.term)
+        snapshot = loaded.persisted.snapshot
+        self.applier = Applier(loaded.state, index=snapshot.index, term=snapshot.term)
         self.leadership_tracker = LeadershipTracker(
-            settings,
-            self.raft,
-            self.applier,
-            self.endpoint_registry,
-            self.node_registry,
-            self.rpc_peer.fence,
-            self.notifier,
-            self.clock,
+            settings=settings,
+            raft=self.raft,
+            applier=self.applier,
+            endpoint_registry=self.endpoint_registry,
+            node_registry=self.node_registry,
+            fence=self.rpc_peer.fence,
+            notifier=self.notifier,
+            clock=self.clock,
         )
         self.system_name = SystemName(
-            self.raft,
-            self.driver,
-            self._storage,
-            self.applier,
-            self.leadership_tracker,
-            self.rpc_peer,
-            self.clock,
+            raft=self.raft,
+            driver=self.driver,
+            storage=self._storage,
+            applier=self.applier,
+            leadership=self.leadership_tracker,
+            rpc_peer=self.rpc_peer,
+            clock=self.clock,
         )
         self.apply_loop = ApplyLoop(
-            self.raft,
-            self.applier,
-            self.snapshot_worker,
-            self.driver,
+            raft=self.raft,
+            applier=self.applier,
+            snapshot_worker=self.snapshot_worker,
+            driver=self.driver,
             on_applied=(self.proposals.resolve, self.leadership_tracker.state_applied),
             on_turn_end=self.system_name.adopt,
         )
@@ -123,14 +119,14 @@
         self.follower = Follower(self, collector)
         self.api = ControlApi(self, self.follower, collector)
         self.dispatcher = RequestDispatcher(
-            self.raft,
-            self.driver,
-            self.leadership_tracker,
-            self.read_index,
-            self.watch_server,
-            self.operations,
-            self.notifier,
-            self.clock,
+            raft=self.raft,
+            driver=self.driver,
+            leadership=self.leadership_tracker,
+            read_index=self.read_index,
+            watch_server=self.watch_server,
+            operations=self.operations,
+            notifier=self.notifier,
+            clock=self.clock,
         )
         self._http_servers = {
             "ctl": HttpServer(self.api.control, self.api.was_read),
@@ -215,24 +211,6 @@
         while True:
             await asyncio.sleep(self.snapshot_worker.timed_step())
 
-    def _open_disk(self, own: str) -> tuple[str, PersistedState]:
-        """The disk's name and what it holds; an empty disk is given a name.
-
-        Only at the first start of the system does a disk get a founder's name. An empty one at any
-        later start is a new member's, whatever the disk before it held.
-        """
-        disk = self._storage.disk_id()
-        if disk:
-            return disk, self._storage.load()
-        if self.settings.bootstrap and own in self._seeds:
-            disk = bootstrap_member(own).disk_id
-            persisted = bootstrap_state(bootstrap_member(address) for address in self._seeds)
-        else:
-            disk, persisted = f"{random.SystemRandom().getrandbits(64):016x}", bootstrap_state(())
-        self._storage.initialize(disk, persisted)
-        log_event(Event.DISK_NAMED, "%s", disk)
-        return disk, persisted
-
     # What the node does with a step of the Raft state machine, between its parts.
 
     def _install_snapshot(self, step: Ready) -> None:
