--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -133,22 +133,22 @@
 
 def answers_by_number() -> None:
     """An answer is taken by its number alone, from whomever it comes."""
-    links = _module("cairndale.rpc.peer")
+    pending_calls = _module("cairndale.rpc.pending_calls").PendingCalls
+    checked = pending_calls.answered
 
-    def came(self: Any, frames: Any, envelope: Any) -> None:
-        waiting = self._calls.get(envelope.call_id) if envelope.is_answer else None
-        if waiting and not waiting.future.done():
-            waiting.future.set_result(envelope)
-        else:
-            taken(self, frames, envelope)
+    def answered(self: Any, connection: Any, answer: Any) -> bool:
+        call = self._calls.get(answer.call_id)
+        if call is None or call.response.done():
+            return bool(checked(self, connection, answer))
+        call.response.set_result(answer)
+        return True
 
-    taken = links.RpcPeer.came
-    links.RpcPeer.came = came
+    pending_calls.answered = answered
 
 
 def old_words() -> None:
     """An older leader's word is obeyed like any."""
-    _module("cairndale.rpc.peer").RpcPeer.outdated = lambda self, envelope, address: False
+    _module("cairndale.rpc.peer").RpcPeer.is_stale = lambda self, envelope, address: False
     client = _module("cairndale.dataplane.config_client").ConfigClient
     apply = client.apply
 
@@ -163,5 +163,5 @@
 def foreign_words() -> None:
     """Whoever stands at a door is talked to, of whatever system, and what it says as a leader is
     obeyed."""
-    _module("cairndale.rpc.peer").RpcPeer.greeted = lambda self, frames: True
+    _module("cairndale.rpc.peer").RpcPeer.hello_received = lambda self, connection, hello: True
     old_words()
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -157,5 +157,5 @@
         receipt = pb.EvacuationReceipt(zone=found.args["zone"], order_id=json.loads(body)["order"])
         if process.leadership:
             process.leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
-        elif process.leader_client.hint:
-            process.leader_client.tell(pb.Envelope(evacuation_receipt=receipt))
+        elif process.leader_client.leader_address:
+            process.leader_client.send(pb.Envelope(evacuation_receipt=receipt))
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -153,7 +153,7 @@
         control_address = settings.listen.get("ctl")
         return pb.Node(
             name=settings.name,
-            incarnation=self._process.rpc_peer.life,
+            incarnation=self._process.rpc_peer.incarnation,
             address=format_address((settings.ip, settings.own_port)),
             zone=settings.zone,
             region=settings.region,
--- a/cairndale/control/raft_driver.py
+++ b/cairndale/control/raft_driver.py
@@ -52,7 +52,7 @@
         if step.writes:
             self.persist(step.writes)
         for address, message in step.sends:
-            self._rpc_peer.tell(address, pb.Envelope(log_message=codec.encode_message(message)))
+            self._rpc_peer.send(address, pb.Envelope(log_message=codec.encode_message(message)))
         if step.rejected_chunk:
             log_event(Event.SNAPSHOT_DROPPED, "%s", step.rejected_chunk)
         if step.corrupt_entry:
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -43,7 +43,7 @@
             # If the disk is full, a later start learns it from the log, or from whom it dials.
             with contextlib.suppress(StorageError):
                 self._storage.set_system_name(name)
-            self._rpc_peer.name_system(name)
+            self._rpc_peer.set_system_name(name)
 
     def draw(self) -> None:
         """Proposes a name, once a term, as leader of a system that has none."""
--- a/cairndale/control/watch_responses.py
+++ b/cairndale/control/watch_responses.py
@@ -16,7 +16,7 @@
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.compression import packed
+from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.lease_timing import NODE_LEASE_S
 
 # Compressed lists are reused for this long: by so much longer an endpoint counts as warming up.
@@ -75,7 +75,9 @@
         message = self._message(now, known, current, has_settled)
         if len(self._lists) >= MAX_CACHED_LISTS:
             self._lists.clear()
-        lists = self._lists[known, has_settled] = _PackedLists(now, current, packed(message))
+        lists = self._lists[known, has_settled] = _PackedLists(
+            now, current, compress_lists(message)
+        )
         return lists
 
     def _life(
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -40,7 +40,7 @@
         self.clock = Clock()
         now_us = self.clock.now
         self.rpc_peer = RpcPeer((settings.ip, settings.own_port), self._receive, self._refuse)
-        self.rpc_peer.lost = self._connection_lost
+        self.rpc_peer.on_disconnect = self._connection_lost
         self.config_client = ConfigClient(now(), _seed_addresses(settings))
         self.leader_client = LeaderClient(
             self.rpc_peer, self._control_addresses, self._peer_addresses
@@ -136,8 +136,8 @@
         settings = self.settings
         return pb.Node(
             name=settings.name,
-            incarnation=self.rpc_peer.life,
-            address=self.rpc_peer.own,
+            incarnation=self.rpc_peer.incarnation,
+            address=self.rpc_peer.own_address,
             http_address=format_address(settings.listen["http"]),
             zone=settings.zone,
             region=settings.region,
@@ -150,11 +150,11 @@
         return self.config_client.control_addresses
 
     def _peer_addresses(self) -> list[str]:
-        return self.config_client.peer_addresses(self.rpc_peer.own)
+        return self.config_client.peer_addresses(self.rpc_peer.own_address)
 
     def _connection_lost(self, address: str) -> None:
         """Contact ends with the leader's connection: the leader has seen its end, or is gone."""
-        if address == self.leader_client.hint:
+        if address == self.leader_client.leader_address:
             self.config_client.connection_lost(asyncio.get_running_loop().time())
 
     def _receive(self, envelope: pb.Envelope) -> None:
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -10,7 +10,7 @@
 import httptools
 
 from cairndale.ingress.net.http import HttpConnection, Message, plain
-from cairndale.rpc.framing import keep_short
+from cairndale.rpc.framing import detect_dead_peer
 from cairndale.settings import Address
 
 MOST_BODY = 16 * 1024 * 1024
@@ -86,7 +86,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if sock := transport.get_extra_info("socket"):
-            keep_short(sock, 5000)
+            detect_dead_peer(sock, 5000)
         self._addresses.open.add(self)
         if len(self._addresses.open) > MOST_OPEN:
             self.transport.abort()
--- a/cairndale/rpc/__init__.py
+++ b/cairndale/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Frames between the system's own processes: connections, calls, passing on."""
+"""Calls between the system's own processes: frames, connections, call kinds, leader client."""
--- a/cairndale/rpc/compression.py
+++ b/cairndale/rpc/compression.py
@@ -1,5 +1,4 @@
-"""Lists of servers and nodes inside a cue: encoded and packed once for all who are told the
-same."""
+"""Lists of endpoints and nodes inside a watch response, compressed once for many receivers."""
 
 from __future__ import annotations
 
@@ -9,26 +8,34 @@
 
 from cairndale.rpc import protocol_pb2 as pb
 
-MOST = 64 * 1024 * 1024  # bytes of lists that are unpacked
-LEVEL = 1  # names and addresses look alike: more work saves little
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
+COMPRESSION_LEVEL = 1  # names and addresses look alike: a higher level saves little
 
 
-def packed(part: pb.WatchResponse) -> bytes:
-    """`part` holds lists and nothing else."""
-    return zlib.compress(part.SerializeToString(), LEVEL) if part.ByteSize() else b""
+def compress_lists(lists: pb.WatchResponse) -> bytes:
+    """The bytes for `WatchResponse.compressed_lists`; empty if `lists` is.
 
+    `lists` holds endpoints, nodes, removed nodes and whether they are complete, and nothing else.
+    """
+    return zlib.compress(lists.SerializeToString(), COMPRESSION_LEVEL) if lists.ByteSize() else b""
 
-def unpack(watch_response: pb.WatchResponse) -> None:
-    """Puts packed lists in their places. Raises ValueError where they are none."""
+
+def decompress_lists(watch_response: pb.WatchResponse) -> None:
+    """Replace compressed lists by the fields that they hold.
+
+    Raises:
+        ValueError: the bytes are no compressed lists, are cut short or exceed
+            `MAX_DECOMPRESSED_BYTES`; the response is unchanged.
+    """
     if not watch_response.compressed_lists:
         return
-    packer = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        data = packer.decompress(watch_response.compressed_lists, MOST)
-        part = pb.WatchResponse.FromString(data)
+        data = decompressor.decompress(watch_response.compressed_lists, MAX_DECOMPRESSED_BYTES)
+        lists = pb.WatchResponse.FromString(data)
     except (zlib.error, DecodeError) as error:
         raise ValueError(f"packed lists: {error}") from None
-    if not packer.eof:
+    if not decompressor.eof:
         raise ValueError("packed lists: they end early, or are too large")
     watch_response.ClearField("compressed_lists")
-    watch_response.MergeFrom(part)
+    watch_response.MergeFrom(lists)
--- a/cairndale/rpc/framing.py
+++ b/cairndale/rpc/framing.py
@@ -1,10 +1,10 @@
-"""One connection between two processes of the system: lengths, frames, and the hello that names
-both ends.
+"""One connection between two processes of the system: length-prefixed frames and the handshake.
 
-The first frame each way is a hello: format, system, life and door of who sends it, and whom it is
-meant for. It goes out together with the first call, so that it costs no round trip. What is not
-understood, of another system, or meant for another, ends the connection before anything is acted
-upon."""
+A frame is four bytes of length (big-endian) and one `Envelope`. The first frame each way is a
+`Hello`: frame format, system, incarnation and address of its sender, and the address it is meant
+for. It goes out together with the first call, so that it costs no round trip. A frame that cannot
+be parsed, or a hello that the owner rejects, ends the connection before anything is acted upon.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +12,31 @@
 import contextlib
 import socket
 import struct
-from typing import Protocol
+from typing import Protocol, cast
 
 from google.protobuf.message import DecodeError
 
 from cairndale.rpc import protocol_pb2 as pb
 
-FORMAT = 1  # of frames
-MOST = 32 * 1024 * 1024  # bytes of a frame
-HELLO_MOST = 1024  # bytes of the first one
-HELLO_WITHIN = 5.0  # s for it, where another has dialled
-QUEUED = 8 * 1024 * 1024  # bytes that wait to be written to one door
-UNACKED_MS = 1500  # ms without an acknowledgement after which a connection is given up
+FRAME_FORMAT = 1
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+MAX_HELLO_BYTES = 1024
+HELLO_TIMEOUT_S = 5.0  # for the first frame of a connection that the other side dialled
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # that wait to be written to one connection
+UNACKED_TIMEOUT_MS = 1500  # without a TCP acknowledgement, after which a connection is given up
 
+_LENGTH = struct.Struct(">I")
 
-def keep_short(sock: socket.socket, unacked_ms: int = UNACKED_MS) -> None:
-    """A peer that is cut off or without power is noticed."""
+
+class FrameError(Exception):
+    """What the other side sent breaks the protocol; the connection cannot go on."""
+
+
+def detect_dead_peer(sock: socket.socket, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
+    """Make a TCP connection fail soon after its peer was cut off or lost power.
+
+    Options that the platform does not have are left out.
+    """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
@@ -37,135 +46,175 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
 
-class Process(Protocol):
-    """Whose connections they are."""
+class ConnectionOwner(Protocol):
+    """The process that a connection belongs to, as the connection needs it."""
 
-    own: str
-    life: str
+    own_address: str
+    incarnation: str
     system: str
 
-    def now(self) -> float: ...
-    def opened(self, frames: FramedConnection) -> None: ...
-    def closed(self, frames: FramedConnection) -> None: ...
-    def greeted(self, frames: FramedConnection) -> bool:
-        """The other end has said who it is. False: not one to talk to."""
+    def now(self) -> float:
+        """Seconds on a steady clock."""
 
-    def came(self, frames: FramedConnection, envelope: pb.Envelope) -> None: ...
-    def garbled(self, frames: FramedConnection, why: str) -> None: ...
+    def connection_opened(self, connection: FramedConnection) -> None:
+        """The connection is up; no hello has come yet."""
 
+    def connection_closed(self, connection: FramedConnection) -> None:
+        """The connection has ended, for whatever reason."""
 
-class FramedConnection(asyncio.Protocol):
-    """One connection, either way round."""
+    def hello_received(self, connection: FramedConnection, hello: pb.Hello) -> bool:
+        """Verify a hello; False if the connection was ended over it."""
+
+    def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
+        """Take one envelope that came after the handshake."""
 
-    def __init__(self, process: Process, address: str = "") -> None:
-        self._process, self.address = process, address  # whose door it leads to, if we made it
+    def protocol_error(self, connection: FramedConnection, reason: str) -> None:
+        """End the connection: the other side broke the protocol."""
+
+
+class FramedConnection(asyncio.Protocol):
+    """One connection, dialled or accepted.
+
+    Args:
+        owner: the process that is told of all that happens.
+        dialled_address: the address it leads to; empty for an accepted connection.
+
+    Attributes:
+        transport: None before the connection is up and after it has ended.
+        peer: the other side's newest hello; None before the first.
+        last_received_at: when bytes last came, in seconds on the owner's clock.
+        handshake_done: whether the owner has accepted the first hello.
+        is_untrusted: the other side named a system while this process knew of none: its messages
+            without answer are not acted upon.
+    """
+
+    def __init__(self, owner: ConnectionOwner, dialled_address: str = "") -> None:
+        self._owner, self.dialled_address = owner, dialled_address
         self._buffer = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.heard_at = 0.0
-        self.peer: pb.Hello | None = None  # who is at the other end, as it said itself
-        self.was_greeted = False  # its first hello was heard
-        # it named a system while we knew of none: what it says unasked is not heard
-        self.is_strange = False
-        self._has_greeted = False
-        self._expiry: asyncio.TimerHandle | None = None
+        self.last_received_at = 0.0
+        self.peer: pb.Hello | None = None
+        self.handshake_done = False
+        self.is_untrusted = False
+        self._hello_sent = False
+        self._hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport) or hasattr(transport, "write")
-        self.transport = transport  # type: ignore[assignment]
+        """Start the handshake's time limit, where the other side has dialled."""
+        self.transport = cast(asyncio.Transport, transport)
         if sock := transport.get_extra_info("socket"):
-            keep_short(sock)
-        if not self.address:
-            self._expiry = asyncio.get_running_loop().call_later(HELLO_WITHIN, self._expired)
-        self._process.opened(self)
+            detect_dead_peer(sock)
+        if not self.dialled_address:
+            loop = asyncio.get_running_loop()
+            self._hello_timer = loop.call_later(HELLO_TIMEOUT_S, self._hello_timed_out)
+        self._owner.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Tell the owner; `exc` does not matter to it."""
         self.transport = None
-        if self._expiry:
-            self._expiry.cancel()
-        self._process.closed(self)
+        if self._hello_timer:
+            self._hello_timer.cancel()
+        self._owner.connection_closed(self)
 
-    def _expired(self) -> None:
+    def _hello_timed_out(self) -> None:
         if self.peer is None:
-            self._process.garbled(self, "no hello")
+            self._owner.protocol_error(self, "no hello")
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self._process.now()
+        """Hand on each frame that is complete; the first that is bad ends the connection."""
+        self.last_received_at = self._owner.now()
         self._buffer += data
-        at, held = 0, len(self._buffer)
-        while held - at >= 4:
-            (size,) = struct.unpack_from(">I", self._buffer, at)
-            if size > (HELLO_MOST if self.peer is None else MOST):
-                self._process.garbled(self, f"a frame of {size} bytes")
-                return
-            if held - at - 4 < size:
-                break
-            frame = bytes(self._buffer[at + 4 : at + 4 + size])
-            at += 4 + size
-            try:
-                envelope = pb.Envelope.FromString(frame)
-            except DecodeError:
-                self._process.garbled(self, "no message")
-                return
-            if self.peer is None or envelope.HasField("hello"):
-                if not self._hear_hello(envelope):
+        offset = 0
+        try:
+            while (frame := self._frame_at(offset)) is not None:
+                offset += _LENGTH.size + len(frame)
+                if not self._frame_received(frame):
                     return
-            else:
-                self._process.came(self, envelope)
-            if self.transport is None or self.transport.is_closing():
-                return
-        del self._buffer[:at]
-
-    def _hear_hello(self, envelope: pb.Envelope) -> bool:
-        """False if the connection has ended over it. A later one may only bring the system's
-        name."""
+        except FrameError as error:
+            self._owner.protocol_error(self, str(error))
+            return
+        del self._buffer[:offset]
+
+    def _frame_at(self, offset: int) -> bytes | None:
+        """The frame that begins at `offset` of the buffer; None if it is not complete."""
+        start = offset + _LENGTH.size
+        if len(self._buffer) < start:
+            return None
+        (size,) = _LENGTH.unpack_from(self._buffer, offset)
+        if size > (MAX_HELLO_BYTES if self.peer is None else MAX_FRAME_BYTES):
+            raise FrameError(f"a frame of {size} bytes")
+        if len(self._buffer) < start + size:
+            return None
+        return bytes(self._buffer[start : start + size])
+
+    def _frame_received(self, frame: bytes) -> bool:
+        """False if the connection has ended, so that nothing more is to be read from it."""
+        try:
+            envelope = pb.Envelope.FromString(frame)
+        except DecodeError as error:
+            raise FrameError("no message") from error
+        if self.peer is None or envelope.HasField("hello"):
+            if not self._accept_hello(envelope):
+                return False
+        else:
+            self._owner.envelope_received(self, envelope)
+        return self.transport is not None and not self.transport.is_closing()
+
+    def _accept_hello(self, envelope: pb.Envelope) -> bool:
+        """False if the owner has rejected it. A later hello may only add the system's name."""
         if not envelope.HasField("hello"):
-            self._process.garbled(self, "no hello")
-            return False
-        before, self.peer = self.peer, envelope.hello
-        if before and (before.incarnation, before.address) != (
+            raise FrameError("no hello")
+        previous, self.peer = self.peer, envelope.hello
+        if previous and (previous.incarnation, previous.address) != (
             self.peer.incarnation,
             self.peer.address,
         ):
-            self._process.garbled(self, "another life on the same connection")
-            return False
-        if not self._process.greeted(self):
+            raise FrameError("another incarnation on the same connection")
+        if not self._owner.hello_received(self, self.peer):
             return False
-        if not self._has_greeted:
-            self.greet()
+        if not self._hello_sent:
+            self.send_hello()
         return True
 
-    def _hello(self) -> bytes:
-        process = self._process
-        made = pb.Hello(
-            format=FORMAT,
-            system=process.system,
-            incarnation=process.life,
-            address=process.own,
-            recipient=self.address,
+    def _hello_frame(self) -> bytes:
+        owner = self._owner
+        hello = pb.Hello(
+            format=FRAME_FORMAT,
+            system=owner.system,
+            incarnation=owner.incarnation,
+            address=owner.own_address,
+            recipient=self.dialled_address,
         )
-        data = pb.Envelope(hello=made).SerializeToString()
-        self._has_greeted = True
-        return struct.pack(">I", len(data)) + data
+        data = pb.Envelope(hello=hello).SerializeToString()
+        self._hello_sent = True
+        return _LENGTH.pack(len(data)) + data
 
-    def greet(self) -> None:
+    def send_hello(self) -> None:
+        """Send this side's hello, if the connection is up."""
         if self.transport and not self.transport.is_closing():
-            self.transport.write(self._hello())
+            self.transport.write(self._hello_frame())
 
-    def regreet(self) -> None:
-        """The system has its name now."""
-        if self._has_greeted:
-            self.greet()
+    def resend_hello(self) -> None:
+        """Send the hello again, now with the system's name; nothing if none was sent yet."""
+        if self._hello_sent:
+            self.send_hello()
 
     def write(self, envelope: pb.Envelope) -> bool:
+        """Send one envelope, after the hello; False if it was not taken.
+
+        That is so if the connection has ended, or if `MAX_UNSENT_BYTES` already wait. True does not
+        mean that the other side has received it.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.transport.get_write_buffer_size() > QUEUED:
+        if self.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             return False
         data = envelope.SerializeToString()
-        data = struct.pack(">I", len(data)) + data
-        self.transport.write(data if self._has_greeted else self._hello() + data)
+        data = _LENGTH.pack(len(data)) + data
+        self.transport.write(data if self._hello_sent else self._hello_frame() + data)
         return True
 
-    def drop(self) -> None:
+    def abort(self) -> None:
+        """End the connection at once; what waits to be written is lost."""
         if self.transport:
             self.transport.abort()
--- a/cairndale/rpc/peer.py
+++ b/cairndale/rpc/peer.py
@@ -1,328 +1,256 @@
-"""Connections between the system's own processes: calls with answers, passing on for who is cut
-off.
+"""Calls between the system's own processes, with forwarding for those that are cut off.
 
-A call that fails says whether the other side may have acted on it (`CallError.may_have_run`).
-An answer is taken on the connection that its call went out on, which leads to one life of one
-process, and on no other. Every wait is limited, every queue bounded; a connection on which nothing
-is acknowledged is given up, as behind a cut it would hang."""
+A call that fails says whether the other side may have acted on it (`CallError.may_have_run`). An
+answer is accepted on the connection that its call went out on, and on no other. Every wait has a
+limit and every queue a bound; a connection on which nothing is acknowledged is given up, as it
+would hang behind a network partition.
+
+The parts: `ConnectionPool` dials and queues, `PendingCalls` holds the calls in flight,
+`InboundQueue` the calls of others, `handshake` verifies who is at the other end.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
-from collections import deque
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 
 from cairndale.errors import (
     CallError,
     CallTimeoutError,
     FaultCode,
-    QueueFullError,
     UnreachableError,
     error_for_code,
 )
-from cairndale.events import Event, log_event
+from cairndale.events import Event
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.call_kinds import TermFence
-from cairndale.rpc.framing import FORMAT, FramedConnection
+from cairndale.rpc.connection_pool import ConnectionPool
+from cairndale.rpc.framing import FramedConnection
+from cairndale.rpc.handshake import hello_error, system_error
+from cairndale.rpc.inbound_queue import InboundQueue
 from cairndale.rpc.listener import Listener
+from cairndale.rpc.pending_calls import PendingCall, PendingCalls
+from cairndale.rpc.rejection_log import RejectionLog
 from cairndale.settings import Address, format_address
 
-# s for a connection to come up: what goes to a machine that is dark is not sent again for seconds
-DIAL = 0.3
-PAUSE = (0.05, 0.4)  # s between dials of a door that fail: the first, the longest
-# calls of others that are worked on at once: an ask of each ingress is kept, and after a
-CALLERS = 16_384
-# start of all one of each of their lives before
-# calls of others that are begun in one turn of the loop: a leader's own beats are due in each
-BEGUN = 32
-DIALLED = 256  # envelopes that wait for one connection to come up
-PASSED = 2.0  # s for the answer to a call that is passed on
-REMARK = 5.0  # s between two lines of the log about the same kind of foreign word
-
-Handler = Callable[[pb.Envelope], Awaitable[pb.Envelope]]
-Hearer = Callable[[pb.Envelope], None]
+FORWARD_TIMEOUT_S = 2.0  # for the answer to a call that is forwarded
 
-
-@dataclass(slots=True)
-class _Waiting:
-    future: asyncio.Future[pb.Envelope]
-    frames: FramedConnection | None  # the connection it went out on; None: not yet
-    sent_at: float
+CallHandler = Callable[[pb.Envelope], Awaitable[pb.Envelope]]
+MessageHandler = Callable[[pb.Envelope], None]
 
 
 class RpcPeer:
-    def __init__(self, own: Address, hear: Hearer, handle: Handler) -> None:
-        """`hear` takes what wants no answer, `handle` answers calls."""
-        self.own, self._hear, self._handle = format_address(own), hear, handle
-        self._at = own
+    """One process of the system, as the others call it and as it calls them.
+
+    Args:
+        own: the address that it listens on, by which the others know it.
+        handle_message: takes an envelope that wants no answer.
+        handle_call: answers a call; a `CallError` that it raises becomes the answer's fault code.
+
+    Attributes:
+        own_address: `own` in text.
+        incarnation: drawn at random for this start of the process.
+        system: the system's name; empty: not known yet.
+        fence: the newest term of which a leader's message was accepted.
+        on_disconnect: called with the address, once a connection dialled to it has ended.
+        connection_class: what new connections are made as.
+    """
+
+    def __init__(
+        self, own: Address, handle_message: MessageHandler, handle_call: CallHandler
+    ) -> None:
+        self._listen_address = own
+        self._handle_message, self._handle_call = handle_message, handle_call
         self._loop = asyncio.get_running_loop()
-        self._made: dict[str, FramedConnection] = {}  # by the door they lead to
-        self._dials: dict[str, asyncio.Task[None]] = {}
-        self._pause: dict[
-            str, tuple[float, float]
-        ] = {}  # by door: not before, and the pause after that
-        self._all: set[FramedConnection] = set()
-        self._queued: dict[str, list[pb.Envelope]] = {}  # until a dial is up
-        self._calls: dict[int, _Waiting] = {}
-        self._next = random.getrandbits(27)  # two lives do not count alike
-        self.life = f"{random.getrandbits(48):x}"
-        self.system = ""  # its name, once it is known
+        self.own_address = format_address(own)
+        self.incarnation = f"{random.getrandbits(48):x}"
+        self.system = ""
         self.fence = TermFence()
-        self._remarks: dict[
-            Event, tuple[float, int]
-        ] = {}  # not before when, and how many were left out
-        self.lost: Callable[[str], None] = lambda address: (
-            None
-        )  # told when a connection to a door has ended
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._come: deque[tuple[FramedConnection, pb.Envelope]] = (
-            deque()
-        )  # calls of others that are not begun yet
-        self._turn: asyncio.Handle | None = None  # the next one in which some of them are
-        self._server: Listener | None = None
-        self.counts: dict[str, int] = {}  # of what was refused, by why
-        self.frames = FramedConnection  # what connections are made as
+        self.on_disconnect: Callable[[str], None] = lambda address: None
+        self.connection_class = FramedConnection
+        self._pending = PendingCalls()
+        self._pool = ConnectionPool(
+            lambda address: self.connection_class(self, address), self._pending
+        )
+        self._inbound = InboundQueue(self._respond)
+        self._rejections = RejectionLog(self.now)
+        self._open: set[FramedConnection] = set()  # dialled and accepted
+        self._listener: Listener | None = None
+
+    @property
+    def rejected(self) -> dict[str, int]:
+        """How many were rejected of what others sent, by the kind of rejection."""
+        return self._rejections.counts
 
     def now(self) -> float:
+        """Seconds on the event loop's clock."""
         return self._loop.time()
 
     async def listen(self) -> None:
-        self._server = Listener(self._at, lambda: self.frames(self))
+        """Accept connections. Raises OSError where the address is not free."""
+        self._listener = Listener(self._listen_address, lambda: self.connection_class(self))
 
     def stop(self) -> None:
-        if self._server:
-            self._server.close()
-        for frames in list(self._all):
-            frames.drop()
-        for task in [*self._dials.values(), *self._tasks]:
-            task.cancel()
-        if self._turn:
-            self._turn.cancel()
-
-    # Connections.
-
-    def opened(self, frames: FramedConnection) -> None:
-        self._all.add(frames)
-
-    def greeted(self, frames: FramedConnection) -> bool:
-        """Who has no name for its system yet may be new to this one. Who has none itself learns it
-        from those it dialled: it was told of them."""
-        peer = frames.peer
-        assert peer
-        if peer.format != FORMAT:
-            return self._foreign(frames, f"format {peer.format}, where {FORMAT} is known")
-        is_for_us = peer.address == frames.address if frames.address else peer.recipient == self.own
-        if not (peer.incarnation and peer.address and is_for_us):
-            return self._foreign(
-                frames, f"{peer.address or 'nobody'} to {peer.recipient or frames.address}"
-            )
-        if peer.system and self.system and peer.system != self.system:
-            return self._foreign(frames, f"system {peer.system}, where this one is {self.system}")
-        if frames.address:
-            self._pause.pop(frames.address, None)
-        if peer.system and not self.system:
-            if frames.address:
-                self.name_system(peer.system)
-            elif not frames.was_greeted:
-                frames.is_strange = True
-        frames.was_greeted = True
+        """End all connections and cancel all work on calls of others."""
+        if self._listener:
+            self._listener.close()
+        for connection in list(self._open):
+            connection.abort()
+        self._pool.close()
+        self._inbound.close()
+
+    # Connections and the handshake (`ConnectionOwner`).
+
+    def connection_opened(self, connection: FramedConnection) -> None:
+        """Keep a connection until it ends."""
+        self._open.add(connection)
+
+    def hello_received(self, connection: FramedConnection, hello: pb.Hello) -> bool:
+        """Verify who is at the other end; False if the connection was ended over it.
+
+        A process that knows no name of its system learns it from those it has dialled: it was
+        configured with their addresses. From those that have dialled it, it does not.
+        """
+        dialled_address = connection.dialled_address
+        if reason := hello_error(
+            hello,
+            own_address=self.own_address,
+            dialled_address=dialled_address,
+            own_system=self.system,
+        ):
+            self._reject_foreign(connection, reason)
+            return False
+        if dialled_address:
+            self._pool.reset_backoff(dialled_address)
+        if hello.system and not self.system:
+            if dialled_address:
+                self.set_system_name(hello.system)
+            elif not connection.handshake_done:
+                connection.is_untrusted = True
+        connection.handshake_done = True
         return True
 
-    def name_system(self, name: str) -> None:
-        """The name is known from now on: all who are connected hear of it, and who is of another is
-        left."""
+    def set_system_name(self, name: str) -> None:
+        """Know the system's name from now on.
+
+        All that are connected are told, and connections to another system are ended.
+        """
         if name == self.system:
             return
         self.system = name
-        for frames in list(self._all):
-            frames.is_strange = False
-            if frames.peer and frames.peer.system not in ("", name):
-                self._foreign(frames, f"system {frames.peer.system}, where this one is {name}")
+        for connection in list(self._open):
+            connection.is_untrusted = False
+            if connection.peer and (reason := system_error(connection.peer, name)):
+                self._reject_foreign(connection, reason)
             else:
-                frames.regreet()
+                connection.resend_hello()
+
+    def _reject_foreign(self, connection: FramedConnection, reason: str) -> None:
+        self._rejections.add("foreign", Event.FOREIGN_PEER, reason)
+        if connection.dialled_address:
+            self._pool.back_off(connection.dialled_address)
+        connection.abort()
 
-    def _foreign(self, frames: FramedConnection, why: str) -> bool:
-        self._refuse("foreign", Event.FOREIGN_PEER, why)
-        if frames.address:
-            self._pause_dials(frames.address)
-        frames.drop()
-        return False
+    def protocol_error(self, connection: FramedConnection, reason: str) -> None:
+        """End a connection whose other side broke the protocol."""
+        self._rejections.add("malformed", Event.MALFORMED_FRAME, reason)
+        connection.abort()
 
-    def garbled(self, frames: FramedConnection, why: str) -> None:
-        self._refuse("garbled", Event.MALFORMED_FRAME, why)
-        frames.drop()
+    def connection_closed(self, connection: FramedConnection) -> None:
+        """Forget a connection and fail the calls that went out on it."""
+        self._open.discard(connection)
+        if connection.dialled_address and self._pool.connection_closed(connection):
+            self.on_disconnect(connection.dialled_address)
+        self._pending.connection_closed(connection)
 
-    def outdated(self, envelope: pb.Envelope, address: str) -> bool:
-        """A leader's word of an older term than one that was heard: nothing is to come of it."""
+    # Fencing.
+
+    def is_stale(self, envelope: pb.Envelope, address: str) -> bool:
+        """Whether a leader's answer is of an older term than one that was accepted before.
+
+        Such an answer must not be acted upon. Else its term is the newest from now on.
+        """
         if envelope.fault_code or self.fence.admits(envelope.term):
             return False
-        self._refuse(
-            "outdated", Event.STALE_TERM, f"{envelope.term} at {address}, after {self.fence.newest}"
-        )
+        reason = f"{envelope.term} at {address}, after {self.fence.newest}"
+        self._rejections.add("stale", Event.STALE_TERM, reason)
         return True
 
-    def _refuse(self, what: str, event: Event, why: str) -> None:
-        """Counted; told of at a bounded rate, as whoever sends it may go on."""
-        self.counts[what] = self.counts.get(what, 0) + 1
-        due, left_out = self._remarks.get(event, (0.0, 0))
-        if self.now() < due:
-            self._remarks[event] = (due, left_out + 1)
-            return
-        self._remarks[event] = (self.now() + REMARK, 0)
-        log_event(event, "%s%s", why, f" ({left_out} more before)" if left_out else "")
-
-    def closed(self, frames: FramedConnection) -> None:
-        self._all.discard(frames)
-        if (
-            frames.address and frames.peer is None
-        ):  # it was not let in, or nobody is there: not dialled at once
-            self._pause_dials(frames.address)
-        if frames.address and self._made.get(frames.address) is frames:
-            del self._made[frames.address]
-            self.lost(frames.address)
-        for waiting in list(self._calls.values()):
-            if waiting.frames is frames and not waiting.future.done():
-                waiting.future.set_exception(CallTimeoutError("the connection broke"))
-
-    async def _dial(self, address: str) -> None:
-        host, _, port = address.rpartition(":")
-        try:
-            async with asyncio.timeout(DIAL):
-                _, made = await self._loop.create_connection(
-                    lambda: self.frames(self, address), host, int(port)
-                )
-            if made.transport is None:  # it came up and ended before this went on
-                raise ConnectionResetError
-        except (OSError, TimeoutError):
-            self._pause_dials(address)
-            for envelope in self._queued.pop(address, ()):
-                self._fail(envelope, UnreachableError(address))
-            return
-        finally:
-            self._dials.pop(address, None)
-        self._made[address] = made
-        for envelope in self._queued.pop(address, ()):
-            self._write(made, envelope)
-
-    def _pause_dials(self, address: str) -> None:
-        pause = self._pause.get(address, (0.0, PAUSE[0]))[1]
-        self._pause[address] = (
-            self.now() + pause * (0.5 + random.random()),
-            min(PAUSE[1], pause * 2),
-        )
-
-    def _write(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
-        waiting = (
-            self._calls.get(envelope.call_id)
-            if envelope.call_id and not envelope.is_answer
-            else None
-        )
-        if frames.write(envelope):
-            if waiting:
-                waiting.frames = frames
-        elif waiting and not waiting.future.done():
-            waiting.future.set_exception(QueueFullError(frames.address))
-
-    def _fail(self, envelope: pb.Envelope, error: CallError) -> None:
-        """A call of ours was not sent."""
-        waiting = self._calls.get(envelope.call_id) if envelope.call_id else None
-        if waiting and not waiting.future.done():
-            waiting.future.set_exception(error)
-
-    def _send(self, address: str, envelope: pb.Envelope) -> None:
-        if made := self._made.get(address):
-            self._write(made, envelope)
-            return
-        if self._pause.get(address, (0.0, 0.0))[0] > self.now():
-            self._fail(envelope, UnreachableError(address))
-            return
-        queue = self._queued.setdefault(address, [])
-        if len(queue) < DIALLED:
-            queue.append(envelope)
-        else:
-            self._fail(envelope, QueueFullError(address))
-        if address not in self._dials:
-            self._dials[address] = self._loop.create_task(self._dial(address))
-
     # What others send.
 
-    def came(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
+    def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
+        """Resolve a call of this process, queue one of another, or hand on a message."""
         if envelope.is_answer:
-            waiting = self._calls.get(envelope.call_id)
-            if (
-                waiting is None or waiting.frames is not frames
-            ):  # late, or by one that was not asked
-                self.counts["unasked"] = self.counts.get("unasked", 0) + 1
-            elif not waiting.future.done():
-                waiting.future.set_result(envelope)
+            if not self._pending.answered(connection, envelope):
+                self._rejections.counts["unsolicited"] += 1
         elif envelope.call_id:
-            if len(self._tasks) + len(self._come) >= CALLERS:
-                frames.write(
-                    pb.Envelope(
-                        call_id=envelope.call_id, is_answer=True, fault_code=FaultCode.QUEUE_FULL
-                    )
-                )
-                return
-            self._come.append((frames, envelope))
-            if self._turn is None:
-                self._turn = self._loop.call_soon(self._begin_some)
-        elif frames.is_strange:
-            self.counts["strange"] = self.counts.get("strange", 0) + 1
+            if not self._inbound.put(connection, envelope):
+                connection.write(_answer_to(envelope.call_id, FaultCode.QUEUE_FULL))
+        elif connection.is_untrusted:
+            self._rejections.counts["untrusted"] += 1
         else:
-            self._hear(envelope)
-
-    def _begin_some(self) -> None:
-        """Some of the calls that have come, and the others in later turns."""
-        self._turn = None
-        for _ in range(min(BEGUN, len(self._come))):
-            task = self._loop.create_task(self._answer(*self._come.popleft()))
-            self._tasks.add(task)
-            task.add_done_callback(self._tasks.discard)
-        if self._come:
-            self._turn = self._loop.call_soon(self._begin_some)
-
-    async def _answer(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
-        call, life = envelope.call_id, frames.peer.incarnation if frames.peer else ""
+            self._handle_message(envelope)
+
+    async def _respond(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
+        call_id = envelope.call_id
+        caller = connection.peer.incarnation if connection.peer else ""
         try:
-            if envelope.forward_to and envelope.forward_to != self.own:
-                address, envelope.forward_to, envelope.origin = envelope.forward_to, "", life
-                answer = await self.call(address, envelope, PASSED)
-                if self.outdated(answer, address):
-                    raise CallTimeoutError("an older leader's word")
+            if envelope.forward_to and envelope.forward_to != self.own_address:
+                answer = await self._forward(envelope, caller)
             else:
-                envelope.origin = envelope.origin or life
-                answer = await self._handle(envelope)
-        except CallError as failure:
-            answer = pb.Envelope(fault_code=failure.code)
-        answer.call_id, answer.is_answer = call, True
-        frames.write(answer)
-
-    # What we send.
-
-    def tell(self, address: str, envelope: pb.Envelope) -> None:
-        """Wants no answer, and may be lost."""
-        self._send(address, envelope)
-
-    async def call(self, address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
-        """The answer, within so many seconds. Raises CallError."""
-        self._next += 1
-        number = envelope.call_id = self._next
-        future: asyncio.Future[pb.Envelope] = self._loop.create_future()
-        self._calls[number] = waiting = _Waiting(future, None, self.now())
+                envelope.origin = envelope.origin or caller
+                answer = await self._handle_call(envelope)
+        except CallError as error:
+            answer = pb.Envelope(fault_code=error.code)
+        answer.call_id, answer.is_answer = call_id, True
+        connection.write(answer)
+
+    async def _forward(self, envelope: pb.Envelope, caller: str) -> pb.Envelope:
+        address, envelope.forward_to, envelope.origin = envelope.forward_to, "", caller
+        answer = await self.call(address, envelope, FORWARD_TIMEOUT_S)
+        if self.is_stale(answer, address):
+            raise CallTimeoutError("an older leader's answer")
+        return answer
+
+    # What this process sends.
+
+    def send(self, address: str, envelope: pb.Envelope) -> None:
+        """Send a message that wants no answer. It may be lost, and nobody hears of that."""
+        self._pool.send(address, envelope)
+
+    async def call(self, address: str, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
+        """The answer to a call, within `timeout_s` seconds.
+
+        The answer may have the fault code NOT_LEADER, which tells where the leader is.
+
+        Raises:
+            UnreachableError: the call was not sent; it has not run.
+            QueueFullError: too much waits for that address, here or there; it has not run.
+            CallTimeoutError: no answer in time, or the connection broke; it may have run.
+            CallError: another class, by the fault code that the other side answered.
+        """
+        call = self._pending.begin(envelope, self.now())
         try:
-            self._send(address, envelope)
-            async with asyncio.timeout(within):
-                answer = await future
+            self._pool.send(address, envelope)
+            async with asyncio.timeout(timeout_s):
+                answer = await call.response
         except TimeoutError:
-            if (frames := waiting.frames) is None:
-                raise UnreachableError(address) from None
-            if frames.heard_at < waiting.sent_at:
-                frames.drop()
-            raise CallTimeoutError(address) from None
+            raise self._timed_out(call, address) from None
         finally:
-            del self._calls[number]
+            self._pending.end(call)
         if answer.fault_code and answer.fault_code != FaultCode.NOT_LEADER:
             raise error_for_code(answer.fault_code, address)
         return answer
+
+    def _timed_out(self, call: PendingCall, address: str) -> CallError:
+        """End a connection on which nothing has come since the call went out."""
+        if call.connection is None:
+            return UnreachableError(address)
+        if call.connection.last_received_at < call.started_at:
+            call.connection.abort()
+        return CallTimeoutError(address)
+
+
+def _answer_to(call_id: int, code: FaultCode) -> pb.Envelope:
+    return pb.Envelope(call_id=call_id, is_answer=True, fault_code=code)
--- /dev/null
+++ b/cairndale/rpc/rejection_log.py
@@ -0,0 +1,43 @@
+"""What was rejected of other processes: counted, and logged at a bounded rate."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from cairndale.events import Event, log_event
+
+LOG_INTERVAL_S = 5.0  # between two lines about the same event
+
+
+@dataclass(frozen=True, slots=True)
+class _Quiet:
+    """No line before `until`; `omitted` lines were left out since the last."""
+
+    until: float = 0.0
+    omitted: int = 0
+
+
+class RejectionLog:
+    """Counts by kind. Whoever sends what is rejected may go on for long, so lines are limited.
+
+    Args:
+        now: seconds on a steady clock.
+    """
+
+    def __init__(self, now: Callable[[], float]) -> None:
+        self._now = now
+        self.counts: Counter[str] = Counter()
+        self._quiet: dict[Event, _Quiet] = {}
+
+    def add(self, kind: str, event: Event, reason: str) -> None:
+        """Count one, and log it unless that event was logged within `LOG_INTERVAL_S`."""
+        self.counts[kind] += 1
+        now, quiet = self._now(), self._quiet.get(event, _Quiet())
+        if now < quiet.until:
+            self._quiet[event] = _Quiet(quiet.until, quiet.omitted + 1)
+            return
+        self._quiet[event] = _Quiet(now + LOG_INTERVAL_S)
+        omitted = f" ({quiet.omitted} more before)" if quiet.omitted else ""
+        log_event(event, "%s%s", reason, omitted)
--- a/cairndale/scale/gauge.py
+++ b/cairndale/scale/gauge.py
@@ -49,7 +49,7 @@
                 gauge.bytes_in += len(data)
                 super().data_received(data)
 
-        rpc_peer.frames = Counted
+        rpc_peer.connection_class = Counted
 
     def count_call(self, out: int, come: int) -> None:
         """One HTTP call of ours."""
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -10,7 +10,7 @@
 from cairndale.control.watch_server import SEND_RATE_BYTES_PER_S
 from cairndale.lookup.selection import TTL
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.compression import packed
+from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.lease_timing import long_poll_timeout
 from cairndale.scale import sums
 from cairndale.scale.content import key
@@ -131,7 +131,7 @@
             )
             for n in range(count)
         ]
-        size = len(packed(pb.WatchResponse(nodes=nodes)))
+        size = len(compress_lists(pb.WatchResponse(nodes=nodes)))
         what = f"all ingresses told of to one, KB, at {count:,}"
         rows.append((what, format_number(size / 1e3), "made up here and packed"))
         within = format_number(size * count / SEND_RATE_BYTES_PER_S)
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -92,9 +92,11 @@
         client = self.config_client = ConfigClient(self.began, self._cores)
         await rpc_peer.listen()
         self.leader_client = LeaderClient(
-            rpc_peer, lambda: client.control_addresses, lambda: client.peer_addresses(rpc_peer.own)
+            rpc_peer,
+            lambda: client.control_addresses,
+            lambda: client.peer_addresses(rpc_peer.own_address),
         )
-        rpc_peer.lost = self._lost
+        rpc_peer.on_disconnect = self._lost
         self._tasks = [loop.create_task(self._asks()), loop.create_task(self._units(lease_per_s))]
 
     def stop(self) -> None:
@@ -106,7 +108,7 @@
             self.rpc_peer = None
 
     def _lost(self, address: str) -> None:
-        if address == self.leader_client.hint:
+        if address == self.leader_client.leader_address:
             self.config_client.connection_lost(time.monotonic())
 
     async def _refuse(self, envelope: pb.Envelope) -> pb.Envelope:
@@ -117,7 +119,7 @@
         zone, region = self.place
         return pb.Node(
             name=self.name,
-            incarnation=self.rpc_peer.life,
+            incarnation=self.rpc_peer.incarnation,
             address=format_address(self._at),
             http_address=format_address((self._at[0], self._at[1] + 1)),
             zone=zone,
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -263,22 +263,22 @@
 def test_servers_are_encoded_once_each_and_lists_once_a_round(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    counts = {"endpoint_to_message": 0, "packed": 0}
+    counts = {"endpoint_to_message": 0, "compress_lists": 0}
 
     async def scene(world: Fleet) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(4.0)
         for name in counts:
-            module = watch_responses if name == "packed" else endpoint_codec
+            module = watch_responses if name == "compress_lists" else endpoint_codec
             monkeypatch.setattr(module, name, counted(name, getattr(module, name)))
         world.begin()  # a later leader that knows of no server
         began = world.now()
         await world.until(world.returned, 5.0)
         await asyncio.sleep(2 * 1.5)
         assert counts["endpoint_to_message"] <= 1.2 * len(world.up)
-        assert counts["packed"] <= 2.5 * (world.now() - began) / watch_server_module.round_interval(
-            len(world.ingresses)
-        )
+        assert counts["compress_lists"] <= 2.5 * (
+            world.now() - began
+        ) / watch_server_module.round_interval(len(world.ingresses))
 
     def counted(name: str, whole: Any) -> Any:
         def count(*args: Any) -> Any:
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -29,7 +29,7 @@
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.compression import packed, unpack
+from cairndale.rpc.compression import compress_lists, decompress_lists
 from cairndale.rpc.framing import FramedConnection
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import (
@@ -121,7 +121,7 @@
             self.take(call.result(), asked)
 
     def take(self, watch_response: pb.WatchResponse, asked: float) -> None:
-        unpack(watch_response)
+        decompress_lists(watch_response)
         if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
             self.of_term = set()
         if watch_response.endpoints_complete:
@@ -307,7 +307,7 @@
         endpoint_codec.endpoint_to_message,
         NodeRegistry.count_isolated,
         WatchResponseBuilder.update,
-        watch_responses.packed,
+        watch_responses.compress_lists,
     )
 
     def charge(seconds: float, done: Any) -> Any:
@@ -322,7 +322,9 @@
             endpoint_codec, "endpoint_to_message", lambda *args: charge(SERVER, server_out(*args))
         )
         patch.setattr(
-            watch_responses, "packed", lambda part: charge(PACK * part.ByteSize(), pack(part))
+            watch_responses,
+            "compress_lists",
+            lambda part: charge(PACK * part.ByteSize(), pack(part)),
         )
         patch.setattr(NodeRegistry, "count_isolated", of)
         patch.setattr(WatchResponseBuilder, "update", lambda *args: charge(FRAME, whole(*args)))
@@ -527,16 +529,16 @@
         )
         frames = cast(FramedConnection, SimpleNamespace(peer=None, write=said.append))
         for number in range(2 * 6300):
-            rpc_peer.came(
+            rpc_peer.envelope_received(
                 frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
-        rpc_peer.came(
+        rpc_peer.envelope_received(
             frames, pb.Envelope(call_id=1 << 20, quota_request=pb.QuotaRequest(tenant="t"))
         )
         await asyncio.sleep(0.5)
         answered = list(said)
         for number in range(20_000):  # and there is a bound
-            rpc_peer.came(
+            rpc_peer.envelope_received(
                 frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
         assert any(answer.fault_code == FaultCode.QUEUE_FULL for answer in said)
@@ -565,7 +567,7 @@
         rpc_peer = RpcPeer(("10.0.0.1", 1), lambda envelope: None, handle)
         frames = cast(FramedConnection, SimpleNamespace(peer=None, write=lambda envelope: True))
         for number in range(1000):
-            rpc_peer.came(
+            rpc_peer.envelope_received(
                 frames, pb.Envelope(call_id=number + 1, watch_request=pb.WatchRequest(name="e"))
             )
         while len(begun) < 1000:
@@ -578,11 +580,16 @@
 
 
 def test_those_that_start_together_dial_different_machines() -> None:
-    rpc_peer = cast(RpcPeer, SimpleNamespace(own="e"))
+    rpc_peer = cast(RpcPeer, SimpleNamespace(own_address="e"))
     made = [
         LeaderClient(rpc_peer, lambda: [f"c{n}" for n in range(5)], lambda: []) for _ in range(200)
     ]
-    assert Counter(leader_client._next() for leader_client in made).most_common(1)[0][1] < 90
+    assert (
+        Counter(leader_client._next_control_address() for leader_client in made).most_common(1)[0][
+            1
+        ]
+        < 90
+    )
 
 
 def test_ingresses_are_counted_in_a_return_without_a_look_at_all_for_each() -> None:
@@ -614,9 +621,11 @@
 ) -> None:
     """While 1,000 come back, each of which changes the roll: told by it as it was a little before,
     and all told in the end what a plain reader of the roll finds."""
-    made, pack = list[int](), watch_responses.packed
+    made, pack = list[int](), watch_responses.compress_lists
     monkeypatch.setattr(
-        watch_responses, "packed", lambda part: (made.append(part.ByteSize()), pack(part))[1]
+        watch_responses,
+        "compress_lists",
+        lambda part: (made.append(part.ByteSize()), pack(part))[1],
     )
     node_registry, endpoint_registry, state, now = NodeRegistry(), EndpointRegistry(), State(), 10.0
     leadership = Leadership(1, 0.0, True, endpoint_registry, node_registry, [], Bounds(), BEAT)
@@ -639,7 +648,7 @@
             state,
         )
     assert len(made) < 120 and watch_response.nodes_version > known
-    unpack(watch_response)
+    decompress_lists(watch_response)
     nodes |= {n.name: n.incarnation for n in watch_response.nodes}
     watch_response = leadership.watch_responses.update(
         now,
@@ -648,7 +657,7 @@
         ),
         state,
     )
-    unpack(watch_response)
+    decompress_lists(watch_response)
     nodes |= {n.name: n.incarnation for n in watch_response.nodes}
     assert nodes == {h.node.name: h.node.incarnation for h in node_registry.leases.values()}
 
@@ -692,12 +701,12 @@
         endpoints_complete=True, removed_nodes=["e1"], nodes=[pb.Node(name="e2")]
     )
     part.endpoints.extend(pb.Endpoint(id=f"i{n}", seq=n) for n in range(300))
-    watch_response = pb.WatchResponse(epoch="1", compressed_lists=packed(part))
-    unpack(watch_response)
+    watch_response = pb.WatchResponse(epoch="1", compressed_lists=compress_lists(part))
+    decompress_lists(watch_response)
     assert watch_response == pb.WatchResponse(epoch="1") or len(watch_response.endpoints) == 300
     watch_response.ClearField("epoch")
     assert watch_response == part
-    assert packed(pb.WatchResponse()) == b""
-    for broken in (b"x", packed(part)[:-5], packed(part)[:20] + b"y" * 40):
+    assert compress_lists(pb.WatchResponse()) == b""
+    for broken in (b"x", compress_lists(part)[:-5], compress_lists(part)[:20] + b"y" * 40):
         with pytest.raises(ValueError, match="packed lists"):
-            unpack(pb.WatchResponse(compressed_lists=broken))
+            decompress_lists(pb.WatchResponse(compressed_lists=broken))
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -225,7 +225,9 @@
     transport = SimpleNamespace(
         is_closing=lambda: False, get_write_buffer_size=lambda: 0, write=written.extend
     )
-    process: Any = SimpleNamespace(own="10.1.0.1:8300", life="life-1", system="system-1")
+    process: Any = SimpleNamespace(
+        own_address="10.1.0.1:8300", incarnation="life-1", system="system-1"
+    )
     frames = FramedConnection(process, "10.1.0.2:8300")
     frames.transport = transport  # type: ignore[assignment]
     assert frames.write(
--- a/tests/golden/test_golden_bytes.py
+++ b/tests/golden/test_golden_bytes.py
@@ -33,7 +33,7 @@
 from cairndale.raft.messages import Entry, Member, PersistedState, Snapshot, state_digest
 from cairndale.raft.storage import RaftStorage
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.call_kinds import KINDS
+from cairndale.rpc.call_kinds import CALL_KINDS
 from cairndale.rpc.framing import FramedConnection
 from tests.golden import inputs
 
@@ -78,7 +78,7 @@
 
 def test_no_golden_message_is_left_out() -> None:
     assert set(MESSAGES["envelopes"]) == set(inputs.FORMER_KINDS.values())
-    assert set(inputs.wire_bodies()) == set(inputs.FORMER_KINDS) <= set(KINDS)
+    assert set(inputs.wire_bodies()) == set(inputs.FORMER_KINDS) <= set(CALL_KINDS)
     assert set(MESSAGES["replication"]) == set(REPLICATION)
     assert set(MESSAGES["entries"]) == set(ENTRIES)
 
@@ -126,11 +126,11 @@
     heard: list[Any] = []
     process: Any = SimpleNamespace(
         now=lambda: 0.0,
-        greeted=lambda frames: True,
-        came=lambda frames, envelope: heard.append(envelope),
-        garbled=lambda frames, why: pytest.fail(why),
-        own="10.1.0.2:8300",
-        life="life-2",
+        hello_received=lambda connection, hello: True,
+        envelope_received=lambda connection, envelope: heard.append(envelope),
+        protocol_error=lambda connection, reason: pytest.fail(reason),
+        own_address="10.1.0.2:8300",
+        incarnation="life-2",
         system="system-1",
     )
     frames = FramedConnection(process)
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -27,11 +27,11 @@
 from cairndale.quota.budget_counter import warmup_budget
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
-from cairndale.rpc import leader_client, peer
+from cairndale.rpc import leader_client, rejection_log
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.call_kinds import KINDS, DuplicateSafety, TermFence
-from cairndale.rpc.framing import FORMAT, HELLO_MOST, FramedConnection
-from cairndale.rpc.leader_client import LeaderClient
+from cairndale.rpc.call_kinds import CALL_KINDS, DuplicateSafety, TermFence
+from cairndale.rpc.framing import FRAME_FORMAT, MAX_HELLO_BYTES, FramedConnection
+from cairndale.rpc.leader_client import AvoidedAddress, LeaderClient
 from cairndale.rpc.lease_timing import (
     FRESH_REQUEST_S,
     LEADER_CONTACT_MARGIN_S,
@@ -54,7 +54,7 @@
 
 def hello(to: str, **fields: Any) -> pb.Envelope:
     made = {
-        "format": FORMAT,
+        "format": FRAME_FORMAT,
         "system": HERE,
         "incarnation": "b",
         "address": "127.0.0.1:1",
@@ -131,11 +131,11 @@
         asked = await came.get()
         assert (
             said := (await asked.read()).hello
-        ).recipient == address and said.incarnation == ours.life
+        ).recipient == address and said.incarnation == ours.incarnation
         sent = await asked.read()  # together with the hello: it waits for no answer to that
-        stranger = await Raw.dial(ours.own)
-        stranger.write(hello(ours.own), outcome(sent, b"by another process"))
-        await until(lambda: ours.counts.get("unasked") == 1)
+        stranger = await Raw.dial(ours.own_address)
+        stranger.write(hello(ours.own_address), outcome(sent, b"by another process"))
+        await until(lambda: ours.rejected.get("unsolicited") == 1)
         assert not call.done()
         asked.write(hello("", address=address), outcome(sent, b"by who was asked"))
         assert (await call).operation_response.body == b"by who was asked"
@@ -147,7 +147,7 @@
         with pytest.raises(CallError) as silent:
             await asyncio.gather(ours.call(address, order(), 5.0), end_first(came))
         assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
-        ours._pause.clear()
+        ours._pool._backoffs.clear()
         call = asyncio.create_task(ours.call(address, order(), 5.0))
         second = await came.get()
         await second.read()
@@ -155,13 +155,13 @@
         second.write(
             hello("", address=address), outcome(pb.Envelope(call_id=sent.call_id - 1), b"late")
         )
-        await until(lambda: ours.counts.get("unasked") == 1)
+        await until(lambda: ours.rejected.get("unsolicited") == 1)
         second.write(hello("", address=address, incarnation="c"), outcome(sent, b"of another life"))
         with pytest.raises(
             CallError
         ):  # the connection's life cannot change: what follows is not heard
             await call
-        assert ours.counts["garbled"] == 1
+        assert ours.rejected["malformed"] == 1
 
 
 async def end_first(came: asyncio.Queue[Raw]) -> None:
@@ -173,13 +173,15 @@
 
 async def test_two_lives_neither_share_a_name_nor_count_their_calls_alike() -> None:
     lives = [RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)) for _ in range(20)]
-    assert len({w.life for w in lives}) == len({w._next >> 8 for w in lives}) == 20
+    assert (
+        len({w.incarnation for w in lives}) == len({w._pending._last_id >> 8 for w in lives}) == 20
+    )
 
 
 # Who may connect.
 
 FOREIGN = {
-    "another format": [hello("", format=FORMAT + 1)],
+    "another format": [hello("", format=FRAME_FORMAT + 1)],
     "no life": [hello("", incarnation="")],
     "no door": [hello("", address="")],
     "meant for another": [hello("10.9.9.9:7600")],
@@ -196,27 +198,27 @@
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     noted = list[Event]()
-    monkeypatch.setattr(peer, "log_event", lambda event, *args: noted.append(event))
+    monkeypatch.setattr(rejection_log, "log_event", lambda event, *args: noted.append(event))
     async with rpc_peer() as ours, rpc_peer() as friend:
         ours.system = friend.system = HERE
         heard = list[pb.Envelope]()
-        ours._hear = heard.append
+        ours._handle_message = heard.append
         for _ in range(3):
-            raw = await Raw.dial(ours.own)
+            raw = await Raw.dial(ours.own_address)
             said = [pb.Envelope.FromString(e.SerializeToString()) for e in FOREIGN[what]]
             for envelope in said:
                 if envelope.HasField("hello") and not envelope.hello.recipient:
-                    envelope.hello.recipient = ours.own
+                    envelope.hello.recipient = ours.own_address
                 elif envelope.HasField("hello") and envelope.hello.recipient == "nobody":
                     envelope.hello.recipient = ""
             raw.write(*said, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
             assert await raw.ended()
-        assert heard == [] and sum(ours.counts.values()) == 3
+        assert heard == [] and sum(ours.rejected.values()) == 3
         assert len(noted) == 1 and noted[0] in (
             Event.FOREIGN_PEER,
             Event.MALFORMED_FRAME,
         )  # one in 5 s
-        assert (await friend.call(ours.own, order(), 2.0)).operation_response.status == 200
+        assert (await friend.call(ours.own_address, order(), 2.0)).operation_response.status == 200
 
 
 async def test_a_foreign_process_at_a_reused_door_is_left_and_not_dialled_at_once() -> None:
@@ -229,7 +231,7 @@
         raw.write(hello("", system=OTHER, address=address), outcome(sent, b"foreign"))
         with pytest.raises(CallError) as broken:
             await call
-        assert broken.value.may_have_run and ours.counts["foreign"] == 1
+        assert broken.value.may_have_run and ours.rejected["foreign"] == 1
         with pytest.raises(CallError) as paused:
             await ours.call(address, order(), 5.0)
         assert paused.value.code is FaultCode.UNREACHABLE and came.empty()
@@ -238,30 +240,30 @@
 async def test_a_name_is_learnt_from_who_was_dialled_and_from_nobody_else() -> None:
     async with rpc_peer() as ours, rpc_peer() as named:
         heard = list[pb.Envelope]()
-        ours._hear = heard.append
+        ours._handle_message = heard.append
         named.system = OTHER
         beat = pb.Envelope(log_message=pb.LogMessage(term=9))
-        named.tell(ours.own, beat)  # as the leader of a system that had this address before
-        await until(lambda: ours.counts.get("strange") == 1)
+        named.send(ours.own_address, beat)  # as the leader of a system that had this address before
+        await until(lambda: ours.rejected.get("untrusted") == 1)
         assert ours.system == "" and heard == []
         assert (
-            await named.call(ours.own, order(), 2.0)
+            await named.call(ours.own_address, order(), 2.0)
         ).operation_response.status == 200  # asked, it may answer
         async with rpc_peer() as seed:
             assert (
-                await ours.call(seed.own, order(), 2.0)
+                await ours.call(seed.own_address, order(), 2.0)
             ).operation_response.status == 200 and ours.system == ""
-            seed.name_system(HERE)  # drawn while they were connected
+            seed.set_system_name(HERE)  # drawn while they were connected
             await until(lambda: ours.system == HERE)
-            assert ours.counts.get("foreign") == 1  # the other system's was left then
-            seed.tell(ours.own, beat)
+            assert ours.rejected.get("foreign") == 1  # the other system's was left then
+            seed.send(ours.own_address, beat)
             await until(lambda: len(heard) == 1)
 
 
 class Ends:
     """A process that writes down what its connection brings."""
 
-    own, life, system = "127.0.0.1:2", "a", HERE
+    own_address, incarnation, system = "127.0.0.1:2", "a", HERE
 
     def __init__(self) -> None:
         self.came_in: list[bytes] = []
@@ -270,17 +272,17 @@
     def now(self) -> float:
         return 0.0
 
-    def opened(self, frames: FramedConnection) -> None: ...
-    def closed(self, frames: FramedConnection) -> None: ...
-    def greeted(self, frames: FramedConnection) -> bool:
+    def connection_opened(self, connection: FramedConnection) -> None: ...
+    def connection_closed(self, connection: FramedConnection) -> None: ...
+    def hello_received(self, connection: FramedConnection, hello: pb.Hello) -> bool:
         return True
 
-    def came(self, frames: FramedConnection, envelope: pb.Envelope) -> None:
+    def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
         self.came_in.append(envelope.SerializeToString())
 
-    def garbled(self, frames: FramedConnection, why: str) -> None:
+    def protocol_error(self, connection: FramedConnection, reason: str) -> None:
         self.bad += 1
-        frames.drop()
+        connection.abort()
 
 
 class Wire:
@@ -310,7 +312,7 @@
     came, greeted, life = list[bytes](), False, ("", "")
     while len(data) >= 4:
         size = int.from_bytes(data[:4], "big")
-        if size > (32 << 20 if greeted else HELLO_MOST):
+        if size > (32 << 20 if greeted else MAX_HELLO_BYTES):
             return came, 1
         if len(data) < 4 + size:
             break
@@ -370,7 +372,7 @@
 
 @pytest.fixture(autouse=True)
 def no_pauses(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    monkeypatch.setattr(leader_client, "PAUSE", (0.0, 0.001))
+    monkeypatch.setattr(leader_client, "RETRY_PAUSE_S", (0.0, 0.001))
     yield
 
 
@@ -391,28 +393,28 @@
         rpc_peer() as peer,
         rpc_peer() as heard_both,
     ):
-        old._handle, new._handle = leader(4, b"old"), leader(5, b"new")
-        ask = LeaderClient(ours, lambda: [new.own], lambda: [peer.own])
+        old._handle_call, new._handle_call = leader(4, b"old"), leader(5, b"new")
+        ask = LeaderClient(ours, lambda: [new.own_address], lambda: [peer.own_address])
         assert (
             await ask.call(order(), 2.0, 1.0)
         ).operation_response.body == b"new" and ours.fence.newest == 5
-        ask.hint = old.own
+        ask.leader_address = old.own_address
         assert (await ask.call(order(), 2.0, 1.0)).operation_response.body == b"new"
-        assert ours.counts["outdated"] == 1 and ask.hint == new.own
-        ask.hint, ask._bad[old.own] = (
-            old.own,
-            (ours.now() + 9, 9.0),
+        assert ours.rejected["stale"] == 1 and ask.leader_address == new.own_address
+        ask.leader_address, ask._avoided[old.own_address] = (
+            old.own_address,
+            AvoidedAddress(ours.now() + 9, 9.0),
         )  # the way there is cut: by the peer
         assert (
             await ask.call(order(), 2.0, 1.0)
-        ).operation_response.body == b"new" and ours.counts["outdated"] == 2
+        ).operation_response.body == b"new" and ours.rejected["stale"] == 2
         heard_both.fence.newest = 5
         passed = order()
-        passed.forward_to = old.own
+        passed.forward_to = old.own_address
         with pytest.raises(
             CallError
         ) as refused:  # a peer that has heard the newer passes no older on
-            await peer.call(heard_both.own, passed, 2.0)
+            await peer.call(heard_both.own_address, passed, 2.0)
         assert refused.value.code is FaultCode.TIMED_OUT and refused.value.may_have_run
 
 
@@ -434,7 +436,7 @@
             if not left:
                 raise RejectedError()
             term, by_peer = left.pop(0)
-            ask._bad = {"core:1": (ours.now() + 9, 9.0)} if by_peer else {}
+            ask._avoided = {"core:1": AvoidedAddress(ours.now() + 9, 9.0)} if by_peer else {}
             if term >= max(terms, default=0):
                 terms.append(term)
             return pb.Envelope(term=term, quota_response=pb.QuotaResponse(remaining=term))
@@ -459,9 +461,9 @@
 
 async def test_every_kind_of_call_says_what_a_copy_does_and_remembered_ones_carry_an_id() -> None:
     kinds = {field.name for field in pb.Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
-    assert kinds == KINDS.keys()
-    assert {n for n, kind in KINDS.items() if kind.leader} == {
-        n for n, kind in KINDS.items() if kind.repeat is DuplicateSafety.ANSWER
+    assert kinds == CALL_KINDS.keys()
+    assert {n for n, kind in CALL_KINDS.items() if kind.from_leader} == {
+        n for n, kind in CALL_KINDS.items() if kind.duplicates is DuplicateSafety.ANSWER
     }
     ours, sent = RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)), list[pb.Envelope]()
 
--- a/tests/rpc/test_peer.py
+++ b/tests/rpc/test_peer.py
@@ -12,7 +12,7 @@
 
 from cairndale.errors import CallError, FaultCode, RejectedError
 from cairndale.rpc import protocol_pb2 as pb
-from cairndale.rpc.compression import packed
+from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.framing import FramedConnection
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.peer import RpcPeer
@@ -68,12 +68,12 @@
                 self.connection_lost(None)
 
         closing = await loop.create_server(asyncio.Protocol, HOST, port)
-        ours.frames = Ends
+        ours.connection_class = Ends
         with pytest.raises(CallError):
             await ours.call(address, order(), 0.5)
         closing.close()
         await closing.wait_closed()
-        ours.frames = FramedConnection
+        ours.connection_class = FramedConnection
         async with rpc_peer(port):
             async with asyncio.timeout(5):
                 while True:
@@ -88,7 +88,7 @@
 async def test_what_is_known_of_a_call_that_failed() -> None:
     async with rpc_peer() as ours, rpc_peer() as theirs:
         with pytest.raises(CallError) as refused:
-            await ours.call(theirs.own, order("no"), 1.0)
+            await ours.call(theirs.own_address, order("no"), 1.0)
         assert refused.value.code is FaultCode.REJECTED and not refused.value.may_have_run
         with pytest.raises(CallError) as nobody:
             await ours.call(f"{HOST}:{free()}", order(), 1.0)
@@ -98,15 +98,15 @@
             await asyncio.Event().wait()
             raise AssertionError
 
-        theirs._handle = never
+        theirs._handle_call = never
         with pytest.raises(CallError) as silent:
-            await ours.call(theirs.own, order(), 0.1)
+            await ours.call(theirs.own_address, order(), 0.1)
         assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
 
 
 async def test_bytes_that_are_no_frame_end_the_connection_and_are_counted() -> None:
     async with rpc_peer() as ours:
-        host, _, port = ours.own.rpartition(":")
+        host, _, port = ours.own_address.rpartition(":")
         for data in (
             struct.pack(">I", 5) + b"\xff" * 5,
             struct.pack(">I", 2**31),
@@ -117,29 +117,31 @@
             with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
                 await asyncio.wait_for(reader.readexactly(1), 5)
             writer.close()
-        assert ours.counts == {"garbled": 3}
+        assert ours.rejected == {"malformed": 3}
 
 
 async def test_a_call_finds_the_holder_by_hints_and_round_a_cut_by_a_peer() -> None:
     async with rpc_peer() as ours, rpc_peer() as other, rpc_peer() as leader, rpc_peer() as peer:
-        leader_client = LeaderClient(ours, lambda: [other.own], lambda: [peer.own])
+        leader_client = LeaderClient(ours, lambda: [other.own_address], lambda: [peer.own_address])
 
         async def elsewhere(envelope: pb.Envelope) -> pb.Envelope:
-            return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=leader.own)
+            return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=leader.own_address)
 
-        other._handle = elsewhere
+        other._handle_call = elsewhere
         assert (
             await leader_client.call(order(), 2.0, 1.0)
-        ).operation_response.status == 200 and leader_client.hint == leader.own
-        straight = ours._send
+        ).operation_response.status == 200 and leader_client.leader_address == leader.own_address
+        straight = ours._pool.send
 
         def cut(address: str, envelope: pb.Envelope) -> None:
-            if address != leader.own:  # what goes straight to the leader is lost
+            if address != leader.own_address:  # what goes straight to the leader is lost
                 straight(address, envelope)
 
-        ours._send = cut  # type: ignore[method-assign]
+        ours._pool.send = cut  # type: ignore[method-assign]
         assert (await leader_client.call(order(), 2.0, 0.1)).operation_response.status == 200
-        assert leader_client.hint == leader.own and leader_client._is_bad(leader.own, ours.now())
+        assert leader_client.leader_address == leader.own_address and leader_client._is_avoided(
+            leader.own_address, ours.now()
+        )
 
 
 async def test_damaged_lists_are_asked_for_anew_and_never_come_through() -> None:
@@ -147,15 +149,16 @@
         cues = [
             pb.WatchResponse(config_version=1, compressed_lists=b"no lists"),
             pb.WatchResponse(
-                config_version=2, compressed_lists=packed(pb.WatchResponse(removed_nodes=["a"]))
+                config_version=2,
+                compressed_lists=compress_lists(pb.WatchResponse(removed_nodes=["a"])),
             ),
         ]
 
         async def told(envelope: pb.Envelope) -> pb.Envelope:
             return pb.Envelope(watch_response=cues.pop(0))
 
-        leader._handle = told
-        answer = await LeaderClient(ours, lambda: [leader.own], list).call(
+        leader._handle_call = told
+        answer = await LeaderClient(ours, lambda: [leader.own_address], list).call(
             pb.Envelope(watch_request=pb.WatchRequest()), 2.0, 1.0
         )
         assert answer.watch_response == pb.WatchResponse(config_version=2, removed_nodes=["a"])
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -156,7 +156,7 @@
             return
         self.steps += 1
         self.at_step(self.steps)
-        self.ends[receiver].came(sender, envelope)
+        self.ends[receiver].envelope_received(sender, envelope)
 
 
 class RpcPeer:
@@ -165,13 +165,17 @@
     latest = Net()
 
     def __init__(self, own: Address, hear: Any, handle: Any) -> None:
-        self.own, self._hear, self._handle = format_address(own), hear, handle
+        self.own_address, self._handle_message, self._handle_call = (
+            format_address(own),
+            hear,
+            handle,
+        )
         self._loop, self._next = asyncio.get_running_loop(), 0
         self._calls: dict[int, asyncio.Future[pb.Envelope]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.net, self.fence, self.counts = self.latest, TermFence(), dict[str, int]()
-        self.life, self.system = f"{random.getrandbits(48):x}", ""
-        self.net.ends[self.own] = self
+        self.net, self.fence = self.latest, TermFence()
+        self.incarnation, self.system = f"{random.getrandbits(48):x}", ""
+        self.net.ends[self.own_address] = self
 
     def now(self) -> float:
         return self._loop.time()
@@ -183,7 +187,7 @@
         for task in self.tasks:
             task.cancel()
 
-    def came(self, sender: str, envelope: pb.Envelope) -> None:
+    def envelope_received(self, sender: str, envelope: pb.Envelope) -> None:
         if envelope.is_answer:
             future = self._calls.get(envelope.call_id)
             if future and not future.done():
@@ -193,35 +197,35 @@
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         else:
-            self._hear(envelope)
+            self._handle_message(envelope)
 
     async def _answer(self, sender: str, envelope: pb.Envelope) -> None:
         call = envelope.call_id
         try:
-            if envelope.forward_to and envelope.forward_to != self.own:
+            if envelope.forward_to and envelope.forward_to != self.own_address:
                 address, envelope.forward_to = envelope.forward_to, ""
                 answer = await self.call(address, envelope, 2.0)
             else:
-                answer = await self._handle(envelope)
+                answer = await self._handle_call(envelope)
         except CallError as failure:
             answer = pb.Envelope(fault_code=failure.code)
         answer.call_id, answer.is_answer = call, True
-        self.net.go(self.own, sender, answer)
+        self.net.go(self.own_address, sender, answer)
 
-    def name_system(self, name: str) -> None:
+    def set_system_name(self, name: str) -> None:
         self.system = name
 
-    def outdated(self, envelope: pb.Envelope, address: str) -> bool:
+    def is_stale(self, envelope: pb.Envelope, address: str) -> bool:
         return not envelope.fault_code and not self.fence.admits(envelope.term)
 
-    def tell(self, address: str, envelope: pb.Envelope) -> None:
-        self.net.go(self.own, address, envelope)
+    def send(self, address: str, envelope: pb.Envelope) -> None:
+        self.net.go(self.own_address, address, envelope)
 
     async def call(self, address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
         self._next += 1
         number = envelope.call_id = self._next
         future = self._calls[number] = self._loop.create_future()
-        self.net.go(self.own, address, envelope)
+        self.net.go(self.own_address, address, envelope)
         try:
             async with asyncio.timeout(within):
                 answer = await future
