--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -75,7 +75,7 @@
         # Ingresses that quota shares are divided by; 0: not known yet, so no share may be spent.
         self.ingress_count = 0
         self.cursor = WatchCursor()
-        self._counting = False  # the leader's quota counter counts this node's units
+        self._counter_active = False  # the leader's quota counter counts this node's units
         self._started_at = now
         self._isolated_at = now  # when contact last ended otherwise than by silence
         self._listed_this_epoch: set[str] = set()  # ids of endpoints
@@ -94,7 +94,7 @@
 
         It counts, and has heard of this node recently enough to know that it is not isolated.
         """
-        return self._counting and now < (
+        return self._counter_active and now < (
             self.last_response_at + long_poll_timeout(self.ingress_count) + NODE_CONTACT_MARGIN_S
         )
 
@@ -111,7 +111,7 @@
         """
         if self.in_contact(now):
             return now
-        if self._counting:
+        if self._counter_active:
             silent_from = self.last_response_at + long_poll_timeout(self.ingress_count)
             return max(self._isolated_at, silent_from + NODE_CONTACT_MARGIN_S)
         return self._isolated_at
@@ -147,7 +147,7 @@
             endpoints_version=cursor.endpoints_version,
             nodes_version=cursor.nodes_version,
             wait_ms=round(wait * 1000),
-            counter_active=self._counting and now - self.last_response_at <= PROMPT_REQUEST_S,
+            counter_active=self._counter_active and now - self.last_response_at <= PROMPT_REQUEST_S,
             leader_clock_ms=self._leader_clock_ms(now),
             idle_ms=0 if self.ingress_count else round((now - self._started_at) * 1000),
             accepts_delta=not self._needs_full_state,
@@ -193,7 +193,7 @@
         zones_changed = self._apply_evacuated_zones(response)
         self._apply_endpoints(response, now_us)
         self._apply_nodes(response)
-        self._apply_counting(response, now)
+        self._apply_counter_state(response, now)
         self._advance(response, requested_by, requested_at, now)
         return _update(response, table_change, zones_changed)
 
@@ -256,14 +256,14 @@
         self.nodes.update((node.name, node) for node in response.nodes)
         self.add_control_addresses(node.address for node in response.nodes if node.kind == "core")
 
-    def _apply_counting(self, response: pb.WatchResponse, now: float) -> None:
+    def _apply_counter_state(self, response: pb.WatchResponse, now: float) -> None:
         """Take in whether units are counted centrally, and by how many ingresses shares are split.
 
         Without the counter the count only rises: too high a count spends too little.
         """
-        if self._counting and not response.counter_active:
+        if self._counter_active and not response.counter_active:
             self._isolated_at = now
-        self._counting = response.counter_active
+        self._counter_active = response.counter_active
         count = response.ingress_count
         self.ingress_count = count if response.counter_active else max(self.ingress_count, count)
 
--- a/cairndale/dataplane/serving_state.py
+++ b/cairndale/dataplane/serving_state.py
@@ -10,7 +10,7 @@
 END_MARGIN_S = 0.4  # before the end of the grace period by which all is to be answered
 # Usual answers' times that must be left before the end for a request to be begun while draining.
 USUAL_TIMES_LEFT = 1.5
-# After the drain's begin a request is begun only if its own time is over before the end: what was
+# From so long after SIGTERM on a request is begun only if its deadline is before the end: what was
 # sent later than 3 s after SIGTERM must not be cut, however long its endpoint takes.
 LATE_AFTER_S = 2.8
 
