--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -19,7 +19,7 @@
 from cleo.io.inputs.argument import Argument
 from cleo.io.inputs.option import Option
 
-from cairndale.configuration.validation import content_errors, order_errors
+from cairndale.configuration.validation import change_errors, content_errors
 from cairndale.settings import parse_address
 
 WITHIN = 20.0  # s for a clear answer, over all tries
@@ -168,7 +168,7 @@
     def handle(self) -> int:
         if (made := self.load()) is None:
             return USAGE
-        errors = order_errors(made, True, -1) + content_errors(made)
+        errors = change_errors(made, True, -1) + content_errors(made)
         for line in errors:
             self.line_error(line)
         self.line(f"{len(errors)} errors" if errors else "sound")
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -1,195 +1,254 @@
-"""Whether a configuration is sound: every error at once, each with its path."""
+"""Whether a configuration, or a change of it, is valid: every error at once, each with its path."""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator
-from itertools import chain
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
 from typing import Any
 
 from schema import Optional
 
 from cairndale.configuration.content import TABLES
+from cairndale.configuration.stepwise import Steps, run_to_completion
 from cairndale.field_rules import (
-    NO_TIME,
-    Fields,
+    NOT_A_DURATION,
+    ObjectRules,
     Rules,
+    is_bool,
+    is_count,
+    is_duration,
     is_number,
+    is_string,
     is_text,
-    is_time,
-    is_truth,
-    is_whole,
     list_of,
     one_of,
 )
 from cairndale.settings import parse_duration
 
-KINDS = ("idempotent", "mutating")
-MANY = 100  # items that are looked at before others get their turn
+ROUTE_KINDS = ("idempotent", "mutating")
+ITEMS_PER_STEP = 100  # whose fields are checked: a leader has to renew its lease in between
+LOOKUPS_PER_STEP = 1_000  # of values among those of other items
+DURATION_LIMITS = ("headerTimeout", "idleTimeout")
+SIZE_LIMITS = ("maxHeaderBytes", "maxBodyBytes")
 
 
 def is_prefix(value: object) -> bool:
+    """A path that begins and ends with a slash."""
     return isinstance(value, str) and value.startswith("/") and value.endswith("/")
 
 
 def is_path(value: object) -> bool:
+    """A path that begins with a slash."""
     return isinstance(value, str) and value.startswith("/")
 
 
-def is_fragment(value: object) -> bool:
-    """Of a split."""
+def is_split_part(value: object) -> bool:
+    """A service of a split, with its weight."""
     return (
         isinstance(value, dict) and is_text(value.get("backend")) and is_number(value.get("weight"))
     )
 
 
-is_kind = one_of(*KINDS)
-are_texts = list_of(is_text)
-are_names = list_of(lambda value: isinstance(value, str))
-
-ITEMS: dict[str, Rules] = {
-    "routes": {
-        "name": is_text,
-        "host": is_text,
-        "pathPrefix": is_prefix,
-        "kind": is_kind,
-        Optional("deadline"): is_time,
-        Optional("target_time"): is_time,
-        Optional("prio"): is_whole,
-        Optional("tries"): is_whole,
-        Optional("public"): is_truth,
-        Optional("backend"): is_text,
-        Optional("split"): list_of(is_fragment),
-        Optional("homeRegions"): are_names,
-        Optional(str): object,
-    },
-    "backends": {
-        "name": is_text,
-        Optional("healthPath"): is_path,
-        Optional("maxConns"): is_whole,
-        Optional("warmup"): is_time,
-        Optional("warmupPerS"): is_number,
-        Optional(str): object,
-    },
-    "tenants": {
-        "name": is_text,
-        "apiKeys": are_texts,
-        Optional("prio"): is_whole,
-        Optional("ratePerS"): is_number,
-        Optional("burst"): is_number,
-        Optional("homeRegions"): are_names,
-        Optional(str): object,
-    },
+_ROUTE_RULES: Rules = {
+    "name": is_text,
+    "host": is_text,
+    "pathPrefix": is_prefix,
+    "kind": one_of(*ROUTE_KINDS),
+    Optional("deadline"): is_duration,
+    Optional("target_time"): is_duration,
+    Optional("prio"): is_count,
+    Optional("tries"): is_count,
+    Optional("public"): is_bool,
+    Optional("backend"): is_text,
+    Optional("split"): list_of(is_split_part),
+    Optional("homeRegions"): list_of(is_string),
+    Optional(str): object,
 }
-WANTED = {  # what is told of a field that is not as it should be
+_SERVICE_RULES: Rules = {
+    "name": is_text,
+    Optional("healthPath"): is_path,
+    Optional("maxConns"): is_count,
+    Optional("warmup"): is_duration,
+    Optional("warmupPerS"): is_number,
+    Optional(str): object,
+}
+_TENANT_RULES: Rules = {
+    "name": is_text,
+    "apiKeys": list_of(is_text),
+    Optional("prio"): is_count,
+    Optional("ratePerS"): is_number,
+    Optional("burst"): is_number,
+    Optional("homeRegions"): list_of(is_string),
+    Optional(str): object,
+}
+_EXPECTATIONS = {
     "pathPrefix": "is no path that begins and ends with a slash",
-    "kind": f"is none of {', '.join(KINDS)}",
-    "deadline": NO_TIME,
-    "target_time": NO_TIME,
-    "warmup": NO_TIME,
+    "kind": f"is none of {', '.join(ROUTE_KINDS)}",
+    "deadline": NOT_A_DURATION,
+    "target_time": NOT_A_DURATION,
+    "warmup": NOT_A_DURATION,
+}
+ITEM_RULES = {
+    "routes": ObjectRules(_ROUTE_RULES, _EXPECTATIONS),
+    "backends": ObjectRules(_SERVICE_RULES, _EXPECTATIONS),
+    "tenants": ObjectRules(_TENANT_RULES, _EXPECTATIONS),
 }
-FIELDS = {table: Fields(rules, WANTED) for table, rules in ITEMS.items()}
 
 
-def _twice(at: str, values: Iterable[tuple[str, Any]]) -> Iterator[list[str]]:
-    """Values that stand in two places; with pauses."""
-    seen: dict[Any, str] = {}
-    errors = []
-    for number, (where, value) in enumerate(values, 1):
-        if value in seen:
-            errors.append(f"{where}: {at} stands in {seen[value]} as well")
-        seen.setdefault(value, where)
-        if number % (10 * MANY) == 0:
-            yield []
-    yield errors
+def content_errors(content: dict[str, Any]) -> list[str]:
+    """All that is wrong with a whole configuration, as it would be in force."""
+    return run_to_completion(content_errors_steps(content))
 
 
-def content_errors(content: dict[str, Any]) -> list[str]:
-    """Of a whole configuration, as it would be in force."""
-    return [error for some in iter_content_errors(content) for error in some]
+def content_errors_steps(content: dict[str, Any]) -> Steps[list[str]]:
+    """The same in steps: a large configuration takes longer than a leader's lease."""
+    return (yield from _ContentCheck(content).run_steps())
 
 
-def iter_content_errors(content: dict[str, Any]) -> Iterator[list[str]]:
-    """The same, with a pause after so many items in which a leader of the duty can keep it."""
-    errors: list[str] = []
-    sound: dict[str, list[tuple[str, dict[str, Any]]]] = {t: [] for t in TABLES}
-    for table in TABLES:
-        items = content.get(table, [])
+@dataclass(frozen=True, slots=True)
+class _Item:
+    """An item whose fields are valid, and where it stands."""
+
+    path: str
+    item: dict[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class _UniqueValue:
+    """A value that may stand in one place only."""
+
+    path: str
+    value: Any
+
+
+@dataclass(slots=True)
+class _ContentCheck:
+    """One check of a content: fields first, then how valid items fit together."""
+
+    content: dict[str, Any]
+    errors: list[str] = field(default_factory=list)
+    valid: dict[str, list[_Item]] = field(default_factory=lambda: {table: [] for table in TABLES})
+
+    def run_steps(self) -> Steps[list[str]]:
+        for table in TABLES:
+            yield from self._check_table_steps(table)
+        yield
+        yield from self._check_services_steps()
+        yield from self._check_unique_steps("this host and prefix", self._route_places())
+        yield from self._check_unique_steps("one of these keys", self._api_keys())
+        self.errors += _limits_errors(self.content.get("limits", {}))
+        return self.errors
+
+    def _check_table_steps(self, table: str) -> Steps[None]:
+        items = self.content.get(table, [])
         if not isinstance(items, list):
-            errors.append(f"{table}: is no list")
-            continue
+            self.errors.append(f"{table}: is no list")
+            return
+        rules, valid = ITEM_RULES[table], self.valid[table]
         for number, item in enumerate(items):
-            at = f"{table}[{number}]"
-            found = FIELDS[table].errors(at, item)
-            errors += found
-            if not found:
-                sound[table].append((at, item))
-            if number % MANY == MANY - 1:
-                yield []
-        for some in _twice(
-            "this name", ((f"{at}.name", item["name"]) for at, item in sound[table])
-        ):
-            errors += some
-            yield []
-    yield []
-    services = {item["name"] for _, item in sound["backends"]}
-    for number, (at, route) in enumerate(sound["routes"], 1):
-        if number % (10 * MANY) == 0:
-            yield []
-        if ("backend" in route) == bool(route.get("split")):
-            errors.append(f"{at}: wants one of backend and split")
-        for part in [route] if "backend" in route else route.get("split") or []:
-            if part["backend"] not in services:
-                errors.append(f"{at}: the service {part['backend']!r} is unknown")
-        if route.get("split") and not sum(part["weight"] for part in route["split"]) > 0:
-            errors.append(f"{at}.split: no weight is over 0")
-    places = ((at, (route["host"].lower(), route["pathPrefix"])) for at, route in sound["routes"])
-    keys = (
-        (f"{at}.apiKeys", key) for at, tenant in sound["tenants"] for key in set(tenant["apiKeys"])
-    )
-    for some in chain(_twice("this host and prefix", places), _twice("one of these keys", keys)):
-        errors += some
-        yield []
-    limits = content.get("limits", {})
+            path = f"{table}[{number}]"
+            if errors := rules.errors(path, item):
+                self.errors += errors
+            else:
+                valid.append(_Item(path, item))
+            if number % ITEMS_PER_STEP == ITEMS_PER_STEP - 1:
+                yield
+        names = (_UniqueValue(f"{one.path}.name", one.item["name"]) for one in valid)
+        yield from self._check_unique_steps("this name", names)
+
+    def _check_services_steps(self) -> Steps[None]:
+        """Each route names services that there are, in one way."""
+        services = {one.item["name"] for one in self.valid["backends"]}
+        for number, route in enumerate(self.valid["routes"], 1):
+            if number % LOOKUPS_PER_STEP == 0:
+                yield
+            self.errors += _service_errors(route.path, route.item, services)
+
+    def _route_places(self) -> Iterable[_UniqueValue]:
+        for one in self.valid["routes"]:
+            yield _UniqueValue(one.path, (one.item["host"].lower(), one.item["pathPrefix"]))
+
+    def _api_keys(self) -> Iterable[_UniqueValue]:
+        for one in self.valid["tenants"]:
+            for key in set(one.item["apiKeys"]):
+                yield _UniqueValue(f"{one.path}.apiKeys", key)
+
+    def _check_unique_steps(self, label: str, values: Iterable[_UniqueValue]) -> Steps[None]:
+        first_paths: dict[Any, str] = {}
+        for number, unique in enumerate(values, 1):
+            first = first_paths.setdefault(unique.value, unique.path)
+            if first is not unique.path:
+                self.errors.append(f"{unique.path}: {label} stands in {first} as well")
+            if number % LOOKUPS_PER_STEP == 0:
+                yield
+        yield
+
+
+def _service_errors(path: str, route: Mapping[str, Any], services: set[str]) -> list[str]:
+    errors: list[str] = []
+    split = route.get("split")
+    if ("backend" in route) == bool(split):
+        errors.append(f"{path}: wants one of backend and split")
+    for part in [route] if "backend" in route else split or []:
+        if part["backend"] not in services:
+            errors.append(f"{path}: the service {part['backend']!r} is unknown")
+    if split and not sum(part["weight"] for part in split) > 0:
+        errors.append(f"{path}.split: no weight is over 0")
+    return errors
+
+
+def _limits_errors(limits: Any) -> list[str]:
     if not isinstance(limits, dict):
-        errors.append("limits: is no object")
-    else:
-        for name in ("headerTimeout", "idleTimeout"):
-            try:
-                parse_duration(limits.get(name, "1s"))
-            except ValueError as error:
-                errors.append(f"limits.{name}: {error}")
-        for name in ("maxHeaderBytes", "maxBodyBytes"):
-            if not isinstance(limits.get(name, 0), int) or isinstance(limits.get(name, 0), bool):
-                errors.append(f"limits.{name}: {limits[name]!r} is no whole number")
-    yield errors
-
-
-def order_errors(order: Any, whole: bool, gen: int) -> list[str]:
-    """Of the frame of a Replace (`whole`) or an Update, on top of the version `gen`."""
-    if not isinstance(order, dict):
+        return ["limits: is no object"]
+    errors: list[str] = []
+    for name in DURATION_LIMITS:
+        try:
+            parse_duration(limits.get(name, "1s"))
+        except ValueError as error:
+            errors.append(f"limits.{name}: {error}")
+    for name in SIZE_LIMITS:
+        size = limits.get(name, 0)
+        if not isinstance(size, int) or isinstance(size, bool):
+            errors.append(f"limits.{name}: {size!r} is no whole number")
+    return errors
+
+
+def change_errors(body: Any, is_replace: bool, gen: int) -> list[str]:
+    """All that is wrong with the frame of a Replace or Update, whatever the content in force.
+
+    `gen`: the generation that the change has to lie above.
+    """
+    if not isinstance(body, dict):
         return ["the body is no JSON object"]
-    errors = []
+    errors = _generation_errors(body, gen)
+    if is_replace:
+        errors += [f"{name}: is missing" for name in ("routes", "backends") if name not in body]
+        return errors
+    for part, item_type in (("upsert", dict), ("remove", str)):
+        errors += _update_part_errors(part, body.get(part, {}), item_type)
+    return errors
+
+
+def _generation_errors(body: Mapping[str, Any], gen: int) -> list[str]:
+    errors: list[str] = []
     for name in ("gen", "parent"):
-        value = order.get(name)
-        if not isinstance(value, int) or isinstance(value, bool) or value < 0:
+        if not is_count(value := body.get(name)):
             errors.append(f"{name}: {value!r} is no whole number")
-    if not errors and order["gen"] <= gen:
-        errors.append(f"gen: {order['gen']} is not above {gen}")
-    if whole:
-        errors += [f"{name}: is missing" for name in ("routes", "backends") if name not in order]
-        return errors
-    for part, kind in (("upsert", dict), ("remove", str)):
-        tables = order.get(part, {})
-        if not isinstance(tables, dict):
-            errors.append(f"{part}: is no object")
-            continue
-        for table, items in tables.items():
-            if table not in TABLES:
-                errors.append(f"{part}.{table}: is not known")
-            elif not isinstance(items, list) or not all(isinstance(i, kind) for i in items):
-                errors.append(
-                    f"{part}.{table}: is no list of {'items' if kind is dict else 'names'}"
-                )
-            elif kind is dict and not all(isinstance(i.get("name"), str) for i in items):
-                errors.append(f"{part}.{table}: an item has no name")
+    if not errors and body["gen"] <= gen:
+        errors.append(f"gen: {body['gen']} is not above {gen}")
+    return errors
+
+
+def _update_part_errors(part: str, tables: Any, item_type: type) -> list[str]:
+    if not isinstance(tables, dict):
+        return [f"{part}: is no object"]
+    errors: list[str] = []
+    for table, items in tables.items():
+        path = f"{part}.{table}"
+        if table not in TABLES:
+            errors.append(f"{path}: is not known")
+        elif not isinstance(items, list) or not all(isinstance(one, item_type) for one in items):
+            errors.append(f"{path}: is no list of {'items' if item_type is dict else 'names'}")
+        elif item_type is dict and not all(isinstance(one.get("name"), str) for one in items):
+            errors.append(f"{path}: an item has no name")
     return errors
--- a/cairndale/control/configuration_changes.py
+++ b/cairndale/control/configuration_changes.py
@@ -17,7 +17,7 @@
 from cairndale.configuration.json_stream import LARGE_BODY_BYTES, loads_steps
 from cairndale.configuration.state import REJECTED, State
 from cairndale.configuration.stepwise import Steps, advance
-from cairndale.configuration.validation import iter_content_errors, order_errors
+from cairndale.configuration.validation import change_errors, content_errors_steps
 from cairndale.control.change_queue import ChangeOutcome, ChangeQueue
 from cairndale.control.gc_pause import gc_paused
 from cairndale.control.leader import Leader
@@ -136,7 +136,7 @@
         Raises CallError where neither can be said for sure.
         """
         body, is_full = change.body, change.verb is Verb.REPLACE
-        if errors := order_errors(body, is_full, 0):
+        if errors := change_errors(body, is_full, 0):
             return wrong(400, *errors)  # whatever the state is
         gen, parent, gen_in_force = body["gen"], body["parent"], state.gen
         if parent < gen and state.record_may_be_evicted(gen):
@@ -149,7 +149,7 @@
             if await self._leader.decide(Command(Verb.REJECT, change.digest)):
                 raise CallTimeoutError()
             return wrong(412, mismatch)
-        errors = order_errors(body, is_full, gen_in_force)
+        errors = change_errors(body, is_full, gen_in_force)
         if parent != gen_in_force:
             return wrong(412, mismatch, *errors)
         errors = errors or await self._content_errors(change, state)
@@ -159,10 +159,7 @@
         """What is wrong with the content that would be in force after the change."""
         command = Command(change.verb, change.digest, change.body)
         content = await run_in_steps(state.resulting_content_steps(command))
-        errors: list[str] = []
         with gc_paused(freeze=False):
-            for some in iter_content_errors(content):
-                errors += some
-                await asyncio.sleep(0)
+            errors = await run_in_steps(content_errors_steps(content))
         self._leader.require_leadership()
         return errors
--- a/cairndale/field_rules.py
+++ b/cairndale/field_rules.py
@@ -1,7 +1,8 @@
-"""Objects of a JSON body held against rules, every error at once, each with its path.
+"""Rules for the fields of JSON objects: every error at once, each with its path.
 
-Rules are predicates: a schema composed of others takes ten times as long, which the thousands of
-routes of a large configuration add up to seconds at a small core machine."""
+Rules are predicates on single values. A schema composed of others takes ten times as long, which
+adds up to seconds for the thousands of routes of a large configuration on a small machine.
+"""
 
 from __future__ import annotations
 
@@ -12,75 +13,100 @@
 
 from cairndale.settings import parse_duration
 
-Rules = dict[
-    Any, Any
-]  # as Schema takes them: names, or Optional names; Optional(str): any other name
+Predicate = Callable[[object], bool]
+# As `Schema` takes them: by name, or Optional name; Optional(str) allows any other name.
+Rules = Mapping[Any, Any]
 
+NOT_A_DURATION = "is no time such as 1500ms or 2.5s"
+NOT_AS_EXPECTED = "is not what stands there"
 
-def is_time(value: object) -> bool:
+
+def is_duration(value: object) -> bool:
+    """A duration such as `1500ms`. Raises ValueError for anything else."""
     parse_duration(value)
     return True
 
 
 def is_text(value: object) -> bool:
+    """A string that is not empty."""
     return isinstance(value, str) and value != ""
 
 
-def is_whole(value: object) -> bool:
+def is_string(value: object) -> bool:
+    """A string, which may be empty."""
+    return isinstance(value, str)
+
+
+def is_count(value: object) -> bool:
+    """A whole number of 0 or more."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def is_number(value: object) -> bool:
+    """A finite number of 0 or more."""
     return (
         isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < float("inf")
     )
 
 
-def is_truth(value: object) -> bool:
+def is_bool(value: object) -> bool:
+    """`true` or `false`."""
     return isinstance(value, bool)
 
 
-def list_of(rule: Callable[[object], bool], least: int = 0) -> Callable[[object], bool]:
-    return lambda value: isinstance(value, list) and len(value) >= least and all(map(rule, value))
+def list_of(predicate: Predicate) -> Predicate:
+    """A list of which each item is as the predicate says."""
+    return lambda value: isinstance(value, list) and all(map(predicate, value))
 
 
-def one_of(*words: str) -> Callable[[object], bool]:
+def one_of(*words: str) -> Predicate:
+    """One of these strings."""
     return lambda value: isinstance(value, str) and value in words
 
 
-NO_TIME = "is no time such as 1500ms or 2.5s"
+class ObjectRules:
+    """The rules for one kind of object.
 
+    `expectations` says, by field, how an error names what is wrong with a value.
+    """
 
-class Fields:
-    """What stands in one kind of object. `wanted`: what is told of a field that is not as it should
-    be."""
-
-    def __init__(self, rules: Rules, wanted: Mapping[str, str]) -> None:
-        self._rules, self._wanted = dict[str, Schema](), wanted
-        self._needed, self._others = set[str](), False
+    def __init__(self, rules: Rules, expectations: Mapping[str, str]) -> None:
+        self._expectations = expectations
+        self._rules: dict[str, Schema] = {}
+        self._required: set[str] = set()
+        self._allows_others = False
         for key, rule in rules.items():
-            name = key.schema if isinstance(key, Optional) else key
-            if isinstance(name, str):
-                self._rules[name] = Schema(rule)
-                self._needed |= set() if isinstance(key, Optional) else {name}
-            else:
-                self._others = True
-
-    def errors(self, at: str, item: Any) -> list[str]:
-        """A schema of the whole object would hold each name against each rule: seven times as long
-        again."""
+            is_optional = isinstance(key, Optional)
+            name = key.schema if is_optional else key
+            if not isinstance(name, str):
+                self._allows_others = True
+                continue
+            self._rules[name] = Schema(rule)
+            if not is_optional:
+                self._required.add(name)
+
+    def errors(self, path: str, item: Any) -> list[str]:
+        """All that is wrong with an object at this path.
+
+        Each field has a schema of its own: a schema of the whole object would hold each name
+        against each rule, which takes seven times as long.
+        """
         if not isinstance(item, dict):
-            return [f"{at}: is no object"]
-        errors = []
+            return [f"{path}: is no object"]
+        errors: list[str] = []
         for name, rule in self._rules.items():
-            if name not in item:
-                errors += [f"{at}.{name}: is missing"] if name in self._needed else []
-                continue
-            try:
-                rule.validate(item[name])
-            except SchemaError:
-                told = self._wanted.get(name, "is not what stands there")
-                errors.append(f"{at}.{name}: {item[name]!r} {told}")
-        if not self._others:
-            errors += [f"{at}.{name}: is not known" for name in item if name not in self._rules]
+            if name in item:
+                errors += self._value_errors(path, name, rule, item[name])
+            elif name in self._required:
+                errors.append(f"{path}.{name}: is missing")
+        if not self._allows_others:
+            errors += [f"{path}.{name}: is not known" for name in item if name not in self._rules]
         return errors
+
+    def _value_errors(self, path: str, name: str, rule: Schema, value: Any) -> list[str]:
+        try:
+            rule.validate(value)
+        except SchemaError:
+            expectation = self._expectations.get(name, NOT_AS_EXPECTED)
+            return [f"{path}.{name}: {value!r} {expectation}"]
+        return []
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -17,7 +17,7 @@
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.route_table import RouteTable
 from cairndale.configuration.state import State
-from cairndale.configuration.validation import content_errors, iter_content_errors, order_errors
+from cairndale.configuration.validation import change_errors, content_errors, content_errors_steps
 from cairndale.control.endpoint_codec import endpoint_to_message
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
@@ -121,7 +121,7 @@
 
     assert content_errors(made) == []
     assert least(lambda: content_errors(made)) < 20 * least(lambda: json.loads(text))
-    assert sum(1 for _ in iter_content_errors(made)) > 10  # others get their turn
+    assert sum(1 for _ in content_errors_steps(made)) > 10  # others get their turn
 
 
 def test_every_error_at_once() -> None:
@@ -135,11 +135,11 @@
         "tenants[0].name",
         "tenants[0].apiKeys",
     }
-    assert order_errors({"gen": True, "parent": -1}, False, 3) == [
+    assert change_errors({"gen": True, "parent": -1}, False, 3) == [
         "gen: True is no whole number",
         "parent: -1 is no whole number",
     ]
-    assert order_errors(
+    assert change_errors(
         {"gen": 3, "parent": 3, "upsert": {"x": []}, "remove": {"routes": [1]}}, False, 3
     ) == ["gen: 3 is not above 3", "upsert.x: is not known", "remove.routes: is no list of names"]
 
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -21,7 +21,7 @@
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.json_stream import loads_steps
 from cairndale.configuration.state import State
-from cairndale.configuration.validation import iter_content_errors
+from cairndale.configuration.validation import content_errors_steps
 from cairndale.control.applier import Applier, encode_command
 from cairndale.control.gc_pause import gc_paused
 from cairndale.control.snapshot_worker import SnapshotWorker
@@ -183,7 +183,7 @@
     body, content = json.dumps(first).encode(), {n: v for n, v in first.items() if n != "parent"}
     for name, work in (
         ("read the body", loads_steps(body)),
-        ("judge, look at it", iter_content_errors(content)),
+        ("judge, look at it", content_errors_steps(content)),
     ):
         with gc_paused(freeze=name == "read the body"):
             for _ in timed(f"replace: {name}", work):
