--- a/cairndale/configuration/json_stream.py
+++ b/cairndale/configuration/json_stream.py
@@ -1,131 +1,139 @@
-"""The body of a large call read as JSON in steps: to the same value as `json.loads`, or ValueError
-as well.
+"""JSON of a large request body, decoded in steps to the same value as `json.loads`.
 
-Objects at the top, and lists in them, are gone through here; an item of a list, and what lies
-deeper, is read at once."""
+Objects at the top and lists in them are decoded member by member; an item of a list, and what lies
+deeper, is decoded at once.
+"""
 
 from __future__ import annotations
 
 import codecs
 import json
 import re
-from collections.abc import Generator
 from sys import intern
 from typing import Any
 
-LARGE_BODY_BYTES = 64 * 1024  # bytes of a body that is not read at once
-DECODED_BYTES_PER_STEP = 1024 * 1024  # bytes that one step makes text of
-LOOKAHEAD_CHARS = 64 * 1024  # characters that are held ahead, where there are more
-ITEMS_PER_STEP = 500  # items of a list that one step reads
-DEPTH = 2  # objects within one another that are gone through
+from cairndale.configuration.stepwise import Steps
 
-_spaces = re.compile(r"[ \t\n\r]*")
-_decode = json.JSONDecoder().raw_decode
+LARGE_BODY_BYTES = 64 * 1024  # up to which a body is decoded in one step
+DECODED_BYTES_PER_STEP = 1024 * 1024  # of the body that are turned into text at once
+LOOKAHEAD_CHARS = 64 * 1024  # that are held ahead, while there are as many
+ITEMS_PER_STEP = 500  # of a list
+MAX_SPLIT_DEPTH = 2  # objects within objects that are decoded member by member
+MIN_CHARS_AFTER_VALUE = 3  # without them a number may go on: 1|e+5
 
+_SPACES = re.compile(r"[ \t\n\r]*")
+_decode_value = json.JSONDecoder().raw_decode
 
-def loads_steps(body: bytes) -> Generator[None, None, Any]:
-    """Raises ValueError."""
+
+def loads_steps(body: bytes) -> Steps[Any]:
+    """The value of a JSON text, as `json.loads` has it. Raises ValueError as that does."""
     if len(body) <= LARGE_BODY_BYTES:
         return json.loads(body)
-    text = _Text(body)
-    value = yield from _value(text, DEPTH)
-    if text.next():
-        raise text.wrong("Extra data")
+    reader = _TextReader(body)
+    value = yield from _value_steps(reader, MAX_SPLIT_DEPTH)
+    if reader.peek():
+        raise reader.error("Extra data")
     return value
 
 
-class _Text:
-    """A body as text, of which a little is held at a time."""
+class _TextReader:
+    """The text of a body, of which a window is held at a time."""
 
     def __init__(self, body: bytes) -> None:
-        self._decoder = codecs.getincrementaldecoder(json.detect_encoding(body))("surrogatepass")
-        self._body, self._taken, self._held, self._at = body, 0, "", 0
-
-    def _more(self) -> bool:
-        """False if all is held."""
-        if self._taken > len(self._body):
+        encoding = json.detect_encoding(body)
+        self._decoder = codecs.getincrementaldecoder(encoding)("surrogatepass")
+        self._body = body
+        self._bytes_read = 0
+        self._window = ""
+        self._position = 0  # in the window
+
+    def peek(self) -> str:
+        """The next character that is no white space; empty at the end."""
+        while True:
+            while len(self._window) - self._position < LOOKAHEAD_CHARS and self._read_more():
+                pass
+            if spaces := _SPACES.match(self._window, self._position):
+                self._position = spaces.end()
+            if self._position < len(self._window) or not self._read_more():
+                return self._window[self._position : self._position + 1]
+
+    def accept(self, character: str) -> bool:
+        """Passes the character if it is the next one; says whether it was."""
+        if self.peek() != character:
             return False
-        some = self._body[self._taken : self._taken + DECODED_BYTES_PER_STEP]
-        self._taken += DECODED_BYTES_PER_STEP
-        self._held = self._held[self._at :] + self._decoder.decode(
-            some, final=self._taken > len(self._body)
-        )
-        self._at = 0
+        self._position += 1
         return True
 
-    def next(self) -> str:
-        """The next character that is no space; nothing at the end."""
-        while True:
-            while len(self._held) - self._at < LOOKAHEAD_CHARS and self._more():
-                pass
-            if found := _spaces.match(self._held, self._at):
-                self._at = found.end()
-            if self._at < len(self._held) or not self._more():
-                return self._held[self._at : self._at + 1]
-
-    def take(self, wanted: str) -> bool:
-        """Whether that is next; it is passed then."""
-        found = self.next() == wanted
-        self._at += found
-        return found
-
-    def value(self) -> Any:
-        """All of the next one."""
-        self.next()
+    def read_value(self) -> Any:
+        """The next value as a whole. Raises JSONDecodeError."""
+        self.peek()
         while True:
             try:
-                value, at = _decode(self._held, self._at)
-                if len(self._held) - at > 3 or not self._more():  # else a number may go on: 1|e+5
-                    self._at = at
-                    return value
+                value, end = _decode_value(self._window, self._position)
             except json.JSONDecodeError:
-                if not self._more():
+                if not self._read_more():
                     raise
-
-    def wrong(self, why: str) -> json.JSONDecodeError:
-        return json.JSONDecodeError(why, self._held, self._at)
+                continue
+            if len(self._window) - end > MIN_CHARS_AFTER_VALUE or not self._read_more():
+                self._position = end
+                return value
+
+    def error(self, message: str) -> json.JSONDecodeError:
+        """An error at the current position."""
+        return json.JSONDecodeError(message, self._window, self._position)
+
+    def _read_more(self) -> bool:
+        """Extends the window, and drops what was passed; False if all is read."""
+        if self._bytes_read > len(self._body):
+            return False
+        chunk = self._body[self._bytes_read : self._bytes_read + DECODED_BYTES_PER_STEP]
+        self._bytes_read += DECODED_BYTES_PER_STEP
+        text = self._decoder.decode(chunk, final=self._bytes_read > len(self._body))
+        self._window = self._window[self._position :] + text
+        self._position = 0
+        return True
 
 
-def _value(text: _Text, depth: int) -> Generator[None, None, Any]:
-    if depth and text.take("{"):
-        return (yield from _object(text, depth))
-    if text.take("["):
-        return (yield from _list(text))
-    return text.value()
+def _value_steps(reader: _TextReader, depth: int) -> Steps[Any]:
+    if depth and reader.accept("{"):
+        return (yield from _object_steps(reader, depth))
+    if reader.accept("["):
+        return (yield from _list_steps(reader))
+    return reader.read_value()
+
+
+def _object_steps(reader: _TextReader, depth: int) -> Steps[dict[str, Any]]:
+    members: dict[str, Any] = {}
+    has_more = not reader.accept("}")
+    while has_more:
+        if reader.peek() != '"':
+            raise reader.error("Expecting property name enclosed in double quotes")
+        name = reader.read_value()
+        if not reader.accept(":"):
+            raise reader.error("Expecting ':' delimiter")
+        members[name] = yield from _value_steps(reader, depth - 1)
+        has_more = _has_next(reader, "}")
+    return members
+
+
+def _list_steps(reader: _TextReader) -> Steps[list[Any]]:
+    items: list[Any] = []
+    has_more = not reader.accept("]")
+    while has_more:
+        item = reader.read_value()
+        if isinstance(item, dict):  # names are shared, as they are where all is decoded at once
+            item = {intern(name): value for name, value in item.items()}
+        items.append(item)
+        if len(items) % ITEMS_PER_STEP == 0:
+            yield
+        has_more = _has_next(reader, "]")
+    return items
 
 
-def _goes_on(text: _Text, end: str) -> bool:
-    """After a member: whether another comes."""
-    if text.take(end):
+def _has_next(reader: _TextReader, end: str) -> bool:
+    """After a member: whether another follows, or the object or list ends."""
+    if reader.accept(end):
         return False
-    if not text.take(","):
-        raise text.wrong("Expecting ',' delimiter")
+    if not reader.accept(","):
+        raise reader.error("Expecting ',' delimiter")
     return True
-
-
-def _object(text: _Text, depth: int) -> Generator[None, None, dict[str, Any]]:
-    made: dict[str, Any] = {}
-    more = not text.take("}")
-    while more:
-        if text.next() != '"':
-            raise text.wrong("Expecting property name enclosed in double quotes")
-        name = text.value()
-        if not text.take(":"):
-            raise text.wrong("Expecting ':' delimiter")
-        made[name] = yield from _value(text, depth - 1)
-        more = _goes_on(text, "}")
-    return made
-
-
-def _list(text: _Text) -> Generator[None, None, list[Any]]:
-    made: list[Any] = []
-    more = not text.take("]")
-    while more:
-        item = text.value()
-        if isinstance(item, dict):  # names are held once, as they would be if all were read at once
-            item = {intern(name): value for name, value in item.items()}
-        made.append(item)
-        if len(made) % ITEMS_PER_STEP == 0:
-            yield
-        more = _goes_on(text, "]")
-    return made
--- a/cairndale/settings.py
+++ b/cairndale/settings.py
@@ -1,10 +1,13 @@
-"""What a process is told: the settings file, checked whole, every error at once. Unknown fields are
-ignored."""
+"""The settings file of a process: read and checked as a whole, every error at once.
+
+Fields that are not known are ignored, so that one file can serve several programs.
+"""
 
 from __future__ import annotations
 
 import json
 import re
+from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
@@ -16,11 +19,15 @@
 DURATION = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)(ms|s)")
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})")
 
-Address = tuple[str, int]  # an address of the system's own, or one that others call
+Address = tuple[str, int]  # IPv4 address and port
 
 
 class SettingsError(ValueError):
-    """Every error of a file, each with its path."""
+    """The settings are not usable.
+
+    Attributes:
+        errors: all that is wrong, each with its path in the file.
+    """
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -28,7 +35,7 @@
 
 
 def parse_duration(text: object) -> float:
-    """`1500ms` or `2.5s`, in seconds. Raises ValueError."""
+    """The seconds of a duration such as `1500ms` or `2.5s`. Raises ValueError."""
     match = DURATION.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise ValueError(f"{text!r} is no time such as 1500ms or 2.5s")
@@ -36,19 +43,39 @@
 
 
 def parse_address(text: object) -> Address:
+    """An address such as `10.1.0.8:8200`. Raises ValueError."""
     match = ADDRESS.fullmatch(text) if isinstance(text, str) else None
     if match is None or not 0 < int(match[2]) < 65536:
         raise ValueError(f"{text!r} is no address such as 10.1.0.8:8200")
     return match[1], int(match[2])
 
 
-def format_address(at: Address) -> str:
-    return f"{at[0]}:{at[1]}"
+def format_address(address: Address) -> str:
+    """The reverse of `parse_address`."""
+    ip, port = address
+    return f"{ip}:{port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures that the rules are kept by; times in seconds."""
+    """The service level objectives of the system: `sla.slo` in the settings file.
+
+    `contact`, `drain`, `apply`, `evacuate`, `revoke` (s) and `fail_closed` are checked and kept,
+    but this program takes no decision by them.
+
+    Attributes:
+        ack: s for a change to reach every ingress before its call fails.
+        grace: s from SIGTERM to the end of a process.
+        retry_ratio: retries allowed per request.
+        retry_window: s over which retries are counted.
+        retry_slack: retries allowed above the ratio.
+        quota_window: s over which a tenant's requests are counted.
+        quota_overrun: requests allowed above a quota, as a part of it.
+        quota_slack: requests allowed above that.
+        warmup_overrun: requests allowed to a server in slow start, per request that it can handle.
+        warmup_slack: requests allowed above that.
+        ttl_max: s that a client may keep the answer to a look-up, at most.
+    """
 
     contact: float = 4.0
     ack: float = 6.0
@@ -69,41 +96,43 @@
     ttl_max: float = 5.0
 
 
-BOUNDS = {  # field: name in `slo`, whether it is a time
-    "contact": ("contact", True),
-    "ack": ("ack", True),
-    "drain": ("drain", True),
-    "grace": ("grace", True),
-    "apply": ("apply", True),
-    "evacuate": ("evacuate", True),
-    "revoke": ("revoke", True),
-    "retry_ratio": ("retryRatio", False),
-    "retry_window": ("retryWindow", True),
-    "retry_slack": ("retrySlack", False),
-    "quota_window": ("quotaWindow", True),
-    "quota_overrun": ("quotaOverrun", False),
-    "quota_slack": ("quotaSlack", False),
-    "warmup_overrun": ("warmupOverrun", False),
-    "warmup_slack": ("warmupSlack", False),
-    "ttl_max": ("ttl_max", True),
-}
-
-
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
+    """What a process is told of itself and of the system.
+
+    Attributes:
+        name: the machine's.
+        role: the machine's, as operators call it.
+        ip: IPv4 address of the machine.
+        zone: the failure domain that it stands in.
+        region: the region that the zone belongs to.
+        serves: what the process serves to others: `edge`, `ctl`, `dir`.
+        listen: addresses, by what is served there: `http`, `readyz`, `ctl`, `dir`.
+        ports: the range for calls between the system's own processes.
+        seeds: `ctl` addresses of the control nodes that are there from the beginning.
+        zones: the region of each zone.
+        bootstrap: whether this process founds the control cluster with the seeds.
+        state_dir: the folder for the replicated state; None on a machine without a disk.
+        heartbeat_interval_s: s between two heartbeats of a server.
+        memory_mb: what the process may use, in MB.
+        max_open_files: what the process may use.
+        bounds: the service level objectives.
+        tolerance: what may be lost at once.
+    """
+
     name: str
     role: str
     ip: str
     zone: str
     region: str
     serves: frozenset[str]
-    listen: dict[str, Address]  # by what is served there: http, readyz, ctl, dir
-    ports: tuple[int, int]  # for what the system's processes say to one another
-    seeds: tuple[Address, ...]  # `ctl` addresses of machines that serve it
-    zones: dict[str, str]  # their regions
+    listen: dict[str, Address]
+    ports: tuple[int, int]
+    seeds: tuple[Address, ...]
+    zones: dict[str, str]
     bootstrap: bool
-    state_dir: Path | None  # the folder that lasts, on a machine with a disk
-    heartbeat_interval_s: float  # s between the beats of a server
+    state_dir: Path | None
+    heartbeat_interval_s: float
     memory_mb: float
     max_open_files: int
     bounds: Bounds = field(default_factory=Bounds)
@@ -111,133 +140,192 @@
 
     @property
     def own_port(self) -> int:
-        """Those with a disk take the first port of the range, the others the second: two roles may
-        share a machine."""
+        """The port for calls of the system's other processes.
+
+        Control nodes take the first of the range and data-plane nodes the second, as two roles may
+        share a machine.
+        """
         return self.ports[0] + (0 if self.state_dir else 1)
 
     def core_address(self, ctl: Address) -> Address:
-        """Ports are alike on all machines."""
+        """Where a control node takes calls of the system's processes; the range is alike at all."""
         return ctl[0], self.ports[0]
 
 
-TEXT: Any = And(str, len)
-TIME: Any = Use(parse_duration)
-NUMBER: Any = And(Or(int, float), lambda n: not isinstance(n, bool) and n >= 0)
-FIELDS: dict[str, Any] = {  # path: what stands there
-    "self.hostname": TEXT,
-    "self.role": TEXT,
-    "self.ip": TEXT,
-    "self.zone": TEXT,
-    "self.region": TEXT,
+def _labelled(label: str, function: Callable[[Any], Any]) -> Callable[[Any], Any]:
+    """The function under the name that the schema is to have in its messages.
+
+    Operators know these messages, so they do not change with the names in the code.
+    """
+
+    def call(value: Any) -> Any:
+        return function(value)
+
+    call.__name__ = label
+    return call
+
+
+_TEXT: Any = And(str, len)
+_DURATION: Any = Use(_labelled("seconds", parse_duration))
+_ADDRESS: Any = Use(_labelled("address", parse_address))
+_NUMBER: Any = And(Or(int, float), lambda n: not isinstance(n, bool) and n >= 0)
+_PORT: Any = And(int, lambda n: 0 < n < 65536)
+_FIELDS: dict[str, Any] = {  # by path in the file
+    "self.hostname": _TEXT,
+    "self.role": _TEXT,
+    "self.ip": _TEXT,
+    "self.zone": _TEXT,
+    "self.region": _TEXT,
     "self.serves": [Or("edge", "ctl", "dir", str)],
     "self.bootstrap": bool,
-    "self.stateDir": Or(None, TEXT),
-    "self.limits.memMb": NUMBER,
+    "self.stateDir": Or(None, _TEXT),
+    "self.limits.memMb": _NUMBER,
     "self.limits.nofile": And(int, lambda n: n > 0),
-    "network.listen": {Optional(str): Use(parse_address)},
-    "network.portRange": And(
-        [And(int, lambda n: 0 < n < 65536)], lambda r: len(r) == 2 and r[0] < r[1]
-    ),
-    "network.peers": [Use(parse_address)],
-    "network.zones": {Optional(str): TEXT},
-    "infra.heartbeat": TIME,
+    "network.listen": {Optional(str): _ADDRESS},
+    "network.portRange": And([_PORT], lambda r: len(r) == 2 and r[0] < r[1]),
+    "network.peers": [_ADDRESS],
+    "network.zones": {Optional(str): _TEXT},
+    "infra.heartbeat": _DURATION,
 }
-NEEDED = {"edge": ("http", "readyz"), "ctl": ("ctl",), "dir": ("dir",)}
+_LISTENERS = {"edge": ("http", "readyz"), "ctl": ("ctl",), "dir": ("dir",)}  # by what is served
+_SLO_FIELDS: dict[str, tuple[str, Any]] = {  # by name in `sla.slo`: the attribute of Bounds
+    "contact": ("contact", _DURATION),
+    "ack": ("ack", _DURATION),
+    "drain": ("drain", _DURATION),
+    "grace": ("grace", _DURATION),
+    "apply": ("apply", _DURATION),
+    "evacuate": ("evacuate", _DURATION),
+    "revoke": ("revoke", _DURATION),
+    "retryRatio": ("retry_ratio", _NUMBER),
+    "retryWindow": ("retry_window", _DURATION),
+    "retrySlack": ("retry_slack", _NUMBER),
+    "quotaWindow": ("quota_window", _DURATION),
+    "quotaOverrun": ("quota_overrun", _NUMBER),
+    "quotaSlack": ("quota_slack", _NUMBER),
+    "warmupOverrun": ("warmup_overrun", _NUMBER),
+    "warmupSlack": ("warmup_slack", _NUMBER),
+    "ttl_max": ("ttl_max", _DURATION),
+}
+_MISSING = object()
+
+
+def read_settings(path: str) -> Settings:
+    """The settings of a file. Raises SettingsError."""
+    try:
+        raw = json.loads(Path(path).read_bytes())
+    except (OSError, ValueError) as error:
+        raise SettingsError([f"{path or 'CAIRNDALE_CONFIG'}: {error}"]) from error
+    return parse_settings(raw)
 
 
 def parse_settings(raw: Any) -> Settings:
-    """The settings of a file that was read, or SettingsError with all that is wrong."""
+    """The settings of a file's JSON. Raises SettingsError with all that is wrong."""
     errors: list[str] = []
-    found: dict[str, Any] = {}
-    for path, rule in FIELDS.items():
-        value = raw
-        for key in path.split("."):
-            value = value.get(key, errors) if isinstance(value, dict) else errors
-        if value is errors:
+    values = _read_fields(raw, errors)
+    bounds = _read_bounds(raw, errors)
+    tolerance = _read_tolerance(raw, errors)
+    errors += _listener_errors(values)
+    if errors:
+        raise SettingsError(errors)
+    first_port, last_port = values["network.portRange"]
+    state_dir = values["self.stateDir"]
+    return Settings(
+        name=values["self.hostname"],
+        role=values["self.role"],
+        ip=values["self.ip"],
+        zone=values["self.zone"],
+        region=values["self.region"],
+        serves=frozenset(values["self.serves"]),
+        listen=values["network.listen"],
+        ports=(first_port, last_port),
+        seeds=tuple(values["network.peers"]),
+        zones=values["network.zones"],
+        bootstrap=values["self.bootstrap"],
+        state_dir=Path(state_dir) if state_dir else None,
+        heartbeat_interval_s=values["infra.heartbeat"],
+        memory_mb=float(values["self.limits.memMb"]),
+        max_open_files=values["self.limits.nofile"],
+        bounds=bounds,
+        tolerance=tolerance,
+    )
+
+
+def _read_fields(raw: Any, errors: list[str]) -> dict[str, Any]:
+    """The values that are valid, by path."""
+    values: dict[str, Any] = {}
+    for path, rule in _FIELDS.items():
+        value = _look_up(raw, path)
+        if value is _MISSING:
             errors.append(f"{path}: is missing")
             continue
         try:
-            found[path] = Schema(rule).validate(value)
+            values[path] = Schema(rule).validate(value)
         except SchemaError as error:
             errors.append(f"{path}: {_message(error)}")
-    bounds = _bounds(raw, errors)
-    tolerance = _tolerance(raw, errors)
-    for what in found.get("self.serves", ()):
-        for name in NEEDED.get(what, ()):
-            if "network.listen" in found and name not in found["network.listen"]:
-                errors.append(f"network.listen.{name}: is missing, as {what} is served")
-    if errors:
-        raise SettingsError(errors)
-    state = found["self.stateDir"]
-    return Settings(
-        found["self.hostname"],
-        found["self.role"],
-        found["self.ip"],
-        found["self.zone"],
-        found["self.region"],
-        frozenset(found["self.serves"]),
-        found["network.listen"],
-        (found["network.portRange"][0], found["network.portRange"][1]),
-        tuple(found["network.peers"]),
-        found["network.zones"],
-        found["self.bootstrap"],
-        Path(state) if state else None,
-        found["infra.heartbeat"],
-        float(found["self.limits.memMb"]),
-        found["self.limits.nofile"],
-        bounds,
-        tolerance,
-    )
+    return values
+
+
+def _look_up(raw: Any, path: str) -> Any:
+    value = raw
+    for key in path.split("."):
+        value = value.get(key, _MISSING) if isinstance(value, dict) else _MISSING
+    return value
 
 
 def _message(error: SchemaError) -> str:
-    texts = [str(t) for t in error.autos if t] or [str(error)]
+    """The innermost message of a schema's error, in one line."""
+    texts = [str(text) for text in error.autos if text] or [str(error)]
     return texts[-1].replace("\n", " ")
 
 
-def _bounds(raw: Any, errors: list[str]) -> Bounds:
-    """What `slo` does not name keeps its default: parts of the rules may not be in force."""
+def _listener_errors(values: Mapping[str, Any]) -> list[str]:
+    if "network.listen" not in values:
+        return []
+    return [
+        f"network.listen.{name}: is missing, as {served} is served"
+        for served in values.get("self.serves", ())
+        for name in _LISTENERS.get(served, ())
+        if name not in values["network.listen"]
+    ]
+
+
+def _read_sla_section(raw: Any, name: str, errors: list[str]) -> dict[str, Any]:
+    """An object below `sla`; empty if there is none."""
     sla = raw.get("sla") if isinstance(raw, dict) else None
-    slo = sla.get("slo", {}) if isinstance(sla, dict) else {}
-    if not isinstance(slo, dict):
-        errors.append("sla.slo: is no object")
-        return Bounds()
+    section = sla.get(name, {}) if isinstance(sla, dict) else {}
+    if isinstance(section, dict):
+        return section
+    errors.append(f"sla.{name}: is no object")
+    return {}
+
+
+def _read_bounds(raw: Any, errors: list[str]) -> Bounds:
+    """What the file does not name keeps its default: some objectives may not be in force."""
+    slo = _read_sla_section(raw, "slo", errors)
     values: dict[str, Any] = {}
-    for name, (key, is_time) in BOUNDS.items():
-        if key in slo:
-            try:
-                values[name] = Schema(TIME if is_time else NUMBER).validate(slo[key])
-            except SchemaError as error:
-                errors.append(f"sla.slo.{key}: {_message(error)}")
-    if "failClosed" in slo:
-        if not isinstance(slo["failClosed"], bool):
-            errors.append(f"sla.slo.failClosed: {slo['failClosed']!r} is neither true nor false")
-        else:
-            values["fail_closed"] = slo["failClosed"]
+    for key, (name, rule) in _SLO_FIELDS.items():
+        if key not in slo:
+            continue
+        try:
+            values[name] = Schema(rule).validate(slo[key])
+        except SchemaError as error:
+            errors.append(f"sla.slo.{key}: {_message(error)}")
+    fail_closed = slo.get("failClosed", False)
+    if isinstance(fail_closed, bool):
+        values["fail_closed"] = fail_closed
+    else:
+        errors.append(f"sla.slo.failClosed: {fail_closed!r} is neither true nor false")
     return Bounds(**values)
 
 
-def _tolerance(raw: Any, errors: list[str]) -> Tolerance:
-    """What may be lost at once: one of each, where nothing is said."""
-    sla = raw.get("sla") if isinstance(raw, dict) else None
-    told = sla.get("tolerance", {}) if isinstance(sla, dict) else {}
-    if not isinstance(told, dict):
-        errors.append("sla.tolerance: is no object")
-        return Tolerance()
-    values: dict[str, int] = {}
+def _read_tolerance(raw: Any, errors: list[str]) -> Tolerance:
+    """One of each may be lost, where the file does not say how many."""
+    section = _read_sla_section(raw, "tolerance", errors)
+    counts: dict[str, int] = {}
     for name in ("nodes", "zones", "regions"):
-        count = told.get(name, 1)
+        count = section.get(name, 1)
         if not isinstance(count, int) or isinstance(count, bool) or count < 0:
             errors.append(f"sla.tolerance.{name}: {count!r} is no whole number")
         else:
-            values[name] = count
-    return Tolerance(**values)
-
-
-def read_settings(path: str) -> Settings:
-    """Of a file. Raises SettingsError."""
-    try:
-        raw = json.loads(Path(path).read_bytes())
-    except (OSError, ValueError) as error:
-        raise SettingsError([f"{path or 'CAIRNDALE_CONFIG'}: {error}"]) from None
-    return parse_settings(raw)
+            counts[name] = count
+    return Tolerance(**counts)
