--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -54,10 +54,10 @@
 
 def own_reads() -> None:
     """Whoever is asked reads out what it holds itself."""
-    from cairndale.http_api.server import told
+    from cairndale.http_api.server import json_response
 
     def content(process: Any, body: bytes) -> Any:
-        return told(200, process.state.content) if process.state.gen else None
+        return json_response(200, process.state.content) if process.state.gen else None
 
     _instead("Config.Read", content)
 
@@ -74,12 +74,12 @@
 
 def own_refusals() -> None:
     """Whoever is asked refuses by what it holds itself."""
-    from cairndale.http_api.server import wrong
+    from cairndale.http_api.server import error_response
 
     def refusal(process: Any, body: bytes) -> Any:
         order, gen = json.loads(body or b"{}"), process.state.gen
         late = order.get("parent", gen) != gen and order["gen"] > gen
-        return wrong(412, f"parent: {order['parent']} is not {gen}") if late else None
+        return error_response(412, f"parent: {order['parent']} is not {gen}") if late else None
 
     _instead("Config.", refusal)
 
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -16,7 +16,7 @@
 from cairndale.control.operations import OperationHandler
 from cairndale.errors import CallError, NotLeaderError
 from cairndale.http_api.router import CONTROL_ROUTES, LOOKUP_ROUTES, RouteFailure, match
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.lookup.selection import lookup
 from cairndale.registry.heartbeats import HeartbeatCollector
 from cairndale.registry.nodes import NodeRegistry
@@ -59,27 +59,27 @@
         process = self._process
         return process.leads() if process.leadership else self._follower.in_contact(process.now())
 
-    def _readiness(self) -> Answer:
+    def _readiness(self) -> Response:
         is_ready = self.ready()
-        return told(200 if is_ready else 503, {"ready": is_ready})
+        return json_response(200 if is_ready else 503, {"ready": is_ready})
 
-    async def lookup_api(self, method: str, target: str, body: bytes) -> Answer:
-        """Answer a client's call, at `dir`."""
+    async def lookup_api(self, method: str, target: str, body: bytes) -> Response:
+        """Response a client's call, at `dir`."""
         found = match(LOOKUP_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return wrong(found.status, found.why)
+            return error_response(found.status, found.why)
         if found.call == "ready":
             return self._readiness()
         if not self.ready():
-            return wrong(503, "out of contact")
+            return error_response(503, "out of contact")
         nodes = self._process.node_registry.listed_nodes()
         return lookup(target, nodes, self._process.settings.bounds.ttl_max)
 
-    async def control(self, method: str, target: str, body: bytes) -> Answer:
-        """Answer a server's or an operator's call, at `ctl`."""
+    async def control(self, method: str, target: str, body: bytes) -> Response:
+        """Response a server's or an operator's call, at `ctl`."""
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return wrong(found.status, found.why)
+            return error_response(found.status, found.why)
         if found.call == "ready":
             return self._readiness()
         if found.call != "beat":
@@ -87,9 +87,9 @@
         status, answer = await self._heartbeat(found.args["id"], method, target, body)
         if status != 200:
             return status, answer
-        return told(200, self._collector.closer_target(body) if self.ready() else {})
+        return json_response(200, self._collector.closer_target(body) if self.ready() else {})
 
-    async def _heartbeat(self, id: str, method: str, target: str, body: bytes) -> Answer:
+    async def _heartbeat(self, id: str, method: str, target: str, body: bytes) -> Response:
         """Have a heartbeat taken in: collected here, in a batch for the leader, or as any call.
 
         One that is not valid goes the last way: the leader says what is wrong with it.
@@ -97,20 +97,20 @@
         now = self._process.now()
         if self._process.leadership is None:
             if self._follower.in_contact(now) and self._collector.collect(id, body, now):
-                return told(200, {})
+                return json_response(200, {})
             if self._follower.is_cut_off(now):
-                return wrong(503, "out of contact")
+                return error_response(503, "out of contact")
             if heartbeat := self._collector.parse(id, body, now):
                 try:
                     await self._follower.batcher.register(heartbeat)
                 except CallError as failure:
-                    return wrong(503, str(failure))
-                return told(200, {})
+                    return error_response(503, str(failure))
+                return json_response(200, {})
         return await self._execute(method, target, body, ISOLATED_HEARTBEAT_TIMEOUT_S)
 
     async def _execute(
         self, method: str, target: str, body: bytes, isolated_timeout: float
-    ) -> Answer:
+    ) -> Response:
         """Execute a call here if this node leads, else forward it to the leader.
 
         Forwarding after it was executed here in vain does no harm: the call has an id, and
@@ -124,7 +124,7 @@
             except NotLeaderError:
                 pass
             except CallError as failure:
-                return wrong(503, str(failure))
+                return error_response(503, str(failure))
         request = pb.OperationRequest(method=method, path=target, body=body, request_id=call_id)
         timeout = called_at + FORWARD_TIMEOUT_S - process.now()
         if not self._follower.in_contact(process.now()):
@@ -137,15 +137,15 @@
 
     async def _forward(
         self, request: pb.OperationRequest, timeout: float, attempt_timeout: float
-    ) -> Answer:
+    ) -> Response:
         call = pb.Envelope(operation_request=request)
         try:
             answer = await self._follower.call(call, timeout, attempt_timeout)
         except CallError as failure:
-            return wrong(503, str(failure))
+            return error_response(503, str(failure))
         return answer.operation_response.status, answer.operation_response.body
 
-    def was_read(self, method: str, target: str, answer: Answer) -> None:
+    def was_read(self, method: str, target: str, answer: Response) -> None:
         """The caller has received an answer: the same call for a zone is another order from now."""
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure) or found.call not in ("evacuate", "take back"):
--- a/cairndale/control/change_queue.py
+++ b/cairndale/control/change_queue.py
@@ -8,7 +8,7 @@
 
 from cairndale.control.leader import Leader
 from cairndale.errors import CallTimeoutError
-from cairndale.http_api.server import Answer, wrong
+from cairndale.http_api.server import Response, error_response
 
 MAX_QUEUED_CHANGES = 64
 ACKNOWLEDGEMENT_POLL_S = 0.03  # leases end without a change that wakes those who wait
@@ -18,7 +18,7 @@
 class ChangeOutcome:
     """The answer to a change, and what it waits for."""
 
-    answer: Answer
+    answer: Response
     version: int = 0  # that all ingresses have to serve by before the answer is given; 0: none
 
 
@@ -30,13 +30,13 @@
         self._lock = asyncio.Lock()
         self._length = 0
 
-    async def run(self, change: Callable[[], Awaitable[ChangeOutcome]]) -> Answer:
+    async def run(self, change: Callable[[], Awaitable[ChangeOutcome]]) -> Response:
         """The answer to a change, which is 503 if too many wait already.
 
         Raises CallError where the outcome is not known, or not everywhere in time.
         """
         if self._length >= MAX_QUEUED_CHANGES:
-            return wrong(503, "too many changes wait")
+            return error_response(503, "too many changes wait")
         self._length += 1
         try:
             async with self._lock:
--- a/cairndale/control/configuration_changes.py
+++ b/cairndale/control/configuration_changes.py
@@ -23,7 +23,7 @@
 from cairndale.control.leader import Leader
 from cairndale.errors import CallTimeoutError, StaleCallError
 from cairndale.events import Event, log_event
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 
 # A change waits so long for the generation that it builds on, which may be on its way.
 PARENT_TIMEOUT_S = 0.2
@@ -58,7 +58,7 @@
     def __init__(self, leader: Leader, queue: ChangeQueue) -> None:
         self._leader, self._queue = leader, queue
 
-    async def handle(self, verb: Verb, body: bytes) -> Answer:
+    async def handle(self, verb: Verb, body: bytes) -> Response:
         """The answer to a call. Raises CallError where the outcome is not known."""
         called = self._leader.now()
         digest = await self._digest(verb, body)
@@ -69,7 +69,7 @@
                 decoded = await run_in_steps(loads_steps(body), is_large)
             except ValueError as error:
                 await self._leader.confirm(called, self._leader.require_leadership().term)
-                return wrong(400, f"not JSON: {error}")
+                return error_response(400, f"not JSON: {error}")
             await self._wait_for_parent(decoded)
         change = _Change(verb, digest, decoded)
         return await self._queue.run(lambda: self._decide(change, called))
@@ -115,45 +115,45 @@
     async def _known_outcome(self, known: int, called: float, term: int) -> ChangeOutcome:
         await self._leader.confirm(called, term)
         if known == REJECTED:
-            return ChangeOutcome(wrong(412, "it was refused before"))
-        return ChangeOutcome(told(200, {"gen": known}), self._leader.state.version)
+            return ChangeOutcome(error_response(412, "it was refused before"))
+        return ChangeOutcome(json_response(200, {"gen": known}), self._leader.state.version)
 
     async def _commit(self, change: _Change) -> ChangeOutcome:
         """A committed change needs no further confirmation: a majority has followed for it."""
         if await self._leader.decide(Command(change.verb, change.digest, change.body)):
             state = self._leader.state
             log_event(Event.CONFIG_ACCEPTED, "gen %d, version %d", state.gen, state.version)
-            return ChangeOutcome(told(200, {"gen": change.body["gen"]}), state.version)
+            return ChangeOutcome(json_response(200, {"gen": change.body["gen"]}), state.version)
         state = self._leader.state
         known = state.idempotency_records.get(change.digest, REJECTED)
         if known == REJECTED:
-            return ChangeOutcome(wrong(412, "another change came first"))
-        return ChangeOutcome(told(200, {"gen": known}), state.version)  # an earlier copy's
+            return ChangeOutcome(error_response(412, "another change came first"))
+        return ChangeOutcome(json_response(200, {"gen": known}), state.version)  # an earlier copy's
 
-    async def _judge(self, change: _Change, state: State) -> Answer | None:
+    async def _judge(self, change: _Change, state: State) -> Response | None:
         """A rejection, or None if the change may be committed.
 
         Raises CallError where neither can be said for sure.
         """
         body, is_full = change.body, change.verb is Verb.REPLACE
         if errors := change_errors(body, is_full, 0):
-            return wrong(400, *errors)  # whatever the state is
+            return error_response(400, *errors)  # whatever the state is
         gen, parent, gen_in_force = body["gen"], body["parent"], state.gen
         if parent < gen and state.record_may_be_evicted(gen):
             if is_full and (errors := await self._content_errors(change, state)):
-                return wrong(400, *errors)
+                return error_response(400, *errors)
             raise StaleCallError("so old that it is not known what became of it")
         mismatch = f"parent: {parent} is not {gen_in_force}, which is in force"
         if parent > gen_in_force:
             # A state with that parent may follow: the rejection has to be in force there as well.
             if await self._leader.decide(Command(Verb.REJECT, change.digest)):
                 raise CallTimeoutError()
-            return wrong(412, mismatch)
+            return error_response(412, mismatch)
         errors = change_errors(body, is_full, gen_in_force)
         if parent != gen_in_force:
-            return wrong(412, mismatch, *errors)
+            return error_response(412, mismatch, *errors)
         errors = errors or await self._content_errors(change, state)
-        return wrong(400, *errors) if errors else None
+        return error_response(400, *errors) if errors else None
 
     async def _content_errors(self, change: _Change, state: State) -> list[str]:
         """What is wrong with the content that would be in force after the change."""
--- a/cairndale/control/evacuations.py
+++ b/cairndale/control/evacuations.py
@@ -12,7 +12,7 @@
 from cairndale.control.change_queue import ChangeOutcome, ChangeQueue
 from cairndale.control.leader import Leader
 from cairndale.events import Event, log_event
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,7 +30,7 @@
     def __init__(self, leader: Leader, queue: ChangeQueue) -> None:
         self._leader, self._queue = leader, queue
 
-    async def handle(self, verb: Verb, zone: str, call_id: str) -> Answer:
+    async def handle(self, verb: Verb, zone: str, call_id: str) -> Response:
         """The answer to a call, which may arrive more than once with the same id.
 
         Raises CallError where the outcome is not known.
@@ -39,7 +39,7 @@
         leadership, now, state = leader.require_leadership(), leader.now(), leader.state
         if zone not in leader.settings.zones:
             await leader.confirm(now, leadership.term)
-            return wrong(404, f"no zone {zone!r}")
+            return error_response(404, f"no zone {zone!r}")
         if call_id in state.evacuation_calls:  # it has arrived by another way before
             await leader.confirm(now, leadership.term)
             await self._queue.wait_until_acknowledged(state.version)
@@ -72,6 +72,6 @@
             log_event(event, "%s, orders: %d", zone, leader.state.evacuated.get(zone, 0))
         return ChangeOutcome(self._answer(zone, call.order_id), leader.state.version)
 
-    def _answer(self, zone: str, order_id: str) -> Answer:
+    def _answer(self, zone: str, order_id: str) -> Response:
         orders = self._leader.state.evacuated.get(zone, 0)
-        return told(200, {"zone": zone, "order": order_id, "orders": orders})
+        return json_response(200, {"zone": zone, "order": order_id, "orders": orders})
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -16,7 +16,7 @@
 from cairndale.control.leadership import Leadership
 from cairndale.events import Event, log_event
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, match
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.registry.endpoints import HeartbeatError, read_heartbeat
 
 
@@ -29,7 +29,7 @@
         self._configuration_changes = ConfigurationChanges(leader, queue)
         self._evacuations = Evacuations(leader, queue)
 
-    async def handle(self, method: str, target: str, body: bytes, call_id: str = "") -> Answer:
+    async def handle(self, method: str, target: str, body: bytes, call_id: str = "") -> Response:
         """The answer to a call, whose id was given where it entered the system.
 
         Raises CallError where this process does not lead, or no longer, or the outcome is not
@@ -37,7 +37,7 @@
         """
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return wrong(found.status, found.why)
+            return error_response(found.status, found.why)
         leadership, now = self._leader.require_leadership(), self._leader.now()
         match found.call:
             case "replace":
@@ -58,33 +58,35 @@
         await self._leader.confirm(now, leadership.term, at_once=False)
         return answer
 
-    def _read(self, leadership: Leadership, call: str) -> Answer:
+    def _read(self, leadership: Leadership, call: str) -> Response:
         state = self._leader.state
         match call:
             case "read" if state.gen:
-                return told(200, state.content)
+                return json_response(200, state.content)
             case "read":
-                return wrong(404, "no configuration yet")
+                return error_response(404, "no configuration yet")
             case "show":
                 view = leadership.fleet_view(self._leader.now(), state)
-                return told(200, view | self._leader.describe_cluster())
-        return wrong(404, "no such call")
+                return json_response(200, view | self._leader.describe_cluster())
+        return error_response(404, "no such call")
 
-    def _record_heartbeat(self, leadership: Leadership, id: str, body: bytes, now: float) -> Answer:
+    def _record_heartbeat(
+        self, leadership: Leadership, id: str, body: bytes, now: float
+    ) -> Response:
         try:
             heartbeat = read_heartbeat(id, json.loads(body), now)
         except HeartbeatError as error:
-            return wrong(400, *error.errors)
+            return error_response(400, *error.errors)
         except ValueError as error:
-            return wrong(400, f"not JSON: {error}")
+            return error_response(400, f"not JSON: {error}")
         if leadership.endpoint_registry.record_heartbeat(heartbeat):
             what = heartbeat.id, heartbeat.service, heartbeat.state
             log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", *what)
             self._leader.notify_change()
-        return told(200, {})
+        return json_response(200, {})
 
-    def _record_end(self, leadership: Leadership, id: str, now: float) -> Answer:
+    def _record_end(self, leadership: Leadership, id: str, now: float) -> Response:
         if leadership.endpoint_registry.mark_ended(id, now):
             log_event(Event.ENDPOINTS_CHANGED, "%s gone", id)
             self._leader.notify_change()
-        return told(200, {})
+        return json_response(200, {})
--- a/cairndale/dataplane/lookup_api.py
+++ b/cairndale/dataplane/lookup_api.py
@@ -5,7 +5,7 @@
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.readiness import Readiness
 from cairndale.http_api.router import LOOKUP_ROUTES, READY, RouteFailure, match
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.lookup.selection import Lookups
 from cairndale.settings import Settings
 
@@ -25,19 +25,21 @@
         """Take other settings from now on."""
         self._ttl_max = settings.bounds.ttl_max
 
-    async def readiness(self, method: str, target: str, body: bytes) -> Answer:
-        """Answer 200 if clients may be sent here, else 503; with the generation in force."""
+    async def readiness(self, method: str, target: str, body: bytes) -> Response:
+        """Response 200 if clients may be sent here, else 503; with the generation in force."""
         found = match(READY, method, target)
         if isinstance(found, RouteFailure):
-            return wrong(found.status, found.why)
+            return error_response(found.status, found.why)
         ready = self._readiness.is_ready()
-        return told(200 if ready else 503, {"ready": ready, "gen": self._config.route_table.gen})
+        return json_response(
+            200 if ready else 503, {"ready": ready, "gen": self._config.route_table.gen}
+        )
 
-    async def lookup(self, method: str, target: str, body: bytes) -> Answer:
-        """Answer which ingresses a client is sent to, or as `readiness` does."""
+    async def lookup(self, method: str, target: str, body: bytes) -> Response:
+        """Response which ingresses a client is sent to, or as `readiness` does."""
         found = match(LOOKUP_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return wrong(found.status, found.why)
+            return error_response(found.status, found.why)
         if found.call == "ready":
             return await self.readiness(method, target, body)
         config = self._config
--- a/cairndale/http_api/__init__.py
+++ b/cairndale/http_api/__init__.py
@@ -1,1 +1,1 @@
-"""Calls of servers and operators: a tree of matchers, and the doors they come through."""
+"""HTTP API of operators, servers and clients: routes and server."""
--- a/cairndale/http_api/router.py
+++ b/cairndale/http_api/router.py
@@ -1,5 +1,9 @@
-"""Calls of servers and operators as a tree of matchers: each looks at one part of a request and
-hands on."""
+"""Routes of the HTTP API: a tree of matchers, each of which takes one part of a request.
+
+A matcher looks at the next part of the path, or at the method, and hands the rest to the matcher
+below it; a leaf names the call. A path that no branch knows is a 404, a known path with another
+method a 405.
+"""
 
 from __future__ import annotations
 
@@ -7,26 +11,41 @@
 from dataclasses import dataclass, field
 from urllib.parse import unquote
 
-MOST_NAME = 256
+MAX_NAME_CHARS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A call as it came: what is left of its path, and what was found in it so far."""
+    """A request on its way down the tree.
+
+    Attributes:
+        method: as it came.
+        path: what is left of it: empty, or beginning with a slash.
+        found: the names that were taken from the path so far, by key.
+    """
 
     method: str
     path: str
     found: dict[str, str] = field(default_factory=dict)
 
+    def split(self) -> tuple[str, Request]:
+        """The next part of the path, and the request without it."""
+        part, _, rest = self.path.removeprefix("/").partition("/")
+        return part, Request(self.method, "/" + rest if rest else "", self.found)
+
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
+    """The call that a request means, and the names in its path by key."""
+
     call: str
     args: dict[str, str]
 
 
 @dataclass(frozen=True, slots=True)
 class RouteFailure:
+    """Why a request means no call: the HTTP status, and a sentence."""
+
     status: int
     why: str
 
@@ -35,65 +54,73 @@
 
 
 class RouteMatcher:
-    def match(self, asked: Request) -> RouteResult:
+    """One node of the tree."""
+
+    def match(self, request: Request) -> RouteResult:
+        """What the request means, from here downwards."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True, slots=True)
 class Call(RouteMatcher):
-    """A leaf: nothing may be left."""
+    """A leaf: the path ends here, and means this call."""
 
     name: str
 
-    def match(self, asked: Request) -> RouteResult:
-        return (
-            RouteFailure(404, "no such call") if asked.path else RouteMatch(self.name, asked.found)
-        )
+    def match(self, request: Request) -> RouteResult:
+        """The call, or 404 if something of the path is left."""
+        if request.path:
+            return RouteFailure(404, "no such call")
+        return RouteMatch(self.name, request.found)
 
 
 @dataclass(frozen=True, slots=True)
 class Method(RouteMatcher):
+    """Only one method is allowed below here."""
+
     name: str
     then: RouteMatcher
 
-    def match(self, asked: Request) -> RouteResult:
-        found = self.then.match(asked)
-        if isinstance(found, RouteMatch) and asked.method != self.name:
+    def match(self, request: Request) -> RouteResult:
+        """What is found below, or 405 if that is a call and the method another."""
+        result = self.then.match(request)
+        if isinstance(result, RouteMatch) and request.method != self.name:
             return RouteFailure(405, f"only {self.name} is known here")
-        return found
+        return result
 
 
 @dataclass(frozen=True, slots=True)
 class Name(RouteMatcher):
-    """The next part of the path is a name, whatever it is."""
+    """The next part of the path is a name, whatever it is, and is kept under `key`."""
 
     key: str
     then: RouteMatcher
 
-    def match(self, asked: Request) -> RouteResult:
-        part, _, rest = asked.path.removeprefix("/").partition("/")
+    def match(self, request: Request) -> RouteResult:
+        """What is found below, or 404 if the name is missing or too long."""
+        part, rest = request.split()
         name = unquote(part)
-        if not name or len(name) > MOST_NAME:
+        if not name or len(name) > MAX_NAME_CHARS:
             return RouteFailure(404, f"the {self.key} is missing or too long")
-        return self.then.match(
-            Request(asked.method, "/" + rest if rest else "", asked.found | {self.key: name})
-        )
+        return self.then.match(Request(rest.method, rest.path, rest.found | {self.key: name}))
 
 
 @dataclass(frozen=True, slots=True)
 class Parts(RouteMatcher):
-    """The next part of the path says where to go on."""
+    """The next part of the path selects the matcher below."""
 
     then: Mapping[str, RouteMatcher]
 
-    def match(self, asked: Request) -> RouteResult:
-        part, _, rest = asked.path.removeprefix("/").partition("/")
-        if (further := self.then.get(part)) is None:
+    def match(self, request: Request) -> RouteResult:
+        """What is found below, or 404 if no matcher has that part."""
+        part, rest = request.split()
+        if (matcher := self.then.get(part)) is None:
             return RouteFailure(404, "no such call")
-        return further.match(Request(asked.method, "/" + rest if rest else "", asked.found))
+        return matcher.match(rest)
 
 
 def match(tree: RouteMatcher, method: str, target: str) -> RouteResult:
+    """What a request means by this tree. The query of the target does not matter."""
     return tree.match(Request(method, target.partition("?")[0]))
 
 
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -1,11 +1,15 @@
-"""HTTP doors for calls: one request at a time on a connection, each answered by a coroutine."""
+"""HTTP server of operators' and servers' calls.
+
+One request at a time on a connection, without pipelining; each is answered by a coroutine. Answers
+are JSON.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from collections.abc import Awaitable, Callable
-from typing import Any
+from dataclasses import dataclass
 
 import httptools
 
@@ -13,146 +17,187 @@
 from cairndale.rpc.framing import detect_dead_peer
 from cairndale.settings import Address
 
-MOST_BODY = 16 * 1024 * 1024
-MOST_OPEN = 1024
-PATIENCE = 10.0  # s that a connection may take for a call, or stand idle
-TOLD = 12.0  # s for an answer to be found, whatever else
+MAX_BODY_BYTES = 16 * 1024 * 1024
+MAX_CONNECTIONS = 1024
+IDLE_TIMEOUT_S = 10.0  # that a connection may take for a call, or stand idle
+HANDLER_TIMEOUT_S = 12.0
+LINGER_S = 1.5  # that a caller may take to end a connection after its last answer
+UNACKED_TIMEOUT_MS = 5000  # without a TCP acknowledgement
 
-Answer = tuple[int, bytes]
-Take = Callable[[str, str, bytes], Awaitable[Answer]]  # method, target, body
-Read = Callable[[str, str, Answer], None]  # method, target, answer
-LINGER = 1.5  # s that a caller may take to end a connection after its last answer
+Response = tuple[int, bytes]  # status and body
+RequestHandler = Callable[[str, str, bytes], Awaitable[Response]]  # method, target, body
+DeliveryListener = Callable[[str, str, Response], None]  # method, target, response
 
 
-def told(status: int, value: Any) -> Answer:
+def json_response(status: int, value: object) -> Response:
+    """A response with this value as compact JSON."""
     return status, json.dumps(value, separators=(",", ":")).encode()
 
 
-def wrong(status: int, *errors: str) -> Answer:
-    return told(status, {"errors": list(errors)})
+def error_response(status: int, *errors: str) -> Response:
+    """A response that lists what is wrong, as `{"errors": [...]}`."""
+    return json_response(status, {"errors": list(errors)})
+
+
+@dataclass(frozen=True, slots=True)
+class _Delivery:
+    """A response that was written, of which it is not known whether its caller has read it."""
+
+    method: str
+    target: str
+    response: Response
 
 
 class HttpServer:
-    def __init__(self, take: Take, read: Read | None = None) -> None:
-        """`read` is told of each answer that its caller has had for sure."""
-        self.take, self.read = take, read
-        self.open: set[ApiConnection] = set()
+    """Accepts connections and answers the requests on them.
+
+    Args:
+        handle: answers one request; it is cancelled after `HANDLER_TIMEOUT_S` and the caller is
+            told 503.
+        on_delivered: told of each response that its caller certainly has received.
+
+    Attributes:
+        connections: those that are open.
+        closing: `stop` was called: each connection ends with its next answer.
+    """
+
+    def __init__(
+        self, handle: RequestHandler, on_delivered: DeliveryListener | None = None
+    ) -> None:
+        self.handle, self.on_delivered = handle, on_delivered
+        self.connections: set[ApiConnection] = set()
         self.closing = False
         self._server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def listen(self, at: Address) -> None:
+    async def listen(self, address: Address) -> None:
+        """Accept connections at the address. Raises OSError where it is not free."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: ApiConnection(self), *at, backlog=512)
+        self._server = await loop.create_server(lambda: ApiConnection(self), *address, backlog=512)
 
     def stop(self) -> None:
+        """Accept no more, and close all connections once what was written is sent."""
         self.closing = True
         if self._server:
             self._server.close()
-        for visitor in list(self.open):
-            visitor.transport.close()
+        for connection in list(self.connections):
+            connection.transport.close()
 
 
 class BufferedConnection(HttpConnection):
-    """Takes requests whose bodies are collected, up to a size."""
+    """Collects the body of each request before `received` is called.
 
-    _came: list[bytes]
-    _size_come = 0
+    A body over `MAX_BODY_BYTES` is answered by `garbage(413)`.
+    """
+
+    _chunks: list[bytes]
+    _body_bytes = 0
 
     def opened(self, message: Message) -> None:
-        self._came, self._size_come = [], 0
+        """The head of a request is complete."""
+        self._chunks, self._body_bytes = [], 0
 
     def part(self, message: Message, data: bytes) -> None:
-        self._size_come += len(data)
-        if self._size_come > MOST_BODY:
+        """A part of the body has come."""
+        self._body_bytes += len(data)
+        if self._body_bytes > MAX_BODY_BYTES:
             self._lost_framing = True
             self.garbage(413)
         else:
-            self._came.append(data)
+            self._chunks.append(data)
 
     def ended(self, message: Message) -> None:
-        message.body, self._came = b"".join(self._came), []
+        """The body is complete."""
+        message.body, self._chunks = b"".join(self._chunks), []
         self.received(message)
 
 
 class ApiConnection(BufferedConnection):
-    def __init__(self, addresses: HttpServer) -> None:
+    """One connection of an `HttpServer`."""
+
+    def __init__(self, server: HttpServer) -> None:
         super().__init__(httptools.HttpRequestParser)
-        self._addresses, self._busy = addresses, False
-        # the last answer, until it is known to be read
-        self._said: tuple[str, str, Answer] | None = None
+        self._server, self._busy = server, False
+        self._delivery: _Delivery | None = None  # the last, until it is known to be read
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the connection, unless `MAX_CONNECTIONS` are open."""
         super().connection_made(transport)
         if sock := transport.get_extra_info("socket"):
-            detect_dead_peer(sock, 5000)
-        self._addresses.open.add(self)
-        if len(self._addresses.open) > MOST_OPEN:
+            detect_dead_peer(sock, UNACKED_TIMEOUT_MS)
+        self._server.connections.add(self)
+        if len(self._server.connections) > MAX_CONNECTIONS:
             self.transport.abort()
             return
-        self._wait()
+        self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._addresses.open.discard(self)
+        """Forget the connection. A request that is being answered goes on."""
+        self._server.connections.discard(self)
         if self._timer:
             self._timer.cancel()
 
-    def _wait(self) -> None:
+    def _restart_idle_timer(self) -> None:
         if self._timer:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self.transport.abort)
+        loop = asyncio.get_running_loop()
+        self._timer = loop.call_later(IDLE_TIMEOUT_S, self.transport.abort)
 
     def garbage(self, status: int) -> None:
+        """Answer what is no valid request, and end the connection."""
         if not self.transport.is_closing():
-            self._say(status, wrong(status, self.wrong or "not understood")[1], False)
+            _, body = error_response(status, self.wrong or "not understood")
+            self._write(status, body, False)
 
     def received(self, message: Message) -> None:
-        if self._busy:  # no pipelining here
+        """Begin to answer a request; one that is sent before the last was answered ends it all."""
+        if self._busy:
             self.transport.abort()
             return
-        self._was_read()
+        self._confirm_delivery()
         self._busy = True
-        task = asyncio.get_running_loop().create_task(self._take(message))
-        self._addresses.tasks.add(task)
-        task.add_done_callback(self._addresses.tasks.discard)
+        task = asyncio.get_running_loop().create_task(self._answer(message))
+        self._server.tasks.add(task)
+        task.add_done_callback(self._server.tasks.discard)
 
-    async def _take(self, message: Message) -> None:
+    async def _answer(self, message: Message) -> None:
         method, target = message.method.decode("latin-1"), message.target.decode("latin-1")
-        for _ in range(
-            2
-        ):  # what came with the call is read: after a freeze its caller may be long gone
+        # Two turns of the loop, in which all that came with the call is read: after the process was
+        # frozen its caller may be long gone.
+        for _ in range(2):
             await asyncio.sleep(0)
         if self.transport.is_closing():
             return
         try:
-            async with asyncio.timeout(TOLD):
-                status, body = await self._addresses.take(method, target, message.body)
+            async with asyncio.timeout(HANDLER_TIMEOUT_S):
+                status, body = await self._server.handle(method, target, message.body)
         except TimeoutError:
-            status, body = wrong(503, "no answer in time")
+            status, body = error_response(503, "no answer in time")
         self._busy = False
         if not self.transport.is_closing():
-            self._said = (method, target, (status, body))
-            self._say(status, body, message.keep_alive and not self._addresses.closing)
+            self._delivery = _Delivery(method, target, (status, body))
+            self._write(status, body, message.keep_alive and not self._server.closing)
 
     def eof_received(self) -> None:
-        """In order, and after the answer: whoever sends that has had it."""
-        self._was_read()
+        """The caller ends the connection in order: it has read the last response."""
+        self._confirm_delivery()
 
-    def _was_read(self) -> None:
-        said, self._said = self._said, None
-        if said and self._addresses.read:
-            self._addresses.read(*said)
+    def _confirm_delivery(self) -> None:
+        delivery, self._delivery = self._delivery, None
+        if delivery and self._server.on_delivered:
+            self._server.on_delivered(delivery.method, delivery.target, delivery.response)
 
-    def _say(self, status: int, body: bytes, keep: bool) -> None:
+    def _write(self, status: int, body: bytes, keep: bool) -> None:
         self.transport.write(
             plain(status, body, b"Content-Type: application/json\r\n", close=not keep)
         )
         if keep:
-            self._wait()
-        elif self._addresses.read and self._timer:
+            self._restart_idle_timer()
+        elif self._server.on_delivered and self._timer:
             self.transport.write_eof()
             self._timer.cancel()
-            self._timer = asyncio.get_running_loop().call_later(LINGER, self.transport.close)
+            loop = asyncio.get_running_loop()
+            self._timer = loop.call_later(LINGER_S, self.transport.close)
         else:
             self.transport.close()
--- a/cairndale/lookup/selection.py
+++ b/cairndale/lookup/selection.py
@@ -1,26 +1,32 @@
-"""Which ingresses a client is sent to: those ready in its region, else all that are, else those
-about to stop. Where routes of the host have homes, another region comes in only if it is a home, as
-long as one there or in the client's region serves: bodies must not go elsewhere because a list said
-so."""
+"""Which ingresses a client is sent to.
+
+Those that are ready in its region; else all that are ready; else those that are draining. Where
+routes of the host have home regions, another region is taken only if it is a home, as long as an
+ingress there or in the client's region serves: bodies must not leave their homes because of an
+answer of ours.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
 from hashlib import blake2b
 from urllib.parse import parse_qs
 
 from cairndale.configuration.route_table import RouteTable
-from cairndale.http_api.server import Answer, told, wrong
+from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.rpc import protocol_pb2 as pb
 
-MOST = 64
-TTL = 1.5  # s at the most: how long one that has left is still called
-KEPT = 1024  # answers
+MAX_ADDRESSES = 64
+MAX_TTL_S = 1.5  # for so long an ingress that has left is still called
+MAX_CACHED_ANSWERS = 1024
 
 
 def homes_of(route_table: RouteTable | None, host: str) -> frozenset[str]:
-    """Regions in which all routes of the host that have homes have one; empty: nothing binds
-    them."""
+    """Regions that are a home of each route of the host that has homes.
+
+    Empty if no route has homes, or if they have none in common: nothing is restricted then.
+    """
     routes = (
         route_table.routes_by_host.get(host.lower().encode(), {}).values() if route_table else ()
     )
@@ -28,26 +34,39 @@
     return frozenset.intersection(*homes) if homes else frozenset()
 
 
-def _asked(target: str) -> tuple[str, str, str]:
-    """The client's region and zone, and the host that it asks for."""
+@dataclass(frozen=True, slots=True)
+class _Query:
+    """The client's region and zone, and the host that it asks for; each may be empty."""
+
+    region: str
+    zone: str
+    host: str
+
+
+def _parse(target: str) -> _Query:
     query = parse_qs(target.partition("?")[2], max_num_fields=20)
-    region, zone, name = (query.get(field, [""])[0] for field in ("region", "zone", "name"))
-    return region, zone, name
+    region, zone, host = (query.get(field, [""])[0] for field in ("region", "zone", "name"))
+    return _Query(region, zone, host)
 
 
-def _near(nodes: Iterable[pb.Node], region: str, zone: str, homes: frozenset[str]) -> set[str]:
-    edges = [n for n in nodes if n.kind == "edge" and n.http_address]
-    ready, leaving = (
-        [n for n in edges if n.ready and not n.draining],
-        [n for n in edges if n.draining],
-    )
-    near = [n for n in ready if n.region == region] or [n for n in ready if n.zone == zone]
-    near = near or [n for n in ready if n.region in homes]
-    near = near or [n for n in leaving if homes and n.region in homes | {region}]
-    if not near:
-        fit = ready or leaving
-        near = [n for n in fit if n.region == region] or [n for n in fit if n.zone == zone] or fit
-    return {n.http_address for n in near}
+def _select(nodes: Iterable[pb.Node], query: _Query, homes: frozenset[str]) -> set[str]:
+    """HTTP addresses of the ingresses that the client may call; empty if there are none."""
+    ingresses = [n for n in nodes if n.kind == "edge" and n.http_address]
+    ready = [n for n in ingresses if n.ready and not n.draining]
+    draining = [n for n in ingresses if n.draining]
+    selected = _close_to(ready, query)
+    selected = selected or [n for n in ready if n.region in homes]
+    selected = selected or [n for n in draining if homes and n.region in homes | {query.region}]
+    if not selected:
+        serving = ready or draining
+        selected = _close_to(serving, query) or serving
+    return {n.http_address for n in selected}
+
+
+def _close_to(nodes: list[pb.Node], query: _Query) -> list[pb.Node]:
+    return [n for n in nodes if n.region == query.region] or [
+        n for n in nodes if n.zone == query.zone
+    ]
 
 
 def lookup(
@@ -56,27 +75,43 @@
     ttl_max: float,
     route_table: RouteTable | None = None,
     own: str = "",
-) -> Answer:
-    """`ttl_max` in s; `bill`: the configuration, where it is known. Of more than MOST, who answers
-    by the name of `own` tells others than who answers by another, and the same from answer to
-    answer: clients that ask different ones go to all of them."""
-    region, zone, name = _asked(target)
-    addrs = _near(nodes, region, zone, homes_of(route_table, name))
-    if not addrs:
-        return wrong(503, "no ingress is ready")
-    if len(addrs) > MOST:
-        drawn = {a: blake2b(f"{own} {a}".encode(), digest_size=8).digest() for a in addrs}
-        addrs = set(sorted(addrs, key=drawn.__getitem__)[:MOST])
-    return told(200, {"addrs": sorted(addrs), "ttl": f"{int(min(TTL, ttl_max) * 1000)}ms"})
+) -> Response:
+    """The response to a client that asks which ingresses to call; 503 if there are none.
+
+    Of more than `MAX_ADDRESSES` a part is drawn by `own` and the addresses: the same in each
+    response of one process, another in those of others, so that clients that ask different ones go
+    to all ingresses.
+
+    Args:
+        target: the request's, with region, zone and name in its query.
+        nodes: all that are known.
+        ttl_max: seconds for which a client may use the response, at the most.
+        route_table: the configuration, where it is known.
+        own: the name of the answering process.
+    """
+    query = _parse(target)
+    addresses = _select(nodes, query, homes_of(route_table, query.host))
+    if not addresses:
+        return error_response(503, "no ingress is ready")
+    if len(addresses) > MAX_ADDRESSES:
+        drawn = {a: blake2b(f"{own} {a}".encode(), digest_size=8).digest() for a in addresses}
+        addresses = set(sorted(addresses, key=drawn.__getitem__)[:MAX_ADDRESSES])
+    ttl_ms = int(min(MAX_TTL_S, ttl_max) * 1000)
+    return json_response(200, {"addrs": sorted(addresses), "ttl": f"{ttl_ms}ms"})
 
 
 class Lookups:
-    """Answers by one name, kept while the nodes are the same: to make one takes a look at all of
-    them."""
+    """Responses of one process, cached while nodes and configuration are the same.
+
+    To make one takes a look at all nodes.
+
+    Args:
+        own: the name of the answering process.
+    """
 
     def __init__(self, own: str) -> None:
         self._own, self._version = own, object()
-        self._kept: dict[tuple[str, str, str, float], Answer] = {}
+        self._cache: dict[tuple[_Query, float], Response] = {}
 
     def answer(
         self,
@@ -85,11 +120,11 @@
         ttl_max: float,
         route_table: RouteTable | None,
         version: object,
-    ) -> Answer:
-        """`version` is another one when the nodes or the configuration are others."""
-        if version != self._version or len(self._kept) >= KEPT:
-            self._version, self._kept = version, {}
-        key = (*_asked(target), ttl_max)
-        if key not in self._kept:
-            self._kept[key] = lookup(target, nodes, ttl_max, route_table, self._own)
-        return self._kept[key]
+    ) -> Response:
+        """As `lookup`. `version` is another one when nodes or configuration are others."""
+        if version != self._version or len(self._cache) >= MAX_CACHED_ANSWERS:
+            self._version, self._cache = version, {}
+        key = (_parse(target), ttl_max)
+        if key not in self._cache:
+            self._cache[key] = lookup(target, nodes, ttl_max, route_table, self._own)
+        return self._cache[key]
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -8,7 +8,7 @@
 
 from cairndale.chaos.world import ROOT
 from cairndale.control.watch_server import SEND_RATE_BYTES_PER_S
-from cairndale.lookup.selection import TTL
+from cairndale.lookup.selection import MAX_TTL_S
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.lease_timing import long_poll_timeout
@@ -150,7 +150,7 @@
     to."""
     n, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
     found = sums.look_ups(kept)
-    for ttl, what in ((TTL, "as it is told now"), (5.0, "the most that counts")):
+    for ttl, what in ((MAX_TTL_S, "as it is told now"), (5.0, "the most that counts")):
         rate = sums.REQUESTS_PER_S / ttl
         rows.append((f"look-ups a second with a ttl of {ttl:g} s", format_number(rate), what))
         rows.append(("... at each ingress, evenly spread", format_number(rate / n), f"by {n:,}"))
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -25,7 +25,7 @@
 from cairndale.control.leadership import Leadership
 from cairndale.control.operations import OperationHandler
 from cairndale.control.read_index import ReadIndex
-from cairndale.http_api.server import wrong
+from cairndale.http_api.server import error_response
 from cairndale.registry.endpoints import EndpointRegistry, read_heartbeat
 from cairndale.registry.heartbeats import HeartbeatCollector
 from cairndale.registry.nodes import NodeRegistry
@@ -757,7 +757,7 @@
             outcome = await decide_change(self, *args)
         finally:
             self._leader.decide = decide  # type: ignore[method-assign]
-        return ChangeOutcome(wrong(412, "another change came first")) if void else outcome
+        return ChangeOutcome(error_response(412, "another change came first")) if void else outcome
 
     monkeypatch.setattr(ConfigurationChanges, "_decide", refused)
 
--- a/tests/http_api/test_server.py
+++ b/tests/http_api/test_server.py
@@ -8,7 +8,7 @@
 import uvloop
 
 from cairndale.chaos.standins import ask
-from cairndale.http_api.server import Answer, HttpServer, told
+from cairndale.http_api.server import HttpServer, Response, json_response
 
 CALL = (
     b"POST /-/Drain.Begin/north-a HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\nConnection: "
@@ -21,9 +21,9 @@
     left."""
     taken: list[str] = []
 
-    async def take(method: str, target: str, body: bytes) -> Answer:
+    async def take(method: str, target: str, body: bytes) -> Response:
         taken.append(target)
-        return told(200, {})
+        return json_response(200, {})
 
     addresses = HttpServer(take)
     with socket.socket() as probe:
