--- a/cairndale/raft/__init__.py
+++ b/cairndale/raft/__init__.py
@@ -1,2 +1,1 @@
-"""The core's replicated log (election, append entries, snapshots): one order over its terms, safe
-on disk."""
+"""Raft: a replicated log with elections, membership changes, snapshots and durable storage."""
--- a/cairndale/raft/fragments.py
+++ b/cairndale/raft/fragments.py
@@ -1,8 +1,9 @@
-"""A large command's form in the log: parts, an entry each, of which the last decides. Pure.
+"""A large command in the log: fragments, an entry each, of which the last makes it count. Pure.
 
-A part begins with a mark that no whole command begins with (that is zlib's `x`), its kind, its
-number in the command, and a CRC of all else in it. The data of the last one stand behind the digest
-of all parts' data. Parts of one command follow one another in one term; entries of others may stand
+An entry's data are a fragment if they begin with `FRAGMENT_MARK`, which no whole command does: that
+begins with zlib's `x`. Header, all big-endian: mark (1 byte), kind (1), number in the command (4),
+CRC-32 of header and payload (4). The payload of the last fragment begins with the digest of all
+fragments' data. Fragments of one command follow one another in one term; other entries may stand
 between them."""
 
 from __future__ import annotations
@@ -15,77 +16,85 @@
 
 from cairndale.raft.messages import state_digest
 
-FRAGMENT_BYTES = (
-    16 * 1024
-)  # bytes of an entry's data at the most: two are one append, so that a beat waits for no more
-# parts that are not in force yet, while one more is appended: others' commands get in between
+# The largest data of an entry. Two fit in one append, which bounds what a heartbeat queues behind.
+FRAGMENT_BYTES = 16 * 1024
+# Fragments proposed ahead of the commit index: other commands get in between.
 MAX_UNCOMMITTED = 4
 FRAGMENT_MARK = 2
-_HEADER, _CRC, DIGEST_BYTES = struct.Struct(">BBI"), struct.Struct(">I"), 16
-PAYLOAD_BYTES = FRAGMENT_BYTES - _HEADER.size - _CRC.size  # bytes in one part
+DIGEST_BYTES = 16
+_HEADER = struct.Struct(">BBI")  # mark, kind, number
+_CRC = struct.Struct(">I")
+PAYLOAD_BYTES = FRAGMENT_BYTES - _HEADER.size - _CRC.size  # in one fragment
 
 
 class FragmentKind(IntEnum):
-    MORE = 0
+    """Place of a fragment in its command; the numbers are the stored format."""
+
+    MORE = 0  # others follow
     LAST = 1
-    ABORT = 2  # the one before is given up: its rest will not come
+    ABORT = 2  # the command before is given up: its other fragments will not come
 
 
 @dataclass(frozen=True, slots=True)
 class Fragment:
+    """A decoded fragment."""
+
     kind: FragmentKind
     number: int  # in its command, from 0
-    data: bytes
+    data: bytes  # of the last one: the digest, then data
 
 
 class FragmentError(ValueError):
-    """No part, or not as it was made."""
+    """The data are no fragment, or a damaged one."""
 
 
 def is_fragment(data: bytes) -> bool:
+    """Whether an entry's data are a fragment and not a whole command."""
     return data[:1] == bytes([FRAGMENT_MARK])
 
 
 def is_intact(data: bytes) -> bool:
-    """Of an entry's data: whether it is as it was made, as it tells."""
+    """Whether an entry's data are undamaged, as far as they carry a checksum."""
+    if not is_fragment(data):
+        return True
     try:
-        return not is_fragment(data) or bool(decode_fragment(data))
+        decode_fragment(data)
     except FragmentError:
         return False
+    return True
 
 
 def encode_fragment(kind: FragmentKind, number: int, data: bytes) -> bytes:
-    head = _HEADER.pack(FRAGMENT_MARK, kind, number)
-    return head + _CRC.pack(zlib.crc32(data, zlib.crc32(head))) + data
+    """The data of an entry that holds a fragment."""
+    header = _HEADER.pack(FRAGMENT_MARK, kind, number)
+    return header + _CRC.pack(zlib.crc32(data, zlib.crc32(header))) + data
 
 
 def decode_fragment(data: bytes) -> Fragment:
-    """Raises PartError."""
+    """The fragment in an entry's data. Raises FragmentError."""
     try:
-        (mark, kind, number), (crc,) = (
-            _HEADER.unpack_from(data),
-            _CRC.unpack_from(data, _HEADER.size),
-        )
-        rest = data[_HEADER.size + _CRC.size :]
-        if mark != FRAGMENT_MARK or crc != zlib.crc32(rest, zlib.crc32(data[: _HEADER.size])):
+        mark, kind, number = _HEADER.unpack_from(data)
+        (crc,) = _CRC.unpack_from(data, _HEADER.size)
+        payload = data[_HEADER.size + _CRC.size :]
+        if mark != FRAGMENT_MARK or crc != zlib.crc32(payload, zlib.crc32(data[: _HEADER.size])):
             raise FragmentError("a part is not as it was made")
-        return Fragment(FragmentKind(kind), number, rest)
+        return Fragment(FragmentKind(kind), number, payload)
     except (struct.error, ValueError) as error:
         raise FragmentError(str(error)) from error
 
 
-def split(stream: Iterable[bytes]) -> Iterator[bytes]:
-    """The data of one entry after the other. Empty: only a pause, after each piece of the
-    stream."""
-    digest, held, number = state_digest(), bytearray(), 0
-    for piece in stream:
+def split(pieces: Iterable[bytes]) -> Iterator[bytes]:
+    """The data of one entry after the other, for a command that comes in pieces.
+
+    Yields empty bytes after each piece: the caller may pause there."""
+    digest, pending, number = state_digest(), bytearray(), 0
+    size = PAYLOAD_BYTES - DIGEST_BYTES
+    for piece in pieces:
         digest.update(piece)
-        held += piece
-        while len(held) > PAYLOAD_BYTES - DIGEST_BYTES:
-            yield encode_fragment(
-                FragmentKind.MORE, number, bytes(held[: PAYLOAD_BYTES - DIGEST_BYTES])
-            )
-            del held[: PAYLOAD_BYTES - DIGEST_BYTES]
+        pending += piece
+        while len(pending) > size:
+            yield encode_fragment(FragmentKind.MORE, number, bytes(pending[:size]))
+            del pending[:size]
             number += 1
         yield b""
-    yield encode_fragment(FragmentKind.LAST, number, digest.digest() + held)
+    yield encode_fragment(FragmentKind.LAST, number, digest.digest() + pending)
--- a/cairndale/raft/messages.py
+++ b/cairndale/raft/messages.py
@@ -1,4 +1,7 @@
-"""What members of the core say to one another, what their disks keep, and a step of the machine."""
+"""Raft's messages, what a member persists, and the output of the state machine.
+
+These are plain values: `codec.py` has their form on the wire and on disk. Indexes count log entries
+from 1; clock readings in messages are microseconds."""
 
 from __future__ import annotations
 
@@ -8,35 +11,33 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """A door and a disk: with another disk it is another member; not so with another place or
-    role."""
+    """An address with a disk. Another disk makes another member; location and role do not."""
 
     address: str  # host:port
-    disk_id: str  # drawn anew for each disk
-    zone: str = field(default="", compare=False)  # empty: not told yet
+    disk_id: str  # drawn at random when the disk is initialized
+    zone: str = field(default="", compare=False)  # empty: not reported yet
     region: str = field(default="", compare=False)
-    learner: bool = field(
-        default=False, compare=False
-    )  # is given the log, and counts in no majority
+    # A learner is sent the log and counts in no majority (PhD 4.2.1).
+    learner: bool = field(default=False, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """A log entry: a command, a configuration, or the first entry of a term."""
+
     index: int
     term: int
     data: bytes = b""
-    members: tuple[
-        Member, ...
-    ] = ()  # the configuration from here on, if any are named: voters, learners
-    is_term_start: bool = False  # the first of its term
+    members: tuple[Member, ...] = ()  # if any: the configuration from this entry on
+    is_term_start: bool = False  # the leader's first in its term; without data
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotHead:
-    """Which snapshot: members that made theirs at the same entry have the same one."""
+    """Identifies a snapshot: two that were made at the same entry are the same."""
 
-    index: int
-    term: int
+    index: int  # of the last entry that it covers
+    term: int  # of that entry
     members: tuple[Member, ...]
     size: int  # bytes of the state
     digest: bytes  # of the state
@@ -44,49 +45,57 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
+    """The state after the entry at `index`, with the configuration then."""
+
     index: int = 0
     term: int = 0
     members: tuple[Member, ...] = ()
     state: bytes = b""
-    digest: bytes = field(default=b"", compare=False)  # of the state, where it is known already
+    digest: bytes = field(default=b"", compare=False)  # of the state, if it is known already
 
     @property
     def head(self) -> SnapshotHead:
+        """Computes the digest, unless it is known."""
         digest = self.digest or state_digest(self.state).digest()
         return SnapshotHead(self.index, self.term, self.members, len(self.state), digest)
 
 
 def state_digest(state: bytes = b"") -> blake2b:
+    """The digest that identifies a state, to be updated with what follows."""
     return blake2b(state, digest_size=16)
 
 
 @dataclass(slots=True)
 class PersistedState:
-    """What a disk holds."""
+    """What a member's disk holds."""
 
     term: int = 0
-    voted_for: str = ""  # the disk that this one's vote went to in that term
+    voted_for: str = ""  # disk id of the member voted for, or followed, in that term
     snapshot: Snapshot = field(default_factory=Snapshot)
-    entries: list[Entry] = field(default_factory=list)  # those after the snapshot
-    # the first parts of one that is being received
+    entries: list[Entry] = field(default_factory=list)  # after the snapshot
+    # The first chunks of a snapshot that is being received.
     partial_snapshot: tuple[SnapshotHead, bytes] | None = None
 
 
-# What members say to one another.
+# Messages. `term` is the sender's, but for pre-votes.
 
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
+    """Raft 5.2; with `pre_vote` PhD 9.6: who would vote in this term? It binds nobody."""
+
     term: int
     sender: Member
-    pre_vote: bool  # asks who would give their vote; nobody is bound by the answer
+    pre_vote: bool
     last_log_index: int
     last_log_term: int
-    transfer: bool = False  # the leader of the term before asked for it, and has given its lease up
+    transfer: bool = False  # asked for by the previous leader, which has released its lease
 
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
+    """Reply to `RequestVote`; a granted pre-vote carries the term that was asked for."""
+
     term: int
     sender: Member
     pre_vote: bool
@@ -95,49 +104,55 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
+    """Raft 5.3; without entries a heartbeat."""
+
     term: int
     sender: Member
     prev_index: int
     prev_term: int
     entries: tuple[Entry, ...]
     commit_index: int
-    sent_at_us: int  # the leader's clock, us: comes back with the answer
+    sent_at_us: int  # the leader's clock; returned in the reply
 
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
+    """Reply to `AppendEntries`, and to a snapshot that is not needed."""
+
     term: int
     sender: Member
     success: bool
-    match_index: int  # all up to here is on disk; if not ok: where to try again
+    match_index: int  # all entries up to it are on disk; without success, where to retry at most
     sent_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """One part of a snapshot; without data, a beat to one that is being sent it."""
+    """A chunk of a snapshot (Raft 7); without data a heartbeat to its receiver."""
 
     term: int
     sender: Member
     head: SnapshotHead
-    offset: int  # of the data in the state
+    offset: int  # of the data in the state, bytes
     data: bytes
-    checksum: int  # of the data
-    sent_at_us: int  # the leader's clock, us: comes back with the answer
+    checksum: int  # CRC-32 of the data
+    sent_at_us: int  # the leader's clock; returned in the reply
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotReply:
+    """Reply to `InstallSnapshot`."""
+
     term: int
     sender: Member
     snapshot_index: int
-    next_offset: int  # all before this offset is on disk
+    next_offset: int  # bytes; all before it are on disk
     sent_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Join:
-    """Asks to be taken in as a learner; tells its place."""
+    """Asks to be added as a learner, and reports the sender's location."""
 
     term: int
     sender: Member
@@ -145,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Is about to end: to be taken out, if another can step in."""
+    """Asks to be removed, since the sender is shutting down."""
 
     term: int
     sender: Member
@@ -153,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeoutNow:
-    """The leader hands over: the receiver is to stand at once."""
+    """Leadership transfer (PhD 3.10): the receiver campaigns at once."""
 
     term: int
     sender: Member
@@ -172,18 +187,20 @@
 )
 
 
-# What a disk is to keep.
+# Writes to disk.
 
 
 @dataclass(frozen=True, slots=True)
 class HardState:
+    """Replaces term and vote."""
+
     term: int
-    voted_for: str
+    voted_for: str  # disk id
 
 
 @dataclass(frozen=True, slots=True)
 class SaveEntries:
-    """Entries from `first_index` on are replaced by these."""
+    """Replaces all entries from `first_index` on."""
 
     first_index: int
     entries: tuple[Entry, ...]
@@ -191,17 +208,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshotChunk:
-    """Part of a snapshot that is not in force yet; offset 0 begins anew."""
+    """Part of a snapshot that is not active yet; offset 0 starts over."""
 
     head: SnapshotHead
-    offset: int
+    offset: int  # bytes
     data: bytes
-    received: bool  # from the leader; else made here
+    received: bool  # from the leader; else made by this member
 
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """In place of all entries up to its index; with `replaces_log`, of all entries."""
+    """Makes a snapshot the active one, in place of the entries up to its index.
+
+    With `replaces_log` in place of all entries: the log does not agree with it."""
 
     snapshot: Snapshot
     replaces_log: bool
@@ -212,14 +231,14 @@
 
 @dataclass(slots=True)
 class Ready:
+    """What the caller has to do after an input, in the order of the fields.
+
+    `writes` are to be synced to disk before anything is sent or applied."""
+
     writes: list[Write] = field(default_factory=list)
-    sends: list[tuple[str, Message]] = field(default_factory=list)
-    received_snapshot: Snapshot | None = (
-        None  # whole: once its state has been read, it is to be installed
-    )
-    restored_snapshot: Snapshot | None = (
-        None  # the state is to become this, before what is delivered
-    )
-    rejected_chunk: str = ""  # what came and was not taken, and why
-    corrupt_entry: str = ""  # entries that came not as they were made, and are asked for again
-    committed_entries: list[Entry] = field(default_factory=list)
+    sends: list[tuple[str, Message]] = field(default_factory=list)  # with the receiver's address
+    received_snapshot: Snapshot | None = None  # complete: to be read, then `install_snapshot`
+    restored_snapshot: Snapshot | None = None  # replaces the state before entries are applied
+    rejected_chunk: str = ""  # why a chunk or a whole snapshot was not accepted; for the log
+    corrupt_entry: str = ""  # which entry arrived damaged, to be sent again; for the log
+    committed_entries: list[Entry] = field(default_factory=list)  # to be applied
--- a/tests/measurements/measure_snapshots.py
+++ b/tests/measurements/measure_snapshots.py
@@ -129,7 +129,7 @@
         with step("send: cut two parts"):
             parts = [
                 codec.encode_message(m).SerializeToString()
-                for m in chunk_messages(1, ME, out, now, beat=True)
+                for m in chunk_messages(1, ME, out, now, with_heartbeat=True)
             ]
         for data in parts:
             with step("receive: take a part, on disk"):
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -140,7 +140,7 @@
     way: list[tuple[float, Any]] = []
     while now < 300.0:
         now += 0.05
-        for message in chunk_messages(3, ME, out, now, beat=True):
+        for message in chunk_messages(3, ME, out, now, with_heartbeat=True):
             way += [(now + rng.random() * 0.3, message) for _ in range(rng.choice((0, 1, 1, 1, 2)))]
         assert out._sent_offset - out._next_offset <= WINDOW_CHUNKS * CHUNK_BYTES
         for item in [w for w in way if w[0] <= now]:
@@ -197,8 +197,8 @@
         plain(2, 3 * CHUNK_BYTES, index=9),
         SnapshotReceiver(),
     )
-    first = list(chunk_messages(3, ME, SnapshotTransfer(old, 0.0), 0.0, beat=True))
-    second = list(chunk_messages(3, ME, SnapshotTransfer(new, 0.0), 0.0, beat=True))
+    first = list(chunk_messages(3, ME, SnapshotTransfer(old, 0.0), 0.0, with_heartbeat=True))
+    second = list(chunk_messages(3, ME, SnapshotTransfer(new, 0.0), 0.0, with_heartbeat=True))
     assert [
         incoming.receive(m).next_offset for m in (first[0], second[0], first[1], second[1])
     ] == [
