--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -68,9 +68,13 @@
         self._state: State | None = None  # as it was last applied
         self._tenants: Any = None  # as of that state
         self._services: Any = None
-        for endpoint in endpoint_registry.endpoints.values():
+        self._take_over(now, possible_lease_holders)
+
+    def _take_over(self, now: float, possible_lease_holders: Iterable[str]) -> None:
+        """Count the silence of endpoints and nodes from the term's beginning."""
+        for endpoint in self.endpoint_registry.endpoints.values():
             endpoint.last_heartbeat_at = now
-        node_registry.begin_term(now, possible_lease_holders)
+        self.node_registry.begin_term(now, possible_lease_holders)
 
     def epoch(self, now: float) -> str:
         """The epoch within which versions of the registries are comparable."""
--- a/cairndale/control/watch_responses.py
+++ b/cairndale/control/watch_responses.py
@@ -51,7 +51,7 @@
 class _ListCache:
     """Compressed lists by what is known already.
 
-    Lists are reused for a while though there have been changes since. Who receives them is told of
+    Lists are reused for a while though there have been changes since. Who receives them is sent
     those next, and all nodes that were answered in one round know the same versions in the next.
     """
 
@@ -92,7 +92,7 @@
     ) -> pb.WatchResponse:
         """A response that holds the lists alone.
 
-        Until the registry of endpoints has settled it is told as a delta: nothing is known to be
+        Until the registry of endpoints has settled it is sent as a delta: nothing is known to be
         missing.
         """
         message = pb.WatchResponse(
@@ -227,8 +227,8 @@
     def _add_lists(self, now: float, response: pb.WatchResponse, request: pb.WatchRequest) -> None:
         is_current_epoch = request.epoch == response.epoch
         is_of_term = is_current_epoch or request.epoch == self._epoch.unsettled_name
-        # Once the registry has settled, an ingress need not be told again of the endpoints that it
-        # was told of before in this term; all others are gone.
+        # Once the registry has settled, an ingress is not sent again the endpoints that it was sent
+        # before in this term; all others are gone.
         response.unlisted_endpoints_gone = (
             is_of_term and not is_current_epoch and request.node.kind == "edge"
         )
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -108,18 +108,16 @@
         by_term_clock = NEVER if requested_at is None else requested_at
         known = self.leases.get(node.name)
         if known is None:
-            self.leases[node.name] = NodeLease(
-                node=node,
-                lease_end=now + NODE_LEASE_S,
-                last_contact_at=now,
-                requested_at=made_at,
-                config_version=config_version,
-                requested_at_by_term_clock=by_term_clock,
-                is_listed=True,
-                has_pending_request=True,
+            self._add(
+                NodeLease(
+                    node=node,
+                    lease_end=now + NODE_LEASE_S,
+                    last_contact_at=now,
+                    requested_at=made_at,
+                    config_version=config_version,
+                    requested_at_by_term_clock=by_term_clock,
+                )
             )
-            self._mark_changed(node.name)
-            self.names_added += 1
             return True
         has_changed = known.node != node or not known.is_listed
         if (
@@ -128,13 +126,19 @@
             known.config_version = config_version
         else:
             known.config_version = max(known.config_version, config_version)
-        known.node, known.last_contact_at = node, now
+        known.node, known.last_contact_at, known.requested_at = node, now, made_at
+        known.requested_at_by_term_clock = by_term_clock
         known.has_pending_request = known.is_listed = True
-        known.requested_at, known.requested_at_by_term_clock = made_at, by_term_clock
         if has_changed:
             self._mark_changed(node.name)
         return has_changed
 
+    def _add(self, lease: NodeLease) -> None:
+        lease.is_listed = lease.has_pending_request = True
+        self.leases[lease.node.name] = lease
+        self._mark_changed(lease.node.name)
+        self.names_added += 1
+
     def renew_lease(self, now: float, name: str) -> None:
         """A node's request is answered: its lease begins anew, if it is known."""
         if lease := self.leases.get(name):
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -29,7 +29,7 @@
 from tests.control.test_operations import first, now, operator
 from tests.control.test_recovery import World as Fleet
 from tests.control.test_recovery import play as play_fleet
-from tests.control.test_state_models import beat
+from tests.control.test_state_models import heartbeat
 from tests.testing.control_cluster import World, in_memory, play
 
 WAY = 0.3  # s until the leader has answered, in the plain scenes
@@ -47,32 +47,38 @@
 
 
 @pytest.mark.parametrize(
-    ("cores", "beats", "within"), [(12, 400, 1.5), (36, 400, 1.5), (5, 9, 30.0), (1, 60, 0.5)]
+    ("control_nodes", "heartbeats", "within"),
+    [(12, 400, 1.5), (36, 400, 1.5), (5, 9, 30.0), (1, 60, 0.5)],
 )
 def test_what_comes_close_together_goes_together_as_in_the_plain_model(
-    cores: int, beats: int, within: float
+    control_nodes: int, heartbeats: int, within: float
 ) -> None:
     async def scene() -> None:
-        rng, told, answered = random.Random(cores), list[tuple[float, int]](), dict[str, float]()
+        rng, sent, answered = (
+            random.Random(control_nodes),
+            list[tuple[float, int]](),
+            dict[str, float](),
+        )
 
         async def tell(batch: HeartbeatBatch) -> None:
-            told.append((now(), len(batch.report(now()).endpoints)))
+            sent.append((now(), len(batch.report(now()).endpoints)))
             await asyncio.sleep(WAY)
 
-        made, began = HeartbeatBatcher(now, lambda: cores, tell), now()
-        came = sorted(began + rng.uniform(0.0, within) for _ in range(beats))
+        made, began = HeartbeatBatcher(now, lambda: control_nodes, tell), now()
+        came = sorted(began + rng.uniform(0.0, within) for _ in range(heartbeats))
 
         async def server(id: str, at: float) -> None:
             await asyncio.sleep(at - now())
-            await made.register(read_heartbeat(id, beat(1), now()))
+            await made.register(read_heartbeat(id, heartbeat(1), now()))
             answered[id] = now() - at
 
         await asyncio.gather(*(server(f"i{n}", at) for n, at in enumerate(came)))
-        model = plainly(came, min(MAX_BATCH_INTERVAL_S, 0.01 * cores))
-        assert [n for _, n in told] == [n for _, n in model]
-        assert [at for at, _ in told] == pytest.approx([at for at, _ in model], abs=1e-6)
+        model = plainly(came, min(MAX_BATCH_INTERVAL_S, 0.01 * control_nodes))
+        assert [n for _, n in sent] == [n for _, n in model]
+        assert [at for at, _ in sent] == pytest.approx([at for at, _ in model], abs=1e-6)
         assert (
-            max(answered.values()) < batch_interval(cores) + WAY + 1e-6 and len(answered) == beats
+            max(answered.values()) < batch_interval(control_nodes) + WAY + 1e-6
+            and len(answered) == heartbeats
         )
 
     play(scene())
@@ -95,7 +101,7 @@
         async def server(id: str, at: float) -> bool:
             await asyncio.sleep(at)
             try:
-                await made.register(read_heartbeat(id, beat(1), now()))
+                await made.register(read_heartbeat(id, heartbeat(1), now()))
             except CallError:
                 return False
             return True
@@ -116,13 +122,13 @@
 
 def test_the_leader_hears_a_copy_or_an_older_word_once_and_nothing_unsound() -> None:
     endpoint_registry = EndpointRegistry()
-    told = [
-        endpoint_to_message(read_heartbeat(id, beat(seq), 5.0), 5.0)
+    sent = [
+        endpoint_to_message(read_heartbeat(id, heartbeat(seq), 5.0), 5.0)
         for id, seq in (("i", 7), ("j", 3))
     ]
-    assert register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=told), 6.0)
-    assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=told), 7.0)
-    older = endpoint_to_message(read_heartbeat("i", beat(6, state="draining"), 5.0), 5.0)
+    assert register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=sent), 6.0)
+    assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=sent), 7.0)
+    older = endpoint_to_message(read_heartbeat("i", heartbeat(6, state="draining"), 5.0), 5.0)
     odd = pb.Endpoint(id="k", service="s", address="10.0.0.1:1", state="gone", capacity=1)
     assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=[older, odd]), 8.0)
     assert {
@@ -236,7 +242,7 @@
             case _:
                 state = rng.choice(("ready", "ready", "ready", "draining"))
                 endpoint_registry.record_heartbeat(
-                    read_heartbeat(id, beat(step, state, zone=rng.choice(("z", "y"))), at)
+                    read_heartbeat(id, heartbeat(step, state, zone=rng.choice(("z", "y"))), at)
                 )
         number = rng.choice(
             (0, endpoint_registry.version - 3, endpoint_registry.version - 20, follower.version)
@@ -246,9 +252,9 @@
             s.id for s in endpoint_registry.endpoints.values() if s.changed_at_version > number
         }
         assert len({s.id for s in since}) == len(since)
-        for seen in since:  # and what was made before is what would be made now
-            fresh = pb.WatchResponse(endpoints=[endpoint_to_message(seen, at)])
-            made = pb.WatchResponse.FromString(endpoint_codec.encode_endpoint(seen, at))
+        for endpoint in since:  # and what was made before is what would be made now
+            fresh = pb.WatchResponse(endpoints=[endpoint_to_message(endpoint, at)])
+            made = pb.WatchResponse.FromString(endpoint_codec.encode_endpoint(endpoint, at))
             made.endpoints[0].seq = fresh.endpoints[0].seq
             assert made == fresh
         if rng.random() < 0.1:
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -31,7 +31,7 @@
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import parse_settings
-from tests.control.test_state_models import SETTINGS, beat
+from tests.control.test_state_models import SETTINGS, heartbeat
 from tests.testing.control_cluster import World, configuration, in_memory, play
 
 
@@ -656,10 +656,10 @@
     settings = parse_settings(SETTINGS)
     collector = HeartbeatCollector(settings, endpoint_registry, node_registry)
     for id in ("i", "j"):
-        endpoint_registry.record_heartbeat(read_heartbeat(id, beat(1), 0.0))
-    assert not collector.collect("k", json.dumps(beat(2)).encode(), 1.0)  # nobody knows it here
+        endpoint_registry.record_heartbeat(read_heartbeat(id, heartbeat(1), 0.0))
+    assert not collector.collect("k", json.dumps(heartbeat(2)).encode(), 1.0)  # unknown
     for id, seq, at in (("i", 2, 1.0), ("j", 2, 1.2), ("i", 3, 2.5)):
-        assert collector.collect(id, json.dumps(beat(seq)).encode(), at)
+        assert collector.collect(id, json.dumps(heartbeat(seq)).encode(), at)
     lost = collector.report(3.0)
     assert (list(lost.ids), list(lost.seqs), list(lost.ages_ms)) == (
         ["i", "j"],
@@ -667,7 +667,7 @@
         [500, 1800],
     )
     assert collector.report(3.1).seqs == lost.seqs  # there was no answer
-    assert collector.collect("i", json.dumps(beat(4)).encode(), 3.2)
+    assert collector.collect("i", json.dumps(heartbeat(4)).encode(), 3.2)
     collector.acknowledge(lost)
     assert list(collector.report(3.3).ids) == ["i"] and list(collector.report(3.3).seqs) == [4]
     endpoint_registry.endpoints.clear()
@@ -675,7 +675,7 @@
     leadership = Leadership(
         1, 100.0, False, EndpointRegistry(), NodeRegistry(), [], settings.bounds, 1.5
     )
-    leadership.endpoint_registry.record_heartbeat(read_heartbeat("i", beat(1), 96.0))
+    leadership.endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(1), 96.0))
     leadership.record_report(
         100.0, pb.HeartbeatReport(ids=["i", "x"], seqs=[3, 1], ages_ms=[3000, 0])
     )
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -82,17 +82,17 @@
 
     def __init__(self, world: World, name: str) -> None:
         self.world, self.name, self.life = world, name, f"{world.rng.random()}"
-        self.seen: tuple[str, int, int, int, int] = ("", 0, 0, 0, 0)
+        self.cursor: tuple[str, int, int, int, int] = ("", 0, 0, 0, 0)
         self.servers: dict[str, str] = {}
         self.of_term: set[str] = set()
         self.nodes: set[str] = set()
         self.edges, self.lease_end, self.free_at, self.bytes = 0, float("-inf"), 0.0, 0
-        self.task = asyncio.get_running_loop().create_task(self.asks())
+        self.task = asyncio.get_running_loop().create_task(self.watch_forever())
 
-    async def asks(self) -> None:
+    async def watch_forever(self) -> None:
         await asyncio.sleep(0.3 * self.world.rng.random())
         while True:
-            epoch, config_version, servers, nodes, gen = self.seen
+            epoch, config_version, servers, nodes, gen = self.cursor
             node = pb.Node(
                 name=self.name,
                 incarnation=self.life,
@@ -102,7 +102,7 @@
                 kind="edge",
             )
             wait = long_poll_timeout(self.edges) if self.edges else MAX_LONG_POLL_S
-            ask = pb.WatchRequest(
+            request = pb.WatchRequest(
                 node=node,
                 epoch=epoch,
                 config_version=config_version,
@@ -111,18 +111,18 @@
                 nodes_version=nodes,
                 wait_ms=round(wait * 1000),
             )
-            asked, loop = self.world.now(), asyncio.get_running_loop()
-            call = loop.create_task(self.world.call(self, ask))
+            requested_at, loop = self.world.now(), asyncio.get_running_loop()
+            call = loop.create_task(self.world.call(self, request))
             done, _ = await asyncio.wait([call], timeout=response_timeout(wait))
             if not done or call.exception():
                 self.world.failed += 1
                 await asyncio.sleep(0.1 * self.world.rng.random())
                 continue
-            self.take(call.result(), asked)
+            self.take(call.result(), requested_at)
 
-    def take(self, watch_response: pb.WatchResponse, asked: float) -> None:
+    def take(self, watch_response: pb.WatchResponse, requested_at: float) -> None:
         decompress_lists(watch_response)
-        if watch_response.epoch.rstrip("~") != self.seen[0].rstrip("~"):
+        if watch_response.epoch.rstrip("~") != self.cursor[0].rstrip("~"):
             self.of_term = set()
         if watch_response.endpoints_complete:
             self.servers = {}
@@ -136,7 +136,7 @@
         self.nodes = (self.nodes - set(watch_response.removed_nodes)) | {
             n.name for n in watch_response.nodes
         }
-        self.seen = (
+        self.cursor = (
             watch_response.epoch,
             watch_response.config_version,
             watch_response.endpoints_version,
@@ -145,7 +145,7 @@
         )
         self.edges, self.lease_end = (
             max(self.edges, watch_response.ingress_count),
-            asked + NODE_LEASE_S * 0.98,
+            requested_at + NODE_LEASE_S * 0.98,
         )
 
     @property
@@ -174,7 +174,7 @@
         self.behind = 0.0
         self.tasks = [
             self.loop.create_task(work())
-            for work in (self.watch_server.run, self.ticks, self.beats)
+            for work in (self.watch_server.run, self.ticks, self.send_heartbeats)
         ]
         self.begin()
         self.ingresses = {name: Ingress(self, name) for name in names}
@@ -216,10 +216,10 @@
         assert isinstance(self.loop, Virtual)
         self.loop.jump.now += seconds / SHARE
 
-    async def call(self, ingress: Ingress, ask: pb.WatchRequest) -> pb.WatchResponse:
+    async def call(self, ingress: Ingress, request: pb.WatchRequest) -> pb.WatchResponse:
         await asyncio.sleep(WAY)
         self.work(FRAME)
-        watch_response = await self.watch_server.watch(ask)
+        watch_response = await self.watch_server.watch(request)
         data = watch_response.SerializeToString()
         self.bytes, ingress.bytes = self.bytes + len(data), ingress.bytes + len(data)
         self.sent_at = max(self.sent_at, self.now()) + len(data) / LINK
@@ -237,21 +237,21 @@
             if self.require_leadership().tick(self.now()):
                 self.notify_change()
 
-    async def beats(self) -> None:
-        heard = self.now()
+    async def send_heartbeats(self) -> None:
+        checked_at = self.now()
         while True:
             await asyncio.sleep(0.01)
             now = self.now()
-            due = [i for i, at in self.up.items() if (now - at) // BEAT > (heard - at) // BEAT]
-            heard = now
+            due = [i for i, at in self.up.items() if (now - at) // BEAT > (checked_at - at) // BEAT]
+            checked_at = now
             for id in due:
                 known = self.require_leadership().endpoint_registry.endpoints.get(id)
                 self.work(FRAME if known is None or known.state != "ready" else FRAME / 50)
                 zone = f"z{int(id[1:]) % 9}"
-                told = Endpoint(
+                sent = Endpoint(
                     id, "s", f"10.0.0.{id[1:]}:80", zone, "g", 6, "ready", 0.0, int(now * 1e3), now
                 )
-                if self.require_leadership().endpoint_registry.record_heartbeat(told):
+                if self.require_leadership().endpoint_registry.record_heartbeat(sent):
                     self.notify_change()
 
     def returned(self) -> bool:
@@ -259,7 +259,7 @@
         names, up = set(self.ingresses), set(self.up)
         return all(
             e.lease_end > self.now()
-            and e.seen[1] == self.state.version
+            and e.cursor[1] == self.state.version
             and e.ready == up
             and e.nodes == names
             for e in self.ingresses.values()
@@ -303,7 +303,7 @@
 @contextmanager
 def charged(world: World, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     """What the leader does takes its time."""
-    server_out, silent, whole, pack = (
+    to_message, count_isolated, whole, pack = (
         endpoint_codec.endpoint_to_message,
         NodeRegistry.count_isolated,
         WatchResponseBuilder.update,
@@ -315,11 +315,11 @@
         return done
 
     def of(self: NodeRegistry, now: float, edges: int) -> int:
-        return int(charge(3 * LOOK * len(self.leases), silent(self, now, edges)))
+        return int(charge(3 * LOOK * len(self.leases), count_isolated(self, now, edges)))
 
     with monkeypatch.context() as patch:
         patch.setattr(
-            endpoint_codec, "endpoint_to_message", lambda *args: charge(SERVER, server_out(*args))
+            endpoint_codec, "endpoint_to_message", lambda *args: charge(SERVER, to_message(*args))
         )
         patch.setattr(
             watch_responses,
@@ -381,10 +381,10 @@
     async def storm(world: World) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
-        world.bytes, told, began = 0, [], world.now()
+        world.bytes, sent, began = 0, [], world.now()
         whole = WatchResponseBuilder.update
         monkeypatch.setattr(
-            WatchResponseBuilder, "update", lambda *args: (told.append(args), whole(*args))[1]
+            WatchResponseBuilder, "update", lambda *args: (sent.append(args), whole(*args))[1]
         )
         for number in range(100):
             world.require_leadership().endpoint_registry.mark_ended(f"i{number}", world.now())
@@ -393,7 +393,7 @@
             await asyncio.sleep(0.02)
         await world.until(world.returned, 1.0)
         rounds = (world.now() - began) / watch_server_module.round_interval(100)
-        assert 0 < len(told) <= 100 * (rounds + 2)
+        assert 0 < len(sent) <= 100 * (rounds + 2)
         assert world.bytes / 100 < 8_000  # an ingress: 100 changes of 70 bytes
 
     play(100, 1000, storm, monkeypatch)
@@ -422,7 +422,7 @@
 def test_others_have_their_turn_while_all_are_told(monkeypatch: pytest.MonkeyPatch) -> None:
     """Of one server, in a few bytes to each of 300: 0.16 s of the leader's processor."""
 
-    async def told(world: World) -> None:
+    async def sent(world: World) -> None:
         await world.until(world.returned, 8.0)
         await asyncio.sleep(5.0)
         turns, turn = list[float](), WatchServer.answer_due
@@ -440,7 +440,7 @@
         await world.until(world.returned, 1.5)
         assert max(turns) < 0.02 and sum(turns) > 0.1
 
-    play(300, 10, told, monkeypatch)
+    play(300, 10, sent, monkeypatch)
 
 
 def test_enrolment_takes_all_who_wait_in_one_round(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -667,7 +667,7 @@
 
     async def anew(world: World) -> None:
         await world.until(world.returned, 8.0)
-        node, told, whole = (
+        node, sent, whole = (
             pb.Node(name="e0", incarnation="x", address="e0", kind="edge"),
             list[str](),
             WatchResponseBuilder.update,
@@ -675,23 +675,23 @@
         monkeypatch.setattr(
             WatchResponseBuilder,
             "update",
-            lambda *args: (told.append(args[2].node.incarnation), whole(*args))[1],
+            lambda *args: (sent.append(args[2].node.incarnation), whole(*args))[1],
         )
         monkeypatch.setattr(world.watch_server._budget, "bytes", -1e9)
         world.ingresses["e0"].task.cancel()
-        asks = []
+        requests = []
         for _ in range(3):
-            asks.append(
+            requests.append(
                 asyncio.create_task(
                     world.watch_server.watch(pb.WatchRequest(node=node, wait_ms=1000))
                 )
             )
             await asyncio.sleep(0.1)
-        assert [task.done() for task in asks] == [True, True, False]
-        assert all("asked anew" in str(task.exception()) for task in asks[:2])
+        assert [task.done() for task in requests] == [True, True, False]
+        assert all("asked anew" in str(task.exception()) for task in requests[:2])
         world.watch_server._budget.bytes = watch_server_module.SEND_BURST_BYTES
         world.notify_change()
-        assert (await asks[2]).has_evacuated_zones and told.count("x") == 1
+        assert (await requests[2]).has_evacuated_zones and sent.count("x") == 1
 
     play(10, 10, anew, monkeypatch)
 
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -190,12 +190,12 @@
         (Verb.RESTORE, "d", 0, True),
         (Verb.RESTORE, "e", 0, False),
     )
-    seen = []
+    versions = []
     for verb, order, left, applied in orders:
         assert state.apply(Command(verb, order, zone="z")) == applied
         assert state.evacuated.get("z", 0) == left and State.decode(state.encode()) == state
-        seen.append(state.version)
-    assert seen == [1, 1, 1, 1, 1, 2, 2]  # ingresses hear of the first and of the last
+        versions.append(state.version)
+    assert versions == [1, 1, 1, 1, 1, 2, 2]  # ingresses hear of the first and of the last
 
 
 def test_calls_for_a_zone_are_one_order_until_the_answer_was_read() -> None:
@@ -287,7 +287,7 @@
 # Servers.
 
 
-def beat(seq: int, state: str = "ready", **fields: Any) -> dict[str, Any]:
+def heartbeat(seq: int, state: str = "ready", **fields: Any) -> dict[str, Any]:
     details = {"backend": "s1", "gen": "v1", "zone": "z", "capacity": 2}
     status = {"state": state, "seq": seq, "warmupLeft": "0ms"}
     return {"addr": "10.0.0.9:80", "details": details | fields, "status": status}
@@ -295,25 +295,25 @@
 
 def test_beats_late_again_and_of_one_that_ended() -> None:
     endpoint_registry = EndpointRegistry()
-    cold = beat(4)
+    cold = heartbeat(4)
     cold["status"]["warmupLeft"] = "1s"
     said = [
-        endpoint_registry.record_heartbeat(read_heartbeat("i", beat(n, s), 0.0))
+        endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(n, s), 0.0))
         for n, s in ((1, "ready"), (3, "draining"), (2, "ready"))
     ]
     assert said == [True, True, False] and endpoint_registry.endpoints["i"].state == "draining"
     assert (
-        not endpoint_registry.record_heartbeat(read_heartbeat("i", beat(4, "ready"), 0.0))
+        not endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(4, "ready"), 0.0))
         and endpoint_registry.endpoints["i"].state == "draining"
     )
     assert endpoint_registry.mark_ended("i", 1.0) and not endpoint_registry.mark_ended("i", 1.0)
     assert (
-        not endpoint_registry.record_heartbeat(read_heartbeat("i", beat(9), 2.0))
+        not endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(9), 2.0))
         and endpoint_registry.endpoints["i"].state == "gone"
     )
     number = endpoint_registry.version
     assert endpoint_registry.record_heartbeat(
-        read_heartbeat("j", beat(1), 2.0)
+        read_heartbeat("j", heartbeat(1), 2.0)
     )  # another life at the same address
     assert [s.id for s in endpoint_registry.changed_since(number)] == ["j"]
     assert (
@@ -322,11 +322,11 @@
         and endpoint_registry.endpoints["j"].state == "gone"
     )
     assert (
-        endpoint_registry.record_heartbeat(read_heartbeat("j", beat(2), 7.0))
+        endpoint_registry.record_heartbeat(read_heartbeat("j", heartbeat(2), 7.0))
         and endpoint_registry.endpoints["j"].state == "ready"
     )
     assert not endpoint_registry.record_heartbeat(
-        read_heartbeat("j", beat(3), 8.5)
+        read_heartbeat("j", heartbeat(3), 8.5)
     ) and endpoint_registry.record_heartbeat(read_heartbeat("j", cold, 8.6))
     assert endpoint_registry.endpoints["j"].warmup_until == 9.6
     assert (
@@ -342,8 +342,8 @@
         [],
         {},
         {"addr": "x"},
-        beat(1) | {"status": {"state": "well", "seq": "1"}},
-        beat(1 << 70, capacity=1 << 40),  # would not fit into any message
+        heartbeat(1) | {"status": {"state": "well", "seq": "1"}},
+        heartbeat(1 << 70, capacity=1 << 40),  # would not fit into any message
     ],
 )
 def test_a_beat_without_its_fields_is_refused_whole(raw: Any) -> None:
@@ -353,7 +353,7 @@
 
 
 def test_a_server_that_says_it_is_cold_for_ages_is_not_taken_at_its_word() -> None:
-    raw = beat(1)
+    raw = heartbeat(1)
     raw["status"]["warmupLeft"] = "999999999s"
     assert 0 < endpoint_to_message(read_heartbeat("i", raw, 5.0), 5.0).warmup_left_ms <= 3_600_000
 
@@ -505,8 +505,8 @@
     ],
 )
 def test_calls_are_matched(method: str, target: str, found: RouteMatch | int) -> None:
-    seen = match(CONTROL_ROUTES, method, target)
-    assert (seen.status if isinstance(seen, RouteFailure) else seen) == found
+    found_call = match(CONTROL_ROUTES, method, target)
+    assert (found_call.status if isinstance(found_call, RouteFailure) else found_call) == found
 
 
 SETTINGS: dict[str, Any] = {
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -20,7 +20,7 @@
 from tests.control.test_recovery import Ingress as FleetIngress
 from tests.control.test_recovery import World as Fleet
 from tests.control.test_recovery import play as play_fleet
-from tests.quota.test_quota import BOUNDS, SMALL, Edge, Trouble, World, broken, drawn
+from tests.quota.test_quota import BOUNDS, SMALL, Edge, Fault, World, broken, drawn
 from tests.testing.control_cluster import World as Machines
 from tests.testing.control_cluster import in_memory, play
 
@@ -68,8 +68,8 @@
         if left is not None and left >= 0.0:
             self.spent.append((self.now, 1.0))
 
-    def hold_duty(self, ever: bool) -> None:
-        super().hold_duty(ever)
+    def begin_leadership(self, had_predecessor: bool) -> None:
+        super().begin_leadership(had_predecessor)
         self.began = self.now
 
     def had(self, since: float, until: float) -> float:
@@ -77,7 +77,7 @@
         return sum(units for at, units in self.spent if since < at - self.began <= until)
 
 
-LOST: list[Trouble] = [(1.0, "cut", SMALL[2] - ZONE), (0.0, "leader", 0)]
+LOST: list[Fault] = [(1.0, "cut", SMALL[2] - ZONE), (0.0, "leader", 0)]
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -115,13 +115,13 @@
     )
     leadership.apply_state(world.state)
 
-    def ask(name: str, now: float, epoch: str, idle: int) -> None:
+    def send_request(name: str, now: float, epoch: str, idle: int) -> None:
         node = pb.Node(name=name, incarnation="1", kind="edge", address="d")
         leadership.record_watch_request(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
 
-    ask("e0", 10.1, "1" if told else "", 0)
+    send_request("e0", 10.1, "1" if told else "", 0)
     assert leadership.grants.is_counting == told
-    ask("e1", 12.0, "", 1900)
+    send_request("e1", 12.0, "", 1900)
     left = leadership.grants.grant_quota(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
     assert left is not None and (left >= 0.0) == (not told)
 
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -53,9 +53,9 @@
     warmup_overrun=1.5,
     warmup_slack=5,
 )
-WHOLES = {"further/s": retry_budget(BOUNDS), "starts/i": warmup_budget(BOUNDS, 5.3)}
+BUDGETS = {"further/s": retry_budget(BOUNDS), "starts/i": warmup_budget(BOUNDS, 5.3)}
 KINDS = ("cut", "heal", "leader", "restart", "all restart", "freeze", "thaw")
-Trouble = tuple[float, str, int]  # s after the one before it, which, and whom it strikes
+Fault = tuple[float, str, int]  # s after the one before it, which, and whom it strikes
 
 
 @dataclass
@@ -65,14 +65,14 @@
     name: str
     life: int = 0
     began: float = 0.0
-    heard_at: float = -1e9
+    last_response_at: float = -1e9
     lease_end: float = -1e9
     counting: bool = False
     edges: int = 0
     tokens: list[tuple[float, float]] = field(default_factory=list)
     share: float = 1.0
     share_at: float = 0.0
-    alone_at: float = 0.0  # when it was last told that the counter does not count
+    isolated_at: float = 0.0  # when it was last told that the counter does not count
     rate: float = 1.0  # of its clock
     epoch: str = ""
     clock: tuple[int, float] = (
@@ -97,7 +97,7 @@
         self.rng, self.both, self.now, self.count = random.Random(seed), both, 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.spent: list[tuple[float, float]] = []
-        self.used: dict[str, list[tuple[float, float]]] = {name: [] for name in WHOLES}
+        self.used: dict[str, list[tuple[float, float]]] = {name: [] for name in BUDGETS}
         self.life = life
         self.cut: set[str] = set()
         self.state, self.term = State(), 0
@@ -115,16 +115,16 @@
             f"e{n}": Edge(f"e{n}", rate=self.rng.uniform(0.98, 1.02)) for n in range(quota[2])
         }
         self.frozen: set[str] = set()
-        self.hold_duty(False)
+        self.begin_leadership(False)
         for edge in self.edges.values():
-            self.ask(edge, edge.life)
+            self.send_request(edge, edge.life)
             self.spend(edge)
 
     def later(self, wait: float, what: Callable[[], None]) -> None:
         self.count += 1
         heapq.heappush(self.queue, (self.now + wait, self.count, what))
 
-    def hold_duty(self, ever: bool) -> None:
+    def begin_leadership(self, had_predecessor: bool) -> None:
         self.term += 1
         names = self.state.edges
         endpoint_registry = EndpointRegistry()
@@ -132,28 +132,37 @@
             Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, self.now)
         )
         self.leadership = Leadership(
-            self.term, self.now, ever, endpoint_registry, self.node_registry, names, BOUNDS, 1.5
+            self.term,
+            self.now,
+            had_predecessor,
+            endpoint_registry,
+            self.node_registry,
+            names,
+            BOUNDS,
+            1.5,
         )
         self.leadership.apply_state(self.state)
 
-    def in_touch(self, edge: Edge) -> bool:
+    def is_connected(self, edge: Edge) -> bool:
         return (
             edge.counting
-            and (self.now - edge.heard_at) * edge.rate
+            and (self.now - edge.last_response_at) * edge.rate
             < long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S
         )
 
-    def ask(self, edge: Edge, life: int) -> None:
+    def send_request(self, edge: Edge, life: int) -> None:
         """Asks, is answered within `hold`, and asks again; after a while also if there is no
         answer."""
         if edge.life != life:
             return
-        asked, answered = self.now, [False]
-        idle = 0 if edge.edges else int((asked - edge.began) * 1000)
+        requested_at, answered = self.now, [False]
+        idle = 0 if edge.edges else int((requested_at - edge.began) * 1000)
         lag = self.rng.uniform(0.001, 0.03)
         epoch, (said, came) = edge.epoch, edge.clock
-        counting = edge.counting and (self.now - edge.heard_at) * edge.rate <= PROMPT_REQUEST_S
-        clock = int(said + (asked - came) * 1000 * 0.98 / edge.rate) if said else 0
+        counting = (
+            edge.counting and (self.now - edge.last_response_at) * edge.rate <= PROMPT_REQUEST_S
+        )
+        clock = int(said + (requested_at - came) * 1000 * 0.98 / edge.rate) if said else 0
 
         def arrive(again: bool = False) -> None:
             if (edge.name in self.cut and not again) or self.leadership is None:
@@ -185,17 +194,17 @@
             if leadership is not self.leadership or edge.name in self.cut:
                 return
             watch_response = leadership.watch_responses.update(self.now, made, self.state)
-            self.later(lag, lambda: heard(watch_response))
+            self.later(lag, lambda: receive(watch_response))
 
-        def heard(watch_response: pb.WatchResponse) -> None:
+        def receive(watch_response: pb.WatchResponse) -> None:
             if edge.name in self.frozen and edge.life == life:  # it reads what came once it wakes
-                self.later(0.05, lambda: heard(watch_response))
+                self.later(0.05, lambda: receive(watch_response))
                 return
             if edge.life != life or edge.name in self.cut or answered[0]:
                 return
             answered[0] = True
             if edge.counting and not watch_response.counter_active:
-                edge.alone_at = self.now
+                edge.isolated_at = self.now
             edge.counting, edge.edges = (
                 watch_response.counter_active,
                 max(edge.edges, watch_response.ingress_count),
@@ -204,13 +213,16 @@
                 watch_response.epoch,
                 (watch_response.leader_clock_ms, self.now),
             )
-            edge.heard_at, edge.lease_end = self.now, asked + NODE_LEASE_S * 0.98 / edge.rate
-            self.ask(edge, life)
+            edge.last_response_at, edge.lease_end = (
+                self.now,
+                requested_at + NODE_LEASE_S * 0.98 / edge.rate,
+            )
+            self.send_request(edge, life)
 
         def give_up() -> None:
             if not answered[0]:
                 answered[0] = True
-                self.ask(edge, life)
+                self.send_request(edge, life)
 
         self.later(lag, arrive)
         if self.rng.random() < 0.2:  # a copy that a peer held up, and passes on when it thaws
@@ -227,10 +239,10 @@
             self.grow(edge)
             units = sum(amount for until, amount in edge.tokens if now <= until)
             edge.tokens.clear()
-            if self.in_touch(edge) and edge.name not in self.cut and self.leadership:
+            if self.is_connected(edge) and edge.name not in self.cut and self.leadership:
                 self.lease(edge)
                 self.deal(edge)
-            if edge.edges and (self.both or not self.in_touch(edge)):
+            if edge.edges and (self.both or not self.is_connected(edge)):
                 units += edge.share
                 edge.share = 0.0
         if units:
@@ -244,16 +256,17 @@
         part, saves = rate / max(1, edge.edges), self.saves
         if saves is None:
             saves = edge.edges <= max_saved_units(rate, burst, BOUNDS)
-        alone = edge.alone_at
-        if self.in_touch(edge):
-            alone = self.now
+        isolated_since = edge.isolated_at
+        if self.is_connected(edge):
+            isolated_since = self.now
         elif edge.counting:
-            alone = max(
-                alone,
-                edge.heard_at + (long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S) / edge.rate,
+            isolated_since = max(
+                isolated_since,
+                edge.last_response_at
+                + (long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S) / edge.rate,
             )
-        if not saves and edge.share_at < alone:
-            edge.share, edge.share_at = 0.0, alone
+        if not saves and edge.share_at < isolated_since:
+            edge.share, edge.share_at = 0.0, isolated_since
         edge.share = min(
             max(1.0, part * ISOLATED_SAVINGS_S), edge.share + part * (self.now - edge.share_at)
         )
@@ -261,7 +274,7 @@
 
     def lease(self, edge: Edge) -> None:
         assert self.leadership
-        asked, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
+        requested_at, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
         try:
             left = self.leadership.grants.grant_quota(
                 self.now, pb.QuotaRequest(tenant="t", amount=amount)
@@ -273,18 +286,20 @@
             self.later(
                 wait,
                 lambda: edge.tokens.append(
-                    (asked + QUOTA_GRANT_LIFE_S * 0.95 / edge.rate, granted)
+                    (requested_at + QUOTA_GRANT_LIFE_S * 0.95 / edge.rate, granted)
                 ),
             )
 
     def deal(self, edge: Edge) -> None:
         assert self.leadership
         for name, used in self.used.items():
-            asked, until = self.now, self.now + self.life * 0.98 / edge.rate
+            requested_at, until = self.now, self.now + self.life * 0.98 / edge.rate
             if self.leadership.grants.grant_budget(
                 self.now, pb.BudgetRequest(budgets=[name])
             ).granted:
-                self.hand_out(edge, edge.life, used, until, self.rng.choice((asked + 0.02, until)))
+                self.hand_out(
+                    edge, edge.life, used, until, self.rng.choice((requested_at + 0.02, until))
+                )
 
     def hand_out(
         self, edge: Edge, life: int, used: list[tuple[float, float]], until: float, at: float
@@ -299,7 +314,7 @@
 
         self.later(max(0.0, at - self.now), use)
 
-    def trouble(self, kind: str, whom: int) -> None:
+    def inject(self, kind: str, whom: int) -> None:
         names = sorted(self.edges)
         if kind == "cut":
             self.cut = set(names[whom:] or names)
@@ -313,27 +328,27 @@
             self.leadership = None
             if kind == "all restart":
                 self.node_registry = NodeRegistry()
-            self.later(self.rng.uniform(0.5, 2.0), lambda: self.hold_duty(True))
+            self.later(self.rng.uniform(0.5, 2.0), lambda: self.begin_leadership(True))
         if kind in ("restart", "all restart"):
             for edge in self.edges.values() if kind == "all restart" else [self.edges[names[whom]]]:
                 edge.life += 1
                 edge.began = self.now
-                edge.heard_at = edge.lease_end = -1e9
-                edge.counting, edge.edges, edge.share, edge.alone_at = False, 0, 1.0, self.now
+                edge.last_response_at = edge.lease_end = -1e9
+                edge.counting, edge.edges, edge.share, edge.isolated_at = False, 0, 1.0, self.now
                 edge.epoch, edge.clock = "", (0, 0.0)
                 edge.tokens.clear()
-                self.later(0.3, lambda edge=edge: self.ask(edge, edge.life))  # type: ignore[misc]
+                self.later(0.3, lambda edge=edge: self.send_request(edge, edge.life))  # type: ignore[misc]
 
     def tick(self) -> None:
         if self.leadership:
             self.leadership.tick(self.now)
         self.later(0.05, self.tick)
 
-    def run(self, troubles: list[Trouble], until: float = 30.0) -> None:
+    def run(self, faults: list[Fault], until: float = 30.0) -> None:
         at = 4.0
-        for wait, kind, whom in troubles:
+        for wait, kind, whom in faults:
             at += wait
-            self.later(at, lambda kind=kind, whom=whom: self.trouble(kind, whom))  # type: ignore[misc]
+            self.later(at, lambda kind=kind, whom=whom: self.inject(kind, whom))  # type: ignore[misc]
         self.tick()
         while self.queue and self.queue[0][0] < until:
             at, _, what = heapq.heappop(self.queue)
@@ -359,34 +374,34 @@
     if (most := worst(world.spent, BOUNDS.quota_window)) > bound:
         found.append(f"quota: {most:.1f} of {bound:.1f}")
     for name, used in world.used.items():
-        if (most := worst(used, WHOLES[name].window)) > WHOLES[name].size:
-            found.append(f"{name}: {most} of {WHOLES[name].size:.1f}")
+        if (most := worst(used, BUDGETS[name].window)) > BUDGETS[name].size:
+            found.append(f"{name}: {most} of {BUDGETS[name].size:.1f}")
     return found
 
 
-TROUBLES = st.lists(
+FAULTS = st.lists(
     st.tuples(st.floats(0.1, 5.0), st.sampled_from(KINDS), st.integers(0, EDGES - 1)), max_size=10
 )
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
-@given(st.integers(0, 10**6), TROUBLES)
-def test_no_window_sees_more_than_the_whole(seed: int, troubles: list[Trouble]) -> None:
+@given(st.integers(0, 10**6), FAULTS)
+def test_no_window_sees_more_than_the_whole(seed: int, faults: list[Fault]) -> None:
     world = World(seed)
-    world.run(troubles)
+    world.run(faults)
     assert broken(world) == []
-    if not troubles:  # and what there is can be had, though many let half of it lapse
+    if not faults:  # and what there is can be had, though many let half of it lapse
         assert sum(units for _, units in world.spent) > 0.4 * RATE * 30
-        assert all(len(used) > 0.4 * WHOLES[n].rate * 30 for n, used in world.used.items())
+        assert all(len(used) > 0.4 * BUDGETS[n].rate * 30 for n, used in world.used.items())
 
 
 @settings(max_examples=8, deadline=None, derandomize=True)
-@given(st.integers(0, 10**6), TROUBLES)
+@given(st.integers(0, 10**6), FAULTS)
 def test_a_small_quota_over_many_ingresses_is_kept_and_can_be_had(
-    seed: int, troubles: list[Trouble]
+    seed: int, faults: list[Fault]
 ) -> None:
     world = World(seed, quota=SMALL)
-    world.run(troubles)
+    world.run(faults)
     assert broken(world) == []
 
 
@@ -404,7 +419,7 @@
     )
 
 
-def drawn(seed: int, count: int = 8, edges: int = EDGES) -> list[Trouble]:
+def drawn(seed: int, count: int = 8, edges: int = EDGES) -> list[Fault]:
     rng = random.Random(seed)
     return [(rng.uniform(0.1, 5.0), rng.choice(KINDS), rng.randrange(edges)) for _ in range(count)]
 
@@ -435,7 +450,7 @@
 def fast_refill(monkeypatch: pytest.MonkeyPatch) -> None:
     """The life of units that are dealt is left out of the sum."""
     monkeypatch.setattr(
-        Budget, "rate", property(lambda whole: (whole.size - whole.capacity / 2) / whole.window)
+        Budget, "rate", property(lambda budget: (budget.size - budget.capacity / 2) / budget.window)
     )
 
 
