--- a/cairndale/cli/__init__.py
+++ b/cairndale/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' client: one command line for the calls of the control ingresses."""
+"""Operators' command-line client of the control API."""
--- /dev/null
+++ b/cairndale/cli/evacuation.py
@@ -0,0 +1,49 @@
+"""The commands `evacuate` and `take-back`."""
+
+from __future__ import annotations
+
+from typing import ClassVar
+
+from cleo.helpers import argument
+from cleo.io.inputs.argument import Argument
+from cleo.io.inputs.option import Option
+
+from cairndale.cli.command import AT, YES, ApiCommand, ExitCode
+
+
+class _ZoneCommand(ApiCommand):
+    """Gives one order about a zone, after a confirmation."""
+
+    arguments: ClassVar[list[Argument]] = [argument("zone")]
+    options: ClassVar[list[Option]] = [AT, YES]
+    api_call: ClassVar[str]
+    confirmation: ClassVar[str]
+
+    def run_command(self) -> ExitCode:
+        """Print which orders evacuate the zone from now on."""
+        zone = self.argument("zone")
+        if not self.option("yes") and not self.confirm(self.confirmation.format(zone), False):
+            return ExitCode.REJECTED
+        orders = self.call_api("POST", f"{self.api_call}/{zone}")["orders"]
+        self.line("done")
+        if orders:
+            self.line(f"orders that evacuate {zone}, each of which is to be taken back: {orders}")
+        return ExitCode.DONE
+
+
+class EvacuateCommand(_ZoneCommand):
+    """Begins to evacuate a zone."""
+
+    name = "evacuate"
+    description = "Nothing more is sent to a zone's servers."
+    api_call = "Drain.Begin"
+    confirmation = "Send nothing more to the servers in {}?"
+
+
+class TakeBackCommand(_ZoneCommand):
+    """Takes back an order that evacuates a zone."""
+
+    name = "take-back"
+    description = "Ends an evacuation."
+    api_call = "Drain.Finish"
+    confirmation = "Send to the servers in {} again?"
--- a/cairndale/lookup/__init__.py
+++ b/cairndale/lookup/__init__.py
@@ -1,1 +1,1 @@
-"""Where clients are told which ingresses there are."""
+"""Lookup: which ingresses a client is sent to."""
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -12,7 +12,7 @@
 import pytest
 from cleo.testers.command_tester import CommandTester
 
-from cairndale.cli.__main__ import Look
+from cairndale.cli.state import StateCommand
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.state import State
 from cairndale.raft import codec
@@ -534,7 +534,7 @@
     store.write([SaveEntries(4, (Entry(4, 2, Command(Verb.EVACUATE, zone="z").encode()),))])
     store.close()
     before = (tmp_path / "promptbook/data.mdb").read_bytes()
-    shown = CommandTester(Look())
+    shown = CommandTester(StateCommand())
     assert shown.execute(str(tmp_path)) == 0
     told = shown.io.fetch_output()
     assert "voters: a:1 (x)\nlearners: b:1 (y)" in told
