--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -83,18 +83,18 @@
 
     def _begin(self) -> None:
         raft, state = self._raft, self._applier.state
-        ever_led = raft.base_snapshot.index > 0 or any(
+        had_predecessor = raft.base_snapshot.index > 0 or any(
             e.is_term_start and e.term < raft.term for e in raft.log
         )
         self._current = Leadership(
-            raft.term,
-            self._clock.now(),
-            ever_led,
-            self._endpoint_registry,
-            self._node_registry,
-            state.edges,
-            self._settings.bounds,
-            self._settings.heartbeat_interval_s,
+            term=raft.term,
+            now=self._clock.now(),
+            had_predecessor=had_predecessor,
+            endpoint_registry=self._endpoint_registry,
+            node_registry=self._node_registry,
+            possible_lease_holders=state.edges,
+            bounds=self._settings.bounds,
+            heartbeat_interval=self._settings.heartbeat_interval_s,
         )
         self._current.apply_state(state)
         log_event(Event.LEADERSHIP_BEGINS, "term %d", raft.term)
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -1,5 +1,7 @@
-"""A zone is lost together with the leader: requests within their quota are served again at once;
-and a call that nobody answers ends in its time."""
+"""A zone is lost together with the leader: requests within their quota are served again at once.
+
+And a call to a leader that nobody answers ends in time.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Signals that come while a process is still being loaded, or reads its settings."""
+"""Signals that come while a process is still loading its modules or reading its settings."""
 
 from __future__ import annotations
 
@@ -24,13 +24,16 @@
 
 @pytest.mark.parametrize("text", ["{", "[]"])
 def test_a_hangup_while_settings_are_read_ends_no_process(tmp_path: Path, text: str) -> None:
-    """The file is a pipe: to open it waits until the process reads it."""
+    """The settings file is a pipe: opening it waits until the process reads it."""
     with started(tmp_path / "pipe") as process:
         with open(tmp_path / "pipe", "w") as settings:
             process.send_signal(signal.SIGHUP)
             settings.write(text)
-        said, _ = process.communicate(timeout=20)
-    assert process.returncode == 1 and b" 101 settings_invalid" in said, (process.returncode, said)
+        output, _ = process.communicate(timeout=20)
+    assert process.returncode == 1 and b" 101 settings_invalid" in output, (
+        process.returncode,
+        output,
+    )
 
 
 def test_settings_that_changed_while_they_were_read_are_read_again(
@@ -40,7 +43,7 @@
     with started(tmp_path / "pipe") as process:
         with open(tmp_path / "pipe", "w") as settings:
             process.send_signal(signal.SIGHUP)
-            settings.write(json.dumps(world.settings(machine)))  # comes with the end
+            settings.write(json.dumps(world.settings(machine)))  # is sent when the pipe is closed
             os.unlink(tmp_path / "pipe")  # the process has it open
             world.seeds = ["127.9.9.9:9"]
             (tmp_path / "pipe").write_text(json.dumps(world.settings(machine)))
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -1,5 +1,7 @@
-"""Several core machines in one process, in virtual time, over a net whose every way can be cut: no
-sleeping, no sockets, and disks that a machine keeps over a start."""
+"""Several control nodes in one process, in virtual time, on a network that loses what it is told.
+
+There is no sleeping and there are no sockets. A node's disk is kept over its restart.
+"""
 
 from __future__ import annotations
 
@@ -30,12 +32,12 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import Address, format_address, parse_settings
 
-WAY = 0.02  # s between two machines
+LATENCY = 0.02  # s between two machines, one way
 ZONES = {f"z{n}": f"r{n % 3}" for n in range(1, 6)}
 
 
-class _Selector(selectors.SelectSelector):
-    """Nothing is waited for: time goes on to the next timer."""
+class _VirtualSelector(selectors.SelectSelector):
+    """Does not wait: the time jumps to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,14 +45,16 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise RuntimeError("all wait, and nothing is due")
+            raise RuntimeError("all tasks wait, and no timer is set")
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop in virtual time, which begins at 1000 s."""
+
     def __init__(self) -> None:
-        self._virtual = _Selector()
+        self._virtual = _VirtualSelector()
         super().__init__(self._virtual)
 
     def time(self) -> float:
@@ -58,6 +62,7 @@
 
 
 def play(main: Coroutine[Any, Any, None]) -> None:
+    """Runs a scene in virtual time, and cancels what it leaves behind."""
     loop = VirtualLoop()
     try:
         loop.run_until_complete(main)
@@ -70,8 +75,8 @@
         loop.close()
 
 
-class MemoryStore:
-    """What was written, by folder."""
+class MemoryStorage:
+    """In place of `RaftStorage`: what was written, by folder."""
 
     disks: ClassVar[dict[Path, tuple[str, PersistedState]]] = {}
 
@@ -102,7 +107,7 @@
                 case SaveEntries(first, entries):
                     kept.entries = [*(e for e in kept.entries if e.index < first), *entries]
                 case SaveSnapshotChunk():
-                    pass  # a state this small is one part, and is put there whole
+                    pass  # a state this small is written whole
                 case SaveSnapshot(snapshot, alone):
                     kept.snapshot = snapshot
                     kept.entries = [
@@ -120,21 +125,22 @@
 
 
 @dataclass
-class Net:
-    """Ways by the ends' hosts. What is on a way that is cut is lost, in that direction only."""
+class Network:
+    """Delivers messages between hosts; what is on its way when a link is cut is lost.
+
+    Links are pairs of sender and receiver: each direction is cut on its own.
+    """
 
-    ends: dict[str, RpcPeer] = field(default_factory=dict)
+    peers: dict[str, RpcPeer] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)
-    late: dict[str, float] = field(
-        default_factory=dict
-    )  # by the kind of body: so many s more, on each way
-    twice: bool = False  # every order passed on comes once more, later
-    frozen: set[str] = field(
-        default_factory=set
-    )  # hosts: what is for them waits, what they say is not said
-    held: list[tuple[str, str, pb.Envelope]] = field(default_factory=list)  # for those
+    # By the kind of body: additional latency in s, each way.
+    late: dict[str, float] = field(default_factory=dict)
+    twice: bool = False  # each forwarded operation is delivered a second time, later
+    # Hosts whose clocks stand: what is sent to them is held back, what they send is lost.
+    frozen: set[str] = field(default_factory=set)
+    held_back: list[tuple[str, str, pb.Envelope]] = field(default_factory=list)
     loses: Callable[[pb.Envelope, str], bool] = lambda envelope, receiver: False
-    steps: int = 0  # messages that have come
+    steps: int = 0  # messages delivered so far
     at_step: Callable[[int], None] = lambda step: None
 
     def go(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
@@ -143,26 +149,26 @@
         made = pb.Envelope()
         made.CopyFrom(envelope)
         loop, kind = asyncio.get_running_loop(), envelope.WhichOneof("body") or ""
-        loop.call_later(WAY + self.late.get(kind, 0.0), self._come, sender, receiver, made)
+        loop.call_later(LATENCY + self.late.get(kind, 0.0), self._deliver, sender, receiver, made)
         if self.twice and kind == "operation_request" and not envelope.is_answer:
-            loop.call_later(0.7, self._come, sender, receiver, made)
+            loop.call_later(0.7, self._deliver, sender, receiver, made)
 
-    def _come(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
+    def _deliver(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
         ways = (sender.partition(":")[0], receiver.partition(":")[0])
-        if ways in self.cut or receiver not in self.ends:
+        if ways in self.cut or receiver not in self.peers:
             return
         if ways[1] in self.frozen:
-            self.held.append((sender, receiver, envelope))
+            self.held_back.append((sender, receiver, envelope))
             return
         self.steps += 1
         self.at_step(self.steps)
-        self.ends[receiver].envelope_received(sender, envelope)
+        self.peers[receiver].envelope_received(sender, envelope)
 
 
 class RpcPeer:
-    """In place of the connections: the same calls, over the net."""
+    """In place of `cairndale.rpc.peer.RpcPeer`: the same calls, on a `Network`."""
 
-    latest = Net()
+    latest = Network()
 
     def __init__(self, own: Address, hear: Any, handle: Any) -> None:
         self.own_address, self._handle_message, self._handle_call = (
@@ -175,7 +181,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
         self.net, self.fence = self.latest, TermFence()
         self.incarnation, self.system = f"{random.getrandbits(48):x}", ""
-        self.net.ends[self.own_address] = self
+        self.net.peers[self.own_address] = self
 
     def now(self) -> float:
         return self._loop.time()
@@ -239,7 +245,7 @@
 
 
 class HttpServer:
-    """Calls come straight in."""
+    """In place of the server: tests call the handlers themselves."""
 
     def __init__(self, *takes: Any) -> None: ...
     async def listen(self, at: Address) -> None: ...
@@ -247,7 +253,7 @@
 
 
 class Ingress:
-    """Asks for news as an ingress does, and passes calls on; serves by what it was last told."""
+    """Watches the configuration and forwards calls as an ingress does."""
 
     def __init__(self, world: World, number: int) -> None:
         self.name, self.host = f"edge-{number}", f"10.0.1.{number}"
@@ -290,12 +296,12 @@
 
 
 class World:
-    """`core` machines 10.0.0.1 and on, each in a zone of its own, and two ingresses."""
+    """A cluster of control nodes at 10.0.0.1 and on, each in its own zone, and two ingresses."""
 
     def __init__(self, folder: Path, cores: int = 5, heartbeat: str = "1500ms") -> None:
         self.folder, self.heartbeat = folder, heartbeat
-        self.net = RpcPeer.latest = Net()
-        MemoryStore.disks = {}
+        self.net = RpcPeer.latest = Network()
+        MemoryStorage.disks = {}
         self.hosts = [f"10.0.0.{n}" for n in range(1, cores + 1)]
         self.addresses = [f"{host}:7600" for host in self.hosts]
         self.cores: dict[str, ControlNode] = {}
@@ -342,7 +348,7 @@
 
     async def crash(self, host: str) -> None:
         core = self.cores.pop(host)
-        self.net.ends.pop(f"{host}:7600")
+        self.net.peers.pop(f"{host}:7600")
         core.cancel()
         core.rpc_peer.stop()
 
@@ -354,10 +360,10 @@
             while not what():
                 await asyncio.sleep(0.01)
 
-    # Ways.
+    # Links and clocks.
 
     def part(self, one: str, others: list[str], there: bool = True, back: bool = True) -> None:
-        """From `one` to the others, and from them to it."""
+        """Cuts the links from `one` to the others (`there`) and from them to it (`back`)."""
         self.net.cut |= {(one, other) for other in others if there}
         self.net.cut |= {(other, one) for other in others if back}
 
@@ -365,23 +371,23 @@
         self.net.cut.clear()
 
     def freeze(self, host: str) -> None:
-        """Its clock stands: it finds itself at the line where it was, with what it had checked."""
+        """Stops the node's clock, as a pause of the process does: later it goes on where it was."""
         core = self.cores[host]
         now = core.now()
         core.clock.now = lambda: now  # type: ignore[method-assign]
         self.net.frozen.add(host)
 
     def thaw(self, host: str) -> None:
-        del self.cores[host].clock.now  # type: ignore[method-assign]
+        del self.cores[host].clock.now
         self.net.frozen.discard(host)
-        held, self.net.held = self.net.held, []
+        held, self.net.held_back = self.net.held_back, []
         for sender, receiver, envelope in held:
-            self.net._come(sender, receiver, envelope)
+            self.net._deliver(sender, receiver, envelope)
 
     # Calls.
 
     async def call(self, host: str, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
-        """It goes on there when nobody waits for it any longer."""
+        """An HTTP call to a host; it goes on there when the caller no longer waits."""
         work = self.cores[host].api.control(method, f"/-/{call}", body)
         task = asyncio.get_running_loop().create_task(work)
         self._calls.add(task)
@@ -424,6 +430,7 @@
 
 
 def in_memory(monkeypatch: Any) -> None:
+    """Control nodes have memory for disks, and the `Network` for connections."""
     monkeypatch.setattr(cairndale.control.node, "RpcPeer", RpcPeer)
-    monkeypatch.setattr(cairndale.control.node, "RaftStorage", MemoryStore)
+    monkeypatch.setattr(cairndale.control.node, "RaftStorage", MemoryStorage)
     monkeypatch.setattr(cairndale.control.node, "HttpServer", HttpServer)
