--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -22,7 +22,7 @@
 from cairndale.lab.faults.calls import Lost, NotSent, ask
 from cairndale.lab.faults.launch import Control, Launch, cut_power
 from cairndale.lab.faults.schedule import Schedule
-from cairndale.lab.live.host import held_port
+from cairndale.lab.live.host import held_datagram_port, held_port
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.live.worker import spawn
 from cairndale.lab.play import HERE
@@ -124,7 +124,7 @@
         self.udp: dict[str, dict[str, int]] = {}
         skewed = {n for f in schedule.fault if f.kind == "clock" for n in schedule.chosen(f.on)}
         for name in schedule.processes():
-            ports = {port: self._hold() for port in PORTS[name[0]]}
+            ports = {port: self._hold(name[0], port) for port in PORTS[name[0]]}
             made = self.all[name] = Process(name, folder / name, ports, skewed=name in skewed)
             made.data.mkdir(parents=True)
             if name[0] == "l" and name != "l0":
@@ -132,10 +132,13 @@
             if name[0] in "lim":
                 made.control = Control(made.folder / "control", create=True)
 
-    def _hold(self) -> int:
-        holder, port = held_port()
+    def _hold(self, kind: str, port: str) -> int:
+        """The number of a process's port, by what it serves there."""
+        datagrams = DATAGRAMS.get(kind, {}).values()
+        takes_datagrams = any(port in ports for ports in datagrams)
+        holder, number = held_datagram_port() if takes_datagrams else held_port()
         self.holders.append(holder)
-        return port
+        return number
 
     def address(self, name: str, port: str) -> str:
         return f"{HOST}:{self.all[name].ports[port]}"
@@ -310,7 +313,7 @@
 
     async def upgrade(self, it: Process) -> bool:
         """A new process beside it, at another ops address, that takes over; False if it did not."""
-        before, it.ports["ops"] = it.process, self._hold()
+        before, it.ports["ops"] = it.process, self._hold(it.name[0], "ops")
         assert before
         it.leaving.append(before)
         self.launch(it)
--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -8,6 +8,7 @@
 import itertools
 import json
 import os
+import random
 import resource
 import shutil
 import signal
@@ -33,6 +34,8 @@
 from cairndale.lab.troubles import Step, plan
 
 HOST = "127.0.0.1"
+DRAWN_PORTS = (20_000, 32_000)  # below the ephemeral ports, which begin at 32768
+DRAWS = 100  # of a port that may be taken
 READY = 20.0  # s for a program to be ready
 LEAD = 0.5  # s between all being ready and the run's 0
 GRACE = 0.7  # s beyond the longest deadline until SIGKILL (PROTOCOL)
@@ -47,16 +50,36 @@
     """The run could not be begun or carried out."""
 
 
-def held_port() -> tuple[socket.socket, int]:
-    """A port that stays ours between draw and bind, and over restarts of the program that listens
-    on it."""
+def held_port(number: int = 0) -> tuple[socket.socket, int]:
+    """A TCP port that stays ours between draw and bind, and over restarts of the program that
+    listens on it. `number`: which; 0: any that the system gives. Raises OSError."""
     holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    holder.bind((HOST, 0))
+    holder.bind((HOST, number))
     return holder, holder.getsockname()[1]
 
 
+def held_datagram_port() -> tuple[socket.socket, int]:
+    """A port for TCP and UDP, held for TCP as `held_port` does it.
+
+    Linux lets nobody hold a UDP port for another process, so it is drawn from below the ephemeral
+    ports: the system gives it to no socket that asks for any port, as the relays' do. Other runs
+    that draw here see that its TCP half is held.
+    """
+    drawn = random.Random()
+    for _ in range(DRAWS):
+        number = drawn.randrange(*DRAWN_PORTS)
+        try:
+            for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+                with socket.socket(socket.AF_INET, kind) as free:
+                    free.bind((HOST, number))
+            return held_port(number)
+        except OSError:
+            continue
+    raise LiveError(f"no port of {DRAWN_PORTS[0]} to {DRAWN_PORTS[1]} is free")
+
+
 async def call(port: int, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
     """One call; (0, b"") where nobody answers in a second."""
     try:
--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -9,6 +9,7 @@
 import random
 import runpy
 import signal
+import socket
 import subprocess
 import sys
 from collections.abc import AsyncIterator, Sequence
@@ -27,7 +28,7 @@
 from cairndale.lab.faults.judge import BROKEN, HOLDS, UNDECIDED, Seen, judge, judge_calls
 from cairndale.lab.faults.launch import CONTROL, Clocks, Control, cut_power
 from cairndale.lab.faults.links import Conditions, Shaper, mangled, together
-from cairndale.lab.faults.processes import Process
+from cairndale.lab.faults.processes import Process, Processes
 from cairndale.lab.faults.relay import HELD, Front, Relays, UdpFront
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.scenario import ScenarioError
@@ -523,6 +524,22 @@
     assert links.CLEAR.plain
 
 
+async def test_a_members_port_is_one_that_no_socket_is_given_by_the_system(tmp_path: Path) -> None:
+    """A relay's UDP socket had the number of a member that was not started yet."""
+    five = schedule.parse('name = "five"\nlength_s = 5\n[fleet]\nmembers = 5\n", "five")
+    processes = Processes(five, 1, tmp_path)
+    lowest = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
+    drawn = [processes.all[f"m{number}"].ports["member"] for number in range(5)]
+    assert len(set(drawn)) == 5 and max(drawn) < lowest
+    for number in drawn:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
+            member.bind((HOST, number))
+        with socket.socket() as other, pytest.raises(OSError):
+            other.bind((HOST, number))  # held for this run
+    for holder in processes.holders:
+        holder.close()
+
+
 # Runs.
 
 
