--- a/cairndale/dataplane/lookup_api.py
+++ b/cairndale/dataplane/lookup_api.py
@@ -4,7 +4,7 @@
 
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.readiness import Readiness
-from cairndale.http_api.router import LOOKUP_ROUTES, READY, RouteFailure, match
+from cairndale.http_api.router import LOOKUP_ROUTES, READINESS_ROUTES, RouteFailure, match
 from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.lookup.selection import Lookups
 from cairndale.settings import Settings
@@ -27,7 +27,7 @@
 
     async def readiness(self, method: str, target: str, body: bytes) -> Response:
         """Response 200 if clients may be sent here, else 503; with the generation in force."""
-        found = match(READY, method, target)
+        found = match(READINESS_ROUTES, method, target)
         if isinstance(found, RouteFailure):
             return error_response(found.status, found.why)
         ready = self._readiness.is_ready()
--- a/cairndale/http_api/router.py
+++ b/cairndale/http_api/router.py
@@ -144,4 +144,4 @@
 LOOKUP_ROUTES = Parts(
     {"-": Parts({"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))})}
 )
-READY = Parts({"-": Parts({"readyz": Method("GET", Call("ready"))})})
+READINESS_ROUTES = Parts({"-": Parts({"readyz": Method("GET", Call("ready"))})})
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -52,9 +52,9 @@
     """Accepts connections and answers the requests on them.
 
     Args:
-        handle: answers one request; it is cancelled after `HANDLER_TIMEOUT_S` and the caller is
-            told 503.
-        on_delivered: told of each response that its caller certainly has received.
+        handle: answers one request; it is cancelled after `HANDLER_TIMEOUT_S`, and the caller
+            receives a 503.
+        on_delivered: called with each response that its caller certainly has received.
 
     Attributes:
         connections: those that are open.
--- a/cairndale/rpc/framing.py
+++ b/cairndale/rpc/framing.py
@@ -76,7 +76,7 @@
     """One connection, dialled or accepted.
 
     Args:
-        owner: the process that is told of all that happens.
+        owner: the process that is notified of all that happens.
         dialled_address: the address it leads to; empty for an accepted connection.
 
     Attributes:
--- a/cairndale/rpc/peer.py
+++ b/cairndale/rpc/peer.py
@@ -134,7 +134,7 @@
     def set_system_name(self, name: str) -> None:
         """Know the system's name from now on.
 
-        All that are connected are told, and connections to another system are ended.
+        All connected processes are notified, and connections to another system are ended.
         """
         if name == self.system:
             return
