--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -1,5 +1,6 @@
-"""Differences of the configuration, from the leader's history to an ingress: against ingresses that
-read the whole content anew at every change."""
+"""Deltas of the configuration, from the leader's history to an ingress.
+
+Compared with ingresses that decode the whole content anew at every change."""
 
 from __future__ import annotations
 
@@ -34,8 +35,8 @@
 NODE = pb.Node(name="e", incarnation="1", kind="edge", address="d", http_address="h")
 
 
-def seen(route_table: RouteTable) -> list[Any]:
-    """All that a bill says to those who use it."""
+def table_view(route_table: RouteTable) -> list[Any]:
+    """All that a route table says to those who use it."""
     items = [
         route_table.routes_by_host,
         route_table.tenants_by_key,
@@ -53,12 +54,12 @@
     ]
 
 
-def tenant(n: int, rng: random.Random) -> dict[str, Any]:
+def random_tenant(n: int, rng: random.Random) -> dict[str, Any]:
     keys = [f"k{n}", *(f"k{n}.{rng.randrange(3)}" for _ in range(rng.randrange(2)))]
     return {"name": f"t{n}", "apiKeys": keys, "ratePerS": rng.choice([0, 1, 1.0, 50]), "burst": 50}
 
 
-def a_route(n: int, rng: random.Random) -> dict[str, Any]:
+def random_route(n: int, rng: random.Random) -> dict[str, Any]:
     place = n if rng.random() < 0.6 else "x"  # sometimes one takes another's place
     aim, service = f"{rng.randint(1, 40)}s", f"s{rng.randrange(2)}"
     return route(
@@ -66,22 +67,21 @@
     )
 
 
-def first(rng: random.Random, size: int = 60) -> Command:
-    routes = [a_route(n, rng) | {"host": f"h{n}", "pathPrefix": f"/p{n}/"} for n in range(size)]
+def initial_command(rng: random.Random, size: int = 60) -> Command:
+    routes = [
+        random_route(n, rng) | {"host": f"h{n}", "pathPrefix": f"/p{n}/"} for n in range(size)
+    ]
     services = [{"name": f"s{n}", "warmupPerS": 5} for n in range(2)]
-    tenants = [tenant(n, rng) for n in range(size - size // 3)]
+    tenants = [random_tenant(n, rng) for n in range(size - size // 3)]
     made = content(gen=1, routes=routes, backends=services, tenants=tenants)
     return Command(Verb.REPLACE, "first", made)
 
 
-def order(state: State, rng: random.Random, size: int = 60) -> Command:
-    """On top of what is in force, and sound."""
-    gen, parent, few = (
-        state.gen + rng.randint(1, 3),
-        state.gen,
-        rng.sample(range(size), rng.randint(1, 3)),
-    )
-    frame: dict[str, Any] = {"gen": gen, "parent": parent}
+def next_command(state: State, rng: random.Random, size: int = 60) -> Command:
+    """A valid Replace or Update on top of the content in force."""
+    gen = state.gen + rng.randint(1, 3)
+    numbers = rng.sample(range(size), rng.randint(1, 3))
+    frame: dict[str, Any] = {"gen": gen, "parent": state.gen}
     if rng.random() < 0.2:
         limits = {"idleTimeout": f"{rng.randint(1, 3)}s"}
         tables = {
@@ -90,32 +90,36 @@
         tables["routes"] = tables["routes"][rng.randrange(3) :]
         return Command(Verb.REPLACE, f"{gen}", state.content | frame | tables | {"limits": limits})
     places = {r["name"]: r["pathPrefix"] for r in state.content["routes"]}
-    out, put = (
-        [f"r{n}" for n in rng.sample(range(size), rng.randrange(2))],
-        dict[str, dict[str, Any]](),
-    )
-    for n in few:
-        made = a_route(n, rng)
-        holders = [name for name, place in places.items() if place == made["pathPrefix"]]
-        if all(name == made["name"] or (name in out and name not in put) for name in holders):
-            put[made["name"]], places[made["name"]] = made, made["pathPrefix"]
+    removed = [f"r{n}" for n in rng.sample(range(size), rng.randrange(2))]
+    upserted: dict[str, dict[str, Any]] = {}
+    for n in numbers:
+        changed = random_route(n, rng)
+        holders = [name for name, place in places.items() if place == changed["pathPrefix"]]
+        if all(
+            name == changed["name"] or (name in removed and name not in upserted)
+            for name in holders
+        ):
+            upserted[changed["name"]], places[changed["name"]] = changed, changed["pathPrefix"]
     upsert = {
-        "routes": list(put.values()),
-        "tenants": [tenant(n, rng) for n in rng.sample(range(size), 2)],
+        "routes": list(upserted.values()),
+        "tenants": [random_tenant(n, rng) for n in rng.sample(range(size), 2)],
     }
     upsert["backends"] = [{"name": "s1", "warmupPerS": rng.randint(0, 9)}]
-    remove = {"routes": [n for n in out if n not in put], "tenants": [f"t{rng.randrange(size)}"]}
+    remove = {
+        "routes": [n for n in removed if n not in upserted],
+        "tenants": [f"t{rng.randrange(size)}"],
+    }
     return Command(Verb.UPDATE, f"{gen}", frame | {"upsert": upsert, "remove": remove})
 
 
-def digested(state: State) -> State:
+def with_digest(state: State) -> State:
     while not state.history.digest_next_items(state.content):
         pass
     return state
 
 
-def told(state: State, client: ConfigClient, now: float, term: int) -> pb.WatchResponse:
-    """What the duty of that term tells for the ask of that ingress."""
+def respond(state: State, client: ConfigClient, now: float, term: int) -> pb.WatchResponse:
+    """What the leader of that term answers to the watch request of that ingress."""
     leadership = Leadership(
         term,
         now,
@@ -132,11 +136,13 @@
     return leadership.watch_responses.update(now, ask, state)
 
 
-def changes(rng: random.Random, count: int, restored: float = 0.0) -> Iterator[tuple[State, State]]:
-    """Two members' states that apply the same commands; the second is now and then restored."""
+def replicas(
+    rng: random.Random, count: int, restored: float = 0.0
+) -> Iterator[tuple[State, State]]:
+    """Two members' states that apply the same commands; the second is restored now and then."""
     states = State(), State()
     for number in range(count):
-        command = order(states[0], rng) if number else first(rng)
+        command = next_command(states[0], rng) if number else initial_command(rng)
         for state in states:
             assert state.apply(Command.decode(command.encode()))
         assert content_errors(states[0].content) == []
@@ -145,51 +151,56 @@
             states = states[0], State.decode(states[1].encode())
 
 
-def spoil(told: pb.ConfigDelta, receiver: RouteTable | None, rng: random.Random) -> None:
-    """It fits no longer, or is none. An item that the receiver has already as it is told can be
-    left out without harm, so another is."""
-    raw = json.loads(zlib.decompress(told.change)) or {"tenants": {}}
+def spoil(config_delta: pb.ConfigDelta, receiver: RouteTable | None, rng: random.Random) -> None:
+    """Makes a delta that cannot be read, or does not fit.
+
+    A changed item that the receiver holds already can be left out without harm, so another is."""
+    raw = json.loads(zlib.decompress(config_delta.change)) or {"tenants": {}}
     table = rng.choice(list(raw))
-    held = {} if receiver is None else receiver._tables[table]
-    put = [
+    held_items = {} if receiver is None else receiver._tables[table]
+    replaced = [
         name
         for name, item in raw[table].items()
         if item is not None
         and not (
-            name in held
-            and held[name].digest == content_digest.item_digest(table, name, item).value
+            name in held_items
+            and held_items[name].digest == content_digest.item_digest(table, name, item).value
         )
     ]
     match rng.randrange(6):
         case 0:
-            told.base_generation -= 1
+            config_delta.base_generation -= 1
         case 1:
-            told.change = told.change[: rng.randrange(len(told.change))]
+            config_delta.change = config_delta.change[: rng.randrange(len(config_delta.change))]
         case 2:
             raw[table]["another"] = {"name": "another", "apiKeys": 7, "pathPrefix": "/"}
-            told.change = zlib.compress(json.dumps(raw).encode())
-        case 3 if put:
-            del raw[table][put[0]]
-            told.change = zlib.compress(json.dumps(raw).encode())
+            config_delta.change = zlib.compress(json.dumps(raw).encode())
+        case 3 if replaced:
+            del raw[table][replaced[0]]
+            config_delta.change = zlib.compress(json.dumps(raw).encode())
         case 4:
-            told.generation += 1
+            config_delta.generation += 1
         case _:
-            told.base_digest += 1
+            config_delta.base_digest += 1
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 1 << 32))
 @example(397)  # a service comes back to what it was while the ingress heard nothing
 def test_an_ingress_told_differences_serves_as_one_that_reads_the_whole(seed: int) -> None:
-    """Cues are lost or spoilt, another member leads each time, its content is or is not weighed by
-    then."""
+    """Responses are lost or spoilt, another member leads each time, and its content is or is not
+    digested by then."""
     rng, client = random.Random(seed), ConfigClient(0.0, [])
-    for number, states in enumerate(changes(rng, 12, restored=0.1)):
-        leader, now, before = states[rng.randrange(2)], 100.0 + number, seen(client.route_table)
+    for number, states in enumerate(replicas(rng, 12, restored=0.1)):
+        leader, now, before = (
+            states[rng.randrange(2)],
+            100.0 + number,
+            table_view(client.route_table),
+        )
         leader.history.digest_next_items(leader.content)
         if rng.random() < 0.3:
             continue
-        watch_response = told(leader, client, now, number)
+        watch_response = respond(leader, client, now, number)
         assert watch_response.HasField("delta") != watch_response.has_content
         if watch_response.HasField("delta") and rng.random() < 0.3:
             assert len(watch_response.delta.change) < len(leader.encoded_content())
@@ -197,16 +208,16 @@
             changed = client.apply(watch_response, NODE, now, now, 0)
             assert changed and changed.rejection_reason and not changed.route_table_changed
             assert (
-                seen(client.route_table) == before
+                table_view(client.route_table) == before
                 and client.cursor.generation == before[0]
                 and client.last_response_at < now
             )
-            watch_response = told(leader, client, now, number)
+            watch_response = respond(leader, client, now, number)
             assert watch_response.has_content  # as it asks for the whole
         changed = client.apply(watch_response, NODE, now, now, 0)
         assert changed and changed.route_table_changed and not changed.rejection_reason
         assert (
-            seen(client.route_table) == seen(RouteTable(leader.content))
+            table_view(client.route_table) == table_view(RouteTable(leader.content))
             and client.cursor.generation == leader.gen
         )
         assert client.watch_request(NODE, now, 0).accepts_delta and client.lease_end > now
@@ -217,7 +228,7 @@
     leadership = Leadership(
         99, 0.0, False, EndpointRegistry(), NodeRegistry(), [], parse_settings(SETTINGS).bounds, 1.5
     )
-    for number, states in enumerate(changes(rng, 30)):
+    for number, states in enumerate(replicas(rng, 30)):
         leader = states[number % 2]
         for state in states:  # as the leader's does, a few items at a time
             leadership.apply_state(state)
@@ -229,7 +240,7 @@
         assert leadership.grants._requests_per_s_in_warmup == {
             b["name"]: b["warmupPerS"] for b in raw["backends"]
         }
-        watch_response = told(leader, client, 100.0 + number, number)
+        watch_response = respond(leader, client, 100.0 + number, number)
         assert watch_response.has_content == (number == 0)
         client.apply(watch_response, NODE, 100.0, 100.0, 0)
         turned = RouteTable(leader.content | {t: leader.content[t][::-1] for t in TABLES})
@@ -252,16 +263,16 @@
 def test_what_is_kept_weighed_at_once_and_told_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     rng, state, counted, real = random.Random(3), State(), list[str](), content_digest.item_digest
     assert (
-        state.apply(first(rng)) and digested(state).history.delta_since(0) is None
+        state.apply(initial_command(rng)) and with_digest(state).history.delta_since(0) is None
     )  # from nothing it is the whole
 
-    def many(count: int) -> Command:
-        items = [tenant(n, rng) | {"prio": state.gen} for n in range(count)]
+    def tenant_update(count: int) -> Command:
+        items = [random_tenant(n, rng) | {"prio": state.gen} for n in range(count)]
         frame = {"gen": state.gen + 1, "parent": state.gen, "upsert": {"tenants": items}}
         return Command(Verb.UPDATE, f"many {state.gen}", frame)
 
     assert (
-        state.apply(many(30)) and state.history.delta_since(1) is None
+        state.apply(tenant_update(30)) and state.history.delta_since(1) is None
     )  # over an eighth of the whole
     for module, name, bound in (
         (delta_history, "DIGESTED_PER_STEP", 7),
@@ -274,36 +285,42 @@
         content_digest, "item_digest", lambda *of: counted.append(of[1]) or real(*of)
     )
     state = State()
-    assert state.apply(first(rng))
+    assert state.apply(initial_command(rng))
     for _ in range(3):
         counted.clear()
         assert not state.history.digest_next_items(state.content) and len(counted) <= 7
-    assert state.apply(many(12)) and state.history.delta_since(1) is None  # amid the weighing
-    known = digested(state).history.delta_since(1)
+    assert (
+        state.apply(tenant_update(12)) and state.history.delta_since(1) is None
+    )  # amid the digesting
+    known = with_digest(state).history.delta_since(1)
     assert known and known.digest == RouteTable(state.content).digest
     gens = [state.gen]
     for _ in range(8):
-        assert state.apply(many(2))
+        assert state.apply(tenant_update(2))
         assert (known := state.history.delta_since(gens[-3:][0])) and known.gen == state.gen
         gens.append(state.gen)
     assert [state.history.delta_since(gen) is not None for gen in gens] == [False] * 3 + [
         True
     ] * 5 + [False]
     assert (
-        state.apply(many(7)) and state.apply(many(7)) and state.history.delta_since(state.gen - 1)
+        state.apply(tenant_update(7))
+        and state.apply(tenant_update(7))
+        and state.history.delta_since(state.gen - 1)
     )
     assert state.history.delta_since(state.gen - 2) is None
     counted.clear()
-    assert state.apply(many(13)) and len(counted) <= 2 * 12
-    assert digested(state).history.delta_since(state.gen - 2) is None
-    assert state.apply(many(2)) and (known := state.history.delta_since(state.gen - 1))
+    assert state.apply(tenant_update(13)) and len(counted) <= 2 * 12
+    assert with_digest(state).history.delta_since(state.gen - 2) is None
+    assert state.apply(tenant_update(2)) and (known := state.history.delta_since(state.gen - 1))
     assert known.digest == RouteTable(state.content).digest
     state = State()
-    assert state.apply(first(rng, 3)) and digested(state).history.delta_since(0) is None
+    assert (
+        state.apply(initial_command(rng, 3)) and with_digest(state).history.delta_since(0) is None
+    )
 
 
-def plans(node: DataPlaneNode) -> dict[str, Any]:
-    """What engine and module hold of what the bill names, by name."""
+def policy_settings(node: DataPlaneNode) -> dict[str, Any]:
+    """What engine and request policy hold of what the route table names, by name."""
     engine, route_table = node.ingress.engine, node.config_client.route_table
     by_name = {
         name: engine.settings.plans[engine.names.plans[name.encode()]]
@@ -319,7 +336,7 @@
     return by_name | classes
 
 
-def rows(node: DataPlaneNode) -> Any:
+def endpoint_view(node: DataPlaneNode) -> Any:
     """Servers as the choice finds them, by service, and those to which connections are kept."""
     return (
         {
@@ -340,14 +357,14 @@
     unsound."""
     rng, node = random.Random(5), DataPlaneNode(parse_settings(SETTINGS))
     known: dict[str, pb.Endpoint] = {}
-    for number, states in enumerate(changes(rng, 40)):
+    for number, states in enumerate(replicas(rng, 40)):
         state, now, plain = (
-            digested(states[0]),
+            with_digest(states[0]),
             node.serving.now(),
             DataPlaneNode(parse_settings(SETTINGS)),
         )
         node.config_client._needs_full_state = whole = rng.random() < 0.2
-        watch_response = told(state, node.config_client, now, 3)
+        watch_response = respond(state, node.config_client, now, 3)
         watch_response.epoch, watch_response.endpoints_version, before = (
             "3",
             number + 1,
@@ -384,18 +401,20 @@
         anew.endpoints.extend(here)
         anew.has_evacuated_zones, anew.evacuated_zones[:] = True, watch_response.evacuated_zones
         plain.applier.apply(anew, NODE, now)
-        assert watch_response.has_content == (whole or number == 0) and seen(
+        assert watch_response.has_content == (whole or number == 0) and table_view(
             node.config_client.route_table
-        ) == seen(plain.config_client.route_table)
-        assert plans(node) == plans(plain) and rows(node) == rows(plain)
+        ) == table_view(plain.config_client.route_table)
+        assert policy_settings(node) == policy_settings(plain) and endpoint_view(
+            node
+        ) == endpoint_view(plain)
         assert (
             before.items() <= node.ingress.engine.names.plans.items() or not number
         )  # numbers are for good
         for customer, account in node.ingress.policy.accounts.items():
-            assert account.plan == plans(node).get(f"t{customer}", account.plan)
+            assert account.plan == policy_settings(node).get(f"t{customer}", account.plan)
         plain.ingress.backends.stop()
         for name in rng.sample(list(node.config_client.route_table.tenants), 5):
-            plan = plans(node)[name]
+            plan = policy_settings(node)[name]
             node.ingress.policy.accounts.setdefault(
                 int(name[1:]), TenantAccount(plan, 1, 1, 0)
             ).plan = plan
@@ -418,7 +437,7 @@
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
-    first = told(digested(state), node.config_client, node.serving.now(), 3)
+    first = respond(with_digest(state), node.config_client, node.serving.now(), 3)
     first.endpoints.add(
         id="i", service="s1", address="10.1.0.9:80", zone="z", capacity=2, state="ready"
     )
@@ -432,7 +451,7 @@
     upsert = {"routes": [route("r2")], "tenants": [{"name": "t1"} | put] if put else []}
     frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
     assert state.apply(Command(Verb.UPDATE, "2", frame))
-    watch_response = told(state, node.config_client, node.serving.now(), 3)
+    watch_response = respond(state, node.config_client, node.serving.now(), 3)
     assert watch_response.HasField("delta")
     node.applier.apply(watch_response, NODE, node.serving.now())
     assert (wanted.dress("i", 1000) is not None) == goes
