--- a/cairndale/raft/membership.py
+++ b/cairndale/raft/membership.py
@@ -11,7 +11,7 @@
 
 from cairndale.raft.messages import Entry, Join, Leave, Member, Ready
 from cairndale.raft.replica import NEVER, Progress, Replica, Role
-from cairndale.raft.voters import MemberHealth, next_voters
+from cairndale.raft.voters import MemberHealth, VoterChoiceInputs, next_voters
 
 MAX_JOINING = 32  # members that are sent the log before they are in the configuration
 MAX_SILENT_LEARNERS = 8  # learners in the configuration that do not reply
@@ -216,7 +216,7 @@
     def _choose_voters(self, members: dict[str, Member], health: MemberHealth) -> frozenset[str]:
         voters = frozenset(m.disk_id for m in self._voters)
         locations = tuple((m.disk_id, m.zone, m.region, m.learner) for m in members.values())
-        inputs = (locations, health, self.tolerance)
+        inputs = VoterChoiceInputs(locations, health, self.tolerance)
         if inputs == self._unchanged_inputs:
             return voters
         chosen = next_voters(tuple(members.values()), health, self.me.disk_id, self.tolerance)
--- a/cairndale/raft/replica.py
+++ b/cairndale/raft/replica.py
@@ -15,7 +15,7 @@
 
 from cairndale.raft.messages import AppendReply, Entry, Member, PersistedState, Ready, SnapshotReply
 from cairndale.raft.snapshot_transfer import CompactedTail, SnapshotReceiver, SnapshotTransfer
-from cairndale.raft.voters import Tolerance
+from cairndale.raft.voters import Tolerance, VoterChoiceInputs
 
 NEVER = float("-inf")  # a time before all others
 
@@ -148,7 +148,7 @@
         # By disk id: members with the location that they reported last.
         self._reported_locations: dict[str, Member] = {self.me.disk_id: self.me}
         # Input of the last choice of voters that changed nothing; it need not be made again.
-        self._unchanged_inputs: object = None
+        self._unchanged_inputs: VoterChoiceInputs | None = None
         self._membership_request_due = now
         self._membership_check_due = now
         self._refresh_members()
--- a/cairndale/raft/snapshot_transfer.py
+++ b/cairndale/raft/snapshot_transfer.py
@@ -24,9 +24,8 @@
 )
 
 CHUNK_BYTES = 16 * 1024  # of the state, in one message
-WINDOW_CHUNKS = (
-    2  # unacknowledged: 32 KiB, 0.13 s at 2 Mbit/s, which is within a heartbeat interval
-)
+# Unacknowledged chunks: 32 KiB, which take 0.13 s at 2 Mbit/s, less than a heartbeat interval.
+WINDOW_CHUNKS = 2
 # s without a reply after which chunks are sent again: at first, and at the most.
 RESEND_MIN_S, RESEND_MAX_S = 0.5, 4.0
 STALL_TIMEOUT_S = 10.0  # without progress, after which a newer snapshot may be sent instead
--- a/cairndale/raft/voters.py
+++ b/cairndale/raft/voters.py
@@ -42,6 +42,15 @@
         return self.lost | self.leaving
 
 
+@dataclass(frozen=True, slots=True)
+class VoterChoiceInputs:
+    """All that a choice of voters depends on, to be compared with that of the last one."""
+
+    locations: tuple[tuple[str, str, str, bool], ...]  # disk id, zone, region, learner
+    health: MemberHealth
+    tolerance: Tolerance
+
+
 class _Crowding(NamedTuple):
     """How many voters share a member's locations; compared field by field, the least is best."""
 
--- a/tests/measurements/measure_control.py
+++ b/tests/measurements/measure_control.py
@@ -14,7 +14,7 @@
 
 from cairndale.raft.messages import Entry, Member, PersistedState, Ready, SaveEntries, Snapshot
 from cairndale.raft.storage import RaftStorage
-from tests.raft.test_replication import DOORS, World
+from tests.raft.test_replication import ADDRESSES, World
 
 DELAY = (0.018, 0.024)  # s one way
 
@@ -22,18 +22,18 @@
 class Far(World):
     """Members 20 ms apart; nothing is lost but by what is done to them."""
 
-    def do(self, address: str, step: Ready) -> None:
-        self.disks[address].write(step.writes)
-        for to, message in step.sends:
+    def do(self, address: str, ready: Ready) -> None:
+        self.disks[address].write(ready.writes)
+        for to, message in ready.sends:
             wait = self.rng.uniform(*DELAY)
             self.later(wait, lambda to=to, message=message: self.pass_on(address, to, message))  # type: ignore[misc]
-        if step.restored_snapshot:
-            self.delivered[address] = step.restored_snapshot.index
-        for entry in step.committed_entries:
+        if ready.restored_snapshot:
+            self.delivered[address] = ready.restored_snapshot.index
+        for entry in ready.committed_entries:
             self.delivered[address] = entry.index
-        if step.received_snapshot:
+        if ready.received_snapshot:
             self.do(
-                address, self.machines[address].install_snapshot(self.now, step.received_snapshot)
+                address, self.nodes[address].install_snapshot(self.now, ready.received_snapshot)
             )
 
 
@@ -41,26 +41,24 @@
     """s from the trouble until another, or the same one again, leads."""
     world = Far(seed)
     world.run(6.0 + random.Random(seed).random())
-    leader = next(d for d, m in world.machines.items() if m.leads(world.now))
+    leader = next(d for d, m in world.nodes.items() if m.leads(world.now))
     began = world.now
     if kind == "kill":
         world.kill(leader)
     elif kind == "freeze":
         world.frozen[leader] = []
     elif kind == "cut":
-        world.cut = {frozenset((leader, b)) for b in DOORS if b != leader}
+        world.cut = {frozenset((leader, b)) for b in ADDRESSES if b != leader}
     else:
-        for address in DOORS:
+        for address in ADDRESSES:
             world.kill(address)
         world.run(1.0)
         began = world.now
-        for address in DOORS:
+        for address in ADDRESSES:
             world.later(world.rng.uniform(0, 0.3), lambda address=address: world.start(address))  # type: ignore[misc]
     for _ in range(2000):
         world.run(0.005)
-        if any(
-            m.leads(world.now) for d, m in world.machines.items() if d != leader or kind == "all"
-        ):
+        if any(m.leads(world.now) for d, m in world.nodes.items() if d != leader or kind == "all"):
             return world.now - began
     return float("inf")
 
--- a/tests/raft/test_catch_up.py
+++ b/tests/raft/test_catch_up.py
@@ -34,14 +34,14 @@
         self.behind = 0.0  # s that the worst beat waited for what was before it on its way
         super().__init__(seed, addresses)
 
-    def do(self, address: str, step: Ready) -> None:
-        self.disks[address].write(step.writes)
-        for to, message in step.sends:
+    def do(self, address: str, ready: Ready) -> None:
+        self.disks[address].write(ready.writes)
+        for to, message in ready.sends:
             self.put(address, to, message)
-        if step.restored_snapshot:
-            self.delivered[address] = step.restored_snapshot.index
-        made = self.machines[address]
-        for entry in step.committed_entries:
+        if ready.restored_snapshot:
+            self.delivered[address] = ready.restored_snapshot.index
+        made = self.nodes[address]
+        for entry in ready.committed_entries:
             assert entry.index == self.delivered[address] + 1
             self.delivered[address] = entry.index
             known = self.order.setdefault(entry.index, (entry.term, entry.data))
@@ -50,24 +50,24 @@
                 self.acked.add(entry.data)
             if entry.index % self.every == 0:
                 self.later(0.0, lambda index=entry.index: self.compact(address, made, index))  # type: ignore[misc]
-        if step.received_snapshot and step.received_snapshot.index:
-            assert step.received_snapshot.state[-8:] == b"%8d" % step.received_snapshot.index
-        if step.received_snapshot:
-            self.do(address, made.install_snapshot(self.now, step.received_snapshot))
-        leaders = [d for d, m in self.machines.items() if m.leads(self.now)]
+        if ready.received_snapshot and ready.received_snapshot.index:
+            assert ready.received_snapshot.state[-8:] == b"%8d" % ready.received_snapshot.index
+        if ready.received_snapshot:
+            self.do(address, made.install_snapshot(self.now, ready.received_snapshot))
+        leaders = [d for d, m in self.nodes.items() if m.leads(self.now)]
         assert len(leaders) <= 1, "two hold the duty"
         for leader in leaders:
             newest = max(self.order, default=0)
-            assert self.machines[leader].last_index >= newest, "one with old state leads"
+            assert self.nodes[leader].last_index >= newest, "one with old state leads"
 
     def compact(self, address: str, made: RaftNode, index: int) -> None:
         state = PADDING[: self.size - 8] + b"%8d" % index
-        if self.machines.get(address) is made and index > made.base_snapshot.index:
+        if self.nodes.get(address) is made and index > made.base_snapshot.index:
             self.do(address, made.compact(made.make_snapshot(index, state)))
 
     def put(self, address: str, to: str, message: Message) -> None:
         way = (address, to)
-        if to not in self.machines:
+        if to not in self.nodes:
             return
         size = len(codec.encode_message(message).SerializeToString()) + 16
         begun = max(self.now, self.free.get(way, 0.0))
@@ -85,14 +85,14 @@
                 del self.free[way]
 
     def say(self) -> None:
-        for address, made in list(self.machines.items()):
+        for address, made in list(self.nodes.items()):
             if made.role.value == "leader" and address not in self.frozen:
                 self.words += 1
-                _, step = made.propose(self.now, (b"w%d " % self.words).ljust(WORD, b"."))
-                self.do(address, step)
+                _, ready = made.propose(self.now, (b"w%d " % self.words).ljust(WORD, b"."))
+                self.do(address, ready)
 
     def leader(self) -> str:
-        return next((d for d, m in self.machines.items() if m.leads(self.now)), "")
+        return next((d for d, m in self.nodes.items() if m.leads(self.now)), "")
 
     def under_load(self, seconds: float, until: Callable[[], bool] | None = None) -> float:
         """Changes go on; s until that is so."""
@@ -107,7 +107,7 @@
 
     def caught_up(self, address: str) -> bool:
         newest = max(self.order)
-        return address in self.machines and self.machines[address].commit_index >= newest - 3
+        return address in self.nodes and self.nodes[address].commit_index >= newest - 3
 
 
 def away(seed: int, changes: int = 1000, size: int = STATE) -> tuple[Way, str, str]:
@@ -155,7 +155,7 @@
     """Of three one is gone: the leader's lease rests on the beats of the one that is catching up,
     over the way that carries the snapshot."""
     world, leader, one = away(3)
-    made = world.machines[leader]
+    made = world.nodes[leader]
     made.compacted_tail = type(
         made.compacted_tail
     )()  # it was away for longer than the log's tail goes back
@@ -169,21 +169,21 @@
         held += made.leads(world.now)
         if (
             made.commit_index == made.last_index
-            and world.machines[one].commit_index == made.last_index
+            and world.nodes[one].commit_index == made.last_index
         ):
             break
     assert held / (_ + 1) > 0.999, "the duty was lost"
     assert world.leader() == leader
-    assert world.machines[one].commit_index == made.last_index
+    assert world.nodes[one].commit_index == made.last_index
 
 
 def test_it_goes_on_where_it_was_after_a_cut_a_restart_and_a_change_of_the_leader() -> None:
     world, leader, one = away(4)
     (third,) = {*SEEDS} - {leader, one}
     for address in (leader, third):
-        world.machines[address].compacted_tail = type(world.machines[address].compacted_tail)()
+        world.nodes[address].compacted_tail = type(world.nodes[address].compacted_tail)()
     assert (
-        world.machines[leader].base_snapshot.head == world.machines[third].base_snapshot.head
+        world.nodes[leader].base_snapshot.head == world.nodes[third].base_snapshot.head
     )  # made alike at each
     world.start(one)
     world.run(4.0)
@@ -195,11 +195,11 @@
     world.run(1.0)
     world.start(one)
     world.run(4.0)
-    got = len(world.disks[one].kept.partial_snapshot[1])  # type: ignore[index]
+    got = len(world.disks[one].persisted.partial_snapshot[1])  # type: ignore[index]
     assert got > STATE / 2, "it began anew"
     world.kill(leader)  # nobody but the third can lead
     world.run(3.0)
-    assert world.machines[third].role is Role.LEADER
+    assert world.nodes[third].role is Role.LEADER
     world.under_load(25.0, until=lambda: world.caught_up(one) and world.leader() == third)
     told = world.carried[third, one]
     assert told < 1.1 * (STATE - got) + 4 * CHUNK_BYTES + world.words * 2 * WORD, "it began anew"
@@ -274,17 +274,17 @@
     world.size = 8
     world.run(3.0)
     leader, begun, ahead, said = world.leader(), world.now, list[int](), dict[bytes, float]()
-    made, left, held, small = world.machines[leader], list(data), 0, 0.0
+    made, left, held, small = world.nodes[leader], list(data), 0, 0.0
     world.behind, polls = 0.0, 0
     while left or made.commit_index < ahead[-1]:
         while left and (
             len(ahead) < fragments.MAX_UNCOMMITTED
             or made.commit_index >= ahead[-fragments.MAX_UNCOMMITTED]
         ):
-            index, step = made.propose(world.now, left.pop(0))
+            index, ready = made.propose(world.now, left.pop(0))
             assert index, "nobody leads"
             ahead.append(index)
-            world.do(leader, step)
+            world.do(leader, ready)
         if polls % 20 == 0:
             world.say()
             said[(b"w%d " % world.words).ljust(WORD, b".")] = world.now
@@ -339,20 +339,20 @@
 
     hangs = ""
 
-    def do(self, address: str, step: Ready) -> None:
-        if address != self.hangs or not step.writes:
-            super().do(address, step)
+    def do(self, address: str, ready: Ready) -> None:
+        if address != self.hangs or not ready.writes:
+            super().do(address, ready)
             return
         self.hangs, self.frozen[address] = "", []
         if self.rng.random() < 0.5:
-            self.disks[address].write(step.writes)
-            step = replace(step, writes=[])
-        made = self.machines[address]
-        self.later(4.0, lambda: self.ends(address, made, step))
-
-    def ends(self, address: str, made: RaftNode, step: Ready) -> None:
-        if self.machines.get(address) is made:
-            super().do(address, step)
+            self.disks[address].write(ready.writes)
+            ready = replace(ready, writes=[])
+        made = self.nodes[address]
+        self.later(4.0, lambda: self.ends(address, made, ready))
+
+    def ends(self, address: str, made: RaftNode, ready: Ready) -> None:
+        if self.nodes.get(address) is made:
+            super().do(address, ready)
             self.thaw(address)
 
 
@@ -360,12 +360,12 @@
 def test_where_the_leaders_disk_hangs_another_leads_and_nothing_is_lost(seed: int) -> None:
     world = Hanging(seed)
     world.run(6.0)
-    leader = next(d for d, m in world.machines.items() if m.leads(world.now))
+    leader = next(d for d, m in world.nodes.items() if m.leads(world.now))
     world.say()
     world.hangs = leader
     world.say()
     waited = 0.0
-    while not any(m.leads(world.now) for d, m in world.machines.items() if d != leader):
+    while not any(m.leads(world.now) for d, m in world.nodes.items() if d != leader):
         world.run(0.05)
         waited += 0.05
         assert waited < 3.0, "nobody else leads"
@@ -373,5 +373,5 @@
     world.run(8.0)
     world.say()
     world.run(1.0)
-    assert sum(m.leads(world.now) for m in world.machines.values()) == 1
+    assert sum(m.leads(world.now) for m in world.nodes.values()) == 1
     assert world.acked <= {data for _, data in world.order.values()} and len(world.acked) >= 3
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -26,7 +26,7 @@
 from tests.raft.test_replication import SEEDS, Disk, World
 
 
-def machines(*counts: dict[str, int]) -> list[Member]:
+def nodes(*counts: dict[str, int]) -> list[Member]:
     """A region for each, with so many machines in each of its zones."""
     return [
         Member(f"{zone}-{n}:1", f"{region}{zone}{n}", f"{region}{zone}", f"r{region}", True)
@@ -84,8 +84,8 @@
     return [replace(m, learner=n >= count) for n, m in enumerate(members)]
 
 
-GROWN = machines(*({"a": 2, "b": 1, "c": 1} for _ in range(3)))
-SMALL = machines({"a": 1, "b": 1}, {"a": 1, "b": 1}, {"a": 1})
+GROWN = nodes(*({"a": 2, "b": 1, "c": 1} for _ in range(3)))
+SMALL = nodes({"a": 1, "b": 1}, {"a": 1, "b": 1}, {"a": 1})
 TWO = Tolerance(2, 1, 1)
 
 
@@ -106,9 +106,9 @@
         (SMALL[:1], Tolerance(), 1, False),
         (SMALL[:2], Tolerance(), 1, False),
         (SMALL[:4], Tolerance(1, 1, 0), 3, True),
-        (machines({"a": 9}, {"a": 1}, {"a": 1}), Tolerance(), 3, True),  # one region holds most
-        (machines({"a": 3}, {"a": 2}, {"a": 2}), Tolerance(3, 1, 1), 7, True),
-        (machines({"a": 1, "b": 1, "c": 1}), Tolerance(1, 1, 0), 3, True),
+        (nodes({"a": 9}, {"a": 1}, {"a": 1}), Tolerance(), 3, True),  # one region holds most
+        (nodes({"a": 3}, {"a": 2}, {"a": 2}), Tolerance(3, 1, 1), 7, True),
+        (nodes({"a": 1, "b": 1, "c": 1}), Tolerance(1, 1, 0), 3, True),
         (
             [Member(f"{n}:1", str(n), learner=True) for n in range(5)],
             Tolerance(),
@@ -192,9 +192,9 @@
             Member(address, self.disks[address].disk_id, *self.places[address]),
             random.Random(self.rng.random()),
         )
-        others = sorted(d for d in self.machines if d != address)
+        others = sorted(d for d in self.nodes if d != address)
         addresses = self.rng.sample(others, min(3, len(others))) if self.now else SEEDS
-        made = self.machines[address] = self.machine(
+        made = self.nodes[address] = self.node(
             me,
             self.disks[address].load(),
             self.now,
@@ -205,15 +205,15 @@
         self.delivered[address] = made.commit_index
         self.later(0.0, lambda: self.tick(address, made))
 
-    def do(self, address: str, step: Ready) -> None:
-        super().do(address, step)
-        if self.machines[address].leads(self.now):
+    def do(self, address: str, ready: Ready) -> None:
+        super().do(address, ready)
+        if self.nodes[address].leads(self.now):
             self.led_at = self.now
 
     def pass_on(self, sender: str, to: str, message: Message) -> None:
         if (
-            message.sender.address in self.machines
-            and self.machines[message.sender.address].me == message.sender
+            message.sender.address in self.nodes
+            and self.nodes[message.sender.address].me == message.sender
         ):
             super().pass_on(sender, to, message)  # what a machine said that is gone may be lost
 
@@ -244,11 +244,11 @@
             )
 
     def leader(self) -> RaftNode:
-        return next(m for m in self.machines.values() if m.leads(self.now))
+        return next(m for m in self.nodes.values() if m.leads(self.now))
 
     def victim(self) -> str:
         """The leader as not."""
-        leads = [d for d, m in self.machines.items() if m.leads(self.now)]
+        leads = [d for d, m in self.nodes.items() if m.leads(self.now)]
         return leads[0] if leads and self.rng.random() < 0.5 else self.rng.choice(self.addresses)
 
     def lose(self) -> None:
@@ -276,14 +276,14 @@
         end = self.now + SYNC_TIME
         while self.now < end and not any(
             m.role is Role.LEADER and not m._is_configuration_committed()
-            for m in self.machines.values()
+            for m in self.nodes.values()
         ):
             self.run(0.002)
 
     def check(self, count: int) -> None:
         leader = self.leader()
         assert len(leader.voters) == count, [m.address for m in leader.voters]
-        assert set(leader.voters) <= {m.me for m in self.machines.values()}, "a voter that is gone"
+        assert set(leader.voters) <= {m.me for m in self.nodes.values()}, "a voter that is gone"
         assert len(leader.members) <= len(self.addresses) + KNOWN + 1
         assert bears(list(leader.voters), self.tolerance)
 
@@ -331,25 +331,23 @@
     site.watch(4.0)
     site.without = 0.0
     for _ in range(12):
-        machine = (
-            site.leader()
-            if site.rng.random() < 0.7
-            else site.rng.choice(list(site.machines.values()))
+        node = (
+            site.leader() if site.rng.random() < 0.7 else site.rng.choice(list(site.nodes.values()))
         )
-        led, voted, term = machine.leads(site.now), machine.may_campaign(), machine.term
+        led, voted, term = node.leads(site.now), node.may_campaign(), node.term
         site.say()
-        machine.leave()
+        node.leave()
         for _ in range(20):
             site.run(0.05)
-            if machine.has_left() and any(m.leads(site.now) for m in site.machines.values()):
+            if node.has_left() and any(m.leads(site.now) for m in site.nodes.values()):
                 break
-        assert machine.has_left() and site.leader() is not machine, "not out within a second"
+        assert node.has_left() and site.leader() is not node, "not out within a second"
         assert site.leader().term == term + led, "nobody but its successor stood"
-        assert machine.me not in site.leader().voters and len(site.leader().voters) == 5, voted
-        site.kill(machine.me.address)
-        site.start(machine.me.address)
+        assert node.me not in site.leader().voters and len(site.leader().voters) == 5, voted
+        site.kill(node.me.address)
+        site.start(node.me.address)
         site.watch(SYNC_TIME)
-        assert machine.me in site.leader().members
+        assert node.me in site.leader().members
         site.check(5)
     assert site.acked <= {data for _, data in site.order.values()} and len(site.acked) == 12
     assert site.without < 0.45
@@ -383,7 +381,7 @@
     assert not {old.me, voter} & set(leader.voters) and (voter in leader.members) == (away < 60.0)
     site.heal()
     site.watch(4.0)
-    assert site.leader() is leader and leader.term == site.machines[voter.address].term
+    assert site.leader() is leader and leader.term == site.nodes[voter.address].term
     assert {old.me, voter} <= set(leader.members)
     site.check(5)
 
@@ -410,7 +408,7 @@
     site = Site(4, FIVE, Tolerance())
     site.watch(4.0)
     leader = site.leader()
-    other, third = [m for m in site.machines.values() if m is not leader][:2]
+    other, third = [m for m in site.nodes.values() if m is not leader][:2]
     for message in (TimeoutNow(leader.term - 1, leader.me), TimeoutNow(leader.term, third.me)):
         assert other.receive(site.now, message) == Ready()
     assert other.receive(site.now, TimeoutNow(leader.term, leader.me)).sends
@@ -444,8 +442,8 @@
 class KeepsItsLease(RaftNode):
     """Goes on as leader while it asks another to take its place."""
 
-    def _transfer_leadership(self, now: float, step: Ready) -> None:
-        super()._transfer_leadership(now, step)
+    def _transfer_leadership(self, now: float, ready: Ready) -> None:
+        super()._transfer_leadership(now, ready)
         self._lease_released = False
 
 
@@ -458,10 +456,10 @@
 def test_defects_are_seen_as_machines_are_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(membership, "MAX_SILENT_LEARNERS", membership.MAX_SILENT_LEARNERS)
     for planted in (NeverReplaces, ForgetsNobody):
-        monkeypatch.setattr(Site, "machine", planted)
+        monkeypatch.setattr(Site, "node", planted)
         with pytest.raises(AssertionError):
             replaced(Site(1, FIVE, Tolerance()), 30, more=False)
-    monkeypatch.setattr(Site, "machine", KeepsItsLease)
+    monkeypatch.setattr(Site, "node", KeepsItsLease)
     with pytest.raises(AssertionError, match="two hold the duty"):
         test_a_leader_that_is_frozen_as_it_hands_over_does_not_lead_beside_the_next()
 
@@ -474,8 +472,8 @@
 
     def ask() -> None:
         site.say()
-        for address, machine in list(site.machines.items()):
-            site.do(address, machine.heartbeat_soon(site.now, 0.01))
+        for address, node in list(site.nodes.items()):
+            site.do(address, node.heartbeat_soon(site.now, 0.01))
         site.later(0.03, ask)
 
     site.run(6.0)
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -42,56 +42,65 @@
 from cairndale.raft.storage import RaftStorage, StorageError
 
 SEEDS = ["a:1", "b:1", "c:1"]
-DOORS = [*SEEDS, "d:1", "e:1"]
+ADDRESSES = [*SEEDS, "d:1", "e:1"]
 
 
 class Disk:
     """What was synced, and by nobody but this plain reading of the writes."""
 
-    def __init__(self, disk: str, kept: PersistedState) -> None:
-        self.disk_id, self.kept = disk, kept
+    def __init__(self, disk: str, persisted: PersistedState) -> None:
+        self.disk_id, self.persisted = disk, persisted
 
     def write(self, writes: list[Write]) -> None:
-        kept = self.kept
+        persisted = self.persisted
         for write in writes:
             match write:
                 case HardState(term, voted_for):
-                    kept.term, kept.voted_for = term, voted_for
+                    persisted.term, persisted.voted_for = term, voted_for
                 case SaveEntries(first, entries):
-                    kept.entries = [e for e in kept.entries if e.index < first] + list(entries)
+                    persisted.entries = [e for e in persisted.entries if e.index < first] + list(
+                        entries
+                    )
                 case SaveSnapshotChunk(head, offset, data, received=True):
-                    kept.partial_snapshot = (
+                    persisted.partial_snapshot = (
                         head,
-                        kept.partial_snapshot[1] + data
-                        if kept.partial_snapshot and offset
+                        persisted.partial_snapshot[1] + data
+                        if persisted.partial_snapshot and offset
                         else data,
                     )
                 case SaveSnapshot(snapshot, alone):
-                    if kept.partial_snapshot and kept.partial_snapshot[0].index <= snapshot.index:
-                        kept.partial_snapshot = None
-                    kept.entries = (
-                        [] if alone else [e for e in kept.entries if e.index > snapshot.index]
+                    if (
+                        persisted.partial_snapshot
+                        and persisted.partial_snapshot[0].index <= snapshot.index
+                    ):
+                        persisted.partial_snapshot = None
+                    persisted.entries = (
+                        [] if alone else [e for e in persisted.entries if e.index > snapshot.index]
                     )
-                    kept.snapshot = snapshot
+                    persisted.snapshot = snapshot
 
     def load(self) -> PersistedState:
-        kept = self.kept
+        persisted = self.persisted
         return PersistedState(
-            kept.term, kept.voted_for, kept.snapshot, list(kept.entries), kept.partial_snapshot
+            persisted.term,
+            persisted.voted_for,
+            persisted.snapshot,
+            list(persisted.entries),
+            persisted.partial_snapshot,
         )
 
 
 class World:
     """Machines under one seed. `order` is the plain model: what was delivered, place by place."""
 
-    machine: type[RaftNode] = RaftNode
+    node: type[RaftNode] = RaftNode
 
-    def __init__(self, seed: int, addresses: list[str] = DOORS) -> None:
+    def __init__(self, seed: int, addresses: list[str] = ADDRESSES) -> None:
         self.addresses = addresses
         self.rng, self.now, self.count = random.Random(seed), 0.0, 0
         self.queue: list[tuple[float, int, Any]] = []
         self.disks: dict[str, Disk] = {}
-        self.machines: dict[str, RaftNode] = {}
+        self.nodes: dict[str, RaftNode] = {}
         self.delivered: dict[str, int] = {}
         self.order: dict[int, tuple[int, bytes]] = {}
         self.acked: set[bytes] = set()
@@ -100,13 +109,13 @@
         self.words = 0
         for address in self.addresses:
             first = address in SEEDS
-            kept = (
+            persisted = (
                 bootstrap_state(bootstrap_member(d) for d in SEEDS)
                 if first
                 else bootstrap_state(())
             )
             self.disks[address] = Disk(
-                bootstrap_member(address).disk_id if first else f"new-{address}", kept
+                bootstrap_member(address).disk_id if first else f"new-{address}", persisted
             )
             self.start(address)
 
@@ -117,52 +126,50 @@
     def start(self, address: str) -> None:
         disk = self.disks[address]
         me, rng = Member(address, disk.disk_id), random.Random(self.rng.random())
-        made = self.machines[address] = self.machine(
-            me, disk.load(), self.now, rng, addresses=SEEDS
-        )
+        made = self.nodes[address] = self.node(me, disk.load(), self.now, rng, addresses=SEEDS)
         self.delivered[address] = made.commit_index
         self.later(0.0, lambda: self.tick(address, made))
 
     def tick(self, address: str, made: RaftNode) -> None:
-        if self.machines.get(address) is made:
+        if self.nodes.get(address) is made:
             if address not in self.frozen:
                 self.do(address, made.tick(self.now))
             self.later(0.05 * self.rng.uniform(0.9, 1.1), lambda: self.tick(address, made))
 
-    def do(self, address: str, step: Ready) -> None:
-        self.disks[address].write(step.writes)
-        for to, message in step.sends:
+    def do(self, address: str, ready: Ready) -> None:
+        self.disks[address].write(ready.writes)
+        for to, message in ready.sends:
             if self.rng.random() < 0.98:
                 self.later(
                     self.rng.uniform(0.001, 0.03),
                     lambda to=to, message=message: self.pass_on(address, to, message),
                 )
-        if step.restored_snapshot:
-            self.delivered[address] = step.restored_snapshot.index
-            assert step.restored_snapshot.index == int(step.restored_snapshot.state or b"0")
-        machine = self.machines[address]
-        for entry in step.committed_entries:
+        if ready.restored_snapshot:
+            self.delivered[address] = ready.restored_snapshot.index
+            assert ready.restored_snapshot.index == int(ready.restored_snapshot.state or b"0")
+        node = self.nodes[address]
+        for entry in ready.committed_entries:
             assert entry.index == self.delivered[address] + 1
             self.delivered[address] = entry.index
             known = self.order.setdefault(entry.index, (entry.term, entry.data))
             assert known == (entry.term, entry.data), "two orders"
-            if machine.role.value == "leader" and entry.term == machine.term and entry.data:
+            if node.role.value == "leader" and entry.term == node.term and entry.data:
                 self.acked.add(entry.data)
-        if step.committed_entries and (len(machine.log) > 12 or machine.wants_snapshot()):
-            self.do(address, machine.compact(b"%d" % self.delivered[address]))
-        if step.received_snapshot:
-            self.do(address, machine.install_snapshot(self.now, step.received_snapshot))
-        leaders = [d for d, m in self.machines.items() if m.leads(self.now)]
+        if ready.committed_entries and (len(node.log) > 12 or node.wants_snapshot()):
+            self.do(address, node.compact(b"%d" % self.delivered[address]))
+        if ready.received_snapshot:
+            self.do(address, node.install_snapshot(self.now, ready.received_snapshot))
+        leaders = [d for d, m in self.nodes.items() if m.leads(self.now)]
         assert len(leaders) <= 1, "two hold the duty"
 
     def pass_on(self, sender: str, to: str, message: Message) -> None:
-        if frozenset((sender, to)) in self.cut or to not in self.machines:
+        if frozenset((sender, to)) in self.cut or to not in self.nodes:
             return
         message = codec.decode_message(codec.encode_message(message))
         if to in self.frozen:
             self.frozen[to].append(message)
         else:
-            self.do(to, self.machines[to].receive(self.now, message))
+            self.do(to, self.nodes[to].receive(self.now, message))
 
     def run(self, seconds: float) -> None:
         end = self.now + seconds
@@ -175,7 +182,7 @@
     # What happens to them.
 
     def kill(self, address: str) -> None:
-        self.machines.pop(address, None)
+        self.nodes.pop(address, None)
         self.frozen.pop(address, None)
 
     def wipe(self, address: str) -> None:
@@ -185,31 +192,31 @@
     def thaw(self, address: str) -> None:
         messages = self.frozen.pop(address, [])
         for message in messages:
-            if address in self.machines:
-                self.do(address, self.machines[address].receive(self.now, message))
+            if address in self.nodes:
+                self.do(address, self.nodes[address].receive(self.now, message))
 
     def say(self) -> None:
-        for address, machine in list(self.machines.items()):
-            if machine.role.value == "leader" and address not in self.frozen:
+        for address, node in list(self.nodes.items()):
+            if node.role.value == "leader" and address not in self.frozen:
                 self.words += 1
-                _, step = machine.propose(self.now, b"w%d" % self.words)
-                self.do(address, step)
+                _, ready = node.propose(self.now, b"w%d" % self.words)
+                self.do(address, ready)
 
     def heal(self) -> None:
         self.cut.clear()
         for address in list(self.frozen):
             self.thaw(address)
         for address in self.addresses:
-            if address not in self.machines:
+            if address not in self.nodes:
                 self.start(address)
 
     def whole(self) -> bool:
         """All are voters with the disks that they have now, and each knows all that was decided."""
         voters = {Member(d, self.disks[d].disk_id) for d in self.addresses}
-        leader = next((m for m in self.machines.values() if m.leads(self.now)), None)
+        leader = next((m for m in self.nodes.values() if m.leads(self.now)), None)
         return leader is not None and all(
             set(m.voters) == voters and m.commit_index == m.last_index == leader.last_index
-            for m in self.machines.values()
+            for m in self.nodes.values()
         )
 
 
@@ -221,7 +228,7 @@
         ("kill", "kill all", "leader", "wipe", "cut", "alone", "freeze", "wipe after ack", "none")
     )
     leader = next(
-        (d for d, m in world.machines.items() if m.role.value == "leader"),
+        (d for d, m in world.nodes.items() if m.role.value == "leader"),
         rng.choice(world.addresses),
     )
     one = rng.choice(world.addresses)
@@ -297,7 +304,7 @@
     for address in SEEDS[1:]:
         world.start(address)
     world.run(2.0)
-    assert any(m.leads(world.now) for m in world.machines.values())
+    assert any(m.leads(world.now) for m in world.nodes.values())
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
@@ -308,13 +315,13 @@
     first = ""
     while not first:
         world.run(0.005)
-        first = next((d for d, m in world.machines.items() if m.leads(world.now)), "")
-    leader = world.machines[first]
+        first = next((d for d, m in world.nodes.items() if m.leads(world.now)), "")
+    leader = world.nodes[first]
     while leader._members_index <= leader.commit_index:
         world.run(0.002)
     world.cut = {frozenset((first, d)) for d in SEEDS if d != first}
     world.run(0.25)
-    assert world.machines["d:1"].is_member() and leader._members_index > leader.commit_index
+    assert world.nodes["d:1"].is_member() and leader._members_index > leader.commit_index
     world.kill(first)
     world.cut.clear()
     world.run(3.0)
@@ -330,16 +337,16 @@
     entries = [Entry(1, 1, is_term_start=True), Entry(2, 1, members=members)]
     disks = {d: PersistedState(1, "new", Snapshot(0, 0, before), list(entries)) for d in SEEDS}
     disks["b:1"].snapshot = Snapshot()
-    machines = {
+    nodes = {
         m.address: RaftNode(m, disks[m.address], 0.0, random.Random(m.address)) for m in members
     }
     now, messages, held = 0.0, list[tuple[str, Message]](), set[str]()
     for _ in range(300):
         now += 0.05
-        steps = [machines[address].receive(now, message) for address, message in messages]
-        steps += [machine.tick(now) for machine in machines.values()]
-        messages = [sent for step in steps for sent in step.sends]
-        held |= {d for d, m in machines.items() if m.leads(now)}
+        steps = [nodes[address].receive(now, message) for address, message in messages]
+        steps += [node.tick(now) for node in nodes.values()]
+        messages = [sent for ready in steps for sent in ready.sends]
+        held |= {d for d, m in nodes.items() if m.leads(now)}
     assert held and "b:1" not in held
 
 
@@ -354,21 +361,19 @@
             7, bootstrap_member("b:1").disk_id, Snapshot(0, 0, members), entries[:1]
         ),
     }
-    machines = {
-        d: RaftNode(bootstrap_member(d), k, 0.0, random.Random(d)) for d, k in disks.items()
-    }
+    nodes = {d: RaftNode(bootstrap_member(d), k, 0.0, random.Random(d)) for d, k in disks.items()}
     now, messages = 0.0, list[tuple[str, Message]]()
     for _ in range(200):
         now += 0.05
         steps = [
-            machines[address].receive(now, message)
+            nodes[address].receive(now, message)
             for address, message in messages
-            if address in machines
+            if address in nodes
         ]
-        steps += [machine.tick(now) for machine in machines.values()]
-        messages = [sent for step in steps for sent in step.sends]
-    assert [d for d, m in machines.items() if m.leads(now)] == ["a:1"]
-    assert machines["b:1"].log[1].data == b"said"
+        steps += [node.tick(now) for node in nodes.values()]
+        messages = [sent for ready in steps for sent in ready.sends]
+    assert [d for d, m in nodes.items() if m.leads(now)] == ["a:1"]
+    assert nodes["b:1"].log[1].data == b"said"
 
 
 class AckEarly(RaftNode):
@@ -379,27 +384,29 @@
 class WipedVotes(RaftNode):
     """Takes a vote for its door's, whatever disk it comes from, and votes with an empty disk."""
 
-    def _handle_vote_reply(self, now: float, step: Ready, message: VoteReply) -> None:
+    def _handle_vote_reply(self, now: float, ready: Ready, message: VoteReply) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._handle_vote_reply(now, step, replace(message, sender=same))
+        super()._handle_vote_reply(now, ready, replace(message, sender=same))
 
-    def _handle_append_reply(self, now: float, step: Ready, message: AppendReply) -> None:
+    def _handle_append_reply(self, now: float, ready: Ready, message: AppendReply) -> None:
         same = next(
             (m for m in self.members if m.address == message.sender.address), message.sender
         )
-        super()._handle_append_reply(now, step, replace(message, sender=same))
+        super()._handle_append_reply(now, ready, replace(message, sender=same))
 
-    def _handle_vote_request(self, now: float, step: Ready, message: RequestVote) -> None:
-        super()._handle_vote_request(now, step, message)
+    def _handle_vote_request(self, now: float, ready: Ready, message: RequestVote) -> None:
+        super()._handle_vote_request(now, ready, message)
 
 
 class NeverTrims(RaftNode):
-    def _handle_append_entries(self, now: float, step: Ready, message: AppendEntries) -> None:
+    def _handle_append_entries(self, now: float, ready: Ready, message: AppendEntries) -> None:
         fresh = tuple(e for e in message.entries if e.index > self.last_index)
         super()._handle_append_entries(
-            now, step, replace(message, entries=fresh) if message.entries and not fresh else message
+            now,
+            ready,
+            replace(message, entries=fresh) if message.entries and not fresh else message,
         )
 
 
@@ -415,17 +422,17 @@
         if not old:
             return super().receive(now, message)
         term, leader, self.term, self.leader = self.term, self.leader, message.term, message.sender
-        step = super().receive(now, message)
+        ready = super().receive(now, message)
         self.term, self.leader = term, leader
-        return step
+        return ready
 
 
 class NoPromise(RaftNode):
     """Gives its vote though it hears the leader."""
 
-    def _handle_vote_request(self, now: float, step: Ready, message: RequestVote) -> None:
+    def _handle_vote_request(self, now: float, ready: Ready, message: RequestVote) -> None:
         self.last_heartbeat_at = float("-inf")
-        super()._handle_vote_request(now, step, message)
+        super()._handle_vote_request(now, ready, message)
 
     def tick(self, now: float) -> Ready:
         if self.role.value == "follower" and self.rng.random() < 0.05:
@@ -437,7 +444,7 @@
 def test_planted_defects_are_seen(planted: type[RaftNode]) -> None:
     def found(seed: int) -> bool:
         world = World.__new__(World)
-        world.machine = planted
+        world.node = planted
         world.__init__(seed)  # type: ignore[misc]
         try:
             play(world, 6)
