--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -526,7 +526,7 @@
 
 async def test_a_members_port_is_one_that_no_socket_is_given_by_the_system(tmp_path: Path) -> None:
     """A relay's UDP socket had the number of a member that was not started yet."""
-    five = schedule.parse('name = "five"\nlength_s = 5\n[fleet]\nmembers = 5\n", "five")
+    five = schedule.parse('name = "five"\nlength_s = 5\n[fleet]\nmembers = 5\n', "five")
     processes = Processes(five, 1, tmp_path)
     lowest = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     drawn = [processes.all[f"m{number}"].ports["member"] for number in range(5)]
