--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -560,8 +560,8 @@
 )
 def test_real_members_that_are_cut_and_killed_agree_again(tmp_path: Path, fault: str) -> None:
     path = tmp_path / "s.toml"
-    # A view without the silent ones is decided in some 3.2 s on an idle machine, and later where the
-    # machine is slow: members that are behind give others more time.
+    # A view without the silent ones is decided in some 3.2 s on an idle machine, and later where
+    # the machine is slow: members that are behind give others more time.
     path.write_text(f"{FIVE}[[fault]]\nat_s = 0.5\nlen_s = 10\n{fault}")
     command = [sys.executable, "-m", "cairndale.lab", "faults", "run", str(path), "--json"]
     said = subprocess.run(
