--- a/cairndale/chaos/faults.py
+++ b/cairndale/chaos/faults.py
@@ -23,9 +23,8 @@
         """`until`: by when all of it is over."""
         self.world, self.record, self.rng, self.until = world, record, rng, until
         self.did: list[str] = []
-        self._empty: dict[
-            str, float
-        ] = {}  # disks that were lost, and until when they count as lost
+        # disks that were lost, and until when they count as lost
+        self._empty: dict[str, float] = {}
         self._busy: set[str] = set()  # machines in trouble now
         self.replacing = False  # one goes for good at a time
         self._loop = asyncio.get_running_loop()
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -131,9 +131,8 @@
     spans: list[Span] = field(default_factory=list)
     isolations: list[Isolation] = field(default_factory=list)
     said: list[Said] = field(default_factory=list)
-    ended: list[str] = field(
-        default_factory=list
-    )  # processes that ended by themselves, out of trouble
+    # processes that ended by themselves, out of trouble
+    ended: list[str] = field(default_factory=list)
 
     def taken(self) -> list[Order]:
         """Orders that were acknowledged or seen in force, in their order."""
--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -83,9 +83,8 @@
         spec = self.folder / f"{name}.launch"
         spec.write_bytes(msgspec.json.encode(told))
         env = self.environment(path)
-        with open(
-            self.folder / f"{name}.log", "ab"
-        ) as log:  # by another: a full disk is not to swallow it
+        # by another: a full disk is not to swallow it
+        with open(self.folder / f"{name}.log", "ab") as log:
             kept = Popen(["cat"], stdin=PIPE, stdout=log)
         assert kept.stdin
         command = [sys.executable, "-m", "cairndale.lab.faults.launch", str(spec)]
--- a/cairndale/chaos/storm.py
+++ b/cairndale/chaos/storm.py
@@ -30,10 +30,8 @@
 from cairndale.raft.voters import MIN_VOTERS
 
 HEALED = 15.0  # s for all to be well again (`recovery`)
-WARMUP, WARM_PER_S = (
-    2.0,
-    3.0,
-)  # s for which a server is cold, and what it handles a second meanwhile
+# s for which a server is cold, and what it handles a second meanwhile
+WARMUP, WARM_PER_S = (2.0, 3.0)
 RATE, BURST = 30, 10  # of the tenant that asks for more
 SLO = {"retrySlack": 12, "quotaSlack": 5}  # beside the world's
 MOVED = "south-a"  # the zone that is evacuated and taken back
@@ -160,9 +158,8 @@
             await self.ready(self.edges)
         except TimeoutError as error:
             return [f"it did not begin: {error}"]
-        if late := await self.voters(
-            loop.time() + SYNC
-        ):  # a new one counts as lost so long, and no longer
+        # a new one counts as lost so long, and no longer
+        if late := await self.voters(loop.time() + SYNC):
             return late
         until = operators.until = loop.time() + self.plan.length
         if self.spoilt:
--- a/cairndale/chaos/world.py
+++ b/cairndale/chaos/world.py
@@ -103,9 +103,8 @@
             )
         self._server_ip, self._server_port = f"127.{block}.1.1", self.base
         self.up: list[Server] = []
-        self.control: list[
-            str
-        ] = []  # doors of those that serve `ctl`, as operators and servers have them
+        # doors of those that serve `ctl`, as operators and servers have them
+        self.control: list[str] = []
         self.relist()
         self.seeds = self.control[:3]
 
--- a/cairndale/control/__init__.py
+++ b/cairndale/control/__init__.py
@@ -1,2 +1,1 @@
-"""The leader's duty: what it settles for all under its lease, and stops settling before that
-ends."""
+"""The control node: what the leader decides for all under its lease, and how others reach it."""
--- a/cairndale/dataplane/config_watch.py
+++ b/cairndale/dataplane/config_watch.py
@@ -72,7 +72,7 @@
             try:
                 self._applier.apply(answer.watch_response, node, requested_at)
             except Exception as error:
-                log_event(Event.FAILED, "cue: %r", error)
+                log_event(Event.FAILED, "watch: %r", error)
                 raise
         return True
 
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -64,12 +64,7 @@
             may_cancel=True,
         ),
         safety=it.Safety(
-            answer_slack=0,
-            drain_grace=0,
-            cold_share=1.0,
-            ramp_time=1,
-            tip_multiple=1.0,
-            fall=1,
+            answer_slack=0, drain_grace=0, cold_share=1.0, ramp_time=1, tip_multiple=1.0, fall=1
         ),
         counter=it.CounterLimits(
             allowed=True,
@@ -89,11 +84,7 @@
     """
 
     def __init__(
-        self,
-        settings: Settings,
-        numbering: Numbering,
-        contact: LeaderContact,
-        clock: Clock,
+        self, settings: Settings, numbering: Numbering, contact: LeaderContact, clock: Clock
     ) -> None:
         first = initial_settings(numbering.zone_number(settings.zone, 0), fleet_size=1)
         self._clock = clock
--- a/cairndale/dataplane/shutdown.py
+++ b/cairndale/dataplane/shutdown.py
@@ -16,12 +16,7 @@
 
 
 async def drain(
-    *,
-    listener: Listener,
-    engine: Engine,
-    serving: ServingState,
-    watch: ConfigWatch,
-    grace: float,
+    *, listener: Listener, engine: Engine, serving: ServingState, watch: ConfigWatch, grace: float
 ) -> None:
     """Drain for `grace` seconds at the most.
 
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -120,9 +120,8 @@
             )
             return True
         has_changed = known.node != node or not known.is_listed
-        if (
-            known.node.incarnation != node.incarnation
-        ):  # a machine runs one life of a role: the former is over
+        # a machine runs one life of a role: the former is over
+        if known.node.incarnation != node.incarnation:
             known.config_version = config_version
         else:
             known.config_version = max(known.config_version, config_version)
--- a/cairndale/scale/run.py
+++ b/cairndale/scale/run.py
@@ -71,12 +71,10 @@
         self.beaters: list[Node] = []
         self.learners: set[str] = set()
         self.gen = self.turn = 0
-        self.acks: list[
-            tuple[float, float]
-        ] = []  # when an order was called, and its acknowledgement
-        self.updates: list[
-            tuple[float, int]
-        ] = []  # when one was called, and the generation it makes
+        # when an order was called, and its acknowledgement
+        self.acks: list[tuple[float, float]] = []
+        # when one was called, and the generation it makes
+        self.updates: list[tuple[float, int]] = []
         self.refused = 0  # orders without a clear answer, or with another than was wanted
 
     # Processes.
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -36,9 +36,8 @@
 class Shared:
     """What the hollow ingresses of a process were told, once each."""
 
-    contents: dict[bytes, int] = field(
-        default_factory=dict
-    )  # by what was told: the tenants it names
+    # by what was told: the tenants it names
+    contents: dict[bytes, int] = field(default_factory=dict)
     told: int = 0  # contents that were told
 
     def tenants(self, content: bytes) -> int:
@@ -70,10 +69,8 @@
         self.config_client = ConfigClient(0.0, self._cores)
         self.served_at: dict[int, float] = {}  # by generation: when it was told, of the last few
         self.term, self.term_at = 0, 0.0  # of the leader that its lease is from, and since when
-        self.lapsed, self.counted_at = (
-            0.0,
-            0.0,
-        )  # s without a lease after the first of a life, since then
+        # s without a lease after the first of a life, since then
+        self.lapsed, self.counted_at = (0.0, 0.0)
         self.tenants = 0
         self._tasks: list[asyncio.Task[None]] = []
         self.began = self.well_at = 0.0
--- a/tests/chaos/test_judge.py
+++ b/tests/chaos/test_judge.py
@@ -92,9 +92,8 @@
 def test_a_change_on_what_is_in_force_is_not_refused() -> None:
     writes = [Write(1, 0, 1), Write(2, 5, 6)]
     assert "was refused while" in first_broken(writes, [Found(1, 2, 4, True)])
-    assert (
-        first_broken(writes, [Found(1, 2, 5, True)]) == ""
-    )  # the next one may have come before it
+    # the next one may have come before it
+    assert first_broken(writes, [Found(1, 2, 5, True)]) == ""
     assert first_broken(writes, [Found(1, 0.5, 0.7, True)]) == ""  # it was not known to be in force
     assert "was refused while" in first_broken(writes, [Found(2, 7, 8, True)])
 
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -133,10 +133,7 @@
     assert not register_endpoints(endpoint_registry, pb.EndpointReport(endpoints=[older, odd]), 8.0)
     assert {
         s.id: (s.seq, s.state, s.last_heartbeat_at) for s in endpoint_registry.endpoints.values()
-    } == {
-        "i": (7, "ready", 7.0),
-        "j": (3, "ready", 7.0),
-    }
+    } == {"i": (7, "ready", 7.0), "j": (3, "ready", 7.0)}
 
 
 @pytest.mark.parametrize("killed", [False, True])
--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -383,9 +383,8 @@
         takers = {f"{h}:7600" for h in others[: far or 0]}  # with these and itself, no majority
         world.net.loses = partial(is_append, leader.me.address, takers)
         assert await order(world, history, host, 2) == 0
-        if (
-            far is None
-        ):  # the same leader: the first is given up at 3 s, and stands in the log all the same
+        # the same leader: the first is given up at 3 s, and stands in the log all the same
+        if far is None:
             await asyncio.sleep(1.9)
             again = [asyncio.create_task(order(world, history, host, g)) for g in (2, 3, 2)]
             await asyncio.sleep(0.2)
@@ -629,9 +628,8 @@
             await world.crash(host)
             await world.until(world.leader)
             await world.start(host)
-            await asyncio.sleep(
-                6.5
-            )  # calls that nobody is known to have read are the same order for so long
+            # calls that nobody is known to have read are the same order for so long
+            await asyncio.sleep(6.5)
         elif random.random() < 0.5:
             await asyncio.sleep(random.uniform(0.0, 1.0))
         want = {zone: orders for zone, orders in model.items() if orders}
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -46,12 +46,8 @@
 from cairndale.settings import Bounds
 
 SHARE = 0.279  # of a core, that the leader has
-FRAME, SERVER, LOOK, PACK = (
-    150e-6,
-    4e-6,
-    0.3e-6,
-    30e-9,
-)  # s of a core: one frame, server, ingress, byte
+# s of a core: one frame, server, ingress, byte
+FRAME, SERVER, LOOK, PACK = (150e-6, 4e-6, 0.3e-6, 30e-9)
 LINK, THIN = 15e6, 250e3  # bytes a second, of the leader and of an ingress
 WAY = 0.02  # s
 BEAT = 1.5
@@ -166,9 +162,8 @@
         self.state.apply(Command(Verb.ENROL, added_nodes=names))
         self.leadership: Leadership | None = None
         self.watch_server = WatchServer(self)
-        self.up = {
-            f"i{n}": self.rng.random() * BEAT for n in range(servers)
-        }  # phases of their beats
+        # phases of their beats
+        self.up = {f"i{n}": self.rng.random() * BEAT for n in range(servers)}
         self.sent_at, self.longest, self.bytes, self.lapsed = 0.0, 0.0, 0, 0
         # s, the longest that what the leader sends has waited behind what it sent before
         self.behind = 0.0
@@ -346,9 +341,8 @@
 
 
 def test_a_whole_system_returns(monkeypatch: pytest.MonkeyPatch) -> None:
-    play(
-        100, 1000, lambda world: whole_return(world, 5.0, 0.3), monkeypatch
-    )  # a leader's lease is 0.45 s
+    # a leader's lease is 0.45 s
+    play(100, 1000, lambda world: whole_return(world, 5.0, 0.3), monkeypatch)
 
 
 def test_a_whole_system_of_300_returns(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -102,7 +102,7 @@
 
 
 def test_a_large_configuration_is_checked_in_little_more_time_than_it_is_read() -> None:
-    """One of 350 routes took a leader 0.8 s, in which it lost the duty (khadra-carto,
+    """One of 350 routes took a leader 0.8 s, in which it lost the leadership (khadra-carto,
     trouble-3)."""
     made = content(
         routes=[route(f"r{n}", split=[{"backend": "s1", "weight": 9}]) for n in range(1000)]
@@ -201,28 +201,23 @@
 def test_calls_for_a_zone_are_one_order_until_the_answer_was_read() -> None:
     evacuation_log = EvacuationLog(100.0, 6.0, had_predecessor=False)
     first = evacuation_log.begin_call(100.0, "z", "evacuate", False)
-    assert (
-        evacuation_log.begin_call(101.0, "z", "evacuate", False) == first
-    )  # the first is not answered yet
+    # the first is not answered yet
+    assert evacuation_log.begin_call(101.0, "z", "evacuate", False) == first
     evacuation_log.end_call("z", first)
     evacuation_log.end_call("z", first)
-    assert (
-        evacuation_log.begin_call(105.0, "z", "evacuate", True) == first
-    )  # the answer may have been lost
+    # the answer may have been lost
+    assert evacuation_log.begin_call(105.0, "z", "evacuate", True) == first
     evacuation_log.end_call("z", first)
     evacuation_log.acknowledge("z", first)
     second = evacuation_log.begin_call(105.1, "z", "evacuate", True)
     assert second not in ("", first)
     evacuation_log.end_call("z", second)
-    assert evacuation_log.begin_call(112.0, "z", "evacuate", True) not in (
-        "",
-        second,
-    )  # sent again for so long only
+    # sent again for so long only
+    assert evacuation_log.begin_call(112.0, "z", "evacuate", True) not in ("", second)
     back = evacuation_log.begin_call(113.0, "z", "take back", False)
     assert back and evacuation_log.begin_call(113.1, "y", "take back", True)
-    later = EvacuationLog(
-        200.0, 6.0, had_predecessor=True
-    )  # another has the duty: who held it before may have heard this one
+    # another leads: who led before may have heard this one
+    later = EvacuationLog(200.0, 6.0, had_predecessor=True)
     assert later.begin_call(201.0, "z", "evacuate", True) == "" and later.begin_call(
         201.0, "z", "take back", False
     )
@@ -312,9 +307,8 @@
         and endpoint_registry.endpoints["i"].state == "gone"
     )
     number = endpoint_registry.version
-    assert endpoint_registry.record_heartbeat(
-        read_heartbeat("j", heartbeat(1), 2.0)
-    )  # another life at the same address
+    # another life at the same address
+    assert endpoint_registry.record_heartbeat(read_heartbeat("j", heartbeat(1), 2.0))
     assert [s.id for s in endpoint_registry.changed_since(number)] == ["j"]
     assert (
         not endpoint_registry.expire(6.0, 1.5)
@@ -389,14 +383,12 @@
         and not node_registry.all_at_version(1.0 + NODE_LEASE_S, 2)
         and node_registry.all_at_version(1.01 + NODE_LEASE_S, 2)
     )
-    node_registry.record_request(
-        2.0, node("b", life="2"), 0
-    )  # its life before is over, and so is what that had told
+    # its life before is over, and so is what that had told
+    node_registry.record_request(2.0, node("b", life="2"), 0)
     assert node_registry.leases["b"].config_version == 0
     later = NodeRegistry()
-    later.begin_term(
-        10.0, ["a", "b"]
-    )  # another held the duty, and may have given them leases to the last
+    # another led, and may have given them leases to the last
+    later.begin_term(10.0, ["a", "b"])
     later.record_request(10.1, node("a"), 2)
     assert not later.all_contacted(10.2) and not later.all_at_version(10.0 + NODE_LEASE_S, 2)
     assert later.all_contacted(10.01 + NODE_LEASE_S) and later.all_at_version(
@@ -460,7 +452,7 @@
 def test_leased_units_never_sum_above_the_bound_in_any_window(
     rate: float, burst: float, seed: int, gaps: list[float]
 ) -> None:
-    """The model spends each lease at the worst moment of its life, over changes of the duty's
+    """The model spends each lease at the worst moment of its life, over changes of the leader's
     leader."""
     bounds = Bounds(quota_overrun=0.1, quota_slack=20)
     rng, now, spent = random.Random(seed), 0.0, list[tuple[float, float]]()
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -58,7 +58,7 @@
     """Only one ingress has requests, of a tenant with a small quota; the last ZONE of all are
     lost."""
 
-    began = 0.0  # when the later leader's duty did
+    began = 0.0  # when the later leader's term did
 
     def spend(self, edge: Edge) -> None:
         if edge.name == "e0":
@@ -75,7 +75,7 @@
         self.began = self.now
 
     def had(self, since: float, until: float) -> float:
-        """Units, in these seconds of the later leader's duty."""
+        """Units, in these seconds of the later leader's term."""
         return sum(units for at, units in self.spent if since < at - self.began <= until)
 
 
@@ -155,9 +155,8 @@
         await asyncio.sleep(0.6)
         world.begin()  # the next leader, which has heard of no server
         counted = await world.until(lambda: world.require_leadership().grants.is_counting, 1.0)
-        for id in (
-            gone
-        ):  # those that are left serve by what they know: nobody is told that others are gone
+        # those that are left serve by what they know: nobody is told that others are gone
+        for id in gone:
             assert all(id in e.servers for e in world.ingresses.values())
         await world.until(world.returned, 5.0)
         assert counted < 1.0 and world.require_leadership().grants.is_counting
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -60,9 +60,8 @@
             now,
         )
         assert node.readiness.is_ready() and node.describe().ready
-        node.applier.apply(
-            watch_response("2~", {}), node.describe(), now
-        )  # a later leader, who has not heard of all yet
+        # a later leader, who has not heard of all yet
+        node.applier.apply(watch_response("2~", {}), node.describe(), now)
         assert node.readiness.is_ready()
         node.ingress.backends.stop()
 
@@ -90,15 +89,8 @@
     ]
     node = node_in_contact(tenants=tenants)
     requests, outcomes = list[tuple[str, float, float]](), list[tuple[Outcome, float | None]]()
-    answers = [
-        -2.0,
-        0.5,
-        -2.0,
-        -2.0,
-        -1.0,
-        -2.0,
-        None,
-    ]  # of two units: none, both, none twice, one, none
+    # of two units: none, both, none twice, one, none
+    answers = [-2.0, 0.5, -2.0, -2.0, -1.0, -2.0, None]
 
     async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
         lease = envelope.quota_request
@@ -144,10 +136,7 @@
         node.quota_client.deal(units, granted.append)
         await asyncio.gather(*node.quota_client.calls)
     assert [list(deal.budgets) for deal in requests] == [["further/s1", "starts/i"]] * 3
-    assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [
-        0,
-        0,
-    ]
+    assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [0, 0]
     assert node.ingress.selector.is_denied(units[0], began + 150_000)
     node.config_client.last_response_at = float("-inf")  # isolated: no grant is requested
     node.quota_client.deal(units, granted.append)
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -82,15 +82,12 @@
     runs: dict[int, int] = field(default_factory=dict)
     quota: dict[int, bool] = field(default_factory=dict)
     answers: dict[int, list[str]] = field(default_factory=dict)
-    advised: dict[int, int] = field(
-        default_factory=dict
-    )  # us after which to come back, by refused request
-    leased: list[int] = field(
-        default_factory=list
-    )  # until when each unit of the tenant's may be spent
-    granted: dict[it.Unit, list[int]] = field(
-        default_factory=dict
-    )  # likewise, of wholes that are shared
+    # us after which to come back, by refused request
+    advised: dict[int, int] = field(default_factory=dict)
+    # until when each unit of the tenant's may be spent
+    leased: list[int] = field(default_factory=list)
+    # likewise, of wholes that are shared
+    granted: dict[it.Unit, list[int]] = field(default_factory=dict)
     saved: float = 0.0  # further tries that requests have earned here
 
 
--- a/tests/http_api/test_server.py
+++ b/tests/http_api/test_server.py
@@ -34,9 +34,8 @@
     caller.sendall(CALL)
     if end:
         caller.close()
-    assert (await ask(f"{at[0]}:{at[1]}", "POST", "/-/later"))[
-        0
-    ] == 200  # comes after it, and is answered
+    # comes after it, and is answered
+    assert (await ask(f"{at[0]}:{at[1]}", "POST", "/-/later"))[0] == 200
     caller.close()
     addresses.stop()
     return taken
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -40,11 +40,8 @@
 from cairndale.settings import Bounds
 
 RATE, BURST, EDGES = 60.0, 60.0, 5
-SMALL = (
-    5.0,
-    5.0,
-    40,
-)  # a small quota and many ingresses: a unit for each would be more than all of it
+# a small quota and many ingresses: a unit for each would be more than all of it
+SMALL = (5.0, 5.0, 40)
 BOUNDS = Bounds(
     quota_window=5.0,
     quota_overrun=0.1,
@@ -75,10 +72,8 @@
     isolated_at: float = 0.0  # when it was last told that the counter does not count
     rate: float = 1.0  # of its clock
     epoch: str = ""
-    clock: tuple[int, float] = (
-        0,
-        0.0,
-    )  # what the newest cue said of its leader's, and when it came
+    # what the newest response said of its leader's, and when it came
+    clock: tuple[int, float] = (0, 0.0)
 
 
 class World:
--- a/tests/raft/test_catch_up.py
+++ b/tests/raft/test_catch_up.py
@@ -55,7 +55,7 @@
         if ready.received_snapshot:
             self.do(address, made.install_snapshot(self.now, ready.received_snapshot))
         leaders = [d for d, m in self.nodes.items() if m.leads(self.now)]
-        assert len(leaders) <= 1, "two hold the duty"
+        assert len(leaders) <= 1, "two nodes lead"
         for leader in leaders:
             newest = max(self.order, default=0)
             assert self.nodes[leader].last_index >= newest, "one with old state leads"
@@ -172,7 +172,7 @@
             and world.nodes[one].commit_index == made.last_index
         ):
             break
-    assert held / (_ + 1) > 0.999, "the duty was lost"
+    assert held / (_ + 1) > 0.999, "leadership was lost"
     assert world.leader() == leader
     assert world.nodes[one].commit_index == made.last_index
 
@@ -246,7 +246,7 @@
 
         monkeypatch.setattr(SnapshotReceiver, "receive", forgets)
         seen = test_it_goes_on_where_it_was_after_a_cut_a_restart_and_a_change_of_the_leader
-    said = {"renewed": "did not come", "whole": "the duty was lost", "no resume": "it began anew"}
+    said = {"renewed": "did not come", "whole": "leadership was lost", "no resume": "it began anew"}
     said |= {"one entry": "behind", "no window": "small"}
     with pytest.raises(AssertionError, match=said[planted]):
         seen()
@@ -261,7 +261,7 @@
 
     world: Way
     seconds: float  # until it was decided
-    held: float  # share of that time in which the leader held the duty
+    held: float  # share of that time in which the leader led
     small: float  # s that the slowest of the commands given meanwhile took
 
 
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -460,7 +460,7 @@
         with pytest.raises(AssertionError):
             replaced(Site(1, FIVE, Tolerance()), 30, more=False)
     monkeypatch.setattr(Site, "node", KeepsItsLease)
-    with pytest.raises(AssertionError, match="two hold the duty"):
+    with pytest.raises(AssertionError, match="two nodes lead"):
         test_a_leader_that_is_frozen_as_it_hands_over_does_not_lead_beside_the_next()
 
 
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -160,7 +160,7 @@
         if ready.received_snapshot:
             self.do(address, node.install_snapshot(self.now, ready.received_snapshot))
         leaders = [d for d, m in self.nodes.items() if m.leads(self.now)]
-        assert len(leaders) <= 1, "two hold the duty"
+        assert len(leaders) <= 1, "two nodes lead"
 
     def pass_on(self, sender: str, to: str, message: Message) -> None:
         if frozenset((sender, to)) in self.cut or to not in self.nodes:
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -157,9 +157,8 @@
         )
         await until(lambda: ours.rejected.get("unsolicited") == 1)
         second.write(hello("", address=address, incarnation="c"), outcome(sent, b"of another life"))
-        with pytest.raises(
-            CallError
-        ):  # the connection's life cannot change: what follows is not heard
+        # the connection's life cannot change: what follows is not heard
+        with pytest.raises(CallError):
             await call
         assert ours.rejected["malformed"] == 1
 
@@ -214,10 +213,8 @@
             raw.write(*said, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
             assert await raw.ended()
         assert heard == [] and sum(ours.rejected.values()) == 3
-        assert len(noted) == 1 and noted[0] in (
-            Event.FOREIGN_PEER,
-            Event.MALFORMED_FRAME,
-        )  # one in 5 s
+        # one in 5 s
+        assert len(noted) == 1 and noted[0] in (Event.FOREIGN_PEER, Event.MALFORMED_FRAME)
         assert (await friend.call(ours.own_address, order(), 2.0)).operation_response.status == 200
 
 
@@ -246,9 +243,8 @@
         named.send(ours.own_address, beat)  # as the leader of a system that had this address before
         await until(lambda: ours.rejected.get("untrusted") == 1)
         assert ours.system == "" and heard == []
-        assert (
-            await named.call(ours.own_address, order(), 2.0)
-        ).operation_response.status == 200  # asked, it may answer
+        # asked, it may answer
+        assert (await named.call(ours.own_address, order(), 2.0)).operation_response.status == 200
         async with rpc_peer() as seed:
             assert (
                 await ours.call(seed.own_address, order(), 2.0)
@@ -401,19 +397,19 @@
         ask.leader_address = old.own_address
         assert (await ask.call(order(), 2.0, 1.0)).operation_response.body == b"new"
         assert ours.rejected["stale"] == 1 and ask.leader_address == new.own_address
+        # the way there is cut: by the peer
         ask.leader_address, ask._avoided[old.own_address] = (
             old.own_address,
             AvoidedAddress(ours.now() + 9, 9.0),
-        )  # the way there is cut: by the peer
+        )
         assert (
             await ask.call(order(), 2.0, 1.0)
         ).operation_response.body == b"new" and ours.rejected["stale"] == 2
         heard_both.fence.newest = 5
         passed = order()
         passed.forward_to = old.own_address
-        with pytest.raises(
-            CallError
-        ) as refused:  # a peer that has heard the newer passes no older on
+        # a peer that has heard the newer passes no older on
+        with pytest.raises(CallError) as refused:
             await peer.call(heard_both.own_address, passed, 2.0)
         assert refused.value.code is FaultCode.TIMED_OUT and refused.value.may_have_run
 
@@ -484,7 +480,7 @@
 
 
 async def core(folder: Path, **fields: Any) -> ControlNode:
-    """A core of one that holds the duty; its loops do not run."""
+    """A control node that leads; its loops do not run."""
     port = free()
     raw = {name: dict(part) for name, part in SETTINGS.items()}
     raw["self"] |= {"ip": HOST, "stateDir": str(folder), "serves": [], "bootstrap": True}
@@ -615,7 +611,7 @@
 def test_a_copy_is_answered_as_the_first_and_counted_once(
     calls: list[tuple[bool, int, str]],
 ) -> None:
-    """The model keeps every answer for good, and counts each call once, at another duty."""
+    """The model keeps every answer for good, and counts each call once, at another leader."""
     made, plain = leadership(), leadership()
     answers: dict[tuple[int, str], pb.Envelope] = {}
     now = 100.0
@@ -635,9 +631,8 @@
     call.quota_request.amount = 80
     first = made.grants.answer(100.0, call)
     assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
-    assert (
-        made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
-    )  # wasted, and bounded
+    # wasted, and bounded
+    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
     for id in range(2, 2 * idempotency.MAX_ANSWERS):
         made.grants.answer(105.0, unit_call(id))
     assert len(made.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
@@ -700,9 +695,8 @@
     prompt, late = client.watch_request(node, 10.01, 0.25), client.watch_request(node, 10.3, 0.25)
     assert prompt.counter_active and not late.counter_active and client.in_contact(10.3)
     assert prompt.name == "e" and not prompt.HasField("node")
-    assert (
-        5000 < prompt.leader_clock_ms <= 5010 and 5290 <= late.leader_clock_ms < 5300
-    )  # never ahead
+    # never ahead
+    assert 5000 < prompt.leader_clock_ms <= 5010 and 5290 <= late.leader_clock_ms < 5300
     assert client.apply(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
     assert (
         client.apply(pb.WatchResponse(epoch="3", lease_ms=9000), node, 12.0, 12.0, 0) is None
--- a/tests/rpc/test_peer.py
+++ b/tests/rpc/test_peer.py
@@ -146,7 +146,7 @@
 
 async def test_damaged_lists_are_asked_for_anew_and_never_come_through() -> None:
     async with rpc_peer() as ours, rpc_peer() as leader:
-        cues = [
+        responses = [
             pb.WatchResponse(config_version=1, compressed_lists=b"no lists"),
             pb.WatchResponse(
                 config_version=2,
@@ -155,7 +155,7 @@
         ]
 
         async def told(envelope: pb.Envelope) -> pb.Envelope:
-            return pb.Envelope(watch_response=cues.pop(0))
+            return pb.Envelope(watch_response=responses.pop(0))
 
         leader._handle_call = told
         answer = await LeaderClient(ours, lambda: [leader.own_address], list).call(
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -150,12 +150,10 @@
     middle, low, high = sums.at_target(kept, "leader", "bytes_out")
     assert low <= middle <= high and middle == pytest.approx(2.0 * 6300 + 0.5 * 20_000, rel=0.35)
     alone = {f"ingresses-{n}": run_of(ingresses=n, servers=0) for n in (30, 100, 300)}
-    assert sums.at_target(alone, "leader", "bytes_out")[0] == pytest.approx(
-        2.0 * 6300
-    )  # the base is in once
-    kept["ingresses-300"]["hollow"] = {
-        "with a lease": 0.5
-    }  # what does not work is no point of a slope
+    # the base is in once
+    assert sums.at_target(alone, "leader", "bytes_out")[0] == pytest.approx(2.0 * 6300)
+    # what does not work is no point of a slope
+    kept["ingresses-300"]["hollow"] = {"with a lease": 0.5}
     made = sums.slope(kept, "ingresses", "leader", "bytes_out")
     assert made is not None and [p[0] for p in made.points] == [sums.BASE, "ingresses-100"]
 
@@ -218,9 +216,8 @@
                 assert answer == lookup(target, nodes.values(), 5.0, route_table, "own0")
                 assert plain.answer(target, nodes.values(), 5.0, route_table, object()) == answer
     before = kept[0].answer("/-/lookup?region=none", nodes.values(), 5.0, route_table, -1)
-    assert (
-        kept[0].answer("/-/lookup?region=none", (), 5.0, route_table, -1) == before
-    )  # nothing is looked at for it
+    # nothing is looked at for it
+    assert kept[0].answer("/-/lookup?region=none", (), 5.0, route_table, -1) == before
     fit = {n.http_address for n in nodes.values() if n.ready and not n.draining}
     answers = [k.answer("/-/lookup?x=y", nodes.values(), 5.0, route_table, 0)[1] for k in kept]
     told = [set(json.loads(answer)["addrs"]) for answer in answers]
@@ -359,11 +356,7 @@
     roles, simulated = told["roles"], told["hollow"]
     assert "leader" in out and {
         r: roles[r]["processes"] for r in ("leader", "follower", "real ingress")
-    } == {
-        "leader": 1,
-        "follower": 2,
-        "real ingress": 1,
-    }
+    } == {"leader": 1, "follower": 2, "real ingress": 1}
     assert (simulated["ingresses"], simulated["servers"], simulated["tenants"]) == (20, 50, 20 * 40)
     assert (
         told["changes"]["count"] >= 1 and told["changes"]["unserved"] == 0 and told["refused"] == 0
