--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -8,6 +8,8 @@
 import tomllib
 from pathlib import Path
 
+import pytest
+
 from cairndale.events import Event
 
 ROOT = Path(__file__).parent.parent
@@ -82,3 +84,47 @@
     subprocess.run([*command, str(rpc / "protocol.proto")], check=True)
     for name in ("protocol_pb2.py", "protocol_pb2.pyi"):
         assert (tmp_path / name).read_text() == (rpc / name).read_text()
+
+
+# What each package of the system may import of the others; see docs/architecture.md.
+ALLOWED_IMPORTS = {
+    "rpc": {"errors", "events", "settings"},
+    "raft": {"rpc"},
+    "configuration": {"field_rules", "ingress", "settings"},
+    "registry": {"rpc", "settings"},
+    "quota": {"ingress", "settings"},
+    "lookup": {"configuration", "http_api", "rpc"},
+    "http_api": {"ingress", "rpc", "settings"},
+    "control": {
+        "configuration",
+        "errors",
+        "events",
+        "http_api",
+        "lookup",
+        "quota",
+        "raft",
+        "registry",
+        "rpc",
+        "settings",
+    },
+    "dataplane": {
+        "configuration",
+        "errors",
+        "events",
+        "http_api",
+        "ingress",
+        "lookup",
+        "quota",
+        "rpc",
+        "settings",
+    },
+    "cli": {"configuration", "control", "raft", "settings"},
+}
+
+
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_a_package_imports_no_more_than_it_may(package: str) -> None:
+    """Control and data plane meet in `rpc` messages only; the state knows nothing of control."""
+    for path in (ROOT / f"cairndale/{package}").rglob("*.py"):
+        found = set(re.findall(r"(?:from|import) cairndale\.(\w+)", path.read_text()))
+        assert found <= ALLOWED_IMPORTS[package] | {package}, path
