--- a/playhouse/extras/run.py
+++ b/cairndale/scale/run.py
@@ -1,4 +1,5 @@
-"""One scale run: begins the processes, lets them be, brings trouble about, and counts what each role cost."""
+"""One scale run: begins the processes, lets them be, brings trouble about, and counts what each
+role cost."""
 
 from __future__ import annotations
 
@@ -11,11 +12,11 @@
 from pathlib import Path
 from typing import Any
 
-from playhouse.extras.content import content, turned
-from playhouse.extras.node import Node
-from playhouse.extras.sizes import Size
-from playhouse.extras.tally import changes, returned, summed, totals
-from playhouse.rehearsal.world import World
+from cairndale.chaos.world import World
+from cairndale.scale.content import content, turned
+from cairndale.scale.node import Node
+from cairndale.scale.sizes import Size
+from cairndale.scale.tally import changes, returned, summed, totals
 
 BEAT = 1.5  # s between a server's heartbeats
 RESTARTS = 1 / 1.2  # of hollow servers a second, however many: seven times 10,000 a day
@@ -44,7 +45,9 @@
             ]
 
     def settings(self, machine: Any) -> dict[str, Any]:
-        raw = super().settings(machine) if machine.zone not in self.places else self._placed(machine)
+        raw = (
+            super().settings(machine) if machine.zone not in self.places else self._placed(machine)
+        )
         raw["infra"]["heartbeat"] = f"{BEAT:.1f}s"
         raw["self"]["limits"]["nofile"] = 20_000
         return raw
@@ -68,8 +71,12 @@
         self.beaters: list[Node] = []
         self.learners: set[str] = set()
         self.gen = self.turn = 0
-        self.acks: list[tuple[float, float]] = []  # when an order was called, and its acknowledgement
-        self.updates: list[tuple[float, int]] = []  # when one was called, and the generation it makes
+        self.acks: list[
+            tuple[float, float]
+        ] = []  # when an order was called, and its acknowledgement
+        self.updates: list[
+            tuple[float, int]
+        ] = []  # when one was called, and the generation it makes
         self.refused = 0  # orders without a clear answer, or with another than was wanted
 
     # Processes.
@@ -115,16 +122,20 @@
     def _ingresses(self) -> list[list[dict[str, Any]]]:
         block, zones = self.rng.randrange(100, 180), list(self.world.places)
         made = [
-            {"name": f"hollow-{n}", "ip": f"127.{block}.{n // 250}.{n % 250 + 1}",
-             "port": self.world.base + 1,
-             "zone": zones[n % len(zones)],
-             "region": self.world.places[zones[n % len(zones)]]}
+            {
+                "name": f"hollow-{n}",
+                "ip": f"127.{block}.{n // 250}.{n % 250 + 1}",
+                "port": self.world.base + 1,
+                "zone": zones[n % len(zones)],
+                "region": self.world.places[zones[n % len(zones)]],
+            }
             for n in range(self.size.ingresses)
-        ]  # fmt: skip
+        ]
         return [made[number :: self.size.workers] for number in range(self.size.workers)]
 
     async def end(self) -> None:
-        """Whatever it was broken off in. One that is not known here yet ends with its standard input."""
+        """Whatever it was broken off in. One that is not known here yet ends with its standard
+        input."""
         nodes = [*self.workers, *self.beaters, *self.real.values()]
         for node in nodes:
             node.kill()
@@ -132,7 +143,9 @@
 
     # The operator.
 
-    async def _order(self, method: str, call: str, raw: Any = None, within: float = 20.0) -> tuple[int, Any]:
+    async def _order(
+        self, method: str, call: str, raw: Any = None, within: float = 20.0
+    ) -> tuple[int, Any]:
         return await self.world.order(method, call, raw, within, patience=ORDER)
 
     async def _first(self) -> None:
@@ -177,14 +190,15 @@
     # What is measured.
 
     async def well(self) -> list[tuple[int, float]]:
-        """Of each hollow ingress that holds a lease and a configuration: the lease's term, and since when."""
+        """Of each hollow ingress that holds a lease and a configuration: the lease's term, and
+        since when."""
         told = await asyncio.gather(*(node.say({"do": "told"}) for node in self.workers))
         return [(term, since) for t in told for term, since in t["well"]]
 
     async def all_well(self, began: float, term: int = 0, cut: int = 0) -> dict[str, float]:
-        """s from `began` until half, 99 in 100 and all hollow ingresses held a lease of a leader of that
-        term or later, and a configuration; -1: not within WELL. `share`: how many do at the end. `cut`: so
-        many had neither before, and only these are meant."""
+        """s from `began` until half, 99 in 100 and all hollow ingresses held a lease of a leader of
+        that term or later, and a configuration; -1: not within WELL. `share`: how many do at the
+        end. `cut`: so many had neither before, and only these are meant."""
         until, times, wanted = time.monotonic() + WELL, list[float](), cut or self.size.ingresses
         while time.monotonic() < until and len(times) < wanted:
             found = [since - began for t, since in await self.well() if t >= term]
@@ -202,7 +216,10 @@
         cores = {n: await self.real[n].say({}) for n in here}
         leader = cores.pop(max(cores, key=lambda n: float(cores[n]["bytes_out"])))
         edges = [await self.real[n].say({}) for n, m in machines.items() if not m.core]
-        made = {"leader": [leader], "follower": [row for n, row in cores.items() if n not in self.learners]}
+        made = {
+            "leader": [leader],
+            "follower": [row for n, row in cores.items() if n not in self.learners],
+        }
         made["learner"] = [row for n, row in cores.items() if n in self.learners]
         made["real ingress"] = edges
         made["hollow ingresses"] = [await node.say({"do": "count"}) for node in self.workers]
@@ -213,20 +230,25 @@
         """Core machines without a vote."""
         _, shown = await self._order("GET", "Fleet.Show")
         doors = {door for door, _, kind in shown["members"] if kind == "learner"}
-        self.learners = {n for n, m in self.world.machines.items() if f"{m.ip}:{self.world.base}" in doors}
+        self.learners = {
+            n for n, m in self.world.machines.items() if f"{m.ip}:{self.world.base}" in doors
+        }
 
     async def look_ups(self) -> dict[str, Any]:
-        """Clients look up at the first real ingress; what one costs it is what it takes more than the others
-        do in the same seconds."""
+        """Clients look up at the first real ingress; what one costs it is what it takes more than
+        the others do in the same seconds."""
         names = [n for n, m in self.world.machines.items() if not m.core]
         if len(names) < 2:
             return {}
         for name in names:
             await self.real[name].say({})
         order = {
-            "do": "look up", "door": self.world.door(self.world.machines[names[0]], 2), "per_s": LOOK_UPS,
-            "span": LOOK_SPAN, "regions": sorted(set(self.world.places.values())),
-        }  # fmt: skip
+            "do": "look up",
+            "door": self.world.door(self.world.machines[names[0]], 2),
+            "per_s": LOOK_UPS,
+            "span": LOOK_SPAN,
+            "regions": sorted(set(self.world.places.values())),
+        }
         told = await self.beaters[0].say(order, LOOK_SPAN + BEGIN)
         asked, *others = [await self.real[name].say({}) for name in names]
         others_cpu = sum(row["cpu"] for row in others) / len(others)
@@ -253,9 +275,11 @@
         served = [s for node in self.workers for s in (await node.say({"do": "served"}))["served"]]
         hollow = counted["hollow ingresses"]
         return {
-            "roles": roles, "changes": changes(self.acks, self.updates, served), "refused": self.refused,
+            "roles": roles,
+            "changes": changes(self.acks, self.updates, served),
+            "refused": self.refused,
             "hollow": totals(hollow, counted["hollow servers"]),
-        }  # fmt: skip
+        }
 
     async def _leader(self, within: float) -> str | None:
         """None: there is none, or nobody said so in so many seconds."""
@@ -264,7 +288,9 @@
         except TimeoutError:
             return None
         leader = str(shown.get("leader", "")) if isinstance(shown, dict) else ""
-        return next((n for n, m in self.world.machines.items() if leader.startswith(f"{m.ip}:")), None)
+        return next(
+            (n for n, m in self.world.machines.items() if leader.startswith(f"{m.ip}:")), None
+        )
 
     async def troubles(self, made: dict[str, Any]) -> None:
         """What each takes, in seconds until its end for all, is added; -1: not within WELL."""
@@ -279,7 +305,9 @@
         made["new leader"] = -1.0 if now in (None, name) else time.monotonic() - began
         self.say(f"the leader was killed: a new one after {made['new leader']:.2f} s")
         made["leases of the new leader"] = await self.all_well(began, term + 1)
-        self.say(f"all hollow ingresses hold its leases: {shown_times(made['leases of the new leader'])}")
+        self.say(
+            f"all hollow ingresses hold its leases: {shown_times(made['leases of the new leader'])}"
+        )
         await self._begin_real(name, self.world.machines[name])
         began = time.monotonic()
         await asyncio.gather(*(node.say({"do": "restart"}, WELL) for node in self.workers))
@@ -291,16 +319,24 @@
         await asyncio.gather(*(self._begin_real(one, self.world.machines[one]) for one in cores))
         made["core restarts"] = await self.all_well(began, term + 1)
         self.say(f"the core was killed and started again: {shown_times(made['core restarts'])}")
-        left = sum([(await node.say({"do": "cut", "region": "r0"}))["ingresses"] for node in self.workers])
+        left = sum(
+            [(await node.say({"do": "cut", "region": "r0"}))["ingresses"] for node in self.workers]
+        )
         made["cut for"] = min(60.0, 3 * self.size.seconds)
         await asyncio.sleep(made["cut for"])
         began = time.monotonic()
         await asyncio.gather(*(node.say({"do": "heal"}, WELL) for node in self.workers))
         made["region returns"] = await self.all_well(began, cut=self.size.ingresses - left)
-        self.say(f"a region was cut off for {made['cut for']:.0f} s: {shown_times(made['region returns'])}")
+        self.say(
+            f"a region was cut off for {made['cut for']:.0f} s: "
+            f"{shown_times(made['region returns'])}"
+        )
 
 
 def shown_times(times: dict[str, float]) -> str:
     if times["last"] < 0:
         return f"{100 * times['share']:.0f}% well after {WELL:.0f} s"
-    return f"well after {times['p50']:.2f} s (p50), {times['p99']:.2f} (p99), {times['last']:.2f} (last)"
+    return (
+        f"well after {times['p50']:.2f} s (p50), {times['p99']:.2f} (p99), "
+        f"{times['last']:.2f} (last)"
+    )
--- a/playhouse/extras/hollow.py
+++ b/cairndale/scale/simulated.py
@@ -1,8 +1,7 @@
 """Hollow ingresses and servers: they say what real ones say to the core, and carry no traffic.
 
-A hollow ingress asks for news, holds a lease, leases units of tenants and has further tries dealt. What it
-was told is held once a process where several were told the same.
-"""
+A hollow ingress asks for news, holds a lease, leases units of tenants and has further tries dealt.
+What it was told is held once a process where several were told the same."""
 
 from __future__ import annotations
 
@@ -15,17 +14,17 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from playhouse.company.roll import HOLD_MOST, hold, patience
-from playhouse.errors import Code, SystemFailure
-from playhouse.extras.gauge import Gauge, quantile
-from playhouse.rehearsal.standins import BEAT_WAIT, ask
-from playhouse.settings import Door, shown
-from playhouse.stage.house import ASK_WITHIN
-from playhouse.stage.news import News
-from playhouse.stage.units import LEASE_PATIENCE, LEASE_WAIT
-from playhouse.wings import cues_pb2 as pb
-from playhouse.wings.links import Wings
-from playhouse.wings.reach import Reach
+from cairndale.chaos.standins import BEAT_WAIT, ask
+from cairndale.dataplane.config_client import News
+from cairndale.dataplane.node import ASK_WITHIN
+from cairndale.dataplane.quota_client import LEASE_PATIENCE, LEASE_WAIT
+from cairndale.errors import Code, SystemFailure
+from cairndale.registry.nodes import HOLD_MOST, hold, patience
+from cairndale.rpc import protocol_pb2 as pb
+from cairndale.rpc.leader_client import Reach
+from cairndale.rpc.peer import Wings
+from cairndale.scale.gauge import Gauge, quantile
+from cairndale.settings import Door, shown
 
 DRAINS = 100  # tries to have it acknowledged that a server drains
 KEPT = 64  # generations whose times are kept
@@ -37,7 +36,9 @@
 class Shared:
     """What the hollow ingresses of a process were told, once each."""
 
-    contents: dict[bytes, int] = field(default_factory=dict)  # by what was told: the tenants it names
+    contents: dict[bytes, int] = field(
+        default_factory=dict
+    )  # by what was told: the tenants it names
     told: int = 0  # contents that were told
 
     def tenants(self, content: bytes) -> int:
@@ -52,8 +53,16 @@
 
 
 class Ingress:
-    def __init__(self, name: str, at: Door, place: tuple[str, str], cores: list[str], shared: Shared,
-                 gauge: Gauge, rng: random.Random) -> None:  # fmt: skip
+    def __init__(
+        self,
+        name: str,
+        at: Door,
+        place: tuple[str, str],
+        cores: list[str],
+        shared: Shared,
+        gauge: Gauge,
+        rng: random.Random,
+    ) -> None:
         """`place`: its zone and region; `cores`: doors of core machines."""
         self.name, self._at, self.place, self._cores = name, at, place, list(cores)
         self._shared, self._gauge, self._rng = shared, gauge, rng
@@ -61,7 +70,10 @@
         self.news = News(0.0, self._cores)
         self.served_at: dict[int, float] = {}  # by generation: when it was told, of the last few
         self.term, self.term_at = 0, 0.0  # of the leader that its lease is from, and since when
-        self.lapsed, self.counted_at = 0.0, 0.0  # s without a lease after the first of a life, since then
+        self.lapsed, self.counted_at = (
+            0.0,
+            0.0,
+        )  # s without a lease after the first of a life, since then
         self.tenants = 0
         self._tasks: list[asyncio.Task[None]] = []
         self.began = self.well_at = 0.0
@@ -102,10 +114,15 @@
         assert self.wings
         zone, region = self.place
         return pb.Node(
-            name=self.name, life=self.wings.life, door=shown(self._at),
-            http=shown((self._at[0], self._at[1] + 1)), zone=zone, region=region, kind="edge",
+            name=self.name,
+            life=self.wings.life,
+            door=shown(self._at),
+            http=shown((self._at[0], self._at[1] + 1)),
+            zone=zone,
+            region=region,
+            kind="edge",
             ready=bool(self.news.seen[1]),
-        )  # fmt: skip
+        )
 
     async def _asks(self) -> None:
         while True:
@@ -160,8 +177,9 @@
 async def look_up(
     door: str, per_s: float, span: float, regions: list[str], rng: random.Random
 ) -> dict[str, Any]:
-    """Clients that look up at a directory's door, each on a connection of its own, for so many seconds: how
-    often, what failed, bytes and s of one, and how many addresses one was told of at the most."""
+    """Clients that look up at a directory's door, each on a connection of its own, for so many
+    seconds: how often, what failed, bytes and s of one, and how many addresses one was told of at
+    the most."""
     took, failed, most, out, back = list[float](), 0, 0, 0, 0
 
     def count(sent: int, come: int) -> None:
@@ -170,7 +188,10 @@
 
     async def one() -> None:
         nonlocal failed, most
-        began, target = time.monotonic(), f"/-/lookup?name=a.example&region={rng.choice(regions)}&zone=x"
+        began, target = (
+            time.monotonic(),
+            f"/-/lookup?name=a.example&region={rng.choice(regions)}&zone=x",
+        )
         try:
             async with asyncio.timeout(LOOKED):
                 _, told = await ask(door, "GET", target, count=count)
@@ -187,18 +208,37 @@
             await asyncio.sleep(rng.expovariate(per_s))
     times, done = sorted(took), max(1, len(took))
     return {
-        "count": len(took), "failed": failed, "addresses": most, "bytes_out": out / done,
-        "bytes_in": back / done, "p50": quantile(times, 0.5), "p99": quantile(times, 0.99),
-    }  # fmt: skip
+        "count": len(took),
+        "failed": failed,
+        "addresses": most,
+        "bytes_out": out / done,
+        "bytes_in": back / done,
+        "p50": quantile(times, 0.5),
+        "p99": quantile(times, 0.99),
+    }
 
 
 class Server:
     """Beats as a real one does, drains, ends and comes back with a new id."""
 
-    def __init__(self, number: int, service: str, zone: str, control: list[str], beat: float,
-                 rng: random.Random, gauge: Gauge) -> None:  # fmt: skip
+    def __init__(
+        self,
+        number: int,
+        service: str,
+        zone: str,
+        control: list[str],
+        beat: float,
+        rng: random.Random,
+        gauge: Gauge,
+    ) -> None:
         self._addr = f"127.200.{number // 250 % 250}.{number % 250 + 1}:{8000 + number // 62500}"
-        self._service, self._zone, self._control, self._beat, self._rng = service, zone, control, beat, rng
+        self._service, self._zone, self._control, self._beat, self._rng = (
+            service,
+            zone,
+            control,
+            beat,
+            rng,
+        )
         self._gauge = gauge
         self.beats = self.lost = 0
         self._state, self._near = "ready", ""
@@ -240,7 +280,11 @@
             try:
                 async with asyncio.timeout(BEAT_WAIT):
                     status, told = await ask(
-                        door, "POST", f"/-/{call}", json.dumps(body).encode(), count=self._gauge.count_call
+                        door,
+                        "POST",
+                        f"/-/{call}",
+                        json.dumps(body).encode(),
+                        count=self._gauge.count_call,
                     )
             except (OSError, TimeoutError, ValueError):
                 self._near = ""
--- a/playhouse/extras/sizes.py
+++ b/cairndale/scale/sizes.py
@@ -9,10 +9,17 @@
 EACH = 150  # hollow ingresses that share a process, at the most
 SERVERS_EACH = 1000  # hollow servers that share a process, at the most
 CORE_MB, WORKER_MB = 60.0, 45.0  # MB that a core process and an empty worker take at the least
-INGRESS_MB = 0.12  # MB of a hollow ingress: its sockets and what it was told, shared where it is the same
+# MB of a hollow ingress: its sockets and what it was told, shared where it is the same
+INGRESS_MB = 0.12
 SERVER_MB = 0.02
 ITEM_MB = 0.0015  # MB of a route or a tenant in a process that holds the configuration
-MOST = {"ingresses": 10_000, "servers": 40_000, "services": 1_000, "tenants": 400_000, "routes": 50_000}
+MOST = {
+    "ingresses": 10_000,
+    "servers": 40_000,
+    "services": 1_000,
+    "tenants": 400_000,
+    "routes": 50_000,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +55,9 @@
         items = (self.routes + self.tenants) * ITEM_MB
         hollow = self.ingresses * INGRESS_MB + self.servers * SERVER_MB
         nodes = (self.workers + self.beaters) * WORKER_MB
-        return hollow + nodes + (self.cores + self.real) * (CORE_MB + items + self.servers * SERVER_MB)
+        return (
+            hollow + nodes + (self.cores + self.real) * (CORE_MB + items + self.servers * SERVER_MB)
+        )
 
 
 def memory_of_machine_mb() -> float:
@@ -92,8 +101,13 @@
 def fitting(size: Size, memory_mb: float) -> Size | None:
     """The largest with as many ingresses to a server that has room; None where nothing has."""
     for share in range(99, 0, -1):
-        ingresses, servers = max(1, size.ingresses * share // 100), max(1, size.servers * share // 100)
-        made = replace(size, ingresses=ingresses, servers=servers, services=min(size.services, servers))
+        ingresses, servers = (
+            max(1, size.ingresses * share // 100),
+            max(1, size.servers * share // 100),
+        )
+        made = replace(
+            size, ingresses=ingresses, servers=servers, services=min(size.services, servers)
+        )
         if made.processes <= PROCESSES and made.memory_mb <= memory_mb / 2:
             return made
     return None
--- a/playhouse/extras/sums.py
+++ b/cairndale/scale/sums.py
@@ -1,4 +1,5 @@
-"""What the runs that are kept say of sizes that nobody has run: a slope for each cause, and plain sums."""
+"""What the runs that are kept say of sizes that nobody has run: a slope for each cause, and plain
+sums."""
 
 from __future__ import annotations
 
@@ -9,22 +10,29 @@
 from pathlib import Path
 from typing import Any
 
-from playhouse.extras.content import content, turned
-from playhouse.extras.fit import Fit, fitted
-from playhouse.extras.run import BEAT
+from cairndale.scale.content import content, turned
+from cairndale.scale.fit import Fit, fitted
+from cairndale.scale.run import BEAT
 
 BASE = "ingresses-30"  # the run that each cause's runs share
 CAUSES = ("ingresses", "servers", "tenants", "routes")
-# Runs of ingresses alone after the leader was mended, oldest first, each with a slope of its own: news in
-# rounds; connections taken, calls begun and long differences made for many at once.
+# Runs of ingresses alone after the leader was mended, oldest first, each with a slope of its own:
+# news in rounds; connections taken, calls begun and long differences made for many at once.
 LATERS = ("rounds", "batches")
-TARGET = {"ingresses": 6300, "servers": 20_000, "tenants": 160_000, "routes": 12_000, "services": 350}
+TARGET = {
+    "ingresses": 6300,
+    "servers": 20_000,
+    "tenants": 160_000,
+    "routes": 12_000,
+    "services": 350,
+}
 LOOK_UPS = ("batches-30", "batches-100", "lookups-300")  # runs after answers to look-ups were kept
 REQUESTS_PER_S = 390_000
 CHANGES_A_DAY, FAILED_A_DAY, RESTARTS_A_DAY, ZONES, REGIONS = 21_000, 57, 10_000, 26, 8
 MACHINES = 11  # of control, that are allowed
 DAY = 86_400.0  # s
-LEASED = 0.99  # share of the time with a lease, under which a run's costs are those of what does not work
+# share of the time with a lease, under which a run's costs are those of what does not work
+LEASED = 0.99
 
 Told = dict[str, Any]
 
@@ -93,7 +101,9 @@
     points = tuple(sorted(points, key=lambda point: point[1]))
     if len(points) < 2 or any(v <= 0 for _, _, v in points):
         return None
-    return Slope(cause, role, what, points, fitted([s for _, s, _ in points], [v for _, _, v in points]))
+    return Slope(
+        cause, role, what, points, fitted([s for _, s, _ in points], [v for _, _, v in points])
+    )
 
 
 def furthest(kept: dict[str, Told], role: str, what: str) -> Slope | None:
@@ -122,8 +132,8 @@
 
 
 def at_target(kept: dict[str, Told], role: str, what: str) -> tuple[float, float, float]:
-    """The base run's, and what each cause adds by itself: middle, low, high. Products of causes are left out:
-    they are counted apart."""
+    """The base run's, and what each cause adds by itself: middle, low, high. Products of causes are
+    left out: they are counted apart."""
     base = value(kept[BASE], role, what)
     added = [found.added for found in slopes(kept, role, what)]
     low, high = (base + sum(a[n] for a in added) for n in (1, 2))
@@ -145,7 +155,9 @@
 
 def changed_route_bytes() -> int:
     """Of an update of one route at the target size, packed."""
-    return len(zlib.compress(json.dumps(turned(2, 1, TARGET["routes"], TARGET["services"], 7)).encode()))
+    return len(
+        zlib.compress(json.dumps(turned(2, 1, TARGET["routes"], TARGET["services"], 7)).encode())
+    )
 
 
 def beats_per_s(servers: int) -> float:
--- a/playhouse/extras/sweeps.py
+++ b/cairndale/scale/sweeps.py
@@ -1,4 +1,5 @@
-"""What `fleetbench sweep` said of the same things, by sizes, read from the digests that are kept of it."""
+"""What `fleetbench sweep` said of the same things, by sizes, read from the digests that are kept of
+it."""
 
 from __future__ import annotations
 
@@ -25,7 +26,9 @@
 
 def sweeps(folder: Path) -> list[Sweep]:
     raw = json.loads((folder / FILE).read_text())
-    return [_sweep(name, told["head"], told["journal"], told["digest"]) for name, told in raw.items()]
+    return [
+        _sweep(name, told["head"], told["journal"], told["digest"]) for name, told in raw.items()
+    ]
 
 
 def _sweep(name: str, head: str, journal: str, digest: list[str]) -> Sweep:
@@ -34,7 +37,9 @@
     busiest = {}
     for line in digest[start + 2 :]:
         if found := re.match(r"(\S.*?)(?:\s{2,}|$)", line):
-            told = re.findall(r"[\d.]+ / ([\d.]+)|(?<=\s)(-)(?=\s)", line[found.end() :])[: len(sizes)]
+            told = re.findall(r"[\d.]+ / ([\d.]+)|(?<=\s)(-)(?=\s)", line[found.end() :])[
+                : len(sizes)
+            ]
             if len(told) == len(sizes):
                 busiest[found[1]] = tuple(None if dash else float(value) for value, dash in told)
     return Sweep(name, head, journal, sizes, busiest)
--- a/playhouse/extras/tables.py
+++ b/cairndale/scale/tables.py
@@ -6,8 +6,8 @@
 from math import isinf
 from typing import Any
 
-from playhouse.extras import sums
-from playhouse.extras.sums import TARGET, Told
+from cairndale.scale import sums
+from cairndale.scale.sums import TARGET, Told
 
 FAR = 100  # times the middle, beyond which an upper end says nothing
 SLOPES = (
@@ -62,7 +62,11 @@
 
 
 def _orders(made: dict[str, Any], kind: str) -> str:
-    return "/".join(shown(made[f"{kind}_{at}"]) for at in ("p50", "p99", "last")) if made["count"] else "none"
+    return (
+        "/".join(shown(made[f"{kind}_{at}"]) for at in ("p50", "p99", "last"))
+        if made["count"]
+        else "none"
+    )
 
 
 def runs_table(kept: dict[str, Told]) -> str:
@@ -118,9 +122,10 @@
                 for what in ("cpu", "bytes_out", "bytes_in", "messages_out")
             }
             row = told["roles"][role]
-            one = {"hollow ingresses": "one hollow ingress", "hollow servers": "one hollow server"}.get(
-                role, role
-            )
+            one = {
+                "hollow ingresses": "one hollow ingress",
+                "hollow servers": "one hollow server",
+            }.get(role, role)
             rows.append(
                 (
                     f"`{name}`",
@@ -166,7 +171,12 @@
             leader = shown(first) if first >= 0 else f"none in {trouble.get('waited', 60.0):.0f} s"
             cut = f"{trouble.get('cut for', 0.0):.0f}"
             rows.append((f"`{name}`", leader, *(_times(trouble, kind) for kind in kinds), cut))
-    heads = ("all hold its leases", "all ingresses restart", "the core restarts", "a region returns")
+    heads = (
+        "all hold its leases",
+        "all ingresses restart",
+        "the core restarts",
+        "a region returns",
+    )
     return table(("run", "new leader, s", *(f"{head}, s" for head in heads), "cut for, s"), rows)
 
 
@@ -185,7 +195,13 @@
         for name, told in kept.items()
         if (found := told.get("look-ups"))
     ]
-    heads = ("look-ups a second", "failed", "us of a core each", "bytes there/back", "addresses told, most")
+    heads = (
+        "look-ups a second",
+        "failed",
+        "us of a core each",
+        "bytes there/back",
+        "addresses told, most",
+    )
     return table(("run", "hollow ingresses", *heads, "ms at the client p50/p99"), rows)
 
 
@@ -215,7 +231,9 @@
                         f"{target:,}: {ranged(found.fit.at(target), scale)}",
                     )
                 )
-    return table(("cause", "what", "measured", "power", "residuals", "carried on to (extrapolated)"), rows)
+    return table(
+        ("cause", "what", "measured", "power", "residuals", "carried on to (extrapolated)"), rows
+    )
 
 
 def size_table(kept: dict[str, Told]) -> str:
@@ -242,5 +260,12 @@
             )
         )
     return table(
-        ("role and what", f"measured, `{sums.BASE}`", "at the size (extrapolated)", "budget", "causes"), rows
+        (
+            "role and what",
+            f"measured, `{sums.BASE}`",
+            "at the size (extrapolated)",
+            "budget",
+            "causes",
+        ),
+        rows,
     )
--- a/playhouse/extras/tally.py
+++ b/cairndale/scale/tally.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from playhouse.extras.gauge import quantile
+from cairndale.scale.gauge import quantile
 
 
 def returned(times: list[float], wanted: int) -> dict[str, float]:
@@ -15,8 +15,9 @@
     return {
         "p50": times[wanted // 2] if there > wanted // 2 else -1.0,
         "p99": times[int(0.99 * wanted)] if there > int(0.99 * wanted) else -1.0,
-        "last": times[-1] if there >= wanted else -1.0, "share": there / wanted,
-    }  # fmt: skip
+        "last": times[-1] if there >= wanted else -1.0,
+        "share": there / wanted,
+    }
 
 
 def totals(ingresses: list[dict[str, Any]], servers: list[dict[str, Any]]) -> dict[str, Any]:
@@ -44,25 +45,34 @@
 
 
 def changes(
-    acks: list[tuple[float, float]], updates: list[tuple[float, int]], served: list[dict[str, float]]
+    acks: list[tuple[float, float]],
+    updates: list[tuple[float, int]],
+    served: list[dict[str, float]],
 ) -> dict[str, Any]:
     """s from an order's call to its acknowledgement, and to each ingress that serves by it.
 
-    `updates`: when each was called, and its generation; `served`: for each ingress, when it was told each
-    generation. `unserved`: pairs of an update and an ingress that was not told it, or a later one.
-    """
+    `updates`: when each was called, and its generation; `served`: for each ingress, when it was
+    told each generation. `unserved`: pairs of an update and an ingress that was not told it, or a
+    later one."""
     waits, found = sorted(after - before for before, after in acks), list(spread(updates, served))
     told = sorted(wait for wait in found if wait is not None)
     return {
-        "count": len(acks), "acked_p50": quantile(waits, 0.5), "acked_p99": quantile(waits, 0.99),
-        "acked_last": waits[-1] if waits else 0.0, "served_p50": quantile(told, 0.5),
-        "served_p99": quantile(told, 0.99), "served_last": told[-1] if told else 0.0,
+        "count": len(acks),
+        "acked_p50": quantile(waits, 0.5),
+        "acked_p99": quantile(waits, 0.99),
+        "acked_last": waits[-1] if waits else 0.0,
+        "served_p50": quantile(told, 0.5),
+        "served_p99": quantile(told, 0.99),
+        "served_last": told[-1] if told else 0.0,
         "unserved": len(found) - len(told),
-    }  # fmt: skip
+    }
 
 
-def spread(updates: list[tuple[float, int]], served: list[dict[str, float]]) -> Iterator[float | None]:
-    """Of each update at each ingress: s until it was told that generation or a later one; None: never."""
+def spread(
+    updates: list[tuple[float, int]], served: list[dict[str, float]]
+) -> Iterator[float | None]:
+    """Of each update at each ingress: s until it was told that generation or a later one; None:
+    never."""
     for ingress in served:
         for before, gen in updates:
             times = [at for told, at in ingress.items() if int(told) >= gen and at >= before]
--- a/playhouse/extras/worker.py
+++ b/cairndale/scale/worker.py
@@ -1,8 +1,8 @@
-"""A process of a scale run: hollow ingresses, hollow servers, or a real process of the system under a gauge.
+"""A process of a scale run: hollow ingresses, hollow servers, or a real process of the system under
+a gauge.
 
-`python -m playhouse.extras.worker` reads orders on standard input and writes what it counts on standard
-output, an object of JSON a line each way. It ends when its input does.
-"""
+`python -m cairndale.scale.worker` reads orders on standard input and writes what it counts on
+standard output, an object of JSON a line each way. It ends when its input does."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 import uvloop
 
-from playhouse.events import set_up
-from playhouse.extras.gauge import Gauge
-from playhouse.extras.hollow import Ingress, Server, Shared, look_up
+from cairndale.events import set_up
+from cairndale.scale.gauge import Gauge
+from cairndale.scale.simulated import Ingress, Server, Shared, look_up
 
 PACE = 0.05  # s between the first starts of hollow ingresses: all at once is one of the troubles
 
@@ -29,15 +29,29 @@
         self.made, self.gauge, self.shared = made, Gauge(), Shared()
         self.rng = random.Random(made["seed"])
         self.ingresses = [
-            Ingress(i["name"], (i["ip"], i["port"]), (i["zone"], i["region"]), made["cores"], self.shared,
-                    self.gauge, self.rng)
+            Ingress(
+                i["name"],
+                (i["ip"], i["port"]),
+                (i["zone"], i["region"]),
+                made["cores"],
+                self.shared,
+                self.gauge,
+                self.rng,
+            )
             for i in made.get("ingresses", ())
-        ]  # fmt: skip
+        ]
         self.servers = [
-            Server(s["number"], s["service"], s["zone"], made["control"], made["beat"], self.rng,
-                   self.gauge)
+            Server(
+                s["number"],
+                s["service"],
+                s["zone"],
+                made["control"],
+                made["beat"],
+                self.rng,
+                self.gauge,
+            )
             for s in made.get("servers", ())
-        ]  # fmt: skip
+        ]
         self._tasks: list[asyncio.Task[None]] = []
 
     async def begin(self) -> None:
@@ -86,16 +100,21 @@
         here = [i for i in self.ingresses if i.wings]
         well = [i for i in here if i.well_at and i.lease_end > now]
         lapsed = sum(
-            i.lapsed + max(0.0, now - max(i.lease_end, i.began, i.counted_at)) for i in self.ingresses
+            i.lapsed + max(0.0, now - max(i.lease_end, i.began, i.counted_at))
+            for i in self.ingresses
         )
         return {
-            "ingresses": len(here), "well": [[i.term, max(i.well_at, i.term_at)] for i in well],
-            "lapsed": lapsed, "tenants": sum(i.tenants for i in here), "servers": len(self.servers),
+            "ingresses": len(here),
+            "well": [[i.term, max(i.well_at, i.term_at)] for i in well],
+            "lapsed": lapsed,
+            "tenants": sum(i.tenants for i in here),
+            "servers": len(self.servers),
             "failed": sum(i.failed.total() for i in self.ingresses),
             "failures": dict(sum((i.failed for i in self.ingresses), Counter())),
             "contents": self.shared.told,
-            "beats": sum(s.beats for s in self.servers), "beats_lost": sum(s.lost for s in self.servers),
-        }  # fmt: skip
+            "beats": sum(s.beats for s in self.servers),
+            "beats_lost": sum(s.lost for s in self.servers),
+        }
 
 
 async def hollow(made: dict[str, Any]) -> None:
@@ -112,9 +131,9 @@
 
 async def real() -> None:
     """A process of the system, with a line of what it costs for each line that comes in."""
-    from playhouse import process as system
-    from playhouse.settings import read
-    from playhouse.wings.links import Wings
+    from cairndale import process as system
+    from cairndale.rpc.peer import Wings
+    from cairndale.settings import read
 
     gauge = Gauge()
     begin = Wings.listen
--- a/playhouse/settings.py
+++ b/cairndale/settings.py
@@ -11,7 +11,7 @@
 
 from schema import And, Optional, Or, Schema, SchemaError, Use
 
-from playhouse.promptbook.voters import Tolerance
+from cairndale.raft.voters import Tolerance
 
 DURATION = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)(ms|s)")
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})")
@@ -71,14 +71,23 @@
 
 
 BOUNDS = {  # field: name in `slo`, whether it is a time
-    "contact": ("contact", True), "ack": ("ack", True), "drain": ("drain", True), "grace": ("grace", True),
-    "apply": ("apply", True), "evacuate": ("evacuate", True), "revoke": ("revoke", True),
-    "retry_ratio": ("retryRatio", False), "retry_window": ("retryWindow", True),
-    "retry_slack": ("retrySlack", False), "quota_window": ("quotaWindow", True),
-    "quota_overrun": ("quotaOverrun", False), "quota_slack": ("quotaSlack", False),
-    "warmup_overrun": ("warmupOverrun", False), "warmup_slack": ("warmupSlack", False),
+    "contact": ("contact", True),
+    "ack": ("ack", True),
+    "drain": ("drain", True),
+    "grace": ("grace", True),
+    "apply": ("apply", True),
+    "evacuate": ("evacuate", True),
+    "revoke": ("revoke", True),
+    "retry_ratio": ("retryRatio", False),
+    "retry_window": ("retryWindow", True),
+    "retry_slack": ("retrySlack", False),
+    "quota_window": ("quotaWindow", True),
+    "quota_overrun": ("quotaOverrun", False),
+    "quota_slack": ("quotaSlack", False),
+    "warmup_overrun": ("warmupOverrun", False),
+    "warmup_slack": ("warmupSlack", False),
     "ttl_max": ("ttl_max", True),
-}  # fmt: skip
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,8 +112,8 @@
 
     @property
     def own_port(self) -> int:
-        """Those with a disk take the first port of the range, the others the second: two roles may share a
-        machine."""
+        """Those with a disk take the first port of the range, the others the second: two roles may
+        share a machine."""
         return self.ports[0] + (0 if self.state else 1)
 
     def core_door(self, ctl: Door) -> Door:
@@ -127,7 +136,9 @@
     "self.limits.memMb": NUMBER,
     "self.limits.nofile": And(int, lambda n: n > 0),
     "network.listen": {Optional(str): Use(door)},
-    "network.portRange": And([And(int, lambda n: 0 < n < 65536)], lambda r: len(r) == 2 and r[0] < r[1]),
+    "network.portRange": And(
+        [And(int, lambda n: 0 < n < 65536)], lambda r: len(r) == 2 and r[0] < r[1]
+    ),
     "network.peers": [Use(door)],
     "network.zones": {Optional(str): TEXT},
     "infra.heartbeat": TIME,
@@ -160,13 +171,24 @@
         raise SettingsError(errors)
     state = found["self.stateDir"]
     return Settings(
-        found["self.hostname"], found["self.role"], found["self.ip"], found["self.zone"],
-        found["self.region"], frozenset(found["self.serves"]), found["network.listen"],
-        (found["network.portRange"][0], found["network.portRange"][1]), tuple(found["network.peers"]),
-        found["network.zones"], found["self.bootstrap"], Path(state) if state else None,
-        found["infra.heartbeat"], float(found["self.limits.memMb"]), found["self.limits.nofile"], bounds,
+        found["self.hostname"],
+        found["self.role"],
+        found["self.ip"],
+        found["self.zone"],
+        found["self.region"],
+        frozenset(found["self.serves"]),
+        found["network.listen"],
+        (found["network.portRange"][0], found["network.portRange"][1]),
+        tuple(found["network.peers"]),
+        found["network.zones"],
+        found["self.bootstrap"],
+        Path(state) if state else None,
+        found["infra.heartbeat"],
+        float(found["self.limits.memMb"]),
+        found["self.limits.nofile"],
+        bounds,
         tolerance,
-    )  # fmt: skip
+    )
 
 
 def _said(error: SchemaError) -> str:
--- a/playhouse/callboard/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Which servers there are, as they said themselves."""
--- a/playhouse/company/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Membership of the ingresses, by the leases that they hold."""
