--- a/cairndale/configuration/route_table.py
+++ b/cairndale/configuration/route_table.py
@@ -11,7 +11,7 @@
 
 from cairndale.configuration.content_digest import DIGEST_MODULUS, TOP_LEVEL_FIELDS, iter_items
 from cairndale.configuration.delta import ConfigDelta, DeltaError
-from cairndale.configuration.routes import Field, Item, Route, Service, Tenant, read_item
+from cairndale.configuration.routes import Item, Route, Service, Tenant, TopLevelField, read_item
 from cairndale.ingress.policy.interface import RequestClass
 
 NO_ROUTES: Mapping[bytes, Route] = MappingProxyType({})
@@ -57,7 +57,7 @@
         self.routes: dict[str, Route] = {}
         self.tenants: dict[str, Tenant] = {}
         self.services: dict[str, Service] = {}
-        self.fields: dict[str, Field] = {}
+        self.fields: dict[str, TopLevelField] = {}
         self.routes_by_host: dict[bytes, dict[bytes, Route]] = {}
         self.tenants_by_key: dict[bytes, Tenant] = {}
         self.request_classes: dict[str, RequestClass] = {}
--- a/cairndale/configuration/routes.py
+++ b/cairndale/configuration/routes.py
@@ -16,7 +16,7 @@
 
 DEFAULT_DEADLINE = "30s"  # of a route that names none
 DEFAULT_TARGET_TIME = "1s"  # of a route that names none
-LATE_WORTH = 0.5  # the value of an answer after the target time, as a part of one in time
+LATE_ANSWER_VALUE = 0.5  # the value of an answer after the target time, as a part of one in time
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -78,19 +78,19 @@
 
     Attributes:
         warmup_s: seconds of slow start of a server.
-        warm_per_s: requests per second that a server can handle in slow start; 0: unknown.
+        warmup_requests_per_s: what a server can handle in slow start; 0: unknown.
         max_connections: that a server takes from all callers; 0: unknown.
     """
 
     name: str
     warmup_s: float
-    warm_per_s: float
+    warmup_requests_per_s: float
     max_connections: int
     digest: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Field:
+class TopLevelField:
     """A top-level field of the content that is no table, such as `limits`."""
 
     name: str
@@ -98,7 +98,7 @@
     digest: int
 
 
-Item = Route | Tenant | Service | Field
+Item = Route | Tenant | Service | TopLevelField
 
 
 def read_item(table: str, name: str, raw: Any, request_classes: Mapping[str, RequestClass]) -> Item:
@@ -115,14 +115,14 @@
             return _read_tenant(name, raw, digest)
         case "routes":
             return _read_route(name, raw, digest, request_classes)
-    return Field(name=name, value=raw[0], digest=digest)
+    return TopLevelField(name=name, value=raw[0], digest=digest)
 
 
 def _read_service(name: str, raw: dict[str, Any], digest: int) -> Service:
     return Service(
         name=name,
         warmup_s=parse_duration(raw.get("warmup", "0s")),
-        warm_per_s=float(raw.get("warmupPerS", 0)),
+        warmup_requests_per_s=float(raw.get("warmupPerS", 0)),
         max_connections=int(raw.get("maxConns", 0)),
         digest=digest,
     )
@@ -173,7 +173,7 @@
         _parse_duration_us(target_time),
         _parse_duration_us(deadline),
         Repeat.SAFE if raw["kind"] == "idempotent" else Repeat.UNSAFE,
-        late_worth=LATE_WORTH,
+        late_worth=LATE_ANSWER_VALUE,
         tries=max(1, attempts),
     )
 
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -20,7 +20,7 @@
 from cairndale.http_api.router import CONTROL_ROUTES, LOOKUP_ROUTES, RouteFailure, match
 from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.lookup.homes import ContentRoutes
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.registry.heartbeats import HeartbeatCollector
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -60,7 +60,7 @@
 
     def __init__(self, process: Process, follower: Follower, collector: HeartbeatCollector) -> None:
         self._process, self._follower, self._collector = process, follower, collector
-        self._lookups = Lookups(process.settings.name)
+        self._lookups = LookupResponder(process.settings.name)
         self._routes, self._routes_content = ContentRoutes({}), Content()
 
     def ready(self) -> bool:
--- a/cairndale/dataplane/lookup_api.py
+++ b/cairndale/dataplane/lookup_api.py
@@ -8,7 +8,7 @@
 from cairndale.http_api.router import LOOKUP_ROUTES, READINESS_ROUTES, RouteFailure, match
 from cairndale.http_api.server import Response, error_response, json_response
 from cairndale.lookup.redirects import RedirectReporter
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.settings import Settings
 
 
@@ -21,7 +21,7 @@
     def __init__(self, config: ConfigClient, readiness: Readiness, settings: Settings) -> None:
         self._config, self._readiness = config, readiness
         redirects = RedirectReporter(lambda it: log_event(Event.CLIENTS_REDIRECTED, "%s", it))
-        self._lookups = Lookups(settings.name, redirects)
+        self._lookups = LookupResponder(settings.name, redirects)
         self._ttl_max = settings.bounds.ttl_max  # s
 
     def reconfigure(self, settings: Settings) -> None:
--- a/cairndale/lookup/homes.py
+++ b/cairndale/lookup/homes.py
@@ -1,7 +1,7 @@
-"""Home regions of a host's routes, as far as a look-up can know them.
+"""Home regions of a host's routes, as far as they are known to a look-up.
 
-A client that asks where to go names a host, neither a path nor an API key. So an ingress suits it
-as well as its region suits the routes of that host.
+A client's look-up names a host, but neither a path nor an API key. So ingresses are ranked by how
+many of that host's routes their region may serve.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class RouteHomes(Protocol):
-    """A route, as far as look-ups are concerned."""
+    """The part of a route that look-ups use."""
 
     @property
     def home_regions(self) -> frozenset[str]:
-        """The regions that may serve it; empty: any."""
+        """The regions that may serve the route; empty: any."""
 
 
 class RoutesByHost(Protocol):
-    """A configuration, as far as look-ups are concerned; a `RouteTable` is one."""
+    """The part of a configuration that look-ups use; `RouteTable` implements it."""
 
     gen: int
 
@@ -39,7 +39,7 @@
 class ContentRoutes:
     """The routes of a configuration's JSON by host, for a node that needs no route table.
 
-    Making one takes a pass over all routes.
+    The constructor iterates over all routes.
     """
 
     def __init__(self, content: Mapping[str, Any]) -> None:
@@ -51,17 +51,17 @@
             routes[raw["pathPrefix"].encode()] = _ContentRoute(homes)
 
     def routes_of_host(self, host: bytes) -> Mapping[bytes, RouteHomes]:
-        """As `RoutesByHost` says."""
+        """See `RoutesByHost`."""
         return self._by_host.get(normalize_host(host), {})
 
 
 @dataclass(frozen=True, slots=True)
 class HostHomes:
-    """The home regions of each route of a host that has any.
+    """The home regions of a host's routes.
 
     Attributes:
-        by_route: one set for each such route; none of them is empty.
-        has_routes: whether the host has routes at all, as far as is known.
+        by_route: one set for each route that has home regions; none of them is empty.
+        has_routes: whether any route of the host is known.
     """
 
     by_route: tuple[frozenset[str], ...] = ()
@@ -69,17 +69,17 @@
 
     @classmethod
     def of(cls, configuration: RoutesByHost, host: str) -> HostHomes:
-        """The homes of a host (with or without a port), by a configuration."""
+        """The home regions of a host (with or without a port) in a configuration."""
         routes = configuration.routes_of_host(host.encode()).values()
         homes = tuple(route.home_regions for route in routes if route.home_regions)
         return cls(homes, bool(routes))
 
     def count_excluding(self, region: str) -> int:
-        """How many routes have homes, and not this region among them."""
+        """The number of routes that have home regions, but not this one."""
         return sum(region not in homes for homes in self.by_route)
 
     def __str__(self) -> str:
-        """The different sets of homes, for the log."""
+        """The distinct sets of home regions, for the log."""
         if not self.has_routes:
             return "unknown (no route of the host)"
         return " and ".join(sorted({"/".join(sorted(homes)) for homes in self.by_route})) or "none"
--- a/cairndale/lookup/ingresses.py
+++ b/cairndale/lookup/ingresses.py
@@ -1,4 +1,4 @@
-"""Ingresses by place and phase, so that a choice among thousands looks at a few groups."""
+"""Ingresses grouped by zone and phase, so that a selection among thousands compares few groups."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class Phase(IntEnum):
-    """How much of what is sent to an ingress it takes; the least is the best."""
+    """How many of its requests an ingress accepts; the lowest value is preferred."""
 
     READY = 0
-    DRAINING = 1  # it takes what it can finish in the rest of its grace period
-    ENDING = 2  # it takes hardly anything
+    DRAINING = 1  # accepts what it can finish in the rest of its grace period
+    ENDING = 2  # accepts hardly any requests
 
 
 @dataclass(slots=True)
 class IngressGroup:
-    """Ingresses of one zone that are in one phase.
+    """Ingresses of one zone that are in the same phase.
 
     Attributes:
-        addresses: where they take requests of clients, as `host:port`.
+        addresses: where the ingresses accept client requests, as `host:port`.
     """
 
     region: str
@@ -33,7 +33,7 @@
 
 
 def group_ingresses(nodes: Iterable[pb.Node]) -> list[IngressGroup]:
-    """The ingresses among all nodes that serve; those that have not begun to are left out."""
+    """The ingresses among `nodes`, without those that have not begun to serve."""
     groups: dict[tuple[str, str, Phase], IngressGroup] = {}
     for node in nodes:
         phase = _phase(node)
@@ -53,8 +53,7 @@
 
 
 def count_by_region(groups: Iterable[IngressGroup], phases: set[Phase]) -> dict[str, int]:
-    """How many ingresses of each region are in one of these phases; regions without any are left
-    out."""
+    """The number of ingresses in these phases, by region; regions without any are omitted."""
     counts: Counter[str] = Counter()
     for group in groups:
         if group.phase in phases:
--- a/cairndale/lookup/redirects.py
+++ b/cairndale/lookup/redirects.py
@@ -1,4 +1,4 @@
-"""Reports when clients of a region are sent to ingresses of other regions, and when no longer."""
+"""Reports when redirects of a region's clients to ingresses of other regions begin and end."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from cairndale.lookup.ingresses import IngressGroup, Phase, count_by_region
 
-MAX_REDIRECTS = 64  # pairs of region and host that are reported at a time; further ones are not
+MAX_REDIRECTS = 64  # pairs of region and host that are tracked at a time; others are not reported
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Redirect:
-    """Where clients of a region are sent that ask for a host, and what the choice rested on.
+    """Where clients of a region that look up a host are sent, and the inputs of that selection.
 
     Attributes:
-        region: the clients'.
-        host: that they ask for.
-        generation: of the configuration that the choice was made by; 0: none.
-        homes: home regions of the host's routes, as the choice took them.
+        region: the clients' region.
+        host: the host that the clients look up.
+        generation: the generation of the configuration that the selection used; 0: none.
+        homes: the home regions of the host's routes that the selection used.
         targets: regions of the ingresses that the clients are sent to.
-        ready: ready ingresses by region.
-        draining: draining ingresses by region.
+        ready: the number of ready ingresses by region.
+        draining: the number of draining ingresses by region.
     """
 
     region: str
@@ -41,15 +41,17 @@
 
 
 class RedirectReporter:
-    """Reports a redirect when it begins, changes and ends.
+    """Reports a redirect when it begins, changes or ends.
 
     Args:
-        report: called with each report, while a client's call is answered.
+        report: called with each redirect to report, while a client's look-up is handled.
     """
 
     def __init__(self, report: Callable[[Redirect], None]) -> None:
         self._report = report
-        self._targets: dict[tuple[str, str], frozenset[str]] = {}  # by region and host; redirected
+        self._targets: dict[
+            tuple[str, str], frozenset[str]
+        ] = {}  # redirected clients, by region and host
 
     def record(
         self,
@@ -61,7 +63,7 @@
         selected: list[IngressGroup],
         ingresses: list[IngressGroup],
     ) -> None:
-        """Take in where clients are sent to, `selected`, out of which ingresses."""
+        """Record that `selected` of `ingresses` were returned to a client, and report a change."""
         targets, own = frozenset(group.region for group in selected), frozenset((region,))
         key = (region, host)
         if targets == self._targets.get(key, own):
--- a/cairndale/lookup/selection.py
+++ b/cairndale/lookup/selection.py
@@ -1,8 +1,9 @@
-"""Which ingresses a client is sent to.
+"""Selects the ingresses that a client is sent to.
 
-Those whose region is a home of as many of the host's routes as possible, where the client's own
-region counts as a home of all: bodies must not leave their homes because of an answer of ours.
-Among these the ready ones rather than those that drain, and the client's region rather than others.
+Ingresses are preferred whose region is a home region of as many of the host's routes as possible.
+The client's own region counts as a home region of all routes: a look-up must not be the reason that
+request bodies leave their home regions. Among these, ready ingresses are preferred to draining
+ones, and the client's own region to other regions.
 """
 
 from __future__ import annotations
@@ -20,60 +21,61 @@
 from cairndale.rpc import protocol_pb2 as pb
 
 MAX_ADDRESSES = 64
-MAX_TTL_S = 1.5  # for so long an ingress that has left is still called
-MAX_CACHED_ANSWERS = 1024
+MAX_TTL_S = 1.5  # how long clients may still call an ingress that has left
+MAX_CACHED_RESPONSES = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class _Query:
-    """The client's region and zone, and the host that it asks for; each may be empty."""
+    """The client's region and zone, and the host that it looks up; each may be empty."""
 
     region: str
     zone: str
     host: str
 
 
-def _parse(target: str) -> _Query:
+def _parse_query(target: str) -> _Query:
     query = parse_qs(target.partition("?")[2], max_num_fields=20)
     region, zone, host = (query.get(field, [""])[0] for field in ("region", "zone", "name"))
     return _Query(region, zone, host)
 
 
 class _Rank(NamedTuple):
-    """How well ingresses suit a client; the least is the best."""
+    """How well ingresses suit a client; the lowest rank is preferred."""
 
-    excluding_routes: int  # of the host: those with homes, and none here
+    excluding_routes: int  # of the host: routes that have home regions, but not this one
     phase: Phase
     is_remote: bool
 
 
 def _select(groups: list[IngressGroup], query: _Query, homes: HostHomes) -> list[IngressGroup]:
-    """The groups of ingresses that the client may call; empty if there are none."""
+    """The groups of ingresses that the client is sent to; empty if there are no ingresses."""
     is_region_served = any(group.region == query.region for group in groups)
     ranked: dict[_Rank, list[IngressGroup]] = {}
     for group in groups:
         is_own = group.region == query.region if is_region_served else group.zone == query.zone
-        # Homes that share no region permit no region but the client's own: none is not any.
+        # Routes whose home regions have none in common permit only the client's own region: an
+        # empty intersection must not be taken for "any region".
         excluding_routes = 0 if is_own else homes.count_excluding(group.region)
         rank = _Rank(excluding_routes, group.phase, not is_own)
         ranked.setdefault(rank, []).append(group)
     return ranked[min(ranked)] if ranked else []
 
 
-class Lookups:
-    """Responses of one process, cached while nodes and configuration are the same.
+class LookupResponder:
+    """Responds to look-ups; responses are cached while nodes and configuration do not change.
 
-    Of more than `MAX_ADDRESSES` a part is drawn by `own` and the addresses: the same in each
-    response of one process, another in those of others, so that clients that ask different ones go
-    to all ingresses.
+    Of more than `MAX_ADDRESSES` addresses, a subset is selected by hashes of `process_name` and the
+    address. All responses of one process have the same subset. Different processes have different
+    ones, so that clients of different processes reach all ingresses.
 
     Args:
-        own: the name of the answering process.
-        redirects: told where clients are sent to.
+        process_name: the name of the responding process.
+        redirects: records where clients are sent to.
     """
 
-    def __init__(self, own: str, redirects: RedirectReporter | None = None) -> None:
-        self._own, self._redirects, self._version = own, redirects, object()
+    def __init__(self, process_name: str, redirects: RedirectReporter | None = None) -> None:
+        self._process_name, self._redirects, self._version = process_name, redirects, object()
         self._cache: dict[tuple[_Query, float], Response] = {}
         self._groups: list[IngressGroup] = []
 
@@ -85,26 +87,28 @@
         configuration: RoutesByHost,
         version: object,
     ) -> Response:
-        """The response to a client that asks which ingresses to call; 503 if there are none.
+        """The response to a client that looks up ingresses; status 503 if there are none.
 
         Args:
-            target: the request's, with region, zone and name in its query.
-            nodes: all that are known.
-            ttl_max: seconds for which a client may use the response, at the most.
-            configuration: that the process knows.
-            version: another one when nodes or configuration are others.
+            target: the request target, with region, zone and name in its query.
+            nodes: all known nodes.
+            ttl_max: the longest time for which a client may use the response, in seconds.
+            configuration: the configuration that the process knows.
+            version: differs whenever `nodes` or `configuration` have changed.
         """
         if version != self._version:
             self._groups, self._cache = group_ingresses(nodes), {}
             self._version = version
-        key = (_parse(target), ttl_max)
+        key = (_parse_query(target), ttl_max)
         if key not in self._cache:
-            if len(self._cache) >= MAX_CACHED_ANSWERS:
+            if len(self._cache) >= MAX_CACHED_RESPONSES:
                 self._cache = {}
-            self._cache[key] = self._make_answer(key[0], ttl_max, configuration)
+            self._cache[key] = self._build_response(key[0], ttl_max, configuration)
         return self._cache[key]
 
-    def _make_answer(self, query: _Query, ttl_max: float, configuration: RoutesByHost) -> Response:
+    def _build_response(
+        self, query: _Query, ttl_max: float, configuration: RoutesByHost
+    ) -> Response:
         homes = HostHomes.of(configuration, query.host)
         selected = _select(self._groups, query, homes)
         if not selected:
@@ -118,14 +122,19 @@
                 selected=selected,
                 ingresses=self._groups,
             )
-        addresses = _draw({a for group in selected for a in group.addresses}, self._own)
+        addresses = _select_subset(
+            {address for group in selected for address in group.addresses}, self._process_name
+        )
         ttl_ms = int(min(MAX_TTL_S, ttl_max) * 1000)
         return json_response(200, {"addrs": sorted(addresses), "ttl": f"{ttl_ms}ms"})
 
 
-def _draw(addresses: set[str], own: str) -> set[str]:
-    """`MAX_ADDRESSES` of them at the most, drawn by their hashes with `own`."""
+def _select_subset(addresses: set[str], process_name: str) -> set[str]:
+    """At most `MAX_ADDRESSES` of the addresses, selected by hash."""
     if len(addresses) <= MAX_ADDRESSES:
         return addresses
-    drawn = {a: blake2b(f"{own} {a}".encode(), digest_size=8).digest() for a in addresses}
-    return set(sorted(addresses, key=drawn.__getitem__)[:MAX_ADDRESSES])
+    hashes = {
+        address: blake2b(f"{process_name} {address}".encode(), digest_size=8).digest()
+        for address in addresses
+    }
+    return set(sorted(addresses, key=hashes.__getitem__)[:MAX_ADDRESSES])
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -21,7 +21,7 @@
 from cairndale.control.endpoint_codec import endpoint_to_message
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, QuotaCounter
 from cairndale.registry.endpoints import EndpointRegistry, HeartbeatError, read_heartbeat
 from cairndale.registry.nodes import NodeRegistry
@@ -407,7 +407,7 @@
 
     def told(query: str) -> Any:
         target = f"/-/lookup?{query}"
-        status, body = Lookups("").answer(target, nodes, 5.0, RouteTable({}), version=None)
+        status, body = LookupResponder("").answer(target, nodes, 5.0, RouteTable({}), version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
     assert told("name=x&region=r&zone=z") == ["a:80"] and told("region=nowhere") == ["a:80", "b:80"]
@@ -430,7 +430,7 @@
 
     def told(nodes: list[pb.Node], of: RouteTable) -> Any:
         target = "/-/lookup?name=a.example&region=r&zone=z"
-        status, body = Lookups("").answer(target, nodes, 5.0, of, version=None)
+        status, body = LookupResponder("").answer(target, nodes, 5.0, of, version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
     assert told([node("d"), home, away], route_table) == ["d:80"]
--- a/tests/lookup/test_homes_while_draining.py
+++ b/tests/lookup/test_homes_while_draining.py
@@ -25,7 +25,7 @@
 
 from cairndale.configuration.route_table import RouteTable
 from cairndale.lookup.homes import ContentRoutes, HostHomes
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.rpc import protocol_pb2 as pb
 from tests.control.test_state_models import content, route
 from tests.testing.nodes import prepared_ingress
@@ -50,7 +50,9 @@
     table = RouteTable(configuration)
     assert HostHomes.of(ContentRoutes(configuration), host) == HostHomes.of(table, host)
     target = f"/-/lookup?name={host}&region={region}&zone={region}1"
-    status, body = Lookups("own").answer(target, ingresses(draining), 5.0, table, version=None)
+    status, body = LookupResponder("own").answer(
+        target, ingresses(draining), 5.0, table, version=None
+    )
     return {a.partition(":")[0] for a in json.loads(body)["addrs"]} if status == 200 else set()
 
 
--- a/tests/lookup/test_redirects.py
+++ b/tests/lookup/test_redirects.py
@@ -5,7 +5,7 @@
 from cairndale.configuration.route_table import RouteTable
 from cairndale.lookup.ingresses import IngressGroup, Phase
 from cairndale.lookup.redirects import MAX_REDIRECTS, Redirect, RedirectReporter
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.rpc import protocol_pb2 as pb
 from tests.control.test_state_models import content, route
 from tests.testing.nodes import prepared_ingress
@@ -19,7 +19,9 @@
     )
 
     def ask(nodes: list[pb.Node], query: str = "name=a.example&region=p") -> None:
-        Lookups("own", reporter).answer(f"/-/lookup?{query}", nodes, 5.0, table, version=None)
+        LookupResponder("own", reporter).answer(
+            f"/-/lookup?{query}", nodes, 5.0, table, version=None
+        )
 
     ask([prepared_ingress("p"), prepared_ingress("q")])
     assert reported == []
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -408,7 +408,7 @@
     assert sum(units for _, units in world.spent) > 0.4 * SMALL[0] * 30
     assert (
         quota_counter.bucket_capacity(
-            *SMALL[:2], BOUNDS, ingresses=SMALL[2], fewest=SMALL[2], isolated=0
+            *SMALL[:2], BOUNDS, ingress_count=SMALL[2], min_ingress_count=SMALL[2], isolated_count=0
         )
         == SMALL[1]
     )
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -19,7 +19,7 @@
 from cairndale.configuration.route_table import RouteTable
 from cairndale.http_api.server import Response
 from cairndale.ingress.net.engine import Names, _follow
-from cairndale.lookup.selection import Lookups
+from cairndale.lookup.selection import LookupResponder
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.scale import __main__ as scale
 from cairndale.scale import pages, sums
@@ -192,14 +192,14 @@
 
 
 def test_answers_that_are_kept_are_those_of_a_plain_look_and_name_all_ingresses_between_them():
-    rng, nodes, kept = random.Random(6), {}, [Lookups(f"own{n}") for n in range(60)]
+    rng, nodes, kept = random.Random(6), {}, [LookupResponder(f"own{n}") for n in range(60)]
     plain, route_table = (
-        Lookups("own0"),
+        LookupResponder("own0"),
         RouteTable(configuration(routes=[route(homeRegions=["r1"])])),
     )
 
     def fresh(target: str) -> Response:
-        return Lookups("own0").answer(target, nodes.values(), 5.0, route_table, None)
+        return LookupResponder("own0").answer(target, nodes.values(), 5.0, route_table, None)
 
     for turn in range(60):  # they come, change and go, within one answer and beyond
         for _ in range(5):
