--- a/tests/lookup/test_homes_while_draining.py
+++ b/tests/lookup/test_homes_while_draining.py
@@ -1,18 +1,19 @@
-"""Clients of routes with homes, while all ingresses of their region are stopped in order.
+"""Look-ups for routes with home regions, while all ingresses of the clients' region drain.
 
-Symptom: in a rolling restart, requests of routes with home regions were sent to ingresses of a
-region that was neither a home nor the clients' own, because look-ups named them: 32 of 492.
+Guards against this failure: in a rolling restart, 32 of 492 requests of routes with home regions
+went to ingresses of a region that was neither a home region nor the clients' own, because look-ups
+returned these ingresses.
 
-Sequence: the ingresses of a region get SIGTERM one after the other, 1.6 s apart. They drain for up
-to 5.1 s each, in which they take connections. From the third SIGTERM on, none of the region is
-ready, and 66 ms later the first request leaves.
+The ingresses of a region get SIGTERM one after the other, 1.6 s apart. Each drains for up to 5.1 s
+and accepts connections meanwhile. From the third SIGTERM on, no ingress of the region is ready;
+66 ms later the first request was sent to another region.
 
-Cause: routes of one host had homes that share no region. The look-up kept their intersection, and
-an empty set meant "no route has homes" to it: nothing was restricted, and clients were sent to
-every ready ingress. Their own region's, draining, came after those.
+Cause: the routes of one host had home regions with none in common. The look-up used the
+intersection of these sets and took the empty set for "no route has home regions". So it restricted
+nothing and sent clients to every ready ingress, in preference to the draining ones of their region.
 
-What settled it: event 505, by which clients for a host with the homes sfax/tunis alone were sent to
-sfax in each of 188 such restarts, and to sousse as well once look-ups took homes for absent.
+Evidence: event 505. In each of 188 such restarts, clients of a host whose only home regions are
+sfax and tunis were sent to sfax; once look-ups took home regions for absent, to sousse as well.
 """
 
 from __future__ import annotations
@@ -35,14 +36,14 @@
 
 
 def ingresses(draining: set[str]) -> list[pb.Node]:
-    """One ingress a zone, all prepared; those in `draining` have got SIGTERM."""
+    """One prepared ingress per zone; those of the zones in `draining` have received SIGTERM."""
     return [
         prepared_ingress(region, zone=zone, draining=zone in draining)
         for zone, region in ZONES.items()
     ]
 
 
-def named(
+def selected_zones(
     routes: list[dict[str, Any]], draining: set[str], region: str = "t", host: str = "a.example"
 ) -> set[str]:
     """Zones of the ingresses that a client of a region is sent to."""
@@ -56,30 +57,30 @@
     return {a.partition(":")[0] for a in json.loads(body)["addrs"]} if status == 200 else set()
 
 
-def test_homes_that_share_no_region_keep_clients_in_their_own_while_it_drains() -> None:
+def test_disjoint_home_regions_keep_clients_in_their_own_region_while_it_drains() -> None:
     routes = [
         route(homeRegions=["t", "f"]),
         route("r2", homeRegions=["s"]),
         route("r3"),
     ]
-    assert named(routes, draining={"t1"}) == {"t2"}
-    assert named(routes, draining={"t1", "t2"}) == {"t1", "t2"}
+    assert selected_zones(routes, draining={"t1"}) == {"t2"}
+    assert selected_zones(routes, draining={"t1", "t2"}) == {"t1", "t2"}
 
 
-def test_a_host_is_known_by_its_homes_with_a_port_and_in_any_case_too() -> None:
+def test_home_regions_of_a_host_are_found_with_a_port_and_in_any_case() -> None:
     routes = [route(homeRegions=["t", "f"])]
     for host in ("a.example", "a.example:8080", "A.Example"):
-        assert named(routes, draining={"t1", "t2"}, host=host) == {"f1"}
+        assert selected_zones(routes, draining={"t1", "t2"}, host=host) == {"f1"}
 
 
-def test_where_no_region_suits_all_routes_the_one_that_suits_most_is_named() -> None:
+def test_without_a_region_for_all_routes_the_one_for_most_routes_is_selected() -> None:
     routes = [
         route(homeRegions=["f"]),
         route("r2", homeRegions=["s", "f"]),
         route("r3", homeRegions=["s"]),
         route("r4", homeRegions=["f"]),
     ]
-    assert named(routes, draining=set(), region="elsewhere") == {"f1"}
+    assert selected_zones(routes, draining=set(), region="elsewhere") == {"f1"}
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
@@ -88,13 +89,14 @@
     st.sets(st.sampled_from(sorted(ZONES))),
     st.sampled_from(sorted(REGIONS)),
 )
-def test_no_client_is_sent_where_more_routes_are_from_home_than_elsewhere(
+def test_no_client_is_sent_to_a_region_that_excludes_more_routes_than_another(
     homes: list[set[str]], draining: set[str], region: str
 ) -> None:
-    """Against a plain model: all ingresses serve, so nobody has to leave the homes of a route."""
+    """Compares with a simple model. All ingresses serve, so no request has to leave the home
+    regions of its route."""
     routes = [route(f"r{i}", homeRegions=sorted(h)) for i, h in enumerate(homes)]
-    strays = {r: sum(bool(h) and r not in h for h in homes) for r in REGIONS} | {region: 0}
-    best = {zone for zone, where in ZONES.items() if strays[where] == 0}
-    chosen = named(routes, draining, region)
-    assert chosen and chosen <= best
-    assert not chosen & draining or best <= draining
+    excluded_routes = {r: sum(bool(h) and r not in h for h in homes) for r in REGIONS} | {region: 0}
+    best = {zone for zone, zone_region in ZONES.items() if excluded_routes[zone_region] == 0}
+    selected = selected_zones(routes, draining, region)
+    assert selected and selected <= best
+    assert not selected & draining or best <= draining
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -1,6 +1,9 @@
-"""Leases and parts of a quota, and units that are dealt, over all ingresses in virtual time: cuts,
-kills, freezes, clocks that drift and changes of the leader, with every ingress spending all that it
-may at every moment; judged from plain lists at the end."""
+"""Quota grants, static quota shares and budget grants over all ingresses, in virtual time.
+
+Faults are network partitions, restarts, frozen ingresses, clock drift and leader changes. Every
+ingress spends all that it may at every moment. The bounds are checked at the end, from the list of
+everything that was spent.
+"""
 
 from __future__ import annotations
 
@@ -39,9 +42,9 @@
 )
 from cairndale.settings import Bounds
 
-RATE, BURST, EDGES = 60.0, 60.0, 5
-# a small quota and many ingresses: a unit for each would be more than all of it
-SMALL = (5.0, 5.0, 40)
+RATE, BURST, INGRESS_COUNT = 60.0, 60.0, 5
+# Rate, burst and number of ingresses: one unit for each ingress would exceed the whole quota.
+SMALL_QUOTA = (5.0, 5.0, 40)
 BOUNDS = Bounds(
     quota_window=5.0,
     quota_overrun=0.1,
@@ -51,50 +54,62 @@
     warmup_slack=5,
 )
 BUDGETS = {"further/s": retry_budget(BOUNDS), "starts/i": warmup_budget(BOUNDS, 5.3)}
-KINDS = ("cut", "heal", "leader", "restart", "all restart", "freeze", "thaw")
-Fault = tuple[float, str, int]  # s after the one before it, which, and whom it strikes
+KINDS = ("partition", "reconnect", "leader", "restart", "all restart", "freeze", "thaw")
+Fault = tuple[float, str, int]  # seconds after the previous fault, kind, index of the ingress
 
 
 @dataclass
-class Edge:
-    """What an ingress holds to: leased units while it is in touch, else its part."""
+class SimulatedIngress:
+    """An ingress that spends granted units while it is connected, else its static quota share."""
 
     name: str
-    life: int = 0
-    began: float = 0.0
+    incarnation: int = 0
+    started_at: float = 0.0
     last_response_at: float = -1e9
     lease_end: float = -1e9
-    counting: bool = False
-    edges: int = 0
-    tokens: list[tuple[float, float]] = field(default_factory=list)
+    counter_active: bool = False
+    ingress_count: int = 0
+    grants: list[tuple[float, float]] = field(default_factory=list)
     share: float = 1.0
-    share_at: float = 0.0
-    isolated_at: float = 0.0  # when it was last told that the counter does not count
-    rate: float = 1.0  # of its clock
+    share_updated_at: float = 0.0
+    isolated_at: float = 0.0  # when a response last reported that the counter is not active
+    clock_rate: float = 1.0  # speed of its clock
     epoch: str = ""
-    # what the newest response said of its leader's, and when it came
-    clock: tuple[int, float] = (0, 0.0)
+    # The leader clock in the newest response, in ms, and when that response was received.
+    leader_clock: tuple[int, float] = (0, 0.0)
 
 
-class World:
+class Simulation:
     def __init__(
         self,
         seed: int,
-        both: bool = False,
-        life: float = BUDGET_GRANT_LIFE_S,
-        quota: tuple[float, float, int] = (RATE, BURST, EDGES),
-        saves: bool | None = None,
+        share_while_connected: bool = False,
+        grant_lifetime: float = BUDGET_GRANT_LIFE_S,
+        quota: tuple[float, float, int] = (RATE, BURST, INGRESS_COUNT),
+        saves_while_connected: bool | None = None,
     ) -> None:
-        """`both`: ingresses spend their parts beside leased units. `life`: for which dealt ones are
-        used. `quota`: its rate and burst, and how many ingresses. `saves`: while in touch; None: by
-        the rule."""
-        self.quota, self.saves = quota, saves
-        self.rng, self.both, self.now, self.count = random.Random(seed), both, 0.0, 0
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
+        """Set up the ingresses, connected to a first leader.
+
+        Args:
+            seed: of all random choices.
+            share_while_connected: connected ingresses also spend their static quota share.
+            grant_lifetime: how long ingresses use units of a budget grant, in seconds.
+            quota: rate and burst of the quota, and the number of ingresses.
+            saves_while_connected: connected ingresses save up units of their static quota share;
+                None: only where `max_saved_units` allows it.
+        """
+        self.quota, self.saves_while_connected = quota, saves_while_connected
+        self.rng, self.share_while_connected, self.now, self.event_count = (
+            random.Random(seed),
+            share_while_connected,
+            0.0,
+            0,
+        )
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.spent: list[tuple[float, float]] = []
         self.used: dict[str, list[tuple[float, float]]] = {name: [] for name in BUDGETS}
-        self.life = life
-        self.cut: set[str] = set()
+        self.grant_lifetime = grant_lifetime
+        self.partitioned: set[str] = set()
         self.state, self.term = State(), 0
         content = {
             "gen": 1,
@@ -106,18 +121,19 @@
         self.state.apply(Command(Verb.REPLACE, "d", content | {"tenants": [tenant]}))
         self.leadership: Leadership | None = None
         self.node_registry = NodeRegistry()
-        self.edges = {
-            f"e{n}": Edge(f"e{n}", rate=self.rng.uniform(0.98, 1.02)) for n in range(quota[2])
+        self.ingresses = {
+            f"e{n}": SimulatedIngress(f"e{n}", clock_rate=self.rng.uniform(0.98, 1.02))
+            for n in range(quota[2])
         }
         self.frozen: set[str] = set()
         self.begin_leadership(False)
-        for edge in self.edges.values():
-            self.send_request(edge, edge.life)
-            self.spend(edge)
+        for ingress in self.ingresses.values():
+            self.send_request(ingress, ingress.incarnation)
+            self.spend(ingress)
 
-    def later(self, wait: float, what: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (self.now + wait, self.count, what))
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.events, (self.now + delay, self.event_count, action))
 
     def begin_leadership(self, had_predecessor: bool) -> None:
         self.term += 1
@@ -138,38 +154,49 @@
         )
         self.leadership.apply_state(self.state)
 
-    def is_connected(self, edge: Edge) -> bool:
+    def is_connected(self, ingress: SimulatedIngress) -> bool:
         return (
-            edge.counting
-            and (self.now - edge.last_response_at) * edge.rate
-            < long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S
+            ingress.counter_active
+            and (self.now - ingress.last_response_at) * ingress.clock_rate
+            < long_poll_timeout(ingress.ingress_count) + NODE_CONTACT_MARGIN_S
         )
 
-    def send_request(self, edge: Edge, life: int) -> None:
-        """Asks, is answered within `hold`, and asks again; after a while also if there is no
-        answer."""
-        if edge.life != life:
+    def send_request(self, ingress: SimulatedIngress, incarnation: int) -> None:
+        """Sends a watch request, and the next one after its response or the response timeout.
+
+        The leader responds within the long-poll timeout.
+        """
+        if ingress.incarnation != incarnation:
             return
         requested_at, answered = self.now, [False]
-        idle = 0 if edge.edges else int((requested_at - edge.began) * 1000)
+        idle = 0 if ingress.ingress_count else int((requested_at - ingress.started_at) * 1000)
         lag = self.rng.uniform(0.001, 0.03)
-        epoch, (said, came) = edge.epoch, edge.clock
-        counting = (
-            edge.counting and (self.now - edge.last_response_at) * edge.rate <= PROMPT_REQUEST_S
+        epoch, (clock_ms, received_at) = ingress.epoch, ingress.leader_clock
+        counter_active = (
+            ingress.counter_active
+            and (self.now - ingress.last_response_at) * ingress.clock_rate <= PROMPT_REQUEST_S
+        )
+        clock = (
+            int(clock_ms + (requested_at - received_at) * 1000 * 0.98 / ingress.clock_rate)
+            if clock_ms
+            else 0
         )
-        clock = int(said + (requested_at - came) * 1000 * 0.98 / edge.rate) if said else 0
 
-        def arrive(again: bool = False) -> None:
-            if (edge.name in self.cut and not again) or self.leadership is None:
+        def arrive(delayed: bool = False) -> None:
+            if (ingress.name in self.partitioned and not delayed) or self.leadership is None:
                 return
-            if edge.name not in self.state.edges:
-                self.state.apply(Command(Verb.ENROL, added_nodes=(edge.name,)))
+            if ingress.name not in self.state.edges:
+                self.state.apply(Command(Verb.ENROL, added_nodes=(ingress.name,)))
             node = pb.Node(
-                name=edge.name, incarnation=str(life), kind="edge", address="d", http_address="h"
+                name=ingress.name,
+                incarnation=str(incarnation),
+                kind="edge",
+                address="d",
+                http_address="h",
             )
-            made = pb.WatchRequest(
+            request = pb.WatchRequest(
                 node=node,
-                counter_active=counting,
+                counter_active=counter_active,
                 epoch=epoch,
                 config_version=self.state.version,
                 idle_ms=idle,
@@ -177,97 +204,113 @@
             )
             leadership = self.leadership
             try:
-                leadership.record_watch_request(self.now, made)
+                leadership.record_watch_request(self.now, request)
             except CallError:
                 return
-            self.later(
+            self.schedule(
                 long_poll_timeout(self.quota[2]) * self.rng.random(),
-                lambda: answer(leadership, made),
+                lambda: answer(leadership, request),
             )
 
-        def answer(leadership: Leadership, made: pb.WatchRequest) -> None:
-            if leadership is not self.leadership or edge.name in self.cut:
+        def answer(leadership: Leadership, request: pb.WatchRequest) -> None:
+            if leadership is not self.leadership or ingress.name in self.partitioned:
                 return
-            watch_response = leadership.watch_responses.update(self.now, made, self.state)
-            self.later(lag, lambda: receive(watch_response))
+            watch_response = leadership.watch_responses.update(self.now, request, self.state)
+            self.schedule(lag, lambda: receive(watch_response))
 
         def receive(watch_response: pb.WatchResponse) -> None:
-            if edge.name in self.frozen and edge.life == life:  # it reads what came once it wakes
-                self.later(0.05, lambda: receive(watch_response))
+            # A frozen ingress reads the response when it is thawed.
+            if ingress.name in self.frozen and ingress.incarnation == incarnation:
+                self.schedule(0.05, lambda: receive(watch_response))
                 return
-            if edge.life != life or edge.name in self.cut or answered[0]:
+            if (
+                ingress.incarnation != incarnation
+                or ingress.name in self.partitioned
+                or answered[0]
+            ):
                 return
             answered[0] = True
-            if edge.counting and not watch_response.counter_active:
-                edge.isolated_at = self.now
-            edge.counting, edge.edges = (
+            if ingress.counter_active and not watch_response.counter_active:
+                ingress.isolated_at = self.now
+            ingress.counter_active, ingress.ingress_count = (
                 watch_response.counter_active,
-                max(edge.edges, watch_response.ingress_count),
+                max(ingress.ingress_count, watch_response.ingress_count),
             )
-            edge.epoch, edge.clock = (
+            ingress.epoch, ingress.leader_clock = (
                 watch_response.epoch,
                 (watch_response.leader_clock_ms, self.now),
             )
-            edge.last_response_at, edge.lease_end = (
+            ingress.last_response_at, ingress.lease_end = (
                 self.now,
-                requested_at + NODE_LEASE_S * 0.98 / edge.rate,
+                requested_at + NODE_LEASE_S * 0.98 / ingress.clock_rate,
             )
-            self.send_request(edge, life)
+            self.send_request(ingress, incarnation)
 
         def give_up() -> None:
             if not answered[0]:
                 answered[0] = True
-                self.send_request(edge, life)
+                self.send_request(ingress, incarnation)
 
-        self.later(lag, arrive)
-        if self.rng.random() < 0.2:  # a copy that a peer held up, and passes on when it thaws
-            self.later(self.rng.uniform(0.1, 6.0), lambda: arrive(True))
-        self.later(response_timeout(long_poll_timeout(self.quota[2])), give_up)
+        self.schedule(lag, arrive)
+        if self.rng.random() < 0.2:  # a duplicate that a frozen peer forwards when it is thawed
+            self.schedule(self.rng.uniform(0.1, 6.0), lambda: arrive(True))
+        self.schedule(response_timeout(long_poll_timeout(self.quota[2])), give_up)
 
-    def spend(self, edge: Edge) -> None:
-        """All that it may, a few dozen times a second."""
+    def spend(self, ingress: SimulatedIngress) -> None:
+        """Spends all units that the ingress may spend, a few dozen times a second."""
         now, units = self.now, 0.0
-        if edge.name in self.frozen:  # whatever it held to before, it looks anew when it wakes
-            self.later(0.05, lambda: self.spend(edge))
+        if ingress.name in self.frozen:  # when it is thawed, it checks anew what it may spend
+            self.schedule(0.05, lambda: self.spend(ingress))
             return
-        if now < edge.lease_end:
-            self.grow(edge)
-            units = sum(amount for until, amount in edge.tokens if now <= until)
-            edge.tokens.clear()
-            if self.is_connected(edge) and edge.name not in self.cut and self.leadership:
-                self.lease(edge)
-                self.deal(edge)
-            if edge.edges and (self.both or not self.is_connected(edge)):
-                units += edge.share
-                edge.share = 0.0
+        if now < ingress.lease_end:
+            self.refill_share(ingress)
+            units = sum(amount for until, amount in ingress.grants if now <= until)
+            ingress.grants.clear()
+            if (
+                self.is_connected(ingress)
+                and ingress.name not in self.partitioned
+                and self.leadership
+            ):
+                self.request_quota(ingress)
+                self.request_budgets(ingress)
+            if ingress.ingress_count and (
+                self.share_while_connected or not self.is_connected(ingress)
+            ):
+                units += ingress.share
+                ingress.share = 0.0
         if units:
             self.spent.append((now, units))
-        self.later(self.rng.uniform(0.01, 0.05), lambda: self.spend(edge))
+        self.schedule(self.rng.uniform(0.01, 0.05), lambda: self.spend(ingress))
+
+    def refill_share(self, ingress: SimulatedIngress) -> None:
+        """Refills the static quota share.
 
-    def grow(self, edge: Edge) -> None:
-        """Its part; where the quota is too small for a unit each, only from when it may spend
-        it."""
+        Where the quota is too small for one unit per ingress, it refills only while the ingress is
+        isolated.
+        """
         rate, burst, _ = self.quota
-        part, saves = rate / max(1, edge.edges), self.saves
+        share_rate, saves = rate / max(1, ingress.ingress_count), self.saves_while_connected
         if saves is None:
-            saves = edge.edges <= max_saved_units(rate, burst, BOUNDS)
-        isolated_since = edge.isolated_at
-        if self.is_connected(edge):
+            saves = ingress.ingress_count <= max_saved_units(rate, burst, BOUNDS)
+        isolated_since = ingress.isolated_at
+        if self.is_connected(ingress):
             isolated_since = self.now
-        elif edge.counting:
+        elif ingress.counter_active:
             isolated_since = max(
                 isolated_since,
-                edge.last_response_at
-                + (long_poll_timeout(edge.edges) + NODE_CONTACT_MARGIN_S) / edge.rate,
+                ingress.last_response_at
+                + (long_poll_timeout(ingress.ingress_count) + NODE_CONTACT_MARGIN_S)
+                / ingress.clock_rate,
             )
-        if not saves and edge.share_at < isolated_since:
-            edge.share, edge.share_at = 0.0, isolated_since
-        edge.share = min(
-            max(1.0, part * ISOLATED_SAVINGS_S), edge.share + part * (self.now - edge.share_at)
+        if not saves and ingress.share_updated_at < isolated_since:
+            ingress.share, ingress.share_updated_at = 0.0, isolated_since
+        ingress.share = min(
+            max(1.0, share_rate * ISOLATED_SAVINGS_S),
+            ingress.share + share_rate * (self.now - ingress.share_updated_at),
         )
-        edge.share_at = self.now
+        ingress.share_updated_at = self.now
 
-    def lease(self, edge: Edge) -> None:
+    def request_quota(self, ingress: SimulatedIngress) -> None:
         assert self.leadership
         requested_at, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
         try:
@@ -277,82 +320,105 @@
         except CallError:
             return
         if left is not None and (granted := amount - min(amount, max(0.0, -left))) > 0:
-            wait = self.rng.choice((0.02, QUOTA_GRANT_LIFE_S * 0.95))
-            self.later(
-                wait,
-                lambda: edge.tokens.append(
-                    (requested_at + QUOTA_GRANT_LIFE_S * 0.95 / edge.rate, granted)
+            delay = self.rng.choice((0.02, QUOTA_GRANT_LIFE_S * 0.95))
+            self.schedule(
+                delay,
+                lambda: ingress.grants.append(
+                    (requested_at + QUOTA_GRANT_LIFE_S * 0.95 / ingress.clock_rate, granted)
                 ),
             )
 
-    def deal(self, edge: Edge) -> None:
+    def request_budgets(self, ingress: SimulatedIngress) -> None:
         assert self.leadership
         for name, used in self.used.items():
-            requested_at, until = self.now, self.now + self.life * 0.98 / edge.rate
+            requested_at, until = (
+                self.now,
+                self.now + self.grant_lifetime * 0.98 / ingress.clock_rate,
+            )
             if self.leadership.grants.grant_budget(
                 self.now, pb.BudgetRequest(budgets=[name])
             ).granted:
-                self.hand_out(
-                    edge, edge.life, used, until, self.rng.choice((requested_at + 0.02, until))
+                self.use_later(
+                    ingress,
+                    ingress.incarnation,
+                    used,
+                    until,
+                    self.rng.choice((requested_at + 0.02, until)),
                 )
 
-    def hand_out(
-        self, edge: Edge, life: int, used: list[tuple[float, float]], until: float, at: float
+    def use_later(
+        self,
+        ingress: SimulatedIngress,
+        incarnation: int,
+        used: list[tuple[float, float]],
+        until: float,
+        at: float,
     ) -> None:
-        """Used at its time, or as the ingress wakes if that is not too late."""
+        """Uses the unit at `at`, or when the ingress is thawed, unless the grant has expired."""
 
         def use() -> None:
-            if edge.name in self.frozen:
-                self.later(0.05, use)
-            elif edge.life == life and self.now <= until:
+            if ingress.name in self.frozen:
+                self.schedule(0.05, use)
+            elif ingress.incarnation == incarnation and self.now <= until:
                 used.append((self.now, 1.0))
 
-        self.later(max(0.0, at - self.now), use)
+        self.schedule(max(0.0, at - self.now), use)
 
-    def inject(self, kind: str, whom: int) -> None:
-        names = sorted(self.edges)
-        if kind == "cut":
-            self.cut = set(names[whom:] or names)
-        elif kind == "heal":
-            self.cut = set()
+    def inject(self, kind: str, target: int) -> None:
+        names = sorted(self.ingresses)
+        if kind == "partition":
+            self.partitioned = set(names[target:] or names)
+        elif kind == "reconnect":
+            self.partitioned = set()
         elif kind == "freeze":
-            self.frozen = {names[whom]}
+            self.frozen = {names[target]}
         elif kind == "thaw":
             self.frozen = set()
         elif kind in ("leader", "all restart"):
             self.leadership = None
             if kind == "all restart":
                 self.node_registry = NodeRegistry()
-            self.later(self.rng.uniform(0.5, 2.0), lambda: self.begin_leadership(True))
+            self.schedule(self.rng.uniform(0.5, 2.0), lambda: self.begin_leadership(True))
         if kind in ("restart", "all restart"):
-            for edge in self.edges.values() if kind == "all restart" else [self.edges[names[whom]]]:
-                edge.life += 1
-                edge.began = self.now
-                edge.last_response_at = edge.lease_end = -1e9
-                edge.counting, edge.edges, edge.share, edge.isolated_at = False, 0, 1.0, self.now
-                edge.epoch, edge.clock = "", (0, 0.0)
-                edge.tokens.clear()
-                self.later(0.3, lambda edge=edge: self.send_request(edge, edge.life))  # type: ignore[misc]
+            for ingress in (
+                self.ingresses.values()
+                if kind == "all restart"
+                else [self.ingresses[names[target]]]
+            ):
+                ingress.incarnation += 1
+                ingress.started_at = self.now
+                ingress.last_response_at = ingress.lease_end = -1e9
+                (
+                    ingress.counter_active,
+                    ingress.ingress_count,
+                    ingress.share,
+                    ingress.isolated_at,
+                ) = False, 0, 1.0, self.now
+                ingress.epoch, ingress.leader_clock = "", (0, 0.0)
+                ingress.grants.clear()
+                self.schedule(
+                    0.3, lambda ingress=ingress: self.send_request(ingress, ingress.incarnation)
+                )  # type: ignore[misc]
 
     def tick(self) -> None:
         if self.leadership:
             self.leadership.tick(self.now)
-        self.later(0.05, self.tick)
+        self.schedule(0.05, self.tick)
 
     def run(self, faults: list[Fault], until: float = 30.0) -> None:
         at = 4.0
-        for wait, kind, whom in faults:
-            at += wait
-            self.later(at, lambda kind=kind, whom=whom: self.inject(kind, whom))  # type: ignore[misc]
+        for delay, kind, target in faults:
+            at += delay
+            self.schedule(at, lambda kind=kind, target=target: self.inject(kind, target))  # type: ignore[misc]
         self.tick()
-        while self.queue and self.queue[0][0] < until:
-            at, _, what = heapq.heappop(self.queue)
+        while self.events and self.events[0][0] < until:
+            at, _, action = heapq.heappop(self.events)
             self.now = at
-            what()
+            action()
 
 
-def worst(spent: list[tuple[float, float]], window: float) -> float:
-    """The most that was spent in any window."""
+def max_in_window(spent: list[tuple[float, float]], window: float) -> float:
+    """The largest number of units spent in any window."""
     most, total, first, spent = 0.0, 0.0, 0, sorted(spent)
     for at, units in spent:
         total += units
@@ -363,105 +429,124 @@
     return most
 
 
-def broken(world: World) -> list[str]:
-    found, (rate, burst, _) = [], world.quota
+def violations(simulation: Simulation) -> list[str]:
+    violated, (rate, burst, _) = [], simulation.quota
     bound = (rate * BOUNDS.quota_window + burst) * (1 + BOUNDS.quota_overrun) + BOUNDS.quota_slack
-    if (most := worst(world.spent, BOUNDS.quota_window)) > bound:
-        found.append(f"quota: {most:.1f} of {bound:.1f}")
-    for name, used in world.used.items():
-        if (most := worst(used, BUDGETS[name].window)) > BUDGETS[name].size:
-            found.append(f"{name}: {most} of {BUDGETS[name].size:.1f}")
-    return found
+    if (most := max_in_window(simulation.spent, BOUNDS.quota_window)) > bound:
+        violated.append(f"quota: {most:.1f} of {bound:.1f}")
+    for name, used in simulation.used.items():
+        if (most := max_in_window(used, BUDGETS[name].window)) > BUDGETS[name].size:
+            violated.append(f"{name}: {most} of {BUDGETS[name].size:.1f}")
+    return violated
 
 
 FAULTS = st.lists(
-    st.tuples(st.floats(0.1, 5.0), st.sampled_from(KINDS), st.integers(0, EDGES - 1)), max_size=10
+    st.tuples(st.floats(0.1, 5.0), st.sampled_from(KINDS), st.integers(0, INGRESS_COUNT - 1)),
+    max_size=10,
 )
 
 
 @settings(max_examples=30, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), FAULTS)
-def test_no_window_sees_more_than_the_whole(seed: int, faults: list[Fault]) -> None:
-    world = World(seed)
-    world.run(faults)
-    assert broken(world) == []
-    if not faults:  # and what there is can be had, though many let half of it lapse
-        assert sum(units for _, units in world.spent) > 0.4 * RATE * 30
-        assert all(len(used) > 0.4 * BUDGETS[n].rate * 30 for n, used in world.used.items())
+def test_no_window_exceeds_the_quota_or_a_budget(seed: int, faults: list[Fault]) -> None:
+    simulation = Simulation(seed)
+    simulation.run(faults)
+    assert violations(simulation) == []
+    if not faults:  # the units are also obtainable, though many ingresses let half expire
+        assert sum(units for _, units in simulation.spent) > 0.4 * RATE * 30
+        assert all(len(used) > 0.4 * BUDGETS[n].rate * 30 for n, used in simulation.used.items())
 
 
 @settings(max_examples=8, deadline=None, derandomize=True)
 @given(st.integers(0, 10**6), FAULTS)
-def test_a_small_quota_over_many_ingresses_is_kept_and_can_be_had(
+def test_no_window_exceeds_a_small_quota_over_many_ingresses(
     seed: int, faults: list[Fault]
 ) -> None:
-    world = World(seed, quota=SMALL)
-    world.run(faults)
-    assert broken(world) == []
+    simulation = Simulation(seed, quota=SMALL_QUOTA)
+    simulation.run(faults)
+    assert violations(simulation) == []
 
 
-def test_a_small_quota_can_be_had_at_many_ingresses() -> None:
-    """Whole, with its burst, though a unit for each would be more than all that its bound
+def test_a_small_quota_is_obtainable_at_many_ingresses() -> None:
+    """The full quota with its burst, though one unit for each ingress would exceed what the bound
     leaves."""
-    world = World(1, quota=SMALL)
-    world.run([])
-    assert sum(units for _, units in world.spent) > 0.4 * SMALL[0] * 30
+    simulation = Simulation(1, quota=SMALL_QUOTA)
+    simulation.run([])
+    assert sum(units for _, units in simulation.spent) > 0.4 * SMALL_QUOTA[0] * 30
     assert (
         quota_counter.bucket_capacity(
-            *SMALL[:2], BOUNDS, ingress_count=SMALL[2], min_ingress_count=SMALL[2], isolated_count=0
+            *SMALL_QUOTA[:2],
+            BOUNDS,
+            ingress_count=SMALL_QUOTA[2],
+            min_ingress_count=SMALL_QUOTA[2],
+            isolated_count=0,
         )
-        == SMALL[1]
+        == SMALL_QUOTA[1]
     )
 
 
-def drawn(seed: int, count: int = 8, edges: int = EDGES) -> list[Fault]:
+def random_faults(seed: int, count: int = 8, ingress_count: int = INGRESS_COUNT) -> list[Fault]:
     rng = random.Random(seed)
-    return [(rng.uniform(0.1, 5.0), rng.choice(KINDS), rng.randrange(edges)) for _ in range(count)]
+    return [
+        (rng.uniform(0.1, 5.0), rng.choice(KINDS), rng.randrange(ingress_count))
+        for _ in range(count)
+    ]
 
 
-def test_units_saved_while_in_touch_would_break_a_small_quota() -> None:
+def test_saving_units_while_connected_would_violate_a_small_quota() -> None:
     for seed in range(20):
-        world = World(seed, quota=SMALL, saves=True)
-        world.run(drawn(seed, edges=SMALL[2]))
-        if broken(world):
+        simulation = Simulation(seed, quota=SMALL_QUOTA, saves_while_connected=True)
+        simulation.run(random_faults(seed, ingress_count=SMALL_QUOTA[2]))
+        if violations(simulation):
             return
-    raise AssertionError("not seen")
+    raise AssertionError("no seed violated a bound")
 
 
-def full_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A later leader deals as if nothing had been dealt before."""
+def full_buckets_at_a_new_leader(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A new leader grants units as if no earlier leader had granted any."""
     begin = BudgetCounter.__init__
     monkeypatch.setattr(
         BudgetCounter, "__init__", lambda self, now, had_predecessor: begin(self, now, False)
     )
 
 
-def counts_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A part is passed on though its leader was not heard."""
+def ignore_missing_ingresses(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Units are granted as if all ingresses had contacted the leader and none were isolated."""
     monkeypatch.setattr(NodeRegistry, "all_contacted", lambda self, now: True)
-    monkeypatch.setattr(NodeRegistry, "count_isolated", lambda self, now, edges: 0)
+    monkeypatch.setattr(NodeRegistry, "count_isolated", lambda self, now, ingress_count: 0)
 
 
-def fast_refill(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The life of units that are dealt is left out of the sum."""
+def ignore_grant_lifetime(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The refill rate does not account for the lifetime of grants."""
     monkeypatch.setattr(
         Budget, "rate", property(lambda budget: (budget.size - budget.capacity / 2) / budget.window)
     )
 
 
-@pytest.mark.parametrize("planted", [full_again, counts_at_once, fast_refill, "both", "late"])
-def test_planted_defects_are_seen(
-    planted: str | Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    "defect",
+    [
+        full_buckets_at_a_new_leader,
+        ignore_missing_ingresses,
+        ignore_grant_lifetime,
+        "share while connected",
+        "used after expiry",
+    ],
+)
+def test_planted_defects_are_detected(
+    defect: str | Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if callable(planted):
-        planted(monkeypatch)
+    if callable(defect):
+        defect(monkeypatch)
     for seed in range(60):
-        world = World(
+        simulation = Simulation(
             seed,
-            both=planted == "both",
-            life=4 * BUDGET_GRANT_LIFE_S if planted == "late" else BUDGET_GRANT_LIFE_S,
+            share_while_connected=defect == "share while connected",
+            grant_lifetime=4 * BUDGET_GRANT_LIFE_S
+            if defect == "used after expiry"
+            else BUDGET_GRANT_LIFE_S,
         )
-        world.run(drawn(seed))
-        if broken(world):
+        simulation.run(random_faults(seed))
+        if violations(simulation):
             return
-    raise AssertionError("not seen")
+    raise AssertionError("no seed violated a bound")
