--- a/cairndale/configuration/commands.py
+++ b/cairndale/configuration/commands.py
@@ -1,4 +1,4 @@
-"""Commands: what is replicated through the log and applied to the state by each member."""
+"""Commands: the entries of the replicated log, which each member applies to its state."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Verb(Enum):
-    """What a command does. The values are a format: they stand in the log."""
+    """What a command does. The values are part of the log format."""
 
-    REPLACE = "replace"  # the whole configuration
+    REPLACE = "replace"  # the complete configuration
     UPDATE = "update"  # items of the configuration
     EVACUATE = "evacuate"  # a zone
     RESTORE = "take back"  # an evacuated zone
     ENROL = "enrol"  # data-plane nodes that may hold leases
-    REJECT = "refuse"  # a change, for good
+    REJECT = "refuse"  # a change, permanently
     NAME = "name"  # the system, once
 
 
@@ -26,13 +26,13 @@
     """One entry of the replicated log, for `State.apply`.
 
     Attributes:
-        verb: what it does.
-        digest: what it is known by: the digest of a change's request body, the id of an evacuation
-            order, or the system's name.
+        verb: what the command does.
+        digest: identifies the command: the digest of a change's request body, the id of an
+            evacuation order, or the system's name.
         body: the JSON body of a Replace or Update.
         zone: the zone that is evacuated or restored.
-        added_nodes: data-plane nodes that may hold leases from here on.
-        removed_nodes: data-plane nodes that hold none any longer.
+        added_nodes: data-plane nodes that may hold leases from this entry on.
+        removed_nodes: data-plane nodes that may not hold leases any longer.
         call_id: the id of an operator's call for a zone, given by the node that received it.
     """
 
@@ -45,7 +45,7 @@
     call_id: str = ""
 
     def to_dict(self) -> dict[str, Any]:
-        """The command as a JSON object. Its keys are a format: they stand in the log."""
+        """The command as a JSON object. Its keys are part of the log format."""
         return {
             "verb": self.verb.value,
             "digest": self.digest,
@@ -58,7 +58,7 @@
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> Command:
-        """The command of a JSON object. Raises KeyError, TypeError or ValueError if it is none."""
+        """The command of a JSON object. Raises KeyError, TypeError or ValueError."""
         return cls(
             verb=Verb(raw["verb"]),
             digest=raw["digest"],
@@ -66,11 +66,11 @@
             zone=raw["zone"],
             added_nodes=tuple(raw["names"]),
             removed_nodes=tuple(raw["gone"]),
-            call_id=raw.get("call", ""),  # logs of earlier versions have none
+            call_id=raw.get("call", ""),  # missing in logs of earlier versions
         )
 
     def encode(self) -> bytes:
-        """The command in one piece: JSON, compressed with zlib."""
+        """The command as JSON, compressed with zlib."""
         text = json.dumps(self.to_dict(), separators=(",", ":"))
         return zlib.compress(text.encode(), 6)
 
--- a/cairndale/configuration/content.py
+++ b/cairndale/configuration/content.py
@@ -12,20 +12,20 @@
 Content = dict[str, Any]
 
 TABLES = ("routes", "backends", "tenants")
-ITEMS_PER_STEP = 4_096  # that are copied or looked up by name
-ENCODED_ITEMS_PER_STEP = 512  # that are turned into JSON and compressed
+ITEMS_PER_STEP = 4_096  # items that are copied or looked up by name
+ENCODED_ITEMS_PER_STEP = 512  # items that are encoded as JSON and compressed
 
 _to_json = json.JSONEncoder(separators=(",", ":")).encode
 
 
 def chunks(items: Sequence[Any], size: int) -> Iterator[Sequence[Any]]:
-    """The items in order, `size` of them at a time."""
+    """The items in order, in chunks of at most `size`."""
     for start in range(0, len(items), size):
         yield items[start : start + size]
 
 
 def updated_content_steps(content: Content, update: Mapping[str, Any]) -> Steps[Content]:
-    """The content after an Update: items replaced in place by name, added behind, and removed."""
+    """The content after an Update: items are replaced in place by name, appended or removed."""
     updated = {**content, "gen": update["gen"]}
     for table in TABLES:
         upserts = yield from _items_by_name_steps(update.get("upsert", {}).get(table, ()))
@@ -47,7 +47,7 @@
 def _updated_table_steps(
     items: Sequence[Any], upserts: dict[str, Any], removed: set[str]
 ) -> Steps[list[Any]]:
-    """`upserts` is used up: what is left of it after the table's own items is new."""
+    """Consumes `upserts`: what remains after the table's existing items is appended as new."""
     updated: list[Any] = []
     for chunk in chunks(items, ITEMS_PER_STEP):
         kept = (item for item in chunk if item["name"] not in removed)
@@ -67,7 +67,7 @@
 
 
 def _content_texts(content: Content) -> Iterator[str]:
-    """JSON of the content in pieces, each of a bounded number of items."""
+    """JSON of the content in parts, each with a bounded number of items."""
     before = "{"
     for name, value in content.items():
         key = f"{before}{_to_json(name)}:"
--- a/cairndale/configuration/content_digest.py
+++ b/cairndale/configuration/content_digest.py
@@ -1,7 +1,7 @@
-"""Digests of a configuration's content, by which a delta finds out whether it fits.
+"""Digests of a configuration's content, which show whether a delta applies to it.
 
 The digest of a content is the sum of its items' digests, modulo 2**64. So it does not depend on
-the order of items, and a change of some items needs only the digests of these.
+the order of items, and updating it after a change needs only the digests of the changed items.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 from cairndale.configuration.content import TABLES
 
 DIGEST_MODULUS = 1 << 64
-# Stands for a table of what else a content says: each field by its name, as a list of its value.
+# Name of a pseudo-table with all other fields of a content: each field by its name, as a list that
+# contains only its value.
 TOP_LEVEL_FIELDS = ""
 
-# Keys are sorted: equal items have equal text, whatever order their keys came in.
+# Keys are sorted: equal items have equal text, whatever the order of their keys.
 canonical_json = json.JSONEncoder(separators=(",", ":"), sort_keys=True).encode
 
 
 class ItemDigest(NamedTuple):
-    """The digest of an item, or of nothing."""
+    """The digest of an item; zero for a missing item."""
 
     value: int = 0
     size: int = 0  # bytes of the item's canonical JSON
@@ -32,14 +33,14 @@
 
 
 def item_digest(table: str, name: str, item: Any) -> ItemDigest:
-    """The digest of one item: 64 bits of BLAKE2b over table, name and item."""
+    """The digest of one item: 64 bits of BLAKE2b of table, name and item."""
     text = canonical_json([table, name, item]).encode()
     value = int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
     return ItemDigest(value, len(text))
 
 
 def iter_items(content: Mapping[str, Any], table: str) -> Iterator[tuple[str, Any]]:
-    """The name and the item of each item of a table, or of TOP_LEVEL_FIELDS."""
+    """The items of a table, or of TOP_LEVEL_FIELDS, each with its name."""
     if table == TOP_LEVEL_FIELDS:
         return (
             (name, [value])
--- a/cairndale/configuration/delta.py
+++ b/cairndale/configuration/delta.py
@@ -1,7 +1,7 @@
-"""Deltas of the configuration: what differs between two generations, item by item.
+"""Deltas of the configuration: the differences between two generations, item by item.
 
-Ingresses are sent a delta in place of the whole content. It names the generation and the digest of
-the content before and after, so that its receiver finds out whether it fits.
+A delta is sent to ingresses in place of the full content. It states the generation and the digest
+of the content before and after, from which its receiver determines whether it applies.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 )
 from cairndale.configuration.stepwise import Steps
 
-MAX_CHANGED_ITEMS = 2_000  # in one delta; for more the whole content is sent
-COMPARED_PER_STEP = 400  # items: some 2 ms
-SCANNED_PER_STEP = 4_000  # items of which only the names are looked at: some 2 ms
-MAX_CHANGES_TEXT_BYTES = 64 * 1024 * 1024  # of JSON that a delta may unpack to
+MAX_CHANGED_ITEMS = 2_000  # in one delta; for more changes the full content is sent
+COMPARED_PER_STEP = 400  # items; takes about 2 ms
+SCANNED_PER_STEP = 4_000  # items of which only the names are read; takes about 2 ms
+MAX_CHANGES_TEXT_BYTES = 64 * 1024 * 1024  # of JSON that a delta may decompress to
 
-# By table and name: the item from now on, or None if it is removed.
+# By table and name: the new item, or None if it is removed.
 Changes = dict[str, dict[str, Any]]
 
 
 class DeltaError(ValueError):
-    """A delta does not fit the content that it is applied to, or cannot be read."""
+    """A delta does not apply to the receiver's content, or cannot be decoded."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -42,8 +42,8 @@
     """A delta as ingresses receive it.
 
     Attributes:
-        base_gen: the generation that it applies to.
-        gen: the generation that it leads to.
+        base_gen: the generation that the delta applies to.
+        gen: the generation that it results in.
         base_digest: the digest of the content before.
         digest: the digest of the content after.
         encoded_changes: the changes (JSON, zlib).
@@ -56,7 +56,7 @@
     encoded_changes: bytes
 
     def decode_changes(self) -> Changes:
-        """The changed items. Raises DeltaError."""
+        """The changed items. Raises DeltaError if they cannot be decoded."""
         decompressor = zlib.decompressobj()
         try:
             text = decompressor.decompress(self.encoded_changes, MAX_CHANGES_TEXT_BYTES)
@@ -64,7 +64,7 @@
         except (ValueError, zlib.error) as error:
             raise DeltaError(str(error)) from error
         if not decompressor.eof or not _are_changes(changes):
-            raise DeltaError("no difference, or not a whole one")
+            raise DeltaError("the changes of the delta are truncated, too large or malformed")
         return dict(changes)
 
 
@@ -77,12 +77,12 @@
 
 
 def encode_changes(changes: Changes) -> bytes:
-    """The JSON of changes, not compressed."""
+    """Changes as JSON, not compressed."""
     return canonical_json(changes).encode()
 
 
 def merge_changes(successive: Iterable[Changes]) -> Changes:
-    """The changes that several, one after the other, come to."""
+    """The combined effect of successive changes."""
     merged: Changes = {}
     for changes in successive:
         for table, items in changes.items():
@@ -98,9 +98,9 @@
         base_gen: the generation before.
         gen: the generation after.
         changes: the changed items.
-        digest: what the digest of the content grew by; may be negative.
-        size: what the content's canonical JSON grew by, in bytes; may be negative.
-        count: how many items changed.
+        digest: the increase of the content's digest; may be negative.
+        size: the increase of the content's canonical JSON, in bytes; may be negative.
+        count: the number of changed items.
     """
 
     base_gen: int
@@ -114,10 +114,10 @@
 def compare_steps(
     before: Mapping[str, Any], after: Mapping[str, Any], update: Mapping[str, Any] | None
 ) -> Steps[GenerationChange | None]:
-    """What changed from one content to the next; None if more than MAX_CHANGED_ITEMS did.
+    """What changed from one content to the next; None if more than MAX_CHANGED_ITEMS changed.
 
-    `update`: the body of the Update that led from one to the other, which names what may have
-    changed. Without one all items are compared.
+    `update`: the body of the Update that led from one to the other; only the items that it names
+    are compared. Without it, all items are compared.
     """
     comparison = _Comparison()
     for table in (*TABLES, TOP_LEVEL_FIELDS):
@@ -140,7 +140,7 @@
 
 @dataclass(slots=True)
 class _Comparison:
-    """The changes that were found so far."""
+    """The changes found so far."""
 
     changes: Changes = field(default_factory=dict)
     digest: int = 0
@@ -150,28 +150,28 @@
     def compare_table_steps(
         self, table: str, old: dict[str, Any], new: dict[str, Any]
     ) -> Steps[bool]:
-        """False if too many items differ. `old` is used up."""
+        """Returns False if too many items differ. Consumes `old`."""
         for number, (name, item) in enumerate(new.items()):
             if number % COMPARED_PER_STEP == 0:
                 yield
             old_item = old.pop(name, None)
             if old_item is not None and _is_same(old_item, item):
                 continue
-            if not self._count_in(1):
+            if not self._add_to_count(1):
                 return False
-            self._change(table, name, old_item, item)
-        if not self._count_in(len(old)):
+            self._record_change(table, name, old_item, item)
+        if not self._add_to_count(len(old)):
             return False
         for name, old_item in old.items():
-            self._change(table, name, old_item, None)
+            self._record_change(table, name, old_item, None)
         return True
 
-    def _count_in(self, count: int) -> bool:
-        """Counts changed items before their digests are made; False if there are too many."""
+    def _add_to_count(self, count: int) -> bool:
+        """Counts changed items before their digests are computed; False if there are too many."""
         self.count += count
         return self.count <= MAX_CHANGED_ITEMS
 
-    def _change(self, table: str, name: str, old: Any, new: Any) -> None:
+    def _record_change(self, table: str, name: str, old: Any, new: Any) -> None:
         self.changes.setdefault(table, {})[name] = new
         added = NO_DIGEST if new is None else content_digest.item_digest(table, name, new)
         removed = NO_DIGEST if old is None else content_digest.item_digest(table, name, old)
@@ -179,9 +179,9 @@
         self.size += added.size - removed.size
 
 
-def _is_same(one: Any, other: Any) -> bool:
-    """Equal with the types: 1 and 1.0 are equal numbers, but two texts."""
-    return dumps(one, 2) == dumps(other, 2)
+def _is_same(first: Any, second: Any) -> bool:
+    """Equal including types: 1 and 1.0 compare equal, but differ as JSON."""
+    return dumps(first, 2) == dumps(second, 2)
 
 
 def _updated_names(update: Mapping[str, Any], table: str) -> set[str]:
@@ -192,9 +192,9 @@
 def _collect_steps(
     items: Iterator[tuple[str, Any]], names: set[str] | None
 ) -> Steps[dict[str, Any]]:
-    """Items by name: all, or those of `names`."""
+    """Items by name: all items, or only those in `names`."""
     collected: dict[str, Any] = {}
     while chunk := list(islice(items, SCANNED_PER_STEP)):
-        collected.update(chunk if names is None else [one for one in chunk if one[0] in names])
+        collected.update(chunk if names is None else [pair for pair in chunk if pair[0] in names])
         yield
     return collected
--- a/cairndale/configuration/delta_history.py
+++ b/cairndale/configuration/delta_history.py
@@ -1,4 +1,4 @@
-"""The newest changes of the configuration, from which the leader makes deltas for ingresses."""
+"""The newest changes of the configuration, from which the leader builds deltas for ingresses."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from cairndale.configuration.content_digest import DIGEST_MODULUS, ItemDigest, iter_item_digests
 from cairndale.configuration.delta import ConfigDelta, GenerationChange
 
-MAX_RECORDED_CHANGES = 256  # generations back to which deltas can be made
-DIGESTED_PER_STEP = 400  # items: some 2 ms
-MIN_SAVING_FACTOR = 8  # a delta is sent where its JSON is shorter than the content's by this factor
+MAX_RECORDED_CHANGES = 256  # deltas start at most this many generations back
+DIGESTED_PER_STEP = 400  # items; takes about 2 ms
+MIN_SAVING_FACTOR = 8  # a delta is sent if its JSON is shorter than the content's by this factor
 
 
 class DeltaHistory:
     """Successive changes, and the digest of the content in force.
 
-    Alike at each member that applied the changes. The digest is made a few items at a time
-    (`digest_next_items`), as nobody waits for it: until it is there, whole contents are sent.
+    Identical at all members that applied the changes. The digest is computed a few items at a time
+    (`digest_next_items`), as no caller waits for it: until it is complete, full contents are sent.
     """
 
     def __init__(self) -> None:
         self._changes: deque[GenerationChange] = deque(maxlen=MAX_RECORDED_CHANGES)
         self._digest = 0
         self._size = 0  # bytes of the content's canonical JSON
-        self._undigested: Iterator[ItemDigest] | None = None  # None: not begun
+        self._undigested: Iterator[ItemDigest] | None = None  # None: not started
         self._is_digested = False
-        self._deltas: dict[int, ConfigDelta | None] = {}  # cache, by the generation they apply to
+        self._deltas: dict[int, ConfigDelta | None] = {}  # cache, by base generation
 
     def record(self, change: GenerationChange | None) -> None:
-        """Another content came into force by this change; None: by one that is not known."""
+        """Record that this change came into force; None: a change whose items are not known."""
         self._deltas = {}
         if change is None:
             self._changes.clear()
@@ -41,10 +41,10 @@
             self._is_digested = False
             return
         self._changes.append(change)
-        self._add(change.digest, change.size)  # also while the content before is being digested
+        self._add(change.digest, change.size)  # also while the previous content is being digested
 
     def digest_next_items(self, content: Mapping[str, Any]) -> bool:
-        """Digests some more items of the content in force; True once all are digested."""
+        """Digests the next items of the content in force; True once all are digested."""
         if self._is_digested:
             return True
         if self._undigested is None:
@@ -57,12 +57,12 @@
         return self._is_digested
 
     def delta_since(self, gen: int) -> ConfigDelta | None:
-        """The delta from a generation to the newest; None if none is known, or worth its bytes."""
+        """The delta from a generation to the newest; None if unknown or not worth its bytes."""
         if gen not in self._deltas:
-            self._deltas[gen] = self._make_delta(gen) if self._is_digested else None
+            self._deltas[gen] = self._build_delta(gen) if self._is_digested else None
         return self._deltas[gen]
 
-    def _make_delta(self, gen: int) -> ConfigDelta | None:
+    def _build_delta(self, gen: int) -> ConfigDelta | None:
         changes = self._changes_since(gen)
         if not changes or sum(change.count for change in changes) > delta.MAX_CHANGED_ITEMS:
             return None
@@ -78,7 +78,7 @@
         )
 
     def _changes_since(self, gen: int) -> list[GenerationChange]:
-        """Empty if the generation is not among those before a recorded change."""
+        """The changes after a generation; empty if no recorded change starts at it."""
         changes = list(self._changes)
         for number, change in enumerate(changes):
             if change.base_gen == gen:
--- a/cairndale/configuration/json_stream.py
+++ b/cairndale/configuration/json_stream.py
@@ -1,7 +1,7 @@
-"""JSON of a large request body, decoded in steps to the same value as `json.loads`.
+"""Decodes the JSON of a large request body in steps, to the same value as `json.loads`.
 
-Objects at the top and lists in them are decoded member by member; an item of a list, and what lies
-deeper, is decoded at once.
+The outer objects and the lists in them are decoded member by member. An item of a list, and a value
+that is nested more deeply, is decoded at once.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from cairndale.configuration.stepwise import Steps
 
-LARGE_BODY_BYTES = 64 * 1024  # up to which a body is decoded in one step
-DECODED_BYTES_PER_STEP = 1024 * 1024  # of the body that are turned into text at once
-LOOKAHEAD_CHARS = 64 * 1024  # that are held ahead, while there are as many
-ITEMS_PER_STEP = 500  # of a list
-MAX_SPLIT_DEPTH = 2  # objects within objects that are decoded member by member
-MIN_CHARS_AFTER_VALUE = 3  # without them a number may go on: 1|e+5
+LARGE_BODY_BYTES = 64 * 1024  # largest body that is decoded in one step
+DECODED_BYTES_PER_STEP = 1024 * 1024  # bytes of the body that are converted to text at once
+LOOKAHEAD_CHARS = 64 * 1024  # characters that are buffered ahead of the position
+ITEMS_PER_STEP = 500  # items of a list
+MAX_SPLIT_DEPTH = 2  # levels of nested objects that are decoded member by member
+MIN_CHARS_AFTER_VALUE = 3  # with fewer, a number may be incomplete: 1|e+5
 
 _SPACES = re.compile(r"[ \t\n\r]*")
 _decode_value = json.JSONDecoder().raw_decode
 
 
 def loads_steps(body: bytes) -> Steps[Any]:
-    """The value of a JSON text, as `json.loads` has it. Raises ValueError as that does."""
+    """The value of a JSON text. Returns and raises the same as `json.loads`."""
     if len(body) <= LARGE_BODY_BYTES:
         return json.loads(body)
     reader = _TextReader(body)
@@ -37,7 +37,7 @@
 
 
 class _TextReader:
-    """The text of a body, of which a window is held at a time."""
+    """The text of a body, of which one window is decoded at a time."""
 
     def __init__(self, body: bytes) -> None:
         encoding = json.detect_encoding(body)
@@ -48,7 +48,7 @@
         self._position = 0  # in the window
 
     def peek(self) -> str:
-        """The next character that is no white space; empty at the end."""
+        """The next character that is not white space; empty at the end."""
         while True:
             while len(self._window) - self._position < LOOKAHEAD_CHARS and self._read_more():
                 pass
@@ -58,14 +58,14 @@
                 return self._window[self._position : self._position + 1]
 
     def accept(self, character: str) -> bool:
-        """Passes the character if it is the next one; says whether it was."""
+        """Consumes the character if it is the next one; returns whether it was."""
         if self.peek() != character:
             return False
         self._position += 1
         return True
 
     def read_value(self) -> Any:
-        """The next value as a whole. Raises JSONDecodeError."""
+        """The complete next value. Raises JSONDecodeError."""
         self.peek()
         while True:
             try:
@@ -83,7 +83,7 @@
         return json.JSONDecodeError(message, self._window, self._position)
 
     def _read_more(self) -> bool:
-        """Extends the window, and drops what was passed; False if all is read."""
+        """Extends the window and drops consumed text; False if the body is read to its end."""
         if self._bytes_read > len(self._body):
             return False
         chunk = self._body[self._bytes_read : self._bytes_read + DECODED_BYTES_PER_STEP]
@@ -121,7 +121,7 @@
     has_more = not reader.accept("]")
     while has_more:
         item = reader.read_value()
-        if isinstance(item, dict):  # names are shared, as they are where all is decoded at once
+        if isinstance(item, dict):  # share equal names in memory, as `json.loads` does
             item = {intern(name): value for name, value in item.items()}
         items.append(item)
         if len(items) % ITEMS_PER_STEP == 0:
@@ -131,7 +131,7 @@
 
 
 def _has_next(reader: _TextReader, end: str) -> bool:
-    """After a member: whether another follows, or the object or list ends."""
+    """Whether another member follows; False at the end of the object or list."""
     if reader.accept(end):
         return False
     if not reader.accept(","):
--- a/cairndale/configuration/route_table.py
+++ b/cairndale/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""A configuration as the data plane uses it: routes by host and longest prefix, tenants by key."""
+"""The configuration as the data plane uses it: routes by host and path prefix, tenants by key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TableChange:
-    """Routes and tenants that are new or otherwise than before, as they are now."""
+    """The new state of routes and tenants that were added or changed."""
 
     routes: list[Route]
     tenants: list[Tenant]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ItemChange:
-    """An item from now on, or None if it is removed."""
+    """The new state of an item, or None if it is removed."""
 
     table: str
     name: str
@@ -38,17 +38,17 @@
 class RouteTable:
     """Routes, tenants and services of one generation of the configuration, indexed for requests.
 
-    A delta changes it in place, item by item (`apply_delta`). Whoever keeps what was found here
-    compares `gen` to learn whether it may have changed since.
+    A delta changes the table in place, item by item (`apply_delta`). Callers that cache a result of
+    this table compare `gen` to detect that it may have changed.
 
     Attributes:
         gen: the generation; 0: no configuration.
-        digest: of the content (`content_digest`).
+        digest: the digest of the content (`content_digest`).
         routes, tenants, services, fields: the items by name.
         routes_by_host: routes by host (the virtual host), then by path prefix.
         tenants_by_key: tenants by API key.
         request_classes: the classes of the routes, by name.
-        service_references: how many routes name a service, by its name.
+        service_references: the number of references from routes to a service, by service name.
     """
 
     def __init__(self, content: dict[str, Any]) -> None:
@@ -77,7 +77,7 @@
 
     @property
     def limits(self) -> dict[str, Any]:
-        """The listener's limits, by their names in the configuration."""
+        """The listener's limits by their configuration names."""
         return self.fields["limits"].value if "limits" in self.fields else {}
 
     def routes_of_host(self, host: bytes) -> Mapping[bytes, Route]:
@@ -85,7 +85,7 @@
         return self.routes_by_host.get(normalize_host(host), NO_ROUTES)
 
     def find_route(self, host: bytes, target: bytes) -> Route | None:
-        """The route with the longest prefix of the path, of this host (with or without a port)."""
+        """The route with the longest prefix of the path; `host` may include a port."""
         routes = self.routes_of_host(host)
         if not routes:
             return None
@@ -98,19 +98,22 @@
         return None
 
     def find_tenant(self, authorization: bytes) -> Tenant | None:
-        """The tenant whose key stands in this value of `Authorization`."""
+        """The tenant whose API key is in this value of the `Authorization` header."""
         match = AUTHORIZATION.fullmatch(authorization)
         return self.tenants_by_key.get(match[1]) if match else None
 
     def apply_delta(self, delta: ConfigDelta) -> TableChange:
-        """Applies a delta as a whole, or not at all: raises DeltaError where it does not fit."""
+        """Applies a delta atomically. Raises DeltaError if it does not apply to this content."""
         if (delta.base_gen, delta.base_digest) != (self.gen, self.digest):
             raise DeltaError(
-                f"from gen {delta.base_gen}, where gen {self.gen} stands, or by its digest"
+                f"the delta applies to gen {delta.base_gen}, digest {delta.base_digest:016x};"
+                f" here is gen {self.gen}, digest {self.digest:016x}"
             )
         changes = self._read_changes(delta)
         if self._digest_after(changes) != delta.digest:
-            raise DeltaError(f"gen {delta.gen}: another digest than was told")
+            raise DeltaError(
+                f"gen {delta.gen}: the digest after the delta differs from {delta.digest:016x}"
+            )
         for change in changes:
             self._remove(change.table, change.name)
             if change.item is not None:
@@ -129,7 +132,7 @@
                 try:
                     item = None if raw is None else self._read(table, name, raw)
                 except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
-                    raise DeltaError(f"{name!r} in {table!r}: {error!r}") from error
+                    raise DeltaError(f"item {name!r} of {table!r} is invalid: {error!r}") from error
                 changes.append(_ItemChange(table, name, item))
         return changes
 
@@ -156,19 +159,19 @@
             self.service_references.update(item.services)
 
     def _remove(self, table: str, name: str) -> None:
-        """Removes an item, if there is one of this name."""
+        """Removes the item of this name, if it exists."""
         item: Item | None = self._tables[table].pop(name, None)
         self.digest = (self.digest - _digest_of(item)) % DIGEST_MODULUS
         if isinstance(item, Tenant):
             for key in item.api_keys:
-                if self.tenants_by_key.get(key) is item:  # else another tenant has taken it
+                if self.tenants_by_key.get(key) is item:  # else it was assigned to another tenant
                     del self.tenants_by_key[key]
         elif isinstance(item, Route):
             self._remove_route(item)
 
     def _remove_route(self, route: Route) -> None:
         routes = self.routes_by_host[route.host]
-        if routes.get(route.prefix) is route:  # else another route has taken its place
+        if routes.get(route.prefix) is route:  # else another route has replaced it
             del routes[route.prefix]
         if not routes:
             del self.routes_by_host[route.host]
@@ -184,7 +187,7 @@
 
 
 def _release(references: Counter[str], names: Iterable[str]) -> None:
-    """Takes one reference off each name; names without any are not kept."""
+    """Removes one reference to each name, and the names without references."""
     for name in names:
         references[name] -= 1
         if not references[name]:
@@ -192,7 +195,7 @@
 
 
 def normalize_host(host: bytes) -> bytes:
-    """A host as routes are found by: in lower case, without a port."""
+    """A host in the form that is used as key of routes: in lower case, without a port."""
     host = host.lower()
     name, colon, port = host.rpartition(b":")
     return name if colon and port.isdigit() else host
--- a/cairndale/configuration/routes.py
+++ b/cairndale/configuration/routes.py
@@ -1,6 +1,6 @@
 """Items of the configuration as the data plane uses them, read from their JSON objects.
 
-Each item carries the digest of what it was read from (`content_digest`).
+Each item has the digest of its JSON (`content_digest`).
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from cairndale.ingress.policy.interface import Repeat, RequestClass
 from cairndale.settings import parse_duration
 
-DEFAULT_DEADLINE = "30s"  # of a route that names none
-DEFAULT_TARGET_TIME = "1s"  # of a route that names none
-LATE_ANSWER_VALUE = 0.5  # the value of an answer after the target time, as a part of one in time
+DEFAULT_DEADLINE = "30s"  # of a route without one
+DEFAULT_TARGET_TIME = "1s"  # of a route without one
+LATE_ANSWER_VALUE = 0.5  # value of a response after the target time, relative to one in time
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route:
-    """Which requests go to which services.
+    """Maps requests of a host and path prefix to services.
 
     Attributes:
-        request_class: the kind, times and attempts that it shares with routes alike.
-        services: where to, with a weight for each in `weights`.
-        public: whether requests need no tenant's key.
-        home_regions: the regions that may serve it; empty: any.
-        priority: 0 is the most important.
-        host: in lower case.
-        prefix: of the path; begins and ends with a slash.
+        request_class: the kind, times and attempts, shared by routes with the same values.
+        services: the services that handle the requests; `weights` has a weight for each.
+        public: whether requests need no API key of a tenant.
+        home_regions: the regions that may serve the route; empty: any.
+        priority: 0 is the highest priority.
+        host: the host in lower case.
+        prefix: the path prefix; begins and ends with a slash.
     """
 
     name: str
@@ -45,7 +45,7 @@
     digest: int
 
     def service(self, rng: random.Random) -> str:
-        """The service for one request, drawn by weight."""
+        """Selects a service for one request at random, by weight."""
         if len(self.services) == 1:
             return self.services[0]
         return rng.choices(self.services, self.weights)[0]
@@ -53,14 +53,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tenant:
-    """Who sends requests, known by an API key.
+    """A sender of requests, identified by an API key.
 
     Attributes:
-        priority: 0 is the most important.
+        priority: 0 is the highest priority.
         rate_per_s: requests per second of its quota; 0: no limit.
-        burst: requests that it may send at once.
-        home_regions: the regions that may serve it; empty: any.
-        api_keys: any of which stands in `Authorization`.
+        burst: requests that the tenant may send at once.
+        home_regions: the regions that may serve the tenant; empty: any.
+        api_keys: the keys; requests have one of them in the `Authorization` header.
     """
 
     name: str
@@ -74,12 +74,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """A cluster of servers that serve the same.
+    """A cluster of servers that serve the same requests.
 
     Attributes:
-        warmup_s: seconds of slow start of a server.
-        warmup_requests_per_s: what a server can handle in slow start; 0: unknown.
-        max_connections: that a server takes from all callers; 0: unknown.
+        warmup_s: the duration of a server's slow start, in seconds.
+        warmup_requests_per_s: requests that a server can handle in slow start; 0: unknown.
+        max_connections: connections that a server accepts in total; 0: unknown.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TopLevelField:
-    """A top-level field of the content that is no table, such as `limits`."""
+    """A top-level field of the content that is not a table, such as `limits`."""
 
     name: str
     value: Any
@@ -104,8 +104,8 @@
 def read_item(table: str, name: str, raw: Any, request_classes: Mapping[str, RequestClass]) -> Item:
     """An item of a table, or of TOP_LEVEL_FIELDS, from its JSON.
 
-    `request_classes`: those that exist, by name; a route alike shares its class. Raises ValueError,
-    KeyError, TypeError, AttributeError or IndexError if the JSON is no such item.
+    `request_classes`: the existing classes by name, which a route with the same values shares.
+    Raises ValueError, KeyError, TypeError, AttributeError or IndexError if the JSON is not valid.
     """
     digest = item_digest(table, name, raw).value
     match table:
@@ -161,7 +161,7 @@
 def _read_request_class(
     raw: dict[str, Any], request_classes: Mapping[str, RequestClass]
 ) -> RequestClass:
-    """Routes of the same kind, times and attempts are one class to the request policy."""
+    """The request class of a route; routes of the same kind, times and attempts share one."""
     deadline = raw.get("deadline", DEFAULT_DEADLINE)
     target_time = raw.get("target_time", DEFAULT_TARGET_TIME)
     attempts = int(raw.get("tries", 1))
--- a/cairndale/configuration/serialization.py
+++ b/cairndale/configuration/serialization.py
@@ -1,12 +1,13 @@
-"""The stored form of the state, and of large commands: a JSON object in parts.
+"""The stored form of the state and of large commands: a JSON object split into parts.
 
-Format 2, which is written: one byte of format, then parts. A part is four bytes of length
-(big-endian), then a list of records (JSON, zlib). A record is `[path, value]`: an object at this
-path gets these members, a list these items more, and anything else is put there. A part is some
-32 KiB of JSON, or one item that is larger, so that encoding or decoding it holds an event loop for
-a few milliseconds at most; the caller may pause after each.
+Format 2 is written and read. It is one byte that identifies the format, then parts. A part is its
+length in four bytes (big-endian), then a list of records (JSON, zlib). A record is `[path, value]`:
+a value that is an object is merged into the object at this path, a list is appended to the list
+there, and any other value is set there. A part has about 32 KiB of JSON, or one larger item, so
+that encoding or decoding it blocks an event loop for a few milliseconds at most; the caller may
+yield to the event loop after each part.
 
-Format 1, which is read: the whole object at once (JSON, zlib).
+Format 1 is only read. It is the complete object at once (JSON, zlib).
 """
 
 from __future__ import annotations
@@ -18,11 +19,13 @@
 from typing import Any
 
 FORMAT = b"\x02"
-FORMAT_1 = b"\x78"  # how zlib begins
-PART_TEXT_BYTES = 32 * 1024  # of JSON after which a part ends
+FORMAT_1 = b"\x78"  # the first byte of zlib data
+PART_TEXT_BYTES = 32 * 1024  # of JSON, after which a part ends
 ITEMS_PER_RECORD = 32
-MAX_SPLIT_DEPTH = 2  # objects within objects whose members have records of their own
-MAX_PART_TEXT_BYTES = 64 * 1024 * 1024  # of JSON in one part: bounds what a foreign one unpacks to
+MAX_SPLIT_DEPTH = 2  # levels of nested objects whose members have separate records
+MAX_PART_TEXT_BYTES = (
+    64 * 1024 * 1024
+)  # of JSON in one part; bounds the memory for data of other origin
 
 _LENGTH = struct.Struct(">I")
 
@@ -30,16 +33,16 @@
 
 
 class FormatError(ValueError):
-    """The data is no stored state, or is one of an unknown format."""
+    """The data is not a stored state, or its format is unknown."""
 
 
 def encode(value: dict[str, Any]) -> bytes:
-    """The stored form of a JSON object, without a pause."""
+    """The stored form of a JSON object, encoded in one go."""
     return b"".join(encode_parts(value))
 
 
 def decode(data: bytes) -> dict[str, Any]:
-    """The JSON object of a stored form, without a pause. Raises FormatError."""
+    """The JSON object of a stored form, decoded in one go. Raises FormatError."""
     value: dict[str, Any] = {}
     for _ in decode_parts(data, value):
         pass
@@ -47,9 +50,9 @@
 
 
 def encode_parts(value: dict[str, Any]) -> Iterator[bytes]:
-    """The stored form piece by piece: the format, then each part.
+    """The stored form in pieces: the format byte, then each part.
 
-    Neither the object nor anything in it may change meanwhile.
+    The object and the values in it must not change until the iteration ends.
     """
     yield FORMAT
     records: list[str] = []
@@ -70,7 +73,7 @@
 
 
 def _iter_records(path: tuple[str, ...], value: Any) -> Iterator[str]:
-    """JSON of the records that build the value at this path."""
+    """The JSON of the records that make up the value at this path."""
     if isinstance(value, dict) and len(path) <= MAX_SPLIT_DEPTH:
         yield from _iter_object_records(path, value)
     elif isinstance(value, list):
@@ -82,7 +85,7 @@
 
 
 def _iter_object_records(path: tuple[str, ...], value: dict[str, Any]) -> Iterator[str]:
-    """Members in order; those that are not split share records."""
+    """Records of the members in order; members that are not split share records."""
     yield _to_json([path, {}])
     unsplit: dict[str, Any] = {}
     for name, member in value.items():
@@ -101,9 +104,9 @@
 
 
 def decode_parts(data: bytes, target: dict[str, Any]) -> Iterator[None]:
-    """Fills `target` from a stored form of either format, with a pause after each part.
+    """Fills `target` from a stored form of either format, and yields after each part.
 
-    No data is an empty state. Raises FormatError.
+    Empty data is an empty state. Raises FormatError.
     """
     if data[:1] == FORMAT_1:
         try:
@@ -117,7 +120,7 @@
 
 
 class PartsDecoder:
-    """Fills a JSON object from the stored form (format 2) as that arrives, cut anywhere."""
+    """Fills a JSON object from the stored form (format 2), received in chunks of any size."""
 
     def __init__(self, target: dict[str, Any]) -> None:
         self._target = target
@@ -125,7 +128,7 @@
         self._has_format = False
 
     def feed(self, data: bytes) -> Iterator[None]:
-        """Decodes all parts that are complete by now, with a pause after each.
+        """Decodes all parts that are complete so far, and yields after each.
 
         Raises FormatError.
         """
@@ -145,19 +148,19 @@
     def finish(self) -> None:
         """Raises FormatError if the last part is not complete."""
         if self._buffer:
-            raise FormatError("a part is cut off")
+            raise FormatError(f"the last part is truncated: {len(self._buffer)} bytes left over")
 
     def _check_format(self) -> int:
-        """The position behind the byte of format, if it stands in the buffer."""
+        """The position after the format byte, if that is in the buffer."""
         if not self._buffer or self._has_format:
             return 0
         if self._buffer[:1] != FORMAT:
-            raise FormatError(f"format {bytes(self._buffer[:1])!r}, where {FORMAT!r} is known")
+            raise FormatError(f"unknown format {bytes(self._buffer[:1])!r}, expected {FORMAT!r}")
         self._has_format = True
         return 1
 
     def _end_of_part(self, start: int) -> int | None:
-        """Where the part that starts here ends; None if it is not complete."""
+        """The end of the part at `start`; None if the part is not complete."""
         if len(self._buffer) - start < _LENGTH.size:
             return None
         (size,) = _LENGTH.unpack_from(self._buffer, start)
@@ -168,7 +171,9 @@
         decompressor = zlib.decompressobj()
         text = decompressor.decompress(part, MAX_PART_TEXT_BYTES)
         if not decompressor.eof:
-            raise FormatError("a part is not whole, or larger than any of ours")
+            raise FormatError(
+                f"a part is truncated, or larger than {MAX_PART_TEXT_BYTES} bytes of JSON"
+            )
         for path, value in json.loads(text):
             _merge_record(self._target, path, value)
 
--- a/cairndale/configuration/state.py
+++ b/cairndale/configuration/state.py
@@ -1,8 +1,8 @@
-"""The replicated state machine: the configuration in force and the zones that are evacuated.
+"""The replicated state machine: the configuration in force and the evacuated zones.
 
-Each member of the control cluster applies the same commands in the order of the log. What a command
-leads to depends on the state and the command alone, so that the states stay alike, byte for byte
-when encoded.
+Each member of the control cluster applies the same commands in the order of the log. The result of
+a command depends only on the state and the command, so the members' states stay identical, byte for
+byte when encoded.
 """
 
 from __future__ import annotations
@@ -17,14 +17,16 @@
 from cairndale.configuration.delta_history import DeltaHistory
 from cairndale.configuration.stepwise import Steps
 
-MAX_IDEMPOTENCY_RECORDS = 20_000  # a day's changes: a change sent again within it is recognised
-MAX_EVACUATION_CALLS = 4_096  # calls for zones that are recognised when they are sent again
-REJECTED = -1  # in an idempotency record in place of a gen: the change was rejected for good
+MAX_IDEMPOTENCY_RECORDS = (
+    20_000  # the changes of one day, within which a repeated change is detected
+)
+MAX_EVACUATION_CALLS = 4_096  # calls for zones that are detected when they are repeated
+REJECTED = -1  # in an idempotency record in place of a gen: permanently rejected
 EARLIEST_MAX_RECORDS = 256  # idempotency records that the first versions kept
 
 # The state's attributes in the order in which they are stored, and the key of each in the stored
-# JSON. Keys and order are a format: members of older versions read them, and members compare
-# encoded states by digest (docs/state.md).
+# JSON. Keys and their order are part of the format: members of older versions read them, and
+# members compare encoded states by digest (docs/state.md).
 STORED_KEYS = {
     "gen": "gen",
     "content": "content",
@@ -55,16 +57,16 @@
     Attributes:
         gen: the generation of the configuration in force; 0 before the first.
         content: the configuration in force, as a JSON object.
-        evacuated: evacuated zones, each with the number of orders in force for it.
-        latest_evacuation_orders: by zone, the id of the order that was applied last.
-        version: rises with each change that the data plane has to hear of.
-        edges: names of data-plane nodes that may hold leases, whoever leads; sorted.
-        idempotency_records: by the digest of a change, the gen that it led to, or REJECTED; oldest
-            first.
+        evacuated: the number of evacuation orders in force, by evacuated zone.
+        latest_evacuation_orders: the id of the last applied order, by zone.
+        version: increases with each change that has to be sent to the data plane.
+        edges: names of data-plane nodes that may hold leases, whichever member leads; sorted.
+        idempotency_records: the gen that a change resulted in, or REJECTED, by the digest of the
+            change; oldest first.
         evicted_gen: the highest gen among evicted idempotency records.
-        evacuation_calls: by the id of a call for a zone, the order that it belongs to; oldest
-            first.
-        system_name: the name of the whole system: the first that was drawn.
+        evacuation_calls: the order that a call for a zone belongs to, by the id of the call;
+            oldest first.
+        system_name: the name of the system; the first one that was proposed is final.
     """
 
     gen: int = 0
@@ -89,13 +91,13 @@
 
     @property
     def history(self) -> DeltaHistory:
-        """The newest changes of the content, from which deltas are made."""
+        """The newest changes of the content, from which deltas are built."""
         return self._history
 
     def encoded_content(self) -> bytes:
-        """The content as ingresses receive it, encoded once for all of them.
+        """The content as ingresses receive it, encoded once for all ingresses.
 
-        Encodes it without a pause if `encode_content_steps` has not done so before.
+        Encodes it in one go if `encode_content_steps` has not done so before.
         """
         stepwise.run_to_completion(self.encode_content_steps())
         return self._encoded_content.data
@@ -108,21 +110,21 @@
             self._encoded_content = _EncodedContent(gen=gen, data=data)
 
     def resulting_content_steps(self, command: Command) -> Steps[Content]:
-        """The content that a Replace or Update would bring about; the state stays as it is."""
+        """The content that a Replace or Update would result in; the state does not change."""
         if command.verb is Verb.UPDATE:
             return (yield from updated_content_steps(self.content, command.body))
         return {name: value for name, value in command.body.items() if name != "parent"}
 
     def apply(self, command: Command) -> bool:
-        """Applies a command without a pause; see `apply_steps`."""
+        """Applies a command in one go; see `apply_steps`."""
         return stepwise.run_to_completion(self.apply_steps(command))
 
     def apply_steps(self, command: Command, encodes_content: bool = False) -> Steps[bool]:
-        """Applies a command; the state changes with the last step, and not before.
+        """Applies a command; the state changes in the last step, not before.
 
-        Returns False if the command is void (another change came first, or it was applied before)
-        or of no interest to the data plane. `encodes_content`: a new content is encoded for
-        ingresses as well, before it comes into force.
+        Returns False if the command has no effect (another change was applied first, or this one
+        was applied before) or is irrelevant to the data plane. `encodes_content`: also encode new
+        content for ingresses before it comes into force.
         """
         match command.verb:
             case Verb.REPLACE | Verb.UPDATE:
@@ -171,15 +173,15 @@
         self.evacuated = {z: count for z, count in self.evacuated.items() if z != zone}
         if orders:
             self.evacuated[zone] = orders
-        if not (orders_before and orders):  # else the zone stays evacuated: no news
+        if not (orders_before and orders):  # else the zone stays evacuated: nothing to send
             self.version += 1
         return True
 
     def _is_first_call(self, command: Command) -> bool:
         """Whether neither the call nor its order was applied before.
 
-        An order is named after its first call. A call may come by way of several nodes, and an
-        order by several calls.
+        The id of an order is the id of its first call. A call may arrive through several nodes, and
+        several calls may belong to the same order.
         """
         call = command.call_id
         if call in self.evacuation_calls:
@@ -199,14 +201,14 @@
             self.evicted_gen = max(self.evicted_gen, evicted)
 
     def record_may_be_evicted(self, gen: int) -> bool:
-        """Whether a change to this gen may have been accepted though it has no record now."""
+        """Whether a change to this gen may have been accepted although it has no record now."""
         return gen <= self.evicted_gen
 
     def to_dict(self) -> dict[str, Any]:
         """The state as a JSON object, for a snapshot that is encoded while commands are applied.
 
-        Lists and objects are copied one level deep: what stands deeper is replaced by commands, and
-        never changed.
+        Lists and objects are copied one level deep: commands replace nested values and never change
+        them in place.
         """
         values = {key: getattr(self, name) for name, key in STORED_KEYS.items()}
         return {
@@ -216,19 +218,19 @@
 
     @classmethod
     def from_dict(cls, raw: dict[str, Any]) -> State:
-        """The reverse of `to_dict`; a key that is missing has its default. Raises FormatError."""
+        """The reverse of `to_dict`; missing keys get their defaults. Raises FormatError."""
         try:
             return cls(**{_ATTRIBUTES[key]: value for key, value in raw.items()})
         except KeyError as error:
-            raise serialization.FormatError(f"the state has no key {error}") from error
+            raise serialization.FormatError(f"unknown key in the stored state: {error}") from error
         except (AttributeError, TypeError) as error:
             raise serialization.FormatError(str(error)) from error
 
     def encode(self) -> bytes:
-        """The stored form (format 2 of `serialization`), alike at each member."""
+        """The stored form (format 2 of `serialization`), identical at all members."""
         return serialization.encode(self.to_dict())
 
     @classmethod
     def decode(cls, data: bytes) -> State:
-        """The state of a stored form of either format. Raises FormatError."""
+        """The state of a stored form in either format. Raises FormatError."""
         return cls.from_dict(serialization.decode(data))
--- a/cairndale/configuration/stepwise.py
+++ b/cairndale/configuration/stepwise.py
@@ -1,8 +1,8 @@
-"""Work cut into steps, so that an event loop can serve others between two of them.
+"""Long computations split into steps, so that an event loop can run other tasks in between.
 
-A job is a generator that yields after each step, of some milliseconds at most, and returns its
-result. Who drives it decides when the next step runs: `run_to_completion` runs all of them,
-`advance` as many as fit in a time budget.
+A job is a generator that yields after each step of a few milliseconds at most and returns its
+result. The caller decides when the next step runs: `run_to_completion` runs all steps, `advance` as
+many as fit in a time budget.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished(Generic[T]):
-    """The end of a job, with what it came to."""
+    """The result of a job that has ended."""
 
     result: T
 
 
 def advance(steps: Steps[T], budget_s: float = 0.0) -> Finished[T] | None:
-    """Runs one step, and more of them until `budget_s` seconds have passed.
+    """Runs one step, then further steps until `budget_s` seconds have passed.
 
-    Returns None while steps are left. Raises what the job raises.
+    Returns None if steps are left. Raises what the job raises.
     """
     deadline = time.perf_counter() + budget_s
     while True:
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Whether a configuration, or a change of it, is valid: every error at once, each with its path."""
+"""Validates a configuration or a change to it; returns all errors, each with its path."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 from cairndale.settings import parse_duration
 
 ROUTE_KINDS = ("idempotent", "mutating")
-ITEMS_PER_STEP = 100  # whose fields are checked: a leader has to renew its lease in between
-LOOKUPS_PER_STEP = 1_000  # of values among those of other items
+ITEMS_PER_STEP = 100  # items whose fields are checked; the leader renews its lease in between
+LOOKUPS_PER_STEP = 1_000  # look-ups of a value among the values of other items
 DURATION_LIMITS = ("headerTimeout", "idleTimeout")
 SIZE_LIMITS = ("maxHeaderBytes", "maxBodyBytes")
 
@@ -82,8 +82,8 @@
     Optional(str): object,
 }
 _EXPECTATIONS = {
-    "pathPrefix": "is no path that begins and ends with a slash",
-    "kind": f"is none of {', '.join(ROUTE_KINDS)}",
+    "pathPrefix": "is not a path that begins and ends with a slash",
+    "kind": f"is not one of {', '.join(ROUTE_KINDS)}",
     "deadline": NOT_A_DURATION,
     "target_time": NOT_A_DURATION,
     "warmup": NOT_A_DURATION,
@@ -96,23 +96,23 @@
 
 
 def content_errors(content: dict[str, Any]) -> list[str]:
-    """All that is wrong with a whole configuration, as it would be in force."""
+    """All errors of a complete configuration, as it would be in force."""
     return run_to_completion(content_errors_steps(content))
 
 
 def content_errors_steps(content: dict[str, Any]) -> Steps[list[str]]:
-    """The same in steps: a large configuration takes longer than a leader's lease."""
+    """Like `content_errors`, in steps: a large configuration takes longer than a leader's lease."""
     return (yield from _ContentCheck(content).run_steps())
 
 
-# A path with the item or value that stands there. Pairs, since objects take a quarter longer for
-# the whole check.
+# A path, and the item or value at this path. A tuple, as with objects the whole check takes a
+# quarter longer.
 _Located = tuple[str, Any]
 
 
 @dataclass(slots=True)
 class _ContentCheck:
-    """One check of a content: fields first, then how valid items fit together."""
+    """One check of a content: first the fields of items, then constraints between valid items."""
 
     content: dict[str, Any]
     errors: list[str] = field(default_factory=list)
@@ -125,7 +125,7 @@
             yield from self._check_table_steps(table)
         yield
         yield from self._check_services_steps()
-        yield from self._check_unique_steps("this host and prefix", self._route_places())
+        yield from self._check_unique_steps("this host and prefix", self._host_prefixes())
         yield from self._check_unique_steps("one of these keys", self._api_keys())
         self.errors += _limits_errors(self.content.get("limits", {}))
         return self.errors
@@ -133,7 +133,7 @@
     def _check_table_steps(self, table: str) -> Steps[None]:
         items = self.content.get(table, [])
         if not isinstance(items, list):
-            self.errors.append(f"{table}: is no list")
+            self.errors.append(f"{table}: is not a list")
             return
         rules, valid = ITEM_RULES[table], self.valid[table]
         for number, item in enumerate(items):
@@ -148,14 +148,14 @@
         yield from self._check_unique_steps("this name", names)
 
     def _check_services_steps(self) -> Steps[None]:
-        """Each route names services that there are, in one way."""
+        """Each route names existing services, in exactly one of `backend` and `split`."""
         services = {service["name"] for _, service in self.valid["backends"]}
         for number, (path, route) in enumerate(self.valid["routes"], 1):
             if number % LOOKUPS_PER_STEP == 0:
                 yield
             self.errors += _service_errors(path, route, services)
 
-    def _route_places(self) -> Iterator[_Located]:
+    def _host_prefixes(self) -> Iterator[_Located]:
         for path, route in self.valid["routes"]:
             yield path, (route["host"].lower(), route["pathPrefix"])
 
@@ -165,11 +165,11 @@
                 yield f"{path}.apiKeys", key
 
     def _check_unique_steps(self, label: str, values: Iterator[_Located]) -> Steps[None]:
-        """Each value stands in one place only."""
+        """Each value occurs at one path only."""
         first_paths: dict[Any, str] = {}
         for number, (path, value) in enumerate(values, 1):
             if value in first_paths:
-                self.errors.append(f"{path}: {label} stands in {first_paths[value]} as well")
+                self.errors.append(f"{path}: {label} is also used in {first_paths[value]}")
             else:
                 first_paths[value] = path
             if number % LOOKUPS_PER_STEP == 0:
@@ -181,18 +181,18 @@
     errors: list[str] = []
     split = route.get("split")
     if ("backend" in route) == bool(split):
-        errors.append(f"{path}: wants one of backend and split")
+        errors.append(f"{path}: needs exactly one of backend and split")
     for part in [route] if "backend" in route else split or []:
         if part["backend"] not in services:
             errors.append(f"{path}: the service {part['backend']!r} is unknown")
     if split and not sum(part["weight"] for part in split) > 0:
-        errors.append(f"{path}.split: no weight is over 0")
+        errors.append(f"{path}.split: no weight is greater than 0")
     return errors
 
 
 def _limits_errors(limits: Any) -> list[str]:
     if not isinstance(limits, dict):
-        return ["limits: is no object"]
+        return ["limits: is not an object"]
     errors: list[str] = []
     for name in DURATION_LIMITS:
         try:
@@ -202,17 +202,17 @@
     for name in SIZE_LIMITS:
         size = limits.get(name, 0)
         if not isinstance(size, int) or isinstance(size, bool):
-            errors.append(f"limits.{name}: {size!r} is no whole number")
+            errors.append(f"limits.{name}: {size!r} is not an integer")
     return errors
 
 
 def change_errors(body: Any, is_replace: bool, gen: int) -> list[str]:
-    """All that is wrong with the frame of a Replace or Update, whatever the content in force.
+    """All errors of a Replace or Update that do not depend on the content in force.
 
-    `gen`: the generation that the change has to lie above.
+    `gen`: the generation that the change's generation has to be above.
     """
     if not isinstance(body, dict):
-        return ["the body is no JSON object"]
+        return ["the body is not a JSON object"]
     errors = _generation_errors(body, gen)
     if is_replace:
         errors += [f"{name}: is missing" for name in ("routes", "backends") if name not in body]
@@ -226,7 +226,7 @@
     errors: list[str] = []
     for name in ("gen", "parent"):
         if not is_count(value := body.get(name)):
-            errors.append(f"{name}: {value!r} is no whole number")
+            errors.append(f"{name}: {value!r} is not a non-negative integer")
     if not errors and body["gen"] <= gen:
         errors.append(f"gen: {body['gen']} is not above {gen}")
     return errors
@@ -234,14 +234,14 @@
 
 def _update_part_errors(part: str, tables: Any, item_type: type) -> list[str]:
     if not isinstance(tables, dict):
-        return [f"{part}: is no object"]
+        return [f"{part}: is not an object"]
     errors: list[str] = []
     for table, items in tables.items():
         path = f"{part}.{table}"
         if table not in TABLES:
-            errors.append(f"{path}: is not known")
+            errors.append(f"{path}: is unknown")
         elif not isinstance(items, list) or not all(isinstance(one, item_type) for one in items):
-            errors.append(f"{path}: is no list of {'items' if item_type is dict else 'names'}")
+            errors.append(f"{path}: is not a list of {'items' if item_type is dict else 'names'}")
         elif item_type is dict and not all(isinstance(one.get("name"), str) for one in items):
             errors.append(f"{path}: an item has no name")
     return errors
--- a/cairndale/registry/__init__.py
+++ b/cairndale/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Soft state of the leader: endpoints by their heartbeats, data-plane nodes by their leases."""
+"""Soft state of the leader: endpoints, kept by heartbeats, and nodes, kept by leases."""
--- a/cairndale/registry/endpoints.py
+++ b/cairndale/registry/endpoints.py
@@ -1,8 +1,8 @@
-"""Registry of server endpoints: soft state, rebuilt from the servers' own heartbeats after a loss.
+"""Registry of server endpoints: soft state, rebuilt from the servers' heartbeats after a loss.
 
-Nothing here is durable or replicated through the log. A follower keeps a copy that it is sent by
-the leader, so that it can begin with it should it lead next. Times are seconds on the clock of the
-process that holds the registry.
+Nothing here is durable or replicated through the log. The leader sends a copy to each follower,
+which starts with it if it becomes the leader. Times are seconds on the clock of the process that
+has the registry.
 """
 
 from __future__ import annotations
@@ -13,15 +13,14 @@
 
 from cairndale.settings import parse_duration
 
-REPORTED_STATES = ("ready", "draining")  # by a server itself; the third, "gone", is concluded here
-MISSED_HEARTBEATS = 3  # in a row, after which an endpoint counts as gone
+REPORTED_STATES = ("ready", "draining")  # by a server itself; the third state, "gone", is set here
+MISSED_HEARTBEATS = 3  # consecutive ones, after which an endpoint is marked as gone
 MAX_CAPACITY = 1_000_000  # request slots that a server may report
 MAX_SEQUENCE = 1 << 62
 MAX_WARMUP_S = 3600.0
-# Two reports of one warm-up differ by the time the heartbeats take.
+# Two reports of the same warm-up differ by the transmission times of the heartbeats.
 WARMUP_TOLERANCE_S = 0.3
-# An endpoint that is gone stays known for this long, so that a delayed heartbeat does not bring it
-# back.
+# How long the record of a gone endpoint is kept, so that a delayed heartbeat does not add it again.
 TOMBSTONE_S = 30.0
 
 _UPDATED_FIELDS = ("service", "addr", "zone", "gen", "capacity", "state")
@@ -30,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EncodedEndpoint:
-    """The serialised form of an endpoint, and the registry version at which it was made."""
+    """The encoded form of an endpoint, and the registry version at which it was encoded."""
 
     version: int
     data: bytes
@@ -41,31 +40,31 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A server as it was last reported."""
+    """The last reported state of a server."""
 
     id: str
     service: str
     addr: str
     zone: str
     gen: str
-    capacity: int  # requests at a time
+    capacity: int  # concurrent requests
     state: str
     warmup_until: float
-    seq: int  # of its newest heartbeat
+    seq: int  # sequence number of its newest heartbeat
     last_heartbeat_at: float
-    has_ended: bool = False  # it reported its own end: later heartbeats are ignored
+    has_ended: bool = False  # it reported that it ends: later heartbeats are ignored
     changed_at_version: int = 0  # the registry's version at its last change
     encoded: EncodedEndpoint = _NOT_ENCODED
 
     def is_refreshed_by(self, heartbeat: Endpoint) -> bool:
-        """Whether a later heartbeat changes nothing that the data plane has to know."""
+        """Whether a later heartbeat changes nothing that has to be sent to the data plane."""
         is_same = all(getattr(self, n) == getattr(heartbeat, n) for n in _COMPARED_FIELDS)
         known_until = max(self.warmup_until, heartbeat.last_heartbeat_at)
         return is_same and heartbeat.warmup_until <= known_until + WARMUP_TOLERANCE_S
 
 
 class HeartbeatError(ValueError):
-    """A heartbeat's body is not valid; `errors` holds every error, each with its path."""
+    """A heartbeat's body is not valid; `errors` has all errors, each with its path."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -75,16 +74,16 @@
 def read_heartbeat(id: str, raw: Any, now: float) -> Endpoint:
     """The endpoint that the decoded JSON body of a heartbeat describes.
 
-    Raises HeartbeatError with all that is wrong.
+    Raises HeartbeatError with all errors.
     """
     errors: list[str] = []
     details, status = (raw.get(n) if isinstance(raw, dict) else None for n in ("details", "status"))
     addr = _text(raw, "", "addr", errors)
     if addr and not (addr.rpartition(":")[0] and addr.rpartition(":")[2].isdigit()):
-        errors.append(f"addr: {addr!r} is no address")
+        errors.append(f"addr: {addr!r} is not an address of the form host:port")
     state = _text(status, "status.", "state", errors)
     if state and state not in REPORTED_STATES:
-        errors.append(f"status.state: {state!r} is none of {', '.join(REPORTED_STATES)}")
+        errors.append(f"status.state: {state!r} is not one of {', '.join(REPORTED_STATES)}")
     warmup_until = now + _warmup_left(status, errors)
     endpoint = Endpoint(
         id=id,
@@ -107,15 +106,17 @@
     value = parent.get(name) if isinstance(parent, dict) else None
     if isinstance(value, str) and value:
         return value
-    errors.append(f"{path}{name}: {value!r} is not what stands there")
+    errors.append(f"{path}{name}: {value!r} is not a non-empty string")
     return ""
 
 
-def _number(parent: Any, path: str, name: str, least: int, most: int, errors: list[str]) -> int:
+def _number(
+    parent: Any, path: str, name: str, minimum: int, maximum: int, errors: list[str]
+) -> int:
     value = parent.get(name) if isinstance(parent, dict) else None
-    if isinstance(value, int) and not isinstance(value, bool) and least <= value <= most:
+    if isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum:
         return value
-    errors.append(f"{path}{name}: {value!r} is not what stands there")
+    errors.append(f"{path}{name}: {value!r} is not an integer from {minimum} to {maximum}")
     return 0
 
 
@@ -129,7 +130,7 @@
 
 
 class EndpointRegistry:
-    """All endpoints, with a version that rises with every change that the data plane has to know.
+    """All endpoints, with a version that increases with every change relevant to the data plane.
 
     Versions are comparable within one leader's epoch only.
     """
@@ -137,7 +138,7 @@
     def __init__(self) -> None:
         self.endpoints: dict[str, Endpoint] = {}  # by id
         self.version = 0
-        self._by_last_change: dict[str, None] = {}  # ids; the one changed last stands last
+        self._by_last_change: dict[str, None] = {}  # ids, the last changed one at the end
 
     def _mark_changed(self, endpoint: Endpoint) -> None:
         self.version += 1
@@ -149,10 +150,10 @@
         self._by_last_change[id] = None
 
     def record_heartbeat(self, heartbeat: Endpoint) -> bool:
-        """Take in a heartbeat. True if the data plane has to know.
+        """Record a heartbeat. True if the change has to be sent to the data plane.
 
         Heartbeats older than the newest one, and those of a server that reported its end, are
-        ignored. A draining server does not become ready again within its life.
+        ignored. A draining server does not become ready again until it restarts.
         """
         known = self.endpoints.get(heartbeat.id)
         if known is None:
@@ -162,7 +163,9 @@
         if known.has_ended or heartbeat.seq < known.seq:
             return False
         known.seq, known.last_heartbeat_at = heartbeat.seq, heartbeat.last_heartbeat_at
-        if known.state == "draining" and heartbeat.state == "ready":  # sent before it drained
+        if (
+            known.state == "draining" and heartbeat.state == "ready"
+        ):  # sent before it started to drain
             heartbeat.state = known.state
         is_refresh = known.is_refreshed_by(heartbeat)
         known.warmup_until = heartbeat.warmup_until
@@ -174,9 +177,9 @@
         return True
 
     def mark_ended(self, id: str, now: float) -> bool:
-        """Take in that a server has reported its end. True if the data plane has to know.
+        """Record that a server reported its end. True if this has to be sent to the data plane.
 
-        One that is not known yet is recorded as gone, since a delayed heartbeat may follow.
+        An unknown server is recorded as gone too, since a delayed heartbeat may follow.
         """
         known = self.endpoints.get(id)
         if known is None:
@@ -188,10 +191,10 @@
         return True
 
     def expire(self, now: float, heartbeat_interval: float) -> bool:
-        """Count endpoints without recent heartbeats as gone, and forget those long gone.
+        """Mark endpoints without recent heartbeats as gone, and remove the expired tombstones.
 
-        An endpoint that is gone by its silence alone comes back with its next heartbeat. True if
-        the data plane has to know.
+        An endpoint that is gone only for lack of heartbeats is added again by its next heartbeat.
+        True if a change has to be sent to the data plane.
         """
         before = self.version
         for id, endpoint in list(self.endpoints.items()):
@@ -206,10 +209,10 @@
         return self.version != before
 
     def restart_warmup(self, zone: str, now: float, warmups: dict[str, float]) -> bool:
-        """Begin the warm-up (slow start) of a zone's endpoints anew, as when its evacuation ends.
+        """Restart the warm-up (slow start) of a zone's endpoints, as when its evacuation ends.
 
-        They had no traffic and may have become cold since their last heartbeat. `warmups` holds
-        the seconds by service. True if the data plane has to know.
+        They had no traffic and may have to warm up again. `warmups` has the duration in seconds by
+        service. True if a change has to be sent to the data plane.
         """
         before = self.version
         for endpoint in self.endpoints.values():
@@ -220,7 +223,7 @@
         return self.version != before
 
     def changed_since(self, version: int) -> list[Endpoint]:
-        """Endpoints that changed after `version`, the newest change first."""
+        """Endpoints that changed after `version`, most recent change first."""
         changed = []
         for id in reversed(self._by_last_change):
             if (endpoint := self.endpoints[id]).changed_at_version <= version:
@@ -229,7 +232,7 @@
         return changed
 
     def apply_update(self, update: Iterable[Endpoint], version: int, is_full: bool) -> None:
-        """Take over what the leader's registry holds at `version`: all of it, or what changed."""
+        """Apply an update from the leader's registry at `version`: a full list, or only changes."""
         if is_full:
             self.endpoints, self._by_last_change = {}, {}
         for endpoint in update:
--- a/cairndale/registry/heartbeats.py
+++ b/cairndale/registry/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats that reach a follower and report nothing new, collected for the leader.
+"""Heartbeats received by a follower that report no change, collected for the leader.
 
-Most heartbeats are of this kind. A follower in contact with the leader answers them itself and
-reports them together, which keeps the leader's load independent of the number of servers.
+Most heartbeats report no change. A follower in contact with the leader responds to them itself and
+reports them in batches, which keeps the leader's load independent of the number of servers.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class HeartbeatCollector:
-    """Collects refreshing heartbeats until a leader has acknowledged them.
+    """Collects heartbeats without changes until a leader has acknowledged them.
 
-    Nothing is lost with a leader that changes meanwhile: the report is repeated to the next one.
+    A leader change loses none of them: the report is repeated to the next leader.
     Times are seconds on this process's clock.
     """
 
@@ -37,9 +37,9 @@
         self._unacknowledged: dict[str, _CollectedHeartbeat] = {}  # by endpoint id
 
     def closer_target(self, body: bytes) -> dict[str, str]:
-        """The answer's field that sends a server's later heartbeats to a closer control node.
+        """The response field that redirects a server's later heartbeats to a closer control node.
 
-        Heartbeats are most of the traffic between zones. Empty if the server is of this zone, or
+        Heartbeats are most of the traffic between zones. Empty if the server is in this zone, or
         no closer node is in contact with the leader.
         """
         zone = json.loads(body)["details"]["zone"]
@@ -56,7 +56,7 @@
     def parse(self, id: str, body: bytes, now: float) -> Endpoint | None:
         """The endpoint that a heartbeat describes; None if it is not valid.
 
-        The leader is left to say what is wrong with it.
+        The leader reports the errors of an invalid one to its sender.
         """
         try:
             return read_heartbeat(id, json.loads(body), now)
@@ -64,7 +64,7 @@
             return None
 
     def collect(self, id: str, body: bytes, now: float) -> bool:
-        """Take in a heartbeat if it only refreshes what is known; False if it says more."""
+        """Collect a heartbeat that reports no change; False if the leader has to receive it."""
         known = self._endpoint_registry.endpoints.get(id)
         if known is None or known.state != "ready":
             return False
@@ -77,7 +77,7 @@
         return True
 
     def report(self, now: float) -> pb.HeartbeatReport:
-        """All that no leader has acknowledged yet, with ages in ms."""
+        """All heartbeats that no leader has acknowledged yet, with their ages in ms."""
         known = self._endpoint_registry.endpoints
         self._unacknowledged = {i: h for i, h in self._unacknowledged.items() if i in known}
         collected = self._unacknowledged.values()
@@ -88,7 +88,7 @@
         )
 
     def acknowledge(self, report: pb.HeartbeatReport) -> None:
-        """Drop what a leader has acknowledged, but for heartbeats that came since."""
+        """Drop heartbeats that a leader has acknowledged, but not those received since."""
         for id, seq in zip(report.ids, report.seqs, strict=True):
             if id in self._unacknowledged and self._unacknowledged[id].seq <= seq:
                 del self._unacknowledged[id]
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -1,9 +1,9 @@
-"""Registry of data-plane and control nodes: each holds a lease at the leader while it renews it.
+"""Registry of data-plane and control nodes, each with a lease that it has to renew at the leader.
 
-Times are seconds on the leader's clock. The leader counts a lease from its answer on, the node from
-its request on: so the lease has ended at the node before it ends here (a lease in the sense of Gray
-and Cheriton). The registry is soft state; only the names of possible lease holders are durable, in
-the replicated state.
+Times are seconds on the leader's clock. A lease (Gray and Cheriton) starts at the leader with its
+response, and at the node with its request, so it expires at the node before it expires here. The
+registry is soft state; only the names of possible lease holders are durable, in the replicated
+state.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     long_poll_timeout,
 )
 
-# Without contact for this long, a node is no longer listed, so no client is sent to it.
+# A node without contact for this long is no longer listed, so no client is sent to it.
 UNLISTED_AFTER_S = 0.8
 
 NEVER = float("-inf")
@@ -27,27 +27,28 @@
 
 @dataclass(slots=True)
 class NodeLease:
-    """The lease of one node, and what its newest watch request said."""
+    """The lease of one node, and what its newest watch request reported."""
 
     node: pb.Node
     lease_end: float
     last_contact_at: float
-    requested_at: float  # no later than its newest request was made
-    config_version: int  # that it serves by
-    # The same by the leader's clock as the node knows it; NEVER: it did not know of this term.
+    requested_at: float  # lower bound of when its newest request was sent
+    config_version: int  # the version by which the node serves
+    # Like `requested_at`, by the leader's clock as the node estimates it; NEVER: the node did not
+    # know of this term.
     requested_at_by_term_clock: float = NEVER
-    # It spent no quota from `idle_from`, as it reported, to `idle_until`, when it was first given
-    # a share to spend.
+    # The node reported that it spent no quota since `idle_from`; at `idle_until` it was first
+    # assigned a quota share.
     idle_from: float = float("inf")
     idle_until: float = float("inf")
-    uses_quota_counter: bool = False  # it spends granted units only while it is connected
-    is_listed: bool = False  # clients are sent there, if it is ready
-    is_current: bool = False  # it knew the newest version of the endpoints with its newest request
+    uses_quota_counter: bool = False  # while connected it spends only granted units
+    is_listed: bool = False  # clients are sent to the node if it is ready
+    is_current: bool = False  # its newest request had the newest endpoints version
     has_pending_request: bool = False
 
 
 class NodeRegistry:
-    """All nodes with a lease, and a version that rises with every change of who is listed.
+    """All nodes with a lease, and a version that increases with every change of the listed nodes.
 
     Versions are comparable within one leader's epoch only.
     """
@@ -55,8 +56,8 @@
     def __init__(self) -> None:
         self.leases: dict[str, NodeLease] = {}  # by name
         self.version = 0
-        self.names_added = 0  # rises with every name that is new
-        # Version of the last change by name, also of nodes that are forgotten; the newest last.
+        self.names_added = 0  # increases with every new name
+        # Version of the last change by name, also of removed nodes; the newest at the end.
         self._changed_at: dict[str, int] = {}
 
     def _mark_changed(self, name: str) -> None:
@@ -65,9 +66,9 @@
         self._changed_at[name] = self.version
 
     def begin_term(self, now: float, possible_holders: Iterable[str]) -> None:
-        """Begin as a new leader, who does not know which leases its predecessors have granted.
+        """Start the term of a new leader, which does not know the leases that were granted before.
 
-        Each of the possible holders counts as if it had been granted one just now.
+        Each possible lease holder is treated as if it had been granted a lease just now.
         """
         for name in possible_holders:
             if name not in self.leases:
@@ -77,21 +78,23 @@
         for lease in self.leases.values():
             lease.lease_end, lease.config_version = now + NODE_LEASE_S, -1
             lease.requested_at = lease.requested_at_by_term_clock = NEVER
-            if lease.is_listed:  # by the previous leader: it stays so until it is missed here
+            if (
+                lease.is_listed
+            ):  # by the previous leader: it stays listed until it misses contact here
                 lease.last_contact_at = now
             lease.uses_quota_counter = False
             lease.idle_from = lease.idle_until = float("inf")
 
     def is_outdated(self, now: float, node: pb.Node, requested_at: float | None) -> bool:
-        """Whether a watch request was delayed so long that it says nothing of the present.
+        """Whether a watch request was delayed for so long that it is obsolete.
 
-        That is so if a later one of the same life came before it, or a lease that began with it
-        would be over. `requested_at`: the earliest time at which it may have been made; None: the
-        node does not know of this term.
+        It is if a later request of the same incarnation was received before it, or if a lease that
+        started with it would have expired. `requested_at`: the earliest time at which it may have
+        been sent; None: the node does not know of this term.
         """
         known = self.leases.get(node.name)
-        is_same_life = known is not None and known.node.incarnation == node.incarnation
-        previous = known.requested_at_by_term_clock if known and is_same_life else NEVER
+        is_same_incarnation = known is not None and known.node.incarnation == node.incarnation
+        previous = known.requested_at_by_term_clock if known and is_same_incarnation else NEVER
         if requested_at is None:
             return previous > NEVER
         return requested_at < previous or now - requested_at > NODE_LEASE_S
@@ -99,12 +102,12 @@
     def record_request(
         self, now: float, node: pb.Node, config_version: int, requested_at: float | None = None
     ) -> bool:
-        """Take in a watch request, as contact; the lease is renewed only with its answer.
+        """Record a watch request as contact; only the response to it renews the lease.
 
-        True if others have to know. `requested_at` is as for `is_outdated`.
+        True if a change has to be sent to other nodes. `requested_at` is as in `is_outdated`.
         """
         is_fresh = requested_at is None or now - requested_at <= FRESH_REQUEST_S
-        made_at = now if requested_at is None or is_fresh else requested_at
+        sent_at = now if requested_at is None or is_fresh else requested_at
         by_term_clock = NEVER if requested_at is None else requested_at
         known = self.leases.get(node.name)
         if known is None:
@@ -113,19 +116,19 @@
                     node=node,
                     lease_end=now + NODE_LEASE_S,
                     last_contact_at=now,
-                    requested_at=made_at,
+                    requested_at=sent_at,
                     config_version=config_version,
                     requested_at_by_term_clock=by_term_clock,
                 )
             )
             return True
         has_changed = known.node != node or not known.is_listed
-        # a machine runs one life of a role: the former is over
+        # A machine runs one process of a role at a time: the previous incarnation has ended.
         if known.node.incarnation != node.incarnation:
             known.config_version = config_version
         else:
             known.config_version = max(known.config_version, config_version)
-        known.node, known.last_contact_at, known.requested_at = node, now, made_at
+        known.node, known.last_contact_at, known.requested_at = node, now, sent_at
         known.requested_at_by_term_clock = by_term_clock
         known.has_pending_request = known.is_listed = True
         if has_changed:
@@ -139,15 +142,15 @@
         self.names_added += 1
 
     def renew_lease(self, now: float, name: str) -> None:
-        """A node's request is answered: its lease begins anew, if it is known."""
+        """Renew the lease of a node, if it is known, when its request is answered."""
         if lease := self.leases.get(name):
             lease.lease_end, lease.last_contact_at = now + NODE_LEASE_S, now
             lease.has_pending_request = False
 
     def expire(self, now: float) -> bool:
-        """Unlist nodes without recent contact, and forget those whose lease is long over.
+        """Unlist nodes without recent contact, and remove those whose lease expired long ago.
 
-        True if others have to know.
+        True if a change has to be sent to other nodes.
         """
         before = self.version
         for name, lease in list(self.leases.items()):
@@ -159,9 +162,9 @@
                 del self.leases[name]
         return self.version != before
 
-    def count_isolated(self, now: float, ingresses: int) -> int:
-        """Ingresses that may serve, and may have lost contact with the quota counter."""
-        connected_since = now - long_poll_timeout(ingresses) - LEADER_CONTACT_MARGIN_S
+    def count_isolated(self, now: float, ingress_count: int) -> int:
+        """The number of ingresses that may serve and may have lost contact with the counter."""
+        connected_since = now - long_poll_timeout(ingress_count) - LEADER_CONTACT_MARGIN_S
         return sum(
             1
             for lease in self.leases.values()
@@ -171,7 +174,7 @@
         )
 
     def common_idle_time(self, now: float) -> float:
-        """Seconds in which no ingress at all has spent quota; 0 where that is not known."""
+        """The time in which no ingress has spent any quota, in seconds; 0 if that is not known."""
         ingresses = [lease for lease in self.leases.values() if lease.node.kind == "edge"]
         if any(lease.requested_at == NEVER for lease in ingresses):
             return 0.0
@@ -189,7 +192,7 @@
     def all_at_version(self, now: float, config_version: int) -> bool:
         """Whether no ingress can serve by a configuration older than `config_version`.
 
-        Each has reported it, or its lease is over.
+        Each ingress has reported this version or a newer one, or its lease has expired.
         """
         return all(
             lease.config_version >= config_version
@@ -202,28 +205,28 @@
         return [lease.node for lease in self.leases.values() if lease.is_listed]
 
     def changed_since(self, version: int) -> tuple[list[pb.Node], list[str]]:
-        """Of the nodes that changed after `version`: those listed, and the names of the others."""
+        """Nodes that changed after `version`: those listed, and the names of those unlisted."""
         names = []
         for name, changed_at in reversed(self._changed_at.items()):
             if changed_at <= version:
                 break
             names.append(name)
         listed = [x.node for n in names if (x := self.leases.get(n)) and x.is_listed]
-        gone = [n for n in names if n not in self.leases or not self.leases[n].is_listed]
-        return listed, gone
+        unlisted = [n for n in names if n not in self.leases or not self.leases[n].is_listed]
+        return listed, unlisted
 
     def apply_update(
         self,
         listed: Iterable[pb.Node],
-        gone: Iterable[str],
+        unlisted: Iterable[str],
         is_full: bool,
         now: float,
         version: int,
     ) -> None:
-        """Take over what the leader's registry holds at `version`: all of it, or what changed."""
+        """Apply an update from the leader's registry at `version`: a full list, or only changes."""
         if is_full:
             self.leases = {}
-        for name in gone:
+        for name in unlisted:
             self.leases.pop(name, None)
         for node in listed:
             self.leases[node.name] = NodeLease(
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -72,23 +72,23 @@
     "odd kind": (content(routes=[route(kind="sometimes")]), "routes[0].kind: 'sometimes'"),
     "same place": (
         content(routes=[route(), route("r2", pathPrefix="/r1/", host="A.example")]),
-        "routes[1]: this host and prefix stands in routes[0]",
+        "routes[1]: this host and prefix is also used in routes[0]",
     ),
     "shared key": (
         content(tenants=[{"name": "t1", "apiKeys": ["k"]}, {"name": "t2", "apiKeys": ["k"]}]),
-        "tenants[1].apiKeys: one of these keys stands in tenants[0].apiKeys",
+        "tenants[1].apiKeys: one of these keys is also used in tenants[0].apiKeys",
     ),
     "no time": (content(routes=[route(deadline="soon")]), "routes[0].deadline: 'soon' is no time"),
     "no aim": (content(routes=[route(target_time=400)]), "routes[0].target_time: 400 is no time"),
     "neither backend nor split": (
         content(routes=[{k: v for k, v in route().items() if k != "backend"}]),
-        "routes[0]: wants one of",
+        "routes[0]: needs exactly one of",
     ),
     "no item": (content(routes=["r1"]), "routes[0]: is no object"),
-    "no list": (content(tenants={}), "tenants: is no list"),
+    "no list": (content(tenants={}), "tenants: is not a list"),
     "twice a name": (
         content(routes=[route(), route(pathPrefix="/x/")]),
-        "routes[1].name: this name stands in",
+        "routes[1].name: this name is also used in",
     ),
 }
 
@@ -136,12 +136,12 @@
         "tenants[0].apiKeys",
     }
     assert change_errors({"gen": True, "parent": -1}, False, 3) == [
-        "gen: True is no whole number",
-        "parent: -1 is no whole number",
+        "gen: True is not a non-negative integer",
+        "parent: -1 is not a non-negative integer",
     ]
     assert change_errors(
         {"gen": 3, "parent": 3, "upsert": {"x": []}, "remove": {"routes": [1]}}, False, 3
-    ) == ["gen: 3 is not above 3", "upsert.x: is not known", "remove.routes: is no list of names"]
+    ) == ["gen: 3 is not above 3", "upsert.x: is unknown", "remove.routes: is not a list of names"]
 
 
 NAMES = st.sampled_from(["r1", "r2", "r3", "r4"])
