--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -1,6 +1,7 @@
 """Deltas of the configuration, from the leader's history to an ingress.
 
-Compared with ingresses that decode the whole content anew at every change."""
+The results are compared with ingresses that decode the full content at every change.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +37,7 @@
 
 
 def table_view(route_table: RouteTable) -> list[Any]:
-    """All that a route table says to those who use it."""
+    """Everything that users of a route table can read from it."""
     items = [
         route_table.routes_by_host,
         route_table.tenants_by_key,
@@ -60,10 +61,14 @@
 
 
 def random_route(n: int, rng: random.Random) -> dict[str, Any]:
-    place = n if rng.random() < 0.6 else "x"  # sometimes one takes another's place
-    aim, service = f"{rng.randint(1, 40)}s", f"s{rng.randrange(2)}"
+    prefix_id = n if rng.random() < 0.6 else "x"  # sometimes the same as another route's
+    target_time, service = f"{rng.randint(1, 40)}s", f"s{rng.randrange(2)}"
     return route(
-        f"r{n}", host=f"H{place}", pathPrefix=f"/p{place}/", backend=service, target_time=aim
+        f"r{n}",
+        host=f"H{prefix_id}",
+        pathPrefix=f"/p{prefix_id}/",
+        backend=service,
+        target_time=target_time,
     )
 
 
@@ -73,8 +78,8 @@
     ]
     services = [{"name": f"s{n}", "warmupPerS": 5} for n in range(2)]
     tenants = [random_tenant(n, rng) for n in range(size - size // 3)]
-    made = content(gen=1, routes=routes, backends=services, tenants=tenants)
-    return Command(Verb.REPLACE, "first", made)
+    initial_content = content(gen=1, routes=routes, backends=services, tenants=tenants)
+    return Command(Verb.REPLACE, "first", initial_content)
 
 
 def next_command(state: State, rng: random.Random, size: int = 60) -> Command:
@@ -89,17 +94,19 @@
         }
         tables["routes"] = tables["routes"][rng.randrange(3) :]
         return Command(Verb.REPLACE, f"{gen}", state.content | frame | tables | {"limits": limits})
-    places = {r["name"]: r["pathPrefix"] for r in state.content["routes"]}
+    prefixes = {r["name"]: r["pathPrefix"] for r in state.content["routes"]}
     removed = [f"r{n}" for n in rng.sample(range(size), rng.randrange(2))]
     upserted: dict[str, dict[str, Any]] = {}
     for n in numbers:
         changed = random_route(n, rng)
-        holders = [name for name, place in places.items() if place == changed["pathPrefix"]]
+        current_owners = [
+            name for name, prefix in prefixes.items() if prefix == changed["pathPrefix"]
+        ]
         if all(
             name == changed["name"] or (name in removed and name not in upserted)
-            for name in holders
+            for name in current_owners
         ):
-            upserted[changed["name"]], places[changed["name"]] = changed, changed["pathPrefix"]
+            upserted[changed["name"]], prefixes[changed["name"]] = changed, changed["pathPrefix"]
     upsert = {
         "routes": list(upserted.values()),
         "tenants": [random_tenant(n, rng) for n in rng.sample(range(size), 2)],
@@ -112,14 +119,14 @@
     return Command(Verb.UPDATE, f"{gen}", frame | {"upsert": upsert, "remove": remove})
 
 
-def with_digest(state: State) -> State:
+def fully_digested(state: State) -> State:
     while not state.history.digest_next_items(state.content):
         pass
     return state
 
 
 def respond(state: State, client: ConfigClient, now: float, term: int) -> pb.WatchResponse:
-    """What the leader of that term answers to the watch request of that ingress."""
+    """The response of the leader of `term` to the watch request of an ingress."""
     leadership = Leadership(
         term,
         now,
@@ -130,16 +137,17 @@
         parse_settings(SETTINGS).bounds,
         1.5,
     )
-    ask = client.watch_request(NODE, now, 0)
-    ask.node.CopyFrom(NODE)
+    watch_request = client.watch_request(NODE, now, 0)
+    watch_request.node.CopyFrom(NODE)
     leadership.apply_state(state)
-    return leadership.watch_responses.update(now, ask, state)
+    return leadership.watch_responses.update(now, watch_request, state)
 
 
 def replicas(
-    rng: random.Random, count: int, restored: float = 0.0
+    rng: random.Random, count: int, restore_probability: float = 0.0
 ) -> Iterator[tuple[State, State]]:
-    """Two members' states that apply the same commands; the second is restored now and then."""
+    """Two members' states that apply the same commands; the second is sometimes decoded from its
+    stored form."""
     states = State(), State()
     for number in range(count):
         command = next_command(states[0], rng) if number else initial_command(rng)
@@ -147,24 +155,28 @@
             assert state.apply(Command.decode(command.encode()))
         assert content_errors(states[0].content) == []
         yield states
-        if rng.random() < restored:
+        if rng.random() < restore_probability:
             states = states[0], State.decode(states[1].encode())
 
 
-def spoil(config_delta: pb.ConfigDelta, receiver: RouteTable | None, rng: random.Random) -> None:
-    """Makes a delta that cannot be read, or does not fit.
+def corrupt_delta(
+    config_delta: pb.ConfigDelta, receiver: RouteTable | None, rng: random.Random
+) -> None:
+    """Changes a delta so that it cannot be decoded or does not apply.
 
-    A changed item that the receiver holds already can be left out without harm, so another is."""
+    Omitting an item that the receiver already has in its new state would do no harm, so only other
+    items are omitted.
+    """
     raw = json.loads(zlib.decompress(config_delta.change)) or {"tenants": {}}
     table = rng.choice(list(raw))
-    held_items = {} if receiver is None else receiver._tables[table]
-    replaced = [
+    receiver_items = {} if receiver is None else receiver._tables[table]
+    changed_names = [
         name
         for name, item in raw[table].items()
         if item is not None
         and not (
-            name in held_items
-            and held_items[name].digest == content_digest.item_digest(table, name, item).value
+            name in receiver_items
+            and receiver_items[name].digest == content_digest.item_digest(table, name, item).value
         )
     ]
     match rng.randrange(6):
@@ -175,8 +187,8 @@
         case 2:
             raw[table]["another"] = {"name": "another", "apiKeys": 7, "pathPrefix": "/"}
             config_delta.change = zlib.compress(json.dumps(raw).encode())
-        case 3 if replaced:
-            del raw[table][replaced[0]]
+        case 3 if changed_names:
+            del raw[table][changed_names[0]]
             config_delta.change = zlib.compress(json.dumps(raw).encode())
         case 4:
             config_delta.generation += 1
@@ -186,12 +198,14 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 1 << 32))
-@example(397)  # a service comes back to what it was while the ingress heard nothing
-def test_an_ingress_told_differences_serves_as_one_that_reads_the_whole(seed: int) -> None:
-    """Responses are lost or spoilt, another member leads each time, and its content is or is not
-    digested by then."""
+@example(397)  # a service returns to its former state while the ingress receives no update
+def test_an_ingress_with_deltas_has_the_same_route_table_as_one_with_full_contents(
+    seed: int,
+) -> None:
+    """Responses are lost or corrupted, either member leads, and its content may not be digested
+    yet."""
     rng, client = random.Random(seed), ConfigClient(0.0, [])
-    for number, states in enumerate(replicas(rng, 12, restored=0.1)):
+    for number, states in enumerate(replicas(rng, 12, restore_probability=0.1)):
         leader, now, before = (
             states[rng.randrange(2)],
             100.0 + number,
@@ -204,7 +218,7 @@
         assert watch_response.HasField("delta") != watch_response.has_content
         if watch_response.HasField("delta") and rng.random() < 0.3:
             assert len(watch_response.delta.change) < len(leader.encoded_content())
-            spoil(watch_response.delta, client.route_table, rng)
+            corrupt_delta(watch_response.delta, client.route_table, rng)
             changed = client.apply(watch_response, NODE, now, now, 0)
             assert changed and changed.rejection_reason and not changed.route_table_changed
             assert (
@@ -213,7 +227,7 @@
                 and client.last_response_at < now
             )
             watch_response = respond(leader, client, now, number)
-            assert watch_response.has_content  # as it asks for the whole
+            assert watch_response.has_content  # as the client requests the full content
         changed = client.apply(watch_response, NODE, now, now, 0)
         assert changed and changed.route_table_changed and not changed.rejection_reason
         assert (
@@ -223,14 +237,14 @@
         assert client.watch_request(NODE, now, 0).accepts_delta and client.lease_end > now
 
 
-def test_each_leader_tells_one_change_as_a_difference_whatever_the_order_of_items() -> None:
+def test_each_leader_sends_a_change_as_delta_whatever_the_order_of_items() -> None:
     rng, client = random.Random(2), ConfigClient(0.0, [])
     leadership = Leadership(
         99, 0.0, False, EndpointRegistry(), NodeRegistry(), [], parse_settings(SETTINGS).bounds, 1.5
     )
     for number, states in enumerate(replicas(rng, 30)):
         leader = states[number % 2]
-        for state in states:  # as the leader's does, a few items at a time
+        for state in states:  # digested a few items at a time, as at a leader
             leadership.apply_state(state)
             leadership.tick(number)
         raw, rates = leader.content, (t for t in leader.content["tenants"] if t["ratePerS"])
@@ -243,16 +257,17 @@
         watch_response = respond(leader, client, 100.0 + number, number)
         assert watch_response.has_content == (number == 0)
         client.apply(watch_response, NODE, 100.0, 100.0, 0)
-        turned = RouteTable(leader.content | {t: leader.content[t][::-1] for t in TABLES})
+        reversed_table = RouteTable(leader.content | {t: leader.content[t][::-1] for t in TABLES})
         assert (
-            turned.digest
+            reversed_table.digest
             == client.route_table.digest
-            == (watch_response.delta.digest or turned.digest)
+            == (watch_response.delta.digest or reversed_table.digest)
         )
-    ask = client.watch_request(NODE, 200.0, 0)
-    ask.node.CopyFrom(NODE)
-    ask.node.kind, ask.config_version, ask.generation = "core", 1, 1
-    watch_response = leadership.watch_responses.update(200.0, ask, leader)  # which has the log
+    watch_request = client.watch_request(NODE, 200.0, 0)
+    watch_request.node.CopyFrom(NODE)
+    watch_request.node.kind, watch_request.config_version, watch_request.generation = "core", 1, 1
+    # A control node has the content from its log.
+    watch_response = leadership.watch_responses.update(200.0, watch_request, leader)
     assert (
         watch_response.has_evacuated_zones
         and not watch_response.has_content
@@ -260,20 +275,27 @@
     )
 
 
-def test_what_is_kept_weighed_at_once_and_told_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    rng, state, counted, real = random.Random(3), State(), list[str](), content_digest.item_digest
+def test_recorded_changes_items_per_step_and_delta_size_are_bounded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    rng, state, digested_names, original = (
+        random.Random(3),
+        State(),
+        list[str](),
+        content_digest.item_digest,
+    )
+    # Without a base generation, the full content is sent.
     assert (
-        state.apply(initial_command(rng)) and with_digest(state).history.delta_since(0) is None
-    )  # from nothing it is the whole
+        state.apply(initial_command(rng)) and fully_digested(state).history.delta_since(0) is None
+    )
 
     def tenant_update(count: int) -> Command:
         items = [random_tenant(n, rng) | {"prio": state.gen} for n in range(count)]
         frame = {"gen": state.gen + 1, "parent": state.gen, "upsert": {"tenants": items}}
         return Command(Verb.UPDATE, f"many {state.gen}", frame)
 
-    assert (
-        state.apply(tenant_update(30)) and state.history.delta_since(1) is None
-    )  # over an eighth of the whole
+    # The delta would be larger than an eighth of the full content.
+    assert state.apply(tenant_update(30)) and state.history.delta_since(1) is None
     for module, name, bound in (
         (delta_history, "DIGESTED_PER_STEP", 7),
         (delta_history, "MAX_RECORDED_CHANGES", 5),
@@ -282,22 +304,23 @@
     ):
         monkeypatch.setattr(module, name, bound)
     monkeypatch.setattr(
-        content_digest, "item_digest", lambda *of: counted.append(of[1]) or real(*of)
+        content_digest, "item_digest", lambda *of: digested_names.append(of[1]) or original(*of)
     )
     state = State()
     assert state.apply(initial_command(rng))
     for _ in range(3):
-        counted.clear()
-        assert not state.history.digest_next_items(state.content) and len(counted) <= 7
-    assert (
-        state.apply(tenant_update(12)) and state.history.delta_since(1) is None
-    )  # amid the digesting
-    known = with_digest(state).history.delta_since(1)
-    assert known and known.digest == RouteTable(state.content).digest
+        digested_names.clear()
+        assert not state.history.digest_next_items(state.content) and len(digested_names) <= 7
+    # The content is not fully digested yet.
+    assert state.apply(tenant_update(12)) and state.history.delta_since(1) is None
+    config_delta = fully_digested(state).history.delta_since(1)
+    assert config_delta and config_delta.digest == RouteTable(state.content).digest
     gens = [state.gen]
     for _ in range(8):
         assert state.apply(tenant_update(2))
-        assert (known := state.history.delta_since(gens[-3:][0])) and known.gen == state.gen
+        assert (
+            config_delta := state.history.delta_since(gens[-3:][0])
+        ) and config_delta.gen == state.gen
         gens.append(state.gen)
     assert [state.history.delta_since(gen) is not None for gen in gens] == [False] * 3 + [
         True
@@ -308,19 +331,22 @@
         and state.history.delta_since(state.gen - 1)
     )
     assert state.history.delta_since(state.gen - 2) is None
-    counted.clear()
-    assert state.apply(tenant_update(13)) and len(counted) <= 2 * 12
-    assert with_digest(state).history.delta_since(state.gen - 2) is None
-    assert state.apply(tenant_update(2)) and (known := state.history.delta_since(state.gen - 1))
-    assert known.digest == RouteTable(state.content).digest
+    digested_names.clear()
+    assert state.apply(tenant_update(13)) and len(digested_names) <= 2 * 12
+    assert fully_digested(state).history.delta_since(state.gen - 2) is None
+    assert state.apply(tenant_update(2)) and (
+        config_delta := state.history.delta_since(state.gen - 1)
+    )
+    assert config_delta.digest == RouteTable(state.content).digest
     state = State()
     assert (
-        state.apply(initial_command(rng, 3)) and with_digest(state).history.delta_since(0) is None
+        state.apply(initial_command(rng, 3))
+        and fully_digested(state).history.delta_since(0) is None
     )
 
 
-def policy_settings(node: DataPlaneNode) -> dict[str, Any]:
-    """What engine and request policy hold of what the route table names, by name."""
+def policy_view(node: DataPlaneNode) -> dict[str, Any]:
+    """The plans of tenants and the request classes in engine and request policy, by name."""
     engine, route_table = node.ingress.engine, node.config_client.route_table
     by_name = {
         name: engine.settings.plans[engine.names.plans[name.encode()]]
@@ -337,7 +363,7 @@
 
 
 def endpoint_view(node: DataPlaneNode) -> Any:
-    """Servers as the choice finds them, by service, and those to which connections are kept."""
+    """Servers that can be selected, by service, and those to which connections are pooled."""
     return (
         {
             node.numbering.service_name(service): {
@@ -352,20 +378,18 @@
     )
 
 
-async def test_an_ingress_reconfigured_by_what_changed_is_as_one_that_takes_everything_anew() -> (
-    None
-):
-    """Tenants with accounts that get other plans, servers that come, go, drain, come back and are
-    unsound."""
+async def test_incremental_reconfiguration_equals_configuration_from_scratch() -> None:
+    """Tenants with accounts get other plans; servers are added, removed, drained and added again,
+    and some have an invalid address."""
     rng, node = random.Random(5), DataPlaneNode(parse_settings(SETTINGS))
-    known: dict[str, pb.Endpoint] = {}
+    endpoints: dict[str, pb.Endpoint] = {}
     for number, states in enumerate(replicas(rng, 40)):
-        state, now, plain = (
-            with_digest(states[0]),
+        state, now, reference_node = (
+            fully_digested(states[0]),
             node.serving.now(),
             DataPlaneNode(parse_settings(SETTINGS)),
         )
-        node.config_client._needs_full_state = whole = rng.random() < 0.2
+        node.config_client._needs_full_state = is_full = rng.random() < 0.2
         watch_response = respond(state, node.config_client, now, 3)
         watch_response.epoch, watch_response.endpoints_version, before = (
             "3",
@@ -373,7 +397,7 @@
             dict(node.ingress.engine.names.plans),
         )
         if rng.random() < 0.1:
-            known, watch_response.endpoints_complete = {}, True
+            endpoints, watch_response.endpoints_complete = {}, True
         watch_response.evacuated_zones.extend(["y"] if rng.random() < 0.3 else [])
         for name in rng.sample("abcdefgh", 3):
             addr, service = (
@@ -388,35 +412,37 @@
                 capacity=2,
                 state=rng.choice(["ready", "ready", "draining", "gone"]),
             )
-            known[name] = server
+            endpoints[name] = server
             watch_response.endpoints.append(server)
         node.applier.apply(watch_response, NODE, now)
-        here = [server for server in known.values() if server.state != "gone"]
+        current_endpoints = [server for server in endpoints.values() if server.state != "gone"]
         content = zlib.compress(json.dumps(state.content).encode())
-        anew = pb.WatchResponse(
+        full_response = pb.WatchResponse(
             epoch="3",
             config_version=watch_response.config_version,
             generation=watch_response.generation,
             has_content=True,
             content=content,
         )
-        anew.endpoints.extend(here)
-        anew.has_evacuated_zones, anew.evacuated_zones[:] = True, watch_response.evacuated_zones
-        plain.applier.apply(anew, NODE, now)
-        assert watch_response.has_content == (whole or number == 0) and table_view(
+        full_response.endpoints.extend(current_endpoints)
+        full_response.has_evacuated_zones, full_response.evacuated_zones[:] = (
+            True,
+            watch_response.evacuated_zones,
+        )
+        reference_node.applier.apply(full_response, NODE, now)
+        assert watch_response.has_content == (is_full or number == 0) and table_view(
             node.config_client.route_table
-        ) == table_view(plain.config_client.route_table)
-        assert policy_settings(node) == policy_settings(plain) and endpoint_view(
+        ) == table_view(reference_node.config_client.route_table)
+        assert policy_view(node) == policy_view(reference_node) and endpoint_view(
             node
-        ) == endpoint_view(plain)
-        assert (
-            before.items() <= node.ingress.engine.names.plans.items() or not number
-        )  # numbers are for good
+        ) == endpoint_view(reference_node)
+        # Numbers are never reassigned.
+        assert before.items() <= node.ingress.engine.names.plans.items() or not number
         for customer, account in node.ingress.policy.accounts.items():
-            assert account.plan == policy_settings(node).get(f"t{customer}", account.plan)
-        plain.ingress.backends.stop()
+            assert account.plan == policy_view(node).get(f"t{customer}", account.plan)
+        reference_node.ingress.backends.stop()
         for name in rng.sample(list(node.config_client.route_table.tenants), 5):
-            plan = policy_settings(node)[name]
+            plan = policy_view(node)[name]
             node.ingress.policy.accounts.setdefault(
                 int(name[1:]), TenantAccount(plan, 1, 1, 0)
             ).plan = plan
@@ -424,7 +450,7 @@
 
 
 @pytest.mark.parametrize(
-    ("out", "put", "goes"),
+    ("removed_tenants", "changed_fields", "is_forwarded"),
     [
         ([], {"apiKeys": ["k1"]}, True),
         ([], {"apiKeys": ["k2"]}, False),
@@ -432,14 +458,14 @@
         (["t1"], None, False),
     ],
 )
-async def test_a_request_is_checked_anew_once_the_route_table_has_changed_under_it(
-    out: list[str], put: dict[str, Any] | None, goes: bool
+async def test_a_routed_request_is_checked_again_after_a_change_of_the_route_table(
+    removed_tenants: list[str], changed_fields: dict[str, Any] | None, is_forwarded: bool
 ) -> None:
     node, state = DataPlaneNode(parse_settings(SETTINGS)), State()
     assert state.apply(
         Command(Verb.REPLACE, "1", content(routes=[route(f"r{n}") for n in range(1, 60)]))
     )
-    first = respond(with_digest(state), node.config_client, node.serving.now(), 3)
+    first = respond(fully_digested(state), node.config_client, node.serving.now(), 3)
     first.endpoints.add(
         id="i", service="s1", address="10.1.0.9:80", zone="z", capacity=2, state="ready"
     )
@@ -448,13 +474,16 @@
     message.method, message.target = b"GET", b"/r1/x"
     message.headers = {b"host": b"a.example", b"authorization": b"Token k1", b"x-request-id": b"1"}
     engine = node.ingress.engine
-    wanted = node.router(message, engine.names, engine.settings.classes, node.clock.now())
-    assert wanted.dress and b"X-Tenant: t1" in (wanted.dress("i", 1000) or b"")
-    upsert = {"routes": [route("r2")], "tenants": [{"name": "t1"} | put] if put else []}
-    frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": out}}
+    routed_request = node.router(message, engine.names, engine.settings.classes, node.clock.now())
+    assert routed_request.dress and b"X-Tenant: t1" in (routed_request.dress("i", 1000) or b"")
+    upsert = {
+        "routes": [route("r2")],
+        "tenants": [{"name": "t1"} | changed_fields] if changed_fields else [],
+    }
+    frame = {"gen": 9, "parent": 7, "upsert": upsert, "remove": {"tenants": removed_tenants}}
     assert state.apply(Command(Verb.UPDATE, "2", frame))
     watch_response = respond(state, node.config_client, node.serving.now(), 3)
     assert watch_response.HasField("delta")
     node.applier.apply(watch_response, NODE, node.serving.now())
-    assert (wanted.dress("i", 1000) is not None) == goes
+    assert (routed_request.dress("i", 1000) is not None) == is_forwarded
     node.ingress.backends.stop()
--- a/tests/configuration/test_route_table.py
+++ b/tests/configuration/test_route_table.py
@@ -1,4 +1,4 @@
-"""The route table when items take what others had, within one delta."""
+"""The route table when keys and prefixes move between items within one delta."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from tests.control.test_state_models import content, route
 
 
-def test_a_key_and_a_place_may_pass_to_an_item_that_is_added_before_they_are_given_up() -> None:
-    """Changes come in the order of names: `t1` and `r1` take what `t2` and `r2` still hold."""
+def test_a_key_and_a_prefix_may_move_to_an_item_that_is_changed_before_their_owner() -> None:
+    """Changes are applied in the order of names: `t1` and `r1` get the key and the prefix that `t2`
+    and `r2` still have."""
     routes = [route(f"r{n}", pathPrefix=f"/p{n}/") for n in range(60)]
     tenants = [{"name": f"t{n}", "apiKeys": [f"k{n}"]} for n in range(60)]
     state = State()
@@ -26,8 +27,8 @@
     delta = state.history.delta_since(1)
     assert delta is not None
     change = table.apply_delta(delta)
-    assert [one.name for one in change.routes] == ["r1", "r2"]
-    assert [one.name for one in change.tenants] == ["t1", "t2"]
+    assert [changed.name for changed in change.routes] == ["r1", "r2"]
+    assert [changed.name for changed in change.tenants] == ["t1", "t2"]
     renewed = RouteTable(state.content)
     assert table.tenants_by_key == renewed.tenants_by_key
     assert table.routes_by_host == renewed.routes_by_host
--- a/tests/configuration/test_state.py
+++ b/tests/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""The stored form of the state: its keys, and their order, are a format."""
+"""The stored form of the state; its keys and their order are part of the format."""
 
 from __future__ import annotations
 
@@ -24,12 +24,16 @@
 
 
 def test_each_attribute_is_stored_under_its_key_in_order() -> None:
-    public = [one.name for one in dataclasses.fields(State) if not one.name.startswith("_")]
+    public = [
+        attribute.name
+        for attribute in dataclasses.fields(State)
+        if not attribute.name.startswith("_")
+    ]
     assert list(STORED_KEYS) == public
     assert list(STORED_KEYS.values()) == list(State().to_dict()) == KEYS
 
 
-def test_what_was_stored_comes_back_in_the_same_attributes() -> None:
+def test_stored_values_are_restored_to_the_same_attributes() -> None:
     state = State(
         gen=7,
         content={"gen": 7},
@@ -58,6 +62,6 @@
 
 
 @pytest.mark.parametrize("raw", [{"later": 1}, {"evicted_gen": 1}, {"_history": None}])
-def test_a_key_that_is_not_known_is_no_state(raw: dict[str, object]) -> None:
+def test_a_state_with_an_unknown_key_is_rejected(raw: dict[str, object]) -> None:
     with pytest.raises(FormatError):
         State.from_dict(raw)
