--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -104,7 +104,7 @@
     from cairndale.registry.nodes import NodeRegistry
 
     ServingState.may_serve = lambda self: True  # type: ignore[method-assign]
-    NodeRegistry.all_at_version = lambda self, now, config_version: all(  # type: ignore[method-assign]
+    NodeRegistry.all_ingresses_at_version = lambda self, now, config_version: all(  # type: ignore[method-assign]
         held.config_version >= config_version
         for held in self.leases.values()
         if held.is_listed and held.node.kind == "edge"
--- a/cairndale/configuration/serialization.py
+++ b/cairndale/configuration/serialization.py
@@ -23,9 +23,8 @@
 PART_TEXT_BYTES = 32 * 1024  # of JSON, after which a part ends
 ITEMS_PER_RECORD = 32
 MAX_SPLIT_DEPTH = 2  # levels of nested objects whose members have separate records
-MAX_PART_TEXT_BYTES = (
-    64 * 1024 * 1024
-)  # of JSON in one part; bounds the memory for data of other origin
+# Of JSON in one part; limits what a part of other origin decompresses to.
+MAX_PART_TEXT_BYTES = 64 * 1024 * 1024
 
 _LENGTH = struct.Struct(">I")
 
--- a/cairndale/configuration/state.py
+++ b/cairndale/configuration/state.py
@@ -17,12 +17,10 @@
 from cairndale.configuration.delta_history import DeltaHistory
 from cairndale.configuration.stepwise import Steps
 
-MAX_IDEMPOTENCY_RECORDS = (
-    20_000  # the changes of one day, within which a repeated change is detected
-)
+MAX_IDEMPOTENCY_RECORDS = 20_000  # the changes of one day; repeated ones are detected by them
 MAX_EVACUATION_CALLS = 4_096  # calls for zones that are detected when they are repeated
 REJECTED = -1  # in an idempotency record in place of a gen: permanently rejected
-EARLIEST_MAX_RECORDS = 256  # idempotency records that the first versions kept
+EARLIEST_MAX_RECORDS = 256  # idempotency records that the first versions stored
 
 # The state's attributes in the order in which they are stored, and the key of each in the stored
 # JSON. Keys and their order are part of the format: members of older versions read them, and
@@ -66,7 +64,7 @@
         evicted_gen: the highest gen among evicted idempotency records.
         evacuation_calls: the order that a call for a zone belongs to, by the id of the call;
             oldest first.
-        system_name: the name of the system; the first one that was proposed is final.
+        system_name: the name of the system; the first one that is applied is final.
     """
 
     gen: int = 0
--- a/cairndale/configuration/validation.py
+++ b/cairndale/configuration/validation.py
@@ -240,8 +240,8 @@
         path = f"{part}.{table}"
         if table not in TABLES:
             errors.append(f"{path}: is unknown")
-        elif not isinstance(items, list) or not all(isinstance(one, item_type) for one in items):
+        elif not isinstance(items, list) or not all(isinstance(item, item_type) for item in items):
             errors.append(f"{path}: is not a list of {'items' if item_type is dict else 'names'}")
-        elif item_type is dict and not all(isinstance(one.get("name"), str) for one in items):
+        elif item_type is dict and not all(isinstance(item.get("name"), str) for item in items):
             errors.append(f"{path}: an item has no name")
     return errors
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -107,7 +107,7 @@
         status, answer = await self._heartbeat(found.args["id"], method, target, body)
         if status != 200:
             return status, answer
-        return json_response(200, self._collector.closer_target(body) if self.ready() else {})
+        return json_response(200, self._collector.heartbeat_redirect(body) if self.ready() else {})
 
     async def _heartbeat(self, id: str, method: str, target: str, body: bytes) -> Response:
         """Have a heartbeat taken in: collected here, in a batch for the leader, or as any call.
--- a/cairndale/control/change_queue.py
+++ b/cairndale/control/change_queue.py
@@ -57,7 +57,7 @@
         deadline = leader.now() + leader.settings.bounds.ack
         while True:
             node_registry = leader.require_leadership().node_registry
-            if node_registry.all_at_version(leader.now(), version):
+            if node_registry.all_ingresses_at_version(leader.now(), version):
                 return
             if leader.now() > deadline:
                 raise CallTimeoutError("some ingresses have not got it yet")
--- a/cairndale/control/grants.py
+++ b/cairndale/control/grants.py
@@ -12,7 +12,7 @@
 from cairndale.control.ingress_counter import RECOUNT_S, IngressCounter
 from cairndale.errors import RejectedError, StaleCallError
 from cairndale.quota.budget_counter import (
-    BUDGET_GRANT_LIFE_S,
+    BUDGET_GRANT_LIFETIME_S,
     RETRY,
     Budget,
     BudgetCounter,
@@ -85,7 +85,7 @@
         self._contact_updated_at = now
         ingresses = self._ingress_counter.count(now)
         begins = not self.is_counting and (
-            self._may_have_spent or self._node_registry.all_contacted(now)
+            self._may_have_spent or self._node_registry.all_ingresses_contacted(now)
         )
         if begins:
             self._begin_counting(now)
@@ -139,7 +139,7 @@
             wait = self._budget_counter.grant(now, known)
         return pb.BudgetResponse(
             granted=not wait,
-            valid_ms=round(BUDGET_GRANT_LIFE_S * 1000),
+            valid_ms=round(BUDGET_GRANT_LIFETIME_S * 1000),
             retry_after_ms=round(min(wait, MAX_RETRY_AFTER_S) * 1000),
         )
 
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -21,7 +21,7 @@
 from cairndale.ingress.net.requests import Reader
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
-from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFETIME_S
 from cairndale.settings import Settings
 
 RETRY_AFTER_US = 300_000  # longest Retry-After advice to a refused client: T0, d_0
@@ -72,7 +72,7 @@
             calls_out=1e6,
             part=LEASE_PART,
             strict=True,
-            expiry=round(QUOTA_GRANT_LIFE_S * EXPIRY_MARGIN * 1e6),
+            expiry=round(QUOTA_GRANT_LIFETIME_S * EXPIRY_MARGIN * 1e6),
         ),
     )
 
--- a/cairndale/quota/budget_counter.py
+++ b/cairndale/quota/budget_counter.py
@@ -1,7 +1,7 @@
 """Budgets over a sliding window, shared by all ingresses: retries of a service, warm-up requests.
 
 A budget is `size` units in any window of `window` seconds. Units are granted one by one, as
-requests need them, and are used within `BUDGET_GRANT_LIFE_S` or never. So the units used in a
+requests need them, and are used within `BUDGET_GRANT_LIFETIME_S` or never. So the units used in a
 window were granted in that window or within one grant lifetime before it. A token bucket of
 `capacity` units that refills at `rate` keeps the bound, because
 
@@ -19,7 +19,7 @@
 from cairndale.settings import Bounds
 
 # Counted from the request for the grant; a client request is sent as soon as it has its grant.
-BUDGET_GRANT_LIFE_S = 0.3
+BUDGET_GRANT_LIFETIME_S = 0.3
 MAX_SAVED_FRACTION = 0.25  # of a budget's size that a bucket can save up
 # Above this number of buckets, those idle for IDLE_BUCKET_S are evicted; they are full again.
 MAX_IDLE_BUCKETS = 1024
@@ -48,7 +48,7 @@
     @property
     def rate(self) -> float:
         """Units per second by which a bucket refills."""
-        return max(0.0, (self.size - self.capacity) / (self.window + BUDGET_GRANT_LIFE_S))
+        return max(0.0, (self.size - self.capacity) / (self.window + BUDGET_GRANT_LIFETIME_S))
 
 
 def retry_budget(bounds: Bounds) -> Budget:
--- a/cairndale/quota/quota_counter.py
+++ b/cairndale/quota/quota_counter.py
@@ -1,7 +1,7 @@
 """The leader's quota counter: the remaining units of each tenant's quota, over all ingresses.
 
-Granted units are valid for `QUOTA_GRANT_LIFE_S` and expire if they are not spent by then. With a
-grant lifetime L, the units spent in a window T were granted within T + L. A token bucket of
+Granted units are valid for `QUOTA_GRANT_LIFETIME_S` and expire if they are not spent by then. With
+a grant lifetime L, the units spent in a window T were granted within T + L. A token bucket of
 capacity C that refills at the quota's rate therefore keeps the bound
 
     C + rate * (T + L) <= (rate * T + burst) * (1 + overrun) + slack
@@ -31,7 +31,7 @@
 from cairndale.quota.token_bucket import TokenBucket
 from cairndale.settings import Bounds
 
-QUOTA_GRANT_LIFE_S = 1.0
+QUOTA_GRANT_LIFETIME_S = 1.0  # units unspent by then expire
 CAPACITY_FRACTION = 0.9  # of what the bound leaves for the capacity of a bucket
 # Fraction of what the bound leaves that ingresses may have saved up. An ingress computes with a
 # smaller fraction, as it learns of a changed number of ingresses late.
@@ -46,7 +46,7 @@
     """Units that the bound leaves for a bucket's capacity and for the ingresses' savings."""
     window = bounds.quota_window
     bound = (rate * window + burst) * (1 + bounds.quota_overrun) + bounds.quota_slack
-    return bound - rate * (window + QUOTA_GRANT_LIFE_S)
+    return bound - rate * (window + QUOTA_GRANT_LIFETIME_S)
 
 
 def max_saved_units(rate: float, burst: float, bounds: Bounds) -> float:
--- a/cairndale/registry/heartbeats.py
+++ b/cairndale/registry/heartbeats.py
@@ -36,7 +36,7 @@
         self._node_registry = node_registry
         self._unacknowledged: dict[str, _CollectedHeartbeat] = {}  # by endpoint id
 
-    def closer_target(self, body: bytes) -> dict[str, str]:
+    def heartbeat_redirect(self, body: bytes) -> dict[str, str]:
         """The response field that redirects a server's later heartbeats to a closer control node.
 
         Heartbeats are most of the traffic between zones. Empty if the server is in this zone, or
--- a/cairndale/registry/nodes.py
+++ b/cairndale/registry/nodes.py
@@ -181,7 +181,7 @@
         begin = max((lease.idle_from for lease in ingresses), default=now)
         return max(0.0, min([now, *(lease.idle_until for lease in ingresses)]) - begin)
 
-    def all_contacted(self, now: float) -> bool:
+    def all_ingresses_contacted(self, now: float) -> bool:
         """Whether every ingress that may hold a lease has made a request in this term."""
         return all(
             lease.requested_at > NEVER
@@ -189,7 +189,7 @@
             if lease.node.kind == "edge" and lease.lease_end >= now
         )
 
-    def all_at_version(self, now: float, config_version: int) -> bool:
+    def all_ingresses_at_version(self, now: float, config_version: int) -> bool:
         """Whether no ingress can serve by a configuration older than `config_version`.
 
         Each ingress has reported this version or a newer one, or its lease has expired.
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -22,7 +22,7 @@
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
 from cairndale.lookup.selection import LookupResponder
-from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, QuotaCounter
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFETIME_S, QuotaCounter
 from cairndale.registry.endpoints import EndpointRegistry, HeartbeatError, read_heartbeat
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -376,12 +376,14 @@
     )
     node_registry.renew_lease(1.0, "a")
     node_registry.renew_lease(1.0, "b")
-    assert node_registry.all_at_version(1.1, 1) and not node_registry.all_at_version(1.1, 2)
+    assert node_registry.all_ingresses_at_version(
+        1.1, 1
+    ) and not node_registry.all_ingresses_at_version(1.1, 2)
     node_registry.record_request(1.2, node("a"), 2)
     assert (
-        not node_registry.all_at_version(1.2, 2)
-        and not node_registry.all_at_version(1.0 + NODE_LEASE_S, 2)
-        and node_registry.all_at_version(1.01 + NODE_LEASE_S, 2)
+        not node_registry.all_ingresses_at_version(1.2, 2)
+        and not node_registry.all_ingresses_at_version(1.0 + NODE_LEASE_S, 2)
+        and node_registry.all_ingresses_at_version(1.01 + NODE_LEASE_S, 2)
     )
     # its life before is over, and so is what that had told
     node_registry.record_request(2.0, node("b", life="2"), 0)
@@ -390,8 +392,10 @@
     # another led, and may have given them leases to the last
     later.begin_term(10.0, ["a", "b"])
     later.record_request(10.1, node("a"), 2)
-    assert not later.all_contacted(10.2) and not later.all_at_version(10.0 + NODE_LEASE_S, 2)
-    assert later.all_contacted(10.01 + NODE_LEASE_S) and later.all_at_version(
+    assert not later.all_ingresses_contacted(10.2) and not later.all_ingresses_at_version(
+        10.0 + NODE_LEASE_S, 2
+    )
+    assert later.all_ingresses_contacted(10.01 + NODE_LEASE_S) and later.all_ingresses_at_version(
         10.01 + NODE_LEASE_S, 2
     )
 
@@ -469,7 +473,7 @@
         left = quota_counter.grant(now, "t", amount, 0.0)
         assert left is not None
         spent.append(
-            (now + rng.choice((0.0, QUOTA_GRANT_LIFE_S)), amount - min(amount, max(0.0, -left)))
+            (now + rng.choice((0.0, QUOTA_GRANT_LIFETIME_S)), amount - min(amount, max(0.0, -left)))
         )
     for start, _ in spent:
         window = sum(units for at, units in spent if start <= at < start + bounds.quota_window)
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -23,13 +23,13 @@
 from cairndale.ingress.policy.account import ISOLATED_SAVINGS_S
 from cairndale.quota import quota_counter
 from cairndale.quota.budget_counter import (
-    BUDGET_GRANT_LIFE_S,
+    BUDGET_GRANT_LIFETIME_S,
     Budget,
     BudgetCounter,
     retry_budget,
     warmup_budget,
 )
-from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, max_saved_units
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFETIME_S, max_saved_units
 from cairndale.registry.endpoints import Endpoint, EndpointRegistry
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -84,7 +84,7 @@
         self,
         seed: int,
         share_while_connected: bool = False,
-        grant_lifetime: float = BUDGET_GRANT_LIFE_S,
+        grant_lifetime: float = BUDGET_GRANT_LIFETIME_S,
         quota: tuple[float, float, int] = (RATE, BURST, INGRESS_COUNT),
         saves_while_connected: bool | None = None,
     ) -> None:
@@ -320,11 +320,11 @@
         except CallError:
             return
         if left is not None and (granted := amount - min(amount, max(0.0, -left))) > 0:
-            delay = self.rng.choice((0.02, QUOTA_GRANT_LIFE_S * 0.95))
+            delay = self.rng.choice((0.02, QUOTA_GRANT_LIFETIME_S * 0.95))
             self.schedule(
                 delay,
                 lambda: ingress.grants.append(
-                    (requested_at + QUOTA_GRANT_LIFE_S * 0.95 / ingress.clock_rate, granted)
+                    (requested_at + QUOTA_GRANT_LIFETIME_S * 0.95 / ingress.clock_rate, granted)
                 ),
             )
 
@@ -512,7 +512,7 @@
 
 def ignore_missing_ingresses(monkeypatch: pytest.MonkeyPatch) -> None:
     """Units are granted as if all ingresses had contacted the leader and none were isolated."""
-    monkeypatch.setattr(NodeRegistry, "all_contacted", lambda self, now: True)
+    monkeypatch.setattr(NodeRegistry, "all_ingresses_contacted", lambda self, now: True)
     monkeypatch.setattr(NodeRegistry, "count_isolated", lambda self, now, ingress_count: 0)
 
 
@@ -542,9 +542,9 @@
         simulation = Simulation(
             seed,
             share_while_connected=defect == "share while connected",
-            grant_lifetime=4 * BUDGET_GRANT_LIFE_S
+            grant_lifetime=4 * BUDGET_GRANT_LIFETIME_S
             if defect == "used after expiry"
-            else BUDGET_GRANT_LIFE_S,
+            else BUDGET_GRANT_LIFETIME_S,
         )
         simulation.run(random_faults(seed))
         if violations(simulation):
