--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -22,7 +22,15 @@
 from tests.control.test_recovery import Ingress as FleetIngress
 from tests.control.test_recovery import World as Fleet
 from tests.control.test_recovery import play as play_fleet
-from tests.quota.test_quota import BOUNDS, SMALL, Edge, Fault, World, broken, drawn
+from tests.quota.test_quota import (
+    BOUNDS,
+    SMALL_QUOTA,
+    Fault,
+    SimulatedIngress,
+    Simulation,
+    random_faults,
+    violations,
+)
 from tests.testing.control_cluster import World as Machines
 from tests.testing.control_cluster import in_memory, play
 
@@ -54,17 +62,17 @@
     play(scene())
 
 
-class OneAsks(World):
+class OneAsks(Simulation):
     """Only one ingress has requests, of a tenant with a small quota; the last ZONE of all are
     lost."""
 
     began = 0.0  # when the later leader's term did
 
-    def spend(self, edge: Edge) -> None:
-        if edge.name == "e0":
-            super().spend(edge)
+    def spend(self, ingress: SimulatedIngress) -> None:
+        if ingress.name == "e0":
+            super().spend(ingress)
 
-    def lease(self, edge: Edge) -> None:
+    def request_quota(self, ingress: SimulatedIngress) -> None:
         assert self.leadership
         left = self.leadership.grants.grant_quota(self.now, pb.QuotaRequest(tenant="t", amount=1.0))
         if left is not None and left >= 0.0:
@@ -79,28 +87,28 @@
         return sum(units for at, units in self.spent if since < at - self.began <= until)
 
 
-LOST: list[Fault] = [(1.0, "cut", SMALL[2] - ZONE), (0.0, "leader", 0)]
+LOST: list[Fault] = [(1.0, "partition", SMALL_QUOTA[2] - ZONE), (0.0, "leader", 0)]
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_quota_can_be_had_within_a_second_of_a_later_leaders_term(seed: int) -> None:
     """Though some that held leases of the leader before are not heard of, and may spend their
     parts."""
-    world = OneAsks(seed, quota=SMALL)
+    world = OneAsks(seed, quota=SMALL_QUOTA)
     world.run(LOST, 12.0)
     assert 5.0 < world.began < 8.0 and world.leadership
-    assert world.had(1.0, 4.0) > 0.75 * SMALL[0] * 3.0
+    assert world.had(1.0, 4.0) > 0.75 * SMALL_QUOTA[0] * 3.0
 
 
 def test_a_later_leaders_stores_hold_a_burst_before_long() -> None:
-    world = OneAsks(1, quota=SMALL)
-    world.spend = lambda edge: None  # type: ignore[method-assign]
+    world = OneAsks(1, quota=SMALL_QUOTA)
+    world.spend = lambda ingress: None  # type: ignore[method-assign]
     world.run(LOST, 9.5)
     assert (
         world.leadership and world.leadership.grants.is_counting and world.now - world.began < 4.0
     )
     left = world.leadership.grants.grant_quota(
-        world.now, pb.QuotaRequest(tenant="t", amount=SMALL[1])
+        world.now, pb.QuotaRequest(tenant="t", amount=SMALL_QUOTA[1])
     )
     assert left is not None and left >= 0.0
 
@@ -111,7 +119,7 @@
 ) -> None:
     """Of two that were killed with the leader one asks before it is 1 ms old. `told`: it lives
     on."""
-    world = World(1, quota=SMALL)
+    world = Simulation(1, quota=SMALL_QUOTA)
     leadership = Leadership(
         2, 10.0, True, EndpointRegistry(), NodeRegistry(), ["e0", "e1"], BOUNDS, 1.5
     )
@@ -124,7 +132,7 @@
     send_request("e0", 10.1, "1" if told else "", 0)
     assert leadership.grants.is_counting == told
     send_request("e1", 12.0, "", 1900)
-    left = leadership.grants.grant_quota(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
+    left = leadership.grants.grant_quota(12.1, pb.QuotaRequest(tenant="t", amount=SMALL_QUOTA[1]))
     assert left is not None and (left >= 0.0) == (not told)
 
 
@@ -132,11 +140,11 @@
 def test_no_window_sees_more_than_the_whole_as_zones_and_leaders_are_lost(seed: int) -> None:
     """All spend all that they may."""
     rng = random.Random(seed)
-    kinds = (("cut", SMALL[2] - ZONE), ("leader", 0), ("heal", 0))
+    kinds = (("partition", SMALL_QUOTA[2] - ZONE), ("leader", 0), ("reconnect", 0))
     lost = [(rng.uniform(0.0, 3.0), kind, who) for kind, who in kinds]
-    world = World(seed, quota=SMALL)
-    world.run([*lost, *lost, *drawn(seed, 2, SMALL[2])])
-    assert broken(world) == []
+    world = Simulation(seed, quota=SMALL_QUOTA)
+    world.run([*lost, *lost, *random_faults(seed, 2, SMALL_QUOTA[2])])
+    assert violations(world) == []
 
 
 def test_a_zone_of_100_returns_that_was_lost_with_the_leader(
--- a/tests/quota/test_quota.py
+++ b/tests/quota/test_quota.py
@@ -80,6 +80,8 @@
 
 
 class Simulation:
+    """One leader at a time and its ingresses, in virtual time."""
+
     def __init__(
         self,
         seed: int,
@@ -132,6 +134,7 @@
             self.spend(ingress)
 
     def schedule(self, delay: float, action: Callable[[], None]) -> None:
+        """Runs the action after `delay` seconds."""
         self.event_count += 1
         heapq.heappush(self.events, (self.now + delay, self.event_count, action))
 
@@ -169,14 +172,14 @@
         if ingress.incarnation != incarnation:
             return
         requested_at, answered = self.now, [False]
-        idle = 0 if ingress.ingress_count else int((requested_at - ingress.started_at) * 1000)
-        lag = self.rng.uniform(0.001, 0.03)
+        idle_ms = 0 if ingress.ingress_count else int((requested_at - ingress.started_at) * 1000)
+        network_delay = self.rng.uniform(0.001, 0.03)
         epoch, (clock_ms, received_at) = ingress.epoch, ingress.leader_clock
         counter_active = (
             ingress.counter_active
             and (self.now - ingress.last_response_at) * ingress.clock_rate <= PROMPT_REQUEST_S
         )
-        clock = (
+        leader_clock_ms = (
             int(clock_ms + (requested_at - received_at) * 1000 * 0.98 / ingress.clock_rate)
             if clock_ms
             else 0
@@ -199,8 +202,8 @@
                 counter_active=counter_active,
                 epoch=epoch,
                 config_version=self.state.version,
-                idle_ms=idle,
-                leader_clock_ms=clock,
+                idle_ms=idle_ms,
+                leader_clock_ms=leader_clock_ms,
             )
             leadership = self.leadership
             try:
@@ -216,7 +219,7 @@
             if leadership is not self.leadership or ingress.name in self.partitioned:
                 return
             watch_response = leadership.watch_responses.update(self.now, request, self.state)
-            self.schedule(lag, lambda: receive(watch_response))
+            self.schedule(network_delay, lambda: receive(watch_response))
 
         def receive(watch_response: pb.WatchResponse) -> None:
             # A frozen ingress reads the response when it is thawed.
@@ -251,7 +254,7 @@
                 answered[0] = True
                 self.send_request(ingress, incarnation)
 
-        self.schedule(lag, arrive)
+        self.schedule(network_delay, arrive)
         if self.rng.random() < 0.2:  # a duplicate that a frozen peer forwards when it is thawed
             self.schedule(self.rng.uniform(0.1, 6.0), lambda: arrive(True))
         self.schedule(response_timeout(long_poll_timeout(self.quota[2])), give_up)
@@ -311,6 +314,7 @@
         ingress.share_updated_at = self.now
 
     def request_quota(self, ingress: SimulatedIngress) -> None:
+        """Requests units of the quota, which are spent at once or just before they expire."""
         assert self.leadership
         requested_at, amount = self.now, self.rng.choice((1.0, 10.0, 80.0))
         try:
@@ -329,6 +333,7 @@
             )
 
     def request_budgets(self, ingress: SimulatedIngress) -> None:
+        """Requests one unit of each budget, used at once or at the end of its lifetime."""
         assert self.leadership
         for name, used in self.used.items():
             requested_at, until = (
@@ -412,8 +417,8 @@
             self.schedule(at, lambda kind=kind, target=target: self.inject(kind, target))  # type: ignore[misc]
         self.tick()
         while self.events and self.events[0][0] < until:
-            at, _, action = heapq.heappop(self.events)
-            self.now = at
+            event_time, _, action = heapq.heappop(self.events)
+            self.now = event_time
             action()
 
 
@@ -430,6 +435,7 @@
 
 
 def violations(simulation: Simulation) -> list[str]:
+    """The exceeded bounds, each with the units spent and the bound."""
     violated, (rate, burst, _) = [], simulation.quota
     bound = (rate * BOUNDS.quota_window + burst) * (1 + BOUNDS.quota_overrun) + BOUNDS.quota_slack
     if (most := max_in_window(simulation.spent, BOUNDS.quota_window)) > bound:
