--- a/cairndale/configuration/json_stream.py
+++ b/cairndale/configuration/json_stream.py
@@ -16,7 +16,7 @@
 
 LARGE_BODY_BYTES = 64 * 1024  # largest body that is decoded in one step
 DECODED_BYTES_PER_STEP = 1024 * 1024  # bytes of the body that are converted to text at once
-LOOKAHEAD_CHARS = 64 * 1024  # characters that are buffered ahead of the position
+LOOKAHEAD_CHARS = 64 * 1024  # characters buffered ahead of the position, until the body ends
 ITEMS_PER_STEP = 500  # items of a list
 MAX_SPLIT_DEPTH = 2  # levels of nested objects that are decoded member by member
 MIN_CHARS_AFTER_VALUE = 3  # with fewer, a number may be incomplete: 1|e+5
--- a/cairndale/registry/endpoints.py
+++ b/cairndale/registry/endpoints.py
@@ -193,7 +193,7 @@
     def expire(self, now: float, heartbeat_interval: float) -> bool:
         """Mark endpoints without recent heartbeats as gone, and remove the expired tombstones.
 
-        An endpoint that is gone only for lack of heartbeats is added again by its next heartbeat.
+        An endpoint that is gone only for lack of heartbeats returns with its next heartbeat.
         True if a change has to be sent to the data plane.
         """
         before = self.version
@@ -211,8 +211,9 @@
     def restart_warmup(self, zone: str, now: float, warmups: dict[str, float]) -> bool:
         """Restart the warm-up (slow start) of a zone's endpoints, as when its evacuation ends.
 
-        They had no traffic and may have to warm up again. `warmups` has the duration in seconds by
-        service. True if a change has to be sent to the data plane.
+        They had no traffic and may no longer be warm, whatever their last heartbeat reported.
+        `warmups` has the duration in seconds by service. True if a change has to be sent to the
+        data plane.
         """
         before = self.version
         for endpoint in self.endpoints.values():
