--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -21,8 +21,8 @@
 from cairndale.control.endpoint_codec import endpoint_to_message
 from cairndale.control.evacuation_log import EvacuationLog
 from cairndale.http_api.router import CONTROL_ROUTES, RouteFailure, RouteMatch, match
-from cairndale.lookup.selection import Lookups
-from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S, QuotaCounter
+from cairndale.lookup.selection import LookupResponder
+from cairndale.quota.quota_counter import QUOTA_GRANT_LIFETIME_S, QuotaCounter
 from cairndale.registry.endpoints import EndpointRegistry, HeartbeatError, read_heartbeat
 from cairndale.registry.nodes import NodeRegistry
 from cairndale.rpc import protocol_pb2 as pb
@@ -72,23 +72,23 @@
     "odd kind": (content(routes=[route(kind="sometimes")]), "routes[0].kind: 'sometimes'"),
     "same place": (
         content(routes=[route(), route("r2", pathPrefix="/r1/", host="A.example")]),
-        "routes[1]: this host and prefix stands in routes[0]",
+        "routes[1]: this host and prefix is also used in routes[0]",
     ),
     "shared key": (
         content(tenants=[{"name": "t1", "apiKeys": ["k"]}, {"name": "t2", "apiKeys": ["k"]}]),
-        "tenants[1].apiKeys: one of these keys stands in tenants[0].apiKeys",
+        "tenants[1].apiKeys: one of these keys is also used in tenants[0].apiKeys",
     ),
     "no time": (content(routes=[route(deadline="soon")]), "routes[0].deadline: 'soon' is no time"),
     "no aim": (content(routes=[route(target_time=400)]), "routes[0].target_time: 400 is no time"),
     "neither backend nor split": (
         content(routes=[{k: v for k, v in route().items() if k != "backend"}]),
-        "routes[0]: wants one of",
+        "routes[0]: needs exactly one of",
     ),
     "no item": (content(routes=["r1"]), "routes[0]: is no object"),
-    "no list": (content(tenants={}), "tenants: is no list"),
+    "no list": (content(tenants={}), "tenants: is not a list"),
     "twice a name": (
         content(routes=[route(), route(pathPrefix="/x/")]),
-        "routes[1].name: this name stands in",
+        "routes[1].name: this name is also used in",
     ),
 }
 
@@ -136,12 +136,12 @@
         "tenants[0].apiKeys",
     }
     assert change_errors({"gen": True, "parent": -1}, False, 3) == [
-        "gen: True is no whole number",
-        "parent: -1 is no whole number",
+        "gen: True is not a non-negative integer",
+        "parent: -1 is not a non-negative integer",
     ]
     assert change_errors(
         {"gen": 3, "parent": 3, "upsert": {"x": []}, "remove": {"routes": [1]}}, False, 3
-    ) == ["gen: 3 is not above 3", "upsert.x: is not known", "remove.routes: is no list of names"]
+    ) == ["gen: 3 is not above 3", "upsert.x: is unknown", "remove.routes: is not a list of names"]
 
 
 NAMES = st.sampled_from(["r1", "r2", "r3", "r4"])
@@ -376,12 +376,14 @@
     )
     node_registry.renew_lease(1.0, "a")
     node_registry.renew_lease(1.0, "b")
-    assert node_registry.all_at_version(1.1, 1) and not node_registry.all_at_version(1.1, 2)
+    assert node_registry.all_ingresses_at_version(
+        1.1, 1
+    ) and not node_registry.all_ingresses_at_version(1.1, 2)
     node_registry.record_request(1.2, node("a"), 2)
     assert (
-        not node_registry.all_at_version(1.2, 2)
-        and not node_registry.all_at_version(1.0 + NODE_LEASE_S, 2)
-        and node_registry.all_at_version(1.01 + NODE_LEASE_S, 2)
+        not node_registry.all_ingresses_at_version(1.2, 2)
+        and not node_registry.all_ingresses_at_version(1.0 + NODE_LEASE_S, 2)
+        and node_registry.all_ingresses_at_version(1.01 + NODE_LEASE_S, 2)
     )
     # its life before is over, and so is what that had told
     node_registry.record_request(2.0, node("b", life="2"), 0)
@@ -390,8 +392,10 @@
     # another led, and may have given them leases to the last
     later.begin_term(10.0, ["a", "b"])
     later.record_request(10.1, node("a"), 2)
-    assert not later.all_contacted(10.2) and not later.all_at_version(10.0 + NODE_LEASE_S, 2)
-    assert later.all_contacted(10.01 + NODE_LEASE_S) and later.all_at_version(
+    assert not later.all_ingresses_contacted(10.2) and not later.all_ingresses_at_version(
+        10.0 + NODE_LEASE_S, 2
+    )
+    assert later.all_ingresses_contacted(10.01 + NODE_LEASE_S) and later.all_ingresses_at_version(
         10.01 + NODE_LEASE_S, 2
     )
 
@@ -407,7 +411,7 @@
 
     def told(query: str) -> Any:
         target = f"/-/lookup?{query}"
-        status, body = Lookups("").answer(target, nodes, 5.0, RouteTable({}), version=None)
+        status, body = LookupResponder("").answer(target, nodes, 5.0, RouteTable({}), version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
     assert told("name=x&region=r&zone=z") == ["a:80"] and told("region=nowhere") == ["a:80", "b:80"]
@@ -430,7 +434,7 @@
 
     def told(nodes: list[pb.Node], of: RouteTable) -> Any:
         target = "/-/lookup?name=a.example&region=r&zone=z"
-        status, body = Lookups("").answer(target, nodes, 5.0, of, version=None)
+        status, body = LookupResponder("").answer(target, nodes, 5.0, of, version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
     assert told([node("d"), home, away], route_table) == ["d:80"]
@@ -469,7 +473,7 @@
         left = quota_counter.grant(now, "t", amount, 0.0)
         assert left is not None
         spent.append(
-            (now + rng.choice((0.0, QUOTA_GRANT_LIFE_S)), amount - min(amount, max(0.0, -left)))
+            (now + rng.choice((0.0, QUOTA_GRANT_LIFETIME_S)), amount - min(amount, max(0.0, -left)))
         )
     for start, _ in spent:
         window = sum(units for at, units in spent if start <= at < start + bounds.quota_window)
