--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -39,7 +39,7 @@
     def last_quorum_contact(self, now: float) -> float:
         """When that was sent which a majority has answered last."""
 
-    def heartbeat_soon(self, now: float, apart: float) -> Ready:
+    def heartbeat_soon(self, now: float, min_interval: float) -> Ready:
         """Heartbeats ahead of time, if the last ones were sent `apart` seconds ago or more."""
 
 
--- a/cairndale/raft/codec.py
+++ b/cairndale/raft/codec.py
@@ -1,7 +1,7 @@
-"""Raft messages, log entries and snapshot heads to protobuf and back.
+"""Converts Raft messages, log entries and snapshot heads to protobuf and back.
 
-The field numbers in `protocol.proto` are the format, on the wire and on disk. Attributes and
-protobuf fields need not have the same name; this module is the one place that knows both."""
+The field numbers in `protocol.proto` define the format on the wire and on disk. Attributes and
+protobuf fields may have different names; only this module maps between them."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def _members_from_pb(members: Iterable[pb.Member]) -> tuple[Member, ...]:
-    """Members written before zones and learners existed are voters without a location."""
+    """Members stored by versions without zones and learners become voters without a location."""
     return tuple(_member_from_pb(m) for m in members)
 
 
@@ -115,7 +115,7 @@
     """The message as it is sent to another member."""
     sender = pb.Member(address=message.sender.address, disk=message.sender.disk_id)
     if isinstance(message, Join | Leave):
-        # The other messages are frequent, and the receiver needs only the sender's identity.
+        # Other messages are frequent, and their receivers need only the sender's identity.
         sender.zone, sender.region = message.sender.zone, message.sender.region
     encoded = pb.LogMessage(term=message.term, sender=sender)
     match message:
@@ -209,7 +209,7 @@
             return Leave(term, sender)
         case "timeout_now":
             return TimeoutNow(term, sender)
-    raise ValueError("a message without a body")
+    raise ValueError("Raft message has no body")
 
 
 def _request_vote_from_pb(term: int, sender: Member, request: pb.RequestVote) -> RequestVote:
--- a/cairndale/raft/compaction.py
+++ b/cairndale/raft/compaction.py
@@ -1,7 +1,7 @@
-"""Log compaction (Raft 7, PhD 5): snapshots replace the entries that led to them.
+"""Log compaction (Raft 7, PhD 5): a snapshot replaces the entries that it covers.
 
-A member makes its own snapshots. The leader sends one to a follower whose next entry is neither in
-its log nor in the compacted tail."""
+Each member creates its own snapshots. The leader sends one to a follower whose next entry is
+neither in the leader's log nor in its compacted tail."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class Compaction(Replica):
-    """The part of a node that makes, sends and installs snapshots."""
+    """The part of a node that creates, sends and installs snapshots."""
 
-    # Making.
+    # Creation.
 
     def make_snapshot(self, index: int, state: bytes, digest: bytes = b"") -> Snapshot:
         """A snapshot of `state`, which is the state after the entry at `index`.
 
-        The entry has to be committed and still in the log. `digest` is that of `state`, if it is
-        known already."""
+        The entry has to be committed and still in the log. `digest` is the digest of `state`, if
+        it has been computed already."""
         members = self.base_snapshot.members
         for entry in self.log[: index - self.base_snapshot.index]:
             members = entry.members or members
@@ -45,8 +45,8 @@
     def compact(self, snapshot: Snapshot | bytes) -> Ready:
         """Replaces the entries up to the snapshot's index by the snapshot.
 
-        Bytes are the state after the last committed entry. A snapshot that is not newer than the
-        present one is ignored."""
+        If `snapshot` is bytes, it is the state after the last committed entry. A snapshot that is
+        not newer than the current one is ignored."""
         ready = Ready()
         if isinstance(snapshot, bytes):
             snapshot = self.make_snapshot(self.commit_index, snapshot)
@@ -64,7 +64,7 @@
     # Leader.
 
     def _is_sending_snapshot(self, now: float) -> bool:
-        """A transfer makes progress; its receiver may be the voter that is missing."""
+        """A transfer is in progress; its receiver may be the voter that the quorum lacks."""
         return any(p.transfer and not p.transfer.is_stalled(now) for p in self.peers.values())
 
     def _send_snapshot(
@@ -80,7 +80,7 @@
         ready.sends += [(peer.member.address, message) for message in messages]
 
     def _is_superseded(self, peer: Progress) -> bool:
-        """Another disk at the address of this member is joining, and is sent the snapshot."""
+        """A new disk at this peer's address is joining; the snapshot goes to that one instead."""
         return peer.member in self._members and any(
             p.member.address == peer.member.address and p.member not in self._members
             for p in self.peers.values()
@@ -111,14 +111,15 @@
         ready.sends.append((message.sender.address, reply))
 
     def _needs(self, index: int) -> bool:
-        """A snapshot at `index` is ahead of this member, or tells it the first configuration."""
+        """A snapshot at `index` is ahead of this member, or carries its first configuration."""
         return index > self.commit_index or not self.base_snapshot.members
 
     def install_snapshot(self, now: float, snapshot: Snapshot) -> Ready:
-        """Replaces log and state by a snapshot that was received and has been read.
+        """Replaces log and state with a snapshot that was received and decoded.
 
-        The entries after it stay if the log agrees with it (Raft 7): they may have been
-        acknowledged. Ignored if this member has caught up or become leader meanwhile."""
+        If the log contains the snapshot's last entry, the entries after it are kept (Raft 7), since
+        this member may have acknowledged them. The snapshot is ignored if this member has caught up
+        or become leader meanwhile."""
         ready = Ready()
         if self.role is not Role.LEADER and self._needs(snapshot.index):
             self._restore(snapshot, ready)
--- a/cairndale/raft/election.py
+++ b/cairndale/raft/election.py
@@ -15,12 +15,12 @@
 
 
 class Election(Replica):
-    """The part of a node that campaigns, votes and hands its leadership over."""
+    """The part of a node that campaigns, votes and transfers leadership."""
 
     def _campaign(self, now: float, ready: Ready, pre_vote: bool, transfer: bool = False) -> None:
         self._reset_election_timer(now)
         if pre_vote and now < self._early_election_until:
-            # Other members may be restarting as well and not be there to vote yet.
+            # Other members may be restarting too and not yet able to vote: retry early.
             self._election_due = now + self.timings.early_election_spread
         self._votes = {self.me.disk_id}
         self.leader = None
@@ -46,28 +46,30 @@
     # Voter.
 
     def _handle_vote_request(self, now: float, ready: Ready, message: RequestVote) -> None:
-        """Answers whoever asks, voter or not.
+        """Replies to any candidate, whether or not it is a voter here.
 
-        The candidate's log decides who votes, and may be ahead of this one."""
+        The candidate's own log determines the voters, and it may be ahead of this member's log."""
         supports_leader = self._supports_leader(now, message)
         last = (self.term_at(self.last_index), self.last_index)
         is_up_to_date = (message.last_log_term, message.last_log_index) >= last
         if message.pre_vote:
             granted = message.term > self.term and is_up_to_date and not supports_leader
-            # A rejection carries this member's term: a candidate behind it has to ask for a later
-            # one to be granted anything.
+            # A rejection carries this member's term, so that a candidate in an earlier term moves
+            # on to it; it could not win a vote otherwise.
             term = message.term if granted else self.term
             self._reply_to_vote(ready, message, term, granted)
         elif not supports_leader:
             self._vote(now, ready, message, is_up_to_date)
 
     def _supports_leader(self, now: float, message: RequestVote) -> bool:
-        """A leader was heard within the election timeout, and its lease rests on no vote now."""
+        """This member has to reject a vote, since it supports a leader whose lease may be valid.
+
+        As follower it does for one election timeout after the leader's last heartbeat."""
         if self.role is Role.LEADER:
             return not self._lease_released and now < self.lease_end(now)
-        # The lease binds this member to one leader. If that member itself asks, it has restarted
-        # and holds no lease any longer; with `transfer`, it was asked to by a leader that has
-        # released its lease.
+        # This member supports the lease of one leader. If that leader itself asks for a vote, it
+        # has restarted and no longer has the lease. With `transfer`, the leader has released its
+        # lease and asked the candidate to campaign.
         is_released = self.voted_for == message.sender.disk_id or message.transfer
         is_recent = now - self.last_heartbeat_at < self.timings.election_timeout
         return is_recent and not is_released
@@ -94,7 +96,7 @@
     # Candidate.
 
     def _handle_vote_reply(self, now: float, ready: Ready, message: VoteReply) -> None:
-        # The term of a granted pre-vote is the one asked for, and nobody is in it yet.
+        # The term of a granted pre-vote is the requested one, which no member has entered yet.
         is_current_term = not message.pre_vote or (
             not message.granted and self.role is Role.PRE_CANDIDATE
         )
@@ -127,7 +129,7 @@
             for m in self._effective_members()
             if m != self.me
         }
-        # Committing an entry of its own term tells the leader what is committed (Raft 8).
+        # A leader learns which entries are committed by committing one of its own term (Raft 8).
         self._append_entry(now, ready, Entry(self.last_index + 1, self.term, is_term_start=True))
 
     def _become_follower(self, now: float, ready: Ready, term: int, leader: Member | None) -> None:
@@ -146,15 +148,15 @@
     def _transfer_leadership(self, now: float, ready: Ready) -> None:
         """Asks an up-to-date voter to campaign at once.
 
-        The lease is released before, for the rest of the term, so that the voters that support it
-        may vote for another member at once."""
+        The lease is released first, for the rest of the term, so that the voters that support it
+        may vote for the target immediately."""
         if now - self._transfer_requested_at < 2 * self.timings.heartbeat_interval:
             return
         targets = [p for p in self.peers.values() if self._may_take_over(now, p)]
         if not targets:
             return
         target = max(targets, key=lambda p: (p.last_ack_sent_at, p.member))
-        target.last_ack_sent_at = float("-inf")  # a further attempt goes to another member
+        target.last_ack_sent_at = float("-inf")  # the next attempt goes to another member
         if not self._lease_released:
             self._lease_released = True
             self.role_changed_at = now
--- a/cairndale/raft/fragments.py
+++ b/cairndale/raft/fragments.py
@@ -1,10 +1,10 @@
-"""A large command in the log: fragments, an entry each, of which the last makes it count. Pure.
+"""Splits a large command into fragments, one log entry each. No I/O.
 
-An entry's data are a fragment if they begin with `FRAGMENT_MARK`, which no whole command does: that
-begins with zlib's `x`. Header, all big-endian: mark (1 byte), kind (1), number in the command (4),
-CRC-32 of header and payload (4). The payload of the last fragment begins with the digest of all
-fragments' data. Fragments of one command follow one another in one term; other entries may stand
-between them."""
+A command takes effect with its last fragment. An entry holds a fragment if its data begin with
+`FRAGMENT_MAGIC`; an unfragmented command begins with zlib's `x`. The header is big-endian: magic
+(1 byte), kind (1), sequence number in the command (4), CRC-32 of header and payload (4). The
+payload of the last fragment begins with the digest of the complete command. The fragments of a
+command are in order and in one term; other entries may be interleaved with them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 from cairndale.raft.messages import state_digest
 
-# The largest data of an entry. Two fit in one append, which bounds what a heartbeat queues behind.
+# Maximum data of an entry. Two fit in one append, which bounds how long a heartbeat is queued.
 FRAGMENT_BYTES = 16 * 1024
-# Fragments proposed ahead of the commit index: other commands get in between.
+# Fragments proposed ahead of the commit index, so that other commands can be interleaved.
 MAX_UNCOMMITTED = 4
-FRAGMENT_MARK = 2
+FRAGMENT_MAGIC = 2
 DIGEST_BYTES = 16
-_HEADER = struct.Struct(">BBI")  # mark, kind, number
+_HEADER = struct.Struct(">BBI")  # magic, kind, number
 _CRC = struct.Struct(">I")
 PAYLOAD_BYTES = FRAGMENT_BYTES - _HEADER.size - _CRC.size  # in one fragment
 
 
 class FragmentKind(IntEnum):
-    """Place of a fragment in its command; the numbers are the stored format."""
+    """Position of a fragment in its command. The numbers are part of the stored format."""
 
-    MORE = 0  # others follow
+    MORE = 0  # more fragments follow
     LAST = 1
-    ABORT = 2  # the command before is given up: its other fragments will not come
+    ABORT = 2  # abandons the current command: no further fragments of it will follow
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,20 +41,20 @@
 
     kind: FragmentKind
     number: int  # in its command, from 0
-    data: bytes  # of the last one: the digest, then data
+    data: bytes  # in the last fragment: the digest, then data
 
 
 class FragmentError(ValueError):
-    """The data are no fragment, or a damaged one."""
+    """The data are not a fragment, or the fragment is damaged."""
 
 
 def is_fragment(data: bytes) -> bool:
-    """Whether an entry's data are a fragment and not a whole command."""
-    return data[:1] == bytes([FRAGMENT_MARK])
+    """Whether an entry's data are a fragment rather than a complete command."""
+    return data[:1] == bytes([FRAGMENT_MAGIC])
 
 
 def is_intact(data: bytes) -> bool:
-    """Whether an entry's data are undamaged, as far as they carry a checksum."""
+    """Whether an entry's data match their checksum; true for data without one."""
     if not is_fragment(data):
         return True
     try:
@@ -66,27 +66,27 @@
 
 def encode_fragment(kind: FragmentKind, number: int, data: bytes) -> bytes:
     """The data of an entry that holds a fragment."""
-    header = _HEADER.pack(FRAGMENT_MARK, kind, number)
+    header = _HEADER.pack(FRAGMENT_MAGIC, kind, number)
     return header + _CRC.pack(zlib.crc32(data, zlib.crc32(header))) + data
 
 
 def decode_fragment(data: bytes) -> Fragment:
     """The fragment in an entry's data. Raises FragmentError."""
     try:
-        mark, kind, number = _HEADER.unpack_from(data)
+        magic, kind, number = _HEADER.unpack_from(data)
         (crc,) = _CRC.unpack_from(data, _HEADER.size)
         payload = data[_HEADER.size + _CRC.size :]
-        if mark != FRAGMENT_MARK or crc != zlib.crc32(payload, zlib.crc32(data[: _HEADER.size])):
-            raise FragmentError("a part is not as it was made")
+        if magic != FRAGMENT_MAGIC or crc != zlib.crc32(payload, zlib.crc32(data[: _HEADER.size])):
+            raise FragmentError("fragment has a wrong magic byte or checksum")
         return Fragment(FragmentKind(kind), number, payload)
     except (struct.error, ValueError) as error:
         raise FragmentError(str(error)) from error
 
 
 def split(pieces: Iterable[bytes]) -> Iterator[bytes]:
-    """The data of one entry after the other, for a command that comes in pieces.
+    """Yields the entry data of each fragment of a command that is encoded piece by piece.
 
-    Yields empty bytes after each piece: the caller may pause there."""
+    Also yields empty bytes after each piece, where the caller may pause."""
     digest, pending, number = state_digest(), bytearray(), 0
     size = PAYLOAD_BYTES - DIGEST_BYTES
     for piece in pieces:
--- a/cairndale/raft/membership.py
+++ b/cairndale/raft/membership.py
@@ -1,4 +1,4 @@
-"""Membership changes: joining, leaving, and which members vote.
+"""Membership changes: joining, leaving, and the choice of voters.
 
 A change is one configuration entry, appended by the leader once the first entry of its term and the
 previous change are committed. A joining member is sent the log first; once it holds all committed
@@ -13,22 +13,22 @@
 from cairndale.raft.replica import NEVER, Progress, Replica, Role
 from cairndale.raft.voters import MemberHealth, VoterChoiceInputs, next_voters
 
-MAX_JOINING = 32  # members that are sent the log before they are in the configuration
-MAX_SILENT_LEARNERS = 8  # learners in the configuration that do not reply
+MAX_JOINING = 32  # members that receive the log but are not in the configuration yet
+MAX_UNRESPONSIVE_LEARNERS = 8  # unresponsive learners that are kept in the configuration
 
 
 class Membership(Replica):
-    """The part of a node that joins, leaves, and as leader changes the configuration."""
+    """The part of a node that joins, leaves, and changes the configuration as leader."""
 
     # Member.
 
     def leave(self) -> None:
-        """Starts to leave: a leader transfers its leadership, others ask to be removed."""
+        """Starts leaving: a leader transfers its leadership, other members ask to be removed."""
         self.leaving = True
         self._membership_request_due = NEVER
 
     def has_left(self) -> bool:
-        """This member is neither leader nor, as far as it knows, a voter; it may stop."""
+        """This member may stop: it is not the leader and, as far as it knows, not a voter."""
         return self.role is not Role.LEADER and not self.may_campaign()
 
     def _known_addresses(self) -> list[str]:
@@ -36,7 +36,9 @@
         return [address for address in addresses if address != self.me.address]
 
     def _send_membership_request(self, now: float, ready: Ready, request: Join | Leave) -> None:
-        """Sends to the leader if there is one, else to all known addresses, now and then."""
+        """Sends the request to the leader, or to all known addresses if there is none.
+
+        Does nothing until the randomized interval since the last request has passed."""
         if now < self._membership_request_due:
             return
         wait = self.timings.join_interval * (1 + self.rng.random())
@@ -55,17 +57,17 @@
         recorded = next((m for m in self._members if m == self.me), self.me)
         return (recorded.zone, recorded.region) == (self.me.zone, self.me.region)
 
-    # Requests of others.
+    # Requests from other members.
 
     def _handle_join(self, now: float, ready: Ready, message: Join) -> None:
         if self.role is Role.LEADER:
             self._track_joining(now, ready, message.sender)
             return
         if self._replaces_last_leader(message.sender):
-            # The leader's disk is gone, and the lease with it: there is nothing to wait for.
+            # The leader has lost its disk and with it the lease: an election need not wait.
             self.last_heartbeat_at = NEVER
-            early = now + self.timings.early_election_spread * self.rng.random()
-            self._election_due = min(self._election_due, early)
+            early_due = now + self.timings.early_election_spread * self.rng.random()
+            self._election_due = min(self._election_due, early_due)
         self._forward_to_leader(ready, message)
 
     def _replaces_last_leader(self, sender: Member) -> bool:
@@ -95,16 +97,16 @@
         peer.leave_requested_at = NEVER
 
     def _start_tracking(self, now: float, ready: Ready, sender: Member) -> bool:
-        """Sends a new member the log, in place of an earlier one at its address.
+        """Starts to send the log to a new member, which replaces a joining one at its address.
 
-        False if too many are joining."""
+        Returns False if too many members are joining."""
         for disk_id, peer in list(self.peers.items()):
             if peer.member.address == sender.address and peer.member not in self._members:
                 del self.peers[disk_id]
         joining = sum(p.member not in self._members for p in self.peers.values())
         if joining >= MAX_JOINING:
             return False
-        # From the snapshot on, also if it is the one of the bootstrap members: no entry names them.
+        # Start with the snapshot, even the bootstrap one: no entry names the bootstrap members.
         peer = Progress(sender, next_index=0, tracked_since=now)
         self.peers[sender.disk_id] = peer
         self._send_append(now, ready, peer)
@@ -120,11 +122,11 @@
     # Leader.
 
     def _propose_members(self, now: float, ready: Ready) -> None:
-        """Appends the next configuration, if there is anything to change."""
+        """Appends the next configuration if it differs from the current one."""
         if not self._may_change_members():
             return
         members = self._next_members(now)
-        # `Member` compares address and disk only; location and role count as well here.
+        # `Member` compares address and disk only; here location and role matter too.
         if [astuple(m) for m in members] == [astuple(m) for m in self._members]:
             return
         addresses = {m.address for m in members}
@@ -134,9 +136,10 @@
             self.peers.pop(member.disk_id, None)
 
     def _may_change_members(self) -> bool:
-        """One change at a time, and none before an entry of this term is committed.
+        """Allows one change at a time, and none before an entry of this term is committed.
 
-        The latter corrects the single-server change of PhD 4.1 (Ongaro, raft-dev, 2015)."""
+        The second rule fixes a bug in the single-server change of PhD 4.1 (Ongaro, raft-dev,
+        2015)."""
         return (
             self._has_committed_in_term
             and self._is_configuration_committed()
@@ -160,7 +163,9 @@
         return now - peer.caught_up_at < self.timings.caught_up_window
 
     def _add_joined(self, now: float, members: dict[str, Member]) -> None:
-        """Adds those that hold all committed entries, each in place of others at its address."""
+        """Adds joining members that have all committed entries.
+
+        A new member replaces other members at its address."""
         for disk_id, peer in self.peers.items():
             is_complete = peer.match_index >= self.commit_index > 0
             if (
@@ -187,17 +192,22 @@
     def _remove_learners(
         self, now: float, members: dict[str, Member], leaving: Collection[str]
     ) -> None:
-        """Removes learners that leave, that are silent for long, and the longest silent of many."""
-        silence = {
-            d: self.peers[d].silence(now)
+        """Removes learners that are leaving or have been unresponsive for too long.
+
+        If more than `MAX_UNRESPONSIVE_LEARNERS` are unresponsive, the excess is removed too,
+        starting with those without a reply for the longest time."""
+        unresponsive_time = {
+            d: self.peers[d].unresponsive_time(now)
             for d, m in members.items()
             if m.learner and d in self.peers
         }
-        learners = sorted(silence, key=lambda d: silence[d])
-        responsive = sum(silence[d] <= self.timings.unresponsive_timeout for d in learners)
+        learners = sorted(unresponsive_time, key=lambda d: unresponsive_time[d])
+        responsive = sum(
+            unresponsive_time[d] <= self.timings.unresponsive_timeout for d in learners
+        )
         for rank, disk_id in enumerate(learners):
-            is_forgotten = silence[disk_id] > self.timings.removal_timeout
-            if disk_id in leaving or is_forgotten or rank >= responsive + MAX_SILENT_LEARNERS:
+            is_expired = unresponsive_time[disk_id] > self.timings.removal_timeout
+            if disk_id in leaving or is_expired or rank >= responsive + MAX_UNRESPONSIVE_LEARNERS:
                 del members[disk_id]
 
     def _health(
@@ -208,8 +218,10 @@
         caught_up = frozenset(d for d, p in peers.items() if self._is_caught_up(now, p))
         return MemberHealth(
             caught_up=caught_up,
-            steady=frozenset(d for d in caught_up if now - peers[d].tracked_since > timeout),
-            lost=frozenset(d for d, p in peers.items() if p.silence(now) > timeout),
+            stable=frozenset(d for d in caught_up if now - peers[d].tracked_since > timeout),
+            unreachable=frozenset(
+                d for d, p in peers.items() if p.unresponsive_time(now) > timeout
+            ),
             leaving=frozenset(leaving),
         )
 
@@ -224,11 +236,11 @@
         return chosen
 
     def _prune_peers(self, now: float) -> None:
-        """Drops silent peers that are in no configuration, and locations of members unknown."""
+        """Drops unresponsive peers outside the configuration, and locations of unknown members."""
         known = {m.disk_id for m in self._effective_members()}
         limit = 2 * self.timings.unresponsive_timeout
         for disk_id, peer in list(self.peers.items()):
-            if disk_id not in known and peer.silence(now) > limit:
+            if disk_id not in known and peer.unresponsive_time(now) > limit:
                 del self.peers[disk_id]
         known |= {*self.peers, self.me.disk_id}
         for disk_id in set(self._reported_locations) - known:
--- a/cairndale/raft/messages.py
+++ b/cairndale/raft/messages.py
@@ -1,7 +1,7 @@
-"""Raft's messages, what a member persists, and the output of the state machine.
+"""Raft's messages, the persistent state of a member, and the output of the state machine.
 
-These are plain values: `codec.py` has their form on the wire and on disk. Indexes count log entries
-from 1; clock readings in messages are microseconds."""
+These are plain values; `codec.py` encodes them for the wire and the disk. Log indexes start at 1.
+Clock readings in messages are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """An address with a disk. Another disk makes another member; location and role do not."""
+    """An address with a disk: equal if both are; location and role are not compared."""
 
     address: str  # host:port
     disk_id: str  # drawn at random when the disk is initialized
     zone: str = field(default="", compare=False)  # empty: not reported yet
     region: str = field(default="", compare=False)
-    # A learner is sent the log and counts in no majority (PhD 4.2.1).
+    # A learner receives the log but is not counted in any majority (PhD 4.2.1).
     learner: bool = field(default=False, compare=False)
 
 
@@ -28,15 +28,15 @@
     index: int
     term: int
     data: bytes = b""
-    members: tuple[Member, ...] = ()  # if any: the configuration from this entry on
-    is_term_start: bool = False  # the leader's first in its term; without data
+    members: tuple[Member, ...] = ()  # the new configuration; empty: not a configuration entry
+    is_term_start: bool = False  # the leader's first entry of its term; has no data
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotHead:
-    """Identifies a snapshot: two that were made at the same entry are the same."""
+    """Identifies a snapshot. Snapshots made at the same entry have equal heads."""
 
-    index: int  # of the last entry that it covers
+    index: int  # of the last entry that the snapshot covers
     term: int  # of that entry
     members: tuple[Member, ...]
     size: int  # bytes of the state
@@ -45,29 +45,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state after the entry at `index`, with the configuration then."""
+    """The state after the entry at `index`, and the configuration at that entry."""
 
     index: int = 0
     term: int = 0
     members: tuple[Member, ...] = ()
     state: bytes = b""
-    digest: bytes = field(default=b"", compare=False)  # of the state, if it is known already
+    digest: bytes = field(default=b"", compare=False)  # of the state; empty: not computed yet
 
     @property
     def head(self) -> SnapshotHead:
-        """Computes the digest, unless it is known."""
+        """The snapshot's head; computes the digest unless it is known."""
         digest = self.digest or state_digest(self.state).digest()
         return SnapshotHead(self.index, self.term, self.members, len(self.state), digest)
 
 
 def state_digest(state: bytes = b"") -> blake2b:
-    """The digest that identifies a state, to be updated with what follows."""
+    """A hash over `state`; the caller may update it with the rest of the state."""
     return blake2b(state, digest_size=16)
 
 
 @dataclass(slots=True)
 class PersistedState:
-    """What a member's disk holds."""
+    """The durable state of a member."""
 
     term: int = 0
     voted_for: str = ""  # disk id of the member voted for, or followed, in that term
@@ -77,24 +77,27 @@
     partial_snapshot: tuple[SnapshotHead, bytes] | None = None
 
 
-# Messages. `term` is the sender's, but for pre-votes.
+# Messages. `term` is the sender's current term, except in pre-votes.
 
 
 @dataclass(frozen=True, slots=True)
 class RequestVote:
-    """Raft 5.2; with `pre_vote` PhD 9.6: who would vote in this term? It binds nobody."""
+    """Asks for a vote (Raft 5.2).
+
+    With `pre_vote` it asks whether the receiver would vote for the sender in `term` (PhD 9.6); the
+    reply commits the receiver to nothing."""
 
     term: int
     sender: Member
     pre_vote: bool
     last_log_index: int
     last_log_term: int
-    transfer: bool = False  # asked for by the previous leader, which has released its lease
+    transfer: bool = False  # the previous leader requested this and has released its lease
 
 
 @dataclass(frozen=True, slots=True)
 class VoteReply:
-    """Reply to `RequestVote`; a granted pre-vote carries the term that was asked for."""
+    """Reply to `RequestVote`. A granted pre-vote carries the requested term."""
 
     term: int
     sender: Member
@@ -104,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendEntries:
-    """Raft 5.3; without entries a heartbeat."""
+    """Raft 5.3. Without entries it is a heartbeat."""
 
     term: int
     sender: Member
@@ -117,23 +120,23 @@
 
 @dataclass(frozen=True, slots=True)
 class AppendReply:
-    """Reply to `AppendEntries`, and to a snapshot that is not needed."""
+    """Reply to `AppendEntries`, or to `InstallSnapshot` if the snapshot is not needed."""
 
     term: int
     sender: Member
     success: bool
-    match_index: int  # all entries up to it are on disk; without success, where to retry at most
+    match_index: int  # all entries up to it are on disk; on failure, the highest index to retry at
     sent_at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """A chunk of a snapshot (Raft 7); without data a heartbeat to its receiver."""
+    """A chunk of a snapshot (Raft 7). Without data it is a heartbeat to the receiver."""
 
     term: int
     sender: Member
     head: SnapshotHead
-    offset: int  # of the data in the state, bytes
+    offset: int  # position of `data` in the state, bytes
     data: bytes
     checksum: int  # CRC-32 of the data
     sent_at_us: int  # the leader's clock; returned in the reply
@@ -146,7 +149,7 @@
     term: int
     sender: Member
     snapshot_index: int
-    next_offset: int  # bytes; all before it are on disk
+    next_offset: int  # bytes; all bytes before it are on disk
     sent_at_us: int
 
 
@@ -160,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """Asks to be removed, since the sender is shutting down."""
+    """Asks to be removed because the sender is shutting down."""
 
     term: int
     sender: Member
@@ -192,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """Replaces term and vote."""
+    """Replaces the stored term and vote."""
 
     term: int
     voted_for: str  # disk id
@@ -208,19 +211,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshotChunk:
-    """Part of a snapshot that is not active yet; offset 0 starts over."""
+    """A chunk of a snapshot that is not active yet. Offset 0 starts the snapshot over."""
 
     head: SnapshotHead
     offset: int  # bytes
     data: bytes
-    received: bool  # from the leader; else made by this member
+    received: bool  # True: from the leader; False: created by this member
 
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Makes a snapshot the active one, in place of the entries up to its index.
+    """Makes a snapshot the active one; it replaces the entries up to its index.
 
-    With `replaces_log` in place of all entries: the log does not agree with it."""
+    With `replaces_log` it replaces all entries, because the log conflicts with it."""
 
     snapshot: Snapshot
     replaces_log: bool
@@ -231,14 +234,14 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What the caller has to do after an input, in the order of the fields.
+    """The work for the caller after an input, to be done in the order of the fields.
 
-    `writes` are to be synced to disk before anything is sent or applied."""
+    `writes` must be synced to disk before anything is sent or applied."""
 
     writes: list[Write] = field(default_factory=list)
     sends: list[tuple[str, Message]] = field(default_factory=list)  # with the receiver's address
-    received_snapshot: Snapshot | None = None  # complete: to be read, then `install_snapshot`
-    restored_snapshot: Snapshot | None = None  # replaces the state before entries are applied
-    rejected_chunk: str = ""  # why a chunk or a whole snapshot was not accepted; for the log
-    corrupt_entry: str = ""  # which entry arrived damaged, to be sent again; for the log
+    received_snapshot: Snapshot | None = None  # complete: decode it, then call `install_snapshot`
+    restored_snapshot: Snapshot | None = None  # replaces the state, before entries are applied
+    rejected_chunk: str = ""  # why a chunk or a complete snapshot was rejected; to be logged
+    corrupt_entry: str = ""  # which entry failed its checksum; the leader resends it; to be logged
     committed_entries: list[Entry] = field(default_factory=list)  # to be applied
--- a/cairndale/raft/node.py
+++ b/cairndale/raft/node.py
@@ -1,12 +1,12 @@
-"""The replicated log as a state machine without I/O: inputs in, writes, sends and commits out.
+"""The replicated log as a state machine without I/O.
 
 `RaftNode` is Raft with pre-vote (PhD 9.6), leader leases (PhD 6.4.1), leadership transfer (PhD
-3.10) and learners (PhD 4.2.1). A member is an address with a disk: a disk that was wiped makes
-another member, whose vote counts only after a majority has added it. `replica.py` holds the state
-and the quorums, `election.py` elections, `membership.py` changes of the configuration,
-`compaction.py` snapshots. Log replication (Raft 5.3) is here.
+3.10) and learners (PhD 4.2.1). A member is identified by its address and its disk:
+after a disk is wiped the member is a new one, whose vote counts only after a majority has added it.
+This module implements log replication (Raft 5.3); `replica.py` has the state and the quorums,
+`election.py` elections, `membership.py` configuration changes, `compaction.py` snapshots.
 
-Times are seconds on a monotonic clock. The caller carries out each `Ready` in order: write and sync
+Times are in seconds on a monotonic clock. The caller executes each `Ready` in order: write and sync
 `writes`, then send `sends`, then apply `committed_entries`."""
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
 )
 from cairndale.raft.replica import Progress, Role
 
-# Bytes of entries in one append: it bounds what a heartbeat queues behind. A single entry that an
-# earlier version wrote may be larger and is sent alone.
+# Maximum bytes of entries in one append, which bounds how long a heartbeat is queued. A single
+# entry written by an earlier version may be larger; it is sent alone.
 MAX_APPEND_BYTES = 2 * fragments.FRAGMENT_BYTES
 
 
@@ -50,7 +50,7 @@
     # Inputs.
 
     def tick(self, now: float) -> Ready:
-        """Does what is due at `now`; to be called several times per heartbeat interval."""
+        """Runs the timers that are due at `now`. Call it several times per heartbeat interval."""
         ready = Ready()
         if self.role is Role.LEADER:
             self._tick_leader(now, ready)
@@ -58,7 +58,7 @@
             if not self.has_left():
                 self._send_membership_request(now, ready, Leave(self.term, self.me))
         elif not self.is_member():
-            # Also while heartbeats arrive: they may be meant for the previous disk at this address.
+            # Even while heartbeats arrive: they may be meant for the previous disk at this address.
             self._request_join(now, ready)
         else:
             self._tick_follower(now, ready)
@@ -67,7 +67,7 @@
     def _tick_follower(self, now: float, ready: Ready) -> None:
         is_silent = now - self.last_heartbeat_at > self.timings.rejoin_timeout
         if is_silent or not self._is_location_recorded():
-            # The entry that added this member may never have been committed.
+            # The entry that added this member may never have been committed, so ask again.
             self._request_join(now, ready)
         if now >= self._election_due and self.may_campaign():
             self._campaign(now, ready, pre_vote=True)
@@ -77,7 +77,7 @@
             self._become_follower(now, ready, self.term, None)
         elif self._has_stalled(now):
             self._become_follower(now, ready, self.term, None)
-            # Others campaign first: with this member as leader, nothing was committed.
+            # Let others campaign first: this member committed nothing as leader.
             self._election_due += 2 * self.timings.election_timeout
         elif self._has_transfer_timed_out(now):
             self._become_follower(now, ready, self.term, None)
@@ -85,12 +85,12 @@
             self._lead(now, ready)
 
     def _has_lost_quorum(self, now: float) -> bool:
-        """The lease ended long ago, so another member may be better connected."""
+        """The lease ended an election timeout ago; another member may have better connectivity."""
         timeout = self.timings.election_timeout
         return now >= self.lease_end(now) + timeout and now - self.role_changed_at > 2 * timeout
 
     def _has_stalled(self, now: float) -> bool:
-        """The first entry of this term is not committed in time, and no snapshot explains it."""
+        """The first entry of this term was not committed in time, and no snapshot is being sent."""
         return (
             not self._has_committed_in_term
             and now - self.role_changed_at > self.timings.term_start_timeout
@@ -107,17 +107,17 @@
             self._transfer_leadership(now, ready)
         if now >= self._heartbeat_due:
             self._broadcast(now, ready)
-        # A timer of its own: each proposal resets the heartbeat's.
+        # A separate timer, because each proposal resets the heartbeat timer.
         if now >= self._membership_check_due:
             self._membership_check_due = now + self.timings.heartbeat_interval
             self._prune_peers(now)
             self._propose_members(now, ready)
 
     def propose(self, now: float, data: bytes) -> tuple[int, Ready]:
-        """Appends an entry; its index, or 0 if this member cannot accept proposals.
+        """Appends an entry and returns its index, or 0 if this member cannot accept proposals.
 
-        That the entry is committed shows in a later `Ready.committed_entries` with its term; if
-        another entry is committed at that index, it is lost."""
+        The entry is committed once a later `Ready.committed_entries` has it with the same index and
+        term. If it has an entry of another term at that index, the proposal was lost."""
         ready = Ready()
         if self.role is not Role.LEADER or self._lease_released or self.leaving:
             return 0, ready
@@ -148,13 +148,13 @@
                 self._handle_timeout_now(now, ready, message)
         return ready
 
-    def heartbeat_soon(self, now: float, apart: float) -> Ready:
-        """Sends a heartbeat now unless the last one is less than `apart` seconds old.
+    def heartbeat_soon(self, now: float, min_interval: float) -> Ready:
+        """Sends a heartbeat now unless the last one is less than `min_interval` seconds old.
 
-        A read index (PhD 6.4) waits for the replies to it."""
+        A read index (PhD 6.4) waits for the replies."""
         ready = Ready()
         last_sent_at = self._heartbeat_due - self.timings.heartbeat_interval
-        if self.role is Role.LEADER and now >= last_sent_at + apart:
+        if self.role is Role.LEADER and now >= last_sent_at + min_interval:
             self._broadcast(now, ready)
         return ready
 
@@ -175,7 +175,7 @@
             self._send_append(now, ready, peer)
 
     def _send_append(self, now: float, ready: Ready, peer: Progress) -> None:
-        """Sends what the peer lacks, or a heartbeat: an append without entries."""
+        """Sends the entries or the snapshot that the peer needs next, or a heartbeat."""
         is_compacted = peer.next_index <= self.base_snapshot.index
         if is_compacted and not self.compacted_tail.covers(peer.next_index):
             self._send_snapshot(now, ready, peer, with_heartbeat=True)
@@ -198,17 +198,17 @@
         ready.sends.append((peer.member.address, message))
 
     def _may_send_entries(self, now: float, peer: Progress) -> bool:
-        """One append with entries is in flight per peer; it is sent again after a timeout.
+        """Allows one append with entries in flight per peer, and retransmits it after a timeout.
 
-        Only to a peer that has replied to something sent later, since retransmissions to an
-        unreachable peer would fill its connection."""
+        Retransmits only if the peer has replied to a message sent no earlier, since retransmissions
+        to an unreachable peer would fill the send buffer of its connection."""
         if peer.in_flight_since < 0:
             return True
         is_overdue = now - peer.in_flight_since >= self.timings.retransmit_timeout
         return is_overdue and peer.last_ack_sent_at >= peer.in_flight_since
 
     def _entries_from(self, index: int) -> tuple[Entry, ...]:
-        """Entries from `index` on: at least one, if there is any, within `MAX_APPEND_BYTES`."""
+        """Entries from `index` on, up to `MAX_APPEND_BYTES`; at least one if there is any."""
         offset = index - self.base_snapshot.index - 1
         available = self.log[offset:] if offset >= 0 else self.compacted_tail.since(index)
         entries: list[Entry] = []
@@ -235,9 +235,9 @@
             self._propose_members(now, ready)
 
     def _back_up(self, peer: Progress, hint: int) -> None:
-        """Moves next index back after a log mismatch, to the follower's hint at most."""
-        # Next index 0 means that the peer starts from the snapshot, whatever a reply says that was
-        # meant for the previous disk at its address.
+        """Decrements the peer's next index after a log mismatch, to the hint or below."""
+        # Next index 0 means that the peer needs the snapshot first. A rejection may come from the
+        # previous disk at its address and must not change that.
         if peer.next_index:
             peer.next_index = max(1, min(hint + 1, peer.next_index - 1))
             peer.in_flight_since = -1.0
@@ -260,7 +260,9 @@
         return count > len(voters) // 2
 
     def _advance_commit_index(self, now: float, ready: Ready) -> None:
-        """Commits entries of this term only; earlier ones are committed with them (Raft 5.4.2)."""
+        """Commits by counting replicas of entries of this term only (Raft 5.4.2).
+
+        Entries of earlier terms are committed along with them."""
         index = self.last_index
         while index > self.commit_index and self.term_at(index) == self.term:
             if all(self._is_on_majority(index, voters) for voters in self._voter_sets()):
@@ -283,7 +285,7 @@
     def _accept_leader(
         self, now: float, ready: Ready, message: AppendEntries | InstallSnapshot
     ) -> bool:
-        """Follows the sender, or tells it the current term if its own is past."""
+        """Follows the sender, or replies with the current term if the sender's term is stale."""
         leader = message.sender
         is_own_term = message.term == self.term and self.role is Role.LEADER
         if message.term < self.term or is_own_term:
@@ -292,7 +294,7 @@
         if message.term > self.term or self.role is not Role.FOLLOWER or self.leader != leader:
             self._become_follower(now, ready, message.term, leader)
         if self.voted_for != leader.disk_id:
-            # Persisted, so that after a restart it is known whose lease this member supports.
+            # Persisted, so that after a restart this member knows whose lease it supports.
             self.voted_for = leader.disk_id
             ready.writes.append(HardState(self.term, self.voted_for))
         self.last_heartbeat_at = now
@@ -317,7 +319,7 @@
         prev_index, prev_term = message.prev_index, message.prev_term
         base_index = self.base_snapshot.index
         while entries and prev_index < base_index:
-            # Covered by the snapshot, hence committed, hence the same entry.
+            # Covered by the snapshot, so committed and identical on both sides.
             prev_index, prev_term = entries[0].index, entries[0].term
             entries.pop(0)
         if prev_index >= base_index and self.term_at(prev_index) != prev_term:
@@ -334,16 +336,17 @@
             self._commit(commit_index, ready)
 
     def _intact_entries(self, received: Sequence[Entry], ready: Ready) -> list[Entry]:
-        """The entries before the first whose checksum does not agree, which is reported."""
+        """The entries before the first one with a wrong checksum, which `ready` reports."""
         intact = list(takewhile(lambda entry: fragments.is_intact(entry.data), received))
         if len(intact) < len(received):
-            ready.corrupt_entry = f"entry {received[len(intact)].index}: not as it was made"
+            ready.corrupt_entry = f"entry {received[len(intact)].index}: checksum mismatch"
         return intact
 
     def _replace_conflicting(self, entries: list[Entry], ready: Ready) -> None:
-        """Drops the log from the first entry of another term on, and appends what was received.
+        """Truncates the log at the first conflicting entry and appends the received rest.
 
-        Entries that are here already stay: the message may be older than what follows them."""
+        Matching entries stay, with all after them: a delayed message may hold fewer entries than
+        the log."""
         for number, entry in enumerate(entries):
             if self.term_at(entry.index) != entry.term:
                 del self.log[entry.index - self.base_snapshot.index - 1 :]
@@ -354,13 +357,13 @@
 
 
 def bootstrap_state(members: Iterable[Member]) -> PersistedState:
-    """What the disk of each of these members holds at the first start of the cluster."""
+    """Initial persisted state of each of these members at the first start of the cluster."""
     return PersistedState(snapshot=Snapshot(0, 0, tuple(sorted(members))))
 
 
 def bootstrap_member(address: str) -> Member:
     """The member at this address at the first start of the cluster.
 
-    Its disk id follows from the address, so that all bootstrap members know one another before
-    they have exchanged a message."""
+    Its disk id is derived from the address, so that the bootstrap members know one another's
+    identity before they have exchanged a message."""
     return Member(address, f"first-{address}")
--- a/cairndale/raft/snapshot_transfer.py
+++ b/cairndale/raft/snapshot_transfer.py
@@ -1,9 +1,10 @@
 """InstallSnapshot in chunks (Raft 7, PhD 5): sender, receiver and the compacted tail. No I/O.
 
 A sender has at most `WINDOW_CHUNKS` unacknowledged chunks per follower, which bounds how long a
-heartbeat can queue behind them. Each reply carries the next offset wanted, so a transfer resumes
-after a broken connection, a restart of either side, or a change to a leader that has the same
-snapshot. The receiver yields a snapshot only when it is complete and its digest agrees."""
+heartbeat can be queued behind them. Each reply carries the next offset that the receiver needs, so
+a transfer resumes after a broken connection, a restart of either side, or a change to a leader that
+has the same snapshot. The receiver returns a snapshot only when it is complete and its digest
+matches."""
 
 from __future__ import annotations
 
@@ -23,27 +24,30 @@
     state_digest,
 )
 
-CHUNK_BYTES = 16 * 1024  # of the state, in one message
-# Unacknowledged chunks: 32 KiB, which take 0.13 s at 2 Mbit/s, less than a heartbeat interval.
+CHUNK_BYTES = 16 * 1024  # maximum bytes of the state in one message
+# Maximum unacknowledged chunks: 32 KiB take 0.13 s at 2 Mbit/s, less than a heartbeat interval.
 WINDOW_CHUNKS = 2
-# s without a reply after which chunks are sent again: at first, and at the most.
+# Time without a reply after which chunks are resent: initial and maximum back-off.
 RESEND_MIN_S, RESEND_MAX_S = 0.5, 4.0
-STALL_TIMEOUT_S = 10.0  # without progress, after which a newer snapshot may be sent instead
-TAIL_BYTES = 4 * 1024 * 1024  # of entries kept after compaction ...
-TAIL_BYTES_WHILE_SENDING = 16 * 1024 * 1024  # ... and while an older snapshot is being sent
-MAX_TAIL_ENTRY_BYTES = 256 * 1024  # of one entry; beyond it a snapshot is cheaper to send
+STALL_TIMEOUT_S = 10.0  # without progress for this long, a newer snapshot may be sent instead
+# Maximum bytes of the entries that are kept after compaction.
+TAIL_BYTES = 4 * 1024 * 1024
+# The same limit while an older snapshot is being sent: its receiver needs the entries after it.
+TAIL_BYTES_WHILE_SENDING = 16 * 1024 * 1024
+# Larger entries are not kept; sending a snapshot is cheaper than sending them.
+MAX_TAIL_ENTRY_BYTES = 256 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Part of a state, to be sent."""
+    """A part of a state that is due to be sent."""
 
     offset: int  # bytes
     data: bytes
 
 
 class SnapshotTransfer:
-    """A snapshot that is being sent to one member. Times are seconds on the leader's clock."""
+    """A snapshot that is being sent to one member. Times are in seconds, leader's clock."""
 
     def __init__(self, snapshot: Snapshot, now: float) -> None:
         self.snapshot = snapshot
@@ -55,15 +59,15 @@
 
     @property
     def next_offset(self) -> int:
-        """All bytes before it are acknowledged."""
+        """All bytes of the state before this offset are acknowledged."""
         return self._next_offset
 
     def is_stalled(self, now: float) -> bool:
-        """Nothing was acknowledged for long."""
+        """Nothing was acknowledged for `STALL_TIMEOUT_S`."""
         return now - self._last_progress_at > STALL_TIMEOUT_S
 
     def next_chunks(self, now: float) -> list[Chunk]:
-        """The chunks to send now, within the window; again those without a reply in time."""
+        """The chunks to send now, within the window; includes those whose reply is overdue."""
         has_unacknowledged = self._sent_offset > self._next_offset
         if has_unacknowledged and now - self._last_progress_at >= self._resend_after:
             self._sent_offset = self._next_offset
@@ -80,14 +84,14 @@
         return chunks
 
     def acknowledge(self, now: float, snapshot_index: int, next_offset: int) -> None:
-        """Takes a receiver's reply; one about another snapshot or beyond its end is ignored."""
+        """Handles a reply; ignores one for another snapshot or with an offset past its end."""
         is_valid = snapshot_index == self.head.index and 0 <= next_offset <= self.head.size
         if not is_valid or next_offset == self._next_offset:
             return
         if next_offset > self._next_offset:
             self._sent_offset = max(self._sent_offset, next_offset)
         else:
-            # The receiver dropped a chunk, or the reply is late and the next one corrects it.
+            # The receiver dropped a chunk, or the reply is outdated and the next one corrects it.
             self._sent_offset = next_offset
         self._next_offset = next_offset
         self._last_progress_at = now
@@ -96,16 +100,18 @@
 
 @dataclass(slots=True)
 class ReceiveResult:
-    """What a chunk has led to."""
+    """Outcome of receiving a chunk."""
 
     next_offset: int  # bytes, for the reply
     writes: list[Write] = field(default_factory=list)
-    complete: Snapshot | None = None  # once, when its digest agrees
-    rejected: str = ""  # why the chunk or the snapshot was not accepted
+    complete: Snapshot | None = None  # set once, when all data are there and the digest matches
+    rejected: str = ""  # why the chunk or the snapshot was rejected
 
 
 class SnapshotReceiver:
-    """Assembles the snapshot that is being received; `persisted` is what was on disk of one."""
+    """Assembles the snapshot that is being received.
+
+    `persisted` is the part of a snapshot that was on disk at the start, if any."""
 
     def __init__(self, persisted: tuple[SnapshotHead, bytes] | None = None) -> None:
         self.head: SnapshotHead | None = None
@@ -119,11 +125,11 @@
             self._digest = state_digest(data)
 
     def receive(self, message: InstallSnapshot) -> ReceiveResult:
-        """Takes a chunk from the leader of the current term."""
+        """Handles a chunk from the leader of the current term."""
         head = message.head
         if head != self.head:
             if self.head and message.term == self._term and head.index < self.head.index:
-                # Late: the leader has turned to a newer snapshot since.
+                # Delayed: the leader has moved on to a newer snapshot since.
                 return ReceiveResult(0)
             self.head = head
             self._restart()
@@ -132,7 +138,7 @@
         is_beyond_end = message.offset + len(message.data) > head.size
         if is_beyond_end or zlib.crc32(message.data) != message.checksum:
             result.rejected = (
-                f"part at {message.offset} of the snapshot at {head.index}: not as it was sent"
+                f"chunk at {message.offset} of the snapshot at {head.index}: bad size or checksum"
             )
             return result
         if message.data and message.offset == len(self._data):
@@ -156,7 +162,7 @@
             state = bytes(self._data)
             result.complete = Snapshot(head.index, head.term, head.members, state, head.digest)
         else:
-            result.rejected = f"the snapshot at {head.index}: the digest does not agree"
+            result.rejected = f"snapshot at {head.index}: digest mismatch"
             self._restart()
 
     def _restart(self) -> None:
@@ -166,17 +172,17 @@
 
 
 class CompactedTail:
-    """Committed entries before the snapshot, for followers that are only a little behind."""
+    """Committed entries before the snapshot, for followers that are only slightly behind."""
 
     def __init__(self) -> None:
         self._entries: list[Entry] = []
         self._size = 0  # bytes of data
-        # Of the entry before the first one here; the term is -1 if it is not known.
+        # Index and term of the entry before the first one; term -1 if unknown.
         self._previous_index = 0
         self._previous_term = -1
 
     def covers(self, index: int) -> bool:
-        """The entry at this index is here, and the term of the one before it is known."""
+        """The tail has the entry at this index and knows the term of the entry before it."""
         return bool(self._entries) and self._previous_index < index <= self._entries[-1].index
 
     def since(self, index: int) -> Sequence[Entry]:
@@ -184,7 +190,7 @@
         return self._entries[index - self._previous_index - 1 :]
 
     def term_at(self, index: int) -> int:
-        """Term of the entry at this index; -1 if it is not known."""
+        """Term of the entry at this index; -1 if it is unknown."""
         if index == self._previous_index:
             return self._previous_term
         if not self.covers(index):
@@ -192,9 +198,10 @@
         return self._entries[index - self._previous_index - 1].term
 
     def add(self, base: Snapshot, entries: Iterable[Entry], is_sending: bool) -> None:
-        """Takes the entries between snapshot `base` and the one that replaces it.
+        """Adds the entries between snapshot `base` and the one that replaces it.
 
-        While an older snapshot is being sent, more are kept: its receiver needs them next."""
+        While an older snapshot is being sent, more entries are kept, since its receiver needs the
+        entries after it."""
         if not self._entries:
             self._previous_index, self._previous_term = base.index, base.term
         for entry in entries:
@@ -221,9 +228,10 @@
 def choose_transfer(
     now: float, transfers: Iterable[SnapshotTransfer], base: Snapshot, tail: CompactedTail
 ) -> SnapshotTransfer:
-    """A new transfer, of a snapshot that others are being sent if the tail continues it.
+    """Starts a transfer, preferably of a snapshot that is already being sent to another member.
 
-    So that few snapshots are held in memory."""
+    This requires that the tail has the entries after that snapshot. It keeps the number of
+    snapshots in memory low."""
     for other in transfers:
         if tail.covers(other.head.index + 1):
             return SnapshotTransfer(other.snapshot, now)
@@ -233,10 +241,10 @@
 def is_still_useful(
     transfer: SnapshotTransfer, now: float, base: Snapshot, tail: CompactedTail
 ) -> bool:
-    """False if a stalled transfer's snapshot is neither current nor continued by the tail.
+    """False if the transfer stalled and its snapshot is neither current nor continued by the tail.
 
-    Otherwise it is completed although there is a newer one: with snapshots made faster than they
-    are sent, none would ever arrive."""
+    Any other transfer is completed even if there is a newer snapshot: if snapshots are created
+    faster than they can be sent, none would ever arrive otherwise."""
     is_continued = transfer.snapshot is base or tail.covers(transfer.head.index + 1)
     return is_continued or not transfer.is_stalled(now)
 
@@ -244,7 +252,7 @@
 def chunk_messages(
     term: int, sender: Member, transfer: SnapshotTransfer, now: float, with_heartbeat: bool
 ) -> Iterator[InstallSnapshot]:
-    """The chunks that are due; with `with_heartbeat` at least one message, maybe without data."""
+    """Messages for the chunks that are due; with `with_heartbeat`, an empty one if none is due."""
     chunks = transfer.next_chunks(now)
     if not chunks and with_heartbeat:
         chunks = [Chunk(transfer.next_offset, b"")]
--- a/cairndale/raft/storage.py
+++ b/cairndale/raft/storage.py
@@ -1,10 +1,10 @@
 """A member's durable state in lmdb: disk id, term and vote, snapshot and entries.
 
-Three databases: `meta` (by name), `entries` (by index) and `parts` (by generation and offset). A
-snapshot's chunks are stored under a generation of its own. In `meta`, the pointer `snapshot` leads
-to the active one. Another is written beside it, chunk by chunk, and becomes active in one
-transaction when it is complete. Names of folders, databases and keys are the format on disk and
-remain as they were first written, whatever the code calls their content."""
+There are three databases: `meta` (keyed by name), `entries` (by index) and `parts` (by generation
+and offset). The chunks of each snapshot have a generation of their own. In `meta`, the pointer
+`snapshot` refers to the active snapshot. A new snapshot is written next to it chunk by chunk and
+activated in one transaction when it is complete. The names of folders, databases and keys are part
+of the format on disk and may differ from the names in the code."""
 
 from __future__ import annotations
 
@@ -31,11 +31,12 @@
     state_digest,
 )
 
-MAP_BYTES = 128 * 1024 * 1024  # limit of the map's growth; the disk has twice that
+MAP_BYTES = 128 * 1024 * 1024  # maximum size of the lmdb map; the disk has twice as much
 FORMAT = b"2"
-FORMAT_V1 = b"1"  # a snapshot is one value of `meta`
-SWEEP_LIMIT = 64  # chunks or entries that one call of `sweep` removes
-VALUE_BYTES = 64 * 1024  # of a snapshot in one value, where it was not written chunk by chunk
+FORMAT_V1 = b"1"  # stores a snapshot as a single value in `meta`
+SWEEP_LIMIT = 64  # maximum chunks and entries removed by one call of `sweep`
+# Maximum bytes per value of a snapshot that is written at once rather than chunk by chunk.
+MAX_VALUE_BYTES = 64 * 1024
 
 FOLDER = "promptbook"
 
@@ -46,7 +47,7 @@
 HARD_STATE_KEY = b"promise"  # term (8 bytes, big-endian), then the disk id voted for
 # Pointers: a generation (8 bytes, big-endian), then the encoded snapshot head.
 ACTIVE = b"snapshot"
-BUILDING = b"made"  # being made by this member
+BUILDING = b"made"  # being created by this member
 RECEIVING = b"received"  # being received from the leader
 
 POINTERS = (ACTIVE, BUILDING, RECEIVING)
@@ -54,7 +55,7 @@
 
 
 class StorageError(Exception):
-    """The disk cannot be read or written; it is not to be mistaken for an empty one."""
+    """The disk cannot be read or written. Never raised for an empty disk."""
 
 
 def _chunk_key(generation: int, offset: int) -> bytes:
@@ -62,7 +63,7 @@
 
 
 def _generation(pointer: bytes) -> int:
-    """Of a pointer, or of a chunk's key."""
+    """The generation in a pointer or in a chunk's key."""
     return int(_NUMBER.unpack(pointer[: _NUMBER.size])[0])
 
 
@@ -79,10 +80,10 @@
 
 
 class RaftStorage:
-    """Reads and writes the durable state of one member, in a folder of `folder`.
+    """Reads and writes the durable state of one member, in a subfolder of `folder`.
 
-    `read_only` changes nothing and creates nothing. `map_bytes` limits the size on disk. Opening
-    migrates format 1, unless read-only, and drops a snapshot that was being made. Raises
+    `map_bytes` limits the size on disk. Opening migrates format 1 and drops a snapshot whose
+    creation did not finish; with `read_only` it does neither and creates no files. Raises
     StorageError."""
 
     def __init__(self, folder: Path, read_only: bool = False, map_bytes: int = MAP_BYTES) -> None:
@@ -109,7 +110,7 @@
         with self._env.begin(self._meta) as transaction:
             is_v1 = transaction.get(FORMAT_KEY) == FORMAT_V1
         if is_v1 and self._read_only:
-            self._parts = None  # there are none yet
+            self._parts = None  # format 1 has no such database
             return
         self._parts = self._env.open_db(b"parts", create=writable)
         if is_v1:
@@ -119,28 +120,30 @@
                 transaction.delete(BUILDING)
 
     @contextmanager
-    def _writing(self) -> Iterator[lmdb.Transaction]:
-        """A transaction that is synced when the block ends, or changes nothing.
+    def _write_transaction(self) -> Iterator[lmdb.Transaction]:
+        """A transaction that is synced when the block ends, or rolled back on an exception.
 
         Raises StorageError."""
         try:
             with self._env.begin(write=True) as transaction:
                 yield transaction
         except (lmdb.Error, OSError) as error:
-            raise StorageError(f"cannot be written: {error!r}") from error
+            raise StorageError(f"cannot write the state: {error!r}") from error
 
     def disk_id(self) -> str:
         """The disk's id; empty if it has not been initialized.
 
-        Raises StorageError for a format that is not known."""
+        Raises StorageError for an unknown format."""
         with self._env.begin(self._meta) as transaction:
-            found = transaction.get(FORMAT_KEY)
-            if found not in (None, FORMAT) and not (found == FORMAT_V1 and self._read_only):
-                raise StorageError(f"format {found!r}, where {FORMAT!r} is known")
+            stored_format = transaction.get(FORMAT_KEY)
+            if stored_format not in (None, FORMAT) and not (
+                stored_format == FORMAT_V1 and self._read_only
+            ):
+                raise StorageError(f"unsupported format {stored_format!r}, expected {FORMAT!r}")
             return (transaction.get(DISK_ID_KEY) or b"").decode()
 
     def initialize(self, disk_id: str, persisted: PersistedState) -> None:
-        """Gives an empty disk its id and first state. Raises StorageError."""
+        """Writes the id and the initial state to an empty disk. Raises StorageError."""
         try:
             with self._env.begin(write=True) as transaction:
                 transaction.put(FORMAT_KEY, FORMAT, db=self._meta)
@@ -157,30 +160,30 @@
             transaction.put(FORMAT_KEY, FORMAT, db=self._meta)
 
     def system_name(self) -> str:
-        """Name of the system that the member belongs to; empty until it is known."""
+        """Name of the system that the member belongs to; empty if not stored yet."""
         with self._env.begin(self._meta) as transaction:
             return (transaction.get(SYSTEM_KEY) or b"").decode()
 
     def set_system_name(self, name: str) -> None:
-        """Raises StorageError, with nothing changed."""
-        with self._writing() as transaction:
+        """Stores the system name. Raises StorageError, with nothing changed."""
+        with self._write_transaction() as transaction:
             transaction.put(SYSTEM_KEY, name.encode(), db=self._meta)
 
     # Reading.
 
     def load(self) -> PersistedState:
-        """All that is on disk. Raises StorageError if it is damaged or incomplete."""
+        """Reads the complete state. Raises StorageError if it is damaged or incomplete."""
         try:
             with self._env.begin() as transaction:
                 return self._load(transaction)
         except (lmdb.Error, DecodeError, struct.error, UnicodeDecodeError, zlib.error) as error:
-            raise StorageError(f"cannot be read: {error!r}") from error
+            raise StorageError(f"cannot read the state: {error!r}") from error
 
     def _load(self, transaction: lmdb.Transaction) -> PersistedState:
         hard_state = transaction.get(HARD_STATE_KEY, db=self._meta)
         pointer = self._pointer(transaction, ACTIVE)
         if hard_state is None or pointer is None:
-            raise StorageError("a named disk without promise or snapshot")
+            raise StorageError("initialized disk has no hard state or no snapshot")
         persisted = PersistedState(
             term=_NUMBER.unpack(hard_state[: _NUMBER.size])[0],
             voted_for=bytes(hard_state[_NUMBER.size :]).decode(),
@@ -196,22 +199,24 @@
             return codec.decode_snapshot_v1(pointer)
         head, state = self._read_chunks(transaction, pointer)
         if len(state) != head.size or state_digest(state).digest() != head.digest:
-            raise StorageError(f"the snapshot at {head.index} is not as it was written")
+            raise StorageError(f"snapshot at {head.index}: size or digest mismatch")
         return Snapshot(head.index, head.term, head.members, state, head.digest)
 
     def _load_entries(self, transaction: lmdb.Transaction, after: int) -> list[Entry]:
-        """The entries after an index, which follow one another without a gap."""
+        """The entries after an index. Raises StorageError if there is a gap or a damaged entry."""
         entries: list[Entry] = []
         with transaction.cursor(self._entries) as cursor:
             for key, value in cursor:
                 entry = codec.decode_entry(bytes(value))
                 if entry.index <= after:
-                    continue  # covered by the snapshot, and not swept yet
-                due = after + len(entries) + 1
-                if entry.index != due or _NUMBER.unpack(key)[0] != due:
-                    raise StorageError(f"entry {entry.index} stands where another is due")
+                    continue  # covered by the snapshot but not removed yet
+                expected_index = after + len(entries) + 1
+                if entry.index != expected_index or _NUMBER.unpack(key)[0] != expected_index:
+                    raise StorageError(
+                        f"found entry {entry.index} where entry {expected_index} was expected"
+                    )
                 if not fragments.is_intact(entry.data):
-                    raise StorageError(f"entry {entry.index} is not as it was written")
+                    raise StorageError(f"entry {entry.index}: checksum mismatch")
                 entries.append(entry)
         return entries
 
@@ -230,10 +235,10 @@
     # Writing.
 
     def write(self, writes: Iterable[Write]) -> None:
-        """Carries out all writes in one transaction, which is synced when this returns.
+        """Applies all writes in one transaction, which is synced when this returns.
 
         Raises StorageError, with nothing changed."""
-        with self._writing() as transaction:
+        with self._write_transaction() as transaction:
             for write in writes:
                 self._apply_write(transaction, write)
 
@@ -272,7 +277,7 @@
         transaction.put(chunk_key, chunk.data, db=self._parts)
 
     def _save_snapshot(self, transaction: lmdb.Transaction, snapshot: Snapshot) -> None:
-        """Activates the snapshot, and drops one that is being received and not newer."""
+        """Activates the snapshot, and drops a partially received one unless that is newer."""
         if not self._activate(transaction, snapshot.head):
             self._put_snapshot(transaction, snapshot)
         receiving = self._pointer(transaction, RECEIVING)
@@ -280,11 +285,11 @@
             transaction.delete(RECEIVING, db=self._meta)
 
     def _pointer(self, transaction: lmdb.Transaction, key: bytes) -> bytes | None:
-        found = transaction.get(key, db=self._meta)
-        return None if found is None else bytes(found)
+        value = transaction.get(key, db=self._meta)
+        return None if value is None else bytes(value)
 
     def _new_generation(self, transaction: lmdb.Transaction) -> int:
-        """Later than that of any pointer, and of any chunk that is not swept yet."""
+        """Higher than the generation of any pointer, and of any chunk not removed yet."""
         pointers = [self._pointer(transaction, key) for key in POINTERS]
         highest = max((_generation(pointer) for pointer in pointers if pointer), default=0)
         with transaction.cursor(self._parts) as cursor:
@@ -293,7 +298,7 @@
         return highest + 1
 
     def _activate(self, transaction: lmdb.Transaction, head: SnapshotHead) -> bool:
-        """Activates a snapshot whose chunks are on disk; False if they are not all there."""
+        """Activates a snapshot whose chunks are on disk; returns False if any is missing."""
         encoded_head = codec.encode_snapshot_head(head)
         for key in (BUILDING, RECEIVING):
             pointer = self._pointer(transaction, key)
@@ -307,32 +312,32 @@
         return False
 
     def _put_snapshot(self, transaction: lmdb.Transaction, snapshot: Snapshot) -> None:
-        """Writes a snapshot and activates it."""
+        """Writes a complete snapshot and activates it."""
         generation = self._new_generation(transaction)
-        for offset in range(0, len(snapshot.state), VALUE_BYTES):
-            data = snapshot.state[offset : offset + VALUE_BYTES]
+        for offset in range(0, len(snapshot.state), MAX_VALUE_BYTES):
+            data = snapshot.state[offset : offset + MAX_VALUE_BYTES]
             transaction.put(_chunk_key(generation, offset), data, db=self._parts)
         pointer = _NUMBER.pack(generation) + codec.encode_snapshot_head(snapshot.head)
         transaction.put(ACTIVE, pointer, db=self._meta)
 
-    # Cleaning up.
+    # Clean-up.
 
     def discard_unfinished(self) -> None:
-        """Drops the snapshot that is being made. Raises StorageError."""
-        with self._writing() as transaction:
+        """Drops the snapshot that is being created. Raises StorageError."""
+        with self._write_transaction() as transaction:
             transaction.delete(BUILDING, db=self._meta)
 
     def sweep(self) -> bool:
-        """Removes some chunks that no pointer leads to, and entries that the snapshot covers.
+        """Removes some unreferenced chunks and some entries that the snapshot covers.
 
-        Returns False if nothing is left to remove. Raises StorageError."""
-        with self._writing() as transaction:
-            left = self._sweep_chunks(transaction, SWEEP_LIMIT)
-            left = self._sweep_entries(transaction, left)
-        return not left
+        Returns False when there is nothing more to remove. Raises StorageError."""
+        with self._write_transaction() as transaction:
+            remaining = self._sweep_chunks(transaction, SWEEP_LIMIT)
+            remaining = self._sweep_entries(transaction, remaining)
+        return not remaining
 
     def _sweep_chunks(self, transaction: lmdb.Transaction, limit: int) -> int:
-        """Removes up to `limit` chunks; how many fewer were found."""
+        """Removes up to `limit` unreferenced chunks; returns the unused part of the limit."""
         pointers = [self._pointer(transaction, key) for key in POINTERS]
         in_use = {_generation(pointer) for pointer in pointers if pointer}
         with transaction.cursor(self._parts) as cursor:
@@ -348,7 +353,7 @@
         return limit
 
     def _sweep_entries(self, transaction: lmdb.Transaction, limit: int) -> int:
-        """Removes up to `limit` entries; how many fewer were found."""
+        """Removes up to `limit` covered entries; returns the unused part of the limit."""
         active = self._pointer(transaction, ACTIVE)
         covered = _head(active).index if active else 0
         with transaction.cursor(self._entries) as cursor:
@@ -358,5 +363,5 @@
         return limit
 
     def close(self) -> None:
-        """Closes the file; the object is not to be used after."""
+        """Closes the database; the object must not be used afterwards."""
         self._env.close()
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -203,7 +203,7 @@
             term=1,
             leads=lambda at: True,
             last_quorum_contact=contact,
-            heartbeat_soon=lambda at, apart: Ready(),
+            heartbeat_soon=lambda at, min_interval: Ready(),
         )
         clock = SimpleNamespace(now=now)
         made: Any = ReadIndex(log, clock, lambda: 4, lambda step: None)  # type: ignore[arg-type]
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -281,7 +281,7 @@
     store = RaftStorage(tmp_path)
     store.initialize("x", bootstrap_state([ME]))
     store.write([SaveEntries(1, (Entry(1, 1, spoils(whole_or_parts(replaced(1, 0))[0])),))])
-    with pytest.raises(StorageError, match="entry 1 is not as it was written"):
+    with pytest.raises(StorageError, match="entry 1: checksum mismatch"):
         store.load()
 
 
--- a/tests/raft/test_membership.py
+++ b/tests/raft/test_membership.py
@@ -66,7 +66,7 @@
         fit = {m.disk_id for m in members} - away
         if rng:  # some have not caught up yet
             fit = {d for d in sorted(fit) if rng.random() < 0.5}
-        health = MemberHealth(frozenset(fit), frozenset(fit), lost=away, leaving=frozenset())
+        health = MemberHealth(frozenset(fit), frozenset(fit), unreachable=away, leaving=frozenset())
         votes = next_voters(members, health, keep, tolerance)
         assert len(votes) % 2 or len(before) % 2 == 0, "an even number"
         if rng is None and votes == before:
@@ -450,11 +450,13 @@
 class ForgetsNobody(RaftNode):
     def _prune_peers(self, now: float) -> None:
         self.timings = replace(self.timings, removal_timeout=1e9)
-        membership.MAX_SILENT_LEARNERS = 1000
+        membership.MAX_UNRESPONSIVE_LEARNERS = 1000
 
 
 def test_defects_are_seen_as_machines_are_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(membership, "MAX_SILENT_LEARNERS", membership.MAX_SILENT_LEARNERS)
+    monkeypatch.setattr(
+        membership, "MAX_UNRESPONSIVE_LEARNERS", membership.MAX_UNRESPONSIVE_LEARNERS
+    )
     for planted in (NeverReplaces, ForgetsNobody):
         monkeypatch.setattr(Site, "node", planted)
         with pytest.raises(AssertionError):
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -278,7 +278,7 @@
     with store._env.begin(write=True) as change:
         change.put((1).to_bytes(8, "big"), b"\xff\xff not an entry", db=store._entries)
     assert store.disk_id() == "x"
-    with pytest.raises(StorageError, match="cannot be read"):
+    with pytest.raises(StorageError, match="cannot read the state"):
         store.load()
     store.close()
     data = tmp_path / "promptbook/data.mdb"
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -421,7 +421,7 @@
         cursor = change.cursor(store._parts)
         assert cursor.last()
         change.put(cursor.key(), b"bad state", db=store._parts)
-    with pytest.raises(StorageError, match="not as it was written"):
+    with pytest.raises(StorageError, match="snapshot at 4: size or digest mismatch"):
         store.load()
 
 
