--- a/cairndale/raft/membership.py
+++ b/cairndale/raft/membership.py
@@ -1,8 +1,8 @@
 """Membership changes: joining, leaving, and the choice of voters.
 
 A change is one configuration entry, appended by the leader once the first entry of its term and the
-previous change are committed. A joining member is sent the log first; once it holds all committed
-entries it becomes a learner (PhD 4.2.1), and may become a voter in a later configuration."""
+previous change are committed. A joining member receives the log first. Once it has all committed
+entries it becomes a learner (PhD 4.2.1), and it may become a voter in a later configuration."""
 
 from __future__ import annotations
 
--- a/cairndale/raft/messages.py
+++ b/cairndale/raft/messages.py
@@ -11,7 +11,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Member:
-    """An address with a disk: equal if both are; location and role are not compared."""
+    """A member of the cluster, identified by its address and its disk.
+
+    A new disk at the same address is another member. Location and role are not compared."""
 
     address: str  # host:port
     disk_id: str  # drawn at random when the disk is initialized
--- a/cairndale/raft/voters.py
+++ b/cairndale/raft/voters.py
@@ -120,7 +120,8 @@
     """The target number of voters, which is odd.
 
     The smallest number from the preferred minimum up that survives the tolerated failures, else the
-    largest smaller one that does, else the preferred minimum or what the members allow."""
+    largest smaller one that does, else the preferred minimum, or as many as the members allow if
+    that is fewer."""
     min_useful_count = 2 * tolerance.nodes + 1
     min_count = max(min_useful_count, MIN_VOTERS)
     max_count = max(1, len(members) - 1 + len(members) % 2)
