--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -76,7 +76,7 @@
         """Response a client's call, at `dir`."""
         found = match(LOOKUP_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+            return error_response(found.status, found.reason)
         if found.call == "ready":
             return self._readiness()
         if not self.ready():
@@ -99,7 +99,7 @@
         """Response a server's or an operator's call, at `ctl`."""
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+            return error_response(found.status, found.reason)
         if found.call == "ready":
             return self._readiness()
         if found.call != "beat":
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -37,7 +37,7 @@
         """
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+            return error_response(found.status, found.reason)
         leadership, now = self._leader.require_leadership(), self._leader.now()
         match found.call:
             case "replace":
--- a/cairndale/dataplane/__init__.py
+++ b/cairndale/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: the ingress in service, as the leader of the control plane configures it."""
+"""The data plane: the serving ingress, configured by the leader of the control plane."""
--- a/cairndale/dataplane/config_applier.py
+++ b/cairndale/dataplane/config_applier.py
@@ -1,4 +1,4 @@
-"""Puts an accepted discovery response into force: listener, engine, placement, endpoint list."""
+"""Applies accepted discovery responses to listener, engine, placement and endpoint list."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import Settings, parse_duration
 
-# Times of a configuration that names none.
+# Timeouts of a configuration that does not set them.
 DEFAULT_IDLE_TIMEOUT, DEFAULT_HEADER_TIMEOUT = "15s", "3s"
 
 
 class ConfigApplier:
-    """Applies discovery responses; a delta costs what it changes, not what there is."""
+    """Applies discovery responses; the cost of a delta depends on the size of the change only."""
 
     def __init__(
         self,
@@ -46,14 +46,14 @@
         self.update_placement()
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take other settings for what is applied from now on."""
+        """Use these settings for all responses applied from now on."""
         self._settings = settings
         self._endpoints.reconfigure(settings)
 
     def apply(self, response: pb.WatchResponse, requested_by: pb.Node, requested_at: float) -> None:
-        """Apply a response; one that is outdated or does not fit changes nothing.
+        """Apply a response; an outdated one, or a delta that does not fit, changes nothing.
 
-        `requested_by`, `requested_at`: as `ConfigClient.apply` has them.
+        `requested_by`, `requested_at`: see `ConfigClient.apply`.
         """
         update = self._config.apply(
             response, requested_by, requested_at, self._now(), self._now_us()
@@ -71,7 +71,7 @@
             self._endpoints.update(update.changed_endpoints)
 
     def _apply_route_table(self, route_table: RouteTable, change: TableChange | None) -> None:
-        """Set limits, classes and plans; `change`: the items that differ, None: all may."""
+        """Set limits, classes and plans; `change`: the changed items, None: possibly all."""
         self._set_limits(route_table.limits)
         if change is None:
             classes = list(route_table.request_classes.values())
@@ -80,11 +80,11 @@
             classes, tenants = [route.request_class for route in change.routes], change.tenants
         fleet_size = max(1, self._config.ingress_count)
         plans = [self._plan(tenant) for tenant in tenants]
-        self._engine.adjust(fleet_size, classes, plans)
+        self._engine.update_classes_and_plans(fleet_size, classes, plans)
         log_event(Event.CONFIG_APPLIED, "gen %d", route_table.gen)
 
     def _set_limits(self, limits: dict[str, Any]) -> None:
-        """Set the listener's times and sizes, from the next request on."""
+        """Set the listener's timeouts and size limits, effective from the next request on."""
         listener = self._listener
         listener.idle_for = parse_duration(limits.get("idleTimeout", DEFAULT_IDLE_TIMEOUT))
         listener.head_for = parse_duration(limits.get("headerTimeout", DEFAULT_HEADER_TIMEOUT))
@@ -101,7 +101,7 @@
         )
 
     def update_placement(self) -> None:
-        """Tell the selector where this ingress is, and among how many slots and slack are split."""
+        """Update the selector: this ingress's location, and how many ingresses share the limits."""
         settings, numbering = self._settings, self._numbering
         placement = self._selector.placement
         placement.zone = numbering.zone_number(settings.zone)
--- a/cairndale/dataplane/config_client.py
+++ b/cairndale/dataplane/config_client.py
@@ -1,7 +1,7 @@
-"""The client side of the configuration watch: what the leader has announced, and the serving lease.
+"""Client side of the configuration watch: the state announced by the leader and the serving lease.
 
 State of one data-plane node, without I/O and without a clock of its own. Times are seconds on the
-node's steady clock, except where a name ends in `_us`: microseconds on the engine's clock.
+node's monotonic clock; names that end in `_us` are microseconds on the engine's clock.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCursor:
-    """Up to where the accepted discovery responses have brought this node.
+    """The versions that this node has accepted; the watch is resumed from here.
 
-    The watch is resumed from here. Within one epoch no version goes back.
+    Within one epoch versions never decrease.
     """
 
-    epoch: str = ""  # of the leader that counts the versions of endpoints and nodes
+    epoch: str = ""  # of the leader that numbers the versions of endpoints and nodes
     config_version: int = 0
     endpoints_version: int = 0
     nodes_version: int = 0
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEndpoint:
-    """An endpoint as the leader announced it, and until when it is warming up (slow start)."""
+    """An endpoint as the leader announced it, and the end of its slow start."""
 
     endpoint: pb.Endpoint
-    warmup_until_us: int  # 0: it is warm
+    warmup_until_us: int  # 0: not in slow start
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,47 +52,48 @@
     table_change: TableChange | None = None  # None: any item of the route table may have changed
     endpoints_changed: bool = False
     changed_endpoints: frozenset[str] | None = None  # ids; None: any may have changed
-    placement_changed: bool = False  # the nodes, or the configuration, among which shares are split
-    rejection_reason: str = ""  # not empty: nothing was applied
+    placement_changed: bool = False  # the nodes that shares are split among, or the configuration
+    rejection_reason: str = ""  # if not empty, nothing was applied
 
 
 class ConfigClient:
-    """Keeps what the leader announced: route table, endpoints, nodes, and this node's lease.
+    """Keeps the state announced by the leader: route table, endpoints, nodes and this node's lease.
 
-    Guarantees: neither the configuration version nor anything that came with it goes back within a
-    process's life, and a response is applied whole or not at all.
+    Guarantees: while the process runs, neither the configuration version nor any state received
+    with it goes back, and a response is applied completely or not at all.
     """
 
     def __init__(self, now: float, control_addresses: Iterable[str]) -> None:
         self.route_table = RouteTable({})
         self.endpoints: dict[str, KnownEndpoint] = {}  # by id
         self.nodes: dict[str, pb.Node] = {}  # members at present, by name
-        self.control_addresses = list(control_addresses)  # every control node's ever announced
+        self.control_addresses = list(control_addresses)  # of all control nodes ever announced
         self.evacuated_zones: frozenset[str] = frozenset()
         self.lease_end = self.last_response_at = float("-inf")
-        # In this life the leader has listed every endpoint there was.
+        # Whether a leader has sent a full endpoint list since this process started.
         self.endpoints_complete = False
-        # Ingresses that quota shares are divided by; 0: not known yet, so no share may be spent.
+        # Number of ingresses that share quotas; 0: not known yet, so no share may be spent.
         self.ingress_count = 0
         self.cursor = WatchCursor()
         self._counter_active = False  # the leader's quota counter counts this node's units
         self._started_at = now
-        self._isolated_at = now  # when contact last ended otherwise than by silence
-        self._listed_this_epoch: set[str] = set()  # ids of endpoints
-        # In which epoch the leader was sent which description of this node, and has answered.
+        self._isolated_at = now  # when contact last ended other than by a timeout
+        self._listed_in_epoch: set[str] = set()  # ids of endpoints
+        # The epoch and the description of this node that the leader last acknowledged.
         self._identified_as: tuple[str, pb.Node] | None = None
         self._needs_full_state = False  # a delta did not fit
-        # The leader's clock in ms as the newest response said, and when that came.
+        # The leader's clock in ms, from the newest response, and when that was received.
         self._leader_clock = (0, 0.0)
 
     def may_serve(self, now: float) -> bool:
-        """Whether the lease by which this node serves traffic is still held."""
+        """Whether the lease that allows this node to serve traffic is still valid."""
         return now < self.lease_end
 
     def in_contact(self, now: float) -> bool:
         """Whether the quota counter can still rely on this node spending leased units only.
 
-        It counts, and has heard of this node recently enough to know that it is not isolated.
+        That is so while the counter is active and the last contact is recent enough to rule out
+        that this node is isolated.
         """
         return self._counter_active and now < (
             self.last_response_at + long_poll_timeout(self.ingress_count) + NODE_CONTACT_MARGIN_S
@@ -105,9 +106,9 @@
         self.last_response_at = float("-inf")
 
     def isolated_since(self, now: float) -> float:
-        """Since when this node may spend its share of quotas by itself, or a little later.
+        """Return the time from which this node may spend its own quota shares, or a little later.
 
-        `now` while it is in contact, as it may not then.
+        Returns `now` while the node is in contact, as it may not spend them then.
         """
         if self.in_contact(now):
             return now
@@ -117,7 +118,7 @@
         return self._isolated_at
 
     def is_available(self, endpoint_id: str, service: str) -> bool:
-        """Whether the endpoint is ready, serves that service and is in no evacuated zone."""
+        """Whether the endpoint is ready, serves that service and is not in an evacuated zone."""
         known = self.endpoints.get(endpoint_id)
         if known is None or known.endpoint.state != "ready" or known.endpoint.service != service:
             return False
@@ -128,16 +129,16 @@
         return [n.address for n in self.nodes.values() if n.kind == "edge" and n.address != own]
 
     def add_control_addresses(self, addresses: Iterable[str]) -> None:
-        """Remember further control nodes; none is ever forgotten."""
+        """Add the addresses of further control nodes; none is ever removed."""
         for address in addresses:
             if address not in self.control_addresses:
                 self.control_addresses.append(address)
 
     def watch_request(self, node: pb.Node, now: float, wait: float) -> pb.WatchRequest:
-        """Return a request for what is newer than the cursor, and for the lease's renewal.
+        """Return a request for all updates after the cursor, which also renews the lease.
 
-        `node`: this node's own description; `wait`: s for which the leader may hold the request
-        while nothing is newer (long poll).
+        `node`: this node's own description; `wait`: the long-poll timeout in s, for which the
+        leader may keep the request open while there is no update.
         """
         cursor = self.cursor
         request = pb.WatchRequest(
@@ -159,7 +160,7 @@
         return request
 
     def request_failed(self) -> None:
-        """Note that a request was not answered: the next one describes this node in full."""
+        """Note a request without response: the next one carries this node's full description."""
         self._identified_as = None
 
     def apply(
@@ -170,13 +171,13 @@
         now: float,
         now_us: int,
     ) -> ConfigUpdate | None:
-        """Apply a discovery response, full state or delta, and renew the lease by it.
+        """Apply a discovery response, full state or delta, and renew the lease.
 
-        `requested_by`, `requested_at`: the description that the request carried or stood for, and
-        when it was made; the lease counts from then. `now_us`: the engine's clock.
+        `requested_by`, `requested_at`: the node description that the request carried or referred
+        to, and when the request was made; the lease counts from then. `now_us`: the engine's clock.
 
-        Returns None, and changes nothing, for a response whose configuration is older than the one
-        in force. A delta that does not fit is rejected with all that came with it
+        Returns None, and changes nothing, if the response's configuration is older than the one in
+        force. A delta that does not fit is rejected together with the rest of its response
         (`rejection_reason`), and the next request asks for the full state.
         """
         if response.config_version < self.cursor.config_version:
@@ -199,14 +200,20 @@
 
     def _leader_clock_ms(self, now: float) -> int:
         """Return an estimate of the leader's clock that is never ahead of it."""
-        said_ms, came_at = self._leader_clock
-        return int(said_ms + (now - came_at) * 1000 * (1 - MAX_CLOCK_DRIFT)) if said_ms else 0
+        last_clock_ms, received_at = self._leader_clock
+        return (
+            int(last_clock_ms + (now - received_at) * 1000 * (1 - MAX_CLOCK_DRIFT))
+            if last_clock_ms
+            else 0
+        )
 
     def _apply_delta(self, response: pb.WatchResponse) -> TableChange:
-        """Raise DeltaError, with nothing changed, where the delta does not fit."""
+        """Apply the delta. Raises DeltaError, with nothing changed, if it does not fit."""
         delta = response.delta
         if delta.generation != response.generation:
-            raise DeltaError(f"to gen {delta.generation}, and not to gen {response.generation}")
+            raise DeltaError(
+                f"delta leads to gen {delta.generation}, response to gen {response.generation}"
+            )
         return self.route_table.apply_delta(
             ConfigDelta(
                 base_gen=delta.base_generation,
@@ -222,7 +229,7 @@
         self._needs_full_state = False
 
     def _apply_evacuated_zones(self, response: pb.WatchResponse) -> bool:
-        """Return whether other zones are evacuated now."""
+        """Return whether the set of evacuated zones has changed."""
         zones = frozenset(response.evacuated_zones)
         if not response.has_evacuated_zones or zones == self.evacuated_zones:
             return False
@@ -232,12 +239,13 @@
     def _apply_endpoints(self, response: pb.WatchResponse, now_us: int) -> None:
         if response.endpoints_complete:
             self.endpoints = {}
-        # A leader's epoch carries a `~` until it has heard of all endpoints: it stays the same one.
+        # The `~` at the end of an epoch, present until the leader knows all endpoints, does not
+        # make it another epoch.
         if response.epoch.rstrip("~") != self.cursor.epoch.rstrip("~"):
-            self._listed_this_epoch = set()
-        self._listed_this_epoch.update(endpoint.id for endpoint in response.endpoints)
+            self._listed_in_epoch = set()
+        self._listed_in_epoch.update(endpoint.id for endpoint in response.endpoints)
         if response.unlisted_endpoints_gone:
-            listed = self._listed_this_epoch
+            listed = self._listed_in_epoch
             self.endpoints = {id: known for id, known in self.endpoints.items() if id in listed}
         for endpoint in response.endpoints:
             if endpoint.state == "gone":
@@ -257,9 +265,9 @@
         self.add_control_addresses(node.address for node in response.nodes if node.kind == "core")
 
     def _apply_counter_state(self, response: pb.WatchResponse, now: float) -> None:
-        """Take in whether units are counted centrally, and by how many ingresses shares are split.
+        """Update the state of the quota counter and the number of ingresses that share quotas.
 
-        Without the counter the count only rises: too high a count spends too little.
+        Without the counter the number only rises: too high a number spends too little.
         """
         if self._counter_active and not response.counter_active:
             self._isolated_at = now
@@ -270,7 +278,7 @@
     def _advance(
         self, response: pb.WatchResponse, requested_by: pb.Node, requested_at: float, now: float
     ) -> None:
-        """Move the cursor and renew the lease, which counts from the request on."""
+        """Move the cursor and renew the lease, which counts from the time of the request."""
         self.cursor = WatchCursor(
             epoch=response.epoch,
             config_version=response.config_version,
--- a/cairndale/dataplane/config_watch.py
+++ b/cairndale/dataplane/config_watch.py
@@ -1,4 +1,4 @@
-"""The configuration watch: long polls at the leader, one after the other, for the node's life."""
+"""The configuration watch: sends long polls to the leader, one after the other."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_LONG_POLL_S, long_poll_timeout, response_timeout
 
-WATCH_TIMEOUT_S = 3.0  # for an answer over all tries
-RETRY_PAUSE_S = (0.05, 0.15)  # after a request that failed: at least, at most
-DRAINING_PAUSE_S = 0.5  # between requests once this node drains
-DRAIN_NOTICE_TIMEOUT_S = 1.0  # for the answer to one try to say that this node drains
-DRAIN_NOTICE_PAUSE_S = 0.2  # between such tries
+WATCH_TIMEOUT_S = 3.0  # for a response, over all attempts
+RETRY_PAUSE_S = (0.05, 0.15)  # after a failed request: minimum and maximum
+DRAINING_PAUSE_S = 0.5  # between requests while this node drains
+DRAIN_NOTICE_TIMEOUT_S = 1.0  # for the response to one attempt to announce the drain
+DRAIN_NOTICE_PAUSE_S = 0.2  # between these attempts
 
 
 class ConfigWatch:
-    """Renews the lease and brings what is new.
+    """Renews the lease and fetches updates.
 
-    A request says what this node holds, so each acknowledges the response before it.
+    Each request carries the versions that this node has, and so acknowledges the last response.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         describe_node: Callable[[], pb.Node],
         now: Callable[[], float],
     ) -> None:
-        """`describe_node`: this node as it is now; `now`: s on the node's steady clock."""
+        """`describe_node`: returns this node's current description; `now`: monotonic clock, s."""
         self._config, self._applier, self._serving = config, applier, serving
         self._leader_client = leader_client
         self._describe_node, self._now = describe_node, now
 
     async def run(self) -> None:
-        """Watch until cancelled. Raises only what a response that was applied has raised."""
+        """Watch until cancelled. Raises only errors that applying a response has raised."""
         while True:
             if not await self._poll():
                 await asyncio.sleep(random.uniform(*RETRY_PAUSE_S))
@@ -52,10 +52,10 @@
                 await asyncio.sleep(DRAINING_PAUSE_S)
 
     async def _poll(self) -> bool:
-        """Make one request, and apply the answer. Return whether it was answered."""
+        """Make one request and apply the response. Return whether there was a response."""
         node = self._describe_node()
         count = self._config.ingress_count
-        # The first answer may take a while.
+        # Until the number of ingresses is known, allow for the longest poll.
         wait = long_poll_timeout(count) if count else MAX_LONG_POLL_S
         requested_at = self._now()
         request = pb.Envelope(watch_request=self._config.watch_request(node, requested_at, wait))
@@ -77,7 +77,7 @@
         return True
 
     async def announce_drain(self) -> None:
-        """Tell the leader that this node drains, until it has answered or the task is cancelled."""
+        """Report the drain to the leader, until it acknowledges it or the task is cancelled."""
         while True:
             watch_request = self._config.watch_request(self._describe_node(), self._now(), 0.0)
             request = pb.Envelope(watch_request=watch_request)
--- a/cairndale/dataplane/endpoint_list.py
+++ b/cairndale/dataplane/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that the leader announces, as the ingress's list of backends."""
+"""Converts the endpoints announced by the leader to the ingress's list of backends."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class ListedEndpoint(Entry):
-    """A discovery entry with what the leader says beyond the base class's fields."""
+    """A discovery entry with the fields that the leader announces beyond the base class's."""
 
     __slots__ = ("capacity", "service", "warmup_until_us")
 
     def __init__(
         self, raw: dict[str, Any], service: str = "", capacity: int = 0, warmup_until_us: int = 0
     ) -> None:
-        """Raise ValueError where `raw` is no valid entry; `capacity`: slots, 0 if unknown."""
+        """`capacity`: slots, 0 if unknown. Raises ValueError if `raw` is not a valid entry."""
         super().__init__(raw)
         self.service, self.capacity = service, capacity
         self.warmup_until_us = warmup_until_us
 
 
 class EndpointList:
-    """Lists endpoints to the engine and describes them to the policy."""
+    """Passes endpoint updates to the engine and describes endpoints to the policy."""
 
     def __init__(
         self, config: ConfigClient, engine: Engine, numbering: Numbering, settings: Settings
@@ -37,13 +37,13 @@
         self._settings = settings
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take other settings from now on."""
+        """Use these settings from now on."""
         self._settings = settings
 
     def update(self, changed: frozenset[str] | None) -> None:
-        """List the endpoints of these ids, of which some may be gone; None: all, and no others.
+        """Update the endpoints with these ids, some of which may be removed; None: a full update.
 
-        One whose address is invalid is logged and counts as gone.
+        An endpoint with an invalid address is logged and treated as removed.
         """
         known, entries = self._config.endpoints, list[Entry]()
         for id in known if changed is None else changed:
@@ -70,12 +70,12 @@
         return ListedEndpoint(raw, endpoint.service, endpoint.capacity, known.warmup_until_us)
 
     def describe(self, entry: Entry, number: int) -> it.ListedBackend:
-        """Return an entry of this list as the policy knows it, by the engine's number.
+        """Return an entry in the policy's form; `number`: the engine's number of the endpoint.
 
-        Raises TypeError for an entry of another list.
+        Raises TypeError for an entry that this list did not create.
         """
         if not isinstance(entry, ListedEndpoint):
-            raise TypeError(f"no endpoint that this list has named: {entry!r}")
+            raise TypeError(f"expected a ListedEndpoint, got {entry!r}")
         if entry.status == "removed":
             return it.ListedBackend(
                 id=number,
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -1,8 +1,8 @@
-"""Which endpoint of a service takes a request: near ones first, as their slots reach, then a spill.
+"""Locality-aware endpoint selection: nearby endpoints up to their capacity, then spillover.
 
-The endpoint pool of `cairndale.ingress.policy.endpoint_pool` with rules for what is known here:
-services, zones, slots. Costs are multiples of a usual answer's time; times are microseconds on the
-engine's clock. The base class and the policy that calls it name the overridden methods.
+Extends the endpoint pool of `cairndale.ingress.policy.endpoint_pool` by services, zones and slots
+(concurrent requests that an endpoint can handle). Costs are multiples of an average response time;
+times are microseconds on the engine's clock. The names of overridden methods are the base class's.
 """
 
 from __future__ import annotations
@@ -16,24 +16,26 @@
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
 
-# Costs of an endpoint elsewhere, in usual answers' times: the way there and the price of bytes.
+# Costs of an endpoint in another locality, in average response times: network latency and the
+# price of cross-zone traffic.
 OTHER_ZONE_COST = 0.5
 OTHER_REGION_COST = 2.0
-# Weight of each request beyond this ingress's share of an endpoint's slots, per slot of the share.
+# Weight of each request above this ingress's share of an endpoint's slots, per slot of the share.
 OVERLOAD_WEIGHT = 1.5
-BUSY_WEIGHT = 0.3  # weight of each request out at the endpoint, per slot of the share
-COST_NOISE = 0.15  # added at most, at random, so that ingresses do not all pick the same endpoint
-# Part of a service's retry ratio that is used: requests are counted where they were sent, which
-# need not be where the judge of the ratio counts them.
-RETRY_RATIO_USED = 0.9
+ACTIVE_REQUEST_WEIGHT = 0.3  # of each active request at the endpoint, per slot of the share
+# Largest random addition to a cost, so that ingresses do not all pick the same endpoint.
+MAX_COST_JITTER = 0.15
+# Fraction of a service's retry ratio that is used. Each ingress counts the requests that it sends
+# itself; whoever checks the ratio may count them at another place.
+RETRY_RATIO_FRACTION = 0.9
 
 
 @dataclass(slots=True)
 class RetryBudget:
     """Retry budget of one service at this ingress (Envoy's term).
 
-    Requests earn tokens, up to this ingress's share of the slack. Retries beyond these need a grant
-    of the leader each.
+    Requests add tokens, up to this ingress's share of the slack. Each retry beyond the tokens needs
+    a grant from the leader.
     """
 
     tokens: float = 0.0
@@ -41,30 +43,30 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Where this ingress is, and among how many its shares are split."""
+    """The locality of this ingress, and the number of ingresses that share the limits."""
 
     zone: int = -1  # number; -1: unknown
     region: int = -1  # number; -1: unknown
     ingress_count: int = 1  # in the fleet
     ingresses_by_zone: dict[int, int] = field(default_factory=dict)
-    retry_ratio: float = 0.0  # retries that one request earns
-    retry_slack: float = 0.0  # retries beyond the ratio, of the fleet in a window
+    retry_ratio: float = 0.0  # retries allowed per request
+    retry_slack: float = 0.0  # retries that the fleet may make above the ratio in a window
 
 
 class EndpointSelector(EndpointPool):
-    """Selects endpoints, and keeps the retry budgets and which grants are owed and denied."""
+    """Selects endpoints; keeps the retry budgets, and the required and the denied grants."""
 
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.placement = Placement()
         self.ready_by_service: dict[int, list[Endpoint]] = {}
         self.retry_budgets: dict[int, RetryBudget] = {}  # by service
-        self._owed_units: tuple[it.Unit, ...] = ()
+        self._required_grants: tuple[it.Unit, ...] = ()
         self._denied_until: dict[it.Unit, int] = {}
-        self._slots = 0.0  # this ingress's share of the slots of all endpoints that are ready
+        self._slots = 0.0  # this ingress's share of the slots of all ready endpoints
         super().__init__(settings, rng)
 
     def listed(self, event: it.BackendsListed) -> None:
-        """Take in a list of endpoints, or of those that have changed."""
+        """Apply an endpoint list: a full one, or the changed endpoints."""
         super().listed(event)
         for info in event.backends:
             if info.state is it.BackendState.GONE:
@@ -75,30 +77,31 @@
         self.update_slots()
 
     def update_slots(self) -> None:
-        """Sum up the shares of slots again: the endpoints or the placement have changed."""
+        """Recompute the share of slots after a change of the endpoints or the placement."""
         self._slots = sum(self.slot_share(b) for b in self.ready)
 
     def used(self) -> float:
-        """Return requests out over this ingress's share of all slots."""
+        """Return the utilization: active requests over this ingress's share of all slots."""
         return self.out / max(1.0, self._slots)
 
     def owes(self) -> tuple[it.Unit, ...]:
-        """Return the units that the attempt of the last `pick` needs granted before it is sent."""
-        return self._owed_units
+        """Return the units that must be granted before the last picked attempt is sent."""
+        return self._required_grants
 
     def deny(self, units: tuple[it.Unit, ...], now: int, until: int) -> None:
-        """Pick nothing that needs one of these units until then: no grant is to be had."""
+        """Until the time `until`, pick no attempt that needs one of these units."""
         self._denied_until = {unit: end for unit, end in self._denied_until.items() if end > now}
         self._denied_until.update(dict.fromkeys(units, until))
 
     def is_denied(self, unit: it.Unit, now: int) -> bool:
-        """Whether a grant of this unit was denied for a time that lasts still."""
+        """Whether a denial of this unit is still in force."""
         return self._denied_until.get(unit, 0) > now
 
     def slot_share(self, endpoint: Endpoint) -> float:
-        """Return this ingress's share of an endpoint's slots, 1 at the least.
+        """Return this ingress's share of an endpoint's slots, at least 1.
 
-        An endpoint in this ingress's zone is shared with the ingresses there, any other with all.
+        The slots of an endpoint in this ingress's zone are shared among the ingresses of that zone,
+        those of any other endpoint among all ingresses.
         """
         placement, info = self.placement, endpoint.info
         sharing = placement.ingress_count
@@ -107,17 +110,17 @@
         return max(1.0, info.slots / max(1, sharing))
 
     def distance_cost(self, endpoint: Endpoint) -> float:
-        """Return what the way to the endpoint costs, in usual answers' times."""
+        """Return the cost of the endpoint's locality, in average response times."""
         placement, info = self.placement, endpoint.info
         if info.zone == placement.zone:
             return 0.0
         return OTHER_ZONE_COST if info.region == placement.region else OTHER_REGION_COST
 
     def cost(self, endpoint: Endpoint, cls: int, now: int) -> float:
-        """Return the cost of one more request at the endpoint, in usual answers' times."""
+        """Return the cost of one more request at the endpoint, in average response times."""
         share = self.slot_share(endpoint)
         over = max(0.0, endpoint.out + 1 - share) / share
-        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * endpoint.out / share
+        wait = OVERLOAD_WEIGHT * over + ACTIVE_REQUEST_WEIGHT * endpoint.out / share
         return self.slowness(endpoint, cls, now) * (1 + wait) + self.distance_cost(endpoint)
 
     def pick(
@@ -128,11 +131,12 @@
         asked: it.RequestArrived | None = None,
         again: bool = False,
     ) -> Endpoint | None:
-        """Return the cheapest endpoint that may be sent to, counted as out; None if there is none.
+        """Return the cheapest eligible endpoint, with the request counted as active there.
 
-        `allowed`: what else decides about an endpoint (outlier ejection, attempts made); `asked`:
-        the request, None for a health check, which this pool does not make; `again`: whether this
-        is a retry, paid from the service's budget or by a grant of the leader.
+        Returns None if there is no such endpoint. `allowed`: whether the caller permits an endpoint
+        (outlier ejection, earlier attempts); `asked`: the request, None for a health check, which
+        this pool does not make; `again`: whether this is a retry, which takes a token of the
+        service's budget or needs a grant from the leader.
         """
         if asked is None:
             return None
@@ -140,13 +144,13 @@
         needs_grant = again and budget.tokens < 1
         if needs_grant and self.is_denied((RETRY, asked.service), now):
             return None
-        best = self._cheapest_of_service(now, cls, allowed, asked)
+        best = self._cheapest_endpoint(now, cls, allowed, asked)
         if best is None:
             return None
         owed: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
         if best.info.cold_until > now:
             owed += ((WARMUP, best.info.id),)
-        self._owed_units = owed
+        self._required_grants = owed
         if again:
             budget.tokens -= not needs_grant
         else:
@@ -154,7 +158,7 @@
         best.out, self.out = best.out + 1, self.out + 1
         return best
 
-    def _cheapest_of_service(
+    def _cheapest_endpoint(
         self, now: int, cls: int, allowed: Callable[[Endpoint], bool], asked: it.RequestArrived
     ) -> Endpoint | None:
         best, best_cost = None, float("inf")
@@ -162,7 +166,7 @@
             info = endpoint.info
             if asked.regions is not None and info.region not in asked.regions:
                 continue
-            cost = self.cost(endpoint, cls, now) + COST_NOISE * self.rng.random()
+            cost = self.cost(endpoint, cls, now) + MAX_COST_JITTER * self.rng.random()
             if cost >= best_cost or not allowed(endpoint):
                 continue
             if info.cold_until > now and self.is_denied((WARMUP, info.id), now):
@@ -171,15 +175,15 @@
         return best
 
     def _earn(self, budget: RetryBudget) -> None:
-        """Credit a service's retry budget with one request."""
+        """Add one request's tokens to a service's retry budget."""
         placement = self.placement
         most = EVEN_RETRY_FRACTION * placement.retry_slack / placement.ingress_count
-        earned = budget.tokens + RETRY_RATIO_USED * placement.retry_ratio
+        earned = budget.tokens + RETRY_RATIO_FRACTION * placement.retry_ratio
         budget.tokens = min(most if most >= 1 else 0.0, earned)
 
     def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
-        """Count an attempt as over, and learn from how it ended."""
-        if outcome is Outcome.MOOT:  # never tried: nothing is known of the endpoint
+        """Count an attempt as ended, and update the endpoint's statistics by its outcome."""
+        if outcome is Outcome.MOOT:  # never sent: it says nothing about the endpoint
             backend.out, self.out = max(0, backend.out - 1), self.out - 1
             return
         super().ended(backend, now, cls, outcome, latency)
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -1,7 +1,7 @@
-"""The ingress's policy and engine, reconfigured by what has changed alone.
+"""Incremental reconfiguration of the ingress's policy and engine.
 
-There are as many plans as tenants: to build all settings anew, or to search the plan of each
-account, would cost a change the number of tenants, or its square.
+There are as many plans as tenants. Rebuilding all settings on each change would take time linear in
+the number of tenants, and searching the plan of each account would take quadratic time.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 
 class Named(Protocol):
-    """What has a name by which it keeps its number: a request class or a plan."""
+    """An item whose name keeps its number: a request class or a plan."""
 
     @property
     def name(self) -> str:
-        """The name, unique among its kind."""
+        """The name, unique among items of its kind."""
 
 
 NamedT = TypeVar("NamedT", bound=Named)
@@ -30,18 +30,18 @@
 class ReconfigurablePolicy(RequestPolicy):
     """The request policy, whose accounts find their plans by number."""
 
-    plan_number: Callable[[str], int]  # a plan's number by its name; numbers are kept for good
+    plan_number: Callable[[str], int]  # a plan's number by its name; numbers never change
 
     @property
     def selector(self) -> EndpointSelector:
-        """The endpoint pool. Raises TypeError if the policy was made with one of another kind."""
+        """The endpoint pool. Raises TypeError if the policy was created with another kind."""
         if not isinstance(self.fleet, EndpointSelector):
-            raise TypeError(f"no EndpointSelector: {self.fleet!r}")
+            raise TypeError(f"expected an EndpointSelector, got {self.fleet!r}")
         return self.fleet
 
     def follow(self, settings: it.Settings) -> None:
-        """Take other settings from now on; each account goes on with its plan's new form."""
-        accounts, self.accounts = self.accounts, {}  # the base class would search a plan for each
+        """Use these settings from now on; each account switches to its plan's new definition."""
+        accounts, self.accounts = self.accounts, {}  # the base class would search each one's plan
         super().follow(settings)
         self.accounts = accounts
         for account in accounts.values():
@@ -49,25 +49,25 @@
 
 
 class ReconfigurableEngine(Engine):
-    """The ingress engine, whose classes and plans change one by one.
+    """The ingress engine, whose classes and plans can be changed individually.
 
-    The name of a class or plan keeps its number for good, also once the configuration has it no
-    longer: which names requests may carry is decided by the route table.
+    A class or plan keeps its number for the life of the process, even after it has been removed
+    from the configuration: the route table decides which names requests may use.
     """
 
-    def adjust(
+    def update_classes_and_plans(
         self, fleet_size: int, classes: Iterable[it.RequestClass], plans: Iterable[it.Plan]
     ) -> None:
-        """Put these classes and plans in the place of those of the same names, or behind all.
+        """Replace the classes and plans of the same names, and append new ones.
 
-        Others stay as they are. Without any difference the policy is not told.
+        Others stay as they are. The policy is notified only if something has changed.
         """
         before = self.settings
         settings = replace(
             before,
             fleet_size=fleet_size,
-            classes=_put(self.names.classes, before.classes, classes),
-            plans=_put(self.names.plans, before.plans, plans),
+            classes=_merge_by_name(self.names.classes, before.classes, classes),
+            plans=_merge_by_name(self.names.plans, before.plans, plans),
         )
         if (
             settings.classes is before.classes
@@ -78,27 +78,27 @@
         self.settings, self.names.gateways = settings, fleet_size
         self._post(it.SettingsChanged(settings))
 
-    def number_of_plan(self, name: str) -> int:
-        """Return the plan's number. Raises KeyError for a name that no configuration has had."""
+    def plan_number_of(self, name: str) -> int:
+        """Return the plan's number. Raises KeyError for a name that was never configured."""
         return self.names.plans[name.encode()]
 
 
-def _put(
-    numbers: dict[bytes, int], before: tuple[NamedT, ...], items: Iterable[NamedT]
+def _merge_by_name(
+    positions: dict[bytes, int], before: tuple[NamedT, ...], items: Iterable[NamedT]
 ) -> tuple[NamedT, ...]:
-    """Return `before` with the items put in, the same object where nothing differs.
+    """Return `before` with the items merged in, or `before` itself if nothing differs.
 
-    `numbers` gets the places of those that are new.
+    The positions of new items are added to `positions`.
     """
     after: list[NamedT] | None = None
     for item in items:
-        number = numbers.get(item.name.encode(), len(after or before))
+        number = positions.get(item.name.encode(), len(after or before))
         if number < len(after or before) and (after or before)[number] == item:
             continue
         after = after if after is not None else list(before)
         if number == len(after):
             after.append(item)
-            numbers[item.name.encode()] = number
+            positions[item.name.encode()] = number
         else:
             after[number] = item
     return before if after is None else tuple(after)
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -1,6 +1,6 @@
-"""The ingress in service, built for the data plane: policy, engine, backends and listener.
+"""Assembles the ingress for the data plane: policy, engine, backends and listener.
 
-All of `cairndale.ingress` that this package sets by attribute is set here.
+All attributes of `cairndale.ingress` objects that this package sets are set here.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from cairndale.dataplane.engine import ReconfigurableEngine, ReconfigurablePolicy
 from cairndale.dataplane.leader_contact import LeaderContact
 from cairndale.dataplane.numbering import Numbering
-from cairndale.dataplane.quota_client import LEASE_TRY_TIMEOUT_S
-from cairndale.dataplane.upstream_protocol import judge
+from cairndale.dataplane.quota_client import LEASE_ATTEMPT_TIMEOUT_S
+from cairndale.dataplane.upstream_protocol import classify_answer
 from cairndale.ingress.net.backends import Backends
 from cairndale.ingress.net.bodies import Memory
 from cairndale.ingress.net.clients import Listener
@@ -24,19 +24,21 @@
 from cairndale.quota.quota_counter import QUOTA_GRANT_LIFE_S
 from cairndale.settings import Settings
 
-RETRY_AFTER_US = 300_000  # longest Retry-After advice to a refused client: T0, d_0
-CONNECT_TIMEOUT_US = 400_000  # of a connection to an endpoint: a region is 40 ms away and back
-# An idle connection to an endpoint is kept so long, if the endpoint does not say how long.
+MAX_RETRY_AFTER_US = (
+    300_000  # longest Retry-After for a rejected client: T0 and d_0 of the borrowing ring
+)
+CONNECT_TIMEOUT_US = 400_000  # to an endpoint; the round trip to another region takes 40 ms
+# Idle timeout of a connection to an endpoint that does not announce its own keep-alive time.
 KEEPALIVE_US = 6_000_000
-# Without an acknowledgement for so long an endpoint counts as gone (TCP_USER_TIMEOUT).
+# TCP_USER_TIMEOUT: an endpoint that does not acknowledge data for this long is unreachable.
 UNACKED_TIMEOUT_MS = 900
-OWN_DESCRIPTORS = 200  # of the process's file descriptors, for what is not traffic
-TRAFFIC_MEMORY = 0.5  # of the process's memory, that bodies in transit may take
-EXPIRY_MARGIN = 0.95  # of the time for which the counter grants units, in which they are used
-TICK_US = 50_000  # of the policy
-LEASE_PART = 0.25  # of a store's room that one lease may take ahead
-# The class with number 0, that no route has.
-NO_CLASS = it.RequestClass(
+RESERVED_DESCRIPTORS = 200  # file descriptors of the process that traffic may not use
+TRAFFIC_MEMORY_FRACTION = 0.5  # of the process's memory, available to bodies in transit
+GRANT_LIFE_FRACTION = 0.95  # of the validity of granted quota units, in which they are used
+TICK_US = 50_000  # timer interval of the policy
+MAX_LEASE_FRACTION = 0.25  # of a token bucket's capacity, that one lease may take in advance
+# The class with number 0, which no route uses.
+PLACEHOLDER_CLASS = it.RequestClass(
     name="none",
     aim=1_000_000,  # us
     deadline=30_000_000,  # us
@@ -46,18 +48,18 @@
 
 
 def initial_settings(zone: int, fleet_size: int) -> it.Settings:
-    """Return the policy's settings without a configuration: no class and no plan but the first."""
+    """Return the policy's settings before any configuration: placeholder class and plan only."""
     return it.Settings(
         me=0,
         fleet_size=fleet_size,
         zone=zone,
         tick=TICK_US,
-        classes=(NO_CLASS,),
+        classes=(PLACEHOLDER_CLASS,),
         plans=(it.Plan(name="", rate=0.0, burst=0.0),),
         limits=it.Limits(
             max_attempts=6,
             advises_retry=True,
-            max_retry_after=RETRY_AFTER_US,
+            max_retry_after=MAX_RETRY_AFTER_US,
             connect_timeout=CONNECT_TIMEOUT_US,
             patient=True,
             promises=True,
@@ -68,19 +70,19 @@
         ),
         counter=it.CounterLimits(
             allowed=True,
-            timeout=round(LEASE_TRY_TIMEOUT_S * 1e6),
+            timeout=round(LEASE_ATTEMPT_TIMEOUT_S * 1e6),
             calls_out=1e6,
-            part=LEASE_PART,
+            part=MAX_LEASE_FRACTION,
             strict=True,
-            expiry=round(QUOTA_GRANT_LIFE_S * EXPIRY_MARGIN * 1e6),
+            expiry=round(QUOTA_GRANT_LIFE_S * GRANT_LIFE_FRACTION * 1e6),
         ),
     )
 
 
 class IngressEngine:
-    """Policy, engine, endpoint selector and connections to endpoints, wired to one another.
+    """Policy, engine, endpoint selector and connections to endpoints, connected to each other.
 
-    The listener comes last (`make_listener`), as what reads its requests needs the selector.
+    The listener is created last (`make_listener`), as its request reader needs the selector.
     """
 
     def __init__(
@@ -92,26 +94,26 @@
         self.policy.in_touch = contact.in_contact
         self.policy.alone_since = contact.isolated_since_us
         self.selector = self.policy.selector
-        self._sockets = Sockets(settings.max_open_files - OWN_DESCRIPTORS)
+        self._sockets = Sockets(settings.max_open_files - RESERVED_DESCRIPTORS)
         self.backends = _backends(self._sockets)
         self.engine = ReconfigurableEngine(
             self.policy, first, Names(first, {}), asyncio.get_running_loop(), clock.now
         )
         self.engine.refusals, self.engine.ends_passing = (429, 503), True
         self.engine.servers = self.backends
-        self.policy.plan_number = self.engine.number_of_plan
-        self._memory = Memory(settings.memory_mb * TRAFFIC_MEMORY)
+        self.policy.plan_number = self.engine.plan_number_of
+        self._memory = Memory(settings.memory_mb * TRAFFIC_MEMORY_FRACTION)
 
     def make_listener(self, reader: Reader) -> Listener:
-        """Return the listener for this engine, not listening yet; `reader` reads its requests."""
+        """Return the engine's listener, which does not listen yet; `reader` reads its requests."""
         listener = Listener(self.engine, self._sockets, self._memory, self._clock.now, reader)
-        listener.up = b""  # readiness has an address of its own
+        listener.up = b""  # readiness is served at an address of its own
         return listener
 
 
 def _backends(sockets: Sockets) -> Backends:
     backends = Backends(sockets, KEEPALIVE_US, CONNECT_TIMEOUT_US)
-    backends.relays, backends.judge, backends.strict = True, judge, True
-    backends.stalled = float("inf")  # a silent endpoint is waited for, by the request's deadline
+    backends.relays, backends.judge, backends.strict = True, classify_answer, True
+    backends.stalled = float("inf")  # only the request's deadline limits the wait for a response
     backends.unacked_ms = UNACKED_TIMEOUT_MS
     return backends
--- a/cairndale/dataplane/lookup_api.py
+++ b/cairndale/dataplane/lookup_api.py
@@ -1,4 +1,4 @@
-"""The node's own HTTP calls: readiness, and look-ups of ingress addresses (`dir`)."""
+"""HTTP API of a data-plane node: readiness, and lookups of ingress addresses (`dir`)."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 class LookupApi:
     """Handlers for two HTTP servers: `readiness` and `lookup`.
 
-    Both go on without a leader, by what it announced last.
+    Both continue without a leader, using the state that it announced last.
     """
 
     def __init__(self, config: ConfigClient, readiness: Readiness, settings: Settings) -> None:
         self._config, self._readiness = config, readiness
-        redirects = RedirectReporter(lambda it: log_event(Event.CLIENTS_REDIRECTED, "%s", it))
+        redirects = RedirectReporter(lambda text: log_event(Event.CLIENTS_REDIRECTED, "%s", text))
         self._lookups = Lookups(settings.name, redirects)
         self._ttl_max = settings.bounds.ttl_max  # s
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take other settings from now on."""
+        """Use these settings from now on."""
         self._ttl_max = settings.bounds.ttl_max
 
     async def readiness(self, method: str, target: str, body: bytes) -> Response:
-        """Response 200 if clients may be sent here, else 503; with the generation in force."""
+        """Return status 200 if clients may be sent here, else 503, with the current generation."""
         found = match(READINESS_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+            return error_response(found.status, found.reason)
         ready = self._readiness.is_ready()
         return json_response(
             200 if ready else 503, {"ready": ready, "gen": self._config.route_table.gen}
         )
 
     async def lookup(self, method: str, target: str, body: bytes) -> Response:
-        """Response which ingresses a client is sent to, or as `readiness` does."""
+        """Return the ingresses that a client should use; also serves the readiness route."""
         found = match(LOOKUP_ROUTES, method, target)
         if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+            return error_response(found.status, found.reason)
         if found.call == "ready":
             return await self.readiness(method, target, body)
         config = self._config
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -1,4 +1,4 @@
-"""A data-plane node: the ingress in service, configured by the control plane's leader."""
+"""A data-plane node: the serving ingress, configured by the control plane's leader."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 class DataPlaneNode:
-    """Wires the parts of a data-plane node, each of one job, and starts and stops them.
+    """Connects the components of a data-plane node, and starts and stops them.
 
-    To be made within a running event loop. The steady clock is the loop's (s), the engine's clock
-    is `Clock` (us).
+    Must be created within a running event loop. The monotonic clock is the loop's (s), the engine's
+    clock is `Clock` (us).
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -94,7 +94,7 @@
         self._watching: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen, and begin to watch the configuration. Raises OSError if an address is taken."""
+        """Listen, and start the configuration watch. Raises OSError if an address is in use."""
         listen = self.settings.listen
         await self.rpc_peer.listen()
         await self._readiness_server.listen(listen["readyz"])
@@ -104,7 +104,7 @@
         self._watching = asyncio.get_running_loop().create_task(self._watch.run())
 
     async def stop(self) -> None:
-        """Drain within the grace period of the settings, then end."""
+        """Drain within the configured grace period, then stop."""
         await drain(
             listener=self.listener,
             engine=self.ingress.engine,
@@ -122,9 +122,9 @@
         self.ingress.backends.stop()
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take changed settings (SIGHUP): other seeds and bounds.
+        """Apply changed settings (SIGHUP): seeds and bounds.
 
-        Control nodes that were known before stay known; addresses stay those it listens on.
+        Known control nodes stay known, and the listening addresses do not change.
         """
         self.settings = settings
         self.applier.reconfigure(settings)
@@ -132,7 +132,7 @@
         self.config_client.add_control_addresses(_seed_addresses(settings))
 
     def describe(self) -> pb.Node:
-        """Return this node as the leader is to announce it now."""
+        """Return this node's current description, for the leader to announce."""
         settings = self.settings
         return pb.Node(
             name=settings.name,
@@ -153,15 +153,18 @@
         return self.config_client.peer_addresses(self.rpc_peer.own_address)
 
     def _connection_lost(self, address: str) -> None:
-        """Contact ends with the leader's connection: the leader has seen its end, or is gone."""
+        """End the contact with the leader if the connection to it was closed.
+
+        The leader has noticed the end of the connection too, or has failed.
+        """
         if address == self.leader_client.leader_address:
             self.config_client.connection_lost(asyncio.get_running_loop().time())
 
     def _receive(self, envelope: pb.Envelope) -> None:
-        """Drop it: this node is told nothing that it has not asked for."""
+        """Drop the message: this node receives responses to its own calls only."""
 
     async def _refuse(self, envelope: pb.Envelope) -> pb.Envelope:
-        raise RejectedError("only passed on here")
+        raise RejectedError("this node only forwards calls")
 
 
 def _seed_addresses(settings: Settings) -> list[str]:
--- a/cairndale/dataplane/numbering.py
+++ b/cairndale/dataplane/numbering.py
@@ -1,4 +1,4 @@
-"""Numbers of what the policy knows by number only: services, tenants, zones, regions."""
+"""Numbers for services, tenants, zones and regions, which the policy knows by number only."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Numbering:
-    """Gives names numbers that stay the same for the life of the process.
+    """Assigns numbers to names; they stay the same for the life of the process.
 
-    Zones and regions are those of the settings the process began with; services and tenants get
-    numbers, from 1 on, as they are first asked for.
+    Zones and regions are those of the settings at process start. Services and tenants are numbered
+    from 1 in the order of their first use.
     """
 
     def __init__(self, zones: Mapping[str, str]) -> None:
@@ -30,7 +30,7 @@
         return self._regions.get(region, -1)
 
     def region_numbers(self, regions: frozenset[str]) -> frozenset[int]:
-        """Return the numbers of those regions that are known."""
+        """Return the numbers of the known regions among these."""
         return frozenset(self._regions[r] for r in regions if r in self._regions)
 
     def service_number(self, service: str) -> int:
@@ -40,7 +40,7 @@
         return number
 
     def service_name(self, number: int) -> str:
-        """Return the service's name. Raises KeyError for a number that was never given."""
+        """Return the service's name. Raises KeyError for a number that was never assigned."""
         return self._service_names[number]
 
     def tenant_number(self, tenant: str) -> int:
@@ -50,5 +50,5 @@
         return number
 
     def tenant_name(self, number: int) -> str:
-        """Return the tenant's name; empty for a number that was never given."""
+        """Return the tenant's name; empty for a number that was never assigned."""
         return self._tenant_names.get(number, "")
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -1,6 +1,6 @@
-"""Units that all ingresses share, asked of the leader as requests need them.
+"""Requests units of limits that all ingresses share from the leader.
 
-Units of tenants' quotas are leased in advance; retries and starts at endpoints that are warming up
+Units of tenants' quotas are leased in advance; retries, and requests to endpoints in slow start,
 are granted one by one.
 """
 
@@ -24,18 +24,19 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.rpc.lease_timing import MAX_CLOCK_DRIFT
 
-LEASE_TIMEOUT_S = 0.5  # for the counter's answer over all tries
-LEASE_TRY_TIMEOUT_S = 0.2  # for the answer to one try
-GRANT_TIMEOUT_S = 0.2  # for a grant's answer, over all tries
-UNANSWERED_DENIAL_US = 200_000  # for which no grant is asked for where nobody answered
-# Pause, at the least, before the counter is asked again where it refused or had nothing for now.
+LEASE_TIMEOUT_S = 0.5  # for the counter's response, over all attempts
+LEASE_ATTEMPT_TIMEOUT_S = 0.2  # for the response to one attempt
+GRANT_TIMEOUT_S = 0.2  # for the response to a grant request, over all attempts
+NO_ANSWER_DENIAL_US = 200_000  # for which no grant is requested after a request without response
+# Minimum pause before another lease request after the counter rejected one or had no units left.
 LEASE_PAUSE_S = 0.03
 
 
 class QuotaClient:
     """The engine's `Lessor` (leases of quota) and `Dealer` (grants of shared budgets).
 
-    Nothing of a call that nobody answered is used: copies of it may have been granted, and lapse.
+    No units are used from a call without response. The leader may have granted them all the same;
+    they expire.
     """
 
     def __init__(
@@ -56,20 +57,20 @@
         self.calls: set[asyncio.Task[None]] = set()  # in flight
 
     def deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
-        """Ask for a grant of one of each unit, or of none.
+        """Request a grant of one of each unit, or of none.
 
-        `on_granted` hears until when they may be used (us on the engine's clock), or 0.
+        `on_granted` is called with the expiry of the grant (us on the engine's clock), or with 0.
         """
         self._start(self._request_grant(units, on_granted))
 
-    def lease(self, customer: int, amount: float, told: float, answered: Answered) -> None:
-        """Lease `amount` units of the tenant with that number, and report `told` as spent already.
+    def lease(self, customer: int, amount: float, spent_units: float, answered: Answered) -> None:
+        """Lease `amount` units of the tenant numbered `customer`, and report units already spent.
 
-        `answered` hears OK with what is left in the tenant's store, below 0 by what was not
-        granted, or RESET if the counter could not be reached.
+        `answered` is called with OK and the units left in the tenant's token bucket (negative by
+        the units that were not granted), or with RESET if the counter could not be reached.
         """
         tenant = self._numbering.tenant_name(customer)
-        self._start(self._request_lease(tenant, amount, told, answered))
+        self._start(self._request_lease(tenant, amount, spent_units, answered))
 
     def _start(self, call: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(call)
@@ -79,7 +80,7 @@
     async def _request_grant(
         self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]
     ) -> None:
-        requested_at, until, denial_us = self._now_us(), 0, UNANSWERED_DENIAL_US
+        requested_at, until, denial_us = self._now_us(), 0, NO_ANSWER_DENIAL_US
         names = [f"{kind}/{self._unit_name(kind, number)}" for kind, number in units]
         request = pb.Envelope(budget_request=pb.BudgetRequest(budgets=names))
         try:
@@ -90,48 +91,48 @@
                     until = requested_at + round(response.valid_ms * 1000 * (1 - MAX_CLOCK_DRIFT))
                 denial_us = response.retry_after_ms * 1000
         except CallError:
-            pass  # denied for a while, as without contact
+            pass  # treated as denied, as without contact
         if not until:
             now = self._now_us()
             self._selector.deny(units, now, now + denial_us)
         on_granted(until)
 
     def _unit_name(self, kind: str, number: int) -> str:
-        """Return the service of a retry's unit, the endpoint of a start's."""
+        """Return the service for a retry unit, the endpoint for a slow-start unit."""
         if kind == RETRY:
             return self._numbering.service_name(number)
         return self._engine.name_of(number)
 
     async def _request_lease(
-        self, tenant: str, amount: float, told: float, answered: Answered
+        self, tenant: str, amount: float, spent_units: float, answered: Answered
     ) -> None:
-        """Ask once more where the store was empty, but will hold a unit or more within a pause.
+        """Request a lease, once more if the bucket was empty but refills by a unit in the pause.
 
-        A leader that has just begun to count begins with empty stores.
+        A new leader starts with empty token buckets.
         """
-        request = pb.QuotaRequest(tenant=tenant, amount=amount, spent=told)
+        request = pb.QuotaRequest(tenant=tenant, amount=amount, spent=spent_units)
         try:
             left = await self._units_left(request)
             if left <= -amount < 0 and self._refill_per_s(tenant) * LEASE_PAUSE_S >= 1:
                 await asyncio.sleep(LEASE_PAUSE_S * random.uniform(1.0, 1.3))
-                request.spent = 0.0  # the first request has reported it
+                request.spent = 0.0  # the first request has reported the spent units
                 left = await self._units_left(request)
         except CallError as failure:
             if not isinstance(failure, CallTimeoutError | UnreachableError):
                 await asyncio.sleep(LEASE_PAUSE_S)
-            # The policy asks again while there is time, or spends without the counter.
+            # The policy retries until the deadline, or spends units without the counter.
             answered(Outcome.RESET, 0.0)
             return
         answered(Outcome.OK, 0.0, left)
 
     def _refill_per_s(self, tenant: str) -> float:
-        """Return the units a second that the tenant's store refills by, 0 if it has none."""
+        """Return the refill rate of the tenant's token bucket, in units/s; 0 if it has none."""
         known = self._config.route_table.tenants.get(tenant)
         return known.rate_per_s if known else 0.0
 
     async def _units_left(self, request: pb.QuotaRequest) -> float:
-        """Return what the tenant's store holds after the request. Raises CallError."""
+        """Return the units in the tenant's token bucket after the request. Raises CallError."""
         envelope = await self._leader_client.call(
-            pb.Envelope(quota_request=request), LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
+            pb.Envelope(quota_request=request), LEASE_TIMEOUT_S, LEASE_ATTEMPT_TIMEOUT_S
         )
         return envelope.quota_response.remaining
--- a/cairndale/dataplane/readiness.py
+++ b/cairndale/dataplane/readiness.py
@@ -1,4 +1,4 @@
-"""Whether clients may be sent to this ingress (readiness, as load balancers' probes ask for it)."""
+"""Readiness: whether clients may be sent to this ingress, as load balancers' probes ask."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Readiness:
-    """Derives readiness from what the other parts hold; has no state of its own."""
+    """Derives readiness from the state of other components; has no state of its own."""
 
     def __init__(
         self,
@@ -22,15 +22,15 @@
         self._selector, self._numbering = selector, numbering
 
     def is_ready(self) -> bool:
-        """Whether it is prepared, holds its lease and does not drain."""
+        """Whether this ingress is prepared, holds its lease and does not drain."""
         serving = self._serving
         return self.is_prepared() and serving.may_serve() and not serving.draining
 
     def is_prepared(self) -> bool:
-        """Whether it has a configuration and an endpoint of each service that this names.
+        """Whether there is a configuration, and an endpoint of each service that it references.
 
-        Clients that are sent here earlier would be refused. A service without any endpoint is
-        waited for no longer than endpoints take to register with a new leader.
+        Clients sent here earlier would be rejected. The wait for a service without endpoints ends
+        once all endpoints have had time to register with a new leader.
         """
         by_service = self._selector.ready_by_service
         route_table = self._config.route_table
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -1,7 +1,7 @@
-"""From a client's request to what the engine runs: route, tenant, service, deadline.
+"""Resolves a client's request for the engine: route, tenant, service and deadline.
 
-The router reads each request by the configuration in force, and checks it anew as the first byte
-goes to an endpoint, if the configuration has changed by then.
+Each request is routed by the configuration in force. If the configuration has changed by the time
+the first byte is sent to an endpoint, the request is checked again.
 """
 
 from __future__ import annotations
@@ -22,17 +22,23 @@
 
 REQUEST_ID = re.compile(rb"[!-~]{1,200}")
 DEADLINE_MS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,6})?")
-# Retry-After advice, in us: while this ingress may not serve, and to go to another one at once.
+# Retry-After in us: while this ingress may not serve, and while it drains, so that the client tries
+# another ingress at once.
 NOT_SERVING_RETRY_US = 300_000
 DRAINING_RETRY_US = 20_000
-LEAST_DEADLINE_MS = 1  # that an endpoint is given
-UNKNOWN_FLEET = 1_000_000  # ingresses, while their count is not known: no share is worth a unit
+MIN_DEADLINE_MS = 1  # sent to an endpoint
+# Ingresses, while their number is unknown: so large that no quota share amounts to one unit.
+UNKNOWN_FLEET_SIZE = 1_000_000
 
 
 def allowed_regions(route: Route, tenant: Tenant | None) -> frozenset[str] | None:
     """Return the regions in which both route and tenant may be served; None: everywhere."""
-    both = [h for h in (route.home_regions, tenant.home_regions if tenant else frozenset()) if h]
-    return frozenset.intersection(*both) if both else None
+    restrictions = [
+        allowed
+        for allowed in (route.home_regions, tenant.home_regions if tenant else frozenset())
+        if allowed
+    ]
+    return frozenset.intersection(*restrictions) if restrictions else None
 
 
 def _request_id(headers: Mapping[bytes, bytes]) -> bytes:
@@ -44,7 +50,7 @@
 
 
 def _timeout_us(headers: Mapping[bytes, bytes], longest_us: int) -> int:
-    """Return the client's deadline (`X-Deadline-Ms`), at most the route's. Raises BadRequest."""
+    """Return the client's deadline (`X-Deadline-Ms`), at most `longest_us`. Raises BadRequest."""
     if b"x-deadline-ms" not in headers:
         return longest_us
     client_ms = DEADLINE_MS.fullmatch(headers[b"x-deadline-ms"])
@@ -54,9 +60,9 @@
 
 
 class RequestRouter:
-    """The listener's reader of requests: a callable, once for each request.
+    """The listener's request reader, called once for each request.
 
-    Runs on the hot path: no I/O, and no search that grows with the configuration.
+    Runs on the hot path: no I/O, and no search whose cost grows with the configuration.
     """
 
     def __init__(
@@ -75,8 +81,8 @@
     ) -> tuple[Route, Tenant | None]:
         """Return the route, and the tenant unless the route is public.
 
-        Raises BadRequest where the configuration in force does not allow it: 404 without a route,
-        401 for an unknown key.
+        Raises BadRequest if the configuration in force does not allow the request: 404 if there is
+        no route, 401 if the API key is unknown.
         """
         route_table = self._config.route_table
         route = route_table.find_route(host, target)
@@ -92,10 +98,10 @@
     def __call__(
         self, message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
     ) -> Wanted:
-        """Return the request as the engine runs it; `began`: us when its first byte came.
+        """Return the request in the engine's form; `began`: when its first byte was received, us.
 
         Raises BadRequest with the status for the client: 400, 401, 404, or 503 with the time after
-        which to come back.
+        which to retry.
         """
         headers, config = message.headers, self._config
         if not config.route_table.gen or not self._serving.may_serve():
@@ -112,7 +118,7 @@
         regions = allowed_regions(route, tenant)
         head, body = request_head(message, request_id), message.body
         generation = config.route_table.gen
-        # Both by position: keywords would cost each request over a microsecond more.
+        # Positional arguments in both calls: keywords cost over a microsecond more per request.
         upstream = UpstreamRequest(
             self, host, target, authorization, route, tenant, service, generation, head, body
         )
@@ -122,12 +128,12 @@
             names.plans[tenant.name.encode() if tenant else b""],
             self._numbering.tenant_number(tenant.name) if tenant else 0,
             1.0,  # units of the tenant's quota
-            config.ingress_count or UNKNOWN_FLEET,
+            config.ingress_count or UNKNOWN_FLEET_SIZE,
             0,  # first gateway: none is preferred
             timeout_us,
             began,
-            False,  # clients do not say that they retry
-            b"",  # head: made by `upstream`
+            False,  # clients do not mark retries
+            b"",  # head: built by `upstream`
             body,
             message.upload,
             self._numbering.service_number(service),
@@ -137,17 +143,17 @@
         )
 
     def may_forward(self, request: UpstreamRequest, endpoint: str) -> bool:
-        """Whether lease, endpoint and configuration allow the request to go there, as it does."""
+        """Whether lease, endpoint and configuration allow forwarding the request there now."""
         config = self._config
         if not self._serving.may_serve() or not config.is_available(endpoint, request.service):
             return False
-        return config.route_table.gen == request.generation or self._still_allowed(request)
+        return config.route_table.gen == request.generation or self._is_still_allowed(request)
 
-    def _still_allowed(self, request: UpstreamRequest) -> bool:
-        """Whether the configuration in force allows what was read by an earlier one.
+    def _is_still_allowed(self, request: UpstreamRequest) -> bool:
+        """Whether the configuration in force allows a request that was routed by an earlier one.
 
-        The same tenant, the service still on the route, the same class of repeatability and the
-        same regions.
+        It does if the tenant is the same, the route still has the service, and the request class's
+        repeatability and the allowed regions are unchanged.
         """
         route, tenant = request.route, request.tenant
         try:
@@ -163,7 +169,7 @@
 
 
 class UpstreamRequest:
-    """A request as endpoints get it: the engine calls it as the first byte is to be written."""
+    """Encodes a request for an endpoint; the engine calls it just before writing the first byte."""
 
     __slots__ = (
         "_body",
@@ -191,7 +197,7 @@
         head: bytes,
         body: bytes,
     ) -> None:
-        """`generation`: of the configuration that it was read by; `head`: as `request_head`'s."""
+        """`generation`: of the configuration used for routing; `head`: from `request_head`."""
         self._router = router
         self.host, self.target, self.authorization = host, target, authorization
         self.route, self.tenant, self.service = route, tenant, service
@@ -199,12 +205,12 @@
         self._head, self._body = head, body
 
     def __call__(self, endpoint: str, time_left_us: int) -> bytes | None:
-        """Return the bytes for an endpoint; None if what allowed the request holds no longer."""
+        """Return the bytes for an endpoint; None if the request may no longer be forwarded."""
         if not self._router.may_forward(self, endpoint):
             return None
         fields = b"X-Target-Instance: %b\r\nX-Deadline-Ms: %d\r\n" % (
             endpoint.encode(),
-            max(LEAST_DEADLINE_MS, time_left_us // 1000),
+            max(MIN_DEADLINE_MS, time_left_us // 1000),
         )
         if self.tenant:
             fields += b"X-Tenant: %b\r\n" % self.tenant.name.encode()
--- a/cairndale/dataplane/shutdown.py
+++ b/cairndale/dataplane/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: the drain of an ingress after SIGTERM, in the order that loses no request."""
+"""Graceful shutdown: drains an ingress after SIGTERM without losing requests."""
 
 from __future__ import annotations
 
@@ -9,21 +9,22 @@
 from cairndale.ingress.net.clients import Listener
 from cairndale.ingress.net.engine import Engine
 
-# Before the end of the grace period connections are taken until then: old address lists name it.
+# Connections are accepted until this long before the end of the grace period, as clients may still
+# use an old address list.
 ACCEPT_MARGIN_S = 0.9
-FLUSH_S = 0.2  # after all is answered, for answers to be taken by their clients
+FLUSH_TIMEOUT_S = 0.2  # after the last response, for clients to receive it
 FLUSH_POLL_S = 0.01
 
 
 async def drain(
     *, listener: Listener, engine: Engine, serving: ServingState, watch: ConfigWatch, grace: float
 ) -> None:
-    """Drain for `grace` seconds at the most.
+    """Drain for at most `grace` seconds.
 
-    First the ingress leaves the address lists (the leader is told, readiness is over); it goes on
-    accepting connections for those whose list is older; then it only answers what is open, and at
-    the end gives up what is left. No request is broken off while an endpoint works on it and the
-    grace period lasts.
+    First the ingress is removed from the address lists: the leader is notified and readiness ends.
+    It still accepts connections from clients with an older list. Then it only finishes open
+    requests, and at the end aborts the remaining ones. No request that an endpoint works on is
+    aborted before the grace period ends.
     """
     serving.begin_drain(grace)
     listener.begin_stop()
@@ -32,14 +33,14 @@
         await asyncio.sleep(max(0.0, grace - ACCEPT_MARGIN_S))
         listener.stop_listening()
         await _finish_requests(engine, serving.ends_at)
-        while listener.connections and serving.now() < serving.ends_at + FLUSH_S:
+        while listener.connections and serving.now() < serving.ends_at + FLUSH_TIMEOUT_S:
             await asyncio.sleep(FLUSH_POLL_S)
     finally:
         notice.cancel()
 
 
 async def _finish_requests(engine: Engine, ends_at: float) -> None:
-    """Wait until no request is open; give up those that are at `ends_at` (s, the loop's clock)."""
+    """Wait until no request is open; abort those left at `ends_at` (s on the loop's clock)."""
     idle = asyncio.Event()
     engine.idle = idle.set
     if not engine.open:
--- a/cairndale/dataplane/upstream_protocol.py
+++ b/cairndale/dataplane/upstream_protocol.py
@@ -1,7 +1,7 @@
-"""The protocol between an ingress and its endpoints: what is forwarded, and what answers mean.
+"""The protocol between an ingress and its endpoints: forwarded headers, meaning of responses.
 
-HTTP/1.1 (RFC 9110, RFC 9112), with fields of the system's own: `X-Request-Id` pairs a request with
-its answer, `X-Not-Run` says that the endpoint has not run the request.
+HTTP/1.1 (RFC 9110, RFC 9112) with additional fields: `X-Request-Id` pairs a request with its
+response, `X-Not-Run` means that the endpoint has not processed the request.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 REQUEST_ID = b"x-request-id"
 NOT_RUN = b"x-not-run"
-# Fields that only the system may set towards an endpoint, or that are not for it to see.
+# Fields that only the system may set in requests to endpoints, or that endpoints must not receive.
 RESERVED = {
     REQUEST_ID,
     b"x-deadline-ms",
@@ -27,11 +27,11 @@
 }
 NOT_FOR_ENDPOINTS = HOP_BY_HOP | RESERVED
 NOT_FOR_CLIENTS = HOP_BY_HOP | {NOT_RUN}
-NO_OPTIONS = frozenset({b""})  # what an absent or empty `Connection` names
+NO_OPTIONS = frozenset({b""})  # the options of an absent or empty `Connection` field
 
 
 def _connection_options(headers: Mapping[bytes, bytes]) -> AbstractSet[bytes]:
-    """Return the fields that `Connection` names: they concern one hop (RFC 9110, 7.6.1)."""
+    """Return the fields that `Connection` lists: they are hop-by-hop (RFC 9110, 7.6.1)."""
     named = headers.get(b"connection")
     if not named:
         return NO_OPTIONS
@@ -39,10 +39,11 @@
 
 
 def request_head(message: Message, request_id: bytes) -> bytes:
-    """Return the request line and fields that are the same for every endpoint and attempt.
+    """Return the request line and the fields that are the same for every endpoint and attempt.
 
-    All of the client's fields go on but those of one hop, its key and those that only the system
-    may set. The empty line that ends the head is left to whoever adds the last fields.
+    All of the client's fields are forwarded except hop-by-hop fields, its API key and fields that
+    only the system may set. The caller adds the remaining fields and the empty line that ends the
+    head.
     """
     dropped = NOT_FOR_ENDPOINTS | _connection_options(message.headers)
     head = b"%b %b HTTP/1.1\r\nX-Request-Id: %b\r\n" % (message.method, message.target, request_id)
@@ -60,17 +61,18 @@
 
 
 def request_id_of(sent: bytes) -> bytes:
-    """Return the id of a request as it was sent: `request_head` puts it into the first field."""
+    """Return the id of an encoded request: `request_head` puts it into the first field."""
     return sent.partition(b"\r\nX-Request-Id: ")[2].partition(b"\r\n")[0]
 
 
-def judge(message: Message, sent: bytes) -> Answer:
-    """Return what an endpoint's answer says of the request that was sent.
+def classify_answer(message: Message, sent: bytes) -> Answer:
+    """Return the outcome of a sent request, derived from the endpoint's response.
 
-    MOOT: it belongs to another request. FULL: the endpoint says, by the request's id, that it has
-    not run this one; without an id nothing shows that these bytes belong to it (ERROR). Anything
-    else was run, and goes to the client as it is (OK). An answer without a length is complete only
-    by the orderly end of its connection (RFC 9112, 8), which the connection sees to.
+    MOOT: the response belongs to another request. FULL: the response carries the request's id and
+    says that the endpoint has not run the request. ERROR: the response carries no id, so nothing
+    shows that it belongs to the request. OK: any other response; the endpoint has run the request,
+    and the response is forwarded to the client. A response without a length is complete only if its
+    connection was closed in order (RFC 9112, 8), which the connection checks.
     """
     headers, status = message.headers, message.status
     if headers.get(REQUEST_ID) != request_id_of(sent):
--- a/cairndale/discovery/store.py
+++ b/cairndale/discovery/store.py
@@ -22,7 +22,7 @@
 from zlib import crc32
 
 from cairndale.discovery.state import Broken, Record, State, record_from, state_from
-from cairndale.durable import replace_file, sync_folder, write_all
+from cairndale.durable import replace_file, sync_directory, write_all
 
 # never within a payload, which is ASCII: where a frame begins can be found again
 MARK = b"\xc5\xd1"
@@ -107,7 +107,7 @@
             os.ftruncate(self._descriptor, end)
         os.lseek(self._descriptor, end, os.SEEK_SET)
         os.fsync(self._descriptor)
-        sync_folder(self._folder)
+        sync_directory(self._folder)
         self.log_size = end
         return state
 
--- a/cairndale/durable.py
+++ b/cairndale/durable.py
@@ -14,7 +14,7 @@
         view = view[os.write(descriptor, view) :]
 
 
-def sync_folder(folder: Path) -> None:
+def sync_directory(folder: Path) -> None:
     """So that the names in it are on disk as well."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
@@ -34,7 +34,7 @@
         finally:
             os.close(descriptor)
         os.replace(made, path)
-        sync_folder(path.parent)
+        sync_directory(path.parent)
     except OSError:
         with contextlib.suppress(OSError):
             made.unlink()
--- a/cairndale/field_rules.py
+++ b/cairndale/field_rules.py
@@ -18,7 +18,7 @@
 Rules = Mapping[Any, Any]
 
 NOT_A_DURATION = "is no time such as 1500ms or 2.5s"
-NOT_AS_EXPECTED = "is not what stands there"
+UNEXPECTED_VALUE = "is not what stands there"
 
 
 def is_duration(value: object) -> bool:
@@ -107,6 +107,6 @@
         try:
             rule.validate(value)
         except SchemaError:
-            expectation = self._expectations.get(name, NOT_AS_EXPECTED)
+            expectation = self._expectations.get(name, UNEXPECTED_VALUE)
             return [f"{path}.{name}: {value!r} {expectation}"]
         return []
--- a/cairndale/http_api/router.py
+++ b/cairndale/http_api/router.py
@@ -21,17 +21,17 @@
     Attributes:
         method: as it came.
         path: what is left of it: empty, or beginning with a slash.
-        found: the names that were taken from the path so far, by key.
+        path_args: the names taken from the path so far, by key.
     """
 
     method: str
     path: str
-    found: dict[str, str] = field(default_factory=dict)
+    path_args: dict[str, str] = field(default_factory=dict)
 
     def split(self) -> tuple[str, Request]:
         """The next part of the path, and the request without it."""
         part, _, rest = self.path.removeprefix("/").partition("/")
-        return part, Request(self.method, "/" + rest if rest else "", self.found)
+        return part, Request(self.method, "/" + rest if rest else "", self.path_args)
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """Why a request means no call: the HTTP status, and a sentence."""
 
     status: int
-    why: str
+    reason: str
 
 
 RouteResult = RouteMatch | RouteFailure
@@ -71,7 +71,7 @@
         """The call, or 404 if something of the path is left."""
         if request.path:
             return RouteFailure(404, "no such call")
-        return RouteMatch(self.name, request.found)
+        return RouteMatch(self.name, request.path_args)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,22 +79,22 @@
     """Only one method is allowed below here."""
 
     name: str
-    then: RouteMatcher
+    child: RouteMatcher
 
     def match(self, request: Request) -> RouteResult:
         """What is found below, or 405 if that is a call and the method another."""
-        result = self.then.match(request)
+        result = self.child.match(request)
         if isinstance(result, RouteMatch) and request.method != self.name:
             return RouteFailure(405, f"only {self.name} is known here")
         return result
 
 
 @dataclass(frozen=True, slots=True)
-class Name(RouteMatcher):
+class PathParameter(RouteMatcher):
     """The next part of the path is a name, whatever it is, and is kept under `key`."""
 
     key: str
-    then: RouteMatcher
+    child: RouteMatcher
 
     def match(self, request: Request) -> RouteResult:
         """What is found below, or 404 if the name is missing or too long."""
@@ -102,19 +102,19 @@
         name = unquote(part)
         if not name or len(name) > MAX_NAME_CHARS:
             return RouteFailure(404, f"the {self.key} is missing or too long")
-        return self.then.match(Request(rest.method, rest.path, rest.found | {self.key: name}))
+        return self.child.match(Request(rest.method, rest.path, rest.path_args | {self.key: name}))
 
 
 @dataclass(frozen=True, slots=True)
-class Parts(RouteMatcher):
+class PathSegments(RouteMatcher):
     """The next part of the path selects the matcher below."""
 
-    then: Mapping[str, RouteMatcher]
+    children: Mapping[str, RouteMatcher]
 
     def match(self, request: Request) -> RouteResult:
         """What is found below, or 404 if no matcher has that part."""
         part, rest = request.split()
-        if (matcher := self.then.get(part)) is None:
+        if (matcher := self.children.get(part)) is None:
             return RouteFailure(404, "no such call")
         return matcher.match(rest)
 
@@ -124,24 +124,28 @@
     return tree.match(Request(method, target.partition("?")[0]))
 
 
-CONTROL_ROUTES = Parts(
+CONTROL_ROUTES = PathSegments(
     {
-        "-": Parts(
+        "-": PathSegments(
             {
-                "Instances.Heartbeat": Method("POST", Name("id", Call("beat"))),
-                "Instances.Deregister": Method("POST", Name("id", Call("end"))),
+                "Instances.Heartbeat": Method("POST", PathParameter("id", Call("beat"))),
+                "Instances.Deregister": Method("POST", PathParameter("id", Call("end"))),
                 "Config.Replace": Method("POST", Call("replace")),
                 "Config.Update": Method("POST", Call("update")),
                 "Config.Read": Method("GET", Call("read")),
-                "Drain.Begin": Method("POST", Name("zone", Call("evacuate"))),
-                "Drain.Finish": Method("POST", Name("zone", Call("take back"))),
+                "Drain.Begin": Method("POST", PathParameter("zone", Call("evacuate"))),
+                "Drain.Finish": Method("POST", PathParameter("zone", Call("take back"))),
                 "Fleet.Show": Method("GET", Call("show")),
                 "readyz": Method("GET", Call("ready")),
             }
         )
     }
 )
-LOOKUP_ROUTES = Parts(
-    {"-": Parts({"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))})}
+LOOKUP_ROUTES = PathSegments(
+    {
+        "-": PathSegments(
+            {"lookup": Method("GET", Call("lookup")), "readyz": Method("GET", Call("ready"))}
+        )
+    }
 )
-READINESS_ROUTES = Parts({"-": Parts({"readyz": Method("GET", Call("ready"))})})
+READINESS_ROUTES = PathSegments({"-": PathSegments({"readyz": Method("GET", Call("ready"))})})
--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -18,7 +18,7 @@
 from cairndale.raft.storage import StorageError
 from cairndale.settings import Settings, SettingsError, read_settings
 
-SETTINGS = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
+SETTINGS_VARIABLE = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
 
 
 class Node(Protocol):
@@ -34,7 +34,7 @@
         """Takes over a settings file that has changed."""
 
 
-def nodes_for(settings: Settings) -> list[Node]:
+def create_nodes(settings: Settings) -> list[Node]:
     """The nodes that this machine is there for.
 
     One with a state directory runs a control node, one that serves clients a data-plane node. Only
@@ -52,18 +52,18 @@
     return nodes
 
 
-async def serve(settings: Settings, was_hung_up: Callable[[], bool]) -> None:
+async def serve(settings: Settings, sighup_received: Callable[[], bool]) -> None:
     """Runs the machine's nodes until SIGTERM or SIGINT.
 
-    `was_hung_up` says whether a SIGHUP came before this call: the settings may be out of date.
+    `sighup_received` says whether a SIGHUP came before this call: the settings may be out of date.
     """
-    nodes = nodes_for(settings)
+    nodes = create_nodes(settings)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
     def reload() -> None:
         try:
-            changed = read_settings(os.environ.get(SETTINGS, ""))
+            changed = read_settings(os.environ.get(SETTINGS_VARIABLE, ""))
         except SettingsError as error:
             log_event(Event.SETTINGS_INVALID, "the settings stay as they were: %s", error)
             return
@@ -72,7 +72,7 @@
             node.reconfigure(changed)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if was_hung_up():
+    if sighup_received():
         reload()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -88,7 +88,7 @@
     log_event(Event.ENDED, "%s", settings.name)
 
 
-def run(was_hung_up: Callable[[], bool]) -> int:
+def run(sighup_received: Callable[[], bool]) -> int:
     """Runs the process to its end and returns its exit status.
 
     0 after an orderly end; 1 where the settings are invalid, the state cannot be read, or a port is
@@ -96,7 +96,7 @@
     """
     set_up_logging()
     try:
-        uvloop.run(serve(read_settings(os.environ.get(SETTINGS, "")), was_hung_up))
+        uvloop.run(serve(read_settings(os.environ.get(SETTINGS_VARIABLE, "")), sighup_received))
     except SettingsError as error:
         for line in error.errors:
             log_event(Event.SETTINGS_INVALID, "%s", line)
--- a/cairndale/rpc/inbound_queue.py
+++ b/cairndale/rpc/inbound_queue.py
@@ -15,7 +15,7 @@
 MAX_INBOUND_CALLS = 16_384
 # Calls begun in one turn of the event loop, so that what is due in each turn, such as the leader's
 # own heartbeats, is not delayed.
-BEGUN_PER_TURN = 32
+STARTED_PER_TURN = 32
 
 
 class InboundQueue:
@@ -40,17 +40,17 @@
             return False
         self._queued.append((connection, envelope))
         if self._next_turn is None:
-            self._next_turn = self._loop.call_soon(self._begin_some)
+            self._next_turn = self._loop.call_soon(self._start_batch)
         return True
 
-    def _begin_some(self) -> None:
+    def _start_batch(self) -> None:
         self._next_turn = None
-        for _ in range(min(BEGUN_PER_TURN, len(self._queued))):
+        for _ in range(min(STARTED_PER_TURN, len(self._queued))):
             task = self._loop.create_task(self._respond(*self._queued.popleft()))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         if self._queued:
-            self._next_turn = self._loop.call_soon(self._begin_some)
+            self._next_turn = self._loop.call_soon(self._start_batch)
 
     def close(self) -> None:
         """Cancel the calls that are worked on and begin no more."""
--- a/cairndale/rpc/listener.py
+++ b/cairndale/rpc/listener.py
@@ -43,7 +43,7 @@
 
     def _listen(self) -> None:
         self._resume = None
-        self._loop.add_reader(self._socket.fileno(), self._accept_some)
+        self._loop.add_reader(self._socket.fileno(), self._accept_batch)
 
     def close(self) -> None:
         """Accept no more. Connections that are up stay."""
@@ -55,7 +55,7 @@
         for task in self._starting:
             task.cancel()
 
-    def _accept_some(self) -> None:
+    def _accept_batch(self) -> None:
         for _ in range(ACCEPTED_PER_TURN):
             try:
                 accepted, _ = self._socket.accept()
--- a/cairndale/rpc/rejection_log.py
+++ b/cairndale/rpc/rejection_log.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Quiet:
+class _Suppression:
     """No line before `until`; `omitted` lines were left out since the last."""
 
     until: float = 0.0
@@ -29,15 +29,15 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
         self.counts: Counter[str] = Counter()
-        self._quiet: dict[Event, _Quiet] = {}
+        self._suppressions: dict[Event, _Suppression] = {}
 
     def add(self, kind: str, event: Event, reason: str) -> None:
         """Count one, and log it unless that event was logged within `LOG_INTERVAL_S`."""
         self.counts[kind] += 1
-        now, quiet = self._now(), self._quiet.get(event, _Quiet())
-        if now < quiet.until:
-            self._quiet[event] = _Quiet(quiet.until, quiet.omitted + 1)
+        now, suppression = self._now(), self._suppressions.get(event, _Suppression())
+        if now < suppression.until:
+            self._suppressions[event] = _Suppression(suppression.until, suppression.omitted + 1)
             return
-        self._quiet[event] = _Quiet(now + LOG_INTERVAL_S)
-        omitted = f" ({quiet.omitted} more before)" if quiet.omitted else ""
+        self._suppressions[event] = _Suppression(now + LOG_INTERVAL_S)
+        omitted = f" ({suppression.omitted} more before)" if suppression.omitted else ""
         log_event(event, "%s%s", reason, omitted)
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -17,7 +17,7 @@
 from cairndale.chaos.standins import BEAT_WAIT, ask
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.config_watch import WATCH_TIMEOUT_S
-from cairndale.dataplane.quota_client import LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S
+from cairndale.dataplane.quota_client import LEASE_ATTEMPT_TIMEOUT_S, LEASE_TIMEOUT_S
 from cairndale.errors import CallError, RejectedError
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
@@ -184,7 +184,7 @@
                     quota_request=pb.QuotaRequest(tenant=tenant, amount=1.0, spent=1.0)
                 )
             try:
-                await self.leader_client.call(asked, LEASE_TIMEOUT_S, LEASE_TRY_TIMEOUT_S)
+                await self.leader_client.call(asked, LEASE_TIMEOUT_S, LEASE_ATTEMPT_TIMEOUT_S)
             except CallError as failure:
                 self.failed[f"units: {failure.code.name}"] += 1
 
--- a/cairndale/scale/worker.py
+++ b/cairndale/scale/worker.py
@@ -147,7 +147,10 @@
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     watch = loop.create_task(gauge.watch())
     playing = loop.create_task(
-        system.serve(read_settings(os.environ.get(system.SETTINGS, "")), was_hung_up=lambda: False)
+        system.serve(
+            read_settings(os.environ.get(system.SETTINGS_VARIABLE, "")),
+            sighup_received=lambda: False,
+        )
     )
     print(json.dumps({"begun": 1}), flush=True)
     while await reader.readline():
--- a/tests/dataplane/test_upstream_protocol.py
+++ b/tests/dataplane/test_upstream_protocol.py
@@ -11,7 +11,7 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.dataplane.upstream_protocol import judge
+from cairndale.dataplane.upstream_protocol import classify_answer
 from cairndale.errors import Verdict
 from cairndale.ingress.net.bodies import Memory, Upload
 from cairndale.ingress.net.engine import Answer, Flow
@@ -36,7 +36,7 @@
 async def fleet() -> AsyncIterator[Fleet]:
     server = await PeerServer(answers(OWN)).start()
     pool = Fleet(server)
-    pool.backends.judge, pool.backends.relays, pool.backends.strict = judge, True, True
+    pool.backends.judge, pool.backends.relays, pool.backends.strict = classify_answer, True, True
     yield pool
     pool.backends.stop()
     server.stop()
--- a/tests/ingress/net/test_answers.py
+++ b/tests/ingress/net/test_answers.py
@@ -9,7 +9,7 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.dataplane.upstream_protocol import judge
+from cairndale.dataplane.upstream_protocol import classify_answer
 from cairndale.ingress.net.engine import Answer, Flow
 from cairndale.ingress.net.http import HOLD
 from cairndale.ingress.policy.interface import Outcome
@@ -116,7 +116,7 @@
 
 @pytest.fixture
 def relaying(fleet: Fleet) -> Fleet:
-    fleet.backends.relays, fleet.backends.judge, fleet.backends.strict = True, judge, True
+    fleet.backends.relays, fleet.backends.judge, fleet.backends.strict = True, classify_answer, True
     return fleet
 
 
