--- a/cairndale/__init__.py
+++ b/cairndale/__init__.py
@@ -1,2 +1,4 @@
-"""The whole global load balancer: one program, whose data plane is the ingress of `ironledge`. See
-docs/system.md."""
+"""The global load balancer: one program, whose data plane is the ingress of `ironledge`.
+
+See docs/system.md.
+"""
--- a/cairndale/__main__.py
+++ b/cairndale/__main__.py
@@ -1,18 +1,18 @@
-"""The program `python -m cairndale`: one process of the system, as its settings file says."""
+"""The program `python -m cairndale`: runs one process of the system by its settings file."""
 
 import signal
 import sys
 
 
 def main() -> int:
-    """Runs the process and returns its exit status.
+    """Run the process and return its exit status.
 
-    A SIGHUP that comes while the modules are still being loaded would end the process, as it is the
-    signal's default: it is noted, and the settings are read again once they can be.
+    The default action of SIGHUP would end the process while its modules are still being imported.
+    Such a signal is recorded instead, and the settings are read again later.
     """
     hangups: list[int] = []
     signal.signal(signal.SIGHUP, lambda number, _: hangups.append(number))
-    from cairndale.process import run  # after the handler: this import takes far longer than it
+    from cairndale.process import run  # after the handler is installed: this import takes long
 
     return run(lambda: bool(hangups))
 
--- a/cairndale/durable.py
+++ b/cairndale/durable.py
@@ -1,4 +1,4 @@
-"""Files that are there as a whole, on disk, before anything is said of them."""
+"""Durable file operations: complete and synced to disk before they return."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Raises OSError; some of it may be written then."""
+    """Write all of `data`. Raises OSError; a part of it may then have been written."""
     view = memoryview(data)
     while view:
         view = view[os.write(descriptor, view) :]
 
 
 def sync_directory(folder: Path) -> None:
-    """So that the names in it are on disk as well."""
+    """Sync a directory, so that changes of its entries are on disk."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -24,18 +24,18 @@
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """In place of what is there, in one step, and durably; on failure what is there stays."""
-    made = path.with_suffix(path.suffix + ".new")
+    """Replace a file atomically and durably. On failure (OSError) the old file stays."""
+    temporary_path = path.with_suffix(path.suffix + ".new")
     try:
-        descriptor = os.open(made, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
+        descriptor = os.open(temporary_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
             write_all(descriptor, data)
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        os.replace(made, path)
+        os.replace(temporary_path, path)
         sync_directory(path.parent)
     except OSError:
         with contextlib.suppress(OSError):
-            made.unlink()
+            temporary_path.unlink()
         raise
--- a/cairndale/errors.py
+++ b/cairndale/errors.py
@@ -1,8 +1,7 @@
-"""Errors of calls between the system's own processes; whether a request may have run.
+"""Errors of calls between the system's own processes, and whether a failed request may have run.
 
-Each cause has a class of its own under `CallError`. The class carries the code that stands for the
-cause on the wire (`Envelope.fault_code`) and says whether the other side may have acted on the
-call.
+Each cause has its own subclass of `CallError`. The class has the code that identifies the cause on
+the wire (`Envelope.fault_code`) and says whether the other side may have processed the call.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class FaultCode(IntEnum):
-    """The cause of a failed call, as it stands in `Envelope.fault_code`; the protocol's numbers."""
+    """The cause of a failed call, with its number in `Envelope.fault_code`."""
 
     UNREACHABLE = 1
     TIMED_OUT = 2
@@ -28,9 +27,9 @@
     """A call to another process of the system failed.
 
     Attributes:
-        code: the cause, as it is told to other processes.
-        label: how the cause is named in answers to operators and servers.
-        may_have_run: whether the receiver may have acted on the call all the same.
+        code: the cause, as sent to other processes.
+        label: the name of the cause in responses to operators and servers.
+        may_have_run: whether the receiver may have processed the call nevertheless.
     """
 
     code: ClassVar[FaultCode]
@@ -42,14 +41,14 @@
 
 
 class UnreachableError(CallError):
-    """No connection came up, or none in time: the call was not sent."""
+    """No connection could be established, or not in time: the call was not sent."""
 
     code = FaultCode.UNREACHABLE
     label = "unreachable"
 
 
 class CallTimeoutError(CallError):
-    """The call was sent, and no answer came in time."""
+    """The call was sent, but no answer was received in time."""
 
     code = FaultCode.TIMED_OUT
     label = "silent"
@@ -57,28 +56,28 @@
 
 
 class NotLeaderError(CallError):
-    """The receiver does not lead, or can no longer be sure that it does."""
+    """The receiver is not the leader, or can no longer be sure that it is."""
 
     code = FaultCode.NOT_LEADER
     label = "not_leader"
 
 
 class QueueFullError(CallError):
-    """A bounded queue has no room for the call."""
+    """A bounded queue has no capacity left for the call."""
 
     code = FaultCode.QUEUE_FULL
     label = "full"
 
 
 class RejectedError(CallError):
-    """The receiver does not take calls of this kind, or not this one."""
+    """The receiver does not accept calls of this kind, or not this call."""
 
     code = FaultCode.REJECTED
     label = "refused"
 
 
 class StaleCallError(CallError):
-    """The call belongs to a term or an incarnation of a process that is over."""
+    """The call belongs to an earlier term, or to an earlier incarnation of a process."""
 
     code = FaultCode.STALE
     label = "stale"
@@ -98,22 +97,22 @@
 
 
 def error_for_code(code: int, detail: str = "") -> CallError:
-    """The error that a code from the wire stands for. Raises ValueError for an unknown code."""
+    """Return the error for a code from the wire. Raises ValueError for an unknown code."""
     if code not in _CLASSES:
         raise ValueError(f"{code} is not a valid FaultCode")
     return _CLASSES[code](detail)
 
 
 class Verdict(Enum):
-    """The one answer to "may this request have run?"."""
+    """The only definition of whether a request may have run."""
 
-    UNSENT = "unsent"  # no byte of it was written, or the server said itself that it has not run it
-    SENT = "sent"  # its first byte was written, and nothing says what came of that
+    UNSENT = "unsent"  # no byte was written, or the server itself said that it has not run it
+    SENT = "sent"  # its first byte was written, and its result is unknown
     ANSWERED = "answered"
 
     @classmethod
     def of(cls, outcome: Outcome) -> Verdict:
-        """The verdict on an attempt that ended with this outcome."""
+        """Return the verdict on an attempt that ended with this outcome."""
         if outcome is Outcome.OK:
             return cls.ANSWERED
         not_sent = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
--- a/cairndale/field_rules.py
+++ b/cairndale/field_rules.py
@@ -1,7 +1,7 @@
-"""Rules for the fields of JSON objects: every error at once, each with its path.
+"""Rules for the fields of JSON objects; all errors are reported at once, each with its path.
 
-Rules are predicates on single values. A schema composed of others takes ten times as long, which
-adds up to seconds for the thousands of routes of a large configuration on a small machine.
+Rules are predicates on single values. Composed schemas take ten times as long, which adds up to
+seconds for the thousands of routes of a large configuration on a small machine.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from cairndale.settings import parse_duration
 
 Predicate = Callable[[object], bool]
-# As `Schema` takes them: by name, or Optional name; Optional(str) allows any other name.
+# In the form of `Schema`: by name, or Optional name; Optional(str) allows any other name.
 Rules = Mapping[Any, Any]
 
 NOT_A_DURATION = "is no time such as 1500ms or 2.5s"
@@ -22,52 +22,52 @@
 
 
 def is_duration(value: object) -> bool:
-    """A duration such as `1500ms`. Raises ValueError for anything else."""
+    """Whether it is a duration such as `1500ms`. Raises ValueError for anything else."""
     parse_duration(value)
     return True
 
 
 def is_text(value: object) -> bool:
-    """A string that is not empty."""
+    """Whether it is a non-empty string."""
     return isinstance(value, str) and value != ""
 
 
 def is_string(value: object) -> bool:
-    """A string, which may be empty."""
+    """Whether it is a string, possibly empty."""
     return isinstance(value, str)
 
 
 def is_count(value: object) -> bool:
-    """A whole number of 0 or more."""
+    """Whether it is an integer of at least 0."""
     return isinstance(value, int) and not isinstance(value, bool) and value >= 0
 
 
 def is_number(value: object) -> bool:
-    """A finite number of 0 or more."""
+    """Whether it is a finite number of at least 0."""
     return (
         isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value < float("inf")
     )
 
 
 def is_bool(value: object) -> bool:
-    """`true` or `false`."""
+    """Whether it is `true` or `false`."""
     return isinstance(value, bool)
 
 
 def list_of(predicate: Predicate) -> Predicate:
-    """A list of which each item is as the predicate says."""
+    """Return a predicate for lists whose items all satisfy `predicate`."""
     return lambda value: isinstance(value, list) and all(map(predicate, value))
 
 
 def one_of(*words: str) -> Predicate:
-    """One of these strings."""
+    """Return a predicate for one of these strings."""
     return lambda value: isinstance(value, str) and value in words
 
 
 class ObjectRules:
     """The rules for one kind of object.
 
-    `expectations` says, by field, how an error names what is wrong with a value.
+    `expectations`: by field, the text that describes an invalid value in an error message.
     """
 
     def __init__(self, rules: Rules, expectations: Mapping[str, str]) -> None:
@@ -86,10 +86,10 @@
                 self._required.add(name)
 
     def errors(self, path: str, item: Any) -> list[str]:
-        """All that is wrong with an object at this path.
+        """Return all errors of an object at this path.
 
-        Each field has a schema of its own: a schema of the whole object would hold each name
-        against each rule, which takes seven times as long.
+        Each field has a schema of its own: a schema of the entire object would compare each name
+        with each rule, which takes seven times as long.
         """
         if not isinstance(item, dict):
             return [f"{path}: is no object"]
--- a/cairndale/http_api/__init__.py
+++ b/cairndale/http_api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP API of operators, servers and clients: routes and server."""
+"""HTTP API for operators, servers and clients: routes and server."""
--- a/cairndale/http_api/router.py
+++ b/cairndale/http_api/router.py
@@ -1,8 +1,7 @@
-"""Routes of the HTTP API: a tree of matchers, each of which takes one part of a request.
+"""Routes of the HTTP API: a tree of matchers, each of which consumes one part of a request.
 
-A matcher looks at the next part of the path, or at the method, and hands the rest to the matcher
-below it; a leaf names the call. A path that no branch knows is a 404, a known path with another
-method a 405.
+A matcher checks the next segment of the path, or the method, and passes the rest to its child; a
+leaf names the call. An unknown path results in 404, a known path with another method in 405.
 """
 
 from __future__ import annotations
@@ -16,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A request on its way down the tree.
+    """A request while it is matched against the tree.
 
     Attributes:
-        method: as it came.
-        path: what is left of it: empty, or beginning with a slash.
+        method: as received.
+        path: the part that is not matched yet: empty, or beginning with a slash.
         path_args: the names taken from the path so far, by key.
     """
 
@@ -29,14 +28,14 @@
     path_args: dict[str, str] = field(default_factory=dict)
 
     def split(self) -> tuple[str, Request]:
-        """The next part of the path, and the request without it."""
+        """Return the next segment of the path, and the request without it."""
         part, _, rest = self.path.removeprefix("/").partition("/")
         return part, Request(self.method, "/" + rest if rest else "", self.path_args)
 
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """The call that a request means, and the names in its path by key."""
+    """The call of a request, and the names in its path by key."""
 
     call: str
     args: dict[str, str]
@@ -44,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteFailure:
-    """Why a request means no call: the HTTP status, and a sentence."""
+    """Why a request matches no call: the HTTP status and an error message."""
 
     status: int
     reason: str
@@ -57,18 +56,18 @@
     """One node of the tree."""
 
     def match(self, request: Request) -> RouteResult:
-        """What the request means, from here downwards."""
+        """Match the request against this subtree."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True, slots=True)
 class Call(RouteMatcher):
-    """A leaf: the path ends here, and means this call."""
+    """A leaf: the path ends here and selects this call."""
 
     name: str
 
     def match(self, request: Request) -> RouteResult:
-        """The call, or 404 if something of the path is left."""
+        """Return the call, or 404 if the path continues."""
         if request.path:
             return RouteFailure(404, "no such call")
         return RouteMatch(self.name, request.path_args)
@@ -76,13 +75,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Method(RouteMatcher):
-    """Only one method is allowed below here."""
+    """Allows only one method in the subtree."""
 
     name: str
     child: RouteMatcher
 
     def match(self, request: Request) -> RouteResult:
-        """What is found below, or 405 if that is a call and the method another."""
+        """Return the child's result, or 405 if that is a call and the method differs."""
         result = self.child.match(request)
         if isinstance(result, RouteMatch) and request.method != self.name:
             return RouteFailure(405, f"only {self.name} is known here")
@@ -91,13 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PathParameter(RouteMatcher):
-    """The next part of the path is a name, whatever it is, and is kept under `key`."""
+    """Takes any next segment of the path as a name, which is kept under `key`."""
 
     key: str
     child: RouteMatcher
 
     def match(self, request: Request) -> RouteResult:
-        """What is found below, or 404 if the name is missing or too long."""
+        """Return the child's result, or 404 if the name is missing or too long."""
         part, rest = request.split()
         name = unquote(part)
         if not name or len(name) > MAX_NAME_CHARS:
@@ -107,12 +106,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PathSegments(RouteMatcher):
-    """The next part of the path selects the matcher below."""
+    """Selects a child by the next segment of the path."""
 
     children: Mapping[str, RouteMatcher]
 
     def match(self, request: Request) -> RouteResult:
-        """What is found below, or 404 if no matcher has that part."""
+        """Return the selected child's result, or 404 if no child has that segment."""
         part, rest = request.split()
         if (matcher := self.children.get(part)) is None:
             return RouteFailure(404, "no such call")
@@ -120,7 +119,7 @@
 
 
 def match(tree: RouteMatcher, method: str, target: str) -> RouteResult:
-    """What a request means by this tree. The query of the target does not matter."""
+    """Match a request against a tree of routes. The query of the target is ignored."""
     return tree.match(Request(method, target.partition("?")[0]))
 
 
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -1,7 +1,7 @@
-"""HTTP server of operators' and servers' calls.
+"""HTTP server for calls of operators and servers.
 
-One request at a time on a connection, without pipelining; each is answered by a coroutine. Answers
-are JSON.
+Each connection carries one request at a time, without pipelining; each request is answered by a
+coroutine. Responses are JSON.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
 MAX_CONNECTIONS = 1024
-IDLE_TIMEOUT_S = 10.0  # that a connection may take for a call, or stand idle
+IDLE_TIMEOUT_S = 10.0  # that a connection may be idle, or take to send a request
 HANDLER_TIMEOUT_S = 12.0
-LINGER_S = 1.5  # that a caller may take to end a connection after its last answer
+LINGER_S = 1.5  # that a client may take to close a connection after its last response
 UNACKED_TIMEOUT_MS = 5000  # without a TCP acknowledgement
 
 Response = tuple[int, bytes]  # status and body
@@ -30,18 +30,18 @@
 
 
 def json_response(status: int, value: object) -> Response:
-    """A response with this value as compact JSON."""
+    """Return a response with this value as compact JSON."""
     return status, json.dumps(value, separators=(",", ":")).encode()
 
 
 def error_response(status: int, *errors: str) -> Response:
-    """A response that lists what is wrong, as `{"errors": [...]}`."""
+    """Return a response that lists errors, as `{"errors": [...]}`."""
     return json_response(status, {"errors": list(errors)})
 
 
 @dataclass(frozen=True, slots=True)
 class _Delivery:
-    """A response that was written, of which it is not known whether its caller has read it."""
+    """A response that was written, but may not have been received by its client yet."""
 
     method: str
     target: str
@@ -52,13 +52,13 @@
     """Accepts connections and answers the requests on them.
 
     Args:
-        handle: answers one request; it is cancelled after `HANDLER_TIMEOUT_S`, and the caller
+        handle: answers one request; it is cancelled after `HANDLER_TIMEOUT_S`, and the client
             receives a 503.
-        on_delivered: called with each response that its caller certainly has received.
+        on_delivered: called with each response that its client has certainly received.
 
     Attributes:
-        connections: those that are open.
-        closing: `stop` was called: each connection ends with its next answer.
+        connections: the open connections.
+        closing: `stop` was called: each connection is closed after its next response.
     """
 
     def __init__(
@@ -71,12 +71,12 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, address: Address) -> None:
-        """Accept connections at the address. Raises OSError where it is not free."""
+        """Accept connections at the address. Raises OSError if it is in use."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: ApiConnection(self), *address, backlog=512)
 
     def stop(self) -> None:
-        """Accept no more, and close all connections once what was written is sent."""
+        """Stop accepting, and close all connections once their write buffers are sent."""
         self.closing = True
         if self._server:
             self._server.close()
@@ -94,11 +94,11 @@
     _body_bytes = 0
 
     def opened(self, message: Message) -> None:
-        """The head of a request is complete."""
+        """Called when the head of a request is complete."""
         self._chunks, self._body_bytes = [], 0
 
     def part(self, message: Message, data: bytes) -> None:
-        """A part of the body has come."""
+        """Called with each received part of the body."""
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
             self._lost_framing = True
@@ -107,7 +107,7 @@
             self._chunks.append(data)
 
     def ended(self, message: Message) -> None:
-        """The body is complete."""
+        """Called when the body is complete."""
         message.body, self._chunks = b"".join(self._chunks), []
         self.received(message)
 
@@ -118,11 +118,11 @@
     def __init__(self, server: HttpServer) -> None:
         super().__init__(httptools.HttpRequestParser)
         self._server, self._busy = server, False
-        self._delivery: _Delivery | None = None  # the last, until it is known to be read
+        self._delivery: _Delivery | None = None  # the last one, until its receipt is confirmed
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the connection, unless `MAX_CONNECTIONS` are open."""
+        """Track the connection, or abort it if more than `MAX_CONNECTIONS` are open."""
         super().connection_made(transport)
         if sock := transport.get_extra_info("socket"):
             detect_dead_peer(sock, UNACKED_TIMEOUT_MS)
@@ -133,7 +133,7 @@
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection. A request that is being answered goes on."""
+        """Remove the connection. A request that is being processed continues."""
         self._server.connections.discard(self)
         if self._timer:
             self._timer.cancel()
@@ -145,13 +145,13 @@
         self._timer = loop.call_later(IDLE_TIMEOUT_S, self.transport.abort)
 
     def garbage(self, status: int) -> None:
-        """Answer what is no valid request, and end the connection."""
+        """Answer an invalid request, and close the connection."""
         if not self.transport.is_closing():
             _, body = error_response(status, self.wrong or "not understood")
             self._write(status, body, False)
 
     def received(self, message: Message) -> None:
-        """Begin to answer a request; one that is sent before the last was answered ends it all."""
+        """Start to process a request; abort the connection if the last one is still unanswered."""
         if self._busy:
             self.transport.abort()
             return
@@ -163,8 +163,8 @@
 
     async def _answer(self, message: Message) -> None:
         method, target = message.method.decode("latin-1"), message.target.decode("latin-1")
-        # Two turns of the loop, in which all that came with the call is read: after the process was
-        # frozen its caller may be long gone.
+        # In two turns of the loop everything received with the call is read, also the end of the
+        # connection: after a pause of this process the client may be gone.
         for _ in range(2):
             await asyncio.sleep(0)
         if self.transport.is_closing():
@@ -180,7 +180,7 @@
             self._write(status, body, message.keep_alive and not self._server.closing)
 
     def eof_received(self) -> None:
-        """The caller ends the connection in order: it has read the last response."""
+        """The client closes the connection in order: it has received the last response."""
         self._confirm_delivery()
 
     def _confirm_delivery(self) -> None:
--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -1,6 +1,6 @@
-"""One process of the system: its settings, the nodes that it runs, its signals.
+"""One process of the system: its settings, its nodes and its signals.
 
-SIGTERM and SIGINT end the process in order, SIGHUP reads the settings file again.
+SIGTERM and SIGINT shut the process down gracefully, SIGHUP reloads the settings file.
 """
 
 from __future__ import annotations
@@ -22,23 +22,23 @@
 
 
 class Node(Protocol):
-    """What a process runs: a control node, a data-plane node, or one of each."""
+    """A node that a process runs: a control node or a data-plane node."""
 
     async def start(self) -> None:
-        """Returns once the node listens. Raises OSError if a port is taken."""
+        """Return once the node listens. Raises OSError if a port is in use."""
 
     async def stop(self) -> None:
-        """Returns once all accepted work is done."""
+        """Return once all accepted work is done."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over a settings file that has changed."""
+        """Apply changed settings."""
 
 
 def create_nodes(settings: Settings) -> list[Node]:
-    """The nodes that this machine is there for.
+    """Create the nodes that this machine runs.
 
-    One with a state directory runs a control node, one that serves clients a data-plane node. Only
-    what is run is imported. Raises StorageError where the state on disk cannot be read.
+    A machine with a state directory runs a control node, one that serves clients a data-plane node.
+    Only the required modules are imported. Raises StorageError if the state on disk cannot be read.
     """
     nodes: list[Node] = []
     if settings.state_dir is not None:
@@ -53,9 +53,9 @@
 
 
 async def serve(settings: Settings, sighup_received: Callable[[], bool]) -> None:
-    """Runs the machine's nodes until SIGTERM or SIGINT.
+    """Run the machine's nodes until SIGTERM or SIGINT.
 
-    `sighup_received` says whether a SIGHUP came before this call: the settings may be out of date.
+    `sighup_received`: whether a SIGHUP came before this call, so that the settings may be outdated.
     """
     nodes = create_nodes(settings)
     stop = asyncio.Event()
@@ -65,7 +65,7 @@
         try:
             changed = read_settings(os.environ.get(SETTINGS_VARIABLE, ""))
         except SettingsError as error:
-            log_event(Event.SETTINGS_INVALID, "the settings stay as they were: %s", error)
+            log_event(Event.SETTINGS_INVALID, "keeping the previous settings: %s", error)
             return
         log_event(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in changed.seeds))
         for node in nodes:
@@ -78,7 +78,7 @@
         loop.add_signal_handler(number, stop.set)
     for node in nodes:
         await node.start()
-    # What was made by now lives as long as the process: the collector need not look at it again.
+    # Objects created so far live as long as the process: exclude them from garbage collection.
     gc.collect()
     gc.freeze()
     log_event(Event.STARTED, "%s as %s", settings.name, settings.role)
@@ -89,10 +89,10 @@
 
 
 def run(sighup_received: Callable[[], bool]) -> int:
-    """Runs the process to its end and returns its exit status.
+    """Run the process until it ends, and return its exit status.
 
-    0 after an orderly end; 1 where the settings are invalid, the state cannot be read, or a port is
-    taken. Each cause is logged.
+    0 after a graceful shutdown; 1 if the settings are invalid, the state cannot be read, or a port
+    is in use. Each cause is logged.
     """
     set_up_logging()
     try:
--- a/cairndale/rpc/call_kinds.py
+++ b/cairndale/rpc/call_kinds.py
@@ -1,7 +1,7 @@
-"""Every kind of call between the system's own processes, and why a second copy of it is harmless.
+"""Every kind of call between the system's own processes, and why a duplicate of it is harmless.
 
-A call may reach its receiver more than once, and late: it is sent again after a time-out, through a
-peer, or on another connection, and a peer that was frozen forwards it once it goes on.
+A call may reach its receiver more than once, and late: it is retried after a timeout, through a
+peer or on another connection, and a peer whose process was paused forwards it once it resumes.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 
 class DuplicateSafety(Enum):
-    """What makes a second copy harmless."""
+    """What makes a duplicate harmless."""
 
     STATE = (
-        "it reports a state: a copy reports the same, and an older one is known by its clock, "
-        "index or number"
+        "it reports a state: a duplicate reports the same, and an outdated one is recognized by "
+        "its clock, index or number"
     )
-    REMEMBERED = "its request id is remembered with the answer, for as long as a copy may arrive"
-    KEYED = "what it orders has an id of its own, which the log remembers"
-    ANSWER = "it is accepted once, by the call that waits on its connection"
+    REMEMBERED = "its request id is kept with the response for as long as duplicates may arrive"
+    KEYED = "the operation that it requests has an id of its own, which the log records"
+    ANSWER = "it is accepted once, by the call that is in flight on its connection"
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,9 +27,9 @@
     """How one kind of envelope is treated.
 
     Attributes:
-        duplicates: what makes a second copy harmless.
-        wants_answer: it is a call, not a message or an answer.
-        from_leader: only the leader sends it, with its own term.
+        duplicates: what makes a duplicate harmless.
+        wants_answer: whether it is a call, not a one-way message or a response.
+        from_leader: whether only the leader sends it, with its own term.
     """
 
     duplicates: DuplicateSafety
@@ -39,16 +39,17 @@
 
 _LEADER_ANSWER = CallKind(DuplicateSafety.ANSWER, from_leader=True)
 
-# By the name of the body in an envelope.
+# By the name of the body in an envelope. A comment says how a duplicate is recognized.
 CALL_KINDS = {
-    # The connection's: incarnation and address may not change, a system's name is only learnt.
+    # State of the connection: incarnation and address may not change; only the system's name may be
+    # added.
     "hello": CallKind(DuplicateSafety.STATE),
     # By term and index.
     "log_message": CallKind(DuplicateSafety.STATE),
-    # By the leader's clock: one older than the newest is rejected.
+    # By the leader's clock: a request older than the newest one is rejected.
     "watch_request": CallKind(DuplicateSafety.STATE, wants_answer=True),
     "watch_response": _LEADER_ANSWER,
-    # By the digest of a configuration, the id of an order for a zone, the `seq` of a heartbeat.
+    # By the digest of a configuration, the id of an evacuation order, the `seq` of a heartbeat.
     "operation_request": CallKind(DuplicateSafety.KEYED, wants_answer=True),
     "operation_response": _LEADER_ANSWER,
     "quota_request": CallKind(DuplicateSafety.REMEMBERED, wants_answer=True),
@@ -59,23 +60,23 @@
     "budget_response": _LEADER_ANSWER,
     # By `seq`.
     "endpoint_report": CallKind(DuplicateSafety.STATE, wants_answer=True),
-    # By the order's id, in the term that gave it.
+    # By the order's id, in the term that assigned it.
     "evacuation_receipt": CallKind(DuplicateSafety.KEYED),
 }
 
 
 class TermFence:
-    """Rejects what former leaders say, whichever connection or peer brings it.
+    """Rejects messages of former leaders, on whichever connection or through whichever peer.
 
     Attributes:
-        newest: the newest term of which a leader's message was accepted by this incarnation.
+        newest: the newest term of a leader's message that this incarnation has accepted.
     """
 
     def __init__(self) -> None:
         self.newest = 0
 
     def admits(self, term: int) -> bool:
-        """Whether a message of that term may be acted upon; it is the newest from then on."""
+        """Whether a message of that term may be processed; if so, it becomes the newest term."""
         if term < self.newest:
             return False
         self.newest = term
--- a/cairndale/rpc/compression.py
+++ b/cairndale/rpc/compression.py
@@ -1,4 +1,4 @@
-"""Lists of endpoints and nodes inside a watch response, compressed once for many receivers."""
+"""Compression of the endpoint and node lists in a watch response, once for many receivers."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from cairndale.rpc import protocol_pb2 as pb
 
 MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
-COMPRESSION_LEVEL = 1  # names and addresses look alike: a higher level saves little
+COMPRESSION_LEVEL = 1  # names and addresses are repetitive: a higher level saves little
 
 
 def compress_lists(lists: pb.WatchResponse) -> bytes:
-    """The bytes for `WatchResponse.compressed_lists`; empty if `lists` is.
+    """Return the bytes for `WatchResponse.compressed_lists`; empty if `lists` is empty.
 
-    `lists` holds endpoints, nodes, removed nodes and whether they are complete, and nothing else.
+    `lists` has only endpoints, nodes, removed nodes and the flags that say if they are complete.
     """
     return zlib.compress(lists.SerializeToString(), COMPRESSION_LEVEL) if lists.ByteSize() else b""
 
 
 def decompress_lists(watch_response: pb.WatchResponse) -> None:
-    """Replace compressed lists by the fields that they hold.
+    """Replace the compressed lists of a response by their fields.
 
     Raises:
-        ValueError: the bytes are no compressed lists, are cut short or exceed
+        ValueError: the bytes are not compressed lists, are truncated, or decompress to more than
             `MAX_DECOMPRESSED_BYTES`; the response is unchanged.
     """
     if not watch_response.compressed_lists:
@@ -36,6 +36,6 @@
     except (zlib.error, DecodeError) as error:
         raise ValueError(f"packed lists: {error}") from None
     if not decompressor.eof:
-        raise ValueError("packed lists: they end early, or are too large")
+        raise ValueError(f"packed lists: truncated, or larger than {MAX_DECOMPRESSED_BYTES} bytes")
     watch_response.ClearField("compressed_lists")
     watch_response.MergeFrom(lists)
--- a/cairndale/rpc/connection_pool.py
+++ b/cairndale/rpc/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections that this process dials: one to each address, dialled on demand, with backoff."""
+"""Outbound connections: one to each address, dialled on demand, with backoff."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from cairndale.rpc.framing import FramedConnection
 from cairndale.rpc.pending_calls import PendingCalls
 
-# For a connection to come up. Long enough: a SYN that a dark machine does not answer is sent again
-# only after seconds.
+# To establish a connection. A longer timeout gains little: a SYN without a response is
+# retransmitted only after seconds.
 DIAL_TIMEOUT_S = 0.3
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.4  # between dials of one address that fail
-MAX_QUEUED_ENVELOPES = 256  # that wait for one connection to come up
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 0.4  # between failed dials of one address
+MAX_QUEUED_ENVELOPES = 256  # while a connection is being established
 
 
 @dataclass(frozen=True, slots=True)
 class _Backoff:
-    """No dial before `until`; the next failure backs off for `next_s` seconds."""
+    """No dial before `until`; after the next failure the backoff is `next_s` seconds."""
 
     until: float
     next_s: float
 
 
 class ConnectionPool:
-    """Sends envelopes to addresses over connections that are kept open.
+    """Sends envelopes to addresses over persistent connections.
 
     Args:
-        connect: makes the protocol object of a connection to this address.
-        pending: the calls in flight; those that cannot be sent are failed there.
+        connect: creates the protocol object of a connection to this address.
+        pending: the calls in flight; calls that cannot be sent are failed there.
     """
 
     def __init__(self, connect: Callable[[str], FramedConnection], pending: PendingCalls) -> None:
@@ -46,8 +46,8 @@
     def send(self, address: str, envelope: pb.Envelope) -> None:
         """Send an envelope, or queue it and dial.
 
-        A call that cannot be sent fails with `UnreachableError` (dials fail) or `QueueFullError`
-        (the bound of a queue is reached). Other envelopes are dropped then.
+        A call that cannot be sent fails with `UnreachableError` (dials fail) or `QueueFullError` (a
+        queue is full). Other envelopes that cannot be sent are dropped.
         """
         if connection := self._connections.get(address):
             self._write(connection, envelope)
@@ -78,7 +78,7 @@
                 _, connection = await self._loop.create_connection(
                     lambda: self._connect(address), host, int(port)
                 )
-            if connection.transport is None:  # it came up and ended before this went on
+            if connection.transport is None:  # closed before this task was resumed
                 raise ConnectionResetError
         except (OSError, TimeoutError):
             self.back_off(address)
@@ -92,12 +92,12 @@
             self._write(connection, envelope)
 
     def is_backed_off(self, address: str) -> bool:
-        """Whether the address is not to be dialled now."""
+        """Whether the address must not be dialled now."""
         backoff = self._backoffs.get(address)
         return backoff is not None and backoff.until > self._loop.time()
 
     def back_off(self, address: str) -> None:
-        """Do not dial the address for a while, which doubles with each failure, with jitter."""
+        """Suspend dialling the address, with a backoff that doubles per failure, with jitter."""
         previous = self._backoffs.get(address)
         delay_s = previous.next_s if previous else MIN_BACKOFF_S
         self._backoffs[address] = _Backoff(
@@ -105,13 +105,13 @@
         )
 
     def reset_backoff(self, address: str) -> None:
-        """Dial the address again at once: it has shaken hands."""
+        """Allow dialling the address at once, after a successful handshake."""
         self._backoffs.pop(address, None)
 
     def connection_closed(self, connection: FramedConnection) -> bool:
-        """Forget a connection that was dialled; whether it was the one in use to its address."""
+        """Remove a closed connection; return whether it was the one in use to its address."""
         address = connection.dialled_address
-        if connection.peer is None:  # it was rejected, or nobody is there
+        if connection.peer is None:  # the other side rejected it, or never answered
             self.back_off(address)
         if self._connections.get(address) is not connection:
             return False
@@ -119,6 +119,6 @@
         return True
 
     def close(self) -> None:
-        """Stop dialling. Connections that are up are the peer's to end."""
+        """Stop dialling. `RpcPeer` closes the established connections."""
         for task in self._dials.values():
             task.cancel()
--- a/cairndale/rpc/framing.py
+++ b/cairndale/rpc/framing.py
@@ -1,9 +1,10 @@
 """One connection between two processes of the system: length-prefixed frames and the handshake.
 
-A frame is four bytes of length (big-endian) and one `Envelope`. The first frame each way is a
-`Hello`: frame format, system, incarnation and address of its sender, and the address it is meant
-for. It goes out together with the first call, so that it costs no round trip. A frame that cannot
-be parsed, or a hello that the owner rejects, ends the connection before anything is acted upon.
+A frame is four bytes of length (big-endian) and one `Envelope`. The first frame in each direction
+is a `Hello`: frame format, system, incarnation and address of its sender, and the address of its
+intended recipient. It is sent together with the first call, so that it costs no round trip. A frame
+that cannot be parsed, or a hello that the owner rejects, closes the connection before anything of
+it is processed.
 """
 
 from __future__ import annotations
@@ -21,21 +22,21 @@
 FRAME_FORMAT = 1
 MAX_FRAME_BYTES = 32 * 1024 * 1024
 MAX_HELLO_BYTES = 1024
-HELLO_TIMEOUT_S = 5.0  # for the first frame of a connection that the other side dialled
-MAX_UNSENT_BYTES = 8 * 1024 * 1024  # that wait to be written to one connection
-UNACKED_TIMEOUT_MS = 1500  # without a TCP acknowledgement, after which a connection is given up
+HELLO_TIMEOUT_S = 5.0  # for the first frame of an accepted connection
+MAX_UNSENT_BYTES = 8 * 1024 * 1024  # in the write buffer of one connection
+UNACKED_TIMEOUT_MS = 1500  # without a TCP acknowledgement, after which a connection is closed
 
 _LENGTH = struct.Struct(">I")
 
 
 class FrameError(Exception):
-    """What the other side sent breaks the protocol; the connection cannot go on."""
+    """The other side violated the protocol; the connection must be closed."""
 
 
 def detect_dead_peer(sock: socket.socket, unacked_ms: int = UNACKED_TIMEOUT_MS) -> None:
-    """Make a TCP connection fail soon after its peer was cut off or lost power.
+    """Make a TCP connection fail soon after its peer was partitioned or lost power.
 
-    Options that the platform does not have are left out.
+    Options that the platform does not support are skipped.
     """
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -47,45 +48,45 @@
 
 
 class ConnectionOwner(Protocol):
-    """The process that a connection belongs to, as the connection needs it."""
+    """The interface of the process that a connection belongs to."""
 
     own_address: str
     incarnation: str
     system: str
 
     def now(self) -> float:
-        """Seconds on a steady clock."""
+        """Return seconds on a monotonic clock."""
 
     def connection_opened(self, connection: FramedConnection) -> None:
-        """The connection is up; no hello has come yet."""
+        """Called when the connection is established, before any hello was received."""
 
     def connection_closed(self, connection: FramedConnection) -> None:
-        """The connection has ended, for whatever reason."""
+        """Called when the connection was closed, for whatever reason."""
 
     def hello_received(self, connection: FramedConnection, hello: pb.Hello) -> bool:
-        """Verify a hello; False if the connection was ended over it."""
+        """Verify a hello; return False if it was rejected and the connection closed."""
 
     def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
-        """Take one envelope that came after the handshake."""
+        """Process one envelope received after the handshake."""
 
     def protocol_error(self, connection: FramedConnection, reason: str) -> None:
-        """End the connection: the other side broke the protocol."""
+        """Close the connection: the other side violated the protocol."""
 
 
 class FramedConnection(asyncio.Protocol):
     """One connection, dialled or accepted.
 
     Args:
-        owner: the process that is notified of all that happens.
-        dialled_address: the address it leads to; empty for an accepted connection.
+        owner: the process that is notified of all events.
+        dialled_address: the address that was dialled; empty for an accepted connection.
 
     Attributes:
-        transport: None before the connection is up and after it has ended.
+        transport: None before the connection is established and after it was closed.
         peer: the other side's newest hello; None before the first.
-        last_received_at: when bytes last came, in seconds on the owner's clock.
+        last_received_at: when bytes were last received, in seconds on the owner's clock.
         handshake_done: whether the owner has accepted the first hello.
-        is_untrusted: the other side named a system while this process knew of none: its messages
-            without answer are not acted upon.
+        is_untrusted: the other side named a system while this process knew of none, so its one-way
+            messages are not processed.
     """
 
     def __init__(self, owner: ConnectionOwner, dialled_address: str = "") -> None:
@@ -100,7 +101,7 @@
         self._hello_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the handshake's time limit, where the other side has dialled."""
+        """Start the handshake timeout of an accepted connection."""
         self.transport = cast(asyncio.Transport, transport)
         if sock := transport.get_extra_info("socket"):
             detect_dead_peer(sock)
@@ -110,7 +111,7 @@
         self._owner.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the owner; `exc` does not matter to it."""
+        """Notify the owner, to which `exc` does not matter."""
         self.transport = None
         if self._hello_timer:
             self._hello_timer.cancel()
@@ -118,10 +119,10 @@
 
     def _hello_timed_out(self) -> None:
         if self.peer is None:
-            self._owner.protocol_error(self, "no hello")
+            self._owner.protocol_error(self, f"no hello within {HELLO_TIMEOUT_S} s")
 
     def data_received(self, data: bytes) -> None:
-        """Hand on each frame that is complete; the first that is bad ends the connection."""
+        """Pass on each complete frame; the first invalid one closes the connection."""
         self.last_received_at = self._owner.now()
         self._buffer += data
         offset = 0
@@ -136,23 +137,23 @@
         del self._buffer[:offset]
 
     def _frame_at(self, offset: int) -> bytes | None:
-        """The frame that begins at `offset` of the buffer; None if it is not complete."""
+        """Return the frame at `offset` of the buffer; None if it is not complete."""
         start = offset + _LENGTH.size
         if len(self._buffer) < start:
             return None
         (size,) = _LENGTH.unpack_from(self._buffer, offset)
         if size > (MAX_HELLO_BYTES if self.peer is None else MAX_FRAME_BYTES):
-            raise FrameError(f"a frame of {size} bytes")
+            raise FrameError(f"frame of {size} bytes is too large")
         if len(self._buffer) < start + size:
             return None
         return bytes(self._buffer[start : start + size])
 
     def _frame_received(self, frame: bytes) -> bool:
-        """False if the connection has ended, so that nothing more is to be read from it."""
+        """Return False if the connection was closed and no more frames must be read from it."""
         try:
             envelope = pb.Envelope.FromString(frame)
         except DecodeError as error:
-            raise FrameError("no message") from error
+            raise FrameError("frame is not a valid envelope") from error
         if self.peer is None or envelope.HasField("hello"):
             if not self._accept_hello(envelope):
                 return False
@@ -161,15 +162,15 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def _accept_hello(self, envelope: pb.Envelope) -> bool:
-        """False if the owner has rejected it. A later hello may only add the system's name."""
+        """Return False if the owner rejected it. A later hello may only add the system's name."""
         if not envelope.HasField("hello"):
-            raise FrameError("no hello")
+            raise FrameError("first frame is not a hello")
         previous, self.peer = self.peer, envelope.hello
         if previous and (previous.incarnation, previous.address) != (
             self.peer.incarnation,
             self.peer.address,
         ):
-            raise FrameError("another incarnation on the same connection")
+            raise FrameError("incarnation or address changed on the same connection")
         if not self._owner.hello_received(self, self.peer):
             return False
         if not self._hello_sent:
@@ -190,20 +191,20 @@
         return _LENGTH.pack(len(data)) + data
 
     def send_hello(self) -> None:
-        """Send this side's hello, if the connection is up."""
+        """Send this side's hello, if the connection is established."""
         if self.transport and not self.transport.is_closing():
             self.transport.write(self._hello_frame())
 
     def resend_hello(self) -> None:
-        """Send the hello again, now with the system's name; nothing if none was sent yet."""
+        """Send the hello again, now with the system's name, if one was sent before."""
         if self._hello_sent:
             self.send_hello()
 
     def write(self, envelope: pb.Envelope) -> bool:
-        """Send one envelope, after the hello; False if it was not taken.
+        """Send one envelope, after the hello; return False if it was not accepted.
 
-        That is so if the connection has ended, or if `MAX_UNSENT_BYTES` already wait. True does not
-        mean that the other side has received it.
+        It is not accepted if the connection is closed or its write buffer exceeds
+        `MAX_UNSENT_BYTES`. True does not mean that the other side has received it.
         """
         if self.transport is None or self.transport.is_closing():
             return False
@@ -215,6 +216,6 @@
         return True
 
     def abort(self) -> None:
-        """End the connection at once; what waits to be written is lost."""
+        """Close the connection at once, discarding its write buffer."""
         if self.transport:
             self.transport.abort()
--- a/cairndale/rpc/inbound_queue.py
+++ b/cairndale/rpc/inbound_queue.py
@@ -1,4 +1,4 @@
-"""Calls of other processes: a bounded queue, of which some are begun in each turn of the loop."""
+"""A bounded queue of inbound calls, started in batches, one in each turn of the event loop."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.framing import FramedConnection
 
-# Calls that are queued or worked on at once. The leader holds a watch request of each ingress, and
-# after all have been restarted one more of each previous incarnation.
+# Calls that are queued or being processed. The leader keeps one watch request of each ingress open,
+# and after a restart of all ingresses one more of each previous incarnation.
 MAX_INBOUND_CALLS = 16_384
-# Calls begun in one turn of the event loop, so that what is due in each turn, such as the leader's
-# own heartbeats, is not delayed.
+# Calls started in one turn of the event loop. The limit keeps periodic work, such as the leader's
+# own heartbeats, on time.
 STARTED_PER_TURN = 32
 
 
 class InboundQueue:
-    """Starts a task for each call, in the order that they came.
+    """Starts a task for each call, in the order of arrival.
 
     Args:
-        respond: answers one call on the connection that it came on; it handles its own errors.
+        respond: answers one call on the connection that it was received on; it handles its errors.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._next_turn: asyncio.Handle | None = None
 
     def put(self, connection: FramedConnection, envelope: pb.Envelope) -> bool:
-        """Queue a call; False if `MAX_INBOUND_CALLS` is reached."""
+        """Queue a call; return False if `MAX_INBOUND_CALLS` is reached."""
         if len(self._tasks) + len(self._queued) >= MAX_INBOUND_CALLS:
             return False
         self._queued.append((connection, envelope))
@@ -53,7 +53,7 @@
             self._next_turn = self._loop.call_soon(self._start_batch)
 
     def close(self) -> None:
-        """Cancel the calls that are worked on and begin no more."""
+        """Cancel the calls that are being processed and start no more."""
         for task in self._tasks:
             task.cancel()
         if self._next_turn:
--- a/cairndale/rpc/leader_client.py
+++ b/cairndale/rpc/leader_client.py
@@ -1,7 +1,7 @@
-"""Calls to the control plane's leader: found by its hints, reached through a peer where need be.
+"""Calls to the control plane's leader, found by redirects and reached through a peer if necessary.
 
-A call is attempted until it is answered or its time is over. Addresses that do not answer are
-avoided for a while, with a backoff: a call to one goes to another node, which forwards it.
+A call is retried until it is answered or its timeout is over. Addresses that do not answer are
+avoided for a while, with backoff: calls to them are sent to another node, which forwards them.
 """
 
 from __future__ import annotations
@@ -26,23 +26,28 @@
 from cairndale.rpc.peer import RpcPeer
 
 MIN_AVOID_S, MAX_AVOID_S = 1.0, 8.0  # for which an address that did not answer is avoided
-RETRY_PAUSE_S = (0.03, 0.12)  # between attempts while there is no leader: least and most
+RETRY_PAUSE_S = (0.03, 0.12)  # between attempts while there is no leader: minimum and maximum
 MAX_ATTEMPTS = 24
 
 
 @dataclass(frozen=True, slots=True)
 class AvoidedAddress:
-    """One that did not answer: called through another node until `until`, for `span_s` seconds."""
+    """An address that did not answer; it is called through another node until `until`.
+
+    Attributes:
+        until: seconds on the process's clock.
+        span_s: the length of this period in seconds, which doubles with the next failure.
+    """
 
     until: float
     span_s: float
 
 
 class _RetryError(Exception):
-    """One attempt has failed, and the call may be attempted again.
+    """One attempt has failed, and the call may be retried.
 
     Attributes:
-        error: what the call fails with if this was the last attempt; None: as the one before.
+        error: the call's error if this was the last attempt; None: that of the attempt before.
         pause_s: before the next attempt.
     """
 
@@ -56,11 +61,11 @@
 
     Args:
         rpc_peer: this process's connections.
-        control_addresses: the addresses of all control nodes that are known.
-        peer_addresses: those of nodes that can forward a call.
+        control_addresses: returns the addresses of all known control nodes.
+        peer_addresses: returns the addresses of nodes that can forward a call.
 
     Attributes:
-        leader_address: where the leader is believed to be; empty: not known.
+        leader_address: the presumed address of the leader; empty: not known.
     """
 
     def __init__(
@@ -72,7 +77,7 @@
         self._rpc_peer = rpc_peer
         self._control_addresses, self._peer_addresses = control_addresses, peer_addresses
         self.leader_address = ""
-        # Random, so that nodes that start together do not all dial the same address.
+        # Random, so that nodes that start at the same time do not all dial the same address.
         self._next_index = random.getrandbits(16)
         self._last_request_id = 0
         self._avoided: dict[str, AvoidedAddress] = {}
@@ -80,7 +85,7 @@
     def send(self, envelope: pb.Envelope) -> None:
         """Send a message to the leader, if it is known.
 
-        It may be lost, and a later leader does not act on it.
+        It may be lost, and a leader of a later term does not process it.
         """
         envelope.term = self._rpc_peer.fence.newest
         if self.leader_address:
@@ -89,11 +94,10 @@
     async def call(
         self, envelope: pb.Envelope, timeout_s: float, attempt_timeout_s: float
     ) -> pb.Envelope:
-        """The leader's answer, within `timeout_s` over all attempts.
+        """Return the leader's answer.
 
         The call may reach the leader more than once, and late: `CALL_KINDS` says why that is safe
-        for each kind. An answer of an older leader than one that has answered before is not
-        accepted.
+        for each kind. Once a leader has answered, answers of leaders of earlier terms are rejected.
 
         Args:
             envelope: the call; it is given a request id if its kind needs one.
@@ -103,8 +107,8 @@
         Raises:
             RejectedError: the leader has rejected the call.
             StaleCallError: the leader has found the call out of date.
-            CallError: that of the last attempt that says why; `may_have_run` speaks of that
-                attempt only.
+            CallError: the error of the last attempt that failed with one; `may_have_run` refers to
+                that attempt only.
         """
         if CALL_KINDS[envelope.WhichOneof("body") or ""].duplicates is DuplicateSafety.REMEMBERED:
             self._last_request_id += 1
@@ -124,7 +128,7 @@
     async def _attempt(
         self, envelope: pb.Envelope, deadline: float, attempt_timeout_s: float
     ) -> pb.Envelope:
-        """One attempt. Raises _RetryError, or CallError where another would be pointless."""
+        """Make one attempt. Raises _RetryError, or CallError if a retry would be pointless."""
         now = self._rpc_peer.now()
         address = self.leader_address or self._next_control_address()
         hop = self._next_hop(address, now)
@@ -140,7 +144,7 @@
         return answer
 
     def _copy_for(self, envelope: pb.Envelope, address: str, hop: str) -> pb.Envelope:
-        """The call with the newest term, to be forwarded where it does not go straight."""
+        """Return a copy with the newest term, and with `forward_to` if the hop must forward it."""
         copy = pb.Envelope()
         copy.CopyFrom(envelope)
         copy.term = self._rpc_peer.fence.newest
@@ -149,7 +153,7 @@
         return copy
 
     def _failed(self, error: CallError, address: str, hop: str) -> None:
-        """Learn from a call that got no answer. Raises what the leader itself has said."""
+        """Update the routing state after a failed attempt. Raises errors of the leader itself."""
         if isinstance(error, RejectedError | StaleCallError):
             raise error
         if isinstance(error, UnreachableError | CallTimeoutError):
@@ -158,7 +162,7 @@
                 self.leader_address = ""
 
     def _verify(self, answer: pb.Envelope, address: str) -> None:
-        """Raises _RetryError unless it is the answer of the leader, and undamaged."""
+        """Raise _RetryError unless the answer is an intact answer of the leader."""
         if answer.fault_code == FaultCode.NOT_LEADER:
             self.leader_address = answer.forward_to if answer.forward_to != address else ""
             raise _RetryError(None, 0.0 if self.leader_address else _pause_s())
@@ -167,12 +171,12 @@
             raise _RetryError(CallTimeoutError("an older leader's answer"), _pause_s())
         try:
             decompress_lists(answer.watch_response)
-        except ValueError as error:  # the leader has answered, so it is asked again
+        except ValueError as error:  # the leader is reachable, so the call is sent to it again
             log_event(Event.MALFORMED_FRAME, "%s: %s", address, error)
             raise _RetryError(CallTimeoutError(str(error)), _pause_s()) from error
 
     async def _pause(self, pause_s: float, deadline: float) -> None:
-        """Not beyond the deadline: the caller must hear of the failure in time."""
+        """Sleep, but not beyond the deadline, so that the caller learns of the failure in time."""
         if pause_s:
             await asyncio.sleep(min(pause_s, max(0.0, deadline - self._rpc_peer.now())))
 
@@ -186,7 +190,7 @@
         return addresses[self._next_index % len(addresses)]
 
     def _next_hop(self, address: str, now: float) -> str:
-        """Whom to call so that the call reaches `address`: itself, or a peer if it is avoided."""
+        """Return the next hop to `address`: the address itself, or a peer if it is avoided."""
         if not self._is_avoided(address, now):
             return address
         ends = (address, self._rpc_peer.own_address)
--- a/cairndale/rpc/lease_timing.py
+++ b/cairndale/rpc/lease_timing.py
@@ -4,7 +4,7 @@
 keeps a request open until there is an update or its long-poll timeout is over. Both ends derive
 from the same constants for how long a node counts as connected, so that the leader never takes a
 node for connected that already considers itself isolated. Times are seconds; a duration measured by
-one process's steady clock is shortened by `MAX_CLOCK_DRIFT` where another process relies on it.
+one process's monotonic clock is shortened by `MAX_CLOCK_DRIFT` where another process relies on it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 # A request sent within this time of the previous response shows that the node is connected.
 PROMPT_REQUEST_S = 0.05
 
-# The fraction of a time span by which two steady clocks may differ.
+# The fraction of a time span by which two monotonic clocks may differ.
 MAX_CLOCK_DRIFT = 0.02
 
 
--- a/cairndale/rpc/listener.py
+++ b/cairndale/rpc/listener.py
@@ -1,8 +1,8 @@
-"""A listening socket of which many connections are accepted in one turn of the event loop.
+"""A listening socket that accepts many connections in one turn of the event loop.
 
-The event loop's own server accepts one a turn. A process that many call has long turns, so after a
-start of all its queue would be full of connections whose callers have given up before they are
-accepted.
+The event loop's own server accepts one connection per turn. In a process with many callers the
+turns are long: when all callers start at once, the backlog would fill up with connections whose
+callers time out before they are accepted.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 from cairndale.events import Event, log_event
 from cairndale.settings import Address
 
-# Connections that wait to be accepted: an opening packet that is dropped is sent again after 1 s.
+# Large, because a SYN that is dropped when the backlog is full is retransmitted only after 1 s.
 BACKLOG = 4096
 ACCEPTED_PER_TURN = 32
-ACCEPT_PAUSE_S = 0.2  # after a connection could not be accepted, as no descriptor is free
+ACCEPT_PAUSE_S = 0.2  # after a connection could not be accepted for lack of file descriptors
 
 
 class Listener:
@@ -26,10 +26,10 @@
 
     Args:
         address: to listen on.
-        protocol_factory: makes the protocol object of each connection.
+        protocol_factory: creates the protocol object of each connection.
 
     Raises:
-        OSError: the address is not free.
+        OSError: the address is in use.
     """
 
     def __init__(self, address: Address, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
@@ -46,7 +46,7 @@
         self._loop.add_reader(self._socket.fileno(), self._accept_batch)
 
     def close(self) -> None:
-        """Accept no more. Connections that are up stay."""
+        """Stop accepting. Established connections stay open."""
         if self._resume:
             self._resume.cancel()
         else:
@@ -72,14 +72,14 @@
             task.add_done_callback(self._starting.discard)
 
     def _pause(self, error: OSError) -> None:
-        log_event(Event.FAILED, "taking a connection: %s", error)
+        log_event(Event.FAILED, "accepting a connection: %s", error)
         self._loop.remove_reader(self._socket.fileno())
         self._resume = self._loop.call_later(ACCEPT_PAUSE_S, self._listen)
 
     async def _start(self, accepted: socket.socket) -> None:
         try:
             await self._loop.connect_accepted_socket(self._protocol_factory, accepted)
-        except OSError:  # it has ended already
+        except OSError:  # already closed by the other side
             accepted.close()
         except asyncio.CancelledError:
             with contextlib.suppress(OSError):
--- a/cairndale/rpc/peer.py
+++ b/cairndale/rpc/peer.py
@@ -1,12 +1,12 @@
-"""Calls between the system's own processes, with forwarding for those that are cut off.
+"""Calls between the system's own processes, with forwarding for partitioned ones.
 
-A call that fails says whether the other side may have acted on it (`CallError.may_have_run`). An
-answer is accepted on the connection that its call went out on, and on no other. Every wait has a
-limit and every queue a bound; a connection on which nothing is acknowledged is given up, as it
-would hang behind a network partition.
+A failed call says whether the other side may have processed it (`CallError.may_have_run`). An
+answer is accepted only on the connection that its call was sent on. Every wait has a timeout and
+every queue is bounded; a connection on which nothing is acknowledged is closed, as it would hang
+behind a network partition.
 
-The parts: `ConnectionPool` dials and queues, `PendingCalls` holds the calls in flight,
-`InboundQueue` the calls of others, `handshake` verifies who is at the other end.
+Components: `ConnectionPool` dials and queues, `PendingCalls` tracks the calls in flight,
+`InboundQueue` the calls of other processes, `handshake` verifies the other side.
 """
 
 from __future__ import annotations
@@ -41,20 +41,20 @@
 
 
 class RpcPeer:
-    """One process of the system, as the others call it and as it calls them.
+    """The RPC endpoint of this process: calls other processes and answers their calls.
 
     Args:
-        own: the address that it listens on, by which the others know it.
-        handle_message: takes an envelope that wants no answer.
+        own: the address to listen on, by which other processes know this one.
+        handle_message: processes a one-way message.
         handle_call: answers a call; a `CallError` that it raises becomes the answer's fault code.
 
     Attributes:
-        own_address: `own` in text.
-        incarnation: drawn at random for this start of the process.
+        own_address: `own` as text.
+        incarnation: chosen at random at each start of the process.
         system: the system's name; empty: not known yet.
-        fence: the newest term of which a leader's message was accepted.
-        on_disconnect: called with the address, once a connection dialled to it has ended.
-        connection_class: what new connections are made as.
+        fence: the newest term of an accepted message from a leader.
+        on_disconnect: called with the address when a connection dialled to it was closed.
+        connection_class: the class of new connections.
     """
 
     def __init__(
@@ -80,19 +80,19 @@
 
     @property
     def rejected(self) -> dict[str, int]:
-        """How many were rejected of what others sent, by the kind of rejection."""
+        """The number of rejected messages and connections of other processes, by kind."""
         return self._rejections.counts
 
     def now(self) -> float:
-        """Seconds on the event loop's clock."""
+        """Return seconds on the event loop's clock."""
         return self._loop.time()
 
     async def listen(self) -> None:
-        """Accept connections. Raises OSError where the address is not free."""
+        """Accept connections. Raises OSError if the address is in use."""
         self._listener = Listener(self._listen_address, lambda: self.connection_class(self))
 
     def stop(self) -> None:
-        """End all connections and cancel all work on calls of others."""
+        """Close all connections and cancel all inbound calls."""
         if self._listener:
             self._listener.close()
         for connection in list(self._open):
@@ -103,14 +103,14 @@
     # Connections and the handshake (`ConnectionOwner`).
 
     def connection_opened(self, connection: FramedConnection) -> None:
-        """Keep a connection until it ends."""
+        """Track a connection until it is closed."""
         self._open.add(connection)
 
     def hello_received(self, connection: FramedConnection, hello: pb.Hello) -> bool:
-        """Verify who is at the other end; False if the connection was ended over it.
+        """Verify the other side; return False if it was rejected and the connection closed.
 
-        A process that knows no name of its system learns it from those it has dialled: it was
-        configured with their addresses. From those that have dialled it, it does not.
+        A process that does not know its system's name learns it from processes that it has dialled,
+        whose addresses it was configured with, but not from processes that have dialled it.
         """
         dialled_address = connection.dialled_address
         if reason := hello_error(
@@ -132,9 +132,9 @@
         return True
 
     def set_system_name(self, name: str) -> None:
-        """Know the system's name from now on.
+        """Set the system's name.
 
-        All connected processes are notified, and connections to another system are ended.
+        All connected processes are notified, and connections to another system are closed.
         """
         if name == self.system:
             return
@@ -153,12 +153,12 @@
         connection.abort()
 
     def protocol_error(self, connection: FramedConnection, reason: str) -> None:
-        """End a connection whose other side broke the protocol."""
+        """Close a connection whose other side violated the protocol."""
         self._rejections.add("malformed", Event.MALFORMED_FRAME, reason)
         connection.abort()
 
     def connection_closed(self, connection: FramedConnection) -> None:
-        """Forget a connection and fail the calls that went out on it."""
+        """Remove a closed connection and fail the calls that were sent on it."""
         self._open.discard(connection)
         if connection.dialled_address and self._pool.connection_closed(connection):
             self.on_disconnect(connection.dialled_address)
@@ -169,18 +169,18 @@
     def is_stale(self, envelope: pb.Envelope, address: str) -> bool:
         """Whether a leader's answer is of an older term than one that was accepted before.
 
-        Such an answer must not be acted upon. Else its term is the newest from now on.
+        Such an answer must not be processed. Otherwise its term becomes the newest.
         """
         if envelope.fault_code or self.fence.admits(envelope.term):
             return False
-        reason = f"{envelope.term} at {address}, after {self.fence.newest}"
+        reason = f"term {envelope.term} at {address}, after term {self.fence.newest}"
         self._rejections.add("stale", Event.STALE_TERM, reason)
         return True
 
-    # What others send.
+    # Inbound envelopes.
 
     def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
-        """Resolve a call of this process, queue one of another, or hand on a message."""
+        """Resolve a call of this process, queue one of another, or pass on a message."""
         if envelope.is_answer:
             if not self._pending.answered(connection, envelope):
                 self._rejections.counts["unsolicited"] += 1
@@ -213,22 +213,22 @@
             raise CallTimeoutError("an older leader's answer")
         return answer
 
-    # What this process sends.
+    # Outbound envelopes.
 
     def send(self, address: str, envelope: pb.Envelope) -> None:
-        """Send a message that wants no answer. It may be lost, and nobody hears of that."""
+        """Send a one-way message. It may be lost without notice."""
         self._pool.send(address, envelope)
 
     async def call(self, address: str, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
-        """The answer to a call, within `timeout_s` seconds.
+        """Send a call and return the answer, received within `timeout_s` seconds.
 
-        The answer may have the fault code NOT_LEADER, which tells where the leader is.
+        The answer may have the fault code NOT_LEADER; it then names the leader's address, if known.
 
         Raises:
             UnreachableError: the call was not sent; it has not run.
-            QueueFullError: too much waits for that address, here or there; it has not run.
-            CallTimeoutError: no answer in time, or the connection broke; it may have run.
-            CallError: another class, by the fault code that the other side answered.
+            QueueFullError: a queue is full on this or the other side; the call has not run.
+            CallTimeoutError: no answer in time, or the connection broke; the call may have run.
+            CallError: another subclass, by the fault code of the other side's answer.
         """
         call = self._pending.begin(envelope, self.now())
         try:
@@ -244,7 +244,7 @@
         return answer
 
     def _timed_out(self, call: PendingCall, address: str) -> CallError:
-        """End a connection on which nothing has come since the call went out."""
+        """Return the timeout's error; close a connection that received nothing since the call."""
         if call.connection is None:
             return UnreachableError(address)
         if call.connection.last_received_at < call.started_at:
--- a/cairndale/rpc/pending_calls.py
+++ b/cairndale/rpc/pending_calls.py
@@ -1,4 +1,4 @@
-"""Calls of this process that wait for their answers."""
+"""Outbound calls in flight."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     """One call in flight.
 
     Attributes:
-        id: the same in the call's envelope and its answer's.
-        response: becomes the answer's envelope, or a `CallError`.
+        id: the same in the envelopes of the call and of its answer.
+        response: resolves to the answer's envelope, or to a `CallError`.
         started_at: seconds on the process's clock.
-        connection: the one the call went out on; None while it was not sent.
+        connection: the connection that the call was sent on; None before that.
     """
 
     id: int
@@ -28,7 +28,7 @@
     connection: FramedConnection | None = None
 
     def fail(self, error: CallError) -> None:
-        """End the call, unless it has ended already."""
+        """Fail the call, unless it has been resolved already."""
         if not self.response.done():
             self.response.set_exception(error)
 
@@ -36,9 +36,9 @@
 class PendingCalls:
     """Calls in flight by their id.
 
-    An answer is accepted only on the connection that its call went out on, which leads to one
-    incarnation of one process. Ids begin at a random number, so that two incarnations of this
-    process do not use the same ones.
+    An answer is accepted only on the connection that its call was sent on, which leads to one
+    incarnation of one process. Ids start at a random number, so that two incarnations of this
+    process do not use the same ids.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self._last_id = random.getrandbits(27)
 
     def begin(self, envelope: pb.Envelope, now: float) -> PendingCall:
-        """Give a call its id and wait for its answer; each is to be ended by `end`."""
+        """Assign an id to a call and register it. The caller must finish it with `end`."""
         self._last_id += 1
         envelope.call_id = self._last_id
         response: asyncio.Future[pb.Envelope] = asyncio.get_running_loop().create_future()
@@ -54,22 +54,22 @@
         return call
 
     def end(self, call: PendingCall) -> None:
-        """Forget a call: an answer that comes later is not accepted."""
+        """Remove a call: a later answer is not accepted."""
         del self._calls[call.id]
 
     def of(self, envelope: pb.Envelope) -> PendingCall | None:
-        """The call that this envelope asks; None for an answer and for what wants no answer."""
+        """Return the pending call of an envelope; None for answers and one-way messages."""
         if envelope.is_answer or not envelope.call_id:
             return None
         return self._calls.get(envelope.call_id)
 
     def fail(self, envelope: pb.Envelope, error: CallError) -> None:
-        """End the call of an envelope that could not be sent; nothing if it is no call."""
+        """Fail the call of an envelope that could not be sent; do nothing if it is not a call."""
         if call := self.of(envelope):
             call.fail(error)
 
     def answered(self, connection: FramedConnection, answer: pb.Envelope) -> bool:
-        """Resolve a call; False if it is late or came on another connection."""
+        """Resolve a call; return False if the answer is late or came on another connection."""
         call = self._calls.get(answer.call_id)
         if call is None or call.connection is not connection:
             return False
@@ -78,7 +78,7 @@
         return True
 
     def connection_closed(self, connection: FramedConnection) -> None:
-        """Fail each call that went out on it: the other side may have acted on them."""
+        """Fail each call that was sent on the connection; the other side may have run them."""
         for call in list(self._calls.values()):
             if call.connection is connection:
                 call.fail(CallTimeoutError("the connection broke"))
--- a/cairndale/rpc/rejection_log.py
+++ b/cairndale/rpc/rejection_log.py
@@ -1,4 +1,4 @@
-"""What was rejected of other processes: counted, and logged at a bounded rate."""
+"""Counts rejected messages and connections of other processes, and logs them at a bounded rate."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from cairndale.events import Event, log_event
 
-LOG_INTERVAL_S = 5.0  # between two lines about the same event
+LOG_INTERVAL_S = 5.0  # between two log lines about the same event
 
 
 @dataclass(frozen=True, slots=True)
 class _Suppression:
-    """No line before `until`; `omitted` lines were left out since the last."""
+    """No log line before `until`; `omitted` lines were suppressed since the last one."""
 
     until: float = 0.0
     omitted: int = 0
 
 
 class RejectionLog:
-    """Counts by kind. Whoever sends what is rejected may go on for long, so lines are limited.
+    """Counts rejections by kind, with a rate limit on log lines as a sender may repeat itself.
 
     Args:
-        now: seconds on a steady clock.
+        now: returns seconds on a monotonic clock.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -32,7 +32,7 @@
         self._suppressions: dict[Event, _Suppression] = {}
 
     def add(self, kind: str, event: Event, reason: str) -> None:
-        """Count one, and log it unless that event was logged within `LOG_INTERVAL_S`."""
+        """Count a rejection, and log it unless that event was logged within `LOG_INTERVAL_S`."""
         self.counts[kind] += 1
         now, suppression = self._now(), self._suppressions.get(event, _Suppression())
         if now < suppression.until:
--- a/cairndale/settings.py
+++ b/cairndale/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process: read and checked as a whole, every error at once.
+"""The settings file of a process, validated as a whole; all errors are reported at once.
 
-Fields that are not known are ignored, so that one file can serve several programs.
+Unknown fields are ignored, so that several programs can share one file.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class SettingsError(ValueError):
-    """The settings are not usable.
+    """The settings are invalid.
 
     Attributes:
-        errors: all that is wrong, each with its path in the file.
+        errors: all errors, each with its path in the file.
     """
 
     def __init__(self, errors: list[str]) -> None:
@@ -35,7 +35,7 @@
 
 
 def parse_duration(text: object) -> float:
-    """The seconds of a duration such as `1500ms` or `2.5s`. Raises ValueError."""
+    """Return the seconds of a duration such as `1500ms` or `2.5s`. Raises ValueError."""
     match = DURATION.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise ValueError(f"{text!r} is no time such as 1500ms or 2.5s")
@@ -43,7 +43,7 @@
 
 
 def parse_address(text: object) -> Address:
-    """An address such as `10.1.0.8:8200`. Raises ValueError."""
+    """Parse an address such as `10.1.0.8:8200`. Raises ValueError."""
     match = ADDRESS.fullmatch(text) if isinstance(text, str) else None
     if match is None or not 0 < int(match[2]) < 65536:
         raise ValueError(f"{text!r} is no address such as 10.1.0.8:8200")
@@ -51,7 +51,7 @@
 
 
 def format_address(address: Address) -> str:
-    """The reverse of `parse_address`."""
+    """Return the text of an address, in the form that `parse_address` accepts."""
     ip, port = address
     return f"{ip}:{port}"
 
@@ -60,8 +60,8 @@
 class Bounds:
     """The service level objectives of the system: `sla.slo` in the settings file.
 
-    `contact`, `drain`, `apply`, `evacuate`, `revoke` (s) and `fail_closed` are checked and kept,
-    but this program takes no decision by them.
+    `contact`, `drain`, `apply`, `evacuate`, `revoke` (s) and `fail_closed` are validated and kept,
+    but no decision of this program depends on them.
 
     Attributes:
         ack: s for a change to reach every ingress before its call fails.
@@ -70,11 +70,11 @@
         retry_window: s over which retries are counted.
         retry_slack: retries allowed above the ratio.
         quota_window: s over which a tenant's requests are counted.
-        quota_overrun: requests allowed above a quota, as a part of it.
+        quota_overrun: requests allowed above a quota, as a fraction of it.
         quota_slack: requests allowed above that.
         warmup_overrun: requests allowed to a server in slow start, per request that it can handle.
         warmup_slack: requests allowed above that.
-        ttl_max: s that a client may keep the answer to a look-up, at most.
+        ttl_max: s that a client may cache a lookup response, at most.
     """
 
     contact: float = 4.0
@@ -98,26 +98,26 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """What a process is told of itself and of the system.
+    """The settings of a process and of the system.
 
     Attributes:
-        name: the machine's.
-        role: the machine's, as operators call it.
+        name: name of the machine.
+        role: role of the machine, as operators call it.
         ip: IPv4 address of the machine.
-        zone: the failure domain that it stands in.
-        region: the region that the zone belongs to.
-        serves: what the process serves to others: `edge`, `ctl`, `dir`.
-        listen: addresses, by what is served there: `http`, `readyz`, `ctl`, `dir`.
+        zone: zone (failure domain) of the machine.
+        region: region of the zone.
+        serves: services of the process: `edge`, `ctl`, `dir`.
+        listen: listening addresses, by listener: `http`, `readyz`, `ctl`, `dir`.
         ports: the range for calls between the system's own processes.
-        seeds: `ctl` addresses of the control nodes that are there from the beginning.
+        seeds: `ctl` addresses of the initial control nodes.
         zones: the region of each zone.
-        bootstrap: whether this process founds the control cluster with the seeds.
-        state_dir: the folder for the replicated state; None on a machine without a disk.
+        bootstrap: whether this process bootstraps the control cluster with the seeds.
+        state_dir: directory of the replicated state; None on a machine without a disk.
         heartbeat_interval_s: s between two heartbeats of a server.
-        memory_mb: what the process may use, in MB.
-        max_open_files: what the process may use.
+        memory_mb: memory limit of the process, in MB.
+        max_open_files: file descriptor limit of the process.
         bounds: the service level objectives.
-        tolerance: what may be lost at once.
+        tolerance: the simultaneous failures that the system must tolerate.
     """
 
     name: str
@@ -142,20 +142,20 @@
     def own_port(self) -> int:
         """The port for calls of the system's other processes.
 
-        Control nodes take the first of the range and data-plane nodes the second, as two roles may
-        share a machine.
+        Control nodes use the first port of the range and data-plane nodes the second, as both may
+        run on one machine.
         """
         return self.ports[0] + (0 if self.state_dir else 1)
 
     def core_address(self, ctl: Address) -> Address:
-        """Where a control node takes calls of the system's processes; the range is alike at all."""
+        """Return a control node's address for RPC; all machines use the same port range."""
         return ctl[0], self.ports[0]
 
 
 def _labelled(label: str, function: Callable[[Any], Any]) -> Callable[[Any], Any]:
-    """The function under the name that the schema is to have in its messages.
+    """Return the function under another name, which the schema uses in its error messages.
 
-    Operators know these messages, so they do not change with the names in the code.
+    Operators know these messages, so they must not change with the names in the code.
     """
 
     def call(value: Any) -> Any:
@@ -187,7 +187,7 @@
     "network.zones": {Optional(str): _TEXT},
     "infra.heartbeat": _DURATION,
 }
-_LISTENERS = {"edge": ("http", "readyz"), "ctl": ("ctl",), "dir": ("dir",)}  # by what is served
+_LISTENERS = {"edge": ("http", "readyz"), "ctl": ("ctl",), "dir": ("dir",)}  # by service
 _SLO_FIELDS: dict[str, tuple[str, Any]] = {  # by name in `sla.slo`: the attribute of Bounds
     "contact": ("contact", _DURATION),
     "ack": ("ack", _DURATION),
@@ -210,7 +210,7 @@
 
 
 def read_settings(path: str) -> Settings:
-    """The settings of a file. Raises SettingsError."""
+    """Read the settings from a file. Raises SettingsError."""
     try:
         raw = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -219,7 +219,7 @@
 
 
 def parse_settings(raw: Any) -> Settings:
-    """The settings of a file's JSON. Raises SettingsError with all that is wrong."""
+    """Return the settings from a file's parsed JSON. Raises SettingsError with all errors."""
     errors: list[str] = []
     values = _read_fields(raw, errors)
     bounds = _read_bounds(raw, errors)
@@ -251,7 +251,7 @@
 
 
 def _read_fields(raw: Any, errors: list[str]) -> dict[str, Any]:
-    """The values that are valid, by path."""
+    """Return the valid values by path; append an error for each other field."""
     values: dict[str, Any] = {}
     for path, rule in _FIELDS.items():
         value = _look_up(raw, path)
@@ -273,7 +273,7 @@
 
 
 def _message(error: SchemaError) -> str:
-    """The innermost message of a schema's error, in one line."""
+    """Return the innermost message of a schema's error, in one line."""
     texts = [str(text) for text in error.autos if text] or [str(error)]
     return texts[-1].replace("\n", " ")
 
@@ -290,7 +290,7 @@
 
 
 def _read_sla_section(raw: Any, name: str, errors: list[str]) -> dict[str, Any]:
-    """An object below `sla`; empty if there is none."""
+    """Return an object below `sla`; empty if there is none."""
     sla = raw.get("sla") if isinstance(raw, dict) else None
     section = sla.get(name, {}) if isinstance(sla, dict) else {}
     if isinstance(section, dict):
@@ -300,7 +300,7 @@
 
 
 def _read_bounds(raw: Any, errors: list[str]) -> Bounds:
-    """What the file does not name keeps its default: some objectives may not be in force."""
+    """Return the objectives; one that is missing in the file, as not in force, has its default."""
     slo = _read_sla_section(raw, "slo", errors)
     values: dict[str, Any] = {}
     for key, (name, rule) in _SLO_FIELDS.items():
@@ -319,7 +319,7 @@
 
 
 def _read_tolerance(raw: Any, errors: list[str]) -> Tolerance:
-    """One of each may be lost, where the file does not say how many."""
+    """Return the tolerated failures; the default is one of each kind."""
     section = _read_sla_section(raw, "tolerance", errors)
     counts: dict[str, int] = {}
     for name in ("nodes", "zones", "regions"):
