--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -1,4 +1,4 @@
-"""A data-plane node as discovery responses change it: readiness, units, drain, requests."""
+"""Data-plane node: readiness, quota units, drain and forwarding, driven by discovery responses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def watch_response(epoch: str, services: dict[str, str], **fields: Any) -> pb.WatchResponse:
-    """A response with endpoints (service by id), beyond what was announced before."""
+    """An incremental response with these endpoints (service by id)."""
     listed = [
         pb.Endpoint(
             id=id, service=service, address="10.1.0.9:80", zone="z", capacity=2, state="ready"
@@ -33,9 +33,9 @@
     )
 
 
-async def test_an_ingress_is_ready_once_it_knows_a_server_of_each_service_or_all_had_time() -> None:
-    """One that knew servers of one service only was named to clients, and refused what went to
-    another."""
+async def test_ingress_is_ready_once_each_service_has_an_endpoint_or_all_had_time() -> None:
+    """Guards against an ingress that is announced to clients while it knows endpoints of one
+    service only: it rejected requests to the other services."""
     configuration = content(
         routes=[
             route(),
@@ -60,7 +60,7 @@
             now,
         )
         assert node.readiness.is_ready() and node.describe().ready
-        # a later leader, who has not heard of all yet
+        # A later leader, which does not know all endpoints yet.
         node.applier.apply(watch_response("2~", {}), node.describe(), now)
         assert node.readiness.is_ready()
         node.ingress.backends.stop()
@@ -81,18 +81,21 @@
     return node
 
 
-async def test_a_store_that_refills_in_a_moment_is_asked_again_before_anybody_is_refused() -> None:
-    """A new leader's stores are empty: who asked first was refused, far below its quota."""
+async def test_lease_is_requested_again_if_the_empty_bucket_refills_within_the_pause() -> None:
+    """A new leader's token buckets are empty: without the second request the first clients were
+    rejected far below their quota."""
     tenants = [
         {"name": name, "apiKeys": [name], "ratePerS": rate, "burst": rate}
         for name, rate in (("fast", 1000), ("slow", 5))
     ]
     node = node_in_contact(tenants=tenants)
     requests, outcomes = list[tuple[str, float, float]](), list[tuple[Outcome, float | None]]()
-    # of two units: none, both, none twice, one, none
+    # Units granted, of two requested: none, both, none twice, one, none; then no response.
     answers = [-2.0, 0.5, -2.0, -2.0, -1.0, -2.0, None]
 
-    async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
+    async def call(
+        envelope: pb.Envelope, timeout_s: float, attempt_timeout_s: float
+    ) -> pb.Envelope:
         lease = envelope.quota_request
         requests.append((lease.tenant, lease.amount, lease.spent))
         if (left := answers.pop(0)) is None:
@@ -113,7 +116,7 @@
     node.ingress.backends.stop()
 
 
-async def test_units_are_asked_for_by_name_and_a_no_holds_for_a_while() -> None:
+async def test_grants_are_requested_by_unit_name_and_a_denial_stays_in_force() -> None:
     node = node_in_contact()
     requests, granted = list[pb.BudgetRequest](), list[int]()
     answers: list[pb.BudgetResponse | None] = [
@@ -123,7 +126,9 @@
         pb.BudgetResponse(granted=True, valid_ms=300),
     ]
 
-    async def call(envelope: pb.Envelope, within: float, patience: float) -> pb.Envelope:
+    async def call(
+        envelope: pb.Envelope, timeout_s: float, attempt_timeout_s: float
+    ) -> pb.Envelope:
         requests.append(envelope.budget_request)
         if (answer := answers.pop(0)) is None:
             raise CallTimeoutError()
@@ -135,7 +140,7 @@
     for _ in range(3):
         node.quota_client.deal(units, granted.append)
         await asyncio.gather(*node.quota_client.calls)
-    assert [list(deal.budgets) for deal in requests] == [["further/s1", "starts/i"]] * 3
+    assert [list(request.budgets) for request in requests] == [["further/s1", "starts/i"]] * 3
     assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [0, 0]
     assert node.ingress.selector.is_denied(units[0], began + 150_000)
     node.config_client.last_response_at = float("-inf")  # isolated: no grant is requested
@@ -145,8 +150,9 @@
     node.ingress.backends.stop()
 
 
-async def test_what_is_sent_late_after_sigterm_is_begun_only_if_it_is_over_by_the_end() -> None:
-    """What was sent in the first 3 s may be cut at the end of the grace, what came later never."""
+async def test_late_in_a_drain_requests_start_only_if_they_end_before_the_grace_period() -> None:
+    """Requests of the first 3 s after SIGTERM may be aborted at the end of the grace period, later
+    ones never."""
     node = DataPlaneNode(parse_settings(SETTINGS))
     encoded = zlib.compress(json.dumps(content()).encode())
     node.applier.apply(
@@ -173,9 +179,8 @@
     node.ingress.backends.stop()
 
 
-async def serving(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
-    """An ingress in front of that server, with units for whoever asks; and the port that clients
-    call."""
+async def serving_node(server: PeerServer, **fields: Any) -> tuple[DataPlaneNode, int]:
+    """A node with this server as its endpoint and quota for every request, and its HTTP port."""
     node = DataPlaneNode(parse_settings(SETTINGS))
     configuration = content(routes=[route(deadline="60s")], **fields)
     response = watch_response(
@@ -200,9 +205,9 @@
     return head + more + b"Authorization: Token k1\r\n\r\n"
 
 
-async def test_a_server_is_not_left_at_work_for_a_client_that_has_gone() -> None:
+async def test_request_to_the_server_is_aborted_when_the_client_disconnects() -> None:
     server = await PeerServer().start()
-    node, port = await serving(server)
+    node, port = await serving_node(server)
     _, client = await asyncio.open_connection(HOST, port)
     client.write(request_bytes())
     await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
@@ -214,13 +219,13 @@
     server.stop()
 
 
-@pytest.mark.parametrize("most", [0, 65536])
-async def test_a_head_may_be_as_large_as_the_configuration_says(most: int) -> None:
+@pytest.mark.parametrize("max_header_bytes", [0, 65536])
+async def test_configuration_limits_the_size_of_a_request_head(max_header_bytes: int) -> None:
     server = await PeerServer().start()
-    node, port = await serving(server, limits={"maxHeaderBytes": most})
+    node, port = await serving_node(server, limits={"maxHeaderBytes": max_header_bytes})
     reader, client = await asyncio.open_connection(HOST, port)
     client.write(request_bytes(b"X-Long: %b\r\n" % (b"x" * 40_000)))
-    if most:
+    if max_header_bytes:
         await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     else:
         assert (await asyncio.wait_for(reader.readline(), 10)).split()[1] == b"431"
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -1,5 +1,4 @@
-"""The life of a request in the system: engine, module and choice of server against a slow plain
-model."""
+"""Request lifecycle: engine, request policy and endpoint selection against a simple model."""
 
 from __future__ import annotations
 
@@ -39,25 +38,25 @@
     it.Safety(0, 0, 1.0, 1, 1.0, 1),
     it.CounterLimits(True, 250_000, calls_out=1e6, part=0.25, strict=True, expiry=950_000),
 )
-DEALT = 300_000  # us for which a dealt unit may be used
+GRANT_LIFE_US = 300_000  # for which a granted unit may be used
 
-# What may become of an attempt; what the server saw of it is the model's own knowledge.
-ENDS = {
+# How an attempt may end: its outcome, and whether the server ran it, which only the model knows.
+ATTEMPT_ENDS = {
     "answered": (Outcome.OK, True),
-    "turned away": (Outcome.FULL, False),
+    "x-not-run": (Outcome.FULL, False),
     "421": (Outcome.FULL, False),
     "no connection": (Outcome.CONNECT_FAILED, False),
     "reset before": (Outcome.RESET, False),
     "reset after": (Outcome.RESET, True),
     "garbage": (Outcome.ERROR, True),
-    "taken back": (Outcome.MOOT, False),
+    "withdrawn": (Outcome.MOOT, False),
     "silence": (None, True),
 }
 
 
 @dataclass
-class Sent:
-    """An attempt, and in the model whether it reached its server."""
+class Attempt:
+    """An attempt; `seen`: whether, in the model, it reached its server."""
 
     request: int
     backend: int
@@ -76,29 +75,29 @@
 
 @dataclass
 class Model:
-    """What ran, by request: written down as it happens, judged at the end."""
+    """Record of a run, by request; checked at its end."""
 
     arrivals: dict[int, int] = field(default_factory=dict)
     runs: dict[int, int] = field(default_factory=dict)
     quota: dict[int, bool] = field(default_factory=dict)
     answers: dict[int, list[str]] = field(default_factory=dict)
-    # us after which to come back, by refused request
-    advised: dict[int, int] = field(default_factory=dict)
-    # until when each unit of the tenant's may be spent
+    # Retry-After in us, by rejected request.
+    retry_after_by_request: dict[int, int] = field(default_factory=dict)
+    # Expiry of each leased quota unit of the tenant.
     leased: list[int] = field(default_factory=list)
-    # likewise, of wholes that are shared
+    # Expiry of each granted unit of the shared budgets.
     granted: dict[it.Unit, list[int]] = field(default_factory=dict)
-    saved: float = 0.0  # further tries that requests have earned here
+    retry_tokens: float = 0.0  # retries allowed by the requests made so far
 
 
 class World(Wheel):
-    """Of the servers the first is cold."""
+    """Simulated servers, counter and clock; the first server is in slow start."""
 
     def __init__(
         self, gateway: type[RequestPolicy] = RequestPolicy, servers: int = 4, cold: bool = True
     ) -> None:
         super().__init__(10 * SECOND)
-        self.sent = list[Sent]()
+        self.sent = list[Attempt]()
         self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
         self.model, self.request_count = Model(), 0
         self.gateway = gateway(SETTINGS, 1, EndpointSelector)
@@ -141,23 +140,23 @@
     def deal(self, units: tuple[it.Unit, ...], granted: Callable[[int], None]) -> None:
         self.deals.append((units, granted))
 
-    def deal_out(self, which: int, some: bool) -> None:
+    def answer_grant(self, index: int, is_granted: bool) -> None:
         if self.deals:
-            units, granted = self.deals.pop(which % len(self.deals))
-            if not some:
-                self.selector.deny(units, self.time, self.time + DEALT)
-            for unit in units * some:
-                self.model.granted.setdefault(unit, []).append(self.time + DEALT)
-            granted((self.time + DEALT) * some)
+            units, granted = self.deals.pop(index % len(self.deals))
+            if not is_granted:
+                self.selector.deny(units, self.time, self.time + GRANT_LIFE_US)
+            for unit in units * is_granted:
+                self.model.granted.setdefault(unit, []).append(self.time + GRANT_LIFE_US)
+            granted((self.time + GRANT_LIFE_US) * is_granted)
 
     def send(
         self, backend: int, data: Data, ended: Callable[[Answer], None], flow: Flow | None = None
-    ) -> Sent:
-        self.sent.append(Sent(0, backend, data, ended))
+    ) -> Attempt:
+        self.sent.append(Attempt(0, backend, data, ended))
         return self.sent[-1]
 
-    def write(self, sent: Sent) -> None:
-        """Its connection is up: the first byte is written now, or it is taken back."""
+    def write(self, sent: Attempt) -> None:
+        """The attempt's connection is established: write its first byte, or withdraw it."""
         assert not isinstance(sent.data, bytes)
         if (data := sent.data()) is None:
             sent.over = True
@@ -170,9 +169,9 @@
         if sent.backend == 1 and self.selector.backends[1].info.cold_until:
             use(model.granted.get((WARMUP, 1), []), self.time)
         if not again:
-            model.saved = min(EVEN_RETRY_FRACTION * 60.0 / 20, model.saved + 0.2)
-        elif model.saved >= 1:
-            model.saved -= 1
+            model.retry_tokens = min(EVEN_RETRY_FRACTION * 60.0 / 20, model.retry_tokens + 0.2)
+        elif model.retry_tokens >= 1:
+            model.retry_tokens -= 1
         else:
             use(model.granted.get((RETRY, 1), []), self.time)
 
@@ -199,19 +198,19 @@
         )
         assert self.engine.arrived(wanted, Client(number, self))
 
-    def end(self, which: int, how: str) -> None:
-        out = [s for s in self.sent if not s.over]
-        if not out:
+    def end(self, index: int, how: str) -> None:
+        in_flight = [s for s in self.sent if not s.over]
+        if not in_flight:
             return
-        sent = out[which % len(out)]
-        outcome, ran = ENDS[how]
-        if not sent.written and how not in ("taken back", "no connection"):
+        sent = in_flight[index % len(in_flight)]
+        outcome, ran = ATTEMPT_ENDS[how]
+        if not sent.written and how not in ("withdrawn", "no connection"):
             self.write(sent)
             if sent.over:
                 return
         if sent.seen and not ran:
-            return  # it runs there already: a server does not take that back
-        if not sent.seen and how not in ("taken back", "no connection", "reset before"):
+            return  # the server runs it already and cannot withdraw it
+        if not sent.seen and how not in ("withdrawn", "no connection", "reset before"):
             self.model.arrivals[sent.request] += 1
             self.model.runs[sent.request] += ran
             sent.seen = True
@@ -221,10 +220,10 @@
 
 
 def use(units: list[int], now: int) -> None:
-    """A unit is spent that may still be."""
-    good = [until for until in units if until >= now]
-    assert good, "no unit to go out by"
-    units.remove(min(good))
+    """Spend a unit that has not expired."""
+    valid = [until for until in units if until >= now]
+    assert valid, "sent without a valid unit"
+    units.remove(min(valid))
 
 
 @dataclass
@@ -232,18 +231,18 @@
     number: int
     world: World
 
-    def _say(self, what: str) -> None:
+    def _record(self, what: str) -> None:
         self.world.model.answers[self.number].append(what)
 
     def serve(self, answer: Answer) -> None:
-        self._say("served")
+        self._record("served")
 
     def refuse(self, retry_after: int, status: int = 429) -> None:
-        self._say(f"{status}")
-        self.world.model.advised[self.number] = retry_after
+        self._record(f"{status}")
+        self.world.model.retry_after_by_request[self.number] = retry_after
 
     def fail(self, timed_out: bool) -> None:
-        self._say("504" if timed_out else "502")
+        self._record("504" if timed_out else "502")
 
     def begin(self, answer: Answer, source: Any) -> None: ...
     def more(self, data: bytes) -> None: ...
@@ -251,56 +250,58 @@
     def break_off(self) -> None: ...
 
 
-DEEDS = st.one_of(
+STEPS = st.one_of(
     st.tuples(st.just("ask"), st.integers(0, 1), st.sampled_from(["", "quota"])),
-    st.tuples(st.just("end"), st.integers(0, 7), st.sampled_from(sorted(ENDS))),
+    st.tuples(st.just("end"), st.integers(0, 7), st.sampled_from(sorted(ATTEMPT_ENDS))),
     st.tuples(st.just("deal"), st.integers(0, 7), st.sampled_from(["", "some"])),
     st.tuples(st.just("wait"), st.integers(1, 1500), st.just("")),
     st.tuples(st.just("freeze"), st.integers(100, 3000), st.just("")),
 )
 
 
-def play(world: World, deeds: list[tuple[str, int, str]]) -> None:
+def play(world: World, steps: list[tuple[str, int, str]]) -> None:
     classes: dict[int, int] = {}
-    for what, number, how in deeds:
+    for what, number, how in steps:
         if what == "ask":
             world.ask(number, bool(how))
             classes[world.request_count] = number
         elif what == "end":
             world.end(number, how)
         elif what == "deal":
-            world.deal_out(number, bool(how))
-        elif what == "freeze":  # timers are late, and what is done next is done first
+            world.answer_grant(number, bool(how))
+        elif what == "freeze":  # the timers that became due run only after the next step
             world.time += number * 1000
         else:
             world.pass_time(number * 1000)
-        out: dict[int, int] = {}
+        in_flight: dict[int, int] = {}
         for sent in world.sent:
             if sent.written:
-                out[sent.request] = out.get(sent.request, 0) + (not sent.over)
-        assert all(n <= 1 for n in out.values()), "two attempts out at once"
+                in_flight[sent.request] = in_flight.get(sent.request, 0) + (not sent.over)
+        assert all(n <= 1 for n in in_flight.values()), "two attempts in flight at once"
     world.pass_time(10 * SECOND)
     model = world.model
     for number, cls in classes.items():
-        said = model.answers[number]
-        assert len(said) == 1, f"answered {said}"
+        client_answers = model.answers[number]
+        assert len(client_answers) == 1, f"answered {client_answers}"
         assert model.arrivals[number] <= CLASSES[cls].tries
         if CLASSES[cls].repeat is Repeat.UNSAFE:
-            assert model.runs[number] <= 1, "twice"
-        if said[0] in ("429", "503"):
-            assert model.runs[number] == 0, "a promise broken"
-            assert model.quota[number] or model.advised[number] > 0, "not told when to come back"
+            assert model.runs[number] <= 1, "unsafe request ran twice"
+        if client_answers[0] in ("429", "503"):
+            assert model.runs[number] == 0, "rejected request has run"
+            assert model.quota[number] or model.retry_after_by_request[number] > 0, "no Retry-After"
     assert not world.engine._requests and world.engine.open == 0
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
-@given(st.lists(DEEDS, max_size=40))
-def test_at_most_once_and_promises_kept(deeds: list[tuple[str, int, str]]) -> None:
-    play(World(), deeds)
+@given(st.lists(STEPS, max_size=40))
+def test_unsafe_requests_run_at_most_once_and_rejected_ones_never(
+    steps: list[tuple[str, int, str]],
+) -> None:
+    play(World(), steps)
 
 
-class Forgetful(RequestPolicy):
-    """A reset is taken for never sent."""
+class ResetTakenForUnsent(RequestPolicy):
+    """Defect: treats a reset attempt as never sent."""
 
     def attempt_ended(self, event: it.AttemptEnded) -> None:
         if event.outcome is Outcome.RESET:
@@ -315,51 +316,55 @@
         super().attempt_ended(event)
 
 
-class Promising(RequestPolicy):
+class FailureSentAsRejection(RequestPolicy):
+    """Defect: rejects requests that have failed and may have run."""
+
     def end(self, request: Any, answer: it.Action) -> None:
         super().end(
             request, it.Refuse(answer.request, 0, False) if isinstance(answer, it.Fail) else answer
         )
 
 
-class Sleepy(RequestPolicy):
-    """What a request was admitted by holds for good."""
+class UnitsNeverExpire(RequestPolicy):
+    """Defect: the units by which a request was admitted never expire."""
 
     def send(self, request: Any, leased: bool = False) -> bool:
         request.until = 0
         return super().send(request, leased)
 
 
-class Free(RequestPolicy):
-    """Nothing is dealt."""
+class NoGrantsRequired(RequestPolicy):
+    """Defect: sends attempts without the required grants."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.fleet.owes = tuple  # type: ignore[method-assign]
 
 
-@pytest.mark.parametrize("planted", [Forgetful, Promising, Sleepy, Free])
-def test_planted_defects_are_seen(planted: type[RequestPolicy]) -> None:
-    rng, kinds = random.Random(3), sorted(ENDS)
+@pytest.mark.parametrize(
+    "mutant", [ResetTakenForUnsent, FailureSentAsRejection, UnitsNeverExpire, NoGrantsRequired]
+)
+def test_planted_defects_are_detected(mutant: type[RequestPolicy]) -> None:
+    rng, kinds = random.Random(3), sorted(ATTEMPT_ENDS)
     for _ in range(200):
-        deeds = [("ask", rng.randint(0, 1), "quota")]
+        steps = [("ask", rng.randint(0, 1), "quota")]
         for _ in range(6):
-            some = [("freeze", 1000, ""), ("deal", 0, "some"), ("end", 0, rng.choice(kinds))]
-            deeds.append(rng.choice(some))
+            candidates = [("freeze", 1000, ""), ("deal", 0, "some"), ("end", 0, rng.choice(kinds))]
+            steps.append(rng.choice(candidates))
         try:
-            play(World(planted), deeds)
+            play(World(mutant), steps)
         except AssertionError:
             return
-    raise AssertionError("not seen")
+    raise AssertionError("defect not detected")
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_the_verdict_has_one_owner(outcome: Outcome) -> None:
+def test_verdict_and_policy_agree_on_which_outcomes_never_ran(outcome: Outcome) -> None:
     assert (Verdict.of(outcome) is Verdict.UNSENT) == (outcome in NEVER_RAN)
 
 
-def test_further_tries_stay_within_their_part_of_the_budget() -> None:
-    """Those that are earned and kept here go out at once; each of the others is asked for."""
+def test_retries_stay_within_the_retry_budget() -> None:
+    """Retries covered by local tokens are sent at once; each other one needs a grant."""
     world = World(cold=False)
     retries = grants = 0
     for _ in range(400):
@@ -367,7 +372,7 @@
         world.end(0, "garbage")
         retries += sum(1 for s in world.sent if not s.over)
         grants += len(world.deals)
-        world.deal_out(0, False)
+        world.answer_grant(0, False)
         world.end(0, "answered")
         world.pass_time(400_000)
     assert 60 < retries <= 400 * 0.2 + EVEN_RETRY_FRACTION * 60 / 20
--- a/tests/dataplane/test_upstream_protocol.py
+++ b/tests/dataplane/test_upstream_protocol.py
@@ -1,5 +1,4 @@
-"""What a server's answers, silences and ends say of a request sent to it: unsent, sent, or
-answered."""
+"""How responses, silence and closed connections of a server classify a sent request."""
 
 from __future__ import annotations
 
@@ -19,16 +18,16 @@
 from tests.ingress.net.test_backends import Fleet
 from tests.testing.ingress import PeerServer, answers
 
-ID, OTHERS = b"X-Request-Id: r1\r\n", b"X-Request-Id: r0\r\n"
+ID, OTHER_ID = b"X-Request-Id: r1\r\n", b"X-Request-Id: r0\r\n"
 SENT = b"POST /x HTTP/1.1\r\n" + ID + b"Host: a\r\nContent-Length: 2\r\n\r\nhi"
 NOT_RUN, EMPTY = b"X-Not-Run: 1\r\n", b"Content-Length: 0\r\n\r\n"
 
 
-def said(status: int, fields: bytes, body: bytes = b"") -> bytes:
+def response(status: int, fields: bytes, body: bytes = b"") -> bytes:
     return b"HTTP/1.1 %d Word\r\n%bContent-Length: %d\r\n\r\n%b" % (status, fields, len(body), body)
 
 
-OWN = said(200, ID, b"own")
+OWN = response(200, ID, b"own")
 UNFRAMED = b"HTTP/1.1 200 Word\r\n" + ID + b"\r\nall"
 
 
@@ -42,34 +41,42 @@
     server.stop()
 
 
-async def ended(fleet: Fleet) -> Answer:
+async def send_request(fleet: Fleet) -> Answer:
     async with asyncio.timeout(5):
         return await fleet.send(SENT)
 
 
 def reset_by(fleet: Fleet) -> None:
-    """The server's first connection ends by a reset, not in order."""
+    """Close the server's first connection by a reset instead of an orderly end."""
     transport = fleet.server.peers[0].transport
     linger = struct.pack("ii", 1, 0)
     transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     transport.abort()
 
 
-SAYS = {
+RESPONSES = {
     "its own answer": (OWN, Outcome.OK, Verdict.ANSWERED),
-    "its own failure": (said(500, ID), Outcome.OK, Verdict.ANSWERED),
-    "go on, then its own": (b"HTTP/1.1 100 Continue\r\n\r\n" + OWN, Outcome.OK, Verdict.ANSWERED),
-    "another's, then its own": (said(200, OTHERS, b"no") + OWN, Outcome.OK, Verdict.ANSWERED),
-    "another's refusal, then its own": (
-        said(503, OTHERS + NOT_RUN) + OWN,
+    "its own failure": (response(500, ID), Outcome.OK, Verdict.ANSWERED),
+    "100 Continue, then its own": (
+        b"HTTP/1.1 100 Continue\r\n\r\n" + OWN,
         Outcome.OK,
         Verdict.ANSWERED,
     ),
-    "turned away": (said(503, ID + NOT_RUN), Outcome.FULL, Verdict.UNSENT),
-    "another server's address": (said(421, ID), Outcome.FULL, Verdict.UNSENT),
-    "turned away, nobody knows what": (said(503, NOT_RUN), Outcome.ERROR, Verdict.SENT),
-    "another server, nobody knows whose": (said(421, b""), Outcome.ERROR, Verdict.SENT),
-    "an answer without an id": (said(200, b"", b"no"), Outcome.ERROR, Verdict.SENT),
+    "another request's, then its own": (
+        response(200, OTHER_ID, b"no") + OWN,
+        Outcome.OK,
+        Verdict.ANSWERED,
+    ),
+    "another request's rejection, then its own": (
+        response(503, OTHER_ID + NOT_RUN) + OWN,
+        Outcome.OK,
+        Verdict.ANSWERED,
+    ),
+    "rejected": (response(503, ID + NOT_RUN), Outcome.FULL, Verdict.UNSENT),
+    "another server's address": (response(421, ID), Outcome.FULL, Verdict.UNSENT),
+    "rejected, without an id": (response(503, NOT_RUN), Outcome.ERROR, Verdict.SENT),
+    "another server, without an id": (response(421, b""), Outcome.ERROR, Verdict.SENT),
+    "an answer without an id": (response(200, b"", b"no"), Outcome.ERROR, Verdict.SENT),
     "a body that ends with its connection": (UNFRAMED, Outcome.OK, Verdict.ANSWERED),
     "a body without an end, reset": (UNFRAMED, Outcome.RESET, Verdict.SENT),
     "the end of its connection where a length was due": (
@@ -77,67 +84,71 @@
         Outcome.RESET,
         Verdict.SENT,
     ),
-    "no HTTP": (b"\x00\x01 nonsense\r\n\r\n", Outcome.RESET, Verdict.SENT),
+    "not HTTP": (b"\x00\x01 nonsense\r\n\r\n", Outcome.RESET, Verdict.SENT),
 }
 
 
-@pytest.mark.parametrize("what", SAYS)
-async def test_what_an_answer_says(fleet: Fleet, what: str) -> None:
-    reply, outcome, verdict = SAYS[what]
+@pytest.mark.parametrize("what", RESPONSES)
+async def test_outcome_and_verdict_of_a_response(fleet: Fleet, what: str) -> None:
+    reply, outcome, verdict = RESPONSES[what]
 
-    def heard(peer: object) -> None:
+    def reply_to(peer: object) -> None:
         fleet.server.peers[0].transport.write(reply)
         if "reset" in what:
             reset_by(fleet)
         elif "ends" in what or "the end" in what:
             fleet.server.peers[0].transport.close()
 
-    fleet.server.heard = heard
-    answer = await ended(fleet)
+    fleet.server.heard = reply_to
+    answer = await send_request(fleet)
     assert (answer.outcome, Verdict.of(answer.outcome)) == (outcome, verdict)
-    whole = b"all" if "ends" in what else b"" if what == "its own failure" else b"own"
-    assert answer.outcome is not Outcome.OK or answer.body == whole
+    expected = b"all" if "ends" in what else b"" if what == "its own failure" else b"own"
+    assert answer.outcome is not Outcome.OK or answer.body == expected
     fleet.server.heard = answers(OWN)
-    assert (await ended(fleet)).body == b"own"
-    kept = what in ("its own answer", "its own failure", "go on, then its own", "turned away")
-    kept = kept or what == "another server's address"
-    assert len(fleet.server.peers) == (1 if kept else 2)
+    assert (await send_request(fleet)).body == b"own"
+    reused = what in ("its own answer", "its own failure", "100 Continue, then its own", "rejected")
+    reused = reused or what == "another server's address"
+    assert len(fleet.server.peers) == (1 if reused else 2)
 
 
-async def test_a_connection_that_the_server_has_forgotten_may_have_run_it(fleet: Fleet) -> None:
-    """Nothing shows it before the first byte is written (`idle_race`), and nothing after it shows
-    that the server has not read the request."""
-    assert (await ended(fleet)).outcome is Outcome.OK
+async def test_request_on_a_connection_that_the_server_aborts_may_have_run(fleet: Fleet) -> None:
+    """The client cannot detect the abort before it writes the first byte (`idle_race`), nor know
+    afterwards that the server has not read the request."""
+    assert (await send_request(fleet)).outcome is Outcome.OK
     fleet.server.heard = lambda peer: peer.transport.abort()
-    answer = await ended(fleet)
+    answer = await send_request(fleet)
     assert answer.outcome is Outcome.RESET and Verdict.of(answer.outcome) is Verdict.SENT
-    assert len(fleet.server.peers) == 1  # it went out on the old one, and no second time
+    assert len(fleet.server.peers) == 1  # sent on the old connection only, and not retried
 
 
-async def test_one_that_was_ended_or_spoke_before_is_not_written_to(fleet: Fleet) -> None:
-    assert (await ended(fleet)).outcome is Outcome.OK
-    fleet.server.peers[0].transport.write(said(200, ID, b"again"))  # a second answer, to no request
+async def test_connection_that_was_closed_or_sent_unsolicited_data_is_not_reused(
+    fleet: Fleet,
+) -> None:
+    assert (await send_request(fleet)).outcome is Outcome.OK
+    fleet.server.peers[0].transport.write(
+        response(200, ID, b"again")
+    )  # a second answer, to no request
     await fleet.server.until(lambda: len(fleet.server.closed) == 1)
-    assert (await ended(fleet)).body == b"own"
+    assert (await send_request(fleet)).body == b"own"
     fleet.server.peers[1].transport.close()
     await fleet.server.until(lambda: len(fleet.server.closed) == 2)
-    assert (await ended(fleet)).body == b"own" and len(fleet.server.peers) == 3
+    assert (await send_request(fleet)).body == b"own" and len(fleet.server.peers) == 3
 
 
-async def test_a_second_answer_behind_the_first_is_nobodys(fleet: Fleet) -> None:
-    fleet.server.heard = answers(OWN + said(200, ID, b"again"))
-    assert (await ended(fleet)).body == b"own"
+async def test_second_response_after_the_first_is_discarded(fleet: Fleet) -> None:
+    fleet.server.heard = answers(OWN + response(200, ID, b"again"))
+    assert (await send_request(fleet)).body == b"own"
     fleet.server.heard = answers(OWN)
-    assert (await ended(fleet)).body == b"own" and len(fleet.server.peers) == 2
+    assert (await send_request(fleet)).body == b"own" and len(fleet.server.peers) == 2
 
 
-async def test_silence_after_the_first_byte_may_have_run_and_before_it_has_not(
+async def test_unanswered_request_may_have_run_only_once_its_first_byte_was_written(
     fleet: Fleet,
 ) -> None:
     fleet.server.heard = lambda peer: None
     fleet.send(SENT)
     waiting = fleet.exchange
-    assert waiting.abort() is False  # its connection is not up yet
+    assert waiting.abort() is False  # its connection is not established yet
     fleet.send(SENT)
     written = fleet.exchange
     await fleet.server.until(lambda: any(peer.data for peer in fleet.server.peers))
@@ -148,14 +159,15 @@
     fleet.send(large)
     partly = fleet.exchange
     await fleet.server.until(lambda: partly.written)
-    assert partly.abort() is True  # not all of it: the server may have begun all the same
+    assert partly.abort() is True  # only a part is written, but the server may have started
 
 
-@pytest.mark.parametrize("whole", [True, False])
-async def test_a_server_that_answers_before_the_body_is_in_gets_no_other_bytes_in_its_place(
-    fleet: Fleet, whole: bool
+@pytest.mark.parametrize("is_complete", [True, False])
+async def test_connection_is_not_reused_if_the_response_came_before_the_complete_body(
+    fleet: Fleet, is_complete: bool
 ) -> None:
-    """`whole`: the rest of the body has gone out by the time of the answer, and is no danger."""
+    """Bytes of the next request would be read as the rest of the body. `is_complete`: the complete
+    body was sent before the response, so that the connection can be reused."""
     upload = Upload(200_000, Memory(100), lambda paused: None)
     upload.feed(b"x" * 100_000)
     fleet.server.heard = lambda peer: None
@@ -167,34 +179,34 @@
     await fleet.server.until(
         lambda: bool(fleet.server.peers) and len(fleet.server.peers[0].data) == len(head) + 100_000
     )
-    if whole:
+    if is_complete:
         upload.feed(b"x" * 100_000)
         upload.finish()
         await fleet.server.until(lambda: len(fleet.server.peers[0].data) == len(head) + 200_000)
     fleet.server.peers[0].transport.write(OWN)
     assert (await asyncio.wait_for(ending, 5)).body == b"own"
-    upload.discard()  # as whoever has its answer does with what still comes
+    upload.discard()  # as the listener does with the rest of a body after the response
     fleet.server.heard = answers(OWN)
-    assert (await ended(fleet)).body == b"own"
-    assert len(fleet.server.peers) == (1 if whole else 2)
+    assert (await send_request(fleet)).body == b"own"
+    assert len(fleet.server.peers) == (1 if is_complete else 2)
 
 
 @pytest.mark.parametrize("reset", [True, False])
-async def test_a_slow_body_without_a_length_is_whole_by_an_orderly_end_alone(
+async def test_body_without_a_length_is_complete_only_by_an_orderly_close(
     fleet: Fleet, reset: bool
 ) -> None:
-    """It goes on in parts before its end has come: a reset then is told to whoever has had some of
-    it."""
+    """The body is forwarded in parts before its end is known: after a reset the outcome is RESET,
+    although parts of it were forwarded."""
     ending, parts = asyncio.get_running_loop().create_future(), list[bytes]()
-    came = asyncio.Event()
+    received = asyncio.Event()
 
     def part(data: bytes) -> None:
         parts.append(data)
-        came.set()
+        received.set()
 
     fleet.server.heard = lambda peer: fleet.server.peers[0].transport.write(UNFRAMED)
     fleet.backends.send(1, SENT, ending.set_result, Flow(None, lambda answer: True, part))
-    await asyncio.wait_for(came.wait(), 5)
+    await asyncio.wait_for(received.wait(), 5)
     if reset:
         reset_by(fleet)
     else:
