--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,4 @@
-"""The tests run on the loop that the ingress runs on, and leave no process behind; KNOWN-RED.txt
-heeded."""
+"""Runs tests on uvloop, like the ingress, stops their processes, and applies KNOWN-RED.txt."""
 
 from __future__ import annotations
 
@@ -27,7 +26,7 @@
 
 
 @pytest.fixture(autouse=True)
-def no_program_outlives_its_test() -> Iterator[None]:
+def stop_leftover_processes() -> Iterator[None]:
     yield
     while HELD:
         HELD.pop().close()
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,5 +1,4 @@
-"""One event loop for a feature; a world for each scenario, ended whatever became of it; known
-reds."""
+"""Hooks of behave: one event loop, one world for each scenario, and the list of known failures."""
 
 from __future__ import annotations
 
@@ -19,7 +18,7 @@
 
 def after_all(context: Any) -> None:
     context.loop.close()
-    if known_red := getattr(context, "known_red", None):  # not so where the list is malformed
+    if known_red := getattr(context, "known_red", None):  # missing if the list is malformed
         known_red.after_all()
 
 
@@ -34,7 +33,7 @@
 def after_scenario(context: Any, scenario: Any) -> None:
     if world := getattr(context, "world", None):
         context.loop.run_until_complete(world.end())
-        if scenario.status.has_failed():  # a step that raised, too
+        if scenario.status.has_failed():  # also if a step has raised an exception
             for log in sorted(context.folder.glob("*.log")):
                 print(f"--- {log.name}\n{log.read_text()[-3000:]}")
     shutil.rmtree(context.folder)
--- a/tests/features/steps/system.py
+++ b/tests/features/steps/system.py
@@ -1,4 +1,4 @@
-"""What a person would do and look at, step by step."""
+"""Steps of the system feature: actions of operators and clients, and checks of their results."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
     return register
 
 
-async def until(what: Callable[[], Awaitable[bool]], within: float = 20.0) -> None:
-    async with asyncio.timeout(within):
-        while not await what():
+async def until(condition: Callable[[], Awaitable[bool]], timeout_s: float = 20.0) -> None:
+    async with asyncio.timeout(timeout_s):
+        while not await condition():
             await asyncio.sleep(0.05)
 
 
 @step(
     given,
-    "a system of {cores:d} control and {edges:d} data-plane ingresses with "
+    "a system of {cores:d} control nodes and {edges:d} data-plane ingresses with "
     "{servers:d} servers of each service",
 )
 async def _(context: Any, _: Any, cores: int, edges: int, servers: int) -> None:
@@ -49,12 +49,12 @@
 
 @step(given, "the first configuration is in force")
 async def _(context: Any, world: World) -> None:
-    status, told = await world.configure()
-    assert status == 200, told
+    status, answer = await world.configure()
+    assert status == 200, answer
     await world.ready(2)
 
 
-@step(when, "the first configuration is sent to all control ingresses at once")
+@step(when, "the first configuration is sent to all control nodes at once")
 async def _(context: Any, world: World) -> None:
     context.order = world.content() | {"gen": 4, "parent": 0}
     body = json.dumps(context.order).encode()
@@ -74,68 +74,68 @@
     world.gen = 4
 
 
-@step(then, "each that answers acknowledges it, and it is read back as it was sent")
+@step(then, "each of them acknowledges it, and it is read back as it was sent")
 async def _(context: Any, world: World) -> None:
     assert context.statuses == [200] * len(world.control), context.statuses
     status, read = await world.order("GET", "Config.Read")
     assert status == 200 and read == {k: v for k, v in context.order.items() if k != "parent"}
 
 
-@step(then, "both data-plane ingresses say that they are ready")
+@step(then, "both data-plane ingresses are ready")
 async def _(context: Any, world: World) -> None:
     await world.ready(2)
 
 
 async def send(context: Any, world: World, safe: int, unsafe: int) -> None:
-    asked = [world.request("GET", f"/tiles/{n}?q=1") for n in range(safe)]
-    asked += [world.request("POST", f"/books/{n}", body=b"b%d" % n) for n in range(unsafe)]
-    random.shuffle(asked)
-    context.came = []
-    for at in range(0, len(asked), 10):  # more at once than servers have room for would be refused
-        context.came += await asyncio.gather(*asked[at : at + 10])
+    requests = [world.request("GET", f"/tiles/{n}?q=1") for n in range(safe)]
+    requests += [world.request("POST", f"/books/{n}", body=b"b%d" % n) for n in range(unsafe)]
+    random.shuffle(requests)
+    context.responses = []
+    for start in range(0, len(requests), 10):  # more at once would exceed the servers' capacity
+        context.responses += await asyncio.gather(*requests[start : start + 10])
 
 
-@step(when, "clients send {safe:d} requests that may be repeated and {unsafe:d} that may not")
+@step(when, "clients send {safe:d} idempotent and {unsafe:d} non-idempotent requests")
 async def _(context: Any, world: World, safe: int, unsafe: int) -> None:
     await send(context, world, safe, unsafe)
 
 
-@step(when, "clients send {unsafe:d} requests that may not be repeated")
+@step(when, "clients send {unsafe:d} non-idempotent requests")
 async def _(context: Any, world: World, unsafe: int) -> None:
     await send(context, world, 0, unsafe)
 
 
 def all_served(context: Any, world: World) -> None:
-    statuses = [heard.status for heard in context.came]
+    statuses = [response.status for response in context.responses]
     assert statuses == [200] * len(statuses), statuses
 
 
-@step(then, "every one is served, and ran once")
+@step(then, "every request is served, and ran once")
 async def _(context: Any, world: World) -> None:
     all_served(context, world)
     times = world.ledger.times()
-    assert all(times[heard.request] == 1 for heard in context.came)
+    assert all(times[response.request] == 1 for response in context.responses)
 
 
-@step(then, "servers saw the tenant of each key, and no key")
+@step(then, "servers received the tenant of each key, but no key")
 async def _(context: Any, world: World) -> None:
     assert world.ledger.ran and all(
         line.tenant == "north" and not line.key for line in world.ledger.ran
     )
 
 
-@step(when, 'a server of "{service}" says that it is draining and is heard')
+@step(when, 'a server of "{service}" reports that it is draining, and all ingresses know it')
 async def _(context: Any, world: World, service: str) -> None:
     context.drained = next(s for s in world.up if s.service == service)
     await context.drained.drain()
-    # Told to all within the bound; here as both ingresses have heard, which a reader can
-    # see at once.
-    await until(lambda: settled(world))
+    # Sent to all ingresses within the bound; the step continues as soon as both have received it.
+    await until(lambda: is_up_to_date(world))
 
 
-async def settled(world: World) -> bool:
-    """Every ingress has the newest news that the leader knows of, and it knows of every server: the
-    first beat of one may come later than those of others."""
+async def is_up_to_date(world: World) -> bool:
+    """Whether the leader knows every server, and every ingress has the leader's newest version.
+
+    The first heartbeat of a server may arrive later than those of others."""
     status, shown = await world.order("GET", "Fleet.Show")
     nodes = [n for n in shown["nodes"] if n["kind"] == "edge"]
     if not {s.id for s in world.up} <= {s["id"] for s in shown["servers"]}:
@@ -143,14 +143,14 @@
     return status == 200 and all(n["version"] == shown["version"] and n["current"] for n in nodes)
 
 
-@step(then, "every one is served, and none of these reached the one that drains")
+@step(then, "every request is served, and none of them reached the draining server")
 async def _(context: Any, world: World) -> None:
     all_served(context, world)
-    mine = {heard.request for heard in context.came}
+    request_ids = {response.request for response in context.responses}
     assert not [
         line
         for line in world.ledger.ran
-        if line.request in mine and line.server == context.drained.id
+        if line.request in request_ids and line.server == context.drained.id
     ]
 
 
@@ -177,11 +177,11 @@
 async def _(context: Any, world: World) -> None:
     assert context.answer[0] == 200, context.answer
     for name in ("edge-1", "edge-2"):
-        heard = await world.request("GET", "/new/1", at=world.edge(name))
-        assert heard.status == 200, heard
+        response = await world.request("GET", "/new/1", at=world.edge(name))
+        assert response.status == 200, response
 
 
-@step(when, "the killed one comes back with an empty disk and other seeds")
+@step(when, "the killed node restarts with an empty disk and other seeds")
 async def _(context: Any, world: World) -> None:
     await world.wipe(context.killed)
     world.seeds = [
@@ -190,33 +190,33 @@
     world.start(context.killed)
 
 
-@step(then, "it is a member of the core again")
+@step(then, "it is a member of the control cluster again")
 async def _(context: Any, world: World) -> None:
-    disk = []
+    own_members = []
 
-    async def back() -> bool:
+    async def is_member() -> bool:
         _, shown = await world.order("GET", "Fleet.Show")
-        disk[:] = [
+        own_members[:] = [
             m for m in shown["members"] if m[0].startswith(f"{world.machines[context.killed].ip}:")
         ]
-        return len(shown["members"]) == world.cores and not disk[0][1].startswith("first-")
+        return len(shown["members"]) == world.cores and not own_members[0][1].startswith("first-")
 
-    await until(back)
+    await until(is_member)
 
 
-@step(then, "nothing was broken")
+@step(then, "no guarantee was violated")
 async def _(context: Any, world: World) -> None:
     assert world.verdict() == []
 
 
-@step(when, "the whole core is killed")
+@step(when, "all control nodes are killed")
 async def _(context: Any, world: World) -> None:
     for name, machine in world.machines.items():
         if machine.core:
             await world.kill(name)
 
 
-@step(then, "clients are still told where to go, and are served there")
+@step(then, "clients can still look up ingresses, and are served there")
 async def _(context: Any, world: World) -> None:
     assert sorted(await world.look_up("south")) == sorted(
         world.edge(n) for n in ("edge-1", "edge-2")
@@ -224,7 +224,7 @@
     assert (await world.request("GET", "/tiles/1")).status == 200
 
 
-@step(when, "the data-plane ingresses start again")
+@step(when, "the data-plane ingresses restart")
 async def _(context: Any, world: World) -> None:
     for name, machine in world.machines.items():
         if not machine.core:
@@ -232,54 +232,54 @@
             world.start(name)
 
 
-@step(when, "the core comes back once they have asked in vain")
+@step(when, "the control nodes restart after the ingresses have failed to find a leader")
 async def _(context: Any, world: World) -> None:
-    async def asked() -> bool:
+    async def have_found_no_leader() -> bool:
         logs = [
             (world.folder / f"{n}.log").read_text() for n, m in world.machines.items() if not m.core
         ]
         return all("no_leader" in log for log in logs)
 
-    await until(asked)
+    await until(have_found_no_leader)
     for name, machine in world.machines.items():
         if machine.core:
             world.start(name)
 
 
-@step(then, "these requests are answered so, and none of them runs:")
+@step(then, "these requests are answered with an error, and none of them runs:")
 async def _(context: Any, world: World) -> None:
     for row in context.table:
-        heard = await world.request(row["method"], row["path"], row["key"], Host=row["host"])
-        assert heard.status == int(row["status"]), (row, heard)
+        response = await world.request(row["method"], row["path"], row["key"], Host=row["host"])
+        assert response.status == int(row["status"]), (row, response)
     assert not world.ledger.ran
 
 
 @step(then, "these requests are served:")
 async def _(context: Any, world: World) -> None:
     for row in context.table:
-        heard = await world.request(row["method"], row["path"], row["key"], Host=row["host"])
-        assert heard.status == 200, (row, heard)
+        response = await world.request(row["method"], row["path"], row["key"], Host=row["host"])
+        assert response.status == 200, (row, response)
 
 
-@step(then, "a tenant named by the client is not believed")
+@step(then, "a tenant named by the client is ignored")
 async def _(context: Any, world: World) -> None:
-    heard = await world.request(
+    response = await world.request(
         "GET", "/tiles/1", OTHER_KEY, X_Tenant="north", X_Target_Instance="i-none"
     )
-    assert heard.status == 200 and world.ledger.ran[-1].tenant == "south"
+    assert response.status == 200 and world.ledger.ran[-1].tenant == "south"
     await world.request("GET", "/open/1", "", X_Tenant="north")
     assert world.ledger.ran[-1].tenant == ""
 
 
-@step(then, "these calls are refused and change nothing:")
+@step(then, "these calls are rejected and change nothing:")
 async def _(context: Any, world: World) -> None:
     _, before = await world.order("GET", "Config.Read")
     for row in context.table:
-        for address in world.control:  # at each: those that do not lead pass it on
+        for address in world.control:  # at each node: followers forward the call
             status, body = await ask(
                 address, row["method"], f"/-/{row['call']}", row["body"].encode()
             )
-            assert status == int(row["status"]) and row["told"] in body.decode(), (
+            assert status == int(row["status"]) and row["error"] in body.decode(), (
                 row,
                 status,
                 body,
@@ -287,7 +287,7 @@
     assert (await world.order("GET", "Config.Read"))[1] == before
 
 
-@step(then, "a zone that two operators evacuate is used again once both have taken it back")
+@step(then, "a zone that two operators evacuate is used again once both have finished the drain")
 async def _(context: Any, world: World) -> None:
     calls = ["Begin", "Begin", "Finish", "Finish"]
     left = []
@@ -295,29 +295,32 @@
         address = world.control[number % len(world.control)]
         status, body = await ask(address, "POST", f"/-/Drain.{call}/north-a", b"")
         left.append((status, json.loads(body)["orders"]))
-        await asyncio.sleep(0.05)  # that the answer was read is on its way to the leader
+        await asyncio.sleep(0.05)  # until the receipt of the answer has reached the leader
     assert left == [(200, 1), (200, 2), (200, 1), (200, 0)], left
 
 
 @step(
-    then, "of two changes on the same version one wins, and the one that won is acknowledged again"
+    then,
+    "of two changes of the same version one is accepted, and is acknowledged again on a retry",
 )
 async def _(context: Any, world: World) -> None:
     orders = [
         {"gen": world.gen + n, "parent": world.gen, "remove": {"routes": [r]}}
         for n, r in ((3, "open"), (4, "tiles"))
     ]
-    told = await asyncio.gather(*(world.order("POST", "Config.Update", order) for order in orders))
-    assert sorted(status for status, _ in told) == [200, 412], told
-    won = orders[[status for status, _ in told].index(200)]
-    assert (await world.order("POST", "Config.Update", won))[0] == 200
-    assert (await world.order("GET", "Config.Read"))[1]["gen"] == won["gen"]
+    answers = await asyncio.gather(
+        *(world.order("POST", "Config.Update", order) for order in orders)
+    )
+    assert sorted(status for status, _ in answers) == [200, 412], answers
+    accepted = orders[[status for status, _ in answers].index(200)]
+    assert (await world.order("POST", "Config.Update", accepted))[0] == 200
+    assert (await world.order("GET", "Config.Read"))[1]["gen"] == accepted["gen"]
 
 
-HOW = {
-    "send a second answer after each": "late",
-    "break off their answers": "cut",
-    "turn all away": "full",
+SERVER_FAULTS = {
+    "send a second response after each": "late",
+    "truncate their responses": "cut",
+    "reject all requests": "full",
 }
 
 
@@ -325,12 +328,12 @@
 async def _(context: Any, world: World, service: str, how: str) -> None:
     for server in world.up:
         if server.service == service:
-            server.how = HOW.get(how, "")
+            server.how = SERVER_FAULTS.get(how, "")
             server.chunked = how == "answer in chunks"
             server.work = 0.5 if how == "take half a second" else server.work
 
 
-@step(then, "{count:d} requests on one connection each get their own answer")
+@step(then, "{count:d} requests on one connection each get their own response")
 async def _(context: Any, world: World, count: int) -> None:
     host, _, port = world.edge("edge-1").rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -347,20 +350,20 @@
         ), head
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
         await reader.readexactly(length)
-        await asyncio.sleep(0.03)  # the answer too many is on its way: it belongs to nobody
+        await asyncio.sleep(0.03)  # for the surplus response, which belongs to no request
     writer.close()
     assert all(n == 1 for n in (world.ledger.times()[id] for id in ids))
     world.ledger.ran = [line for line in world.ledger.ran if line.request not in ids]
 
 
-@step(then, "a request that may not be repeated gets {status:d}, and {ran}")
+@step(then, "a non-idempotent request gets {status:d}, and {ran}")
 async def _(context: Any, world: World, status: int, ran: str) -> None:
-    heard = await world.request("POST", "/books/1", body=b"x")
-    assert heard.status == status, heard
-    assert world.ledger.times()[heard.request] == (1 if ran == "ran once" else 0)
+    response = await world.request("POST", "/books/1", body=b"x")
+    assert response.status == status, response
+    assert world.ledger.times()[response.request] == (1 if ran == "ran once" else 0)
 
 
-@step(then, "a body in chunks comes back whole")
+@step(then, "a chunked body is echoed completely")
 async def _(context: Any, world: World) -> None:
     host, _, port = world.edge("edge-1").rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -381,29 +384,29 @@
     world.ledger.ran = [line for line in world.ledger.ran if line.request != "chunks"]
 
 
-@step(when, "a data-plane ingress is told to stop while requests are under way there")
+@step(when, "a data-plane ingress is stopped while it has requests in flight")
 async def _(context: Any, world: World) -> None:
     before = len(world.ledger.ran)
-    asked = [
+    requests = [
         asyncio.ensure_future(world.request("POST", "/books/1", at=world.edge("edge-1")))
         for _ in range(4)
     ]
 
-    async def under_way() -> bool:
+    async def are_in_flight() -> bool:
         return len(world.ledger.ran) >= before + 4
 
-    await until(under_way)
+    await until(are_in_flight)
     world.tell("edge-1", signal.SIGTERM)
-    context.came = await asyncio.gather(*asked)
+    context.responses = await asyncio.gather(*requests)
 
 
-@step(then, "all of them are answered in full, and clients are no longer sent there")
+@step(then, "all of them are answered completely, and clients are no longer sent there")
 async def _(context: Any, world: World) -> None:
     all_served(context, world)
     process = world.machines["edge-1"].process
     assert process
 
-    async def gone() -> bool:
+    async def has_stopped() -> bool:
         return world.edge("edge-1") not in await world.look_up("north") and process.poll() == 0
 
-    await until(gone)
+    await until(has_stopped)
--- a/tests/http_api/test_server.py
+++ b/tests/http_api/test_server.py
@@ -1,4 +1,4 @@
-"""Calls at a core machine's doors whose callers are gone before they are begun."""
+"""HTTP server: requests whose client has disconnected before they are processed."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 )
 
 
-async def calls_taken(end: bool) -> list[str]:
-    """What is begun of a call that came while the process did nothing else. `end`: its caller has
-    left."""
-    taken: list[str] = []
+async def handled_targets(disconnect: bool) -> list[str]:
+    """The requests that were processed: one that arrives while the process is busy, and a later
+    one. `disconnect`: the first client has closed its connection by then."""
+    handled: list[str] = []
 
-    async def take(method: str, target: str, body: bytes) -> Response:
-        taken.append(target)
+    async def handle(method: str, target: str, body: bytes) -> Response:
+        handled.append(target)
         return json_response(200, {})
 
-    addresses = HttpServer(take)
+    server = HttpServer(handle)
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
-        at = probe.getsockname()
-    await addresses.listen(at)
-    caller = socket.create_connection(at)  # nothing of it is read until this function waits
-    caller.sendall(CALL)
-    if end:
-        caller.close()
-    # comes after it, and is answered
-    assert (await ask(f"{at[0]}:{at[1]}", "POST", "/-/later"))[0] == 200
-    caller.close()
-    addresses.stop()
-    return taken
+        address = probe.getsockname()
+    await server.listen(address)
+    client = socket.create_connection(address)  # nothing is read from it before the next `await`
+    client.sendall(CALL)
+    if disconnect:
+        client.close()
+    # Sent after the first request, and answered.
+    assert (await ask(f"{address[0]}:{address[1]}", "POST", "/-/later"))[0] == 200
+    client.close()
+    server.stop()
+    return handled
 
 
-def test_a_call_whose_caller_has_gone_is_not_begun() -> None:
-    assert uvloop.run(calls_taken(end=True)) == ["/-/later"]
+def test_request_of_a_disconnected_client_is_not_processed() -> None:
+    assert uvloop.run(handled_targets(disconnect=True)) == ["/-/later"]
 
 
-def test_a_call_whose_caller_waits_is_begun() -> None:
-    assert uvloop.run(calls_taken(end=False)) == ["/-/Drain.Begin/north-a", "/-/later"]
+def test_request_of_a_waiting_client_is_processed() -> None:
+    assert uvloop.run(handled_targets(disconnect=False)) == ["/-/Drain.Begin/north-a", "/-/later"]
 
 
-def test_the_same_on_the_loop_in_python() -> None:
-    assert asyncio.run(calls_taken(end=True)) == ["/-/later"]
+def test_request_of_a_disconnected_client_is_not_processed_on_the_asyncio_loop() -> None:
+    assert asyncio.run(handled_targets(disconnect=True)) == ["/-/later"]
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -1,5 +1,7 @@
-"""What is not meant for this life of this process of this system, or was said by an older leader,
-is acted upon by nobody: hellos, answers, terms, copies."""
+"""Messages of other systems, other incarnations or former leaders, and duplicates, have no effect.
+
+Covers hellos, answers, terms and duplicate calls.
+"""
 
 from __future__ import annotations
 
@@ -42,7 +44,7 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Bounds, parse_settings
 from tests.control.test_state_models import SETTINGS
-from tests.rpc.test_peer import HOST, free, order, rpc_peer
+from tests.rpc.test_peer import HOST, free_port, order, rpc_peer
 
 HERE, OTHER = "0123456789abcdef", "fedcba9876543210"
 
@@ -53,19 +55,19 @@
 
 
 def hello(to: str, **fields: Any) -> pb.Envelope:
-    made = {
+    values = {
         "format": FRAME_FORMAT,
         "system": HERE,
         "incarnation": "b",
         "address": "127.0.0.1:1",
         "recipient": to,
     }
-    made |= fields
-    return pb.Envelope(hello=pb.Hello(**made))
+    values |= fields
+    return pb.Envelope(hello=pb.Hello(**values))
 
 
-class Raw:
-    """The other end of a connection, which says what the test wants."""
+class RawConnection:
+    """The other side of a connection, scripted by the test."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -79,7 +81,7 @@
         self.writer.write(b"".join(map(framed, envelopes)))
 
     async def ended(self) -> bool:
-        """Whether nothing more comes, but for a hello."""
+        """Whether the connection is closed without further envelopes, except hellos."""
         try:
             while (await self.read()).HasField("hello"):
                 pass
@@ -88,21 +90,23 @@
         return False
 
     @classmethod
-    async def dial(cls, address: str) -> Raw:
+    async def dial(cls, address: str) -> RawConnection:
         host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
 
 
 @asynccontextmanager
-async def raw_server(port: int = 0) -> AsyncIterator[tuple[str, asyncio.Queue[Raw]]]:
-    came: asyncio.Queue[Raw] = asyncio.Queue()
-    server = await asyncio.start_server(lambda r, w: came.put_nowait(Raw(r, w)), HOST, port)
+async def raw_server(port: int = 0) -> AsyncIterator[tuple[str, asyncio.Queue[RawConnection]]]:
+    accepted_connections: asyncio.Queue[RawConnection] = asyncio.Queue()
+    server = await asyncio.start_server(
+        lambda r, w: accepted_connections.put_nowait(RawConnection(r, w)), HOST, port
+    )
     try:
-        yield f"{HOST}:{server.sockets[0].getsockname()[1]}", came
+        yield f"{HOST}:{server.sockets[0].getsockname()[1]}", accepted_connections
     finally:
         server.close()
-        while not came.empty():
-            came.get_nowait().writer.close()
+        while not accepted_connections.empty():
+            accepted_connections.get_nowait().writer.close()
 
 
 async def until(holds: Callable[[], bool]) -> None:
@@ -111,8 +115,8 @@
             await asyncio.sleep(0.002)
 
 
-def outcome(envelope: pb.Envelope, body: bytes, **fields: Any) -> pb.Envelope:
-    """An answer to that call."""
+def answer_to(envelope: pb.Envelope, body: bytes, **fields: Any) -> pb.Envelope:
+    """An answer to this call."""
     return pb.Envelope(
         call_id=envelope.call_id,
         is_answer=True,
@@ -124,146 +128,151 @@
 # Answers.
 
 
-async def test_an_answer_is_taken_on_the_connection_that_its_call_went_out_on() -> None:
-    async with rpc_peer() as ours, raw_server() as (address, came):
+async def test_answer_is_accepted_only_on_the_connection_of_its_call() -> None:
+    async with rpc_peer() as ours, raw_server() as (address, accepted_connections):
         ours.system = HERE
         call = asyncio.create_task(ours.call(address, order(), 5.0))
-        asked = await came.get()
+        asked = await accepted_connections.get()
         assert (
             said := (await asked.read()).hello
         ).recipient == address and said.incarnation == ours.incarnation
-        sent = await asked.read()  # together with the hello: it waits for no answer to that
-        stranger = await Raw.dial(ours.own_address)
-        stranger.write(hello(ours.own_address), outcome(sent, b"by another process"))
+        sent = await asked.read()  # sent together with the hello, without waiting for a reply
+        stranger = await RawConnection.dial(ours.own_address)
+        stranger.write(hello(ours.own_address), answer_to(sent, b"by another process"))
         await until(lambda: ours.rejected.get("unsolicited") == 1)
         assert not call.done()
-        asked.write(hello("", address=address), outcome(sent, b"by who was asked"))
+        asked.write(hello("", address=address), answer_to(sent, b"by who was asked"))
         assert (await call).operation_response.body == b"by who was asked"
         stranger.writer.close()
 
 
-async def test_a_late_answer_of_a_life_before_is_not_taken_on_a_newer_connection() -> None:
-    async with rpc_peer() as ours, raw_server() as (address, came):
+async def test_late_answer_of_an_earlier_incarnation_is_rejected_on_a_newer_connection() -> None:
+    async with rpc_peer() as ours, raw_server() as (address, accepted_connections):
         with pytest.raises(CallError) as silent:
-            await asyncio.gather(ours.call(address, order(), 5.0), end_first(came))
+            await asyncio.gather(ours.call(address, order(), 5.0), end_first(accepted_connections))
         assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
         ours._pool._backoffs.clear()
         call = asyncio.create_task(ours.call(address, order(), 5.0))
-        second = await came.get()
+        second = await accepted_connections.get()
         await second.read()
         sent = await second.read()
         second.write(
-            hello("", address=address), outcome(pb.Envelope(call_id=sent.call_id - 1), b"late")
+            hello("", address=address), answer_to(pb.Envelope(call_id=sent.call_id - 1), b"late")
         )
         await until(lambda: ours.rejected.get("unsolicited") == 1)
-        second.write(hello("", address=address, incarnation="c"), outcome(sent, b"of another life"))
-        # the connection's life cannot change: what follows is not heard
+        second.write(
+            hello("", address=address, incarnation="c"), answer_to(sent, b"of another life")
+        )
+        # The incarnation of a connection cannot change: the answer is not processed.
         with pytest.raises(CallError):
             await call
         assert ours.rejected["malformed"] == 1
 
 
-async def end_first(came: asyncio.Queue[Raw]) -> None:
-    first = await came.get()
+async def end_first(accepted_connections: asyncio.Queue[RawConnection]) -> None:
+    first = await accepted_connections.get()
     await first.read()
     await first.read()
     first.writer.transport.abort()
 
 
-async def test_two_lives_neither_share_a_name_nor_count_their_calls_alike() -> None:
-    lives = [RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)) for _ in range(20)]
+async def test_incarnations_differ_in_their_id_and_their_call_ids() -> None:
+    incarnations = [RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)) for _ in range(20)]
     assert (
-        len({w.incarnation for w in lives}) == len({w._pending._last_id >> 8 for w in lives}) == 20
+        len({peer.incarnation for peer in incarnations})
+        == len({peer._pending._last_id >> 8 for peer in incarnations})
+        == 20
     )
 
 
-# Who may connect.
+# Handshake.
 
 FOREIGN = {
     "another format": [hello("", format=FRAME_FORMAT + 1)],
-    "no life": [hello("", incarnation="")],
-    "no door": [hello("", address="")],
+    "no incarnation": [hello("", incarnation="")],
+    "no address": [hello("", address="")],
     "meant for another": [hello("10.9.9.9:7600")],
     "meant for nobody": [hello("nobody")],
     "another system": [hello("", system=OTHER)],
     "no hello": [order()],
-    "another life later": [hello(""), hello("", incarnation="c")],
+    "another incarnation later": [hello(""), hello("", incarnation="c")],
     "another system later": [hello("", system=""), hello("", system=OTHER)],
 }
 
 
 @pytest.mark.parametrize("what", FOREIGN)
-async def test_what_is_foreign_is_dropped_and_nothing_acted_upon(
+async def test_foreign_connection_is_closed_and_none_of_its_messages_processed(
     what: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    noted = list[Event]()
-    monkeypatch.setattr(rejection_log, "log_event", lambda event, *args: noted.append(event))
+    logged = list[Event]()
+    monkeypatch.setattr(rejection_log, "log_event", lambda event, *args: logged.append(event))
     async with rpc_peer() as ours, rpc_peer() as friend:
         ours.system = friend.system = HERE
         heard = list[pb.Envelope]()
         ours._handle_message = heard.append
         for _ in range(3):
-            raw = await Raw.dial(ours.own_address)
-            said = [pb.Envelope.FromString(e.SerializeToString()) for e in FOREIGN[what]]
-            for envelope in said:
+            raw = await RawConnection.dial(ours.own_address)
+            envelopes = [pb.Envelope.FromString(e.SerializeToString()) for e in FOREIGN[what]]
+            for envelope in envelopes:
                 if envelope.HasField("hello") and not envelope.hello.recipient:
                     envelope.hello.recipient = ours.own_address
                 elif envelope.HasField("hello") and envelope.hello.recipient == "nobody":
                     envelope.hello.recipient = ""
-            raw.write(*said, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
+            raw.write(*envelopes, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
             assert await raw.ended()
         assert heard == [] and sum(ours.rejected.values()) == 3
-        # one in 5 s
-        assert len(noted) == 1 and noted[0] in (Event.FOREIGN_PEER, Event.MALFORMED_FRAME)
+        # One log line in 5 s.
+        assert len(logged) == 1 and logged[0] in (Event.FOREIGN_PEER, Event.MALFORMED_FRAME)
         assert (await friend.call(ours.own_address, order(), 2.0)).operation_response.status == 200
 
 
-async def test_a_foreign_process_at_a_reused_address_is_left_and_not_dialled_at_once() -> None:
-    async with rpc_peer() as ours, raw_server() as (address, came):
+async def test_foreign_process_at_a_reused_address_is_disconnected_and_backed_off() -> None:
+    async with rpc_peer() as ours, raw_server() as (address, accepted_connections):
         ours.system = HERE
         call = asyncio.create_task(ours.call(address, order(), 5.0))
-        raw = await came.get()
+        raw = await accepted_connections.get()
         await raw.read()
         sent = await raw.read()
-        raw.write(hello("", system=OTHER, address=address), outcome(sent, b"foreign"))
+        raw.write(hello("", system=OTHER, address=address), answer_to(sent, b"foreign"))
         with pytest.raises(CallError) as broken:
             await call
         assert broken.value.may_have_run and ours.rejected["foreign"] == 1
         with pytest.raises(CallError) as paused:
             await ours.call(address, order(), 5.0)
-        assert paused.value.code is FaultCode.UNREACHABLE and came.empty()
+        assert paused.value.code is FaultCode.UNREACHABLE and accepted_connections.empty()
 
 
-async def test_a_name_is_learnt_from_who_was_dialled_and_from_nobody_else() -> None:
+async def test_system_name_is_learnt_from_dialled_processes_only() -> None:
     async with rpc_peer() as ours, rpc_peer() as named:
         heard = list[pb.Envelope]()
         ours._handle_message = heard.append
         named.system = OTHER
-        beat = pb.Envelope(log_message=pb.LogMessage(term=9))
-        named.send(ours.own_address, beat)  # as the leader of a system that had this address before
+        heartbeat = pb.Envelope(log_message=pb.LogMessage(term=9))
+        # As from the leader of another system that had this address before.
+        named.send(ours.own_address, heartbeat)
         await until(lambda: ours.rejected.get("untrusted") == 1)
         assert ours.system == "" and heard == []
-        # asked, it may answer
+        # It may answer calls.
         assert (await named.call(ours.own_address, order(), 2.0)).operation_response.status == 200
         async with rpc_peer() as seed:
             assert (
                 await ours.call(seed.own_address, order(), 2.0)
             ).operation_response.status == 200 and ours.system == ""
-            seed.set_system_name(HERE)  # drawn while they were connected
+            seed.set_system_name(HERE)  # assigned while they are connected
             await until(lambda: ours.system == HERE)
-            assert ours.rejected.get("foreign") == 1  # the other system's was left then
-            seed.send(ours.own_address, beat)
+            assert ours.rejected.get("foreign") == 1  # the other system's connection was closed
+            seed.send(ours.own_address, heartbeat)
             await until(lambda: len(heard) == 1)
 
 
-class Ends:
-    """A process that writes down what its connection brings."""
+class RecordingOwner:
+    """A connection owner that records the envelopes received."""
 
     own_address, incarnation, system = "127.0.0.1:2", "a", HERE
 
     def __init__(self) -> None:
-        self.came_in: list[bytes] = []
-        self.bad = 0
+        self.received: list[bytes] = []
+        self.error_count = 0
 
     def now(self) -> float:
         return 0.0
@@ -274,14 +283,14 @@
         return True
 
     def envelope_received(self, connection: FramedConnection, envelope: pb.Envelope) -> None:
-        self.came_in.append(envelope.SerializeToString())
+        self.received.append(envelope.SerializeToString())
 
     def protocol_error(self, connection: FramedConnection, reason: str) -> None:
-        self.bad += 1
+        self.error_count += 1
         connection.abort()
 
 
-class Wire:
+class MemoryTransport:
     """A transport in memory."""
 
     def __init__(self) -> None:
@@ -303,64 +312,74 @@
         self.closing = True
 
 
-def plainly(data: bytes) -> tuple[list[bytes], int]:
-    """The model: frames one after the other, until the first that is bad; a hello comes first."""
-    came, greeted, life = list[bytes](), False, ("", "")
+def parse_by_model(data: bytes) -> tuple[list[bytes], int]:
+    """The model: frames in order, until the first invalid one; the first must be a hello.
+
+    Returns the envelopes and the number of protocol errors.
+    """
+    envelopes, greeted, identity = list[bytes](), False, ("", "")
     while len(data) >= 4:
         size = int.from_bytes(data[:4], "big")
         if size > (32 << 20 if greeted else MAX_HELLO_BYTES):
-            return came, 1
+            return envelopes, 1
         if len(data) < 4 + size:
             break
         frame, data = data[4 : 4 + size], data[4 + size :]
         try:
             envelope = pb.Envelope.FromString(frame)
         except Exception:
-            return came, 1
+            return envelopes, 1
         if envelope.HasField("hello"):
             now = (envelope.hello.incarnation, envelope.hello.address)
-            if greeted and now != life:
-                return came, 1
-            greeted, life = True, now
+            if greeted and now != identity:
+                return envelopes, 1
+            greeted, identity = True, now
         elif not greeted:
-            return came, 1
+            return envelopes, 1
         else:
-            came.append(envelope.SerializeToString())
-    return came, 0
+            envelopes.append(envelope.SerializeToString())
+    return envelopes, 0
 
 
-GOOD = [
+VALID_FRAMES = [
     framed(e)
     for e in (
         order("x"),
-        outcome(order(), b"y"),
+        answer_to(order(), b"y"),
         pb.Envelope(call_id=7, watch_request=pb.WatchRequest(config_version=3)),
     )
 ]
 PIECES = st.one_of(
     st.sampled_from(
-        [*GOOD, framed(hello("t")), framed(hello("t", incarnation="c")), struct.pack(">I", 1 << 31)]
+        [
+            *VALID_FRAMES,
+            framed(hello("t")),
+            framed(hello("t", incarnation="c")),
+            struct.pack(">I", 1 << 31),
+        ]
     ),
     st.binary(max_size=12),
-    st.builds(lambda piece, cut: piece[:cut], st.sampled_from(GOOD), st.integers(0, 30)),
+    st.builds(
+        lambda piece, length: piece[:length], st.sampled_from(VALID_FRAMES), st.integers(0, 30)
+    ),
 )
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.booleans(), st.lists(PIECES, max_size=8), st.lists(st.integers(1, 40), max_size=30))
-def test_bytes_cut_anywhere_bring_what_the_plain_model_reads(
-    greets: bool, pieces: list[bytes], cuts: list[int]
+def test_frames_split_anywhere_are_read_as_by_the_model(
+    greets: bool, pieces: list[bytes], chunk_sizes: list[int]
 ) -> None:
     data = (framed(hello("t")) if greets else b"") + b"".join(pieces)
-    process, wire = Ends(), Wire()
-    frames = FramedConnection(process, "127.0.0.1:1")
-    frames.connection_made(cast(Any, wire))
-    rest, sizes = data, [*cuts, len(data) + 1]
+    owner, transport = RecordingOwner(), MemoryTransport()
+    connection = FramedConnection(owner, "127.0.0.1:1")
+    connection.connection_made(cast(Any, transport))
+    rest, sizes = data, [*chunk_sizes, len(data) + 1]
     for size in sizes:
-        if rest and not wire.closing:
-            frames.data_received(rest[:size])
+        if rest and not transport.closing:
+            connection.data_received(rest[:size])
             rest = rest[size:]
-    assert (process.came_in, process.bad) == plainly(data)
+    assert (owner.received, owner.error_count) == parse_by_model(data)
 
 
 # Terms.
@@ -381,13 +400,13 @@
     return answer
 
 
-async def test_an_old_leaders_word_after_a_newer_one_is_refused_also_through_a_peer() -> None:
+async def test_answer_of_a_former_leader_is_rejected_also_through_a_peer() -> None:
     async with (
         rpc_peer() as ours,
         rpc_peer() as old,
         rpc_peer() as new,
         rpc_peer() as peer,
-        rpc_peer() as heard_both,
+        rpc_peer() as newer_peer,
     ):
         old._handle_call, new._handle_call = leader(4, b"old"), leader(5, b"new")
         ask = LeaderClient(ours, lambda: [new.own_address], lambda: [peer.own_address])
@@ -397,7 +416,7 @@
         ask.leader_address = old.own_address
         assert (await ask.call(order(), 2.0, 1.0)).operation_response.body == b"new"
         assert ours.rejected["stale"] == 1 and ask.leader_address == new.own_address
-        # the way there is cut: by the peer
+        # The former leader's address is avoided: the call goes through the peer.
         ask.leader_address, ask._avoided[old.own_address] = (
             old.own_address,
             AvoidedAddress(ours.now() + 9, 9.0),
@@ -405,30 +424,33 @@
         assert (
             await ask.call(order(), 2.0, 1.0)
         ).operation_response.body == b"new" and ours.rejected["stale"] == 2
-        heard_both.fence.newest = 5
-        passed = order()
-        passed.forward_to = old.own_address
-        # a peer that has heard the newer passes no older on
+        newer_peer.fence.newest = 5
+        forwarded = order()
+        forwarded.forward_to = old.own_address
+        # A peer that knows the newer term forwards no answer of an older one.
         with pytest.raises(CallError) as refused:
-            await peer.call(heard_both.own_address, passed, 2.0)
+            await peer.call(newer_peer.own_address, forwarded, 2.0)
         assert refused.value.code is FaultCode.TIMED_OUT and refused.value.may_have_run
 
 
-WORDS = st.lists(st.tuples(st.integers(1, 6), st.booleans()), max_size=12)
+# Answers of leaders: term, and whether the answer comes through a peer.
+LEADER_ANSWERS = st.lists(st.tuples(st.integers(1, 6), st.booleans()), max_size=12)
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
-@given(WORDS)
-def test_which_words_may_be_acted_on_as_in_the_plain_model(words: list[tuple[int, bool]]) -> None:
-    """Only such as are of no older term than any that was acted on in this life, whichever way they
-    come."""
+@given(LEADER_ANSWERS)
+def test_answers_are_accepted_by_term_as_in_the_model(
+    leader_answers: list[tuple[int, bool]],
+) -> None:
+    """An answer is accepted only if no answer of a newer term was accepted by this incarnation,
+    directly or through a peer."""
 
     async def play() -> None:
         ours = RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None))
-        left, acted, terms = list(words), list[int](), list[int]()
+        left, accepted, terms = list(leader_answers), list[int](), list[int]()
 
-        async def call(address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
-            assert envelope.term == max(terms, default=0)  # the leader is told what was heard
+        async def call(address: str, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
+            assert envelope.term == max(terms, default=0)  # calls carry the newest known term
             if not left:
                 raise RejectedError()
             term, by_peer = left.pop(0)
@@ -441,7 +463,7 @@
         ask = LeaderClient(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
         while left:
             try:
-                acted.append(
+                accepted.append(
                     (
                         await ask.call(
                             pb.Envelope(quota_request=pb.QuotaRequest(amount=1)), 5.0, 5.0
@@ -450,12 +472,12 @@
                 )
             except CallError:
                 break
-        assert acted == terms
+        assert accepted == terms
 
     asyncio.run(play())
 
 
-async def test_every_kind_of_call_says_what_a_copy_does_and_remembered_ones_carry_an_id() -> None:
+async def test_call_kinds_cover_all_bodies_and_remembered_ones_carry_a_request_id() -> None:
     kinds = {field.name for field in pb.Envelope.DESCRIPTOR.oneofs_by_name["body"].fields}
     assert kinds == CALL_KINDS.keys()
     assert {n for n, kind in CALL_KINDS.items() if kind.from_leader} == {
@@ -463,7 +485,7 @@
     }
     ours, sent = RpcPeer((HOST, 1), lambda envelope: None, cast(Any, None)), list[pb.Envelope]()
 
-    async def call(address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
+    async def call(address: str, envelope: pb.Envelope, timeout_s: float) -> pb.Envelope:
         sent.append(envelope)
         raise CallTimeoutError() if len(sent) % 3 else RejectedError()
 
@@ -476,31 +498,31 @@
     ):
         with pytest.raises(CallError):
             await ask.call(envelope, 5.0, 5.0)
-    assert [e.request_id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # alike on every copy
+    assert [e.request_id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # the same on each attempt
 
 
-async def core(folder: Path, **fields: Any) -> ControlNode:
-    """A control node that leads; its loops do not run."""
-    port = free()
+async def control_node(folder: Path, **fields: Any) -> ControlNode:
+    """A control node whose loops do not run; `lead` makes it the leader."""
+    port = free_port()
     raw = {name: dict(part) for name, part in SETTINGS.items()}
     raw["self"] |= {"ip": HOST, "stateDir": str(folder), "serves": [], "bootstrap": True}
     raw["network"] |= {"portRange": [port, port + 9], "peers": [f"{HOST}:9"], "listen": {}}
-    made = ControlNode(parse_settings(raw))
-    return made
+    node = ControlNode(parse_settings(raw))
+    return node
 
 
-async def lead(made: ControlNode) -> int:
+async def lead(node: ControlNode) -> int:
     async with asyncio.timeout(10):
-        while not (made.leadership and made.rpc_peer.system):
-            made.driver.tick()
-            made.system_name.draw()
+        while not (node.leadership and node.rpc_peer.system):
+            node.driver.tick()
+            node.system_name.draw()
             await asyncio.sleep(0.005)
-    assert made.leadership
-    return made.leadership.term
+    assert node.leadership
+    return node.leadership.term
 
 
-async def test_a_full_disk_does_not_keep_a_core_from_its_systems_name(tmp_path: Path) -> None:
-    made = await core(tmp_path)
+async def test_control_node_adopts_the_system_name_with_a_full_disk(tmp_path: Path) -> None:
+    made = await control_node(tmp_path)
     env = made._storage._env
 
     class Full:
@@ -516,33 +538,40 @@
     made._storage.close()
 
 
-async def test_the_leader_takes_no_call_meant_for_another_term_and_keeps_the_systems_name(
+async def test_leader_rejects_calls_of_other_terms_and_keeps_the_system_name(
     tmp_path: Path,
 ) -> None:
-    made = await core(tmp_path)
+    made = await control_node(tmp_path)
     term = await lead(made)
     assert made.leadership
     seen = Endpoint("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, made.now())
     made.leadership.endpoint_registry.record_heartbeat(seen)
-    for said, seq, then in ((term + 1, 7, 1), (term - 1, 8, 8), (term, 9, 9), (term, 5, 9)):
-        beats = pb.Envelope(
-            term=said, heartbeat_report=pb.HeartbeatReport(ids=["i"], seqs=[seq], ages_ms=[3000])
+    for call_term, seq, expected_seq in (
+        (term + 1, 7, 1),
+        (term - 1, 8, 8),
+        (term, 9, 9),
+        (term, 5, 9),
+    ):
+        report = pb.Envelope(
+            term=call_term,
+            heartbeat_report=pb.HeartbeatReport(ids=["i"], seqs=[seq], ages_ms=[3000]),
         )
         before = seen.last_heartbeat_at
-        answer = asyncio.create_task(made.dispatcher.answer(beats))
+        answer = asyncio.create_task(made.dispatcher.answer(report))
         while not answer.done():
             made.driver.tick()
             await asyncio.sleep(0.005)
-        # What a leader before has not answered is told to this one, and is a word of the server's.
-        assert seen.seq == then and (answer.result().fault_code == FaultCode.NOT_LEADER) == (
-            said > term
-        )
-        assert seen.last_heartbeat_at == before  # that it is late counts
+        # A report that an earlier leader did not acknowledge is sent to this one, and is accepted
+        # as the server's heartbeat.
+        assert seen.seq == expected_seq and (
+            answer.result().fault_code == FaultCode.NOT_LEADER
+        ) == (call_term > term)
+        assert seen.last_heartbeat_at == before  # the report's age is taken into account
     lease = pb.QuotaRequest(tenant="t", amount=1)
-    # The last has no such tenant.
-    for said, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
+    # In the second case the term is current, but there is no such tenant.
+    for call_term, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
         with pytest.raises(CallError) as failure:
-            await made.dispatcher.answer(pb.Envelope(term=said, quota_request=lease))
+            await made.dispatcher.answer(pb.Envelope(term=call_term, quota_request=lease))
         assert failure.value.code is code
     kinds = (
         pb.Envelope(quota_request=lease),
@@ -551,19 +580,19 @@
         pb.Envelope(operation_request=pb.OperationRequest(method="GET", path="/-/Fleet.Show")),
     )
     for envelope in kinds:
-        envelope.term = term + 1  # who calls has heard of a later leader: this one is over
+        envelope.term = term + 1  # the caller knows a leader of a later term
         assert (await made.dispatcher.answer(envelope)).fault_code == FaultCode.NOT_LEADER
     envelope.term = term
     assert (await made.dispatcher.answer(envelope)).term == term == made.rpc_peer.fence.newest
     name = made.rpc_peer.system
     made.rpc_peer.stop()
     made._storage.close()
-    again = await core(tmp_path)
+    again = await control_node(tmp_path)
     assert again.rpc_peer.system == name and len(name) == 16
     again._storage.close()
 
 
-# Copies.
+# Duplicates.
 
 
 def leadership(term: int = 3, began: float = 100.0) -> Leadership:
@@ -590,8 +619,8 @@
     return made
 
 
-def unit_call(id: int, origin: str = "a", term: int = 3, deal: bool = False) -> pb.Envelope:
-    if deal:
+def unit_call(id: int, origin: str = "a", term: int = 3, from_budget: bool = False) -> pb.Envelope:
+    if from_budget:
         return pb.Envelope(
             request_id=id,
             origin=origin,
@@ -608,30 +637,32 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.booleans(), st.integers(1, 3), st.sampled_from("ab")), max_size=20))
-def test_a_copy_is_answered_as_the_first_and_counted_once(
+def test_duplicate_is_answered_like_the_first_call_and_counted_once(
     calls: list[tuple[bool, int, str]],
 ) -> None:
-    """The model keeps every answer for good, and counts each call once, at another leader."""
-    made, plain = leadership(), leadership()
+    """The model never discards an answer, and counts each call once, at a second leader."""
+    made, model = leadership(), leadership()
     answers: dict[tuple[int, str], pb.Envelope] = {}
     now = 100.0
-    for deal, id, origin in calls:
+    for from_budget, id, origin in calls:
         now += 0.01
-        id = id + 10 * deal
-        answer = made.grants.answer(now, unit_call(id, origin, deal=deal))
+        id = id + 10 * from_budget
+        answer = made.grants.answer(now, unit_call(id, origin, from_budget=from_budget))
         if (id, origin) not in answers:
-            answers[id, origin] = plain.grants.answer(now, unit_call(0, "", deal=deal))
+            answers[id, origin] = model.grants.answer(
+                now, unit_call(0, "", from_budget=from_budget)
+            )
         assert answer == answers[id, origin]
-        answer.call_id = 9  # what the connection does with one is nothing to the next
+        answer.call_id = 9  # a change by the connection must not affect later answers
 
 
-def test_copies_are_known_for_as_long_as_they_may_come_and_no_more_than_so_many() -> None:
+def test_answers_are_kept_for_the_life_of_duplicates_and_in_bounded_number() -> None:
     made = leadership()
     call = unit_call(1)
     call.quota_request.amount = 80
     first = made.grants.answer(100.0, call)
     assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
-    # wasted, and bounded
+    # After that time a duplicate is counted again: it wastes units, but a bounded number.
     assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
     for id in range(2, 2 * idempotency.MAX_ANSWERS):
         made.grants.answer(105.0, unit_call(id))
@@ -641,50 +672,50 @@
     assert stale.value.code is FaultCode.STALE
     size = warmup_budget(Bounds(warmup_slack=5), 5.3).capacity
     granted = [
-        made.grants.answer(105.0, unit_call(9000 + n, deal=True)).budget_response.granted
+        made.grants.answer(105.0, unit_call(9000 + n, from_budget=True)).budget_response.granted
         for n in range(10)
     ]
-    assert granted.count(True) == int(size)  # another id is another unit
+    assert granted.count(True) == int(size)  # each id takes a unit of its own
 
 
-def asks(made: Leadership, now: float, clock: int, epoch: str = "3", life: str = "1") -> None:
-    node = pb.Node(name="e", incarnation=life, kind="edge", address="d", http_address="h")
-    ask = pb.WatchRequest(node=node, epoch=epoch, leader_clock_ms=clock, counter_active=True)
-    made.record_watch_request(now, ask)
+def record_watch(
+    made: Leadership, now: float, clock: int, epoch: str = "3", incarnation: str = "1"
+) -> None:
+    node = pb.Node(name="e", incarnation=incarnation, kind="edge", address="d", http_address="h")
+    request = pb.WatchRequest(node=node, epoch=epoch, leader_clock_ms=clock, counter_active=True)
+    made.record_watch_request(now, request)
 
 
-def test_a_copy_of_an_ask_that_was_held_up_is_no_sign_of_life() -> None:
-    """A frozen peer passes it on whenever it thaws: who asked spends its own part of the quotas by
-    then."""
+def test_delayed_duplicate_of_a_watch_request_does_not_renew_the_contact() -> None:
+    """A paused peer forwards the request when it resumes; by then the node may be isolated and
+    spend its own quota shares."""
     made = leadership()
-    asks(made, 100.0, 0, "")
-    held = made.node_registry.leases["e"]
-    made.watch_responses.update(100.2, pb.WatchRequest(node=held.node), State())
-    assert not held.uses_quota_counter  # it has not heard yet that this term counts
-    asks(made, 100.3, 290)
-    assert held.uses_quota_counter and held.requested_at == 100.3
-    asks(made, 100.32, 290)  # the same one by another way, soon
-    asks(made, 101.0, 700)
+    record_watch(made, 100.0, 0, "")
+    lease = made.node_registry.leases["e"]
+    made.watch_responses.update(100.2, pb.WatchRequest(node=lease.node), State())
+    assert not lease.uses_quota_counter  # the node does not know yet that the counter is active
+    record_watch(made, 100.3, 290)
+    assert lease.uses_quota_counter and lease.requested_at == 100.3
+    record_watch(made, 100.32, 290)  # a duplicate by another path, shortly after
+    record_watch(made, 101.0, 700)
     assert (
-        held.requested_at == 100.7
+        lease.requested_at == 100.7
         and made.node_registry.count_isolated(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
     )
     for now, clock, epoch in ((101.1, 290, "3"), (101.1, 0, ""), (110.0, 900, "3")):
         with pytest.raises(CallError) as stale:
-            asks(made, now, clock, epoch)
-        assert stale.value.code is FaultCode.STALE and held.last_contact_at == 101.0
-    asks(made, 101.2, 0, "", life="2")  # another life has heard nothing yet
+            record_watch(made, now, clock, epoch)
+        assert stale.value.code is FaultCode.STALE and lease.last_contact_at == 101.0
+    record_watch(made, 101.2, 0, "", incarnation="2")  # a new incarnation without any response yet
     assert (
         made.node_registry.leases["e"].node.incarnation == "2"
         and made.node_registry.leases["e"].lease_end <= 101.2 + NODE_LEASE_S
     )
 
 
-def test_a_watch_request_says_that_it_counts_only_where_its_sender_has_just_had_a_response() -> (
-    None
-):
-    """One that is sent again after a silence would count as in touch while its sender no longer
-    is."""
+def test_watch_request_reports_an_active_counter_only_right_after_a_response() -> None:
+    """Otherwise a request that is repeated after a timeout would make the leader count its sender
+    as in contact when it no longer is."""
     assert LEADER_CONTACT_MARGIN_S + FRESH_REQUEST_S + PROMPT_REQUEST_S < NODE_CONTACT_MARGIN_S
     client, node = ConfigClient(0.0, []), pb.Node(name="e", incarnation="1")
     client.apply(
@@ -697,7 +728,7 @@
     prompt, late = client.watch_request(node, 10.01, 0.25), client.watch_request(node, 10.3, 0.25)
     assert prompt.counter_active and not late.counter_active and client.in_contact(10.3)
     assert prompt.name == "e" and not prompt.HasField("node")
-    # never ahead
+    # Never ahead of the leader's clock.
     assert 5000 < prompt.leader_clock_ms <= 5010 and 5290 <= late.leader_clock_ms < 5300
     assert client.apply(pb.WatchResponse(epoch="3", config_version=1), node, 11.0, 11.0, 0)
     assert (
@@ -706,7 +737,7 @@
     )
 
 
-def test_a_fence_never_goes_back() -> None:
+def test_term_of_a_fence_never_decreases() -> None:
     rng, fence, newest = random.Random(4), TermFence(), 0
     for _ in range(500):
         term = rng.randint(0, 30)
--- a/tests/rpc/test_peer.py
+++ b/tests/rpc/test_peer.py
@@ -1,4 +1,4 @@
-"""Connections among the system's own processes: ends at any moment, passing on, bounds."""
+"""Connections between the system's own processes: closing, forwarding, errors of calls."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 HOST = "127.0.0.1"
 
 
-def free() -> int:
+def free_port() -> int:
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         port: int = probe.getsockname()[1]
@@ -41,7 +41,7 @@
 
 @asynccontextmanager
 async def rpc_peer(port: int | None = None) -> AsyncIterator[RpcPeer]:
-    made = RpcPeer((HOST, port or free()), lambda envelope: None, answer)
+    made = RpcPeer((HOST, port or free_port()), lambda envelope: None, answer)
     await made.listen()
     try:
         yield made
@@ -53,15 +53,15 @@
     return pb.Envelope(operation_request=pb.OperationRequest(path=path, method=method, body=b"x"))
 
 
-async def test_a_connection_that_ends_as_it_comes_up_does_not_stay_for_good() -> None:
-    """Storm 2005: a dead connection was kept as the one to its address, and nothing was dialled
-    again."""
+async def test_connection_closed_while_it_is_established_is_not_kept() -> None:
+    """Storm 2005: a closed connection was kept as the one to its address, and the address was not
+    dialled again."""
     async with rpc_peer() as ours:
-        loop, port = asyncio.get_running_loop(), free()
+        loop, port = asyncio.get_running_loop(), free_port()
         address = f"{HOST}:{port}"
 
         class Ends(FramedConnection):
-            """Over before who dialled it goes on, as where a relay finds nobody behind it."""
+            """Closed before the dialling task resumes, as by a relay without a backend."""
 
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 super().connection_made(transport)
@@ -85,13 +85,13 @@
         assert answered.operation_response.body == b"x"
 
 
-async def test_what_is_known_of_a_call_that_failed() -> None:
+async def test_error_of_a_failed_call_says_whether_it_may_have_run() -> None:
     async with rpc_peer() as ours, rpc_peer() as theirs:
         with pytest.raises(CallError) as refused:
             await ours.call(theirs.own_address, order("no"), 1.0)
         assert refused.value.code is FaultCode.REJECTED and not refused.value.may_have_run
         with pytest.raises(CallError) as nobody:
-            await ours.call(f"{HOST}:{free()}", order(), 1.0)
+            await ours.call(f"{HOST}:{free_port()}", order(), 1.0)
         assert nobody.value.code is FaultCode.UNREACHABLE and not nobody.value.may_have_run
 
         async def never(envelope: pb.Envelope) -> pb.Envelope:
@@ -104,7 +104,7 @@
         assert silent.value.code is FaultCode.TIMED_OUT and silent.value.may_have_run
 
 
-async def test_bytes_that_are_no_frame_end_the_connection_and_are_counted() -> None:
+async def test_invalid_frames_close_the_connection_and_are_counted() -> None:
     async with rpc_peer() as ours:
         host, _, port = ours.own_address.rpartition(":")
         for data in (
@@ -120,31 +120,31 @@
         assert ours.rejected == {"malformed": 3}
 
 
-async def test_a_call_finds_the_leader_by_hints_and_around_a_partition_by_a_peer() -> None:
+async def test_call_finds_the_leader_by_redirect_and_bypasses_a_partition_through_a_peer() -> None:
     async with rpc_peer() as ours, rpc_peer() as other, rpc_peer() as leader, rpc_peer() as peer:
         leader_client = LeaderClient(ours, lambda: [other.own_address], lambda: [peer.own_address])
 
-        async def elsewhere(envelope: pb.Envelope) -> pb.Envelope:
+        async def redirect(envelope: pb.Envelope) -> pb.Envelope:
             return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=leader.own_address)
 
-        other._handle_call = elsewhere
+        other._handle_call = redirect
         assert (
             await leader_client.call(order(), 2.0, 1.0)
         ).operation_response.status == 200 and leader_client.leader_address == leader.own_address
-        straight = ours._pool.send
+        original_send = ours._pool.send
 
-        def cut(address: str, envelope: pb.Envelope) -> None:
-            if address != leader.own_address:  # what goes straight to the leader is lost
-                straight(address, envelope)
+        def partitioned_send(address: str, envelope: pb.Envelope) -> None:
+            if address != leader.own_address:  # direct calls to the leader are lost
+                original_send(address, envelope)
 
-        ours._pool.send = cut  # type: ignore[method-assign]
+        ours._pool.send = partitioned_send  # type: ignore[method-assign]
         assert (await leader_client.call(order(), 2.0, 0.1)).operation_response.status == 200
         assert leader_client.leader_address == leader.own_address and leader_client._is_avoided(
             leader.own_address, ours.now()
         )
 
 
-async def test_damaged_lists_are_asked_for_anew_and_never_come_through() -> None:
+async def test_corrupt_lists_are_requested_again_and_never_delivered() -> None:
     async with rpc_peer() as ours, rpc_peer() as leader:
         responses = [
             pb.WatchResponse(config_version=1, compressed_lists=b"no lists"),
@@ -154,10 +154,10 @@
             ),
         ]
 
-        async def told(envelope: pb.Envelope) -> pb.Envelope:
+        async def next_response(envelope: pb.Envelope) -> pb.Envelope:
             return pb.Envelope(watch_response=responses.pop(0))
 
-        leader._handle_call = told
+        leader._handle_call = next_response
         answer = await LeaderClient(ours, lambda: [leader.own_address], list).call(
             pb.Envelope(watch_request=pb.WatchRequest()), 2.0, 1.0
         )
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Signals that come while a process is still loading its modules or reading its settings."""
+"""Signals received while a process is still importing its modules or reading its settings."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]"])
-def test_a_hangup_while_settings_are_read_ends_no_process(tmp_path: Path, text: str) -> None:
-    """The settings file is a pipe: opening it waits until the process reads it."""
+def test_sighup_while_settings_are_read_does_not_end_the_process(tmp_path: Path, text: str) -> None:
+    """The settings file is a pipe: opening it blocks until the process reads it."""
     with started(tmp_path / "pipe") as process:
         with open(tmp_path / "pipe", "w") as settings:
             process.send_signal(signal.SIGHUP)
@@ -36,15 +36,15 @@
     )
 
 
-def test_settings_that_changed_while_they_were_read_are_read_again(
+def test_settings_that_changed_while_they_were_read_are_reloaded(
     tmp_path: Path, world: World
 ) -> None:
     (machine,) = world.machines.values()
     with started(tmp_path / "pipe") as process:
         with open(tmp_path / "pipe", "w") as settings:
             process.send_signal(signal.SIGHUP)
-            settings.write(json.dumps(world.settings(machine)))  # is sent when the pipe is closed
-            os.unlink(tmp_path / "pipe")  # the process has it open
+            settings.write(json.dumps(world.settings(machine)))  # flushed when the pipe is closed
+            os.unlink(tmp_path / "pipe")  # the process still has it open
             world.seeds = ["127.9.9.9:9"]
             (tmp_path / "pipe").write_text(json.dumps(world.settings(machine)))
         assert process.stdout is not None
@@ -59,16 +59,16 @@
 
 @contextmanager
 def started(path: Path) -> Iterator[Popen[bytes]]:
-    """A process whose settings are a pipe that opens for both at once, within 20 s."""
+    """A process whose settings file is a pipe; opening it to write blocks for 20 s at most."""
     os.mkfifo(path)
-    late = Timer(20, lambda: os.close(os.open(path, os.O_RDONLY | os.O_NONBLOCK)))
+    unblock = Timer(20, lambda: os.close(os.open(path, os.O_RDONLY | os.O_NONBLOCK)))
     env = {"PATH": os.environ.get("PATH", ""), "CAIRNDALE_CONFIG": str(path)}
     with Popen(
         [sys.executable, "-m", "cairndale"], cwd=ROOT, env=env, stdout=PIPE, stderr=STDOUT
     ) as process:
-        late.start()
+        unblock.start()
         try:
             yield process
         finally:
-            late.cancel()
+            unblock.cancel()
             process.kill()
