--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -147,10 +147,10 @@
         best = self._cheapest_endpoint(now, cls, allowed, asked)
         if best is None:
             return None
-        owed: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
+        required: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
         if best.info.cold_until > now:
-            owed += ((WARMUP, best.info.id),)
-        self._required_grants = owed
+            required += ((WARMUP, best.info.id),)
+        self._required_grants = required
         if again:
             budget.tokens -= not needs_grant
         else:
@@ -159,12 +159,12 @@
         return best
 
     def _cheapest_endpoint(
-        self, now: int, cls: int, allowed: Callable[[Endpoint], bool], asked: it.RequestArrived
+        self, now: int, cls: int, allowed: Callable[[Endpoint], bool], request: it.RequestArrived
     ) -> Endpoint | None:
         best, best_cost = None, float("inf")
-        for endpoint in self.ready_by_service.get(asked.service, ()):
+        for endpoint in self.ready_by_service.get(request.service, ()):
             info = endpoint.info
-            if asked.regions is not None and info.region not in asked.regions:
+            if request.regions is not None and info.region not in request.regions:
                 continue
             cost = self.cost(endpoint, cls, now) + MAX_COST_JITTER * self.rng.random()
             if cost >= best_cost or not allowed(endpoint):
--- a/cairndale/errors.py
+++ b/cairndale/errors.py
@@ -106,7 +106,7 @@
 class Verdict(Enum):
     """The only definition of whether a request may have run."""
 
-    UNSENT = "unsent"  # no byte was written, or the server itself said that it has not run it
+    UNSENT = "unsent"  # no byte was written, or the server said that it has not run it
     SENT = "sent"  # its first byte was written, and its result is unknown
     ANSWERED = "answered"
 
--- a/cairndale/rpc/handshake.py
+++ b/cairndale/rpc/handshake.py
@@ -28,7 +28,7 @@
     else:
         is_recipient = hello.recipient == own_address
     if not (hello.incarnation and hello.address and is_recipient):
-        return f"hello of {hello.address or 'nobody'} to {hello.recipient or dialled_address}"
+        return f"hello of {hello.address or 'unknown'} to {hello.recipient or dialled_address}"
     return system_error(hello, own_system)
 
 
--- a/cairndale/rpc/lease_timing.py
+++ b/cairndale/rpc/lease_timing.py
@@ -49,7 +49,7 @@
 def response_timeout(long_poll_s: float) -> float:
     """Seconds that a node waits for a response, before it looks for another leader.
 
-    `long_poll_s` is the long-poll timeout that it asked for.
+    `long_poll_s` is the long-poll timeout that it requested.
     """
     excess_s = max(0.0, long_poll_s - MIN_LONG_POLL_S)
     return long_poll_s + RESPONSE_MARGIN_S + RESPONSE_MARGIN_FRACTION * excess_s
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -94,18 +94,18 @@
     """Simulated servers, counter and clock; the first server is in slow start."""
 
     def __init__(
-        self, gateway: type[RequestPolicy] = RequestPolicy, servers: int = 4, cold: bool = True
+        self, policy: type[RequestPolicy] = RequestPolicy, servers: int = 4, cold: bool = True
     ) -> None:
         super().__init__(10 * SECOND)
         self.sent = list[Attempt]()
         self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
         self.model, self.request_count = Model(), 0
-        self.gateway = gateway(SETTINGS, 1, EndpointSelector)
-        selector = self.gateway.fleet
+        self.policy = policy(SETTINGS, 1, EndpointSelector)
+        selector = self.policy.fleet
         assert isinstance(selector, EndpointSelector)
         selector.placement = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
         self.selector = selector
-        self.engine = Engine(self.gateway, SETTINGS, Names(SETTINGS, {}), self, lambda: self.time)
+        self.engine = Engine(self.policy, SETTINGS, Names(SETTINGS, {}), self, lambda: self.time)
         self.engine.servers, self.engine.lessor, self.engine.refusals = self, self, (429, 503)
         self.engine.dealer = self
         self.engine.describe = lambda entry, number: it.ListedBackend(
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -132,17 +132,17 @@
     async with rpc_peer() as ours, raw_server() as (address, accepted_connections):
         ours.system = HERE
         call = asyncio.create_task(ours.call(address, order(), 5.0))
-        asked = await accepted_connections.get()
+        connection = await accepted_connections.get()
         assert (
-            said := (await asked.read()).hello
-        ).recipient == address and said.incarnation == ours.incarnation
-        sent = await asked.read()  # sent together with the hello, without waiting for a reply
+            own_hello := (await connection.read()).hello
+        ).recipient == address and own_hello.incarnation == ours.incarnation
+        sent = await connection.read()  # sent together with the hello, without waiting for a reply
         stranger = await RawConnection.dial(ours.own_address)
         stranger.write(hello(ours.own_address), answer_to(sent, b"by another process"))
         await until(lambda: ours.rejected.get("unsolicited") == 1)
         assert not call.done()
-        asked.write(hello("", address=address), answer_to(sent, b"by who was asked"))
-        assert (await call).operation_response.body == b"by who was asked"
+        connection.write(hello("", address=address), answer_to(sent, b"by the called process"))
+        assert (await call).operation_response.body == b"by the called process"
         stranger.writer.close()
 
 
@@ -161,7 +161,7 @@
         )
         await until(lambda: ours.rejected.get("unsolicited") == 1)
         second.write(
-            hello("", address=address, incarnation="c"), answer_to(sent, b"of another life")
+            hello("", address=address, incarnation="c"), answer_to(sent, b"of another incarnation")
         )
         # The incarnation of a connection cannot change: the answer is not processed.
         with pytest.raises(CallError):
@@ -208,8 +208,8 @@
     monkeypatch.setattr(rejection_log, "log_event", lambda event, *args: logged.append(event))
     async with rpc_peer() as ours, rpc_peer() as friend:
         ours.system = friend.system = HERE
-        heard = list[pb.Envelope]()
-        ours._handle_message = heard.append
+        received_messages = list[pb.Envelope]()
+        ours._handle_message = received_messages.append
         for _ in range(3):
             raw = await RawConnection.dial(ours.own_address)
             envelopes = [pb.Envelope.FromString(e.SerializeToString()) for e in FOREIGN[what]]
@@ -220,7 +220,7 @@
                     envelope.hello.recipient = ""
             raw.write(*envelopes, pb.Envelope(log_message=pb.LogMessage(term=9)), order())
             assert await raw.ended()
-        assert heard == [] and sum(ours.rejected.values()) == 3
+        assert received_messages == [] and sum(ours.rejected.values()) == 3
         # One log line in 5 s.
         assert len(logged) == 1 and logged[0] in (Event.FOREIGN_PEER, Event.MALFORMED_FRAME)
         assert (await friend.call(ours.own_address, order(), 2.0)).operation_response.status == 200
@@ -244,14 +244,14 @@
 
 async def test_system_name_is_learnt_from_dialled_processes_only() -> None:
     async with rpc_peer() as ours, rpc_peer() as named:
-        heard = list[pb.Envelope]()
-        ours._handle_message = heard.append
+        received_messages = list[pb.Envelope]()
+        ours._handle_message = received_messages.append
         named.system = OTHER
         heartbeat = pb.Envelope(log_message=pb.LogMessage(term=9))
         # As from the leader of another system that had this address before.
         named.send(ours.own_address, heartbeat)
         await until(lambda: ours.rejected.get("untrusted") == 1)
-        assert ours.system == "" and heard == []
+        assert ours.system == "" and received_messages == []
         # It may answer calls.
         assert (await named.call(ours.own_address, order(), 2.0)).operation_response.status == 200
         async with rpc_peer() as seed:
@@ -262,7 +262,7 @@
             await until(lambda: ours.system == HERE)
             assert ours.rejected.get("foreign") == 1  # the other system's connection was closed
             seed.send(ours.own_address, heartbeat)
-            await until(lambda: len(heard) == 1)
+            await until(lambda: len(received_messages) == 1)
 
 
 class RecordingOwner:
@@ -409,20 +409,20 @@
         rpc_peer() as newer_peer,
     ):
         old._handle_call, new._handle_call = leader(4, b"old"), leader(5, b"new")
-        ask = LeaderClient(ours, lambda: [new.own_address], lambda: [peer.own_address])
+        client = LeaderClient(ours, lambda: [new.own_address], lambda: [peer.own_address])
         assert (
-            await ask.call(order(), 2.0, 1.0)
+            await client.call(order(), 2.0, 1.0)
         ).operation_response.body == b"new" and ours.fence.newest == 5
-        ask.leader_address = old.own_address
-        assert (await ask.call(order(), 2.0, 1.0)).operation_response.body == b"new"
-        assert ours.rejected["stale"] == 1 and ask.leader_address == new.own_address
+        client.leader_address = old.own_address
+        assert (await client.call(order(), 2.0, 1.0)).operation_response.body == b"new"
+        assert ours.rejected["stale"] == 1 and client.leader_address == new.own_address
         # The former leader's address is avoided: the call goes through the peer.
-        ask.leader_address, ask._avoided[old.own_address] = (
+        client.leader_address, client._avoided[old.own_address] = (
             old.own_address,
             AvoidedAddress(ours.now() + 9, 9.0),
         )
         assert (
-            await ask.call(order(), 2.0, 1.0)
+            await client.call(order(), 2.0, 1.0)
         ).operation_response.body == b"new" and ours.rejected["stale"] == 2
         newer_peer.fence.newest = 5
         forwarded = order()
@@ -454,18 +454,18 @@
             if not left:
                 raise RejectedError()
             term, by_peer = left.pop(0)
-            ask._avoided = {"core:1": AvoidedAddress(ours.now() + 9, 9.0)} if by_peer else {}
+            client._avoided = {"core:1": AvoidedAddress(ours.now() + 9, 9.0)} if by_peer else {}
             if term >= max(terms, default=0):
                 terms.append(term)
             return pb.Envelope(term=term, quota_response=pb.QuotaResponse(remaining=term))
 
         ours.call = call  # type: ignore[method-assign]
-        ask = LeaderClient(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
+        client = LeaderClient(ours, lambda: ["core:1", "core:2"], lambda: ["peer:1"])
         while left:
             try:
                 accepted.append(
                     (
-                        await ask.call(
+                        await client.call(
                             pb.Envelope(quota_request=pb.QuotaRequest(amount=1)), 5.0, 5.0
                         )
                     ).term
@@ -490,14 +490,14 @@
         raise CallTimeoutError() if len(sent) % 3 else RejectedError()
 
     ours.call = call  # type: ignore[method-assign]
-    ask = LeaderClient(ours, lambda: ["core:1"], list)
+    client = LeaderClient(ours, lambda: ["core:1"], list)
     for envelope in (
         pb.Envelope(budget_request=pb.BudgetRequest()),
         pb.Envelope(quota_request=pb.QuotaRequest()),
         pb.Envelope(watch_request=pb.WatchRequest()),
     ):
         with pytest.raises(CallError):
-            await ask.call(envelope, 5.0, 5.0)
+            await client.call(envelope, 5.0, 5.0)
     assert [e.request_id for e in sent] == [1, 1, 1, 2, 2, 2, 0, 0, 0]  # the same on each attempt
 
 
--- a/tests/rpc/test_peer.py
+++ b/tests/rpc/test_peer.py
@@ -41,12 +41,12 @@
 
 @asynccontextmanager
 async def rpc_peer(port: int | None = None) -> AsyncIterator[RpcPeer]:
-    made = RpcPeer((HOST, port or free_port()), lambda envelope: None, answer)
-    await made.listen()
+    peer = RpcPeer((HOST, port or free_port()), lambda envelope: None, answer)
+    await peer.listen()
     try:
-        yield made
+        yield peer
     finally:
-        made.stop()
+        peer.stop()
 
 
 def order(path: str = "", method: str = "") -> pb.Envelope:
@@ -60,7 +60,7 @@
         loop, port = asyncio.get_running_loop(), free_port()
         address = f"{HOST}:{port}"
 
-        class Ends(FramedConnection):
+        class ClosedAtOnce(FramedConnection):
             """Closed before the dialling task resumes, as by a relay without a backend."""
 
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -68,7 +68,7 @@
                 self.connection_lost(None)
 
         closing = await loop.create_server(asyncio.Protocol, HOST, port)
-        ours.connection_class = Ends
+        ours.connection_class = ClosedAtOnce
         with pytest.raises(CallError):
             await ours.call(address, order(), 0.5)
         closing.close()
@@ -78,11 +78,11 @@
             async with asyncio.timeout(5):
                 while True:
                     try:
-                        answered = await ours.call(address, order(), 0.5)
+                        response = await ours.call(address, order(), 0.5)
                         break
                     except CallError:
                         await asyncio.sleep(0.01)
-        assert answered.operation_response.body == b"x"
+        assert response.operation_response.body == b"x"
 
 
 async def test_error_of_a_failed_call_says_whether_it_may_have_run() -> None:
@@ -90,9 +90,11 @@
         with pytest.raises(CallError) as refused:
             await ours.call(theirs.own_address, order("no"), 1.0)
         assert refused.value.code is FaultCode.REJECTED and not refused.value.may_have_run
-        with pytest.raises(CallError) as nobody:
+        with pytest.raises(CallError) as unreachable:
             await ours.call(f"{HOST}:{free_port()}", order(), 1.0)
-        assert nobody.value.code is FaultCode.UNREACHABLE and not nobody.value.may_have_run
+        assert (
+            unreachable.value.code is FaultCode.UNREACHABLE and not unreachable.value.may_have_run
+        )
 
         async def never(envelope: pb.Envelope) -> pb.Envelope:
             await asyncio.Event().wait()
