--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -1,4 +1,4 @@
-"""Requests units of limits that all ingresses share from the leader.
+"""Requests units of the limits that all ingresses share, from the leader, as requests need them.
 
 Units of tenants' quotas are leased in advance; retries, and requests to endpoints in slow start,
 are granted one by one.
--- a/cairndale/durable.py
+++ b/cairndale/durable.py
@@ -1,4 +1,4 @@
-"""Durable file operations: complete and synced to disk before they return."""
+"""Durable file operations: data is complete and on disk before it is acknowledged."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
         view = view[os.write(descriptor, view) :]
 
 
-def sync_directory(folder: Path) -> None:
+def sync_directory(directory: Path) -> None:
     """Sync a directory, so that changes of its entries are on disk."""
-    descriptor = os.open(folder, os.O_RDONLY)
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
