--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -522,30 +522,30 @@
 
 
 async def test_control_node_adopts_the_system_name_with_a_full_disk(tmp_path: Path) -> None:
-    made = await control_node(tmp_path)
-    env = made._storage._env
+    node = await control_node(tmp_path)
+    env = node._storage._env
 
     class Full:
         def begin(self, *args: Any, **fields: Any) -> Any:
             raise lmdb.DiskError("no room")
 
-    made.state.system_name = HERE
-    cast(Any, made._storage)._env = Full()
-    made.system_name.adopt()
-    assert made.rpc_peer.system == HERE
-    cast(Any, made._storage)._env = env
-    assert made._storage.system_name() == ""
-    made._storage.close()
+    node.state.system_name = HERE
+    cast(Any, node._storage)._env = Full()
+    node.system_name.adopt()
+    assert node.rpc_peer.system == HERE
+    cast(Any, node._storage)._env = env
+    assert node._storage.system_name() == ""
+    node._storage.close()
 
 
 async def test_leader_rejects_calls_of_other_terms_and_keeps_the_system_name(
     tmp_path: Path,
 ) -> None:
-    made = await control_node(tmp_path)
-    term = await lead(made)
-    assert made.leadership
-    seen = Endpoint("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, made.now())
-    made.leadership.endpoint_registry.record_heartbeat(seen)
+    node = await control_node(tmp_path)
+    term = await lead(node)
+    assert node.leadership
+    seen = Endpoint("i", "s", "a:1", "z", "", 2, "ready", 0.0, 1, node.now())
+    node.leadership.endpoint_registry.record_heartbeat(seen)
     for call_term, seq, expected_seq in (
         (term + 1, 7, 1),
         (term - 1, 8, 8),
@@ -557,9 +557,9 @@
             heartbeat_report=pb.HeartbeatReport(ids=["i"], seqs=[seq], ages_ms=[3000]),
         )
         before = seen.last_heartbeat_at
-        answer = asyncio.create_task(made.dispatcher.answer(report))
+        answer = asyncio.create_task(node.dispatcher.answer(report))
         while not answer.done():
-            made.driver.tick()
+            node.driver.tick()
             await asyncio.sleep(0.005)
         # A report that an earlier leader did not acknowledge is sent to this one, and is accepted
         # as the server's heartbeat.
@@ -571,7 +571,7 @@
     # In the second case the term is current, but there is no such tenant.
     for call_term, code in ((term - 1, FaultCode.STALE), (term, FaultCode.REJECTED)):
         with pytest.raises(CallError) as failure:
-            await made.dispatcher.answer(pb.Envelope(term=call_term, quota_request=lease))
+            await node.dispatcher.answer(pb.Envelope(term=call_term, quota_request=lease))
         assert failure.value.code is code
     kinds = (
         pb.Envelope(quota_request=lease),
@@ -581,21 +581,21 @@
     )
     for envelope in kinds:
         envelope.term = term + 1  # the caller knows a leader of a later term
-        assert (await made.dispatcher.answer(envelope)).fault_code == FaultCode.NOT_LEADER
+        assert (await node.dispatcher.answer(envelope)).fault_code == FaultCode.NOT_LEADER
     envelope.term = term
-    assert (await made.dispatcher.answer(envelope)).term == term == made.rpc_peer.fence.newest
-    name = made.rpc_peer.system
-    made.rpc_peer.stop()
-    made._storage.close()
-    again = await control_node(tmp_path)
-    assert again.rpc_peer.system == name and len(name) == 16
-    again._storage.close()
+    assert (await node.dispatcher.answer(envelope)).term == term == node.rpc_peer.fence.newest
+    name = node.rpc_peer.system
+    node.rpc_peer.stop()
+    node._storage.close()
+    restarted = await control_node(tmp_path)
+    assert restarted.rpc_peer.system == name and len(name) == 16
+    restarted._storage.close()
 
 
 # Duplicates.
 
 
-def leadership(term: int = 3, began: float = 100.0) -> Leadership:
+def make_leadership(term: int = 3, began: float = 100.0) -> Leadership:
     state, endpoint_registry = State(), EndpointRegistry()
     tenants = [{"name": "t", "apiKeys": ["k"], "ratePerS": 10.0, "burst": 100}]
     content = {"gen": 1, "parent": 0, "routes": [], "tenants": tenants}
@@ -605,7 +605,7 @@
     endpoint_registry.record_heartbeat(
         Endpoint("i", "s", "a:1", "z", "", 2, "ready", 1e5, 1, began)
     )
-    made = Leadership(
+    leadership = Leadership(
         term,
         began,
         False,
@@ -615,8 +615,8 @@
         Bounds(quota_slack=20, warmup_slack=5),
         1.5,
     )
-    made.apply_state(state)
-    return made
+    leadership.apply_state(state)
+    return leadership
 
 
 def unit_call(id: int, origin: str = "a", term: int = 3, from_budget: bool = False) -> pb.Envelope:
@@ -641,13 +641,13 @@
     calls: list[tuple[bool, int, str]],
 ) -> None:
     """The model never discards an answer, and counts each call once, at a second leader."""
-    made, model = leadership(), leadership()
+    leadership, model = make_leadership(), make_leadership()
     answers: dict[tuple[int, str], pb.Envelope] = {}
     now = 100.0
     for from_budget, id, origin in calls:
         now += 0.01
         id = id + 10 * from_budget
-        answer = made.grants.answer(now, unit_call(id, origin, from_budget=from_budget))
+        answer = leadership.grants.answer(now, unit_call(id, origin, from_budget=from_budget))
         if (id, origin) not in answers:
             answers[id, origin] = model.grants.answer(
                 now, unit_call(0, "", from_budget=from_budget)
@@ -657,59 +657,62 @@
 
 
 def test_answers_are_kept_for_the_life_of_duplicates_and_in_bounded_number() -> None:
-    made = leadership()
+    leadership = make_leadership()
     call = unit_call(1)
     call.quota_request.amount = 80
-    first = made.grants.answer(100.0, call)
-    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
+    first = leadership.grants.answer(100.0, call)
+    assert leadership.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
     # After that time a duplicate is counted again: it wastes units, but a bounded number.
-    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
+    assert leadership.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
     for id in range(2, 2 * idempotency.MAX_ANSWERS):
-        made.grants.answer(105.0, unit_call(id))
-    assert len(made.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
+        leadership.grants.answer(105.0, unit_call(id))
+    assert len(leadership.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
     with pytest.raises(CallError) as stale:
-        made.grants.answer(105.0, unit_call(1, term=2))
+        leadership.grants.answer(105.0, unit_call(1, term=2))
     assert stale.value.code is FaultCode.STALE
     size = warmup_budget(Bounds(warmup_slack=5), 5.3).capacity
     granted = [
-        made.grants.answer(105.0, unit_call(9000 + n, from_budget=True)).budget_response.granted
+        leadership.grants.answer(
+            105.0, unit_call(9000 + n, from_budget=True)
+        ).budget_response.granted
         for n in range(10)
     ]
     assert granted.count(True) == int(size)  # each id takes a unit of its own
 
 
 def record_watch(
-    made: Leadership, now: float, clock: int, epoch: str = "3", incarnation: str = "1"
+    leadership: Leadership, now: float, clock: int, epoch: str = "3", incarnation: str = "1"
 ) -> None:
     node = pb.Node(name="e", incarnation=incarnation, kind="edge", address="d", http_address="h")
     request = pb.WatchRequest(node=node, epoch=epoch, leader_clock_ms=clock, counter_active=True)
-    made.record_watch_request(now, request)
+    leadership.record_watch_request(now, request)
 
 
 def test_delayed_duplicate_of_a_watch_request_does_not_renew_the_contact() -> None:
     """A paused peer forwards the request when it resumes; by then the node may be isolated and
     spend its own quota shares."""
-    made = leadership()
-    record_watch(made, 100.0, 0, "")
-    lease = made.node_registry.leases["e"]
-    made.watch_responses.update(100.2, pb.WatchRequest(node=lease.node), State())
+    leadership = make_leadership()
+    record_watch(leadership, 100.0, 0, "")
+    lease = leadership.node_registry.leases["e"]
+    leadership.watch_responses.update(100.2, pb.WatchRequest(node=lease.node), State())
     assert not lease.uses_quota_counter  # the node does not know yet that the counter is active
-    record_watch(made, 100.3, 290)
+    record_watch(leadership, 100.3, 290)
     assert lease.uses_quota_counter and lease.requested_at == 100.3
-    record_watch(made, 100.32, 290)  # a duplicate by another path, shortly after
-    record_watch(made, 101.0, 700)
+    record_watch(leadership, 100.32, 290)  # a duplicate by another path, shortly after
+    record_watch(leadership, 101.0, 700)
     assert (
         lease.requested_at == 100.7
-        and made.node_registry.count_isolated(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
+        and leadership.node_registry.count_isolated(100.7 + 0.25 + NODE_CONTACT_MARGIN_S, 1) == 1
     )
     for now, clock, epoch in ((101.1, 290, "3"), (101.1, 0, ""), (110.0, 900, "3")):
         with pytest.raises(CallError) as stale:
-            record_watch(made, now, clock, epoch)
+            record_watch(leadership, now, clock, epoch)
         assert stale.value.code is FaultCode.STALE and lease.last_contact_at == 101.0
-    record_watch(made, 101.2, 0, "", incarnation="2")  # a new incarnation without any response yet
+    # A new incarnation that has received no response yet.
+    record_watch(leadership, 101.2, 0, "", incarnation="2")
     assert (
-        made.node_registry.leases["e"].node.incarnation == "2"
-        and made.node_registry.leases["e"].lease_end <= 101.2 + NODE_LEASE_S
+        leadership.node_registry.leases["e"].node.incarnation == "2"
+        and leadership.node_registry.leases["e"].lease_end <= 101.2 + NODE_LEASE_S
     )
 
 
