--- a/cairndale/process.py
+++ b/cairndale/process.py
@@ -1,6 +1,6 @@
-"""One process of the system: its settings, the nodes that it runs, its signals.
+"""One process of the system: its settings, its nodes and its signals.
 
-SIGTERM and SIGINT end the process in order, SIGHUP reads the settings file again.
+SIGTERM and SIGINT shut the process down gracefully, SIGHUP reloads the settings file.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 from cairndale.raft.storage import StorageError
 from cairndale.settings import Settings, SettingsError, read_settings
 
-SETTINGS = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
+SETTINGS_VARIABLE = "CAIRNDALE_CONFIG"  # the environment variable that names the settings file
 
 
 class Node(Protocol):
-    """What a process runs: a control node, a data-plane node, or one of each."""
+    """A node that a process runs: a control node or a data-plane node."""
 
     async def start(self) -> None:
-        """Returns once the node listens. Raises OSError if a port is taken."""
+        """Return once the node listens. Raises OSError if a port is in use."""
 
     async def stop(self) -> None:
-        """Returns once all accepted work is done."""
+        """Return once all accepted work is done."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over a settings file that has changed."""
+        """Apply changed settings."""
 
 
-def nodes_for(settings: Settings) -> list[Node]:
-    """The nodes that this machine is there for.
+def create_nodes(settings: Settings) -> list[Node]:
+    """Create the nodes that this machine runs.
 
-    One with a state directory runs a control node, one that serves clients a data-plane node. Only
-    what is run is imported. Raises StorageError where the state on disk cannot be read.
+    A machine with a state directory runs a control node, one that serves clients a data-plane node.
+    Only the required modules are imported. Raises StorageError if the state on disk cannot be read.
     """
     nodes: list[Node] = []
     if settings.state_dir is not None:
@@ -52,33 +52,33 @@
     return nodes
 
 
-async def serve(settings: Settings, was_hung_up: Callable[[], bool]) -> None:
-    """Runs the machine's nodes until SIGTERM or SIGINT.
+async def serve(settings: Settings, sighup_received: Callable[[], bool]) -> None:
+    """Run the machine's nodes until SIGTERM or SIGINT.
 
-    `was_hung_up` says whether a SIGHUP came before this call: the settings may be out of date.
+    `sighup_received`: whether a SIGHUP came before this call, so that the settings may be outdated.
     """
-    nodes = nodes_for(settings)
+    nodes = create_nodes(settings)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
     def reload() -> None:
         try:
-            changed = read_settings(os.environ.get(SETTINGS, ""))
+            changed = read_settings(os.environ.get(SETTINGS_VARIABLE, ""))
         except SettingsError as error:
-            log_event(Event.SETTINGS_INVALID, "the settings stay as they were: %s", error)
+            log_event(Event.SETTINGS_INVALID, "keeping the previous settings: %s", error)
             return
         log_event(Event.SETTINGS_READ, "seeds %s", " ".join(f"{h}:{p}" for h, p in changed.seeds))
         for node in nodes:
             node.reconfigure(changed)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if was_hung_up():
+    if sighup_received():
         reload()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     for node in nodes:
         await node.start()
-    # What was made by now lives as long as the process: the collector need not look at it again.
+    # Objects created so far live as long as the process: exclude them from garbage collection.
     gc.collect()
     gc.freeze()
     log_event(Event.STARTED, "%s as %s", settings.name, settings.role)
@@ -88,15 +88,15 @@
     log_event(Event.ENDED, "%s", settings.name)
 
 
-def run(was_hung_up: Callable[[], bool]) -> int:
-    """Runs the process to its end and returns its exit status.
+def run(sighup_received: Callable[[], bool]) -> int:
+    """Run the process until it ends, and return its exit status.
 
-    0 after an orderly end; 1 where the settings are invalid, the state cannot be read, or a port is
-    taken. Each cause is logged.
+    0 after a graceful shutdown; 1 if the settings are invalid, the state cannot be read, or a port
+    is in use. Each cause is logged.
     """
     set_up_logging()
     try:
-        uvloop.run(serve(read_settings(os.environ.get(SETTINGS, "")), was_hung_up))
+        uvloop.run(serve(read_settings(os.environ.get(SETTINGS_VARIABLE, "")), sighup_received))
     except SettingsError as error:
         for line in error.errors:
             log_event(Event.SETTINGS_INVALID, "%s", line)
