--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -115,7 +115,7 @@
     """Requests to cold servers are not dealt."""
     from cairndale.dataplane.endpoint_selection import EndpointSelector
 
-    EndpointSelector.owes = lambda self: ()  # type: ignore[method-assign]
+    EndpointSelector.required_units = lambda self: ()  # type: ignore[method-assign]
 
 
 def free_tries() -> None:
--- a/cairndale/configuration/routes.py
+++ b/cairndale/configuration/routes.py
@@ -173,8 +173,8 @@
         _parse_duration_us(target_time),
         _parse_duration_us(deadline),
         Repeat.SAFE if raw["kind"] == "idempotent" else Repeat.UNSAFE,
-        late_worth=LATE_WORTH,
-        tries=max(1, attempts),
+        late_value=LATE_WORTH,
+        max_endpoints=max(1, attempts),
     )
 
 
--- a/cairndale/dataplane/config_applier.py
+++ b/cairndale/dataplane/config_applier.py
@@ -97,7 +97,7 @@
             name=tenant.name,
             rate=rate,
             burst=max(1.0, burst) if rate else 0.0,
-            saved_most=max_saved_units(rate, burst, self._settings.bounds),
+            savings_limit=max_saved_units(rate, burst, self._settings.bounds),
         )
 
     def update_placement(self) -> None:
--- a/cairndale/dataplane/endpoint_list.py
+++ b/cairndale/dataplane/endpoint_list.py
@@ -100,5 +100,5 @@
             service=numbering.service_number(entry.service),
             region=numbering.region_number(self._settings.zones.get(entry.zone, "")),
             slots=entry.capacity,
-            cold_until=entry.warmup_until_us,
+            warmup_until=entry.warmup_until_us,
         )
--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -58,14 +58,14 @@
         self.placement = Placement()
         self.ready_by_service: dict[int, list[Endpoint]] = {}
         self.retry_budgets: dict[int, RetryBudget] = {}  # by service
-        self._owed_units: tuple[it.Unit, ...] = ()
-        self._denied_until: dict[it.Unit, int] = {}
+        self._owed_units: tuple[it.BudgetUnit, ...] = ()
+        self._denied_until: dict[it.BudgetUnit, int] = {}
         self._slots = 0.0  # this ingress's share of the slots of all endpoints that are ready
         super().__init__(settings, rng)
 
-    def listed(self, event: it.BackendsListed) -> None:
+    def update_endpoints(self, event: it.BackendsListed) -> None:
         """Take in a list of endpoints, or of those that have changed."""
-        super().listed(event)
+        super().update_endpoints(event)
         for info in event.backends:
             if info.state is it.BackendState.GONE:
                 self.backends.pop(info.id, None)
@@ -78,20 +78,20 @@
         """Sum up the shares of slots again: the endpoints or the placement have changed."""
         self._slots = sum(self.slot_share(b) for b in self.ready)
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Return requests out over this ingress's share of all slots."""
-        return self.out / max(1.0, self._slots)
+        return self.in_flight / max(1.0, self._slots)
 
-    def owes(self) -> tuple[it.Unit, ...]:
+    def required_units(self) -> tuple[it.BudgetUnit, ...]:
         """Return the units that the attempt of the last `pick` needs granted before it is sent."""
         return self._owed_units
 
-    def deny(self, units: tuple[it.Unit, ...], now: int, until: int) -> None:
+    def deny(self, units: tuple[it.BudgetUnit, ...], now: int, until: int) -> None:
         """Pick nothing that needs one of these units until then: no grant is to be had."""
         self._denied_until = {unit: end for unit, end in self._denied_until.items() if end > now}
         self._denied_until.update(dict.fromkeys(units, until))
 
-    def is_denied(self, unit: it.Unit, now: int) -> bool:
+    def is_denied(self, unit: it.BudgetUnit, now: int) -> bool:
         """Whether a grant of this unit was denied for a time that lasts still."""
         return self._denied_until.get(unit, 0) > now
 
@@ -116,9 +116,11 @@
     def cost(self, endpoint: Endpoint, cls: int, now: int) -> float:
         """Return the cost of one more request at the endpoint, in usual answers' times."""
         share = self.slot_share(endpoint)
-        over = max(0.0, endpoint.out + 1 - share) / share
-        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * endpoint.out / share
-        return self.slowness(endpoint, cls, now) * (1 + wait) + self.distance_cost(endpoint)
+        over = max(0.0, endpoint.in_flight + 1 - share) / share
+        wait = OVERLOAD_WEIGHT * over + BUSY_WEIGHT * endpoint.in_flight / share
+        return self.current_latency_ratio(endpoint, cls, now) * (1 + wait) + self.distance_cost(
+            endpoint
+        )
 
     def pick(
         self,
@@ -143,15 +145,15 @@
         best = self._cheapest_of_service(now, cls, allowed, asked)
         if best is None:
             return None
-        owed: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
-        if best.info.cold_until > now:
+        owed: tuple[it.BudgetUnit, ...] = ((RETRY, asked.service),) if needs_grant else ()
+        if best.info.warmup_until > now:
             owed += ((WARMUP, best.info.id),)
         self._owed_units = owed
         if again:
             budget.tokens -= not needs_grant
         else:
             self._earn(budget)
-        best.out, self.out = best.out + 1, self.out + 1
+        best.in_flight, self.in_flight = best.in_flight + 1, self.in_flight + 1
         return best
 
     def _cheapest_of_service(
@@ -165,7 +167,7 @@
             cost = self.cost(endpoint, cls, now) + COST_NOISE * self.rng.random()
             if cost >= best_cost or not allowed(endpoint):
                 continue
-            if info.cold_until > now and self.is_denied((WARMUP, info.id), now):
+            if info.warmup_until > now and self.is_denied((WARMUP, info.id), now):
                 continue
             best, best_cost = endpoint, cost
         return best
@@ -177,9 +179,11 @@
         earned = budget.tokens + RETRY_RATIO_USED * placement.retry_ratio
         budget.tokens = min(most if most >= 1 else 0.0, earned)
 
-    def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+    def record_outcome(
+        self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int
+    ) -> None:
         """Count an attempt as over, and learn from how it ended."""
         if outcome is Outcome.MOOT:  # never tried: nothing is known of the endpoint
-            backend.out, self.out = max(0, backend.out - 1), self.out - 1
+            backend.in_flight, self.in_flight = max(0, backend.in_flight - 1), self.in_flight - 1
             return
-        super().ended(backend, now, cls, outcome, latency)
+        super().record_outcome(backend, now, cls, outcome, latency)
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -35,17 +35,17 @@
     @property
     def selector(self) -> EndpointSelector:
         """The endpoint pool. Raises TypeError if the policy was made with one of another kind."""
-        if not isinstance(self.fleet, EndpointSelector):
-            raise TypeError(f"no EndpointSelector: {self.fleet!r}")
-        return self.fleet
+        if not isinstance(self.pool, EndpointSelector):
+            raise TypeError(f"no EndpointSelector: {self.pool!r}")
+        return self.pool
 
-    def follow(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Take other settings from now on; each account goes on with its plan's new form."""
         accounts, self.accounts = self.accounts, {}  # the base class would search a plan for each
-        super().follow(settings)
+        super().apply_settings(settings)
         self.accounts = accounts
         for account in accounts.values():
-            account.follow(settings.plans[self.plan_number(account.plan.name)])
+            account.apply_plan(settings.plans[self.plan_number(account.plan.name)])
 
 
 class ReconfigurableEngine(Engine):
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -41,14 +41,14 @@
     aim=1_000_000,  # us
     deadline=30_000_000,  # us
     repeat=it.Repeat.UNSAFE,
-    late_worth=0.5,
+    late_value=0.5,
 )
 
 
 def initial_settings(zone: int, fleet_size: int) -> it.Settings:
     """Return the policy's settings without a configuration: no class and no plan but the first."""
     return it.Settings(
-        me=0,
+        ingress_index=0,
         fleet_size=fleet_size,
         zone=zone,
         tick=TICK_US,
@@ -59,20 +59,25 @@
             advises_retry=True,
             max_retry_after=RETRY_AFTER_US,
             connect_timeout=CONNECT_TIMEOUT_US,
-            patient=True,
-            promises=True,
+            awaits_silent_attempts=True,
+            refusal_means_not_run=True,
             may_cancel=True,
         ),
         safety=it.Safety(
-            answer_slack=0, drain_grace=0, cold_share=1.0, ramp_time=1, tip_multiple=1.0, fall=1
+            answer_slack=0,
+            drain_grace=0,
+            cold_share=1.0,
+            ramp_time=1,
+            overload_multiple=1.0,
+            overload_duration=1,
         ),
         counter=it.CounterLimits(
             allowed=True,
             timeout=round(LEASE_TRY_TIMEOUT_S * 1e6),
-            calls_out=1e6,
-            part=LEASE_PART,
+            max_calls_in_flight=1e6,
+            lease_ahead_share=LEASE_PART,
             strict=True,
-            expiry=round(QUOTA_GRANT_LIFE_S * EXPIRY_MARGIN * 1e6),
+            lease_expiry=round(QUOTA_GRANT_LIFE_S * EXPIRY_MARGIN * 1e6),
         ),
     )
 
@@ -89,8 +94,8 @@
         first = initial_settings(numbering.zone_number(settings.zone, 0), fleet_size=1)
         self._clock = clock
         self.policy = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
-        self.policy.in_touch = contact.in_contact
-        self.policy.alone_since = contact.isolated_since_us
+        self.policy.counter_reachable = contact.in_contact
+        self.policy.counter_unreachable_since = contact.isolated_since_us
         self.selector = self.policy.selector
         self._sockets = Sockets(settings.max_open_files - OWN_DESCRIPTORS)
         self.backends = _backends(self._sockets)
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -55,7 +55,7 @@
         self._now_us = now_us
         self.calls: set[asyncio.Task[None]] = set()  # in flight
 
-    def deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
+    def deal(self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]) -> None:
         """Ask for a grant of one of each unit, or of none.
 
         `on_granted` hears until when they may be used (us on the engine's clock), or 0.
@@ -77,7 +77,7 @@
         task.add_done_callback(self.calls.discard)
 
     async def _request_grant(
-        self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]
+        self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]
     ) -> None:
         requested_at, until, denial_us = self._now_us(), 0, UNANSWERED_DENIAL_US
         names = [f"{kind}/{self._unit_name(kind, number)}" for kind, number in units]
--- a/cairndale/dataplane/serving_state.py
+++ b/cairndale/dataplane/serving_state.py
@@ -38,7 +38,7 @@
         """
         now = self.now()
         in_time = now < self._late_at or now + timeout_us / 1e6 < self.ends_at
-        usual_s = self._selector.usual_latency[cls] / 1e6
+        usual_s = self._selector.average_latencies[cls] / 1e6
         return in_time and now + USUAL_TIMES_LEFT * usual_s < self.ends_at
 
     def begin_drain(self, grace: float) -> None:
--- a/cairndale/ingress/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -86,7 +86,7 @@
         engine.listed,
         settings.fleet_size,
         held,
-        settings.me,
+        settings.ingress_index,
     )
     reader = config.request.reader() if config.request else None
     listener = Listener(engine, sockets, Memory(config.memory_mb), clock.now, reader)
--- a/cairndale/ingress/handover_state.py
+++ b/cairndale/ingress/handover_state.py
@@ -20,9 +20,9 @@
 # Key in the hand-over: attribute. `slot` and the ring's slots are handed over beside these.
 ACCOUNT_FIELDS: Mapping[str, str] = MappingProxyType(
     {
-        "spread": "gateways",
-        "level_at": "store_at",
-        "level": "store_units",
+        "spread": "ingress_count",
+        "level_at": "bucket_updated_at",
+        "level": "bucket_units",
         "share": "isolated_share",
         "tokens": "tokens",
         "rate": "lease_rate",
@@ -68,9 +68,9 @@
 )
 POOL_FIELDS: Mapping[str, str] = MappingProxyType(
     {
-        "usual": "usual_latency",
-        "typical": "typical_ratios",
-        "more": "extra_room",
+        "usual": "average_latencies",
+        "typical": "average_ratios",
+        "more": "extra_capacity",
         "sends": "sent_on_average",
     }
 )
@@ -111,23 +111,23 @@
         slots = [list(slot) for slot in account.ring.slots]
         accounts.append([customer, plan, slots, _account_values(account)])
         account.tokens = 0.0
-    for number, backend in gateway.fleet.backends.items():
+    for number, backend in gateway.pool.backends.items():
         values = {key: getattr(backend, name) for key, name in ENDPOINT_FIELDS.items()}
         backends.append([number, backend.info.started, values])
-    fleet = {key: getattr(gateway.fleet, name) for key, name in POOL_FIELDS.items()}
-    fleet["returned"] = list(gateway.fleet.returned_at.items())
-    gateway.retired = gateway.fleet.retired = True
+    fleet = {key: getattr(gateway.pool, name) for key, name in POOL_FIELDS.items()}
+    fleet["returned"] = list(gateway.pool.returned_at.items())
+    gateway.retired = gateway.pool.retired = True
     pacing = {
-        "crowd": gateway.crowding,
+        "crowd": gateway.backoff_factor,
         "call_at": gateway.next_call_at,
-        "began": gateway.began,
+        "began": gateway.started_at,
     }
     return {"accounts": accounts, "backends": backends, "fleet": fleet, "gateway": pacing}
 
 
 def take_back(gateway: RequestPolicy, state: dict[str, Any]) -> None:
     """No process has taken over after all. The other half of each ceiling refills."""
-    gateway.retired = gateway.fleet.retired = False
+    gateway.retired = gateway.pool.retired = False
     for customer, _, _, values in state["accounts"]:
         if account := gateway.accounts.get(customer):
             account.tokens += values["tokens"]
@@ -148,10 +148,10 @@
             plan_here = gateway.settings.plans[plans[plan]]
             made = TenantAccount(plan_here, values["spread"], gateway.slot_us, now)
             accounts[customer] = _account_from(made, values, ring)
-    _take_over_pool(gateway.fleet, state, classes)
-    gateway.crowding = state["gateway"]["crowd"]
+    _take_over_pool(gateway.pool, state, classes)
+    gateway.backoff_factor = state["gateway"]["crowd"]
     gateway.next_call_at = state["gateway"]["call_at"]
-    gateway.accounts, gateway.began = accounts, state["gateway"]["began"]
+    gateway.accounts, gateway.started_at = accounts, state["gateway"]["began"]
 
 
 def _take_over_pool(pool: EndpointPool, state: dict[str, Any], classes: Sequence[int]) -> None:
@@ -159,15 +159,15 @@
     kept = [(there, here) for there, here in enumerate(classes) if here >= 0]
     handed = state["fleet"]
     for there, here in kept:
-        pool.usual_latency[here] = handed["usual"][there]
-        pool.typical_ratios[here] = handed["typical"][there]
-    pool.extra_room, pool.sent_on_average = handed["more"], handed["sends"]
+        pool.average_latencies[here] = handed["usual"][there]
+        pool.average_ratios[here] = handed["typical"][there]
+    pool.extra_capacity, pool.sent_on_average = handed["more"], handed["sends"]
     pool.returned_at = dict(handed["returned"])
     for number, started, values in state["backends"]:
         if known := pool.backends.get(number):
             known.info = replace(known.info, started=started)
             for key, name in ENDPOINT_FIELDS.items():
                 setattr(known, name, values[key])
-            known.latency_ratios = [1.0] * len(pool.usual_latency)
+            known.latency_ratios = [1.0] * len(pool.average_latencies)
             for there, here in kept:
                 known.latency_ratios[here] = values["slow"][there]
--- a/cairndale/ingress/net/config.py
+++ b/cairndale/ingress/net/config.py
@@ -13,7 +13,7 @@
 from cairndale.ingress.net.pool import Options
 from cairndale.ingress.net.requests import Fields
 from cairndale.ingress.policy import interface as it
-from cairndale.ingress.policy.engine import check
+from cairndale.ingress.policy.engine import check_settings
 from cairndale.ingress.wire import WireError, settings_from_json
 
 Address = tuple[str, int]
@@ -164,7 +164,7 @@
         ops = env.get("EDGE_OPS") or top.get("ops")
         discovery = env.get("EDGE_DISCOVERY") or top["discovery"]
         settings = settings_from_json(json.dumps(raw).encode())
-        check(settings)
+        check_settings(settings)
         return Config(
             listen=_address(env.get("EDGE_LISTEN") or top["listen"], "listen"),
             discovery=_address(discovery, "discovery") if discovery is not None else None,
--- a/cairndale/ingress/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -128,7 +128,7 @@
 class Dealer(Protocol):
     """Deals units of wholes that all ingresses share, as they are needed."""
 
-    def deal(self, units: tuple[it.Unit, ...], dealt: Callable[[int], None]) -> None:
+    def deal(self, units: tuple[it.BudgetUnit, ...], dealt: Callable[[int], None]) -> None:
         """One of each, or none: `dealt` hears until when they may be used (us), or 0."""
 
 
@@ -420,7 +420,7 @@
         attempts, customers = (
             {int(k): int(n) for k, n in busy[what]} for what in ("attempts", "customers")
         )
-        self._post(it.OtherBusy(attempts, customers))
+        self._post(it.PredecessorLoad(attempts, customers))
 
     def give_up(self) -> None:
         """Fails all that is open: the process is about to end."""
@@ -572,14 +572,14 @@
         attempt.wait = wait
         if not coming:
             attempt.timer = self._loop.call_later(wait / 1e6, self._timed_out, request, attempt)
-        if not action.units:
-            self._write(request, attempt, now + wait, action.until)
+        if not action.budget_units:
+            self._write(request, attempt, now + wait, action.send_by)
         elif self.dealer is None:
             self._ended(request, attempt, Answer(Outcome.MOOT))
         else:
             end, attempt.exchange = now + wait, Undealt()
             self.dealer.deal(
-                action.units, lambda until: self._dealt(request, attempt, action, end, until)
+                action.budget_units, lambda until: self._dealt(request, attempt, action, end, until)
             )
 
     def _dealt(
@@ -590,7 +590,7 @@
         if not until:
             self._ended(request, attempt, Answer(Outcome.MOOT))
         else:
-            self._write(request, attempt, end, min(until, action.until or until))
+            self._write(request, attempt, end, min(until, action.send_by or until))
 
     def _write(self, request: Request, attempt: Attempt, end: int, until: int) -> None:
         """`end`: when its answer is to be there; `until`: when its first byte is written at the
@@ -628,7 +628,7 @@
                 attempt.timer = self._loop.call_later(
                     attempt.wait / 1e6, self._timed_out, request, attempt
                 )
-        self._post(it.BodyCame(request.number, timeout))
+        self._post(it.BodyCompleted(request.number, timeout))
 
     def _opened(self, request: Request, attempt: Attempt, answer: Answer) -> bool:
         """A large answer begins: its first byte goes on at once, and no other attempt can answer
@@ -699,7 +699,7 @@
             latency,
             request.over,
             load,
-            spent=upload is not None and upload.spent,
+            body_consumed=upload is not None and upload.spent,
         )
         self._post(event)
 
@@ -718,7 +718,9 @@
             self._post(it.CountAnswered(name, outcome, total, latency, left))
 
         if self.lessor:
-            self.lessor.lease(action.customer, action.amount - action.told, action.told, answered)
+            self.lessor.lease(
+                action.customer, action.amount - action.reported, action.reported, answered
+            )
         elif self.counter:
             self.counter.add(name, action.amount, action.ttl, answered)
         else:
--- a/cairndale/ingress/policy/account.py
+++ b/cairndale/ingress/policy/account.py
@@ -31,10 +31,10 @@
     part."""
 
     plan: it.Plan
-    gateways: int  # ingresses that this customer's requests can come through
+    ingress_count: int  # ingresses that this customer's requests can come through
     slot_us: int  # T0, and d_0: one slot of the borrowing ring
-    store_at: int  # when `store_units` was true
-    store_units: float = 0.0  # the most the shared store can have held then
+    bucket_updated_at: int  # when `store_units` was true
+    bucket_units: float = 0.0  # the most the shared store can have held then
     isolated_share: float = 0.0  # this ingress's part, spent only without the counter
     tokens: float = 0.0  # W: leased units left
     lease_rate: float = 0.0  # r_t: size of the last lease over its expected life, units/s
@@ -63,15 +63,15 @@
     ring: BorrowingRing = field(init=False)
 
     def __post_init__(self) -> None:
-        self.store_units = self.isolated_share = self.plan.burst
-        self.demand_at = self.store_at
+        self.bucket_units = self.isolated_share = self.plan.burst
+        self.demand_at = self.bucket_updated_at
         self.ring = BorrowingRing(self.slot_us)
-        self.follow(self.plan)
+        self.apply_plan(self.plan)
 
-    def follow(self, plan: it.Plan) -> None:
+    def apply_plan(self, plan: it.Plan) -> None:
         """Another plan from now on: what is known stays, within the new bounds."""
         self.plan = plan
-        self.store_units = min(self.store_units, plan.burst)
+        self.bucket_units = min(self.bucket_units, plan.burst)
         self.isolated_share = min(self.isolated_share, plan.burst)
         if plan.rate:  # a store left alone for a window is full: nothing need be carried further
             self.window_us = max(SECOND, int(plan.burst / plan.rate * SECOND))
@@ -79,9 +79,9 @@
     @property
     def saves_while_connected(self) -> bool:
         """Whether the isolated share grows while the counter is in contact as well."""
-        return not self.strict or self.gateways <= self.plan.saved_most
+        return not self.strict or self.ingress_count <= self.plan.savings_limit
 
-    def arrive(self, now: int, units: float, again: bool, retired: bool = False) -> None:
+    def record_arrival(self, now: int, units: float, again: bool, retired: bool = False) -> None:
         """A request has come: allowances refill, and the demand estimate fades and grows.
 
         Args:
@@ -91,7 +91,7 @@
             retired: another process has taken over, and has the ceiling's refill.
         """
         before, self.demand_at = self.demand_at, now
-        part = 1 / self.gateways
+        part = 1 / self.ingress_count
         elapsed_s = (now - before) / SECOND
         self._update_demand(units, again, elapsed_s)
         self._refill_isolated_share(now, before, units, part)
@@ -125,12 +125,12 @@
             plan.ceiling_burst * part, self.ceiling_unreported + refilled * part
         )
 
-    def store_bound(self, now: int) -> float:
+    def bucket_bound(self, now: int) -> float:
         """The most units that the shared store can hold, beside those leased here."""
-        grown = self.store_units + self.plan.rate * (now - self.store_at) / SECOND
+        grown = self.bucket_units + self.plan.rate * (now - self.bucket_updated_at) / SECOND
         return min(self.plan.burst - self.tokens, grown)
 
-    def book_retry(self, now: int, units: float) -> int:
+    def borrow_for_retry(self, now: int, units: float) -> int:
         """Second stage: the wait before a retry in us, or 0 for a final refusal."""
         spare = max(0.0, (self.lease_rate - self.demand) * self.slot_us / SECOND)  # W_a
-        return self.ring.book(now, units, spare)
+        return self.ring.borrow(now, units, spare)
--- a/cairndale/ingress/policy/admission.py
+++ b/cairndale/ingress/policy/admission.py
@@ -28,15 +28,15 @@
 # Part of the endpoints' bound under which there is room for hedged requests and for paid units
 # beyond a quota.
 SPARE_CAPACITY = 0.6
-CROWDED = 1.2  # calls refused or unanswered of late: some in ten, and not just one
+COUNTER_OVERLOADED = 1.2  # calls refused or unanswered of late: some in ten, and not just one
 # Calls a second by all ingresses that are made while crowded, though they could be saved.
 TRIAL_CALLS_PER_S = 64.0
 # Windows for which a total of the counter tells more of a customer than an even part of the quota.
 TOTAL_TRUSTED_WINDOWS = 4
 # Ingresses a customer: with more, what one leases ahead is seldom spent, and few know of the store.
 CONTENDED_GATEWAYS = 12
-LONGEST_BACKOFF = 32.0  # times the usual pause between calls
-COUNTER_TTL_MOST = 60 * SECOND
+MAX_BACKOFF_FACTOR = 32.0  # times the usual pause between calls
+MAX_COUNTER_TTL = 60 * SECOND
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
@@ -45,8 +45,8 @@
 
     event: it.RequestArrived
     account: TenantAccount
-    cut: int  # no answer after this is worth new work
-    until: int  # when the unit that it is admitted by is taken for spent; 0: never
+    useful_until: int  # no answer after this is worth new work
+    admitted_until: int  # when the unit that it is admitted by is taken for spent; 0: never
 
 
 RequestT = TypeVar("RequestT", bound=AdmissionRequest)
@@ -70,28 +70,30 @@
         self.settings, self.rng = settings, rng
         self.accounts: dict[int, TenantAccount] = {}
         self.calls: dict[int, deque[CounterCall]] = {}  # unanswered, by the counter's name
-        self.crowding = 1.0  # factor on the pause between calls; 1: the counter keeps up
+        self.backoff_factor = 1.0  # factor on the pause between calls; 1: the counter keeps up
         self.next_call_at = -SECOND
         self.now = 0
         self.retired = False  # another process has taken over; what is still open ends here
         self.requests_since_call = 0
         self.requests_per_call = 1.0  # average of the above, each call's own included
         self.actions: list[it.Action] = []
-        self.in_touch: Callable[[], bool] = lambda: True  # whether the counter is in contact
+        self.counter_reachable: Callable[[], bool] = lambda: (
+            True
+        )  # whether the counter is in contact
         # Since when the counter is out of contact; while it is in contact, now.
-        self.alone_since: Callable[[], int] = lambda: 0
-        self.follow(settings)
+        self.counter_unreachable_since: Callable[[], int] = lambda: 0
+        self.apply_settings(settings)
 
-    def follow(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Other rules for what is to come: accounts and leases stay."""
         for account in self.accounts.values():
-            account.follow(settings.plans[self.settings.plans.index(account.plan)])
+            account.apply_plan(settings.plans[self.settings.plans.index(account.plan)])
         limits, counter, self.settings = settings.limits, settings.counter, settings
         # us between calls while the counter keeps up.
-        self.call_interval = counter.timeout * settings.fleet_size / counter.calls_out
+        self.call_interval = counter.timeout * settings.fleet_size / counter.max_calls_in_flight
         # A trial call a second or so at the most crowded.
         backoff = 1.5 * SECOND / max(1.0, self.call_interval)
-        self.crowding_most = max(1.0, min(LONGEST_BACKOFF, backoff))
+        self.max_backoff_factor = max(1.0, min(MAX_BACKOFF_FACTOR, backoff))
         # d_0, T0: the longest wait that clients heed.
         self.slot_us = limits.advises_retry * limits.max_retry_after or SECOND
 
@@ -105,7 +107,7 @@
         """Answers the request for good."""
         raise NotImplementedError
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """The part of what the endpoints can take that is in flight."""
         raise NotImplementedError
 
@@ -120,17 +122,19 @@
         """
         account, units, counter = request.account, request.event.units, self.settings.counter
         plan, contended = account.plan, self.is_contended(account)
-        request.until = 0
-        if 0 < counter.expiry < self.now - account.leased_at:
+        request.admitted_until = 0
+        if 0 < counter.lease_expiry < self.now - account.leased_at:
             account.tokens = 0.0  # the counter takes them for spent
         attempts = account.attempts_out + account.attempts_elsewhere
-        if plan.max_open and attempts >= plan.max_open:
+        if plan.max_in_flight and attempts >= plan.max_in_flight:
             self.overflow(request)  # the cap on attempts at once holds whatever the store has
         elif not plan.rate or (account.tokens >= units and not account.waiting):
             self._send_leased(request)
-        elif not answered and self.saves_call(account, units):
+        elif not answered and self.can_skip_call(account, units):
             self.send_unreported(request)
-        elif answered or (not contended and account.store_bound(self.now) + account.tokens < units):
+        elif answered or (
+            not contended and account.bucket_bound(self.now) + account.tokens < units
+        ):
             self.overflow(request)  # the store cannot hold it, whatever others did: no call needed
         elif self._cannot_call(request) or (contended and self._not_worth_a_call(request)):
             self.admit_without_counter(request)
@@ -141,9 +145,9 @@
 
     def _send_leased(self, request: RequestT) -> None:
         account, counter = request.account, self.settings.counter
-        account.store_units, account.store_at = account.store_bound(self.now), self.now
-        if account.plan.rate and counter.expiry:
-            request.until = account.leased_at + counter.expiry
+        account.bucket_units, account.bucket_updated_at = account.bucket_bound(self.now), self.now
+        if account.plan.rate and counter.lease_expiry:
+            request.admitted_until = account.leased_at + counter.lease_expiry
         if self.send(request, leased=True):
             account.tokens -= request.event.units
 
@@ -151,7 +155,7 @@
         """No counter, no time for it, or calls enough made."""
         if self.lacks_time_for_call(request):
             return True
-        if not (self.settings.counter.allowed and self.in_touch()):
+        if not (self.settings.counter.allowed and self.counter_reachable()):
             return True
         return not request.account.lease_pending and self.next_call_at > self.now
 
@@ -159,19 +163,21 @@
         """Under contention: the total is known, or the request has other ways."""
         account, plan = request.account, request.account.plan
         known = self.now - account.total_seen_at < account.window_us
-        return known or request.event.is_retry or plan.beyond_earns > plan.beyond_costs
+        return known or request.event.is_retry or plan.overage_value > plan.overage_cost
 
     def lacks_time_for_call(self, request: RequestT) -> bool:
         """Whether an answer of the counter may come too late for the request."""
-        return self.now + 2 * self.settings.counter.timeout >= request.cut
+        return self.now + 2 * self.settings.counter.timeout >= request.useful_until
 
     def lease_ahead_part(self, account: TenantAccount) -> float:
         """The part of the store's room that one lease may take ahead of demand."""
-        return self.settings.counter.part or 1 / (2 * account.gateways)
+        return self.settings.counter.lease_ahead_share or 1 / (2 * account.ingress_count)
 
     def is_contended(self, account: TenantAccount) -> bool:
         """The counter is crowded, and many ingresses share the customer."""
-        return self.crowding > CROWDED and account.gateways > CONTENDED_GATEWAYS
+        return (
+            self.backoff_factor > COUNTER_OVERLOADED and account.ingress_count > CONTENDED_GATEWAYS
+        )
 
     # Units spent without the counter.
 
@@ -179,24 +185,24 @@
         """Spends of a fixed part without a call; by a draw where that is less than a request."""
         account, units = request.account, request.event.units
         counter = self.settings.counter
-        if counter.strict and self.in_touch():
+        if counter.strict and self.counter_reachable():
             self.overflow(request)
             return
-        room = account.store_bound(self.now)
+        room = account.bucket_bound(self.now)
         self.requests_since_call += not request.event.is_retry
-        even = account.plan.burst / account.gateways if request.event.is_retry else room
+        even = account.plan.burst / account.ingress_count if request.event.is_retry else room
         part = min(account.isolated_share, room, even) / units if units else 1.0
         trusted_us = TOTAL_TRUSTED_WINDOWS * account.window_us
         if self.is_contended(account) and self.now - account.total_seen_at < trusted_us:
             part = account.admit_probability
-        elif counter.strict or account.plan.burst >= units * account.gateways:
+        elif counter.strict or account.plan.burst >= units * account.ingress_count:
             part = part // 1  # whole requests only
         if self.rng.random() >= part:
             self.overflow(request)
         else:
             self.send_unreported(request)
 
-    def saves_call(self, account: TenantAccount, units: float) -> bool:
+    def can_skip_call(self, account: TenantAccount, units: float) -> bool:
         """While crowded, what this ingress's own part covers needs no call.
 
         A trial call is made now and then all the same.
@@ -204,20 +210,22 @@
         if self.settings.counter.strict:
             return False
         trial_us = self.settings.fleet_size * SECOND / TRIAL_CALLS_PER_S
-        needed = self.crowding > CROWDED and self.now - self.next_call_at < trial_us
+        needed = (
+            self.backoff_factor > COUNTER_OVERLOADED and self.now - self.next_call_at < trial_us
+        )
         covered = not account.plan.ceiling_rate or account.ceiling_unreported >= units
-        room = min(account.isolated_share, account.store_bound(self.now))
+        room = min(account.isolated_share, account.bucket_bound(self.now))
         return needed and covered and room >= units
 
     def send_unreported(self, request: RequestT) -> None:
         """Sends on units that the counter is told of with the next call."""
         account, units = request.account, request.event.units
-        room, expiry = account.store_bound(self.now), self.settings.counter.expiry
-        request.until = self.now + expiry if expiry else 0
+        room, expiry = account.bucket_bound(self.now), self.settings.counter.lease_expiry
+        request.admitted_until = self.now + expiry if expiry else 0
         if self.send(request):
             account.isolated_share = max(0.0, account.isolated_share - units)
             account.unreported += units
-            account.store_units, account.store_at = room - units, self.now
+            account.bucket_units, account.bucket_updated_at = room - units, self.now
 
     # Leases.
 
@@ -237,10 +245,10 @@
 
     def _lease_size(self, account: TenantAccount) -> tuple[float, float]:
         """Units needed now, and ahead of demand."""
-        room = account.store_bound(self.now)
+        room = account.bucket_bound(self.now)
         waiting = sum(request.event.units for request in account.waiting)
         need = max(0.0, min(waiting - account.tokens, room))
-        expected = max(account.demand * LEASE_LIFE_S, waiting) * self.crowding
+        expected = max(account.demand * LEASE_LIFE_S, waiting) * self.backoff_factor
         ahead = min(expected, (room - need) * self.lease_ahead_part(account))
         if self.retired:  # the customer's next requests come to the other process
             ahead = 0.0
@@ -252,12 +260,12 @@
 
     def call_counter(self, name: int, call: CounterCall, customer: int = 0) -> None:
         """Adds to a window's total, and sets when the next call may be made."""
-        ttl = min(COUNTER_TTL_MOST, 2 * call.account.window_us)
+        ttl = min(MAX_COUNTER_TTL, 2 * call.account.window_us)
         amount = call.amount + call.reported
         self.actions.append(it.AddToCounter(name, amount, ttl, customer, call.reported))
         self.calls.setdefault(name, deque()).append(call)
-        earliest = max(self.next_call_at, self.now - SECOND / self.crowding)
-        self.next_call_at = int(earliest + self.call_interval * self.crowding)
+        earliest = max(self.next_call_at, self.now - SECOND / self.backoff_factor)
+        self.next_call_at = int(earliest + self.call_interval * self.backoff_factor)
 
     # The counter's answers.
 
@@ -267,7 +275,7 @@
         if call is None:
             return
         heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        self._adjust_crowding(event.outcome, heard)
+        self._adjust_backoff(event.outcome, heard)
         if not call.is_lease:
             return
         account = call.account
@@ -287,18 +295,18 @@
             self.calls[name] = queue
         return call
 
-    def _adjust_crowding(self, outcome: Outcome, heard: bool) -> None:
+    def _adjust_backoff(self, outcome: Outcome, heard: bool) -> None:
         """Counter slow, silent, refusing, crowded: fewer calls in flight, rarer, for more.
 
         Meanwhile an even part of the quota is spent without it. Harms a customer whose traffic all
         comes through one ingress: it waits longer for its units.
         """
         if heard:
-            self.crowding = max(1.0, self.crowding * 0.95)
+            self.backoff_factor = max(1.0, self.backoff_factor * 0.95)
             return
         # A broken connection says less of a crowd than a refusal or a silence.
         growth = 1.0 if outcome is Outcome.RESET else 1.5
-        self.crowding = min(self.crowding_most, self.crowding * growth)
+        self.backoff_factor = min(self.max_backoff_factor, self.backoff_factor * growth)
 
     def _lease_failed(self, call: CounterCall, outcome: Outcome, waiting: list[RequestT]) -> None:
         """Requests ask anew after a broken connection, if there is time, or do without."""
@@ -317,8 +325,8 @@
             units, over = self._contended_grant(call, event.total, waiting)
         else:
             units, over = self._estimated_grant(call, event)
-        account.store_units = min(account.plan.burst, units + over)
-        account.store_at = self.now
+        account.bucket_units = min(account.plan.burst, units + over)
+        account.bucket_updated_at = self.now
         account.tokens += amount - over
         account.lease_rate = min(account.plan.rate, (amount - over) / LEASE_LIFE_S)
 
@@ -349,13 +357,13 @@
         """
         account, plan, amount = call.account, call.account.plan, call.amount
         due = plan.rate * (self.now - call.window_start) / SECOND
-        counted, bound = plan.burst + due - event.total, account.store_bound(self.now) - amount
-        in_demand = account.demand * account.gateways > plan.rate
+        counted, bound = plan.burst + due - event.total, account.bucket_bound(self.now) - amount
+        in_demand = account.demand * account.ingress_count > plan.rate
         unknown = counted - bound if in_demand else 0.0
         unknown = unknown if unknown > plan.burst / 8 else 0.0
         units = min(counted, bound)
         over = min(amount, max(0.0, -units))  # past the allowance: that part is added back
-        if unknown != over and self.crowding > CROWDED:
+        if unknown != over and self.backoff_factor > COUNTER_OVERLOADED:
             # With the next call, if it comes in this window.
             account.refund, account.refund_name = unknown - over, event.name
         elif unknown != over:
@@ -372,7 +380,7 @@
         is no overflow yet."""
         for request in waiting:
             units = request.event.units
-            more = keeps_store and account.store_bound(self.now) >= units
+            more = keeps_store and account.bucket_bound(self.now) >= units
             if more and account.tokens < units and not self.lacks_time_for_call(request):
                 account.waiting.append(request)
             else:
@@ -385,10 +393,10 @@
     def overflow(self, request: RequestT) -> None:
         """Retry-after, or a final refusal."""
         account = request.account
-        paid = account.plan.beyond_earns > account.plan.beyond_costs
-        if paid and self.used() < SPARE_CAPACITY:
+        paid = account.plan.overage_value > account.plan.overage_cost
+        if paid and self.utilization() < SPARE_CAPACITY:
             # The plan pays for service beyond its quota while there is capacity to spare.
             self.send(request)
         else:
-            wait = account.book_retry(self.now, request.event.units)
+            wait = account.borrow_for_retry(self.now, request.event.units)
             self.end(request, it.Refuse(request.event.request, wait))
--- a/cairndale/ingress/policy/borrowing_ring.py
+++ b/cairndale/ingress/policy/borrowing_ring.py
@@ -28,7 +28,7 @@
     # [A, B] of each slot: units spare, and requests that are to wait once more.
     slots: deque[list[float]] = field(default_factory=deque)
 
-    def book(self, now: int, units: float, spare: float) -> int:
+    def borrow(self, now: int, units: float, spare: float) -> int:
         """Borrows units from a later slot.
 
         Args:
--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -19,12 +19,12 @@
 from cairndale.ingress.policy.interface import BackendState, ListKind, Outcome
 
 # Requests in flight at an endpoint by all ingresses to begin with: a few a core.
-FIRST_LIMIT = 16.0
+INITIAL_LIMIT = 16.0
 # Latency, as a share of the target, at which an endpoint counts as full: tails run four times that.
 TARGET_LATENCY_SHARE = 0.19
 # Of the slow-start budget that is used: requests differ in work, and lists come at different times.
 SLOW_START_SHARE = 0.8
-SLOW_START_CREDIT_MOST = 2.0
+MAX_SLOW_START_CREDIT = 2.0
 FAILED_RATIO = 4.0  # times the usual latency: what an error or no answer is taken for
 DOWN_RATIO = 3 * FAILED_RATIO  # and a connection that failed or was reset
 WARM_CAPACITY_INTERVAL = SECOND // 4  # us between looks at how much of the fleet is warm
@@ -33,15 +33,15 @@
 # Endpoints looked at for a request: all of a small fleet, of a large one enough to find a good one.
 CANDIDATES = 16
 # Times the usual latency of its own endpoints, from which an ingress of many looks at others.
-STRAY_RATIO = 2.5
+NON_PREFERRED_RATIO = 2.5
 # Multiples of it are evenly spread over a circle, neighbours far apart.
 GOLDEN_RATIO = (math.sqrt(5) - 1) / 2
-USUAL_LATENCY_GAIN = 0.05  # of the moving average of latencies
+AVERAGE_LATENCY_GAIN = 0.05  # of the moving average of latencies
 RATIO_GAIN = 0.2  # of an endpoint's latency ratio
-TYPICAL_GAIN = 0.05  # of the ratio that is typical of all
-LOAD_REPORT_LIFE = SECOND  # older reports tell nothing
+AVERAGE_RATIO_GAIN = 0.05  # of the ratio that is typical of all
+LOAD_REPORT_LIFETIME = SECOND  # older reports tell nothing
 BUSY_SHARE = 0.7  # of its limit that an endpoint must have in flight for the limit to grow
-BROKEN = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
+FAILURES = (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 
 
 @dataclass(slots=True)
@@ -52,8 +52,8 @@
     limit: float = 0.0  # requests in flight at once
     # By class: latency over the usual; FAILED_RATIO if no answer came.
     latency_ratios: list[float] = field(default_factory=list)
-    out: int = 0  # requests in flight
-    out_elsewhere: int = 0  # and those of the process that this one takes over from
+    in_flight: int = 0  # requests in flight
+    in_flight_elsewhere: int = 0  # and those of the process that this one takes over from
     last_outcome_at: int = 0  # its last answer, or the lack of one
     credit: float = 0.0  # slow start: requests earned by now ...
     credit_at: float = 0.0  # ... and what an endpoint had got on average then
@@ -70,44 +70,44 @@
         self.ready: list[Endpoint] = []
         # Of these, the ones that this ingress keeps to while they serve it well.
         self.preferred: list[Endpoint] = []
-        self.withdrawn: set[int] = set()  # taken out by operators, apart from what is listed
+        self.maintenance_ids: set[int] = set()  # taken out by operators, apart from what is listed
         self.returned_at: dict[int, int] = {}  # put back by operators: cold as if started then
-        self.usual_latency: list[float] = []  # of an answer, by class
-        self.typical_ratios: list[float] = []  # what latency ratios are on average, by class
-        self.out = 0  # requests in flight
-        self.out_elsewhere = 0.0  # and those of the process that this one takes over from
-        self.extra_room = 0.0  # what the limits of all have grown by
+        self.average_latencies: list[float] = []  # of an answer, by class
+        self.average_ratios: list[float] = []  # what latency ratios are on average, by class
+        self.in_flight = 0  # requests in flight
+        self.in_flight_elsewhere = 0.0  # and those of the process that this one takes over from
+        self.extra_capacity = 0.0  # what the limits of all have grown by
         self.sent_on_average = 0.0  # requests that an endpoint has got on average
         self.warm_capacity, self.warm_capacity_at = 0.0, -SECOND
         self.retired = False  # another process has taken over, the slow-start budgets too
-        self.follow(settings)
+        self.apply_settings(settings)
 
-    def follow(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Other settings: classes keep their numbers, new ones come behind."""
         self.settings = settings
-        self.even_limit = FIRST_LIMIT / settings.fleet_size
-        self.first_limit = self.even_limit
+        self.even_share_limit = INITIAL_LIMIT / settings.fleet_size
+        self.initial_limit = self.even_share_limit
         self.refresh_ready()
-        new = len(settings.classes) - len(self.usual_latency)
-        self.usual_latency = self.usual_latency + [0.0] * new
-        self.typical_ratios = self.typical_ratios + [1.0] * new
+        new = len(settings.classes) - len(self.average_latencies)
+        self.average_latencies = self.average_latencies + [0.0] * new
+        self.average_ratios = self.average_ratios + [1.0] * new
         for endpoint in self.backends.values():
             endpoint.latency_ratios += [1.0] * new
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """The part in flight of what may be in flight at all endpoints: one at each jams them."""
-        if self.even_limit < 1:
-            ratios = zip(self.typical_ratios, self.usual_latency, strict=True)
+        if self.even_share_limit < 1:
+            ratios = zip(self.average_ratios, self.average_latencies, strict=True)
             failing = min((ratio for ratio, usual in ratios if usual), default=1.0)
-            pooled = 1 + self.even_limit * len(self.ready) / 2
-            room = pooled / failing + self.extra_room  # less if every class fails
+            pooled = 1 + self.even_share_limit * len(self.ready) / 2
+            room = pooled / failing + self.extra_capacity  # less if every class fails
         else:
             room = sum(endpoint.limit for endpoint in self.ready)
-        return (self.out + self.out_elsewhere) / max(1.0, room)
+        return (self.in_flight + self.in_flight_elsewhere) / max(1.0, room)
 
     # The list.
 
-    def listed(self, event: it.BackendsListed) -> None:
+    def update_endpoints(self, event: it.BackendsListed) -> None:
         """Takes in what discovery says: all endpoints, or those that changed."""
         begun = []
         for info in event.backends:
@@ -125,31 +125,31 @@
 
     def refresh_ready(self) -> None:
         """Looks up which endpoints are ready, and which of these this ingress keeps to."""
-        fit = (b for b in self.backends.values() if b.info.id not in self.withdrawn)
+        fit = (b for b in self.backends.values() if b.info.id not in self.maintenance_ids)
         self.ready = [b for b in fit if b.info.state is BackendState.READY]
         self.warm_capacity_at = -SECOND
-        self.preferred, self.first_limit = self.ready, self.even_limit
-        if self.even_limit < 1 and len(self.ready) > CANDIDATES:
+        self.preferred, self.initial_limit = self.ready, self.even_share_limit
+        if self.even_share_limit < 1 and len(self.ready) > CANDIDATES:
             # Many ingresses: an arc of the ring of all endpoints, even over them, so that each
             # ingress opens few connections and sees its own often. Harms where an arc is bad as a
             # whole: then others are looked at too.
             ring = sorted(self.ready, key=lambda b: mix(b.info.key or b.info.id))
-            start = int(self.settings.me * GOLDEN_RATIO % 1 * len(ring))
+            start = int(self.settings.ingress_index * GOLDEN_RATIO % 1 * len(ring))
             self.preferred = (ring + ring)[start : start + CANDIDATES]
-            self.first_limit = self.even_limit * len(ring) / CANDIDATES
+            self.initial_limit = self.even_share_limit * len(ring) / CANDIDATES
 
     def reset(self, endpoint: Endpoint) -> None:
         """As new; its slow-start credit is out of step with that at other ingresses."""
-        endpoint.limit, endpoint.latency_ratios = self.first_limit, self.typical_ratios[:]
-        endpoint.credit = max(self.rng.random(), min(1.0, self.first_limit))
+        endpoint.limit, endpoint.latency_ratios = self.initial_limit, self.average_ratios[:]
+        endpoint.credit = max(self.rng.random(), min(1.0, self.initial_limit))
         endpoint.credit_at = self.sent_on_average
 
-    def maintained(self, now: int, event: it.MaintenanceChanged) -> None:
+    def apply_maintenance(self, now: int, event: it.MaintenanceChanged) -> None:
         """Operators took an endpoint out, or put it back."""
-        if event.out:
-            self.withdrawn.add(event.backend)
-        elif event.backend in self.withdrawn:
-            self.withdrawn.discard(event.backend)
+        if event.in_maintenance:
+            self.maintenance_ids.add(event.backend)
+        elif event.backend in self.maintenance_ids:
+            self.maintenance_ids.discard(event.backend)
             # It was restarted meanwhile, whatever the list knows of that.
             self.returned_at[event.backend] = now
             if known := self.backends.get(event.backend):
@@ -159,7 +159,7 @@
 
     # Slow start.
 
-    def warmth(self, endpoint: Endpoint, now: int) -> float:
+    def warmup_factor(self, endpoint: Endpoint, now: int) -> float:
         """The part of its capacity that an endpoint has for sure, from 0 to 1."""
         safety, started = self.settings.safety, endpoint.info.started
         grown = (now - started) / max(1, safety.ramp_time) if started > 0 else 1.0
@@ -169,19 +169,19 @@
         """The capacity of all that are preferred, in warm ones; looked up now and then."""
         if now - self.warm_capacity_at > WARM_CAPACITY_INTERVAL:
             self.warm_capacity_at = now
-            self.warm_capacity = sum(self.warmth(b, now) for b in self.preferred)
+            self.warm_capacity = sum(self.warmup_factor(b, now) for b in self.preferred)
 
     def has_credit(self, endpoint: Endpoint, warmth: float) -> bool:
         """Whether an endpoint in slow start may have a request: earned by those to others."""
-        times = SLOW_START_SHARE * self.settings.safety.tip_multiple
+        times = SLOW_START_SHARE * self.settings.safety.overload_multiple
         even = len(self.preferred) / max(0.01, self.warm_capacity)
-        if self.even_limit < 1:
+        if self.even_share_limit < 1:
             # Many ingresses' requests fall together by chance: half, and more the less is warm.
             times = max(1.0, times * min(1.0, even / 2))
         earned = times * warmth * (self.sent_on_average - endpoint.credit_at)
-        endpoint.credit = min(SLOW_START_CREDIT_MOST, endpoint.credit + earned)
+        endpoint.credit = min(MAX_SLOW_START_CREDIT, endpoint.credit + earned)
         endpoint.credit_at = self.sent_on_average
-        out = endpoint.out + endpoint.out_elsewhere
+        out = endpoint.in_flight + endpoint.in_flight_elsewhere
         limit = max(1.0, endpoint.limit * warmth)
         return not self.retired and endpoint.credit >= 1 and out < limit
 
@@ -206,20 +206,24 @@
         """
         best, best_cost = None, math.inf
         self.update_warm_capacity(now)
-        if self.used() < 1:
+        if self.utilization() < 1:
             best, best_cost = self.cheapest(now, cls, allowed, self.preferred)
-            strays = best_cost > STRAY_RATIO * self.typical_ratios[cls]
+            strays = best_cost > NON_PREFERRED_RATIO * self.average_ratios[cls]
             if strays and len(self.preferred) < len(self.ready):
                 # Slow-start budgets are those of the ingresses that prefer an endpoint.
-                warm = [b for b in self.ready if self.warmth(b, now) == 1]
+                warm = [b for b in self.ready if self.warmup_factor(b, now) == 1]
                 other, cost = self.cheapest(now, cls, allowed, warm)
                 best = other if cost < best_cost else best
         self.sent_on_average += 1 / max(1, len(self.preferred))
         if best:
-            best.out, self.out, best.credit = best.out + 1, self.out + 1, best.credit - 1
+            best.in_flight, self.in_flight, best.credit = (
+                best.in_flight + 1,
+                self.in_flight + 1,
+                best.credit - 1,
+            )
         return best
 
-    def owes(self) -> tuple[it.Unit, ...]:
+    def required_units(self) -> tuple[it.BudgetUnit, ...]:
         """The shared budgets that the last pick needs a unit of."""
         return ()
 
@@ -229,16 +233,18 @@
         """The one with the lowest expected cost of a sample, and that cost."""
         best, best_cost, far = None, math.inf, self.settings.cross_zone_price > 0
         some = self.rng.sample(among, min(CANDIDATES, len(among)))
-        fresh = {b.info.id: b.reported_load for b in some if now - b.reported_at < LOAD_REPORT_LIFE}
+        fresh = {
+            b.info.id: b.reported_load for b in some if now - b.reported_at < LOAD_REPORT_LIFETIME
+        }
         mean = sum(fresh.values()) / max(1, len(fresh)) or 1.0
         for endpoint in some:
-            warmth = max(0.01, self.warmth(endpoint, now))
-            out = endpoint.out + endpoint.out_elsewhere
+            warmth = max(0.01, self.warmup_factor(endpoint, now))
+            out = endpoint.in_flight + endpoint.in_flight_elsewhere
             if out >= max(1.0, endpoint.limit) or not allowed(endpoint):
                 continue
             if warmth < 1 and not self.has_credit(endpoint, warmth):
                 continue
-            slow = self.slowness(endpoint, cls, now)
+            slow = self.current_latency_ratio(endpoint, cls, now)
             report = fresh.get(endpoint.info.id, mean) / mean
             load = out / warmth + self.rng.expovariate(1.0) + report
             # Idle ones by weight.
@@ -248,29 +254,34 @@
                 best, best_cost = endpoint, cost
         return best, best_cost
 
-    def slowness(self, endpoint: Endpoint, cls: int, now: int) -> float:
+    def current_latency_ratio(self, endpoint: Endpoint, cls: int, now: int) -> float:
         """An endpoint's latency ratio, which fades to what is typical."""
         memory = RATIO_MEMORY_S
         spell = (endpoint.last_outcome_at - now) / SECOND / memory
-        fading = math.exp(spell / min(4.0, 1 + 1 / self.first_limit))
-        typical = self.typical_ratios[cls]
+        fading = math.exp(spell / min(4.0, 1 + 1 / self.initial_limit))
+        typical = self.average_ratios[cls]
         return typical + (endpoint.latency_ratios[cls] - typical) * fading
 
     # Outcomes.
 
-    def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+    def record_outcome(
+        self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int
+    ) -> None:
         """An attempt has ended: averages, the endpoint's ratio and its limit follow."""
-        backend.out, self.out = max(0, backend.out - 1), self.out - 1
+        backend.in_flight, self.in_flight = max(0, backend.in_flight - 1), self.in_flight - 1
         ratio = self._latency_ratio(cls, outcome, latency)
-        if outcome in BROKEN or outcome is Outcome.OK:
-            blended = self.slowness(backend, cls, now) * (1 - RATIO_GAIN) + ratio * RATIO_GAIN
+        if outcome in FAILURES or outcome is Outcome.OK:
+            blended = (
+                self.current_latency_ratio(backend, cls, now) * (1 - RATIO_GAIN)
+                + ratio * RATIO_GAIN
+            )
             backend.latency_ratios[cls] = blended
-            self.typical_ratios[cls] += TYPICAL_GAIN * (ratio - self.typical_ratios[cls])
+            self.average_ratios[cls] += AVERAGE_RATIO_GAIN * (ratio - self.average_ratios[cls])
             backend.last_outcome_at = now
         if outcome is Outcome.FULL:
             # Jammed, or draining before the list says so: idle as it looks, no place.
             backend.latency_ratios = [
-                self.slowness(backend, number, now) * 0.5 + FAILED_RATIO
+                self.current_latency_ratio(backend, number, now) * 0.5 + FAILED_RATIO
                 for number in range(len(backend.latency_ratios))
             ]
             backend.last_outcome_at = now
@@ -282,8 +293,10 @@
         """What an outcome says of the endpoint; an answer moves the usual latency as well."""
         if outcome is not Outcome.OK:
             return FAILED_RATIO
-        usual = self.usual_latency[cls] or max(1.0, latency)
-        self.usual_latency[cls] = usual + USUAL_LATENCY_GAIN * (min(latency, 4 * usual) - usual)
+        usual = self.average_latencies[cls] or max(1.0, latency)
+        self.average_latencies[cls] = usual + AVERAGE_LATENCY_GAIN * (
+            min(latency, 4 * usual) - usual
+        )
         return min(latency / usual, FAILED_RATIO)
 
     def _adjust_limit(
@@ -297,8 +310,10 @@
         step = 0.5 * max(-2.0, 1 - latency / target)
         if outcome in (Outcome.TIMEOUT, Outcome.FULL):
             step = -1.0
-        used = endpoint.out + 1 >= BUSY_SHARE * endpoint.limit * self.warmth(endpoint, now)
+        used = endpoint.in_flight + 1 >= BUSY_SHARE * endpoint.limit * self.warmup_factor(
+            endpoint, now
+        )
         if step < 0 or (outcome is Outcome.OK and used):
-            endpoint.limit = max(min(1.0, self.first_limit / 4), endpoint.limit + step)
-            if self.used() > 0.5 or step < 0:
-                self.extra_room = max(0.0, self.extra_room + step)
+            endpoint.limit = max(min(1.0, self.initial_limit / 4), endpoint.limit + step)
+            if self.utilization() > 0.5 or step < 0:
+                self.extra_capacity = max(0.0, self.extra_capacity + step)
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -17,9 +17,9 @@
 from cairndale.ingress.policy.endpoint_pool import Endpoint, EndpointPool
 from cairndale.ingress.policy.interface import ListKind, Outcome, Repeat, Scope
 
-NEVER_CAME = (Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_ARRIVED = (Outcome.CONNECT_FAILED, Outcome.MOOT)
 BUSY_REPORTS = ("queue", "inflight", "util")  # reports that grow with what an endpoint has to do
-LOAD_MOST = 1e6  # of a report: more is taken for none
+MAX_LOAD = 1e6  # of a report: more is taken for none
 SWEEP_INTERVAL = SECOND  # between looks for idle accounts
 ACCOUNT_IDLE_WINDOWS = 8  # after which a store must be full again
 # An attempt without an answer is stuck after so many usual latencies ...
@@ -31,11 +31,11 @@
     """One attempt of a request at an endpoint."""
 
     backend: Endpoint
-    sent: int
-    out: bool = True
+    sent_at: int
+    in_flight: bool = True
     may_have_run: bool = True  # until an outcome proves otherwise
-    begun: bool = False  # its answer goes on to the client in parts
-    arrived: bool = True  # until an outcome proves that the endpoint never saw it
+    streaming: bool = False  # its answer goes on to the client in parts
+    reached_endpoint: bool = True  # until an outcome proves that the endpoint never saw it
 
 
 @dataclass(slots=True)
@@ -45,19 +45,21 @@
     event: it.RequestArrived
     cls: it.RequestClass
     account: TenantAccount
-    cut: int  # no answer after this is worth new work
-    end: int  # an answer under way is awaited until here: what it costs the endpoint is spent
+    useful_until: int  # no answer after this is worth new work
+    awaited_until: (
+        int  # an answer under way is awaited until here: what it costs the endpoint is spent
+    )
     limits: it.Limits  # those it began with
     attempts: list[Attempt] = field(default_factory=list)
-    until: int = 0  # when the unit that it was admitted by is taken for spent; 0: never
-    fresh: bool = True  # no attempt was begun since it was admitted
+    admitted_until: int = 0  # when the unit that it was admitted by is taken for spent; 0: never
+    unsent: bool = True  # no attempt was begun since it was admitted
 
     def ran(self) -> Attempt | None:
         """The first attempt that may have run."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
 
-def check(settings: it.Settings) -> None:
+def check_settings(settings: it.Settings) -> None:
     """Raises ValueError for settings that nobody can keep."""
     plans = all(0 <= p.rate < math.inf and 0 <= p.burst < math.inf for p in settings.plans)
     classes = settings.classes and all(c.aim > 0 and c.deadline > 0 for c in settings.classes)
@@ -71,31 +73,31 @@
     def __init__(
         self, settings: it.Settings, seed: int, pool: type[EndpointPool] = EndpointPool
     ) -> None:
-        check(settings)
+        check_settings(settings)
         rng = random.Random(seed)
-        self.fleet = pool(settings, rng)
+        self.pool = pool(settings, rng)
         self.requests: dict[int, Request] = {}
-        self.flying: dict[tuple[int, int], tuple[Request, Attempt]] = {}
+        self.attempts_in_flight: dict[tuple[int, int], tuple[Request, Attempt]] = {}
         self.swept_at = 0
-        self.began = -1  # the time of the first event
+        self.started_at = -1  # the time of the first event
         super().__init__(settings, rng)
 
-    def follow(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Other rules for what is to come: what is known of the endpoints stays as well."""
-        super().follow(settings)
-        self.fleet.follow(settings)
+        super().apply_settings(settings)
+        self.pool.apply_settings(settings)
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """The part of what the endpoints can take that is in flight."""
-        return self.fleet.used()
+        return self.pool.utilization()
 
     def handle(self, now: int, event: it.Event) -> list[it.Action]:
         """What is to be done about an event that came at `now`, in us."""
         self.now, self.actions = now, []
-        self.began = now if self.began < 0 else self.began
+        self.started_at = now if self.started_at < 0 else self.started_at
         match event:
             case it.RequestArrived():
-                self.arrived(event)
+                self.request_arrived(event)
             case it.AttemptEnded():
                 self.attempt_ended(event)
             case it.TimerFired(token):
@@ -103,22 +105,24 @@
             case it.CountAnswered():
                 self.count_answered(event)
             case it.BackendsListed(kind):
-                self.fleet.listed(event)
-                if self.settings.must_ask and kind in (ListKind.FAILED, ListKind.CACHED):
+                self.pool.update_endpoints(event)
+                if self.settings.must_subscribe and kind in (ListKind.FAILED, ListKind.CACHED):
                     self.actions.append(it.Subscribe(True))
-            case it.OtherBusy():
-                self.other_busy(event)
+            case it.PredecessorLoad():
+                self.apply_predecessor_load(event)
             case it.SettingsChanged(settings):
-                self.follow(settings)
+                self.apply_settings(settings)
             case it.MaintenanceChanged():
-                self.fleet.maintained(now, event)
+                self.pool.apply_maintenance(now, event)
             case it.ClientGone(number):
                 self.finish(number)
             case it.StreamStarted():
                 self.stream_started(event)
-            case it.BodyCame(number, left):
+            case it.BodyCompleted(number, left):
                 if request := self.requests.get(number):
-                    request.cut, request.end = self.span(request.cls, left)
+                    request.useful_until, request.awaited_until = self.answer_deadlines(
+                        request.cls, left
+                    )
         if now - self.swept_at > SWEEP_INTERVAL:
             self._sweep_accounts()
         return self.actions
@@ -126,7 +130,7 @@
     def _hedge(self, number: int) -> None:
         """A second copy, only while the endpoints have room for it."""
         request = self.requests.get(number)
-        if request and request.attempts and self.fleet.used() < SPARE_CAPACITY:
+        if request and request.attempts and self.pool.utilization() < SPARE_CAPACITY:
             self.send(request)
 
     def _sweep_accounts(self) -> None:
@@ -140,7 +144,7 @@
 
     # A request comes.
 
-    def arrived(self, event: it.RequestArrived) -> None:
+    def request_arrived(self, event: it.RequestArrived) -> None:
         """A new request: refused if it makes no sense, else put to admission."""
         settings = self.settings
         valid = event.cls < len(settings.classes) and event.plan < len(settings.plans)
@@ -154,21 +158,24 @@
         if account is None:
             account = self._new_account(event)
         if account.strict:
-            account.gateways, account.isolated_since = max(1, event.spread), self.alone_since()
+            account.ingress_count, account.isolated_since = (
+                max(1, event.spread),
+                self.counter_unreachable_since(),
+            )
             if event.customer not in self.accounts and not account.saves_while_connected:
                 account.isolated_share = 0.0
         self.accounts[event.customer] = account
         cls = settings.classes[event.cls]
-        cut, end = self.span(cls, event.time_left)
+        cut, end = self.answer_deadlines(cls, event.time_left)
         request = Request(event, cls, account, cut, end, settings.limits)
         self.requests[event.request] = request
-        account.arrive(self.now, event.units, event.is_retry, self.retired)
+        account.record_arrival(self.now, event.units, event.is_retry, self.retired)
         self.admit(request)
 
     def _new_account(self, event: it.RequestArrived) -> TenantAccount:
         settings = self.settings
         gateways = min(settings.fleet_size, max(1, event.spread))
-        plan, age_s = settings.plans[event.plan], (self.now - self.began) / SECOND
+        plan, age_s = settings.plans[event.plan], (self.now - self.started_at) / SECOND
         account = TenantAccount(plan, gateways, self.slot_us, self.now)
         account.strict = settings.counter.strict
         if not self.retired:  # else this customer's ceiling is the other process's
@@ -177,9 +184,9 @@
             account.ceiling_unreported = spent / gateways
         return account
 
-    def span(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
+    def answer_deadlines(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
         """Until when an answer is worth new work, and until when one under way is awaited."""
-        pays_late = cls.late_worth >= 0.5 or cls.aim_stretch > 0
+        pays_late = cls.late_value >= 0.5 or cls.target_stretch > 0
         span = cls.deadline if pays_late else cls.aim
         return self.now + min(left, span), self.now + min(left, span + cls.aim)
 
@@ -192,7 +199,7 @@
         its keys.
         """
         cls, alone = request.cls, not request.limits.may_duplicate
-        if any(a.out and (a.backend is backend or alone) for a in request.attempts):
+        if any(a.in_flight and (a.backend is backend or alone) for a in request.attempts):
             return False
         ran = request.ran()
         if ran is None or cls.repeat is Repeat.SAFE:
@@ -205,7 +212,7 @@
             Scope.ZONE: here.zone == there.zone,
             Scope.CELL: here.cell == there.cell,
         }
-        return same[cls.scope] and self.now + self.settings.tick < ran.sent + cls.memory
+        return same[cls.scope] and self.now + self.settings.tick < ran.sent_at + cls.dedup_window
 
     def send(self, request: Request, leased: bool = False) -> bool:
         """Begins an attempt; a request that can have no first one is refused.
@@ -217,43 +224,47 @@
         Returns:
             Whether an attempt was begun.
         """
-        event, account, first = request.event, request.account, request.fresh
-        seen = sum(1 for attempt in request.attempts if attempt.arrived)
+        event, account, first = request.event, request.account, request.unsent
+        seen = sum(1 for attempt in request.attempts if attempt.reached_endpoint)
         over = self._is_over(request, seen, leased)
         backend = None
         if not over:
-            backend = self.fleet.pick(
+            backend = self.pool.pick(
                 self.now, event.cls, lambda b: self.may_send(request, b), event, seen > 0
             )
         if backend is None:
             if first:
-                self.end(request, self.no_room(request, over))
+                self.end(request, self.capacity_refusal(request, over))
             return False
         spent = event.units if first else 0.0
         account.ceiling_leased -= spent
         account.ceiling_unreported -= spent
         timeout = self._attempt_timeout(request)
-        until = 0 if seen else request.until
-        units = self.fleet.owes()
+        until = 0 if seen else request.admitted_until
+        units = self.pool.required_units()
         self.actions.append(
             it.SendAttempt(event.request, backend.info.id, max(1, timeout), until, units)
         )
         attempt = Attempt(backend, self.now)
-        self.flying[event.request, len(request.attempts)] = (request, attempt)
+        self.attempts_in_flight[event.request, len(request.attempts)] = (request, attempt)
         request.attempts.append(attempt)
-        request.fresh = False
+        request.unsent = False
         account.attempts_out += 1
         return True
 
     def _is_over(self, request: Request, seen: int, leased: bool) -> bool:
         """No further attempt, whatever endpoints there are; `seen`: attempts that arrived."""
-        limits, account, first = request.limits, request.account, request.fresh
-        if len(request.attempts) >= limits.max_attempts or self.now >= request.cut:
+        limits, account, first = request.limits, request.account, request.unsent
+        if len(request.attempts) >= limits.max_attempts or self.now >= request.useful_until:
             return True
-        if 0 < request.cls.tries <= seen:
+        if 0 < request.cls.max_endpoints <= seen:
             return True
-        usual = self.fleet.usual_latency[request.event.cls]
-        if limits.patient and not first and request.cut - self.now < usual / 2:
+        usual = self.pool.average_latencies[request.event.cls]
+        if (
+            limits.awaits_silent_attempts
+            and not first
+            and request.useful_until - self.now < usual / 2
+        ):
             return True  # a retry that can hardly end in time is work for nothing
         if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
             left = account.ceiling_leased if leased else account.ceiling_unreported
@@ -263,66 +274,72 @@
     def _attempt_timeout(self, request: Request) -> int:
         """For how long the next attempt is awaited, in us; sets the timer of a hedged request."""
         event, cls, limits = request.event, request.cls, request.limits
-        usual = self.fleet.usual_latency[event.cls] or cls.aim / 6
+        usual = self.pool.average_latencies[event.cls] or cls.aim / 6
         patience = int(max(STUCK_LATENCIES * usual, cls.aim / 3))
-        more = not limits.patient and cls.repeat is not Repeat.UNSAFE and not event.in_parts
+        more = (
+            not limits.awaits_silent_attempts
+            and cls.repeat is not Repeat.UNSAFE
+            and not event.body_streaming
+        )
         more = more and len(request.attempts) + 1 < limits.max_attempts
-        left = request.cut - self.now
+        left = request.useful_until - self.now
         if more and limits.may_duplicate and patience < left:
             self.actions.append(it.SetTimer(event.request, self.now + patience))
         elif more and left > 1.5 * patience:
             return patience
-        return request.end - self.now
+        return request.awaited_until - self.now
 
-    def no_room(self, request: Request, over: bool = False) -> it.Refuse:
+    def capacity_refusal(self, request: Request, over: bool = False) -> it.Refuse:
         """By the usual latency from now some attempt has ended."""
-        wait = self.slot_us if over else int(self.fleet.usual_latency[request.event.cls])
+        wait = self.slot_us if over else int(self.pool.average_latencies[request.event.cls])
         return it.Refuse(request.event.request, min(self.slot_us, wait or self.slot_us), False)
 
     def attempt_ended(self, event: it.AttemptEnded) -> None:
         """An attempt has ended: the request is answered, tried again, or ends."""
-        if not (flown := self.flying.pop((event.request, event.attempt), None)):
+        if not (flown := self.attempts_in_flight.pop((event.request, event.attempt), None)):
             return
         request, attempt = flown
         account = request.account
         account.attempts_out -= 1
-        attempt.out, attempt.may_have_run = False, event.outcome not in NEVER_RAN
-        attempt.arrived = event.outcome not in NEVER_CAME
-        if not attempt.begun:
-            self.fleet.ended(
+        attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_RAN
+        attempt.reached_endpoint = event.outcome not in NEVER_ARRIVED
+        if not attempt.streaming:
+            self.pool.record_outcome(
                 attempt.backend, self.now, request.event.cls, event.outcome, event.latency
             )
         self._note_load(attempt.backend, event)
-        if self.settings.settles and event.outcome is Outcome.OK and event.billed > 0:
+        if self.settings.post_paid and event.outcome is Outcome.OK and event.billed > 0:
             account.tokens -= event.billed - request.event.units
         if event.final:
             self.finish(event.request)
-        if event.request in self.requests and not any(a.out for a in request.attempts):
+        if event.request in self.requests and not any(a.in_flight for a in request.attempts):
             self._retry_or_end(request, event)
 
     def _note_load(self, backend: Endpoint, event: it.AttemptEnded) -> None:
         """The load report that came with an answer."""
         for name, value in zip(self.settings.load_fields, event.load, strict=False):
             if name in BUSY_REPORTS:
-                backend.reported_load = value if 0 <= value < LOAD_MOST else 0.0
+                backend.reported_load = value if 0 <= value < MAX_LOAD else 0.0
                 backend.reported_at = self.now
 
     def _retry_or_end(self, request: Request, event: it.AttemptEnded) -> None:
         """No attempt is in flight any longer."""
-        if 0 < request.until < self.now and not any(a.arrived for a in request.attempts):
+        if 0 < request.admitted_until < self.now and not any(
+            a.reached_endpoint for a in request.attempts
+        ):
             # What it was admitted by is over, and no endpoint saw it: it is admitted anew.
-            request.fresh = True
+            request.unsent = True
             self.admit(request)
             return
-        if not event.spent and self.send(request):
+        if not event.body_consumed and self.send(request):
             return
         self.end(request, self._last_answer(request))
 
     def _last_answer(self, request: Request) -> it.Action:
         """What a request without an answer is told: whether a new try does no harm."""
         number, cls = request.event.request, request.cls
-        if request.limits.promises:
-            return it.Fail(number) if request.ran() else self.no_room(request)
+        if request.limits.refusal_means_not_run:
+            return it.Fail(number) if request.ran() else self.capacity_refusal(request)
         keyed = cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL
         harmless = keyed or cls.repeat is Repeat.SAFE or request.ran() is None
         return it.Refuse(number, 0, False) if harmless else it.Fail(number)
@@ -332,13 +349,13 @@
 
         How long the client takes to read it says nothing of load.
         """
-        if flown := self.flying.get((event.request, event.attempt)):
+        if flown := self.attempts_in_flight.get((event.request, event.attempt)):
             request, attempt = flown
-            attempt.begun = True
-            self.fleet.ended(
+            attempt.streaming = True
+            self.pool.record_outcome(
                 attempt.backend, self.now, request.event.cls, Outcome.OK, event.latency
             )
-        self.finish(event.request, but=event.attempt)
+        self.finish(event.request, except_attempt=event.attempt)
 
     # Ends.
 
@@ -347,24 +364,24 @@
         self.actions.append(answer)
         self.finish(request.event.request)
 
-    def finish(self, number: int, but: int = -1) -> None:
+    def finish(self, number: int, except_attempt: int = -1) -> None:
         """The request is over; attempts still in flight are cancelled where that is allowed.
 
         Args:
             number: the request's.
-            but: the attempt that goes on, as it answers.
+            except_attempt: the attempt that goes on, as it answers.
         """
         if not (request := self.requests.pop(number, None)):
             return
         request.account.waiting = [r for r in request.account.waiting if r is not request]
         for attempt in range(len(request.attempts) if request.limits.may_cancel else 0):
-            if attempt != but and request.attempts[attempt].out:
+            if attempt != except_attempt and request.attempts[attempt].in_flight:
                 self.actions.append(it.CancelAttempt(number, attempt))
 
-    def other_busy(self, event: it.OtherBusy) -> None:
+    def apply_predecessor_load(self, event: it.PredecessorLoad) -> None:
         """What is in flight from the process that this one takes over from."""
-        for number, backend in self.fleet.backends.items():
-            backend.out_elsewhere = event.attempts.get(number, 0)
-        self.fleet.out_elsewhere = sum(event.attempts.values())
+        for number, backend in self.pool.backends.items():
+            backend.in_flight_elsewhere = event.attempts.get(number, 0)
+        self.pool.in_flight_elsewhere = sum(event.attempts.values())
         for customer, account in self.accounts.items():
             account.attempts_elsewhere = event.customers.get(customer, 0)
--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -64,13 +64,13 @@
     aim: int  # an answer within this earns the full worth
     deadline: int
     repeat: Repeat
-    worth: float = 1.0
-    late_worth: float = 0.0
+    value: float = 1.0
+    late_value: float = 0.0
     scope: Scope = Scope.ALL
-    memory: int = 0  # how long keyed backends remember, from the first send that may have run
+    dedup_window: int = 0  # how long keyed backends remember, from the first send that may have run
     stream: bool = False
-    aim_stretch: float = 0.0
-    tries: int = 0  # backends that one request may reach; 0: as the limits say
+    target_stretch: float = 0.0
+    max_endpoints: int = 0  # backends that one request may reach; 0: as the limits say
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,16 +80,16 @@
     name: str
     rate: float  # units a second for each customer; 0: no rate quota
     burst: float  # units the customer's store holds
-    max_open: int = 0  # attempts out at once; 0: no cap
+    max_in_flight: int = 0  # attempts out at once; 0: no cap
     price: float = 1.0
-    beyond_earns: float = 0.0  # share of the worth earned beyond the quota
-    beyond_costs: float = 0.0  # share of the worth it costs
+    overage_value: float = 0.0  # share of the worth earned beyond the quota
+    overage_cost: float = 0.0  # share of the worth it costs
     ceiling_rate: float = 0.0  # hard ceiling; 0: none
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
     # Units, one for each, that all gateways together may have saved up while in touch with a strict
     # counter; where they would be more, each begins to save once it has lost touch.
-    saved_most: float = math.inf
+    savings_limit: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,14 +100,16 @@
     may_duplicate: bool = False
     may_cancel: bool = False
     may_probe: bool = False
-    may_tell: bool = False
+    may_message_peers: bool = False
     advises_retry: bool = True  # clients are shown retry-after
     max_retry_after: int = 0  # the longest wait a client follows
     connect_timeout: int = 250_000
     max_open: int = 0
     # a silent attempt is waited for: the links tell of a backend that is gone
-    patient: bool = False
-    promises: bool = False  # a refusal says that the request has not run, and when to come back
+    awaits_silent_attempts: bool = False
+    refusal_means_not_run: bool = (
+        False  # a refusal says that the request has not run, and when to come back
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,8 +120,8 @@
     drain_grace: int
     cold_share: float  # a starting backend can do at least this part
     ramp_time: int  # and all of it after this long
-    tip_multiple: float  # more than this times its present capacity ...
-    fall: int  # ... for this long tips it over
+    overload_multiple: float  # more than this times its present capacity ...
+    overload_duration: int  # ... for this long tips it over
     ask_within: int = 0
 
 
@@ -131,19 +133,19 @@
     timeout: int = 0
     price: float = 0.0
     # calls in its time-out by all gateways: more than a healthy one has waiting
-    calls_out: float = 64.0
+    max_calls_in_flight: float = 64.0
     # of a store's room that a lease may take ahead; 0: by the gateways a customer has
-    part: float = 0.0
+    lease_ahead_share: float = 0.0
     # while it is in touch no unit is spent but those it leased, and none is told of later
     strict: bool = False
-    expiry: int = 0  # us after which the counter takes leased units for spent; 0: never
+    lease_expiry: int = 0  # us after which the counter takes leased units for spent; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
     """All that a policy is told of the deployment. `tick` is in us."""
 
-    me: int
+    ingress_index: int
     fleet_size: int  # gateways in front of these backends
     zone: int
     tick: int
@@ -152,9 +154,9 @@
     limits: Limits
     safety: Safety
     counter: CounterLimits
-    must_ask: bool = False  # the backend list has to be subscribed to
+    must_subscribe: bool = False  # the backend list has to be subscribed to
     load_fields: tuple[str, ...] = ()  # names of the values in a load report
-    settles: bool = False  # true units come with the answer
+    post_paid: bool = False  # true units come with the answer
     cross_zone_price: float = 0.0
     waste_price: float = 0.0
     probe_price: float = 0.0
@@ -175,7 +177,7 @@
     service: int = 0  # what it serves, where backends differ in that
     region: int = 0
     slots: int = 0  # requests that it works on at once; 0: unknown
-    cold_until: int = 0
+    warmup_until: int = 0
 
 
 # Events
@@ -191,13 +193,13 @@
     customer: int
     units: float
     time_left: int
-    first_gateway: int = 0
+    first_ingress: int = 0
     spread: int = 1  # gateways this customer's requests can come through
     is_retry: bool = False
-    in_parts: bool = False  # its body is still coming, and is passed on as it comes
+    body_streaming: bool = False  # its body is still coming, and is passed on as it comes
     service: int = 0
     regions: frozenset[int] | None = None  # where it may be served; None: everywhere
-    prio: int = 0  # 0 is highest
+    priority: int = 0  # 0 is highest
 
 
 @dataclass(frozen=True, slots=True)
@@ -213,11 +215,11 @@
     load: tuple[float, ...] = ()
     billed: float = 0.0
     # some of a body that came in parts has gone to it: no other attempt can have it
-    spent: bool = False
+    body_consumed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class BodyCame:
+class BodyCompleted:
     """The last byte of a body that came in parts: the request's time counts from here."""
 
     request: int
@@ -283,11 +285,11 @@
     meanwhile."""
 
     backend: int
-    out: bool
+    in_maintenance: bool
 
 
 @dataclass(frozen=True, slots=True)
-class OtherBusy:
+class PredecessorLoad:
     """Attempts out from the process that this one takes over from; together they are one
     gateway."""
 
@@ -316,7 +318,7 @@
 Event = (
     RequestArrived
     | AttemptEnded
-    | BodyCame
+    | BodyCompleted
     | StreamStarted
     | ClientGone
     | TimerFired
@@ -324,7 +326,7 @@
     | BackendsListed
     | SettingsChanged
     | MaintenanceChanged
-    | OtherBusy
+    | PredecessorLoad
     | ProbeAnswered
     | PeerMessage
 )
@@ -333,7 +335,7 @@
 # Actions
 
 # of a whole that all gateways share: its kind, and the service or backend it is of
-Unit = tuple[str, int]
+BudgetUnit = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
@@ -344,9 +346,9 @@
     backend: int
     timeout: int  # 0: until the client quits
     # its first byte is written by then or never: what it was admitted by ends; 0: any time
-    until: int = 0
+    send_by: int = 0
     # the shared wholes of which it must be dealt one before it is written
-    units: tuple[Unit, ...] = ()
+    budget_units: tuple[BudgetUnit, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -355,7 +357,7 @@
 
     request: int
     retry_after: int = 0  # 0: no advice
-    beyond: bool = True  # the quota; else there was no room, or no backend
+    over_quota: bool = True  # the quota; else there was no room, or no backend
 
 
 @dataclass(frozen=True, slots=True)
@@ -389,7 +391,7 @@
     amount: float
     ttl: int
     customer: int = 0
-    told: float = 0.0  # of the amount: units that are spent already
+    reported: float = 0.0  # of the amount: units that are spent already
 
 
 @dataclass(frozen=True, slots=True)
@@ -407,7 +409,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendToPeer:
     """Send something to one other ingress, or to all."""
 
     peer: int | None  # None: every peer
@@ -442,7 +444,7 @@
     | AddToCounter
     | Probe
     | CloseIdle
-    | TellPeer
+    | SendToPeer
     | Subscribe
     | FetchList
     | Log
--- a/cairndale/ingress/wire.py
+++ b/cairndale/ingress/wire.py
@@ -123,7 +123,7 @@
         top, lim, saf, dom = raw, raw["ceilings"], raw["safety"], raw.get("domain", {})
         tel, fees = raw.get("telemetry", {}), raw.get("fees", {})
         return it.Settings(
-            me=int(top["me"]),
+            ingress_index=int(top["me"]),
             fleet_size=int(top["fleet_size"]),
             zone=int(top.get("my_zone", 0)),
             tick=int(top.get("period", 0)),
@@ -133,12 +133,12 @@
                     aim=int(c["on_time"]),
                     deadline=int(c["deadline"]),
                     repeat=_look_up(_REPEATS, c["semantics"], "services[].semantics"),
-                    worth=float(c.get("worth", 1)),
-                    late_worth=float(c.get("late_worth", 0)),
+                    value=float(c.get("worth", 1)),
+                    late_value=float(c.get("late_worth", 0)),
                     scope=it.Scope(c.get("dedup_scope", "all")),
-                    memory=int(c.get("memory_span", 0)),
+                    dedup_window=int(c.get("memory_span", 0)),
                     stream=bool(c.get("stream", False)),
-                    aim_stretch=float(c.get("aim_stretch", 0)),
+                    target_stretch=float(c.get("aim_stretch", 0)),
                 )
                 for c in top["services"]
             ),
@@ -147,10 +147,10 @@
                     name=str(p["name"]),
                     rate=float(p.get("quota_rate", 0)),
                     burst=float(p.get("burst", 0)),
-                    max_open=int(p.get("at_once", 0)),
+                    max_in_flight=int(p.get("at_once", 0)),
                     price=float(p.get("price", 1)),
-                    beyond_earns=float(p.get("beyond_earns", 0)),
-                    beyond_costs=float(p.get("overrun_cost", 0)),
+                    overage_value=float(p.get("beyond_earns", 0)),
+                    overage_cost=float(p.get("overrun_cost", 0)),
                     ceiling_rate=float(p.get("never_over_rate", 0)),
                     ceiling_burst=float(p.get("never_over_depth", 0)),
                     ceiling_slack=float(p.get("tolerance", 0)),
@@ -162,7 +162,7 @@
                 may_duplicate=bool(lim.get("may_duplicate", False)),
                 may_cancel=bool(lim.get("cancel", False)),
                 may_probe=bool(lim.get("probing", False)),
-                may_tell=bool(lim.get("may_tell", False)),
+                may_message_peers=bool(lim.get("may_tell", False)),
                 advises_retry=bool(lim.get("retry_after", False)),
                 max_retry_after=int(lim.get("max_retry_after", 0)),
                 connect_timeout=int(lim.get("connect_timeout", 0)),
@@ -173,8 +173,8 @@
                 drain_grace=int(saf["drain_grace"]),
                 cold_share=float(saf["cold_share"]),
                 ramp_time=int(saf["ramp_time"]),
-                tip_multiple=float(saf["tip_multiple"]),
-                fall=int(saf["fall"]),
+                overload_multiple=float(saf["tip_multiple"]),
+                overload_duration=int(saf["fall"]),
                 ask_within=int(saf.get("ask_within", 0)),
             ),
             counter=it.CounterLimits(
@@ -182,9 +182,9 @@
                 timeout=int(dom.get("count_wait", 0)),
                 price=float(dom.get("count_fee", 0)),
             ),
-            must_ask=top.get("membership_mode") == "ask",
+            must_subscribe=top.get("membership_mode") == "ask",
             load_fields=tuple(_FIELDS.get(str(f), str(f)) for f in tel.get("fields", ())),
-            settles=bool(dom.get("post_paid", False)),
+            post_paid=bool(dom.get("post_paid", False)),
             cross_zone_price=float(fees.get("cross_zone", 0)),
             waste_price=float(fees.get("waste", 0)),
             probe_price=float(fees.get("probe", 0)),
@@ -330,7 +330,7 @@
             return struct.pack("<H6s", 6, backend.to_bytes(6, "little"))
         case it.CloseIdle(backend):
             return struct.pack("<H6s", 7, backend.to_bytes(6, "little"))
-        case it.TellPeer(peer, data):
+        case it.SendToPeer(peer, data):
             offset = len(tail)
             tail += data
             return struct.pack("<HIII", 8, 0xFFFFFFFF if peer is None else peer, offset, len(data))
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -332,7 +332,7 @@
     }
     assert node.ingress.policy.settings is engine.settings
     assert node.ingress.selector.settings is engine.settings
-    assert len(node.ingress.selector.usual_latency) == len(engine.settings.classes)
+    assert len(node.ingress.selector.average_latencies) == len(engine.settings.classes)
     return by_name | classes
 
 
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -157,7 +157,7 @@
     began, at = node.serving.now(), 0.0
     node.serving.now = lambda: began + at
     grace, usual, long = node.settings.bounds.grace, 1_000_000, 30_000_000
-    node.ingress.selector.usual_latency[1] = usual
+    node.ingress.selector.average_latencies[1] = usual
     assert node.serving.may_begin(1, long)
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -25,8 +25,8 @@
 
 SECOND = 1_000_000
 CLASSES = (
-    it.RequestClass("safe", SECOND, 4 * SECOND, Repeat.SAFE, late_worth=0.5, tries=2),
-    it.RequestClass("unsafe", SECOND, 4 * SECOND, Repeat.UNSAFE, late_worth=0.5, tries=2),
+    it.RequestClass("safe", SECOND, 4 * SECOND, Repeat.SAFE, late_value=0.5, max_endpoints=2),
+    it.RequestClass("unsafe", SECOND, 4 * SECOND, Repeat.UNSAFE, late_value=0.5, max_endpoints=2),
 )
 SETTINGS = it.Settings(
     0,
@@ -35,9 +35,21 @@
     50_000,
     CLASSES,
     (it.Plan("", 0.0, 0.0), it.Plan("t", 5.0, 5.0)),
-    it.Limits(max_attempts=6, max_retry_after=300_000, patient=True, promises=True),
+    it.Limits(
+        max_attempts=6,
+        max_retry_after=300_000,
+        awaits_silent_attempts=True,
+        refusal_means_not_run=True,
+    ),
     it.Safety(0, 0, 1.0, 1, 1.0, 1),
-    it.CounterLimits(True, 250_000, calls_out=1e6, part=0.25, strict=True, expiry=950_000),
+    it.CounterLimits(
+        True,
+        250_000,
+        max_calls_in_flight=1e6,
+        lease_ahead_share=0.25,
+        strict=True,
+        lease_expiry=950_000,
+    ),
 )
 DEALT = 300_000  # us for which a dealt unit may be used
 
@@ -87,7 +99,7 @@
     # until when each unit of the tenant's may be spent
     leased: list[int] = field(default_factory=list)
     # likewise, of wholes that are shared
-    granted: dict[it.Unit, list[int]] = field(default_factory=dict)
+    granted: dict[it.BudgetUnit, list[int]] = field(default_factory=dict)
     saved: float = 0.0  # further tries that requests have earned here
 
 
@@ -99,10 +111,10 @@
     ) -> None:
         super().__init__(10 * SECOND)
         self.sent = list[Sent]()
-        self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
+        self.deals = list[tuple[tuple[it.BudgetUnit, ...], Callable[[int], None]]]()
         self.model, self.request_count = Model(), 0
         self.gateway = gateway(SETTINGS, 1, EndpointSelector)
-        selector = self.gateway.fleet
+        selector = self.gateway.pool
         assert isinstance(selector, EndpointSelector)
         selector.placement = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
         self.selector = selector
@@ -119,7 +131,7 @@
             0,
             service=1,
             slots=4,
-            cold_until=3600 * SECOND if cold and number == 1 else 0,
+            warmup_until=3600 * SECOND if cold and number == 1 else 0,
         )
         up = [
             Entry({"name": f"s{n}", "address": "127.0.0.1:1", "status": "up"})
@@ -135,10 +147,10 @@
 
     def lease(self, customer: int, amount: float, spent: float, answered: Any) -> None:
         granted = min(amount, 5.0)
-        self.model.leased += [self.time + SETTINGS.counter.expiry] * int(granted)
+        self.model.leased += [self.time + SETTINGS.counter.lease_expiry] * int(granted)
         answered(Outcome.OK, 0.0, 5.0 - amount)
 
-    def deal(self, units: tuple[it.Unit, ...], granted: Callable[[int], None]) -> None:
+    def deal(self, units: tuple[it.BudgetUnit, ...], granted: Callable[[int], None]) -> None:
         self.deals.append((units, granted))
 
     def deal_out(self, which: int, some: bool) -> None:
@@ -167,7 +179,7 @@
         again = model.arrivals[sent.request] > 0
         if model.quota[sent.request] and not again:
             use(model.leased, self.time)
-        if sent.backend == 1 and self.selector.backends[1].info.cold_until:
+        if sent.backend == 1 and self.selector.backends[1].info.warmup_until:
             use(model.granted.get((WARMUP, 1), []), self.time)
         if not again:
             model.saved = min(EVEN_RETRY_FRACTION * 60.0 / 20, model.saved + 0.2)
@@ -284,7 +296,7 @@
     for number, cls in classes.items():
         said = model.answers[number]
         assert len(said) == 1, f"answered {said}"
-        assert model.arrivals[number] <= CLASSES[cls].tries
+        assert model.arrivals[number] <= CLASSES[cls].max_endpoints
         if CLASSES[cls].repeat is Repeat.UNSAFE:
             assert model.runs[number] <= 1, "twice"
         if said[0] in ("429", "503"):
@@ -326,7 +338,7 @@
     """What a request was admitted by holds for good."""
 
     def send(self, request: Any, leased: bool = False) -> bool:
-        request.until = 0
+        request.admitted_until = 0
         return super().send(request, leased)
 
 
@@ -335,7 +347,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.fleet.owes = tuple  # type: ignore[method-assign]
+        self.pool.required_units = tuple  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("planted", [Forgetful, Promising, Sleepy, Free])
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -517,11 +517,15 @@
     account = ingress.gateway.accounts[9]
     account.lease_rate, account.demand = 4.0, 0.5
     for _ in range(5):
-        account.book_retry(ingress.clock.time, 1.0)
+        account.borrow_for_retry(ingress.clock.time, 1.0)
     account.admit_probability, account.total_seen_at = 0.75, 998 * SECOND
     account.unreported, account.refund, account.refund_name = 0.625, 0.375, 987_654_321
-    fleet, backend = ingress.gateway.fleet, ingress.gateway.fleet.backends[1]
-    fleet.extra_room, fleet.typical_ratios, ingress.gateway.crowding = 0.25, [1.125, 1.375], 1.5
+    fleet, backend = ingress.gateway.pool, ingress.gateway.pool.backends[1]
+    fleet.extra_capacity, fleet.average_ratios, ingress.gateway.backoff_factor = (
+        0.25,
+        [1.125, 1.375],
+        1.5,
+    )
     backend.limit, backend.latency_ratios = 7.5, [1.25, 1.75]
     backend.credit, backend.credit_at = 2.5, 42.0
 
--- a/tests/golden/test_golden_bytes.py
+++ b/tests/golden/test_golden_bytes.py
@@ -371,7 +371,7 @@
     assert {key: again[key] for key in named} == named
     assert again["maintained"] == ["s-1", "s-4"]
     assert (
-        ingress.gateway.fleet.out_elsewhere == 1
+        ingress.gateway.pool.in_flight_elsewhere == 1
         and ingress.gateway.accounts[9].attempts_elsewhere == 1
     )
     _check_accounts(ingress, module)
@@ -380,9 +380,9 @@
 def _check_accounts(ingress: inputs.Ingress, module: dict[str, Any]) -> None:
     """What it would hand over in turn: the same, but for half of each ceiling's part."""
     _check_account(ingress.gateway.accounts[9], module["accounts"][2])
-    backend = ingress.gateway.fleet.backends[1]
+    backend = ingress.gateway.pool.backends[1]
     assert (backend.limit, backend.latency_ratios, backend.credit) == (7.5, [1.25, 1.75], 2.5)
-    assert (ingress.gateway.crowding, ingress.gateway.began) == (1.5, 1_000_000_000)
+    assert (ingress.gateway.backoff_factor, ingress.gateway.started_at) == (1.5, 1_000_000_000)
     expected = json.loads(json.dumps(module))
     for _, _, _, values in expected["accounts"]:
         values["ceiling"], values["sure"] = values["ceiling"] / 2, values["sure"] / 2
@@ -397,9 +397,9 @@
     assert [list(slot) for slot in account.ring.slots] == slots
     assert slots[:4] == [[1.75, 0], [-0.25, 3], [1.75, 0], [-0.25, 1]]
     assert values == {
-        "spread": account.gateways,
-        "level_at": account.store_at,
-        "level": account.store_units,
+        "spread": account.ingress_count,
+        "level_at": account.bucket_updated_at,
+        "level": account.bucket_units,
         "share": account.isolated_share,
         "tokens": account.tokens,
         "rate": account.lease_rate,
--- a/tests/ingress/net/test_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -211,16 +211,18 @@
 ) -> None:
     _, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:500_000])
     await backend.until(lambda: len(peer.data) > 400_000)
-    assert ingress.script.of(it.RequestArrived)[0].in_parts and not ingress.script.of(it.BodyCame)
+    assert ingress.script.of(it.RequestArrived)[0].body_streaming and not ingress.script.of(
+        it.BodyCompleted
+    )
     ingress.held.write(LARGE[500_000:])  # type: ignore[attr-defined]
     await backend.until(lambda: peer.data.endswith(LARGE))
     head = peer.data[: -len(LARGE)]
     assert b"Content-Length: 1048576\r\n" in head and head.endswith(b"\r\n\r\n")
-    (came,) = ingress.script.of(it.BodyCame)
+    (came,) = ingress.script.of(it.BodyCompleted)
     assert came.time_left == 3_000_000
     peer.transport.write(OK)
     (ended,) = await ingress.script.seen(it.AttemptEnded)
-    assert ended.outcome is it.Outcome.OK and ended.spent
+    assert ended.outcome is it.Outcome.OK and ended.body_consumed
 
 
 async def test_a_request_of_unknown_length_goes_on_chunked(
@@ -280,7 +282,7 @@
     def rule(event: it.Event) -> list[it.Action]:
         if isinstance(event, it.AttemptEnded) and not event.final:
             # its end was never written
-            assert event.spent and event.outcome is it.Outcome.CONNECT_FAILED
+            assert event.body_consumed and event.outcome is it.Outcome.CONNECT_FAILED
             return [it.SendAttempt(event.request, 1, 0), it.Fail(event.request)]
         return send_first(event)
 
--- a/tests/ingress/net/test_clients.py
+++ b/tests/ingress/net/test_clients.py
@@ -64,7 +64,7 @@
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\nwarm")
     assert sent.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n") and b"\r\nRequest-Id: a1\r\n" in sent
     (arrived,) = ingress.script.of(it.RequestArrived)
-    assert (arrived.units, arrived.spread, arrived.first_gateway, arrived.is_retry) == (
+    assert (arrived.units, arrived.spread, arrived.first_ingress, arrived.is_retry) == (
         1.5,
         3,
         2,
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -191,7 +191,7 @@
     assert had[0] > 0 and (account.tokens, taken.tokens) == (0.0, had[0])
     assert account.ceiling_leased + taken.ceiling_leased == pytest.approx(had[1])
     assert account.ceiling_unreported + taken.ceiling_unreported == pytest.approx(had[2])
-    assert (taken.store_units, taken.demand) == (account.store_units, account.demand)
+    assert (taken.bucket_units, taken.demand) == (account.bucket_units, account.demand)
     assert taken.plan == account.plan
     # a customer first seen after the hand-over
     old.handle(3 * SECOND, arrival(9, plan=3, customer=8))
@@ -202,26 +202,26 @@
 
 def test_cold_budgets_and_attempts_out_go_with_it() -> None:
     old, new, _ = handed()
-    old.fleet.sent_on_average, old.fleet.backends[3].credit = 9.0, 1.5
-    old.fleet.backends[1].limit = 3.0
+    old.pool.sent_on_average, old.pool.backends[3].credit = 9.0, 1.5
+    old.pool.backends[1].limit = 3.0
     take_over(new, 2 * SECOND, json.loads(json.dumps(hand_over(old))), range(3), range(4))
-    assert new.fleet.backends[3].credit == 1.5 and new.fleet.sent_on_average == 9.0
-    assert new.fleet.backends[1].limit == 3.0
-    assert not old.fleet.has_credit(old.fleet.backends[3], 0.5)
-    before = new.fleet.used()
-    new.handle(2 * SECOND, it.OtherBusy({1: 3}, {7: 2}))
-    assert new.fleet.used() > before and new.accounts[7].attempts_elsewhere == 2
-    picked = [new.fleet.pick(2 * SECOND, 0, lambda b: b.info.id != 3) for _ in range(2)]
+    assert new.pool.backends[3].credit == 1.5 and new.pool.sent_on_average == 9.0
+    assert new.pool.backends[1].limit == 3.0
+    assert not old.pool.has_credit(old.pool.backends[3], 0.5)
+    before = new.pool.utilization()
+    new.handle(2 * SECOND, it.PredecessorLoad({1: 3}, {7: 2}))
+    assert new.pool.utilization() > before and new.accounts[7].attempts_elsewhere == 2
+    picked = [new.pool.pick(2 * SECOND, 0, lambda b: b.info.id != 3) for _ in range(2)]
     assert [p.info.id for p in picked if p] == [2, 2]  # 1 is full of the other's
-    new.handle(2 * SECOND, it.OtherBusy({}, {}))
-    assert new.fleet.out_elsewhere == 0 and new.accounts[7].attempts_elsewhere == 0
+    new.handle(2 * SECOND, it.PredecessorLoad({}, {}))
+    assert new.pool.in_flight_elsewhere == 0 and new.accounts[7].attempts_elsewhere == 0
 
 
 def test_classes_and_plans_are_followed_by_number_across_the_two() -> None:
     old, new, _ = handed()
-    old.fleet.usual_latency = [10.0, 20.0, 30.0]
+    old.pool.average_latencies = [10.0, 20.0, 30.0]
     take_over(new, 2 * SECOND, hand_over(old), [2, -1, 0], [0, 1, 2, -1])
-    assert new.fleet.usual_latency == [30.0, 0.0, 10.0] and 7 not in new.accounts
+    assert new.pool.average_latencies == [30.0, 0.0, 10.0] and 7 not in new.accounts
 
 
 def test_what_is_taken_back_can_be_spent_again() -> None:
--- a/tests/ingress/net/test_ops.py
+++ b/tests/ingress/net/test_ops.py
@@ -110,7 +110,7 @@
     assert (await desk.ingress.ask(request("b"))).startswith(b"HTTP/1.1 502 ")
     assert await desk.call("/maintenance/exit?who=s-1") == 200  # one call back undoes both
     assert (await desk.ingress.ask(request("c"))).startswith(b"HTTP/1.1 200 ")
-    assert [e.out for e in script.of(it.MaintenanceChanged)] == [True, True, False]
+    assert [e.in_maintenance for e in script.of(it.MaintenanceChanged)] == [True, True, False]
     assert json.loads(desk.kept.read_text()) == [] and engine.can_serve()
 
 
@@ -122,7 +122,11 @@
     ingress.engine.listed(listing(1, "up"))
     (told,) = script.of(it.MaintenanceChanged)
     (listed,) = script.of(it.BackendsListed)
-    assert told.out and told.backend == listed.backends[0].id and not ingress.engine.can_serve()
+    assert (
+        told.in_maintenance
+        and told.backend == listed.backends[0].id
+        and not ingress.engine.can_serve()
+    )
     ingress.stop()
 
 
--- a/tests/ingress/policy/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -119,14 +119,14 @@
 
 
 def ring_account() -> TenantAccount:
-    account = TenantAccount(PLANS[0], 2, slot_us=500_000, store_at=0)
+    account = TenantAccount(PLANS[0], 2, slot_us=500_000, bucket_updated_at=0)
     account.lease_rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units a slot
     return account
 
 
 def test_ring_books_d0_then_doubling_offsets_then_rejects() -> None:
     account = ring_account()
-    assert [account.book_retry(0, 1.0) for _ in range(7)] == [500_000] * 6 + [0]
+    assert [account.borrow_for_retry(0, 1.0) for _ in range(7)] == [500_000] * 6 + [0]
     assert [slot[0] for slot in account.ring.slots] == [2, 0, 2, 0, 2, 2, 2, 0]
     assert [account.ring.slots[i][1] for i in RETRY_OFFSETS] == [
         4,
@@ -138,16 +138,16 @@
 def test_booked_retries_are_dropped_first_in_their_slot() -> None:
     account = ring_account()
     for _ in range(6):
-        account.book_retry(0, 1.0)
+        account.borrow_for_retry(0, 1.0)
     account.lease_rate = 0.0
-    assert [account.book_retry(500_000, 1.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
+    assert [account.borrow_for_retry(500_000, 1.0) for _ in range(4)] == [500_000] * 4  # B[0] was 4
     assert account.ring.slots[0][1] == 0
 
 
 def test_spare_capacity_is_never_negative() -> None:
     account = ring_account()
     account.lease_rate, account.demand = 0.0, 50.0
-    assert account.book_retry(0, 1.0) == 0
+    assert account.borrow_for_retry(0, 1.0) == 0
     assert all(slot == [0.0, 0] for slot in account.ring.slots)
 
 
@@ -157,9 +157,9 @@
         g, counter = gateway(), Counter()
         settle(g, 0, arrival(1), counter)
         account = g.accounts[7]
-        account.tokens = account.store_units = 0.0
+        account.tokens = account.bucket_units = 0.0
         account.lease_rate, account.demand = 10.0, 0.0
-        account.book_retry(0, 1.0)
+        account.borrow_for_retry(0, 1.0)
         for slot in account.ring.slots:
             slot[0] = booked
         answers.append(of(settle(g, 0, arrival(2), counter), it.Refuse)[0].retry_after)
@@ -225,7 +225,7 @@
     g = gateway()
     (sent,) = of(settle(g, 0, arrival(1), Counter()), it.SendAttempt)
     end = it.AttemptEnded(1, 0, sent.backend, it.Outcome.RESET, 1_100_000, final=False)
-    assert g.handle(1_100_000, end) == [it.Refuse(1, 0, beyond=False)]  # given up: told at once
+    assert g.handle(1_100_000, end) == [it.Refuse(1, 0, over_quota=False)]  # given up: told at once
 
 
 def test_where_no_backend_has_room_the_client_is_told_to_return_after_a_usual_latency() -> None:
@@ -234,7 +234,7 @@
     g.handle(50_000, it.AttemptEnded(1, 0, sent.backend, it.Outcome.OK, 50_000, final=True))
     g.handle(50_000, listed())
     assert of(settle(g, 60_000, arrival(2), counter), it.Refuse) == [
-        it.Refuse(2, 50_000, beyond=False)
+        it.Refuse(2, 50_000, over_quota=False)
     ]
 
 
@@ -265,7 +265,11 @@
     g, counter = gateway(), Counter()
     (lost,) = of(g.handle(0, arrival(1)), it.AddToCounter)
     again = g.handle(1000, it.CountAnswered(lost.name, it.Outcome.RESET, 0.0, 1000))
-    assert len(of(again, it.AddToCounter)) == 1 and not of(again, it.Refuse) and g.crowding == 1.0
+    assert (
+        len(of(again, it.AddToCounter)) == 1
+        and not of(again, it.Refuse)
+        and g.backoff_factor == 1.0
+    )
     assert of(g.handle(2000, counter.answers(again)[0]), it.SendAttempt)
 
 
@@ -289,7 +293,7 @@
     settle(g, 0, arrival(1), counter)
     account = g.accounts[7]
     assert account.tokens > 0
-    assert account.store_bound(30 * SECOND) + account.tokens == pytest.approx(PLANS[0].burst)
+    assert account.bucket_bound(30 * SECOND) + account.tokens == pytest.approx(PLANS[0].burst)
 
 
 def test_other_settings_keep_leases_and_open_requests_keep_their_rules() -> None:
@@ -308,7 +312,7 @@
     # the new class, from the old lease
     assert of(gateway.handle(SECOND, arrival(2, cls=3)), it.SendAttempt)
     for request, more in ((1, 1), (2, 0)):
-        (sent,) = [a for r, a in gateway.flying if r == request]
-        number = gateway.flying[request, sent][1].backend.info.id
+        (sent,) = [a for r, a in gateway.attempts_in_flight if r == request]
+        number = gateway.attempts_in_flight[request, sent][1].backend.info.id
         ended = it.AttemptEnded(request, sent, number, it.Outcome.RESET, 1000, False)
         assert len(of(gateway.handle(SECOND, ended), it.SendAttempt)) == more
--- a/tests/ingress/policy/test_fleet.py
+++ b/tests/ingress/policy/test_fleet.py
@@ -106,7 +106,7 @@
 
 
 def test_asks_for_the_list_where_it_must() -> None:
-    g = RequestPolicy(settings(must_ask=True), 1)
+    g = RequestPolicy(settings(must_subscribe=True), 1)
     assert of(g.handle(0, listed(backend(1), kind=it.ListKind.CACHED)), it.Subscribe)
     assert of(g.handle(9, it.BackendsListed(it.ListKind.FAILED, 0, ())), it.Subscribe)
     assert PLANS
@@ -114,12 +114,12 @@
 
 def test_bound_of_a_cold_backend_grows_while_its_warm_part_is_used() -> None:
     g = gateway(backend(1), backend(2, started=1))
-    cold = g.fleet.backends[2]
+    cold = g.pool.backends[2]
     before = cold.limit
-    g.fleet.ended(cold, SECOND, 0, it.Outcome.OK, 50_000)
+    g.pool.record_outcome(cold, SECOND, 0, it.Outcome.OK, 50_000)
     assert cold.limit == before  # not used
-    cold.out = 2
-    g.fleet.ended(cold, SECOND, 0, it.Outcome.OK, 50_000)
+    cold.in_flight = 2
+    g.pool.record_outcome(cold, SECOND, 0, it.Outcome.OK, 50_000)
     assert cold.limit > before
 
 
@@ -153,24 +153,24 @@
 
 def test_a_server_out_for_maintenance_gets_nothing_whatever_is_listed_until_put_back() -> None:
     fleet = EndpointPool(settings(), random.Random(1))
-    fleet.listed(listed(backend(1), backend(2)))
+    fleet.update_endpoints(listed(backend(1), backend(2)))
     for _ in range(2):
-        fleet.maintained(SECOND, it.MaintenanceChanged(1, True))
-    fleet.listed(listed(backend(1), backend(2)))
+        fleet.apply_maintenance(SECOND, it.MaintenanceChanged(1, True))
+    fleet.update_endpoints(listed(backend(1), backend(2)))
     assert [b.info.id for b in fleet.ready] == [2]
-    fleet.maintained(2 * SECOND, it.MaintenanceChanged(1, False))
+    fleet.apply_maintenance(2 * SECOND, it.MaintenanceChanged(1, False))
     assert {b.info.id for b in fleet.ready} == {1, 2}
 
 
 def test_a_server_put_back_is_cold_even_if_the_list_tells_of_no_start() -> None:
     fleet = EndpointPool(settings(), random.Random(1))
-    fleet.listed(listed(backend(1), backend(2)))
+    fleet.update_endpoints(listed(backend(1), backend(2)))
     fleet.backends[1].limit = 50.0
     for out in (True, False):
-        fleet.maintained(20 * SECOND, it.MaintenanceChanged(1, out))
-    fleet.listed(listed(backend(1), backend(2), kind=it.ListKind.DELTA))
-    assert fleet.warmth(fleet.backends[1], 20 * SECOND) == settings().safety.cold_share
-    assert fleet.backends[1].limit == fleet.first_limit
+        fleet.apply_maintenance(20 * SECOND, it.MaintenanceChanged(1, out))
+    fleet.update_endpoints(listed(backend(1), backend(2), kind=it.ListKind.DELTA))
+    assert fleet.warmup_factor(fleet.backends[1], 20 * SECOND) == settings().safety.cold_share
+    assert fleet.backends[1].limit == fleet.initial_limit
     # it was not out: nothing to undo
-    fleet.maintained(25 * SECOND, it.MaintenanceChanged(1, False))
-    assert fleet.warmth(fleet.backends[1], 30 * SECOND) == 1.0
+    fleet.apply_maintenance(25 * SECOND, it.MaintenanceChanged(1, False))
+    assert fleet.warmup_factor(fleet.backends[1], 30 * SECOND) == 1.0
--- a/tests/ingress/policy/test_rules.py
+++ b/tests/ingress/policy/test_rules.py
@@ -86,7 +86,7 @@
         if ran and seen.cls.repeat is it.Repeat.KEYED:
             there, when, _ = seen.sent[ran[0]]
             assert self.cells[there] == self.cells[action.backend]
-            assert self.now - when < seen.cls.memory
+            assert self.now - when < seen.cls.dedup_window
         seen.sent.append((action.backend, self.now, action.timeout))
         assert len(seen.sent) <= 3
 
--- a/tests/ingress/policy/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -54,7 +54,7 @@
     for n in range(400):
         now = (20 + 2 * n) * SECOND + SECOND  # half a window of two seconds has passed
         actions = g.handle(now, arrival(100 + n, customer=2000 + n, spread=100))
-        g.crowding = 4.0  # calls of others were turned away
+        g.backoff_factor = 4.0  # calls of others were turned away
         for add in of(actions, it.AddToCounter):
             counter.totals[add.name] = 7.0  # a store of 4 at 2 a second gives about a third of that
             asked += 1
@@ -69,7 +69,7 @@
     store."""
     g = wide(40)
     g.handle(8 * SECOND, arrival(1, customer=99, spread=4))
-    g.crowding, g.next_call_at = 4.0, 10 * SECOND
+    g.backoff_factor, g.next_call_at = 4.0, 10 * SECOND
     actions = g.handle(10 * SECOND, arrival(10, spread=4))
     assert finish(g, 10 * SECOND, actions) == 1 and not of(actions, it.AddToCounter)
     return g
@@ -140,7 +140,7 @@
     cold."""
     chosen: list[int] = []
     for seed in range(40):
-        safety = replace(settings().safety, tip_multiple=3.0)
+        safety = replace(settings().safety, overload_multiple=3.0)
         g = RequestPolicy(settings(fleet_size=40, plans=FREE, safety=safety), seed)
         g.handle(SECOND, listed(*(backend(n, started=SECOND * (n <= cold)) for n in range(1, 21))))
         for n in range(200):
@@ -163,9 +163,9 @@
     own."""
     found = []
     for me in range(40):
-        fleet = EndpointPool(settings(fleet_size=40, me=me), random.Random(me))
+        fleet = EndpointPool(settings(fleet_size=40, ingress_index=me), random.Random(me))
         entries = [backend((n + me) % 60 + 1, key=5000 + n) for n in range(gone, 60)]
-        fleet.listed(listed(*entries))
+        fleet.update_endpoints(listed(*entries))
         found.append({b.info.key for b in fleet.preferred})
     return found
 
@@ -185,7 +185,7 @@
 
 def test_a_server_that_drains_before_the_list_says_so_turns_few_attempts_away() -> None:
     g, turned, sent = wide(40, 60, plans=FREE), 0, 0
-    draining = {b.info.id for b in g.fleet.preferred[:5]}
+    draining = {b.info.id for b in g.pool.preferred[:5]}
     for n in range(100):
         queue = of(g.handle(n * 50_000, arrival(n)), it.SendAttempt)
         for attempt, s in enumerate(queue):
@@ -199,7 +199,7 @@
 
 def test_a_gateway_whose_own_servers_are_bad_goes_to_others_and_comes_back() -> None:
     g = wide(40, 60, plans=FREE, limits={"max_attempts": 1})
-    own = {b.info.id for b in g.fleet.preferred}
+    own = {b.info.id for b in g.pool.preferred}
     for n in range(60):
         for s in of(g.handle(n * 100_000, arrival(n)), it.SendAttempt):
             outcome = it.Outcome.CONNECT_FAILED if s.backend in own else it.Outcome.OK
@@ -229,7 +229,7 @@
     (send,) = of(g.handle(0, arrival(1)), it.SendAttempt)
     g.handle(10, listed(backend(1, started=10), kind=it.ListKind.DELTA))
     g.handle(20, it.AttemptEnded(1, 0, send.backend, it.Outcome.RESET, 20, True))
-    assert g.fleet.out == 0 and g.fleet.backends[1].out == 0
+    assert g.pool.in_flight == 0 and g.pool.backends[1].in_flight == 0
 
 
 def held_back(lost: int) -> int:
@@ -288,7 +288,7 @@
     g.handle(0, listed(backend(1), backend(2)))
     sent = 0
     for n in range(60):
-        event = arrival(n, first_gateway=first, spread=spread)
+        event = arrival(n, first_ingress=first, spread=spread)
         sent += len(of(settle(g, 0, event, counter), it.SendAttempt))
     assert sent <= PLANS[0].burst
 
@@ -313,5 +313,5 @@
     for event in [*reversed(late), *strays, *late]:
         for action in g.handle(5 * SECOND, event):
             assert not isinstance(action, it.SendAttempt | it.Refuse | it.Fail)
-    assert not g.requests and not g.flying and g.fleet.out == 0
+    assert not g.requests and not g.attempts_in_flight and g.pool.in_flight == 0
     assert all(count == 1 for count in ends.values())
--- a/tests/ingress/test_wire.py
+++ b/tests/ingress/test_wire.py
@@ -140,7 +140,7 @@
         it.SetTimer(7, 600),
         it.Probe(BACKEND_ID),
         it.CloseIdle(BACKEND_ID),
-        it.TellPeer(None, b"hey"),
+        it.SendToPeer(None, b"hey"),
         it.Log("note"),
         it.Subscribe(True),
         it.FetchList(),
--- a/tests/testing/policy.py
+++ b/tests/testing/policy.py
@@ -13,14 +13,14 @@
 CLASSES = (
     it.RequestClass("read", aim=SECOND, deadline=4 * SECOND, repeat=it.Repeat.SAFE),
     it.RequestClass(
-        "pay", SECOND, 3 * SECOND, it.Repeat.KEYED, scope=it.Scope.CELL, memory=5 * SECOND
+        "pay", SECOND, 3 * SECOND, it.Repeat.KEYED, scope=it.Scope.CELL, dedup_window=5 * SECOND
     ),
     it.RequestClass("order", 2 * SECOND, 5 * SECOND, it.Repeat.UNSAFE),
 )
 PLANS = (
     it.Plan("small", rate=2.0, burst=4.0),
-    it.Plan("paid beyond", rate=2.0, burst=4.0, beyond_earns=0.3),
-    it.Plan("capped", rate=0.0, burst=0.0, max_open=2),
+    it.Plan("paid beyond", rate=2.0, burst=4.0, overage_value=0.3),
+    it.Plan("capped", rate=0.0, burst=0.0, max_in_flight=2),
     it.Plan("ceiling", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0),
 )
 
@@ -28,7 +28,7 @@
 def settings(**changes: Any) -> it.Settings:
     limits = changes.pop("limits", {})
     base = it.Settings(
-        me=0,
+        ingress_index=0,
         fleet_size=2,
         zone=0,
         tick=1000,
@@ -39,7 +39,12 @@
             **limits,
         ),
         safety=it.Safety(
-            8000, 500_000, cold_share=0.2, ramp_time=10 * SECOND, tip_multiple=2.0, fall=SECOND
+            8000,
+            500_000,
+            cold_share=0.2,
+            ramp_time=10 * SECOND,
+            overload_multiple=2.0,
+            overload_duration=SECOND,
         ),
         counter=it.CounterLimits(True, 30_000, 0.01),
     )
