--- a/cairndale/ingress/handover_state.py
+++ b/cairndale/ingress/handover_state.py
@@ -116,7 +116,7 @@
         backends.append([number, backend.info.started, values])
     fleet = {key: getattr(gateway.pool, name) for key, name in POOL_FIELDS.items()}
     fleet["returned"] = list(gateway.pool.returned_at.items())
-    gateway.retired = gateway.pool.retired = True
+    gateway.superseded = gateway.pool.superseded = True
     pacing = {
         "crowd": gateway.backoff_factor,
         "call_at": gateway.next_call_at,
@@ -127,7 +127,7 @@
 
 def take_back(gateway: RequestPolicy, state: dict[str, Any]) -> None:
     """No process has taken over after all. The other half of each ceiling refills."""
-    gateway.retired = gateway.pool.retired = False
+    gateway.superseded = gateway.pool.superseded = False
     for customer, _, _, values in state["accounts"]:
         if account := gateway.accounts.get(customer):
             account.tokens += values["tokens"]
--- a/cairndale/ingress/policy/admission.py
+++ b/cairndale/ingress/policy/admission.py
@@ -1,13 +1,14 @@
 """Admission: leased token buckets, then the borrowing ring. Types: interface.py.
 
-First stage. A request is admitted if the customer's bucket covers it. If not, a lease is asked of
-the counter, for what waits and for demand ahead; requests wait for it as long as their time allows.
-While the counter is out of reach or crowded, an ingress spends a fixed part without it and reports
-that later. Second stage. What the store cannot hold borrows from a later slot (`borrowing_ring`)
-and is told when to retry, or is refused for good.
+First stage: a request is admitted if the customer's leased units cover it. Otherwise a lease is
+requested from the counter, for the waiting requests and for expected demand; requests wait for it
+as long as their time allows. While the counter is unreachable or overloaded, an ingress spends a
+fixed share without it, and reports that later. Second stage: a request that the shared bucket
+cannot cover borrows from a later slot (`borrowing_ring`) and receives a retry-after, or is rejected
+for good.
 
-What becomes of an admitted request is the engine's, which fills in `send`, `end` and `used`. All
-times are microseconds."""
+The engine processes admitted requests: it implements `send`, `end` and `utilization`. All times are
+microseconds."""
 
 from __future__ import annotations
 
@@ -23,30 +24,34 @@
 from cairndale.ingress.policy.hashing import counter_name
 from cairndale.ingress.policy.interface import Outcome
 
-# s of demand leased ahead: long enough to save calls, short enough not to strand units.
+# Seconds of demand leased ahead: long enough to save calls, short enough not to strand units.
 LEASE_LIFE_S = 1.0
-# Part of the endpoints' bound under which there is room for hedged requests and for paid units
-# beyond a quota.
+# Utilization of the endpoints below which there is capacity for hedged requests and for paid
+# service beyond a quota.
 SPARE_CAPACITY = 0.6
-COUNTER_OVERLOADED = 1.2  # calls refused or unanswered of late: some in ten, and not just one
-# Calls a second by all ingresses that are made while crowded, though they could be saved.
+# Backoff factor above which the counter counts as overloaded: several of the last ten calls were
+# rejected or unanswered, and not just one.
+COUNTER_OVERLOADED = 1.2
+# Calls per second by all ingresses that probe an overloaded counter, though they could be saved.
 TRIAL_CALLS_PER_S = 64.0
-# Windows for which a total of the counter tells more of a customer than an even part of the quota.
+# For this many windows, a total of the counter predicts a customer's demand better than an even
+# share of the quota does.
 TOTAL_TRUSTED_WINDOWS = 4
-# Ingresses a customer: with more, what one leases ahead is seldom spent, and few know of the store.
+# Above this many ingresses per customer, units leased ahead are seldom spent, and few ingresses
+# know the state of the bucket.
 CONTENDED_GATEWAYS = 12
-MAX_BACKOFF_FACTOR = 32.0  # times the usual pause between calls
+MAX_BACKOFF_FACTOR = 32.0  # multiple of the regular interval between calls
 MAX_COUNTER_TTL = 60 * SECOND
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class AdmissionRequest(Protocol):
-    """What admission asks of a request."""
+    """The attributes of a request that admission uses."""
 
     event: it.RequestArrived
     account: TenantAccount
-    useful_until: int  # no answer after this is worth new work
-    admitted_until: int  # when the unit that it is admitted by is taken for spent; 0: never
+    useful_until: int  # no new work is started for an answer after this
+    admitted_until: int  # when the counter counts the request's units as spent; 0: never
 
 
 RequestT = TypeVar("RequestT", bound=AdmissionRequest)
@@ -54,53 +59,51 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterCall:
-    """A call to the counter that is not answered yet."""
+    """A call to the counter that is in flight."""
 
     account: TenantAccount
     window_start: int  # us
-    amount: float  # units asked for, or added back if negative
+    amount: float  # units requested, or returned if negative
     is_lease: bool
-    reported: float  # units of the call that are spent already
+    reported: float  # units that the call reports as spent, besides `amount`
 
 
 class Admission(Generic[RequestT]):
-    """Both stages, for every customer."""
+    """Both stages of admission, for all customers."""
 
     def __init__(self, settings: it.Settings, rng: random.Random) -> None:
         self.settings, self.rng = settings, rng
         self.accounts: dict[int, TenantAccount] = {}
-        self.calls: dict[int, deque[CounterCall]] = {}  # unanswered, by the counter's name
-        self.backoff_factor = 1.0  # factor on the pause between calls; 1: the counter keeps up
+        self.calls: dict[int, deque[CounterCall]] = {}  # in flight, by counter name
+        self.backoff_factor = 1.0  # on the interval between calls; 1: the counter keeps up
         self.next_call_at = -SECOND
         self.now = 0
-        self.retired = False  # another process has taken over; what is still open ends here
+        self.superseded = False  # another process has taken over; open requests complete here
         self.requests_since_call = 0
-        self.requests_per_call = 1.0  # average of the above, each call's own included
+        self.requests_per_call = 1.0  # average of the above, including the call's own request
         self.actions: list[it.Action] = []
-        self.counter_reachable: Callable[[], bool] = lambda: (
-            True
-        )  # whether the counter is in contact
-        # Since when the counter is out of contact; while it is in contact, now.
+        self.counter_reachable: Callable[[], bool] = lambda: True
+        # When contact with the counter was lost; the present time while it is reachable.
         self.counter_unreachable_since: Callable[[], int] = lambda: 0
         self.apply_settings(settings)
 
     def apply_settings(self, settings: it.Settings) -> None:
-        """Other rules for what is to come: accounts and leases stay."""
+        """Applies new settings to later requests; accounts and leases stay."""
         for account in self.accounts.values():
             account.apply_plan(settings.plans[self.settings.plans.index(account.plan)])
         limits, counter, self.settings = settings.limits, settings.counter, settings
-        # us between calls while the counter keeps up.
+        # Interval between calls, in us, while the counter keeps up.
         self.call_interval = counter.timeout * settings.fleet_size / counter.max_calls_in_flight
-        # A trial call a second or so at the most crowded.
+        # At the maximum, about one probing call per second.
         backoff = 1.5 * SECOND / max(1.0, self.call_interval)
         self.max_backoff_factor = max(1.0, min(MAX_BACKOFF_FACTOR, backoff))
-        # d_0, T0: the longest wait that clients heed.
+        # d_0, T0: the longest retry-after that clients honour.
         self.slot_us = limits.advises_retry * limits.max_retry_after or SECOND
 
-    # Filled in by the engine.
+    # Implemented by the engine.
 
     def send(self, request: RequestT, leased: bool = False) -> bool:
-        """Takes it on to an endpoint, or ends it; False if no attempt was begun."""
+        """Sends the request to an endpoint, or ends it; returns whether an attempt was started."""
         raise NotImplementedError
 
     def end(self, request: RequestT, answer: it.Action) -> None:
@@ -108,7 +111,7 @@
         raise NotImplementedError
 
     def utilization(self) -> float:
-        """The part of what the endpoints can take that is in flight."""
+        """Returns the requests in flight as a share of the endpoints' capacity."""
         raise NotImplementedError
 
     # First stage.
@@ -117,17 +120,17 @@
         """Decides on a request.
 
         Args:
-            request: newly come, or one that waited.
-            answered: the counter has just answered, so what the bucket lacks is overflow.
+            request: a new request, or one that has waited for the counter.
+            answered: the counter has just answered, so units that are missing cause an overflow.
         """
         account, units, counter = request.account, request.event.units, self.settings.counter
         plan, contended = account.plan, self.is_contended(account)
         request.admitted_until = 0
         if 0 < counter.lease_expiry < self.now - account.leased_at:
-            account.tokens = 0.0  # the counter takes them for spent
-        attempts = account.attempts_out + account.attempts_elsewhere
+            account.tokens = 0.0  # the lease has expired: the counter counts them as spent
+        attempts = account.in_flight_count + account.attempts_elsewhere
         if plan.max_in_flight and attempts >= plan.max_in_flight:
-            self.overflow(request)  # the cap on attempts at once holds whatever the store has
+            self.overflow(request)  # the cap on concurrent attempts holds regardless of the units
         elif not plan.rate or (account.tokens >= units and not account.waiting):
             self._send_leased(request)
         elif not answered and self.can_skip_call(account, units):
@@ -135,7 +138,7 @@
         elif answered or (
             not contended and account.bucket_bound(self.now) + account.tokens < units
         ):
-            self.overflow(request)  # the store cannot hold it, whatever others did: no call needed
+            self.overflow(request)  # the bucket cannot cover it in any case: no call is needed
         elif self._cannot_call(request) or (contended and self._not_worth_a_call(request)):
             self.admit_without_counter(request)
         else:
@@ -152,7 +155,7 @@
             account.tokens -= request.event.units
 
     def _cannot_call(self, request: RequestT) -> bool:
-        """No counter, no time for it, or calls enough made."""
+        """Whether there is no reachable counter, no time for a call, or no call allowed yet."""
         if self.lacks_time_for_call(request):
             return True
         if not (self.settings.counter.allowed and self.counter_reachable()):
@@ -160,21 +163,21 @@
         return not request.account.lease_pending and self.next_call_at > self.now
 
     def _not_worth_a_call(self, request: RequestT) -> bool:
-        """Under contention: the total is known, or the request has other ways."""
+        """Whether, under contention, the total is known or the request can do without a call."""
         account, plan = request.account, request.account.plan
         known = self.now - account.total_seen_at < account.window_us
         return known or request.event.is_retry or plan.overage_value > plan.overage_cost
 
     def lacks_time_for_call(self, request: RequestT) -> bool:
-        """Whether an answer of the counter may come too late for the request."""
+        """Whether the counter's answer may arrive too late for the request."""
         return self.now + 2 * self.settings.counter.timeout >= request.useful_until
 
     def lease_ahead_part(self, account: TenantAccount) -> float:
-        """The part of the store's room that one lease may take ahead of demand."""
+        """Returns the share of the bucket's remaining units that one lease may take in advance."""
         return self.settings.counter.lease_ahead_share or 1 / (2 * account.ingress_count)
 
     def is_contended(self, account: TenantAccount) -> bool:
-        """The counter is crowded, and many ingresses share the customer."""
+        """Whether the counter is overloaded and many ingresses share the customer."""
         return (
             self.backoff_factor > COUNTER_OVERLOADED and account.ingress_count > CONTENDED_GATEWAYS
         )
@@ -182,30 +185,30 @@
     # Units spent without the counter.
 
     def admit_without_counter(self, request: RequestT) -> None:
-        """Spends of a fixed part without a call; by a draw where that is less than a request."""
+        """Spends from a fixed share without a call; at random if the share is below one request."""
         account, units = request.account, request.event.units
         counter = self.settings.counter
         if counter.strict and self.counter_reachable():
             self.overflow(request)
             return
-        room = account.bucket_bound(self.now)
+        available = account.bucket_bound(self.now)
         self.requests_since_call += not request.event.is_retry
-        even = account.plan.burst / account.ingress_count if request.event.is_retry else room
-        part = min(account.isolated_share, room, even) / units if units else 1.0
+        even = account.plan.burst / account.ingress_count if request.event.is_retry else available
+        probability = min(account.isolated_share, available, even) / units if units else 1.0
         trusted_us = TOTAL_TRUSTED_WINDOWS * account.window_us
         if self.is_contended(account) and self.now - account.total_seen_at < trusted_us:
-            part = account.admit_probability
+            probability = account.admit_probability
         elif counter.strict or account.plan.burst >= units * account.ingress_count:
-            part = part // 1  # whole requests only
-        if self.rng.random() >= part:
+            probability = probability // 1  # only if the share covers the request completely
+        if self.rng.random() >= probability:
             self.overflow(request)
         else:
             self.send_unreported(request)
 
     def can_skip_call(self, account: TenantAccount, units: float) -> bool:
-        """While crowded, what this ingress's own part covers needs no call.
+        """Whether this ingress's share covers the request while the counter is overloaded.
 
-        A trial call is made now and then all the same.
+        A probing call is still made from time to time.
         """
         if self.settings.counter.strict:
             return False
@@ -214,23 +217,23 @@
             self.backoff_factor > COUNTER_OVERLOADED and self.now - self.next_call_at < trial_us
         )
         covered = not account.plan.ceiling_rate or account.ceiling_unreported >= units
-        room = min(account.isolated_share, account.bucket_bound(self.now))
-        return needed and covered and room >= units
+        available = min(account.isolated_share, account.bucket_bound(self.now))
+        return needed and covered and available >= units
 
     def send_unreported(self, request: RequestT) -> None:
-        """Sends on units that the counter is told of with the next call."""
+        """Sends the request on units that are reported to the counter with the next call."""
         account, units = request.account, request.event.units
-        room, expiry = account.bucket_bound(self.now), self.settings.counter.lease_expiry
+        available, expiry = account.bucket_bound(self.now), self.settings.counter.lease_expiry
         request.admitted_until = self.now + expiry if expiry else 0
         if self.send(request):
             account.isolated_share = max(0.0, account.isolated_share - units)
             account.unreported += units
-            account.bucket_units, account.bucket_updated_at = room - units, self.now
+            account.bucket_units, account.bucket_updated_at = available - units, self.now
 
     # Leases.
 
     def request_lease(self, account: TenantAccount, customer: int) -> None:
-        """Asks the counter for what waits, and for demand ahead."""
+        """Requests a lease for the waiting requests and for expected demand."""
         strict = self.settings.counter.strict
         need, ahead = self._lease_size(account)
         window = self.now // account.window_us
@@ -238,28 +241,28 @@
         reported = account.unreported + account.refund * (account.refund_name == name)
         account.lease_pending, account.unreported, account.refund = True, 0.0, 0.0
         amount = need + ahead
-        if strict:  # whole units: what is left over would outlive its lease
+        if strict:  # whole units: a remaining fraction would outlive its lease
             reported, amount = 0.0, math.ceil(amount)
         start = window * account.window_us
         self.call_counter(name, CounterCall(account, start, amount, True, reported), customer)
 
     def _lease_size(self, account: TenantAccount) -> tuple[float, float]:
-        """Units needed now, and ahead of demand."""
-        room = account.bucket_bound(self.now)
+        """Returns the units needed now, and the units to lease ahead of demand."""
+        available = account.bucket_bound(self.now)
         waiting = sum(request.event.units for request in account.waiting)
-        need = max(0.0, min(waiting - account.tokens, room))
+        need = max(0.0, min(waiting - account.tokens, available))
         expected = max(account.demand * LEASE_LIFE_S, waiting) * self.backoff_factor
-        ahead = min(expected, (room - need) * self.lease_ahead_part(account))
-        if self.retired:  # the customer's next requests come to the other process
+        ahead = min(expected, (available - need) * self.lease_ahead_part(account))
+        if self.superseded:  # the customer's next requests arrive at the other process
             ahead = 0.0
-        made = 1 + self.requests_since_call
-        self.requests_per_call += 0.1 * (made - self.requests_per_call)
+        requests = 1 + self.requests_since_call
+        self.requests_per_call += 0.1 * (requests - self.requests_per_call)
         self.requests_since_call = 0
         need *= self.requests_per_call if self.is_contended(account) else 1.0
-        return need, max(0.0, min(ahead, room - need))
+        return need, max(0.0, min(ahead, available - need))
 
     def call_counter(self, name: int, call: CounterCall, customer: int = 0) -> None:
-        """Adds to a window's total, and sets when the next call may be made."""
+        """Adds to a window's total, and schedules the earliest time of the next call."""
         ttl = min(MAX_COUNTER_TTL, 2 * call.account.window_us)
         amount = call.amount + call.reported
         self.actions.append(it.AddToCounter(name, amount, ttl, customer, call.reported))
@@ -270,19 +273,19 @@
     # The counter's answers.
 
     def count_answered(self, event: it.CountAnswered) -> None:
-        """The counter has answered a call, or has failed to."""
+        """Handles the counter's answer to a call, or the call's failure."""
         call = self._pop_call(event.name)
         if call is None:
             return
-        heard = event.outcome is Outcome.OK and math.isfinite(event.total)
-        self._adjust_backoff(event.outcome, heard)
+        succeeded = event.outcome is Outcome.OK and math.isfinite(event.total)
+        self._adjust_backoff(event.outcome, succeeded)
         if not call.is_lease:
             return
         account = call.account
         waiting, account.waiting, account.lease_pending = account.waiting, [], False
-        if heard:
+        if succeeded:
             self._grant(call, event, waiting)
-            self._admit_waiting(account, waiting, keeps_store=event.left is not None)
+            self._admit_waiting(account, waiting, keeps_bucket=event.left is not None)
         else:
             self._lease_failed(call, event.outcome, waiting)
 
@@ -295,31 +298,31 @@
             self.calls[name] = queue
         return call
 
-    def _adjust_backoff(self, outcome: Outcome, heard: bool) -> None:
-        """Counter slow, silent, refusing, crowded: fewer calls in flight, rarer, for more.
+    def _adjust_backoff(self, outcome: Outcome, succeeded: bool) -> None:
+        """Makes fewer and larger calls to a counter that is slow, unresponsive or rejecting.
 
-        Meanwhile an even part of the quota is spent without it. Harms a customer whose traffic all
-        comes through one ingress: it waits longer for its units.
+        Meanwhile an even share of the quota is spent without it. This is a disadvantage for a
+        customer whose traffic all arrives at one ingress: it waits longer for its units.
         """
-        if heard:
+        if succeeded:
             self.backoff_factor = max(1.0, self.backoff_factor * 0.95)
             return
-        # A broken connection says less of a crowd than a refusal or a silence.
+        # A broken connection is a weaker sign of overload than a rejection or a timeout.
         growth = 1.0 if outcome is Outcome.RESET else 1.5
         self.backoff_factor = min(self.max_backoff_factor, self.backoff_factor * growth)
 
     def _lease_failed(self, call: CounterCall, outcome: Outcome, waiting: list[RequestT]) -> None:
-        """Requests ask anew after a broken connection, if there is time, or do without."""
+        """Retries after a broken connection if there is time; else admits without the counter."""
         call.account.unreported += max(0.0, call.reported) * (outcome in NEVER_RAN)
-        again = self.admit if outcome is Outcome.RESET else self.admit_without_counter
+        decide = self.admit if outcome is Outcome.RESET else self.admit_without_counter
         for request in waiting:
-            again(request)
+            decide(request)
 
     def _grant(self, call: CounterCall, event: it.CountAnswered, waiting: list[RequestT]) -> None:
-        """Takes a lease in: what was granted, and what it tells of the shared store."""
+        """Adds a lease's granted units, and updates the estimate of the shared bucket."""
         account, amount = call.account, call.amount
         account.leased_at = self.now - event.latency
-        if event.left is not None:  # the counter keeps the store, and gave back what went past it
+        if event.left is not None:  # the counter keeps the bucket, and returned the excess to it
             units, over = event.left, min(amount, max(0.0, -event.left))
         elif self.is_contended(account):
             units, over = self._contended_grant(call, event.total, waiting)
@@ -333,27 +336,27 @@
     def _contended_grant(
         self, call: CounterCall, total: float, waiting: list[RequestT]
     ) -> tuple[float, float]:
-        """The store's units, and those of the lease that go past it.
+        """Returns the bucket's units, and the lease's units in excess of them.
 
-        Nothing is added back: the total tells how much is asked of the store, and a draw gives
-        each its part.
+        No units are returned to the counter: its total is the demand on the bucket, and each
+        request is admitted with the probability that the bucket covers this demand.
         """
         account, plan = call.account, call.account.plan
         due = plan.rate * (self.now - call.window_start) / SECOND
         need = min(call.amount, sum(request.event.units for request in waiting))
-        # The store was as likely full as empty when the window began.
-        asked = total - plan.burst / 2
-        account.admit_probability = 1.0 if asked <= due else due / asked
+        # The bucket was as likely full as empty when the window began.
+        requested = total - plan.burst / 2
+        account.admit_probability = 1.0 if requested <= due else due / requested
         account.total_seen_at = self.now
         admitted = self.rng.random() < account.admit_probability
         return plan.burst, call.amount - need if admitted else call.amount
 
     def _estimated_grant(self, call: CounterCall, event: it.CountAnswered) -> tuple[float, float]:
-        """The store's units, and those of the lease that go past it, from the window's total.
+        """Returns the bucket's units, and the lease's units in excess of them, from the total.
 
-        Some units the counter does not know of: a burst spent before this window, time spent full,
-        a flush, units spent while it was silent. They are put back where demand matters; that harms
-        if two ingresses do so at once.
+        The counter does not know of some units: a burst spent before this window, time in which the
+        bucket was full, a flush, units spent while the counter was unreachable. They are added back
+        if demand exceeds the rate. If two ingresses do so at the same time, too much is added.
         """
         account, plan, amount = call.account, call.account.plan, call.amount
         due = plan.rate * (self.now - call.window_start) / SECOND
@@ -362,9 +365,9 @@
         unknown = counted - bound if in_demand else 0.0
         unknown = unknown if unknown > plan.burst / 8 else 0.0
         units = min(counted, bound)
-        over = min(amount, max(0.0, -units))  # past the allowance: that part is added back
+        over = min(amount, max(0.0, -units))  # in excess of the allowance: added back
         if unknown != over and self.backoff_factor > COUNTER_OVERLOADED:
-            # With the next call, if it comes in this window.
+            # Sent with the next call, if that is made in this window.
             account.refund, account.refund_name = unknown - over, event.name
         elif unknown != over:
             refund = CounterCall(account, call.window_start, unknown - over, False, 0.0)
@@ -372,16 +375,16 @@
         return units, over
 
     def _admit_waiting(
-        self, account: TenantAccount, waiting: list[RequestT], keeps_store: bool
+        self, account: TenantAccount, waiting: list[RequestT], keeps_bucket: bool
     ) -> None:
-        """Decides on those that waited.
+        """Decides on the requests that waited for a lease.
 
-        Where the counter keeps the store, more may have come to wait than the lease was for: that
-        is no overflow yet."""
+        Where the counter keeps the bucket, more requests may be waiting than the lease was for.
+        They wait for another lease if the bucket covers them."""
         for request in waiting:
             units = request.event.units
-            more = keeps_store and account.bucket_bound(self.now) >= units
-            if more and account.tokens < units and not self.lacks_time_for_call(request):
+            available = keeps_bucket and account.bucket_bound(self.now) >= units
+            if available and account.tokens < units and not self.lacks_time_for_call(request):
                 account.waiting.append(request)
             else:
                 self.admit(request, answered=True)
@@ -391,11 +394,11 @@
     # Second stage.
 
     def overflow(self, request: RequestT) -> None:
-        """Retry-after, or a final refusal."""
+        """Rejects a request beyond the quota, unless it is paid for and capacity is available."""
         account = request.account
         paid = account.plan.overage_value > account.plan.overage_cost
         if paid and self.utilization() < SPARE_CAPACITY:
-            # The plan pays for service beyond its quota while there is capacity to spare.
+            # The plan pays for service beyond its quota while there is spare capacity.
             self.send(request)
         else:
             wait = account.borrow_for_retry(self.now, request.event.units)
--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -79,7 +79,7 @@
         self.extra_capacity = 0.0  # what the limits of all have grown by
         self.sent_on_average = 0.0  # requests that an endpoint has got on average
         self.warm_capacity, self.warm_capacity_at = 0.0, -SECOND
-        self.retired = False  # another process has taken over, the slow-start budgets too
+        self.superseded = False  # another process has taken over, the slow-start budgets too
         self.apply_settings(settings)
 
     def apply_settings(self, settings: it.Settings) -> None:
@@ -183,7 +183,7 @@
         endpoint.credit_at = self.sent_on_average
         out = endpoint.in_flight + endpoint.in_flight_elsewhere
         limit = max(1.0, endpoint.limit * warmth)
-        return not self.retired and endpoint.credit >= 1 and out < limit
+        return not self.superseded and endpoint.credit >= 1 and out < limit
 
     # The choice.
 
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -169,7 +169,7 @@
         cut, end = self.answer_deadlines(cls, event.time_left)
         request = Request(event, cls, account, cut, end, settings.limits)
         self.requests[event.request] = request
-        account.record_arrival(self.now, event.units, event.is_retry, self.retired)
+        account.record_arrival(self.now, event.units, event.is_retry, self.superseded)
         self.admit(request)
 
     def _new_account(self, event: it.RequestArrived) -> TenantAccount:
@@ -178,7 +178,7 @@
         plan, age_s = settings.plans[event.plan], (self.now - self.started_at) / SECOND
         account = TenantAccount(plan, gateways, self.slot_us, self.now)
         account.strict = settings.counter.strict
-        if not self.retired:  # else this customer's ceiling is the other process's
+        if not self.superseded:  # else this customer's ceiling is the other process's
             account.ceiling_leased = plan.ceiling_burst
             spent = min(plan.ceiling_burst, plan.ceiling_rate * age_s)
             account.ceiling_unreported = spent / gateways
@@ -249,7 +249,7 @@
         self.attempts_in_flight[event.request, len(request.attempts)] = (request, attempt)
         request.attempts.append(attempt)
         request.unsent = False
-        account.attempts_out += 1
+        account.in_flight_count += 1
         return True
 
     def _is_over(self, request: Request, seen: int, leased: bool) -> bool:
@@ -300,7 +300,7 @@
             return
         request, attempt = flown
         account = request.account
-        account.attempts_out -= 1
+        account.in_flight_count -= 1
         attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_RAN
         attempt.reached_endpoint = event.outcome not in NEVER_ARRIVED
         if not attempt.streaming:
--- a/cairndale/ingress/policy/hashing.py
+++ b/cairndale/ingress/policy/hashing.py
@@ -1,18 +1,19 @@
-"""Numbers that are the same at every ingress without being agreed on. Types: interface.py."""
+"""Hashes that are equal at every ingress without coordination. Types: interface.py."""
 
 from __future__ import annotations
 
-MULTIPLIER = 0x9E3779B97F4A7C15  # odd, 64 bits, the golden ratio's: spreads neighbouring numbers
+# 2**64 divided by the golden ratio, made odd: spreads neighbouring numbers (Fibonacci hashing).
+MULTIPLIER = 0x9E3779B97F4A7C15
 MASK = (1 << 64) - 1
 
 
 def mix(number: int) -> int:
-    """A 64-bit mix of a number (as the finalizer of splitmix64 does it)."""
+    """Mixes a number's bits into 64 bits, in the manner of splitmix64's finalizer."""
     for shift in (30, 27, 31):
         number = (number ^ (number >> shift)) * MULTIPLIER & MASK
     return number
 
 
 def counter_name(customer: int, window: int) -> int:
-    """The name under which the counter keeps a customer's units of one window."""
+    """Returns the name of the counter's total for one customer and window."""
     return mix(customer * MULTIPLIER + window)
--- a/cairndale/ingress/policy/interface.py
+++ b/cairndale/ingress/policy/interface.py
@@ -1,7 +1,7 @@
-"""Settings, events and actions of a gateway: types only.
+"""Settings, events and actions of the request policy; types only.
 
-Times are whole microseconds; `now` and every moment are on one clock that never goes back. An
-opaque integer names a backend, a request, a customer, a timer."""
+Times are whole microseconds on one monotonic clock. Backends, requests, customers and timers are
+identified by opaque integers."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Repeat(Enum):
-    """What a second run of a request would do."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"  # nothing worse than the work
-    KEYED = "keyed"  # backends of one scope drop repeats for a while
-    UNSAFE = "unsafe"  # takes effect again
+    SAFE = "safe"  # idempotent: a repeat costs only the work
+    KEYED = "keyed"  # the backends of one scope deduplicate repeats for a limited time
+    UNSAFE = "unsafe"  # not idempotent: a repeat takes effect again
 
 
 class Scope(Enum):
-    """The backends that share one memory of keys."""
+    """The set of backends that share one store of deduplication keys."""
 
     ALL = "all"
     ZONE = "zone"
@@ -27,20 +27,20 @@
 
 
 class Outcome(Enum):
-    """How an attempt, or a call to the counter, has ended; whether it may have run."""
+    """How an attempt, or a call to the counter, ended, and whether it may have been executed."""
 
     OK = "ok"
-    ERROR = "error"  # may have run
-    FULL = "full"  # turned away unseen
-    TIMEOUT = "timeout"  # may have run, may still run
-    CONNECT_FAILED = "connect failed"  # never ran
-    RESET = "reset"  # may have run
-    CANCELLED = "cancelled"  # may have run
-    MOOT = "moot"  # never sent
+    ERROR = "error"  # may have been executed
+    FULL = "full"  # rejected for lack of capacity; not executed
+    TIMEOUT = "timeout"  # may have been executed, or may still be running
+    CONNECT_FAILED = "connect failed"  # not executed
+    RESET = "reset"  # may have been executed
+    CANCELLED = "cancelled"  # may have been executed
+    MOOT = "moot"  # not sent
 
 
 class BackendState(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint as reported by discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -48,105 +48,109 @@
 
 
 class ListKind(Enum):
-    """What a word of discovery is: the whole list, changes of it, or a failure."""
+    """The kind of an endpoint list update."""
 
-    DELTA = "delta"  # only what changed
+    DELTA = "delta"  # only the endpoints that changed
     FULL = "full"
-    CACHED = "cached"  # whole, as last held, perhaps old
-    FAILED = "failed"  # asking failed; no entries
+    CACHED = "cached"  # the last known full list, possibly stale
+    FAILED = "failed"  # the query failed; no entries
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A kind of request: its latency target (`aim`), its deadline and its worth. Times in us."""
+    """A kind of request: its latency target (`aim`), deadline and value. Times in us."""
 
     name: str
-    aim: int  # an answer within this earns the full worth
+    aim: int  # latency target: an answer within it earns the full value
     deadline: int
     repeat: Repeat
     value: float = 1.0
     late_value: float = 0.0
     scope: Scope = Scope.ALL
-    dedup_window: int = 0  # how long keyed backends remember, from the first send that may have run
+    # How long backends deduplicate a keyed request, from the first attempt that may have been
+    # executed.
+    dedup_window: int = 0
     stream: bool = False
     target_stretch: float = 0.0
-    max_endpoints: int = 0  # backends that one request may reach; 0: as the limits say
+    max_endpoints: int = 0  # backends that one request may reach; 0: only `max_attempts` applies
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What a customer has bought: a quota (rate, burst), a hard ceiling, a cap on concurrency."""
+    """A customer's plan: quota (rate and burst), hard rate limit (`ceiling_*`), concurrency cap."""
 
     name: str
-    rate: float  # units a second for each customer; 0: no rate quota
-    burst: float  # units the customer's store holds
-    max_in_flight: int = 0  # attempts out at once; 0: no cap
+    rate: float  # quota units per second for each customer; 0: no rate quota
+    burst: float  # capacity of the customer's token bucket, in quota units
+    max_in_flight: int = 0  # concurrent attempts; 0: no cap
     price: float = 1.0
-    overage_value: float = 0.0  # share of the worth earned beyond the quota
-    overage_cost: float = 0.0  # share of the worth it costs
-    ceiling_rate: float = 0.0  # hard ceiling; 0: none
+    overage_value: float = 0.0  # share of a request's value earned for service beyond the quota
+    overage_cost: float = 0.0  # share of a request's value that this service costs
+    ceiling_rate: float = 0.0  # hard rate limit, units per second; 0: none
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
-    # Units, one for each, that all gateways together may have saved up while in touch with a strict
-    # counter; where they would be more, each begins to save once it has lost touch.
+    # Units, one per ingress, that all ingresses together may accumulate for isolated operation
+    # while they are connected to a strict counter. If there are more ingresses than this, each
+    # accumulates only after it has lost contact.
     savings_limit: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a request may use: attempts, hedging, cancelling, advice to retry. Times in us."""
+    """Limits of a request: attempts, hedging, cancellation, retry advice. Times in us."""
 
     max_attempts: int = 1
     may_duplicate: bool = False
     may_cancel: bool = False
     may_probe: bool = False
     may_message_peers: bool = False
-    advises_retry: bool = True  # clients are shown retry-after
-    max_retry_after: int = 0  # the longest wait a client follows
+    advises_retry: bool = True  # rejections carry retry-after
+    max_retry_after: int = 0  # the longest retry-after that clients honour
     connect_timeout: int = 250_000
     max_open: int = 0
-    # a silent attempt is waited for: the links tell of a backend that is gone
+    # An attempt without an answer is awaited rather than retried: the connections report
+    # unreachable backends.
     awaits_silent_attempts: bool = False
-    refusal_means_not_run: bool = (
-        False  # a refusal says that the request has not run, and when to come back
-    )
+    # A rejection states that the request was not executed, and when to retry.
+    refusal_means_not_run: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Safety:
-    """What endpoints bear: drains, slow start (`cold_share`, `ramp_time`), peaks. Times in us."""
+    """Limits of the endpoints: drain, slow start (`cold_share`, `ramp_time`), overload. In us."""
 
     answer_slack: int
     drain_grace: int
-    cold_share: float  # a starting backend can do at least this part
-    ramp_time: int  # and all of it after this long
-    overload_multiple: float  # more than this times its present capacity ...
-    overload_duration: int  # ... for this long tips it over
+    cold_share: float  # share of its capacity that an endpoint has at the start of slow start
+    ramp_time: int  # slow-start window: the endpoint has its full capacity after it
+    overload_multiple: float  # load above this multiple of the present capacity ...
+    overload_duration: int  # ... for this long makes the endpoint fail
     ask_within: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class CounterLimits:
-    """How the shared counter may be used. Times in us."""
+    """How the shared quota counter may be used. Times in us."""
 
     allowed: bool = False
     timeout: int = 0
     price: float = 0.0
-    # calls in its time-out by all gateways: more than a healthy one has waiting
+    # Calls that all ingresses together make within one timeout: more than a healthy counter queues.
     max_calls_in_flight: float = 64.0
-    # of a store's room that a lease may take ahead; 0: by the gateways a customer has
+    # Share of a bucket's remaining units that a lease may take ahead of demand; 0: derived from
+    # the number of ingresses of the customer.
     lease_ahead_share: float = 0.0
-    # while it is in touch no unit is spent but those it leased, and none is told of later
+    # While the counter is reachable, only leased units are spent, and none is reported afterwards.
     strict: bool = False
-    lease_expiry: int = 0  # us after which the counter takes leased units for spent; 0: never
+    lease_expiry: int = 0  # the counter counts leased units as spent after this; 0: never
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a policy is told of the deployment. `tick` is in us."""
+    """The deployment's settings. `tick` is in us."""
 
     ingress_index: int
-    fleet_size: int  # gateways in front of these backends
+    fleet_size: int  # number of ingresses in front of these backends
     zone: int
     tick: int
     classes: tuple[RequestClass, ...]
@@ -154,9 +158,9 @@
     limits: Limits
     safety: Safety
     counter: CounterLimits
-    must_subscribe: bool = False  # the backend list has to be subscribed to
+    must_subscribe: bool = False  # endpoint list updates require a subscription
     load_fields: tuple[str, ...] = ()  # names of the values in a load report
-    post_paid: bool = False  # true units come with the answer
+    post_paid: bool = False  # the actual units are reported with the answer
     cross_zone_price: float = 0.0
     waste_price: float = 0.0
     probe_price: float = 0.0
@@ -164,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedBackend:
-    """An endpoint, as discovery lists it. Times in us."""
+    """An endpoint as listed by discovery. Times in us."""
 
     id: int
     state: BackendState
@@ -172,11 +176,11 @@
     cell: int
     kind: int
     weight: float
-    started: int  # 0: long ago
-    key: int = 0  # the same at every gateway; 0: its id is
-    service: int = 0  # what it serves, where backends differ in that
+    started: int  # start time; 0: long ago
+    key: int = 0  # identifier that is the same at every ingress; 0: `id` is
+    service: int = 0  # the service, where backends serve different ones
     region: int = 0
-    slots: int = 0  # requests that it works on at once; 0: unknown
+    slots: int = 0  # requests processed concurrently; 0: unknown
     warmup_until: int = 0
 
 
@@ -185,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A whole request has come from a client, or the head of one whose body comes in parts."""
+    """A complete request, or the head of one with a streamed body, has arrived from a client."""
 
     request: int
     cls: int
@@ -194,12 +198,12 @@
     units: float
     time_left: int
     first_ingress: int = 0
-    spread: int = 1  # gateways this customer's requests can come through
+    spread: int = 1  # number of ingresses that receive this customer's requests
     is_retry: bool = False
-    body_streaming: bool = False  # its body is still coming, and is passed on as it comes
+    body_streaming: bool = False  # the body is still arriving, and is forwarded as it arrives
     service: int = 0
-    regions: frozenset[int] | None = None  # where it may be served; None: everywhere
-    priority: int = 0  # 0 is highest
+    regions: frozenset[int] | None = None  # regions that may serve it; None: all
+    priority: int = 0  # 0: highest
 
 
 @dataclass(frozen=True, slots=True)
@@ -211,16 +215,16 @@
     backend: int
     outcome: Outcome
     latency: int
-    final: bool  # the request is over
+    final: bool  # the request is complete
     load: tuple[float, ...] = ()
     billed: float = 0.0
-    # some of a body that came in parts has gone to it: no other attempt can have it
+    # Part of a streamed body was sent with this attempt: no other attempt can send it.
     body_consumed: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class BodyCompleted:
-    """The last byte of a body that came in parts: the request's time counts from here."""
+    """The last byte of a streamed body has arrived: the request's time limit starts now."""
 
     request: int
     time_left: int
@@ -228,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """An answer that is passed on in parts has begun; `latency` in us."""
+    """The first part of a streamed answer has arrived; `latency` in us."""
 
     request: int
     attempt: int
@@ -238,33 +242,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has ended its connection."""
+    """The client has closed its connection."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set for a request is due."""
+    """A timer of a request has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class CountAnswered:
-    """The counter has answered a call, or has failed to; `latency` in us."""
+    """A call to the counter has succeeded or failed; `latency` in us."""
 
     name: int
     outcome: Outcome
     total: float
     latency: int
-    # in the store, where the counter keeps that; under 0: past its allowance
+    # Units left in the token bucket, if the counter keeps it; negative: overdrawn.
     left: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class BackendsListed:
-    """Discovery has said which endpoints there are."""
+    """Discovery has sent an endpoint list update."""
 
     kind: ListKind
     version: int
@@ -273,16 +277,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings from now on. Classes and plans keep their numbers; those dropped keep their
-    place, as open requests end by the rules they began with."""
+    """New settings. Classes and plans keep their numbers; removed ones keep their place, because
+    open requests complete under the settings they began with."""
 
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceChanged:
-    """Operators take a backend out of service or put it back, whatever the list says of it
-    meanwhile."""
+    """Operators have put a backend into maintenance or taken it out, regardless of its listed
+    state."""
 
     backend: int
     in_maintenance: bool
@@ -290,8 +294,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PredecessorLoad:
-    """Attempts out from the process that this one takes over from; together they are one
-    gateway."""
+    """Attempts still in flight from the process that this one takes over from. Both together act
+    as one ingress."""
 
     attempts: dict[int, int]  # by backend
     customers: dict[int, int]
@@ -299,7 +303,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeAnswered:
-    """A health check has ended; `latency` in us."""
+    """A health check has completed; `latency` in us."""
 
     backend: int
     outcome: Outcome
@@ -309,7 +313,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another ingress has sent something."""
+    """A message from another ingress."""
 
     sender: int
     data: bytes
@@ -334,42 +338,42 @@
 
 # Actions
 
-# of a whole that all gateways share: its kind, and the service or backend it is of
+# A unit of a budget that all ingresses share: the budget's kind, and its service or backend.
 BudgetUnit = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request to this endpoint; `timeout` and `until` in us."""
+    """Send the request to this endpoint. Times in us."""
 
     request: int
     backend: int
-    timeout: int  # 0: until the client quits
-    # its first byte is written by then or never: what it was admitted by ends; 0: any time
+    timeout: int  # 0: until the client disconnects
+    # The first byte must be written by then, because the admission expires; 0: no limit.
     send_by: int = 0
-    # the shared wholes of which it must be dealt one before it is written
+    # Budget units that must be granted before the attempt is written.
     budget_units: tuple[BudgetUnit, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """A final no that promises the client a new try does no harm."""
+    """Reject the request for good, stating that a retry by the client is safe."""
 
     request: int
-    retry_after: int = 0  # 0: no advice
-    over_quota: bool = True  # the quota; else there was no room, or no backend
+    retry_after: int = 0  # us; 0: no advice
+    over_quota: bool = True  # False: no capacity, or no backend
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """A final failure that promises nothing about effects."""
+    """Fail the request for good, without a statement on whether it was executed."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give an attempt up: its answer is not wanted any longer."""
+    """Cancel an attempt whose answer is no longer needed."""
 
     request: int
     attempt: int
@@ -377,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Wake the policy at this time, in us."""
+    """Send `TimerFired` at this time, in us."""
 
     token: int
     at: int
@@ -385,13 +389,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AddToCounter:
-    """Add units to a name of the counter; `ttl` in us."""
+    """Add units to a named total of the counter; `ttl` in us."""
 
     name: int
     amount: float
     ttl: int
     customer: int = 0
-    reported: float = 0.0  # of the amount: units that are spent already
+    reported: float = 0.0  # part of `amount` that is already spent
 
 
 @dataclass(frozen=True, slots=True)
@@ -410,22 +414,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToPeer:
-    """Send something to one other ingress, or to all."""
+    """Send a message to one other ingress, or to all."""
 
-    peer: int | None  # None: every peer
+    peer: int | None  # None: all peers
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or no longer."""
+    """Subscribe to endpoint list updates, or unsubscribe."""
 
     on: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask discovery for the whole list."""
+    """Request the full endpoint list from discovery."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -228,7 +228,7 @@
     old, _, _ = handed()
     had = old.accounts[7].tokens = 3.0
     take_back(old, hand_over(old))
-    assert old.accounts[7].tokens == had and not old.retired
+    assert old.accounts[7].tokens == had and not old.superseded
     assert of(old.handle(2 * SECOND, arrival(9, plan=3)), it.SendAttempt)
 
 
