--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -1,8 +1,8 @@
 """The request life cycle: attempts, retries, hedged requests, deadlines. Types: interface.py.
 
-`RequestPolicy` takes events and returns actions; it does no I/O and reads no clock. Admission is in
-`admission`, the customer's account in `account`, the choice of an endpoint in `endpoint_pool`. All
-times are microseconds.
+`RequestPolicy` takes events and returns actions. It does no I/O and reads no clock. Admission is in
+`admission`, the customer's account in `account`, endpoint selection in `endpoint_pool`. All times
+are microseconds.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 from cairndale.ingress.policy.interface import ListKind, Outcome, Repeat, Scope
 
 NEVER_ARRIVED = (Outcome.CONNECT_FAILED, Outcome.MOOT)
-BUSY_REPORTS = ("queue", "inflight", "util")  # reports that grow with what an endpoint has to do
-MAX_LOAD = 1e6  # of a report: more is taken for none
-SWEEP_INTERVAL = SECOND  # between looks for idle accounts
-ACCOUNT_IDLE_WINDOWS = 8  # after which a store must be full again
-# An attempt without an answer is stuck after so many usual latencies ...
+BUSY_REPORTS = ("queue", "inflight", "util")  # load report fields that grow with the load
+MAX_LOAD = 1e6  # a higher reported load is invalid, and is replaced by 0
+SWEEP_INTERVAL = SECOND  # us between removals of idle accounts
+ACCOUNT_IDLE_WINDOWS = 8  # windows without requests after which the bucket must be full again
+# An attempt without an answer counts as stuck after this multiple of the average latency, but not
+# before a third of the latency target.
 STUCK_LATENCIES = 4
 
 
@@ -34,41 +35,40 @@
     sent_at: int
     in_flight: bool = True
     may_have_run: bool = True  # until an outcome proves otherwise
-    streaming: bool = False  # its answer goes on to the client in parts
-    reached_endpoint: bool = True  # until an outcome proves that the endpoint never saw it
+    streaming: bool = False  # its answer is being forwarded to the client in parts
+    reached_endpoint: bool = True  # until an outcome proves otherwise
 
 
 @dataclass(slots=True)
 class Request:
-    """A request that is not answered yet."""
+    """A request without a final answer."""
 
     event: it.RequestArrived
     cls: it.RequestClass
     account: TenantAccount
-    useful_until: int  # no answer after this is worth new work
-    awaited_until: (
-        int  # an answer under way is awaited until here: what it costs the endpoint is spent
-    )
-    limits: it.Limits  # those it began with
+    useful_until: int  # no new work is started for an answer after this
+    # Attempts in flight are awaited until then, because the endpoint's work is already spent.
+    awaited_until: int
+    limits: it.Limits  # those in force when the request arrived
     attempts: list[Attempt] = field(default_factory=list)
-    admitted_until: int = 0  # when the unit that it was admitted by is taken for spent; 0: never
-    unsent: bool = True  # no attempt was begun since it was admitted
+    admitted_until: int = 0  # when the counter counts the request's units as spent; 0: never
+    unsent: bool = True  # no attempt was started since admission
 
-    def ran(self) -> Attempt | None:
-        """The first attempt that may have run."""
+    def first_possibly_run(self) -> Attempt | None:
+        """Returns the first attempt that may have been executed."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
 
 def check_settings(settings: it.Settings) -> None:
-    """Raises ValueError for settings that nobody can keep."""
+    """Raises ValueError for inconsistent settings."""
     plans = all(0 <= p.rate < math.inf and 0 <= p.burst < math.inf for p in settings.plans)
     classes = settings.classes and all(c.aim > 0 and c.deadline > 0 for c in settings.classes)
     if not (plans and classes and settings.fleet_size > 0 < settings.limits.max_attempts):
-        raise ValueError("settings: classes, plans, fleet_size or limits make no sense")
+        raise ValueError("settings: classes, plans, fleet_size or limits are out of range")
 
 
 class RequestPolicy(Admission[Request]):
-    """Every decision of one ingress: events in, actions out."""
+    """Makes all decisions of one ingress: maps events to actions."""
 
     def __init__(
         self, settings: it.Settings, seed: int, pool: type[EndpointPool] = EndpointPool
@@ -83,16 +83,16 @@
         super().__init__(settings, rng)
 
     def apply_settings(self, settings: it.Settings) -> None:
-        """Other rules for what is to come: what is known of the endpoints stays as well."""
+        """Applies new settings to later requests; accounts and endpoint state stay."""
         super().apply_settings(settings)
         self.pool.apply_settings(settings)
 
     def utilization(self) -> float:
-        """The part of what the endpoints can take that is in flight."""
+        """Returns the requests in flight as a share of the endpoints' capacity."""
         return self.pool.utilization()
 
     def handle(self, now: int, event: it.Event) -> list[it.Action]:
-        """What is to be done about an event that came at `now`, in us."""
+        """Returns the actions for an event that arrived at `now`, in us."""
         self.now, self.actions = now, []
         self.started_at = now if self.started_at < 0 else self.started_at
         match event:
@@ -128,13 +128,13 @@
         return self.actions
 
     def _hedge(self, number: int) -> None:
-        """A second copy, only while the endpoints have room for it."""
+        """Sends a hedged request, but only while the endpoints have spare capacity."""
         request = self.requests.get(number)
         if request and request.attempts and self.pool.utilization() < SPARE_CAPACITY:
             self.send(request)
 
     def _sweep_accounts(self) -> None:
-        """Idle accounts go once their store must be full again."""
+        """Removes idle accounts, whose buckets must be full again."""
         self.swept_at = now = self.now
         self.accounts = {
             customer: account
@@ -142,10 +142,10 @@
             if now - account.demand_at < ACCOUNT_IDLE_WINDOWS * account.window_us
         }
 
-    # A request comes.
+    # Arrival.
 
     def request_arrived(self, event: it.RequestArrived) -> None:
-        """A new request: refused if it makes no sense, else put to admission."""
+        """Rejects an invalid request; passes any other to admission."""
         settings = self.settings
         valid = event.cls < len(settings.classes) and event.plan < len(settings.plans)
         valid = valid and 0 <= event.units < math.inf
@@ -178,72 +178,74 @@
         plan, age_s = settings.plans[event.plan], (self.now - self.started_at) / SECOND
         account = TenantAccount(plan, gateways, self.slot_us, self.now)
         account.strict = settings.counter.strict
-        if not self.superseded:  # else this customer's ceiling is the other process's
+        if not self.superseded:  # else the other process has this customer's rate limit
             account.ceiling_leased = plan.ceiling_burst
             spent = min(plan.ceiling_burst, plan.ceiling_rate * age_s)
             account.ceiling_unreported = spent / gateways
         return account
 
     def answer_deadlines(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
-        """Until when an answer is worth new work, and until when one under way is awaited."""
+        """Returns a request's `useful_until` and `awaited_until`."""
         pays_late = cls.late_value >= 0.5 or cls.target_stretch > 0
-        span = cls.deadline if pays_late else cls.aim
-        return self.now + min(left, span), self.now + min(left, span + cls.aim)
+        useful_time = cls.deadline if pays_late else cls.aim
+        return self.now + min(left, useful_time), self.now + min(left, useful_time + cls.aim)
 
     # Attempts.
 
     def may_send(self, request: Request, backend: Endpoint) -> bool:
-        """Whether a request may go to an endpoint.
+        """Whether a request may be sent to an endpoint.
 
-        What may have run is repeated only if that is safe, or keyed within the scope and memory of
-        its keys.
+        A request that may have been executed is repeated only if it is safe to repeat, or if it is
+        keyed and the repeat is within the scope and the deduplication window.
         """
-        cls, alone = request.cls, not request.limits.may_duplicate
-        if any(a.in_flight and (a.backend is backend or alone) for a in request.attempts):
+        cls, exclusive = request.cls, not request.limits.may_duplicate
+        if any(a.in_flight and (a.backend is backend or exclusive) for a in request.attempts):
             return False
-        ran = request.ran()
-        if ran is None or cls.repeat is Repeat.SAFE:
+        first = request.first_possibly_run()
+        if first is None or cls.repeat is Repeat.SAFE:
             return True
         if cls.repeat is not Repeat.KEYED:
             return False
-        here, there = backend.info, ran.backend.info
-        same = {
+        candidate, earlier = backend.info, first.backend.info
+        in_scope = {
             Scope.ALL: True,
-            Scope.ZONE: here.zone == there.zone,
-            Scope.CELL: here.cell == there.cell,
+            Scope.ZONE: candidate.zone == earlier.zone,
+            Scope.CELL: candidate.cell == earlier.cell,
         }
-        return same[cls.scope] and self.now + self.settings.tick < ran.sent_at + cls.dedup_window
+        return (
+            in_scope[cls.scope] and self.now + self.settings.tick < first.sent_at + cls.dedup_window
+        )
 
     def send(self, request: Request, leased: bool = False) -> bool:
-        """Begins an attempt; a request that can have no first one is refused.
+        """Starts an attempt; a request that cannot have a first one is rejected.
 
         Args:
-            request: admitted, or to be tried again.
-            leased: it is admitted by a leased unit.
+            request: an admitted request, or one to be retried.
+            leased: whether it was admitted on leased units.
 
         Returns:
-            Whether an attempt was begun.
+            Whether an attempt was started.
         """
-        event, account, first = request.event, request.account, request.unsent
-        seen = sum(1 for attempt in request.attempts if attempt.reached_endpoint)
-        over = self._is_over(request, seen, leased)
+        event, account, is_first = request.event, request.account, request.unsent
+        reached = sum(1 for attempt in request.attempts if attempt.reached_endpoint)
+        exhausted = self._is_exhausted(request, reached, leased)
         backend = None
-        if not over:
+        if not exhausted:
             backend = self.pool.pick(
-                self.now, event.cls, lambda b: self.may_send(request, b), event, seen > 0
+                self.now, event.cls, lambda b: self.may_send(request, b), event, reached > 0
             )
         if backend is None:
-            if first:
-                self.end(request, self.capacity_refusal(request, over))
+            if is_first:
+                self.end(request, self.capacity_refusal(request, exhausted))
             return False
-        spent = event.units if first else 0.0
+        spent = event.units if is_first else 0.0
         account.ceiling_leased -= spent
         account.ceiling_unreported -= spent
         timeout = self._attempt_timeout(request)
-        until = 0 if seen else request.admitted_until
-        units = self.pool.required_units()
+        send_by = 0 if reached else request.admitted_until
+        budget_units = self.pool.required_units()
         self.actions.append(
-            it.SendAttempt(event.request, backend.info.id, max(1, timeout), until, units)
+            it.SendAttempt(event.request, backend.info.id, max(1, timeout), send_by, budget_units)
         )
         attempt = Attempt(backend, self.now)
         self.attempts_in_flight[event.request, len(request.attempts)] = (request, attempt)
@@ -252,53 +254,59 @@
         account.in_flight_count += 1
         return True
 
-    def _is_over(self, request: Request, seen: int, leased: bool) -> bool:
-        """No further attempt, whatever endpoints there are; `seen`: attempts that arrived."""
-        limits, account, first = request.limits, request.account, request.unsent
+    def _is_exhausted(self, request: Request, reached: int, leased: bool) -> bool:
+        """Whether no further attempt is allowed, regardless of the endpoints.
+
+        `reached` is the number of attempts that reached an endpoint."""
+        limits, account, is_first = request.limits, request.account, request.unsent
         if len(request.attempts) >= limits.max_attempts or self.now >= request.useful_until:
             return True
-        if 0 < request.cls.max_endpoints <= seen:
+        if 0 < request.cls.max_endpoints <= reached:
             return True
-        usual = self.pool.average_latencies[request.event.cls]
+        average = self.pool.average_latencies[request.event.cls]
         if (
             limits.awaits_silent_attempts
-            and not first
-            and request.useful_until - self.now < usual / 2
+            and not is_first
+            and request.useful_until - self.now < average / 2
         ):
-            return True  # a retry that can hardly end in time is work for nothing
-        if first and account.plan.ceiling_rate:  # kept by fixed parts, whatever the counter says
+            return True  # a retry that is unlikely to complete in time would waste work
+        # The hard rate limit is enforced by fixed shares, independently of the counter.
+        if is_first and account.plan.ceiling_rate:
             left = account.ceiling_leased if leased else account.ceiling_unreported
             return left < request.event.units
         return False
 
     def _attempt_timeout(self, request: Request) -> int:
-        """For how long the next attempt is awaited, in us; sets the timer of a hedged request."""
+        """Returns the next attempt's timeout in us; sets the timer of a hedged request."""
         event, cls, limits = request.event, request.cls, request.limits
-        usual = self.pool.average_latencies[event.cls] or cls.aim / 6
-        patience = int(max(STUCK_LATENCIES * usual, cls.aim / 3))
-        more = (
+        average = self.pool.average_latencies[event.cls] or cls.aim / 6
+        stuck_after = int(max(STUCK_LATENCIES * average, cls.aim / 3))
+        may_follow = (
             not limits.awaits_silent_attempts
             and cls.repeat is not Repeat.UNSAFE
             and not event.body_streaming
         )
-        more = more and len(request.attempts) + 1 < limits.max_attempts
+        may_follow = may_follow and len(request.attempts) + 1 < limits.max_attempts
         left = request.useful_until - self.now
-        if more and limits.may_duplicate and patience < left:
-            self.actions.append(it.SetTimer(event.request, self.now + patience))
-        elif more and left > 1.5 * patience:
-            return patience
+        if may_follow and limits.may_duplicate and stuck_after < left:
+            self.actions.append(it.SetTimer(event.request, self.now + stuck_after))
+        elif may_follow and left > 1.5 * stuck_after:
+            return stuck_after
         return request.awaited_until - self.now
 
-    def capacity_refusal(self, request: Request, over: bool = False) -> it.Refuse:
-        """By the usual latency from now some attempt has ended."""
-        wait = self.slot_us if over else int(self.pool.average_latencies[request.event.cls])
+    def capacity_refusal(self, request: Request, exhausted: bool = False) -> it.Refuse:
+        """Returns the rejection for missing capacity.
+
+        An attempt is expected to end within the average latency, which frees capacity.
+        """
+        wait = self.slot_us if exhausted else int(self.pool.average_latencies[request.event.cls])
         return it.Refuse(request.event.request, min(self.slot_us, wait or self.slot_us), False)
 
     def attempt_ended(self, event: it.AttemptEnded) -> None:
-        """An attempt has ended: the request is answered, tried again, or ends."""
-        if not (flown := self.attempts_in_flight.pop((event.request, event.attempt), None)):
+        """Handles the end of an attempt: the request is complete, is retried, or is ended."""
+        if not (found := self.attempts_in_flight.pop((event.request, event.attempt), None)):
             return
-        request, attempt = flown
+        request, attempt = found
         account = request.account
         account.in_flight_count -= 1
         attempt.in_flight, attempt.may_have_run = False, event.outcome not in NEVER_RAN
@@ -316,18 +324,18 @@
             self._retry_or_end(request, event)
 
     def _note_load(self, backend: Endpoint, event: it.AttemptEnded) -> None:
-        """The load report that came with an answer."""
+        """Records the load report that came with an answer."""
         for name, value in zip(self.settings.load_fields, event.load, strict=False):
             if name in BUSY_REPORTS:
                 backend.reported_load = value if 0 <= value < MAX_LOAD else 0.0
                 backend.reported_at = self.now
 
     def _retry_or_end(self, request: Request, event: it.AttemptEnded) -> None:
-        """No attempt is in flight any longer."""
+        """Retries or ends a request without attempts in flight."""
         if 0 < request.admitted_until < self.now and not any(
             a.reached_endpoint for a in request.attempts
         ):
-            # What it was admitted by is over, and no endpoint saw it: it is admitted anew.
+            # The admission has expired and no endpoint was reached: the request is admitted anew.
             request.unsent = True
             self.admit(request)
             return
@@ -336,21 +344,23 @@
         self.end(request, self._last_answer(request))
 
     def _last_answer(self, request: Request) -> it.Action:
-        """What a request without an answer is told: whether a new try does no harm."""
+        """Returns the final action for an unanswered request: `Refuse` if a retry is safe."""
         number, cls = request.event.request, request.cls
         if request.limits.refusal_means_not_run:
-            return it.Fail(number) if request.ran() else self.capacity_refusal(request)
+            return (
+                it.Fail(number) if request.first_possibly_run() else self.capacity_refusal(request)
+            )
         keyed = cls.repeat is Repeat.KEYED and cls.scope is Scope.ALL
-        harmless = keyed or cls.repeat is Repeat.SAFE or request.ran() is None
-        return it.Refuse(number, 0, False) if harmless else it.Fail(number)
+        retry_is_safe = keyed or cls.repeat is Repeat.SAFE or request.first_possibly_run() is None
+        return it.Refuse(number, 0, False) if retry_is_safe else it.Fail(number)
 
     def stream_started(self, event: it.StreamStarted) -> None:
-        """The answer is certain, and the endpoint's work done.
+        """Records the outcome when the answer begins, because the endpoint's work is done then.
 
-        How long the client takes to read it says nothing of load.
+        The time that the client takes to read the answer does not depend on the load.
         """
-        if flown := self.attempts_in_flight.get((event.request, event.attempt)):
-            request, attempt = flown
+        if found := self.attempts_in_flight.get((event.request, event.attempt)):
+            request, attempt = found
             attempt.streaming = True
             self.pool.record_outcome(
                 attempt.backend, self.now, request.event.cls, Outcome.OK, event.latency
@@ -365,11 +375,11 @@
         self.finish(request.event.request)
 
     def finish(self, number: int, except_attempt: int = -1) -> None:
-        """The request is over; attempts still in flight are cancelled where that is allowed.
+        """Completes a request; cancels attempts in flight where that is allowed.
 
         Args:
-            number: the request's.
-            except_attempt: the attempt that goes on, as it answers.
+            number: the request's number.
+            except_attempt: the attempt that continues, because it delivers the answer.
         """
         if not (request := self.requests.pop(number, None)):
             return
@@ -379,7 +389,7 @@
                 self.actions.append(it.CancelAttempt(number, attempt))
 
     def apply_predecessor_load(self, event: it.PredecessorLoad) -> None:
-        """What is in flight from the process that this one takes over from."""
+        """Records the attempts in flight of the process that this one takes over from."""
         for number, backend in self.pool.backends.items():
             backend.in_flight_elsewhere = event.attempts.get(number, 0)
         self.pool.in_flight_elsewhere = sum(event.attempts.values())
