--- a/cairndale/ingress/adapter.py
+++ b/cairndale/ingress/adapter.py
@@ -1,5 +1,6 @@
-"""Runs gateways on the simulator's wire: one RequestPolicy for each instance, batches in, replies
-out."""
+"""Connects policies to the simulator: reads batches from stdin and writes replies to stdout.
+
+Each of the simulator's instances has a RequestPolicy of its own."""
 
 from __future__ import annotations
 
@@ -19,9 +20,9 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers every batch until the input ends."""
+    """Answers every batch until the input ends. Raises WireError for malformed input."""
     decoder = Decoder()
-    gateways: dict[int, RequestPolicy] = {}
+    policies: dict[int, RequestPolicy] = {}
     while head := source.read(4):
         if len(head) < 4:
             raise WireError(f"length: input ends after {len(head)} of 4 bytes")
@@ -29,13 +30,13 @@
         groups: dict[int, list[it.Action]] = {}
         for instance, message in batch.messages:
             if isinstance(message, Created):
-                gateways[instance] = RequestPolicy(message.settings, message.seed)
+                policies[instance] = RequestPolicy(message.settings, message.seed)
                 groups[instance] = []
             elif isinstance(message, Stopped):
-                gateways.pop(instance, None)
+                policies.pop(instance, None)
                 groups.pop(instance, None)
-            elif instance in gateways:
-                actions = gateways[instance].handle(batch.now, message)
+            elif instance in policies:
+                actions = policies[instance].handle(batch.now, message)
                 groups.setdefault(instance, []).extend(actions)
             else:
                 raise WireError(f"Context.i: instance {instance} was not created")
--- a/cairndale/ingress/handover_state.py
+++ b/cairndale/ingress/handover_state.py
@@ -1,9 +1,9 @@
-"""The policy's state in the form in which one ingress process hands it to the next; nothing is
-decided.
+"""Conversion of the policy's state to and from the form that one ingress process hands over to
+its successor.
 
-The form is read by processes of earlier and later versions of the program, so its keys are a
-format: `ACCOUNT_FIELDS` and its kin say which attribute each key stands for. The names of the keys
-are those that the attributes had when the format was made."""
+Processes of earlier and later versions of the program read this form, so its keys are a fixed
+format. `ACCOUNT_FIELDS`, `ENDPOINT_FIELDS` and `POOL_FIELDS` map each key to an attribute. The keys
+are the attributes' names at the time when the format was defined."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from cairndale.ingress.policy.endpoint_pool import EndpointPool
 from cairndale.ingress.policy.engine import RequestPolicy
 
-# Key in the hand-over: attribute. `slot` and the ring's slots are handed over beside these.
+# Key in the hand-over: attribute. `slot` and the borrowing ring's slots are handed over separately.
 ACCOUNT_FIELDS: Mapping[str, str] = MappingProxyType(
     {
         "spread": "ingress_count",
@@ -54,7 +54,7 @@
     "unheard",
     "back",
     "back_for",
-)  # in the order in which they are written
+)  # in the order of writing
 ENDPOINT_FIELDS: Mapping[str, str] = MappingProxyType(
     {
         "limit": "limit",
@@ -77,7 +77,7 @@
 
 
 def _account_values(account: TenantAccount) -> dict[str, Any]:
-    """An account's values by the keys of the hand-over."""
+    """Returns an account's values by their keys in the hand-over."""
     values: dict[str, Any] = {}
     for key in ACCOUNT_KEYS:
         if key == "slot":
@@ -90,7 +90,7 @@
 def _account_from(
     account: TenantAccount, values: Mapping[str, Any], slots: Sequence[list[float]]
 ) -> TenantAccount:
-    """Fills an account from what was handed over."""
+    """Sets an account's attributes from the handed-over values, and returns the account."""
     for key, attribute in ACCOUNT_FIELDS.items():
         setattr(account, attribute, values[key])
     account.ring.position = values["slot"]
@@ -98,76 +98,79 @@
     return account
 
 
-def hand_over(gateway: RequestPolicy) -> dict[str, Any]:
-    """What the next process needs to go on as one ingress with this one.
+def hand_over(policy: RequestPolicy) -> dict[str, Any]:
+    """Returns the state that the successor process needs to act as one ingress with this process.
 
-    Leases and the budgets of endpoints in slow start go to it whole; of each ceiling's part one
-    half stays, for what still comes in here."""
+    Leases and slow-start budgets are handed over completely. One half of each account's share of
+    its hard rate limit stays here, for requests that still arrive at this process."""
     accounts, backends = [], []
-    for customer, account in gateway.accounts.items():
+    for customer, account in policy.accounts.items():
         account.ceiling_leased /= 2
         account.ceiling_unreported /= 2
-        plan = gateway.settings.plans.index(account.plan)
+        plan = policy.settings.plans.index(account.plan)
         slots = [list(slot) for slot in account.ring.slots]
         accounts.append([customer, plan, slots, _account_values(account)])
         account.tokens = 0.0
-    for number, backend in gateway.pool.backends.items():
+    for number, backend in policy.pool.backends.items():
         values = {key: getattr(backend, name) for key, name in ENDPOINT_FIELDS.items()}
         backends.append([number, backend.info.started, values])
-    fleet = {key: getattr(gateway.pool, name) for key, name in POOL_FIELDS.items()}
-    fleet["returned"] = list(gateway.pool.returned_at.items())
-    gateway.superseded = gateway.pool.superseded = True
+    fleet = {key: getattr(policy.pool, name) for key, name in POOL_FIELDS.items()}
+    fleet["returned"] = list(policy.pool.returned_at.items())
+    policy.superseded = policy.pool.superseded = True
     pacing = {
-        "crowd": gateway.backoff_factor,
-        "call_at": gateway.next_call_at,
-        "began": gateway.started_at,
+        "crowd": policy.backoff_factor,
+        "call_at": policy.next_call_at,
+        "began": policy.started_at,
     }
     return {"accounts": accounts, "backends": backends, "fleet": fleet, "gateway": pacing}
 
 
-def take_back(gateway: RequestPolicy, state: dict[str, Any]) -> None:
-    """No process has taken over after all. The other half of each ceiling refills."""
-    gateway.superseded = gateway.pool.superseded = False
+def take_back(policy: RequestPolicy, state: dict[str, Any]) -> None:
+    """Takes back the leases of a hand-over that no process has taken over.
+
+    The half of each rate limit that was handed over refills by itself."""
+    policy.superseded = policy.pool.superseded = False
     for customer, _, _, values in state["accounts"]:
-        if account := gateway.accounts.get(customer):
+        if account := policy.accounts.get(customer):
             account.tokens += values["tokens"]
 
 
 def take_over(
-    gateway: RequestPolicy,
+    policy: RequestPolicy,
     now: int,
     state: dict[str, Any],
     classes: Sequence[int],
     plans: Sequence[int],
 ) -> None:
-    """From the process before. `classes` and `plans` give this one's numbers for that one's; -1:
-    none."""
+    """Takes over the state of the predecessor process.
+
+    `classes` and `plans` map the predecessor's numbers to this process's; -1: no counterpart."""
     accounts: dict[int, TenantAccount] = {}
-    for customer, plan, ring, values in state["accounts"]:
+    for customer, plan, slots, values in state["accounts"]:
         if plans[plan] >= 0:
-            plan_here = gateway.settings.plans[plans[plan]]
-            made = TenantAccount(plan_here, values["spread"], gateway.slot_us, now)
-            accounts[customer] = _account_from(made, values, ring)
-    _take_over_pool(gateway.pool, state, classes)
-    gateway.backoff_factor = state["gateway"]["crowd"]
-    gateway.next_call_at = state["gateway"]["call_at"]
-    gateway.accounts, gateway.started_at = accounts, state["gateway"]["began"]
+            own_plan = policy.settings.plans[plans[plan]]
+            account = TenantAccount(own_plan, values["spread"], policy.slot_us, now)
+            accounts[customer] = _account_from(account, values, slots)
+    _take_over_pool(policy.pool, state, classes)
+    policy.backoff_factor = state["gateway"]["crowd"]
+    policy.next_call_at = state["gateway"]["call_at"]
+    policy.accounts, policy.started_at = accounts, state["gateway"]["began"]
 
 
 def _take_over_pool(pool: EndpointPool, state: dict[str, Any], classes: Sequence[int]) -> None:
-    """Latencies and slow-start budgets; those by class go to this process's number of the class."""
-    kept = [(there, here) for there, here in enumerate(classes) if here >= 0]
-    handed = state["fleet"]
-    for there, here in kept:
-        pool.average_latencies[here] = handed["usual"][there]
-        pool.average_ratios[here] = handed["typical"][there]
-    pool.extra_capacity, pool.sent_on_average = handed["more"], handed["sends"]
-    pool.returned_at = dict(handed["returned"])
+    """Takes over latencies and slow-start budgets; class numbers are mapped to this process's."""
+    mapped = [(theirs, own) for theirs, own in enumerate(classes) if own >= 0]
+    pool_state = state["fleet"]
+    for theirs, own in mapped:
+        pool.average_latencies[own] = pool_state["usual"][theirs]
+        pool.average_ratios[own] = pool_state["typical"][theirs]
+    pool.extra_capacity, pool.sent_on_average = pool_state["more"], pool_state["sends"]
+    pool.returned_at = dict(pool_state["returned"])
     for number, started, values in state["backends"]:
         if known := pool.backends.get(number):
             known.info = replace(known.info, started=started)
             for key, name in ENDPOINT_FIELDS.items():
                 setattr(known, name, values[key])
             known.latency_ratios = [1.0] * len(pool.average_latencies)
-            for there, here in kept:
-                known.latency_ratios[here] = values["slow"][there]
+            for theirs, own in mapped:
+                known.latency_ratios[own] = values["slow"][theirs]
--- a/cairndale/ingress/wire.py
+++ b/cairndale/ingress/wire.py
@@ -1,5 +1,5 @@
-"""Bytes of the simulator's wire to and from the types of interface.py. Every wire word lives
-here."""
+"""Conversion between the simulator's wire format and the types of interface.py. All names of the
+wire format are in this module."""
 
 from __future__ import annotations
 
@@ -14,17 +14,21 @@
 
 
 class WireError(Exception):
-    """A frame that does not follow the format."""
+    """A frame that violates the wire format."""
 
 
 @dataclass(frozen=True, slots=True)
 class Created:
+    """A policy instance is to be created."""
+
     settings: it.Settings
     seed: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
+    """A policy instance is to be removed."""
+
     pass
 
 
@@ -33,11 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    now: int
+    """The messages of one frame."""
+
+    now: int  # us
     number: int
-    messages: tuple[tuple[int, Message], ...]
+    messages: tuple[tuple[int, Message], ...]  # each with its instance
 
 
+# Sizes of a record, in bytes.
 _EVENT, _ACTION, _ENTRY = 48, 24, 24
 _LENGTH = struct.Struct("<I")
 _BATCH_HEAD = struct.Struct("<QII")
@@ -67,7 +74,7 @@
 _FORMATS = {
     code: struct.Struct("<" + fields)
     for code, fields in {
-        1: "2xQHfI",  # Added: up to byte 16 the total, then the latency
+        1: "2xQHfI",  # Added: the total ends at byte 16, the latency follows
         2: "2xHII",
         3: "2x",
         4: "2xQII",
@@ -112,16 +119,17 @@
     return tuple(values[:count])
 
 
-def _whole(value: float) -> int:
+def _finite_int(value: float) -> int:
+    """Converts a number to an integer; infinities and NaN become 0."""
     return int(value) if math.isfinite(value) else 0
 
 
 def settings_from_json(text: bytes) -> it.Settings:
-    """Reads the start-up parameters; keys it does not know are skipped."""
+    """Reads the start-up parameters; unknown keys are ignored."""
     try:
         raw = json.loads(text)
-        top, lim, saf, dom = raw, raw["ceilings"], raw["safety"], raw.get("domain", {})
-        tel, fees = raw.get("telemetry", {}), raw.get("fees", {})
+        top, limits, safety, domain = raw, raw["ceilings"], raw["safety"], raw.get("domain", {})
+        telemetry, fees = raw.get("telemetry", {}), raw.get("fees", {})
         return it.Settings(
             ingress_index=int(top["me"]),
             fleet_size=int(top["fleet_size"]),
@@ -129,62 +137,62 @@
             tick=int(top.get("period", 0)),
             classes=tuple(
                 it.RequestClass(
-                    name=str(c["name"]),
-                    aim=int(c["on_time"]),
-                    deadline=int(c["deadline"]),
-                    repeat=_look_up(_REPEATS, c["semantics"], "services[].semantics"),
-                    value=float(c.get("worth", 1)),
-                    late_value=float(c.get("late_worth", 0)),
-                    scope=it.Scope(c.get("dedup_scope", "all")),
-                    dedup_window=int(c.get("memory_span", 0)),
-                    stream=bool(c.get("stream", False)),
-                    target_stretch=float(c.get("aim_stretch", 0)),
+                    name=str(service["name"]),
+                    aim=int(service["on_time"]),
+                    deadline=int(service["deadline"]),
+                    repeat=_look_up(_REPEATS, service["semantics"], "services[].semantics"),
+                    value=float(service.get("worth", 1)),
+                    late_value=float(service.get("late_worth", 0)),
+                    scope=it.Scope(service.get("dedup_scope", "all")),
+                    dedup_window=int(service.get("memory_span", 0)),
+                    stream=bool(service.get("stream", False)),
+                    target_stretch=float(service.get("aim_stretch", 0)),
                 )
-                for c in top["services"]
+                for service in top["services"]
             ),
             plans=tuple(
                 it.Plan(
-                    name=str(p["name"]),
-                    rate=float(p.get("quota_rate", 0)),
-                    burst=float(p.get("burst", 0)),
-                    max_in_flight=int(p.get("at_once", 0)),
-                    price=float(p.get("price", 1)),
-                    overage_value=float(p.get("beyond_earns", 0)),
-                    overage_cost=float(p.get("overrun_cost", 0)),
-                    ceiling_rate=float(p.get("never_over_rate", 0)),
-                    ceiling_burst=float(p.get("never_over_depth", 0)),
-                    ceiling_slack=float(p.get("tolerance", 0)),
+                    name=str(contract["name"]),
+                    rate=float(contract.get("quota_rate", 0)),
+                    burst=float(contract.get("burst", 0)),
+                    max_in_flight=int(contract.get("at_once", 0)),
+                    price=float(contract.get("price", 1)),
+                    overage_value=float(contract.get("beyond_earns", 0)),
+                    overage_cost=float(contract.get("overrun_cost", 0)),
+                    ceiling_rate=float(contract.get("never_over_rate", 0)),
+                    ceiling_burst=float(contract.get("never_over_depth", 0)),
+                    ceiling_slack=float(contract.get("tolerance", 0)),
                 )
-                for p in top["contracts"]
+                for contract in top["contracts"]
             ),
             limits=it.Limits(
-                max_attempts=int(lim.get("max_attempts", 1)),
-                may_duplicate=bool(lim.get("may_duplicate", False)),
-                may_cancel=bool(lim.get("cancel", False)),
-                may_probe=bool(lim.get("probing", False)),
-                may_message_peers=bool(lim.get("may_tell", False)),
-                advises_retry=bool(lim.get("retry_after", False)),
-                max_retry_after=int(lim.get("max_retry_after", 0)),
-                connect_timeout=int(lim.get("connect_timeout", 0)),
-                max_open=int(lim.get("max_open", 0)),
+                max_attempts=int(limits.get("max_attempts", 1)),
+                may_duplicate=bool(limits.get("may_duplicate", False)),
+                may_cancel=bool(limits.get("cancel", False)),
+                may_probe=bool(limits.get("probing", False)),
+                may_message_peers=bool(limits.get("may_tell", False)),
+                advises_retry=bool(limits.get("retry_after", False)),
+                max_retry_after=int(limits.get("max_retry_after", 0)),
+                connect_timeout=int(limits.get("connect_timeout", 0)),
+                max_open=int(limits.get("max_open", 0)),
             ),
             safety=it.Safety(
-                answer_slack=int(saf["answer_slack"]),
-                drain_grace=int(saf["drain_grace"]),
-                cold_share=float(saf["cold_share"]),
-                ramp_time=int(saf["ramp_time"]),
-                overload_multiple=float(saf["tip_multiple"]),
-                overload_duration=int(saf["fall"]),
-                ask_within=int(saf.get("ask_within", 0)),
+                answer_slack=int(safety["answer_slack"]),
+                drain_grace=int(safety["drain_grace"]),
+                cold_share=float(safety["cold_share"]),
+                ramp_time=int(safety["ramp_time"]),
+                overload_multiple=float(safety["tip_multiple"]),
+                overload_duration=int(safety["fall"]),
+                ask_within=int(safety.get("ask_within", 0)),
             ),
             counter=it.CounterLimits(
-                allowed=bool(dom.get("may_count", False)),
-                timeout=int(dom.get("count_wait", 0)),
-                price=float(dom.get("count_fee", 0)),
+                allowed=bool(domain.get("may_count", False)),
+                timeout=int(domain.get("count_wait", 0)),
+                price=float(domain.get("count_fee", 0)),
             ),
             must_subscribe=top.get("membership_mode") == "ask",
-            load_fields=tuple(_FIELDS.get(str(f), str(f)) for f in tel.get("fields", ())),
-            post_paid=bool(dom.get("post_paid", False)),
+            load_fields=tuple(_FIELDS.get(str(f), str(f)) for f in telemetry.get("fields", ())),
+            post_paid=bool(domain.get("post_paid", False)),
             cross_zone_price=float(fees.get("cross_zone", 0)),
             waste_price=float(fees.get("waste", 0)),
             probe_price=float(fees.get("probe", 0)),
@@ -196,13 +204,13 @@
 
 
 class Decoder:
-    """Turns batch frames into messages; keeps the numbered list pages, which outlive a batch."""
+    """Decodes batch frames into messages; keeps the numbered list pages, which outlive a batch."""
 
     def __init__(self) -> None:
         self._pages: dict[int, tuple[it.ListedBackend, ...]] = {}
 
     def decode(self, frame: bytes) -> Batch:
-        """`frame` is everything after the length field."""
+        """Decodes a frame without its length field. Raises WireError."""
         if len(frame) < _BATCH_HEAD.size:
             raise WireError(f"batch header: {len(frame)} bytes, {_BATCH_HEAD.size} needed")
         now, count, number = _BATCH_HEAD.unpack_from(frame)
@@ -222,7 +230,7 @@
                 instance = fields[0]
             elif code == 8:
                 self._pages[fields[0]] = _entries(
-                    _cut(tail, fields[1], fields[2] * _ENTRY, "Page.records")
+                    _slice(tail, fields[1], fields[2] * _ENTRY, "Page.records")
                 )
             elif instance is None:
                 raise WireError(f"{_NAMES[code]}: no Context before it")
@@ -230,54 +238,73 @@
                 messages.append((instance, self._message(code, fields, tail)))
         return Batch(now, number, tuple(messages))
 
-    def _message(self, code: int, f: tuple[Any, ...], tail: memoryview) -> Message:
+    def _message(self, code: int, fields: tuple[Any, ...], tail: memoryview) -> Message:
         if code == 5:
-            request, plan, bits, units, first, spread, left, customer, cls = f
+            request, plan, flags, units, first_ingress, spread, time_left, customer, cls = fields
             return it.RequestArrived(
                 request,
                 cls,
                 plan,
                 customer,
                 units,
-                left,
-                _whole(first),
-                _whole(spread),
-                bool(bits & 2),
+                time_left,
+                _finite_int(first_ingress),
+                _finite_int(spread),
+                bool(flags & 2),
             )
         if code == 11:
-            outcome = _look_up(_OUTCOMES, f[3], "Verdict.code")
-            backend = int.from_bytes(f[2], "little")
-            load = _load(f[8], f[9:])
+            outcome = _look_up(_OUTCOMES, fields[3], "Verdict.code")
+            backend = int.from_bytes(fields[2], "little")
+            load = _load(fields[8], fields[9:])
             return it.AttemptEnded(
-                f[0], f[1], backend, outcome, f[4], bool(f[5]), load, float(f[7])
+                fields[0],
+                fields[1],
+                backend,
+                outcome,
+                fields[4],
+                bool(fields[5]),
+                load,
+                float(fields[7]),
             )
         if code == 6:
-            return it.TimerFired(f[0])
+            return it.TimerFired(fields[0])
         if code == 1:
-            return it.CountAnswered(f[0], _look_up(_OUTCOMES, f[1], "Added.code"), f[2], f[3])
+            return it.CountAnswered(
+                fields[0], _look_up(_OUTCOMES, fields[1], "Added.code"), fields[2], fields[3]
+            )
         if code == 12:
-            return it.ClientGone(f[0])
+            return it.ClientGone(fields[0])
         if code == 13:
-            kind: it.ListKind = _look_up(_LISTS, f[0], "DirectoryUpdate.scope")
+            kind: it.ListKind = _look_up(_LISTS, fields[0], "DirectoryUpdate.scope")
             entries: tuple[it.ListedBackend, ...] = ()
             if kind is not it.ListKind.FAILED:
-                entries = _look_up(self._pages, f[2], "DirectoryUpdate.bank")
-            return it.BackendsListed(kind, f[1], entries)
+                entries = _look_up(self._pages, fields[2], "DirectoryUpdate.bank")
+            return it.BackendsListed(kind, fields[1], entries)
         if code == 10:
-            outcome = _look_up(_OUTCOMES, f[1], "Pong.code")
+            outcome = _look_up(_OUTCOMES, fields[1], "Pong.code")
             return it.ProbeAnswered(
-                int.from_bytes(f[0], "little"), outcome, f[2], _load(f[3], f[4:])
+                int.from_bytes(fields[0], "little"),
+                outcome,
+                fields[2],
+                _load(fields[3], fields[4:]),
             )
         if code == 9:
-            return it.StreamStarted(f[0], f[1], int.from_bytes(f[2], "little"), f[3])
+            return it.StreamStarted(
+                fields[0], fields[1], int.from_bytes(fields[2], "little"), fields[3]
+            )
         if code == 4:
-            return Created(settings_from_json(bytes(_cut(tail, f[1], f[2], "Create.config"))), f[0])
+            return Created(
+                settings_from_json(bytes(_slice(tail, fields[1], fields[2], "Create.config"))),
+                fields[0],
+            )
         if code == 3:
             return Stopped()
-        return it.PeerMessage(f[0], bytes(_cut(tail, f[1], f[2], "NeighbourSays.body")))
+        return it.PeerMessage(
+            fields[0], bytes(_slice(tail, fields[1], fields[2], "NeighbourSays.body"))
+        )
 
 
-def _cut(tail: memoryview, offset: int, length: int, what: str) -> memoryview:
+def _slice(tail: memoryview, offset: int, length: int, what: str) -> memoryview:
     if offset + length > len(tail):
         raise WireError(
             f"{what}: bytes {offset} to {offset + length} lie outside the tail of {len(tail)}"
@@ -298,7 +325,7 @@
 
 
 def encode_reply(number: int, groups: Sequence[tuple[int, Sequence[it.Action]]]) -> bytes:
-    """The reply frame, its length field included."""
+    """Encodes the reply frame, including its length field."""
     records: list[bytes] = []
     tail = bytearray()
     for instance, actions in groups:
