--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -21,7 +21,16 @@
 from cairndale.ingress.policy.engine import RequestPolicy
 from tests.ingress.test_main import ask, config, listens, start
 from tests.testing.ingress import HOST, OK, PeerServer, answers, request
-from tests.testing.policy import SECOND, Counter, arrival, backend, listed, of, settings, settle
+from tests.testing.policy import (
+    SECOND,
+    Counter,
+    actions_of_type,
+    arrival,
+    backend,
+    handle_with_counter,
+    listed,
+    settings,
+)
 
 SOCKET = "ironledge.sock"
 
@@ -177,7 +186,7 @@
     for gateway in (old, new):
         gateway.handle(SECOND, listed(backend(1), backend(2), backend(3, started=SECOND)))
     for number in range(1, 4):
-        settle(old, SECOND + number, arrival(number, plan=3), counter)
+        handle_with_counter(old, SECOND + number, arrival(number, plan=3), counter)
     return old, new, counter
 
 
@@ -229,7 +238,7 @@
     had = old.accounts[7].tokens = 3.0
     take_back(old, hand_over(old))
     assert old.accounts[7].tokens == had and not old.superseded
-    assert of(old.handle(2 * SECOND, arrival(9, plan=3)), it.SendAttempt)
+    assert actions_of_type(old.handle(2 * SECOND, arrival(9, plan=3)), it.SendAttempt)
 
 
 async def test_where_such_sockets_are_refused_the_hand_over_is_off_with_one_line(
--- a/tests/ingress/policy/test_rules.py
+++ b/tests/ingress/policy/test_rules.py
@@ -191,18 +191,18 @@
         it.BackendsListed(it.ListKind.FAILED, 0, ()),
     ],
 )
-def test_events_that_name_nothing_known_do_nothing(event: it.Event) -> None:
+def test_events_with_unknown_identifiers_have_no_effect(event: it.Event) -> None:
     assert World(1, True).gateway.handle(5, event) == []
 
 
 @pytest.mark.parametrize(
     "wrong", [{"cls": 9}, {"plan": 9}, {"units": float("nan")}, {"units": -1.0}, {"time_left": 0}]
 )
-def test_requests_outside_the_settings_are_refused(wrong: dict[str, float]) -> None:
+def test_requests_outside_the_settings_are_rejected(wrong: dict[str, float]) -> None:
     assert World(1, True).gateway.handle(5, arrival(1, **wrong)) == [it.Refuse(1)]
 
 
-def test_load_reports_with_impossible_values_are_harmless() -> None:
+def test_load_reports_with_invalid_values_are_harmless() -> None:
     world = World(1, True)
     world.requests[1] = Seen(CLASSES[0], 3 * SECOND)
     world.play(arrival(1, plan=2))
--- a/tests/testing/policy.py
+++ b/tests/testing/policy.py
@@ -69,7 +69,7 @@
     return replace(base, **changes)
 
 
-def of(actions: list[it.Action], kind: type) -> list[Any]:
+def actions_of_type(actions: list[it.Action], kind: type) -> list[Any]:
     return [a for a in actions if isinstance(a, kind)]
 
 
@@ -81,18 +81,20 @@
 
     def answers(self, actions: list[it.Action]) -> list[it.CountAnswered]:
         found = []
-        for add in of(actions, it.AddToCounter):
+        for add in actions_of_type(actions, it.AddToCounter):
             self.totals[add.name] = self.totals.get(add.name, 0.0) + add.amount
             found.append(it.CountAnswered(add.name, it.Outcome.OK, self.totals[add.name], 1000))
         return found
 
 
-def settle(gateway: Any, now: int, event: it.Event, counter: Counter) -> list[it.Action]:
+def handle_with_counter(
+    policy: Any, now: int, event: it.Event, counter: Counter
+) -> list[it.Action]:
     """Handles the event and every answer of the counter that follows; all actions in order."""
     done: list[it.Action] = []
     queue: list[it.Event] = [event]
     while queue:
-        actions = gateway.handle(now, queue.pop(0))
+        actions = policy.handle(now, queue.pop(0))
         done += actions
         queue += counter.answers(actions)
     return done
