--- a/tests/ingress/policy/test_rules.py
+++ b/tests/ingress/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules as properties over random event sequences, and events that name nothing known."""
+"""The policy's five rules as properties over random event sequences, and invalid events."""
 
 from __future__ import annotations
 
@@ -29,73 +29,73 @@
 
 
 @dataclass
-class Seen:
-    """What an outside observer knows of one request."""
+class RequestRecord:
+    """What an external observer knows of one request."""
 
     cls: it.RequestClass
-    cut_at: int
-    sent: list[tuple[int, int, int]] = field(default_factory=list)  # backend, when, time-out
+    deadline: int
+    sent: list[tuple[int, int, int]] = field(default_factory=list)  # backend, time, timeout
     outcome: dict[int, it.Outcome] = field(default_factory=dict)
     answers: int = 0
 
 
 class World:
-    """Plays events at a gateway and checks each action against the rules."""
+    """Sends events to a policy and checks each action against the rules."""
 
     def __init__(self, seed: int, may_duplicate: bool) -> None:
         self.rng = random.Random(seed)
         self.duplicates = may_duplicate
-        self.gateway = RequestPolicy(settings(limits={"may_duplicate": may_duplicate}), seed)
+        self.policy = RequestPolicy(settings(limits={"may_duplicate": may_duplicate}), seed)
         self.now = 0
         self.cells = {n: n % 2 for n in range(1, 6)}
         self.states = dict.fromkeys(self.cells, READY)
-        self.requests: dict[int, Seen] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.calls: list[tuple[int, it.AddToCounter]] = []
         self.timers: list[tuple[int, int]] = []
         self.play(listed(*(backend(n) for n in self.cells)))
 
     def play(self, event: it.Event) -> None:
-        for action in self.gateway.handle(self.now, event):
+        for action in self.policy.handle(self.now, event):
             self.check(action)
 
     def check(self, action: it.Action) -> None:
         if isinstance(action, it.SendAttempt):
             self.check_send(action)
         elif isinstance(action, it.Refuse | it.Fail):
-            seen = self.requests[action.request]
-            seen.answers += 1
-            assert seen.answers == 1, "a second final answer"
-            assert self.now <= seen.cut_at + 8000, "a late answer"
-            if isinstance(action, it.Refuse) and seen.cls.repeat is not it.Repeat.SAFE:
-                assert all(seen.outcome.get(n) in NEVER_RAN for n in range(len(seen.sent)))
+            record = self.requests[action.request]
+            record.answers += 1
+            assert record.answers == 1, "a second final answer"
+            assert self.now <= record.deadline + 8000, "a late answer"
+            if isinstance(action, it.Refuse) and record.cls.repeat is not it.Repeat.SAFE:
+                assert all(record.outcome.get(n) in NEVER_RAN for n in range(len(record.sent)))
         elif isinstance(action, it.AddToCounter):
             self.calls.append((self.now, action))
         elif isinstance(action, it.SetTimer):
             self.timers.append((action.at, action.token))
 
     def check_send(self, action: it.SendAttempt) -> None:
-        seen = self.requests[action.request]
-        assert seen.answers == 0, "sent after its end"
+        record = self.requests[action.request]
+        assert record.answers == 0, "sent after the final answer"
         assert self.states[action.backend] is READY, "sent to a draining backend"
-        assert 0 < action.timeout <= seen.cut_at - self.now
-        ran = [i for i in range(len(seen.sent)) if seen.outcome.get(i) not in NEVER_RAN]
-        out = [i for i in range(len(seen.sent)) if i not in seen.outcome]
-        assert self.duplicates or not out, "two attempts out"
-        if ran and seen.cls.repeat is it.Repeat.UNSAFE:
+        assert 0 < action.timeout <= record.deadline - self.now
+        ran = [i for i in range(len(record.sent)) if record.outcome.get(i) not in NEVER_RAN]
+        in_flight = [i for i in range(len(record.sent)) if i not in record.outcome]
+        assert self.duplicates or not in_flight, "two attempts in flight"
+        if ran and record.cls.repeat is it.Repeat.UNSAFE:
             raise AssertionError("an unsafe request sent twice")
-        if ran and seen.cls.repeat is it.Repeat.KEYED:
-            there, when, _ = seen.sent[ran[0]]
-            assert self.cells[there] == self.cells[action.backend]
-            assert self.now - when < seen.cls.dedup_window
-        seen.sent.append((action.backend, self.now, action.timeout))
-        assert len(seen.sent) <= 3
+        if ran and record.cls.repeat is it.Repeat.KEYED:
+            backend_id, sent_at, _ = record.sent[ran[0]]
+            assert self.cells[backend_id] == self.cells[action.backend]
+            assert self.now - sent_at < record.cls.dedup_window
+        record.sent.append((action.backend, self.now, action.timeout))
+        assert len(record.sent) <= 3
 
     def step(self, choice: int) -> None:
         rng = self.rng
         if choice < 4:
             number, cls = len(self.requests) + 1, rng.randrange(3)
             left = rng.choice([1000, SECOND // 4, SECOND, 3 * SECOND])
-            self.requests[number] = Seen(CLASSES[cls], self.now + left)
+            self.requests[number] = RequestRecord(CLASSES[cls], self.now + left)
             plan, customer = rng.randrange(4), rng.randrange(4)
             self.play(arrival(number, cls=cls, plan=plan, customer=customer, time_left=left))
         elif choice < 6:
@@ -110,24 +110,26 @@
             self.advance(rng.choice([1000, 20_000, 300_000]))
 
     def end_some_attempt(self) -> None:
-        out = [
+        in_flight = [
             (r, i)
             for r, s in self.requests.items()
             for i in range(len(s.sent))
             if i not in s.outcome
         ]
-        if out:
-            number, attempt = self.rng.choice(out)
+        if in_flight:
+            number, attempt = self.rng.choice(in_flight)
             self.end_attempt(number, attempt, self.rng.choice(OUTCOMES))
 
     def end_attempt(self, number: int, attempt: int, outcome: it.Outcome) -> None:
-        seen = self.requests[number]
-        there, when, _ = seen.sent[attempt]
-        seen.outcome[attempt] = outcome
-        ok = outcome is it.Outcome.OK and not seen.answers
-        seen.answers += ok
+        record = self.requests[number]
+        backend_id, sent_at, _ = record.sent[attempt]
+        record.outcome[attempt] = outcome
+        ok = outcome is it.Outcome.OK and not record.answers
+        record.answers += ok
         self.play(
-            it.AttemptEnded(number, attempt, there, outcome, self.now - when, seen.answers > 0)
+            it.AttemptEnded(
+                number, attempt, backend_id, outcome, self.now - sent_at, record.answers > 0
+            )
         )
 
     def answer_call(self, outcome: it.Outcome) -> None:
@@ -142,9 +144,9 @@
             self.now = min(end, self.now + 1000)
             while self.calls and self.calls[0][0] + 30_000 <= self.now:
                 self.answer_call(it.Outcome.TIMEOUT)
-            for number, seen in self.requests.items():
-                for attempt, (_, when, timeout) in enumerate(seen.sent):
-                    if attempt not in seen.outcome and when + timeout <= self.now:
+            for number, record in self.requests.items():
+                for attempt, (_, sent_at, timeout) in enumerate(record.sent):
+                    if attempt not in record.outcome and sent_at + timeout <= self.now:
                         self.end_attempt(number, attempt, it.Outcome.TIMEOUT)
             for due in [t for t in self.timers if t[0] <= self.now]:
                 self.timers.remove(due)
@@ -159,8 +161,8 @@
         world.step(choice)
     for _ in range(8):
         world.advance(500_000)
-    assert all(seen.answers == 1 for seen in world.requests.values()), (
-        "a request without its answer"
+    assert all(record.answers == 1 for record in world.requests.values()), (
+        "a request without a final answer"
     )
 
 
@@ -170,8 +172,8 @@
     logs = []
     for _ in range(2):
         world, log = World(seed, True), []
-        handle = world.gateway.handle
-        world.gateway.handle = lambda now, e, h=handle, to=log: (to.append(h(now, e)), to[-1])[1]
+        handle = world.policy.handle
+        world.policy.handle = lambda now, e, h=handle, to=log: (to.append(h(now, e)), to[-1])[1]
         for choice in random.Random(seed).choices(range(10), k=80):
             world.step(choice)
         logs.append(log)
@@ -192,21 +194,21 @@
     ],
 )
 def test_events_with_unknown_identifiers_have_no_effect(event: it.Event) -> None:
-    assert World(1, True).gateway.handle(5, event) == []
+    assert World(1, True).policy.handle(5, event) == []
 
 
 @pytest.mark.parametrize(
     "wrong", [{"cls": 9}, {"plan": 9}, {"units": float("nan")}, {"units": -1.0}, {"time_left": 0}]
 )
 def test_requests_outside_the_settings_are_rejected(wrong: dict[str, float]) -> None:
-    assert World(1, True).gateway.handle(5, arrival(1, **wrong)) == [it.Refuse(1)]
+    assert World(1, True).policy.handle(5, arrival(1, **wrong)) == [it.Refuse(1)]
 
 
 def test_load_reports_with_invalid_values_are_harmless() -> None:
     world = World(1, True)
-    world.requests[1] = Seen(CLASSES[0], 3 * SECOND)
+    world.requests[1] = RequestRecord(CLASSES[0], 3 * SECOND)
     world.play(arrival(1, plan=2))
-    there = world.requests[1].sent[0][0]
+    backend_id = world.requests[1].sent[0][0]
     load = (float("nan"), float("inf"), -3.0)
-    world.play(it.AttemptEnded(1, 0, there, it.Outcome.OK, 5, True, load))
-    world.play(it.AttemptEnded(1, 0, there, it.Outcome.OK, 5, True, load))
+    world.play(it.AttemptEnded(1, 0, backend_id, it.Outcome.OK, 5, True, load))
+    world.play(it.AttemptEnded(1, 0, backend_id, it.Outcome.OK, 5, True, load))
--- a/tests/ingress/test_wire.py
+++ b/tests/ingress/test_wire.py
@@ -1,4 +1,4 @@
-"""Frames written here by hand, and the adapter as a process of its own."""
+"""The simulator's wire format against hand-written frames, and the adapter as a process."""
 
 from __future__ import annotations
 
@@ -65,35 +65,41 @@
 CONTEXT = record(7, "I", 5)
 
 
-def one(*records: bytes, tail: bytes = b"") -> object:
+def decode_one(*records: bytes, tail: bytes = b"") -> object:
     ((instance, message),) = Decoder().decode(batch(*records, tail=tail)).messages
     assert instance == 5
     return message
 
 
-def test_every_event_record() -> None:
+def test_decodes_every_event_record() -> None:
     arrived = record(5, "IHHfffIQH", 8, 1, 6, 2.0, 3.0, 4.0, 900, 1 << 32, 2)
-    assert one(CONTEXT, arrived) == it.RequestArrived(8, 2, 1, 1 << 32, 2.0, 900, 3, 4, True)
+    assert decode_one(CONTEXT, arrived) == it.RequestArrived(8, 2, 1, 1 << 32, 2.0, 900, 3, 4, True)
     ended = record(11, "IH6sHIBHHB4f", 8, 1, BACKEND, 408, 70, 1, 0, 3, 2, 0.5, 4.0, 9.0, 9.0)
-    assert one(CONTEXT, ended) == it.AttemptEnded(
+    assert decode_one(CONTEXT, ended) == it.AttemptEnded(
         8, 1, BACKEND_ID, it.Outcome.TIMEOUT, 70, True, (0.5, 4.0), 3.0
     )
-    assert one(CONTEXT, record(6, "Q", 2**63)) == it.TimerFired(2**63)
-    assert one(CONTEXT, record(1, "QHfI", 9, 200, 2.5, 80)) == it.CountAnswered(
+    assert decode_one(CONTEXT, record(6, "Q", 2**63)) == it.TimerFired(2**63)
+    assert decode_one(CONTEXT, record(1, "QHfI", 9, 200, 2.5, 80)) == it.CountAnswered(
         9, it.Outcome.OK, 2.5, 80
     )
-    assert one(CONTEXT, record(12, "I", 4)) == it.ClientGone(4)
-    assert one(CONTEXT, record(3)) == Stopped()
-    assert one(CONTEXT, record(9, "IH6sI", 4, 1, BACKEND, 60)) == it.StreamStarted(
+    assert decode_one(CONTEXT, record(12, "I", 4)) == it.ClientGone(4)
+    assert decode_one(CONTEXT, record(3)) == Stopped()
+    assert decode_one(CONTEXT, record(9, "IH6sI", 4, 1, BACKEND, 60)) == it.StreamStarted(
         4, 1, BACKEND_ID, 60
     )
     pong = record(10, "6sHIB4f", BACKEND, 521, 60, 1, 3.0, 0, 0, 0)
-    assert one(CONTEXT, pong) == it.ProbeAnswered(BACKEND_ID, it.Outcome.CONNECT_FAILED, 60, (3.0,))
-    assert one(CONTEXT, record(2, "HII", 1, 2, 3), tail=b"..abc") == it.PeerMessage(1, b"abc")
+    assert decode_one(CONTEXT, pong) == it.ProbeAnswered(
+        BACKEND_ID, it.Outcome.CONNECT_FAILED, 60, (3.0,)
+    )
+    assert decode_one(CONTEXT, record(2, "HII", 1, 2, 3), tail=b"..abc") == it.PeerMessage(
+        1, b"abc"
+    )
     text = json.dumps(CONFIG).encode()
-    made = one(CONTEXT, record(4, "QII", 2**64 - 1, 0, len(text)), tail=text)
-    assert made == Created(settings_from_json(text), 2**64 - 1)
-    listing = one(record(8, "BII", 3, 0, 1), CONTEXT, record(13, "BQB", 4, 17, 3), tail=ENTRY)
+    created = decode_one(CONTEXT, record(4, "QII", 2**64 - 1, 0, len(text)), tail=text)
+    assert created == Created(settings_from_json(text), 2**64 - 1)
+    listing = decode_one(
+        record(8, "BII", 3, 0, 1), CONTEXT, record(13, "BQB", 4, 17, 3), tail=ENTRY
+    )
     entry = it.ListedBackend(BACKEND_ID, it.BackendState.READY, 1, 4, 6, 1.5, 77)
     assert listing == it.BackendsListed(it.ListKind.CACHED, 17, (entry,))
 
@@ -111,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "words"),
+    ("body", "message"),
     [
         (b"short", "batch header"),
         (batch()[:8] + struct.pack("<II", 9, 0), "9 records"),
@@ -126,12 +132,12 @@
         (batch(record(8, "BII", 0, 0, 1), tail=b"\7" + ENTRY[1:]), "Page.mode"),
     ],
 )
-def test_malformed_frames_are_named(body: bytes, words: str) -> None:
-    with pytest.raises(WireError, match=words):
+def test_errors_name_the_malformed_part_of_a_frame(body: bytes, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         Decoder().decode(body)
 
 
-def test_every_action_record() -> None:
+def test_encodes_every_action_record() -> None:
     actions: list[it.Action] = [
         it.SendAttempt(8, BACKEND_ID, 90),
         it.Refuse(8, 5),
@@ -162,8 +168,8 @@
         struct.pack("<H", 12),
         struct.pack("<HIQf", 13, 40, 6, -1.5),
     ]
-    want = struct.pack("<II", 13, 3) + b"".join(b.ljust(24, b"\0") for b in bodies) + b"heynote"
-    assert reply == framed(want)
+    expected = struct.pack("<II", 13, 3) + b"".join(b.ljust(24, b"\0") for b in bodies) + b"heynote"
+    assert reply == framed(expected)
 
 
 def run_adapter(data: bytes) -> subprocess.CompletedProcess[bytes]:
@@ -171,7 +177,7 @@
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, timeout=60)
 
 
-def test_adapter_answers_each_batch_and_ends_cleanly() -> None:
+def test_adapter_answers_each_batch_and_exits_with_0() -> None:
     text = json.dumps(CONFIG).encode()
     create = record(4, "QII", 1, 24, len(text))
     records = [record(8, "BII", 0, 0, 1)]
@@ -180,15 +186,15 @@
     restart = [record(7, "I", 1), record(3), create, record(13, "BQB", 4, 1, 0)]
     page_again = record(8, "BII", 0, 0, 1)
     arrived = record(5, "IHHfffIQH", 8, 0, 0, 1.0, 0.0, 1.0, 900000, 3, 0)
-    done = run_adapter(
+    process = run_adapter(
         framed(batch(number=1))
         + framed(batch(*records, tail=ENTRY + text, number=2))
         + framed(
             batch(page_again, *restart, record(7, "I", 0), arrived, tail=ENTRY + text, number=3)
         )
     )
-    assert (done.returncode, done.stderr) == (0, b"")
-    first, second, third = done.stdout[:12], done.stdout[12:24], done.stdout[24:]
+    assert (process.returncode, process.stderr) == (0, b"")
+    first, second, third = process.stdout[:12], process.stdout[12:24], process.stdout[24:]
     assert first == struct.pack("<III", 8, 0, 1) and second == struct.pack("<III", 8, 0, 2)
     assert struct.unpack_from("<III", third) == (56, 2, 3)
     assert third[12:18] == struct.pack("<HI", 14, 0)
@@ -196,7 +202,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"),
+    ("data", "message"),
     [
         (b"\x10\0", b"length"),
         (struct.pack("<I", 100) + b"abc", b"frame"),
@@ -204,15 +210,19 @@
         (framed(batch(CONTEXT, record(12, "I", 4))), b"instance 5"),
     ],
 )
-def test_adapter_ends_with_one_plain_message(data: bytes, words: bytes) -> None:
-    done = run_adapter(data)
-    assert done.returncode == 1 and done.stdout == b""
+def test_adapter_exits_with_a_one_line_message_for_malformed_input(
+    data: bytes, message: bytes
+) -> None:
+    process = run_adapter(data)
+    assert process.returncode == 1 and process.stdout == b""
     assert (
-        words in done.stderr and done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
+        message in process.stderr
+        and process.stderr.count(b"\n") == 1
+        and b"Traceback" not in process.stderr
     )
 
 
-def test_long_batch() -> None:
+def test_adapter_answers_a_long_batch() -> None:
     text = json.dumps(CONFIG).encode()
     setup = batch(
         record(8, "BII", 0, 0, 1),
@@ -222,12 +232,12 @@
         tail=ENTRY + text,
     )
     arrivals = [record(5, "IHHfffIQH", n, 0, 0, 1.0, 0.0, 1.0, 900000, n, 0) for n in range(25_000)]
-    done = run_adapter(framed(setup) + framed(batch(CONTEXT, *arrivals)))
-    assert done.returncode == 0
-    assert struct.unpack_from("<II", done.stdout, 12)[1] == 25_001
+    process = run_adapter(framed(setup) + framed(batch(CONTEXT, *arrivals)))
+    assert process.returncode == 0
+    assert struct.unpack_from("<II", process.stdout, 12)[1] == 25_001
 
 
-def test_fresh_build_runs_and_an_interrupted_one_is_done_again(tmp_path: Path) -> None:
+def test_fresh_build_runs_and_an_interrupted_build_is_repeated(tmp_path: Path) -> None:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert set(deploy) == {"build", "run", "sim", "policy", "node", "packages"}
     assert all((ROOT / name).exists() for name in deploy["node"])
@@ -246,7 +256,7 @@
         if name.startswith("cairndale/") or name == "requirements.txt":
             (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
             (tmp_path / name).write_bytes((ROOT / name).read_bytes())
-    (tmp_path / ".venv").mkdir()  # left by a build that was cut off
+    (tmp_path / ".venv").mkdir()  # left by an interrupted build
     for _ in range(2):
         subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, check=True, timeout=300)
     run = subprocess.run(
--- a/tests/testing/policy.py
+++ b/tests/testing/policy.py
@@ -1,4 +1,4 @@
-"""Small settings and events for the tests; every figure is made up for them."""
+"""Settings, events and a counter for tests of the request policy."""
 
 from __future__ import annotations
 
@@ -70,31 +70,32 @@
 
 
 def actions_of_type(actions: list[it.Action], kind: type) -> list[Any]:
+    """Returns the actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 class Counter:
-    """The counting service, answering at once."""
+    """A counter that answers every call at once."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
 
     def answers(self, actions: list[it.Action]) -> list[it.CountAnswered]:
-        found = []
+        answers = []
         for add in actions_of_type(actions, it.AddToCounter):
             self.totals[add.name] = self.totals.get(add.name, 0.0) + add.amount
-            found.append(it.CountAnswered(add.name, it.Outcome.OK, self.totals[add.name], 1000))
-        return found
+            answers.append(it.CountAnswered(add.name, it.Outcome.OK, self.totals[add.name], 1000))
+        return answers
 
 
 def handle_with_counter(
     policy: Any, now: int, event: it.Event, counter: Counter
 ) -> list[it.Action]:
-    """Handles the event and every answer of the counter that follows; all actions in order."""
-    done: list[it.Action] = []
+    """Handles the event and the counter's answers that follow; returns all actions in order."""
+    all_actions: list[it.Action] = []
     queue: list[it.Event] = [event]
     while queue:
         actions = policy.handle(now, queue.pop(0))
-        done += actions
+        all_actions += actions
         queue += counter.answers(actions)
-    return done
+    return all_actions
