--- a/cairndale/ingress/policy/account.py
+++ b/cairndale/ingress/policy/account.py
@@ -48,7 +48,7 @@
     demand_at: int = 0  # when `demand` was updated
     # Units spent but not yet reported to the counter, less the refill since.
     unreported: float = 0.0
-    refund: float = 0.0  # units to be added back to the counter's total `refund_name`
+    refund: float = 0.0  # units to be added to the total `refund_name`; negative: returned
     refund_name: int = 0
     # Left of this ingress's share of the hard rate limit for leased units: full at the start.
     ceiling_leased: float = 0.0
--- a/cairndale/ingress/policy/admission.py
+++ b/cairndale/ingress/policy/admission.py
@@ -33,7 +33,7 @@
 # rejected or unanswered, and not just one.
 COUNTER_OVERLOADED = 1.2
 # Calls per second by all ingresses that probe an overloaded counter, though they could be saved.
-TRIAL_CALLS_PER_S = 64.0
+PROBE_CALLS_PER_S = 64.0
 # For this many windows, a total of the counter predicts a customer's demand better than an even
 # share of the quota does.
 TOTAL_TRUSTED_WINDOWS = 4
@@ -212,13 +212,14 @@
         """
         if self.settings.counter.strict:
             return False
-        trial_us = self.settings.fleet_size * SECOND / TRIAL_CALLS_PER_S
-        needed = (
-            self.backoff_factor > COUNTER_OVERLOADED and self.now - self.next_call_at < trial_us
+        probe_interval_us = self.settings.fleet_size * SECOND / PROBE_CALLS_PER_S
+        can_wait = (
+            self.backoff_factor > COUNTER_OVERLOADED
+            and self.now - self.next_call_at < probe_interval_us
         )
         covered = not account.plan.ceiling_rate or account.ceiling_unreported >= units
         available = min(account.isolated_share, account.bucket_bound(self.now))
-        return needed and covered and available >= units
+        return can_wait and covered and available >= units
 
     def send_unreported(self, request: RequestT) -> None:
         """Sends the request on units that are reported to the counter with the next call."""
@@ -323,15 +324,15 @@
         account, amount = call.account, call.amount
         account.leased_at = self.now - event.latency
         if event.left is not None:  # the counter keeps the bucket, and returned the excess to it
-            units, over = event.left, min(amount, max(0.0, -event.left))
+            units, excess = event.left, min(amount, max(0.0, -event.left))
         elif self.is_contended(account):
-            units, over = self._contended_grant(call, event.total, waiting)
+            units, excess = self._contended_grant(call, event.total, waiting)
         else:
-            units, over = self._estimated_grant(call, event)
-        account.bucket_units = min(account.plan.burst, units + over)
+            units, excess = self._estimated_grant(call, event)
+        account.bucket_units = min(account.plan.burst, units + excess)
         account.bucket_updated_at = self.now
-        account.tokens += amount - over
-        account.lease_rate = min(account.plan.rate, (amount - over) / LEASE_LIFE_S)
+        account.tokens += amount - excess
+        account.lease_rate = min(account.plan.rate, (amount - excess) / LEASE_LIFE_S)
 
     def _contended_grant(
         self, call: CounterCall, total: float, waiting: list[RequestT]
@@ -342,37 +343,40 @@
         request is admitted with the probability that the bucket covers this demand.
         """
         account, plan = call.account, call.account.plan
-        due = plan.rate * (self.now - call.window_start) / SECOND
-        need = min(call.amount, sum(request.event.units for request in waiting))
+        refilled = plan.rate * (self.now - call.window_start) / SECOND
+        needed = min(call.amount, sum(request.event.units for request in waiting))
         # The bucket was as likely full as empty when the window began.
         requested = total - plan.burst / 2
-        account.admit_probability = 1.0 if requested <= due else due / requested
+        account.admit_probability = 1.0 if requested <= refilled else refilled / requested
         account.total_seen_at = self.now
         admitted = self.rng.random() < account.admit_probability
-        return plan.burst, call.amount - need if admitted else call.amount
+        return plan.burst, call.amount - needed if admitted else call.amount
 
     def _estimated_grant(self, call: CounterCall, event: it.CountAnswered) -> tuple[float, float]:
         """Returns the bucket's units, and the lease's units in excess of them, from the total.
 
         The counter does not know of some units: a burst spent before this window, time in which the
-        bucket was full, a flush, units spent while the counter was unreachable. They are added back
-        if demand exceeds the rate. If two ingresses do so at the same time, too much is added.
+        bucket was full, a flush, units spent while the counter was unreachable. They are added to
+        the total if demand exceeds the rate; twice, if two ingresses do so at the same time.
         """
         account, plan, amount = call.account, call.account.plan, call.amount
-        due = plan.rate * (self.now - call.window_start) / SECOND
-        counted, bound = plan.burst + due - event.total, account.bucket_bound(self.now) - amount
+        refilled = plan.rate * (self.now - call.window_start) / SECOND
+        counted, bound = (
+            plan.burst + refilled - event.total,
+            account.bucket_bound(self.now) - amount,
+        )
         in_demand = account.demand * account.ingress_count > plan.rate
         unknown = counted - bound if in_demand else 0.0
         unknown = unknown if unknown > plan.burst / 8 else 0.0
         units = min(counted, bound)
-        over = min(amount, max(0.0, -units))  # in excess of the allowance: added back
-        if unknown != over and self.backoff_factor > COUNTER_OVERLOADED:
+        excess = min(amount, max(0.0, -units))  # returned to the counter
+        if unknown != excess and self.backoff_factor > COUNTER_OVERLOADED:
             # Sent with the next call, if that is made in this window.
-            account.refund, account.refund_name = unknown - over, event.name
-        elif unknown != over:
-            refund = CounterCall(account, call.window_start, unknown - over, False, 0.0)
+            account.refund, account.refund_name = unknown - excess, event.name
+        elif unknown != excess:
+            refund = CounterCall(account, call.window_start, unknown - excess, False, 0.0)
             self.call_counter(event.name, refund)
-        return units, over
+        return units, excess
 
     def _admit_waiting(
         self, account: TenantAccount, waiting: list[RequestT], keeps_bucket: bool
@@ -394,11 +398,12 @@
     # Second stage.
 
     def overflow(self, request: RequestT) -> None:
-        """Rejects a request beyond the quota, unless it is paid for and capacity is available."""
+        """Rejects a request beyond the quota, with a retry-after or for good.
+
+        If the plan pays for it and there is spare capacity, the request is sent instead."""
         account = request.account
         paid = account.plan.overage_value > account.plan.overage_cost
         if paid and self.utilization() < SPARE_CAPACITY:
-            # The plan pays for service beyond its quota while there is spare capacity.
             self.send(request)
         else:
             wait = account.borrow_for_retry(self.now, request.event.units)
--- a/cairndale/ingress/policy/engine.py
+++ b/cairndale/ingress/policy/engine.py
@@ -174,14 +174,14 @@
 
     def _new_account(self, event: it.RequestArrived) -> TenantAccount:
         settings = self.settings
-        gateways = min(settings.fleet_size, max(1, event.spread))
+        ingress_count = min(settings.fleet_size, max(1, event.spread))
         plan, age_s = settings.plans[event.plan], (self.now - self.started_at) / SECOND
-        account = TenantAccount(plan, gateways, self.slot_us, self.now)
+        account = TenantAccount(plan, ingress_count, self.slot_us, self.now)
         account.strict = settings.counter.strict
         if not self.superseded:  # else the other process has this customer's rate limit
             account.ceiling_leased = plan.ceiling_burst
             spent = min(plan.ceiling_burst, plan.ceiling_rate * age_s)
-            account.ceiling_unreported = spent / gateways
+            account.ceiling_unreported = spent / ingress_count
         return account
 
     def answer_deadlines(self, cls: it.RequestClass, left: int) -> tuple[int, int]:
