--- a/cairndale/ingress/policy/endpoint_pool.py
+++ b/cairndale/ingress/policy/endpoint_pool.py
@@ -163,7 +163,7 @@
             self.maintenance_ids.add(event.backend)
         elif event.backend in self.maintenance_ids:
             self.maintenance_ids.discard(event.backend)
-            # It may have been restarted in maintenance without a listed start time.
+            # It is assumed to have been restarted, even if no start time is listed.
             self.returned_at[event.backend] = now
             if known := self.backends.get(event.backend):
                 known.info = replace(known.info, started=now)
--- a/tests/ingress/policy/test_account.py
+++ b/tests/ingress/policy/test_account.py
@@ -30,18 +30,22 @@
 
 def test_first_request_takes_a_lease_of_several_units_and_is_sent() -> None:
     policy, counter = make_policy(), Counter()
-    asked = policy.handle(0, arrival(1))
-    (add,) = actions_of_type(asked, it.AddToCounter)
-    assert not actions_of_type(asked, it.SendAttempt) and add.amount > 1
+    actions = policy.handle(0, arrival(1))
+    (add,) = actions_of_type(actions, it.AddToCounter)
+    assert not actions_of_type(actions, it.SendAttempt) and add.amount > 1
     assert add.name == counter_name(7, 0)
-    assert len(actions_of_type(policy.handle(1000, counter.answers(asked)[0]), it.SendAttempt)) == 1
+    assert (
+        len(actions_of_type(policy.handle(1000, counter.answers(actions)[0]), it.SendAttempt)) == 1
+    )
 
 
 def test_leased_units_admit_without_another_call() -> None:
     policy, counter = make_policy(), Counter()
     handle_with_counter(policy, 0, arrival(1, units=0.5), counter)
-    again = policy.handle(1000, arrival(2, units=0.5))
-    assert actions_of_type(again, it.SendAttempt) and not actions_of_type(again, it.AddToCounter)
+    actions = policy.handle(1000, arrival(2, units=0.5))
+    assert actions_of_type(actions, it.SendAttempt) and not actions_of_type(
+        actions, it.AddToCounter
+    )
 
 
 def test_units_leased_beyond_the_allowance_are_returned() -> None:
@@ -85,7 +89,7 @@
         for add in actions_of_type(actions, it.AddToCounter):
             actions += policy.handle(0, it.CountAnswered(add.name, it.Outcome.TIMEOUT, 0.0, 30_000))
         sent += len(actions_of_type(actions, it.SendAttempt))
-    assert sent == 2  # burst 4 over two gateways
+    assert sent == 2  # half of the burst of 4, as there are two ingresses
 
 
 def test_slow_counter_receives_fewer_calls() -> None:
@@ -95,15 +99,15 @@
         adds += actions_of_type(policy.handle(0, arrival(n, customer=n)), it.AddToCounter)
     for add in adds:
         policy.handle(0, it.CountAnswered(add.name, it.Outcome.TIMEOUT, 0.0, 30_000))
-    again = 0
-    for n in range(1000):  # a thousand customers in a second
-        again += len(
+    later_calls = 0
+    for n in range(1000):  # 1000 customers within 1 s
+        later_calls += len(
             actions_of_type(
                 policy.handle(SECOND + n * 1000, arrival(100 + n, customer=100 + n)),
                 it.AddToCounter,
             )
         )
-    assert len(adds) == 40 and 20 < again < 80
+    assert len(adds) == 40 and 20 < later_calls < 80
 
 
 def test_flushed_counter_does_not_admit_beyond_the_quota() -> None:
@@ -121,7 +125,7 @@
         )
         for n in range(8, 16)
     )
-    assert sent <= 5  # burst 4 and half a second at 2 a second
+    assert sent <= 5  # the burst of 4, and 0.5 s at 2 units/s
     assert sum(counter.totals.values()) > 2  # the units that it forgot were added back
 
 
@@ -142,7 +146,7 @@
 
 def ring_account() -> TenantAccount:
     account = TenantAccount(PLANS[0], 2, slot_us=500_000, bucket_updated_at=0)
-    account.lease_rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units a slot
+    account.lease_rate = 4.0  # W_a = (4 - 0) * 0.5 = 2 units per slot
     return account
 
 
@@ -227,10 +231,12 @@
 def test_two_ingresses_keep_a_hard_rate_limit_through_restarts() -> None:
     counter, sent = Counter(), []
     for restart in range(3):
-        pair = [make_policy(), make_policy()]
+        policies = [make_policy(), make_policy()]
         for ms in range(0, 4000, 20):
             now = restart * 4 * SECOND + ms * 1000
-            actions = handle_with_counter(pair[ms // 20 % 2], now, arrival(now, plan=3), counter)
+            actions = handle_with_counter(
+                policies[ms // 20 % 2], now, arrival(now, plan=3), counter
+            )
             sent += [now] * len(actions_of_type(actions, it.SendAttempt))
     units, last_sent_at = 8.0, 0
     for now in sent:
@@ -303,13 +309,13 @@
 def test_broken_call_is_retried_and_does_not_count_as_overload() -> None:
     policy, counter = make_policy(), Counter()
     (broken_call,) = actions_of_type(policy.handle(0, arrival(1)), it.AddToCounter)
-    again = policy.handle(1000, it.CountAnswered(broken_call.name, it.Outcome.RESET, 0.0, 1000))
+    actions = policy.handle(1000, it.CountAnswered(broken_call.name, it.Outcome.RESET, 0.0, 1000))
     assert (
-        len(actions_of_type(again, it.AddToCounter)) == 1
-        and not actions_of_type(again, it.Refuse)
+        len(actions_of_type(actions, it.AddToCounter)) == 1
+        and not actions_of_type(actions, it.Refuse)
         and policy.backoff_factor == 1.0
     )
-    assert actions_of_type(policy.handle(2000, counter.answers(again)[0]), it.SendAttempt)
+    assert actions_of_type(policy.handle(2000, counter.answers(actions)[0]), it.SendAttempt)
 
 
 def test_counter_that_rejects_calls_is_called_less_often() -> None:
@@ -354,7 +360,7 @@
     )
     policy.handle(SECOND, it.SettingsChanged(changed))
     assert policy.accounts[7] is account and account.tokens == 3.0 and account.plan.burst == 2.0
-    # the new class, from the old lease
+    # The new class is served from the old lease.
     assert actions_of_type(policy.handle(SECOND, arrival(2, cls=3)), it.SendAttempt)
     for request, more in ((1, 1), (2, 0)):
         (sent,) = [a for r, a in policy.attempts_in_flight if r == request]
--- a/tests/ingress/policy/test_fleet.py
+++ b/tests/ingress/policy/test_fleet.py
@@ -78,11 +78,11 @@
     for n in range(30):
         for s in actions_of_type(policy.handle(0, arrival(n)), it.SendAttempt):
             outcome = it.Outcome.OK if s.backend == 2 else it.Outcome.CONNECT_FAILED
-            for again in actions_of_type(
+            for retry in actions_of_type(
                 policy.handle(0, it.AttemptEnded(n, 0, s.backend, outcome, 500, s.backend == 2)),
                 it.SendAttempt,
             ):
-                assert again.backend == 2
+                assert retry.backend == 2
                 policy.handle(0, it.AttemptEnded(n, 1, 2, it.Outcome.OK, 500, True))
     assert 1 not in sent_to(policy, 0, range(100, 103))
     assert sent_to(policy, 40 * SECOND, range(200, 203)).count(1) >= 1
--- a/tests/ingress/policy/test_scale.py
+++ b/tests/ingress/policy/test_scale.py
@@ -52,7 +52,7 @@
 
 
 def test_while_calls_are_limited_a_share_is_admitted_at_random_and_nothing_is_returned() -> None:
-    policy, counter, sent, asked = make_policy(), Counter(), 0, 0
+    policy, counter, sent, calls = make_policy(), Counter(), 0, 0
     for n in range(400):
         now = (20 + 2 * n) * SECOND + SECOND  # half a window of two seconds has passed
         actions = policy.handle(now, arrival(100 + n, customer=2000 + n, spread=100))
@@ -61,11 +61,11 @@
             counter.totals[add.name] = (
                 7.0  # a bucket of 4 at 2 units/s covers about a third of that
             )
-            asked += 1
+            calls += 1
             answered = handle_with_counter(policy, now, counter.answers([add])[0], counter)
             assert not actions_of_type(answered, it.AddToCounter)
             sent += finish(policy, now, answered)
-    assert asked > 100 and 0.2 < sent / asked < 0.5
+    assert calls > 100 and 0.2 < sent / calls < 0.5
 
 
 def policy_at_overloaded_counter() -> RequestPolicy:
@@ -98,12 +98,14 @@
 def test_under_overload_excess_units_are_returned_with_the_next_call() -> None:
     policy = policy_at_overloaded_counter()
     (add,) = actions_of_type(policy.handle(10_100_000, arrival(50, spread=4)), it.AddToCounter)
-    answered = policy.handle(10_110_000, it.CountAnswered(add.name, it.Outcome.OK, 6.0, 9000))
-    assert actions_of_type(answered, it.Refuse) and not actions_of_type(answered, it.AddToCounter)
+    actions = policy.handle(10_110_000, it.CountAnswered(add.name, it.Outcome.OK, 6.0, 9000))
+    assert actions_of_type(actions, it.Refuse) and not actions_of_type(actions, it.AddToCounter)
     policy.next_call_at = 10 * SECOND
-    (again,) = actions_of_type(policy.handle(11_900_000, arrival(51, spread=4)), it.AddToCounter)
+    (next_call,) = actions_of_type(
+        policy.handle(11_900_000, arrival(51, spread=4)), it.AddToCounter
+    )
     # One unit is requested, less the excess units that are returned.
-    assert again.name == add.name and again.amount < 0.5
+    assert next_call.name == add.name and next_call.amount < 0.5
 
 
 def test_only_the_first_request_of_a_customer_is_sent_without_the_counter() -> None:
@@ -202,9 +204,9 @@
         queue = actions_of_type(policy.handle(n * 50_000, arrival(n)), it.SendAttempt)
         for attempt, s in enumerate(queue):
             full = s.backend in draining
-            outcome, took = (it.Outcome.FULL, 900) if full else (it.Outcome.OK, 90_000)
+            outcome, latency = (it.Outcome.FULL, 900) if full else (it.Outcome.OK, 90_000)
             rejected, sent = rejected + full, sent + 1
-            ended = it.AttemptEnded(n, attempt, s.backend, outcome, took, not full)
+            ended = it.AttemptEnded(n, attempt, s.backend, outcome, latency, not full)
             queue += actions_of_type(policy.handle(n * 50_000, ended), it.SendAttempt)
     assert sent - rejected == 100 and rejected <= 2 * len(draining)
 
@@ -258,10 +260,10 @@
     for n in range(300):
         for s in actions_of_type(policy.handle(n * 200_000, arrival(n)), it.SendAttempt):
             is_timeout = n % 20 < timed_out
-            outcome, took = (
+            outcome, latency = (
                 (it.Outcome.TIMEOUT, 900_000) if is_timeout else (it.Outcome.OK, 250_000)
             )
-            policy.handle(n * 200_000, it.AttemptEnded(n, 0, s.backend, outcome, took, True))
+            policy.handle(n * 200_000, it.AttemptEnded(n, 0, s.backend, outcome, latency, True))
     return len(
         [
             s
