--- a/cairndale/dataplane/endpoint_selection.py
+++ b/cairndale/dataplane/endpoint_selection.py
@@ -60,14 +60,14 @@
         self.placement = Placement()
         self.ready_by_service: dict[int, list[Endpoint]] = {}
         self.retry_budgets: dict[int, RetryBudget] = {}  # by service
-        self._required_grants: tuple[it.Unit, ...] = ()
-        self._denied_until: dict[it.Unit, int] = {}
+        self._required_grants: tuple[it.BudgetUnit, ...] = ()
+        self._denied_until: dict[it.BudgetUnit, int] = {}
         self._slots = 0.0  # this ingress's share of the slots of all ready endpoints
         super().__init__(settings, rng)
 
-    def listed(self, event: it.BackendsListed) -> None:
+    def update_endpoints(self, event: it.BackendsListed) -> None:
         """Apply an endpoint list: a full one, or the changed endpoints."""
-        super().listed(event)
+        super().update_endpoints(event)
         for info in event.backends:
             if info.state is it.BackendState.GONE:
                 self.backends.pop(info.id, None)
@@ -80,20 +80,20 @@
         """Recompute the share of slots after a change of the endpoints or the placement."""
         self._slots = sum(self.slot_share(b) for b in self.ready)
 
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Return the utilization: active requests over this ingress's share of all slots."""
-        return self.out / max(1.0, self._slots)
+        return self.in_flight / max(1.0, self._slots)
 
-    def owes(self) -> tuple[it.Unit, ...]:
+    def required_units(self) -> tuple[it.BudgetUnit, ...]:
         """Return the units that must be granted before the last picked attempt is sent."""
         return self._required_grants
 
-    def deny(self, units: tuple[it.Unit, ...], now: int, until: int) -> None:
+    def deny(self, units: tuple[it.BudgetUnit, ...], now: int, until: int) -> None:
         """Until the time `until`, pick no attempt that needs one of these units."""
         self._denied_until = {unit: end for unit, end in self._denied_until.items() if end > now}
         self._denied_until.update(dict.fromkeys(units, until))
 
-    def is_denied(self, unit: it.Unit, now: int) -> bool:
+    def is_denied(self, unit: it.BudgetUnit, now: int) -> bool:
         """Whether a denial of this unit is still in force."""
         return self._denied_until.get(unit, 0) > now
 
@@ -119,9 +119,11 @@
     def cost(self, endpoint: Endpoint, cls: int, now: int) -> float:
         """Return the cost of one more request at the endpoint, in average response times."""
         share = self.slot_share(endpoint)
-        over = max(0.0, endpoint.out + 1 - share) / share
-        wait = OVERLOAD_WEIGHT * over + ACTIVE_REQUEST_WEIGHT * endpoint.out / share
-        return self.slowness(endpoint, cls, now) * (1 + wait) + self.distance_cost(endpoint)
+        over = max(0.0, endpoint.in_flight + 1 - share) / share
+        wait = OVERLOAD_WEIGHT * over + ACTIVE_REQUEST_WEIGHT * endpoint.in_flight / share
+        return self.current_latency_ratio(endpoint, cls, now) * (1 + wait) + self.distance_cost(
+            endpoint
+        )
 
     def pick(
         self,
@@ -147,15 +149,15 @@
         best = self._cheapest_endpoint(now, cls, allowed, asked)
         if best is None:
             return None
-        required: tuple[it.Unit, ...] = ((RETRY, asked.service),) if needs_grant else ()
-        if best.info.cold_until > now:
+        required: tuple[it.BudgetUnit, ...] = ((RETRY, asked.service),) if needs_grant else ()
+        if best.info.warmup_until > now:
             required += ((WARMUP, best.info.id),)
         self._required_grants = required
         if again:
             budget.tokens -= not needs_grant
         else:
             self._earn(budget)
-        best.out, self.out = best.out + 1, self.out + 1
+        best.in_flight, self.in_flight = best.in_flight + 1, self.in_flight + 1
         return best
 
     def _cheapest_endpoint(
@@ -169,7 +171,7 @@
             cost = self.cost(endpoint, cls, now) + MAX_COST_JITTER * self.rng.random()
             if cost >= best_cost or not allowed(endpoint):
                 continue
-            if info.cold_until > now and self.is_denied((WARMUP, info.id), now):
+            if info.warmup_until > now and self.is_denied((WARMUP, info.id), now):
                 continue
             best, best_cost = endpoint, cost
         return best
@@ -181,9 +183,11 @@
         earned = budget.tokens + RETRY_RATIO_FRACTION * placement.retry_ratio
         budget.tokens = min(most if most >= 1 else 0.0, earned)
 
-    def ended(self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int) -> None:
+    def record_outcome(
+        self, backend: Endpoint, now: int, cls: int, outcome: Outcome, latency: int
+    ) -> None:
         """Count an attempt as ended, and update the endpoint's statistics by its outcome."""
         if outcome is Outcome.MOOT:  # never sent: it says nothing about the endpoint
-            backend.out, self.out = max(0, backend.out - 1), self.out - 1
+            backend.in_flight, self.in_flight = max(0, backend.in_flight - 1), self.in_flight - 1
             return
-        super().ended(backend, now, cls, outcome, latency)
+        super().record_outcome(backend, now, cls, outcome, latency)
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -35,17 +35,17 @@
     @property
     def selector(self) -> EndpointSelector:
         """The endpoint pool. Raises TypeError if the policy was created with another kind."""
-        if not isinstance(self.fleet, EndpointSelector):
-            raise TypeError(f"expected an EndpointSelector, got {self.fleet!r}")
-        return self.fleet
+        if not isinstance(self.pool, EndpointSelector):
+            raise TypeError(f"expected an EndpointSelector, got {self.pool!r}")
+        return self.pool
 
-    def follow(self, settings: it.Settings) -> None:
+    def apply_settings(self, settings: it.Settings) -> None:
         """Use these settings from now on; each account switches to its plan's new definition."""
         accounts, self.accounts = self.accounts, {}  # the base class would search each one's plan
-        super().follow(settings)
+        super().apply_settings(settings)
         self.accounts = accounts
         for account in accounts.values():
-            account.follow(settings.plans[self.plan_number(account.plan.name)])
+            account.apply_plan(settings.plans[self.plan_number(account.plan.name)])
 
 
 class ReconfigurableEngine(Engine):
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -43,14 +43,14 @@
     aim=1_000_000,  # us
     deadline=30_000_000,  # us
     repeat=it.Repeat.UNSAFE,
-    late_worth=0.5,
+    late_value=0.5,
 )
 
 
 def initial_settings(zone: int, fleet_size: int) -> it.Settings:
     """Return the policy's settings before any configuration: placeholder class and plan only."""
     return it.Settings(
-        me=0,
+        ingress_index=0,
         fleet_size=fleet_size,
         zone=zone,
         tick=TICK_US,
@@ -61,20 +61,25 @@
             advises_retry=True,
             max_retry_after=MAX_RETRY_AFTER_US,
             connect_timeout=CONNECT_TIMEOUT_US,
-            patient=True,
-            promises=True,
+            awaits_silent_attempts=True,
+            refusal_means_not_run=True,
             may_cancel=True,
         ),
         safety=it.Safety(
-            answer_slack=0, drain_grace=0, cold_share=1.0, ramp_time=1, tip_multiple=1.0, fall=1
+            answer_slack=0,
+            drain_grace=0,
+            cold_share=1.0,
+            ramp_time=1,
+            overload_multiple=1.0,
+            overload_duration=1,
         ),
         counter=it.CounterLimits(
             allowed=True,
             timeout=round(LEASE_ATTEMPT_TIMEOUT_S * 1e6),
-            calls_out=1e6,
-            part=MAX_LEASE_FRACTION,
+            max_calls_in_flight=1e6,
+            lease_ahead_share=MAX_LEASE_FRACTION,
             strict=True,
-            expiry=round(QUOTA_GRANT_LIFETIME_S * GRANT_LIFE_FRACTION * 1e6),
+            lease_expiry=round(QUOTA_GRANT_LIFETIME_S * GRANT_LIFE_FRACTION * 1e6),
         ),
     )
 
@@ -91,8 +96,8 @@
         first = initial_settings(numbering.zone_number(settings.zone, 0), fleet_size=1)
         self._clock = clock
         self.policy = ReconfigurablePolicy(first, random.getrandbits(32), EndpointSelector)
-        self.policy.in_touch = contact.in_contact
-        self.policy.alone_since = contact.isolated_since_us
+        self.policy.counter_reachable = contact.in_contact
+        self.policy.counter_unreachable_since = contact.isolated_since_us
         self.selector = self.policy.selector
         self._sockets = Sockets(settings.max_open_files - RESERVED_DESCRIPTORS)
         self.backends = _backends(self._sockets)
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -56,7 +56,7 @@
         self._now_us = now_us
         self.calls: set[asyncio.Task[None]] = set()  # in flight
 
-    def deal(self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]) -> None:
+    def deal(self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]) -> None:
         """Request a grant of one of each unit, or of none.
 
         `on_granted` is called with the expiry of the grant (us on the engine's clock), or with 0.
@@ -78,7 +78,7 @@
         task.add_done_callback(self.calls.discard)
 
     async def _request_grant(
-        self, units: tuple[it.Unit, ...], on_granted: Callable[[int], None]
+        self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]
     ) -> None:
         requested_at, until, denial_us = self._now_us(), 0, NO_ANSWER_DENIAL_US
         names = [f"{kind}/{self._unit_name(kind, number)}" for kind, number in units]
--- a/cairndale/dataplane/serving_state.py
+++ b/cairndale/dataplane/serving_state.py
@@ -39,7 +39,7 @@
         """
         now = self.now()
         in_time = now < self._strict_from or now + timeout_us / 1e6 < self.ends_at
-        average_latency_s = self._selector.usual_latency[cls] / 1e6
+        average_latency_s = self._selector.average_latencies[cls] / 1e6
         return in_time and now + MIN_LATENCIES_LEFT * average_latency_s < self.ends_at
 
     def begin_drain(self, grace: float) -> None:
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -163,7 +163,7 @@
     began, at = node.serving.now(), 0.0
     node.serving.now = lambda: began + at
     grace, usual, long = node.settings.bounds.grace, 1_000_000, 30_000_000
-    node.ingress.selector.usual_latency[1] = usual
+    node.ingress.selector.average_latencies[1] = usual
     assert node.serving.may_begin(1, long)
     stopping = asyncio.ensure_future(node.stop())
     await asyncio.sleep(0)
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -24,8 +24,8 @@
 
 SECOND = 1_000_000
 CLASSES = (
-    it.RequestClass("safe", SECOND, 4 * SECOND, Repeat.SAFE, late_worth=0.5, tries=2),
-    it.RequestClass("unsafe", SECOND, 4 * SECOND, Repeat.UNSAFE, late_worth=0.5, tries=2),
+    it.RequestClass("safe", SECOND, 4 * SECOND, Repeat.SAFE, late_value=0.5, max_endpoints=2),
+    it.RequestClass("unsafe", SECOND, 4 * SECOND, Repeat.UNSAFE, late_value=0.5, max_endpoints=2),
 )
 SETTINGS = it.Settings(
     0,
@@ -34,9 +34,21 @@
     50_000,
     CLASSES,
     (it.Plan("", 0.0, 0.0), it.Plan("t", 5.0, 5.0)),
-    it.Limits(max_attempts=6, max_retry_after=300_000, patient=True, promises=True),
+    it.Limits(
+        max_attempts=6,
+        max_retry_after=300_000,
+        awaits_silent_attempts=True,
+        refusal_means_not_run=True,
+    ),
     it.Safety(0, 0, 1.0, 1, 1.0, 1),
-    it.CounterLimits(True, 250_000, calls_out=1e6, part=0.25, strict=True, expiry=950_000),
+    it.CounterLimits(
+        True,
+        250_000,
+        max_calls_in_flight=1e6,
+        lease_ahead_share=0.25,
+        strict=True,
+        lease_expiry=950_000,
+    ),
 )
 GRANT_LIFE_US = 300_000  # for which a granted unit may be used
 
@@ -86,7 +98,7 @@
     # Expiry of each leased quota unit of the tenant.
     leased: list[int] = field(default_factory=list)
     # Expiry of each granted unit of the shared budgets.
-    granted: dict[it.Unit, list[int]] = field(default_factory=dict)
+    granted: dict[it.BudgetUnit, list[int]] = field(default_factory=dict)
     retry_tokens: float = 0.0  # retries allowed by the requests made so far
 
 
@@ -98,10 +110,10 @@
     ) -> None:
         super().__init__(10 * SECOND)
         self.sent = list[Attempt]()
-        self.deals = list[tuple[tuple[it.Unit, ...], Callable[[int], None]]]()
+        self.deals = list[tuple[tuple[it.BudgetUnit, ...], Callable[[int], None]]]()
         self.model, self.request_count = Model(), 0
         self.policy = policy(SETTINGS, 1, EndpointSelector)
-        selector = self.policy.fleet
+        selector = self.policy.pool
         assert isinstance(selector, EndpointSelector)
         selector.placement = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
         self.selector = selector
@@ -118,7 +130,7 @@
             0,
             service=1,
             slots=4,
-            cold_until=3600 * SECOND if cold and number == 1 else 0,
+            warmup_until=3600 * SECOND if cold and number == 1 else 0,
         )
         up = [
             Entry({"name": f"s{n}", "address": "127.0.0.1:1", "status": "up"})
@@ -134,10 +146,10 @@
 
     def lease(self, customer: int, amount: float, spent: float, answered: Any) -> None:
         granted = min(amount, 5.0)
-        self.model.leased += [self.time + SETTINGS.counter.expiry] * int(granted)
+        self.model.leased += [self.time + SETTINGS.counter.lease_expiry] * int(granted)
         answered(Outcome.OK, 0.0, 5.0 - amount)
 
-    def deal(self, units: tuple[it.Unit, ...], granted: Callable[[int], None]) -> None:
+    def deal(self, units: tuple[it.BudgetUnit, ...], granted: Callable[[int], None]) -> None:
         self.deals.append((units, granted))
 
     def answer_grant(self, index: int, is_granted: bool) -> None:
@@ -166,7 +178,7 @@
         again = model.arrivals[sent.request] > 0
         if model.quota[sent.request] and not again:
             use(model.leased, self.time)
-        if sent.backend == 1 and self.selector.backends[1].info.cold_until:
+        if sent.backend == 1 and self.selector.backends[1].info.warmup_until:
             use(model.granted.get((WARMUP, 1), []), self.time)
         if not again:
             model.retry_tokens = min(EVEN_RETRY_FRACTION * 60.0 / 20, model.retry_tokens + 0.2)
@@ -283,7 +295,7 @@
     for number, cls in classes.items():
         client_answers = model.answers[number]
         assert len(client_answers) == 1, f"answered {client_answers}"
-        assert model.arrivals[number] <= CLASSES[cls].tries
+        assert model.arrivals[number] <= CLASSES[cls].max_endpoints
         if CLASSES[cls].repeat is Repeat.UNSAFE:
             assert model.runs[number] <= 1, "unsafe request ran twice"
         if client_answers[0] in ("429", "503"):
@@ -329,7 +341,7 @@
     """Defect: the units by which a request was admitted never expire."""
 
     def send(self, request: Any, leased: bool = False) -> bool:
-        request.until = 0
+        request.admitted_until = 0
         return super().send(request, leased)
 
 
@@ -338,7 +350,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.fleet.owes = tuple  # type: ignore[method-assign]
+        self.pool.required_units = tuple  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize(
--- a/tests/testing/policy.py
+++ b/tests/testing/policy.py
@@ -1,4 +1,4 @@
-"""Small settings and events for the tests; every figure is made up for them."""
+"""Settings, events and a counter for tests of the request policy."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 CLASSES = (
     it.RequestClass("read", aim=SECOND, deadline=4 * SECOND, repeat=it.Repeat.SAFE),
     it.RequestClass(
-        "pay", SECOND, 3 * SECOND, it.Repeat.KEYED, scope=it.Scope.CELL, memory=5 * SECOND
+        "pay", SECOND, 3 * SECOND, it.Repeat.KEYED, scope=it.Scope.CELL, dedup_window=5 * SECOND
     ),
     it.RequestClass("order", 2 * SECOND, 5 * SECOND, it.Repeat.UNSAFE),
 )
 PLANS = (
     it.Plan("small", rate=2.0, burst=4.0),
-    it.Plan("paid beyond", rate=2.0, burst=4.0, beyond_earns=0.3),
-    it.Plan("capped", rate=0.0, burst=0.0, max_open=2),
+    it.Plan("paid beyond", rate=2.0, burst=4.0, overage_value=0.3),
+    it.Plan("capped", rate=0.0, burst=0.0, max_in_flight=2),
     it.Plan("ceiling", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0),
 )
 
@@ -28,7 +28,7 @@
 def settings(**changes: Any) -> it.Settings:
     limits = changes.pop("limits", {})
     base = it.Settings(
-        me=0,
+        ingress_index=0,
         fleet_size=2,
         zone=0,
         tick=1000,
@@ -39,7 +39,12 @@
             **limits,
         ),
         safety=it.Safety(
-            8000, 500_000, cold_share=0.2, ramp_time=10 * SECOND, tip_multiple=2.0, fall=SECOND
+            8000,
+            500_000,
+            cold_share=0.2,
+            ramp_time=10 * SECOND,
+            overload_multiple=2.0,
+            overload_duration=SECOND,
         ),
         counter=it.CounterLimits(True, 30_000, 0.01),
     )
@@ -64,30 +69,33 @@
     return replace(base, **changes)
 
 
-def of(actions: list[it.Action], kind: type) -> list[Any]:
+def actions_of_type(actions: list[it.Action], kind: type) -> list[Any]:
+    """Returns the actions of one type."""
     return [a for a in actions if isinstance(a, kind)]
 
 
 class Counter:
-    """The counting service, answering at once."""
+    """A counter that answers every call at once."""
 
     def __init__(self) -> None:
         self.totals: dict[int, float] = {}
 
     def answers(self, actions: list[it.Action]) -> list[it.CountAnswered]:
-        found = []
-        for add in of(actions, it.AddToCounter):
+        answers = []
+        for add in actions_of_type(actions, it.AddToCounter):
             self.totals[add.name] = self.totals.get(add.name, 0.0) + add.amount
-            found.append(it.CountAnswered(add.name, it.Outcome.OK, self.totals[add.name], 1000))
-        return found
+            answers.append(it.CountAnswered(add.name, it.Outcome.OK, self.totals[add.name], 1000))
+        return answers
 
 
-def settle(gateway: Any, now: int, event: it.Event, counter: Counter) -> list[it.Action]:
-    """Handles the event and every answer of the counter that follows; all actions in order."""
-    done: list[it.Action] = []
+def handle_with_counter(
+    policy: Any, now: int, event: it.Event, counter: Counter
+) -> list[it.Action]:
+    """Handles the event and the counter's answers that follow; returns all actions in order."""
+    all_actions: list[it.Action] = []
     queue: list[it.Event] = [event]
     while queue:
-        actions = gateway.handle(now, queue.pop(0))
-        done += actions
+        actions = policy.handle(now, queue.pop(0))
+        all_actions += actions
         queue += counter.answers(actions)
-    return done
+    return all_actions
