--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -25,7 +25,9 @@
 
 def unconfirmed() -> None:
     """Whoever once took the lead answers at once, whether anybody follows it still or not."""
-    _module("cairndale.control.read_index").ReadIndex._is_met = lambda self, waiting, stand: True
+    _module("cairndale.control.read_index").ReadIndex._is_confirmed = lambda self, waiting, stand: (
+        True
+    )
     machine = _module("cairndale.raft.node")
     machine.RaftNode.leads = lambda self, now: (
         self.role is machine.Role.LEADER and self._has_committed_in_term
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -118,7 +118,7 @@
         if self._process.leadership is None:
             if self._follower.in_contact(now) and self._collector.collect(id, body, now):
                 return json_response(200, {})
-            if self._follower.is_cut_off(now):
+            if self._follower.is_isolated(now):
                 return error_response(503, "out of contact")
             if heartbeat := self._collector.parse(id, body, now):
                 try:
@@ -165,7 +165,7 @@
             return error_response(503, str(failure))
         return answer.operation_response.status, answer.operation_response.body
 
-    def was_read(self, method: str, target: str, answer: Response) -> None:
+    def answer_received(self, method: str, target: str, answer: Response) -> None:
         """The caller has received an answer: the same call for a zone is another order from now."""
         found = match(CONTROL_ROUTES, method, target)
         if isinstance(found, RouteFailure) or found.call not in ("evacuate", "take back"):
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -24,7 +24,7 @@
 from cairndale.raft.messages import Entry, state_digest
 
 # Bytes of a command in one entry, as earlier versions wrote it, beyond which it makes many objects.
-LARGE_ENTRY = 64 * 1024
+LARGE_ENTRY_BYTES = 64 * 1024
 
 
 def encode_command(command: Command) -> bytes | Iterator[bytes]:
@@ -108,7 +108,7 @@
         if self._work is None:
             self._work = self._apply_steps(entry)
         is_part = fragments.is_fragment(entry.data)
-        is_large = self._partial or len(entry.data) > LARGE_ENTRY or is_part
+        is_large = self._partial or len(entry.data) > LARGE_ENTRY_BYTES or is_part
         try:
             with gc_paused() if is_large else contextlib.nullcontext():
                 next(self._work)
--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -1,6 +1,6 @@
 """Applies committed entries to the replicated state, in turns of bounded length.
 
-A turn takes `APPLY` seconds at most and then leaves the event loop to others, so that a large
+A turn takes MAX_TURN_S seconds at most and then leaves the event loop to others, so that a large
 backlog delays no heartbeat. After an entry is applied a snapshot may be due.
 """
 
@@ -18,9 +18,9 @@
 from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
 
-ENTRIES = 128  # a snapshot is due after each so many entries of the log ...
-BYTES = 4 * 1024 * 1024  # ... and once the entries after the last one have so many bytes
-APPLY = 0.005  # s that one turn may take
+SNAPSHOT_INTERVAL_ENTRIES = 128  # a snapshot is due after each so many entries of the log ...
+MAX_LOG_BYTES = 4 * 1024 * 1024  # ... and once the entries after the last one have so many bytes
+MAX_TURN_S = 0.005  # s that one turn may take
 
 
 class ApplyLoop:
@@ -69,15 +69,15 @@
     def _run_turn(self) -> None:
         if self._is_running or not self._applier.has_backlog:
             return
-        self._is_running, until = True, time.perf_counter() + APPLY
+        self._is_running, deadline = True, time.perf_counter() + MAX_TURN_S
         self._applier.encodes_content = self._raft.role is Role.LEADER
         more = True
         while more:
             if applied := self._applier.step():
                 self._entry_applied(applied)
-            more = self._applier.has_backlog and time.perf_counter() < until
+            more = self._applier.has_backlog and time.perf_counter() < deadline
         self._on_turn_end()
-        if self._applier.is_between_commands and self._is_log_long():
+        if self._applier.is_between_commands and self._is_log_oversized():
             self._snapshot_worker.create(self.state.to_dict(), self._applier.index)
         if self._applier.has_backlog:
             self._yield_to_loop(self._resume)
@@ -94,14 +94,18 @@
 
     def _entry_applied(self, applied: AppliedEntry) -> None:
         # By the index alone, so alike at all members: whoever leads next has the same snapshot.
-        self._is_snapshot_due |= applied.entry.index % ENTRIES == 0
+        self._is_snapshot_due |= applied.entry.index % SNAPSHOT_INTERVAL_ENTRIES == 0
         if self._is_snapshot_due and self._applier.is_between_commands:
             self._is_snapshot_due = False
             self._snapshot_worker.create(self.state.to_dict(), applied.entry.index)
         for listener in self._on_applied:
             listener(applied)
 
-    def _is_log_long(self) -> bool:
+    def _is_log_oversized(self) -> bool:
         log = self._raft.log
-        many = len(log) >= 2 * ENTRIES
-        return self._raft.wants_snapshot() or many or sum(len(e.data) for e in log) >= BYTES
+        has_many_entries = len(log) >= 2 * SNAPSHOT_INTERVAL_ENTRIES
+        return (
+            self._raft.wants_snapshot()
+            or has_many_entries
+            or sum(len(e.data) for e in log) >= MAX_LOG_BYTES
+        )
--- a/cairndale/control/change_notifier.py
+++ b/cairndale/control/change_notifier.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import Callable
 
-SHORTEST_WAIT = 0.001  # s
+MIN_WAIT_S = 0.001  # s
 
 
 class ChangeNotifier:
@@ -34,5 +34,5 @@
         """Returns at the next change, or after `timeout` seconds without one."""
         changed = self._changed
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(max(SHORTEST_WAIT, timeout)):
+            async with asyncio.timeout(max(MIN_WAIT_S, timeout)):
                 await changed.wait()
--- a/cairndale/control/configuration_changes.py
+++ b/cairndale/control/configuration_changes.py
@@ -60,7 +60,7 @@
 
     async def handle(self, verb: Verb, body: bytes) -> Response:
         """The answer to a call. Raises CallError where the outcome is not known."""
-        called = self._leader.now()
+        called_at = self._leader.now()
         digest = await self._digest(verb, body)
         decoded: Any = _NOT_DECODED
         if digest not in self._leader.state.idempotency_records:
@@ -68,11 +68,11 @@
             try:
                 decoded = await run_in_steps(loads_steps(body), is_large)
             except ValueError as error:
-                await self._leader.confirm(called, self._leader.require_leadership().term)
+                await self._leader.confirm(called_at, self._leader.require_leadership().term)
                 return error_response(400, f"not JSON: {error}")
             await self._wait_for_parent(decoded)
         change = _Change(verb, digest, decoded)
-        return await self._queue.run(lambda: self._decide(change, called))
+        return await self._queue.run(lambda: self._decide(change, called_at))
 
     @staticmethod
     async def _digest(verb: Verb, body: bytes) -> str:
@@ -92,28 +92,28 @@
         while leader.state.gen < parent and leader.now() < deadline:
             await leader.wait_for_change(deadline - leader.now())
 
-    async def _decide(self, change: _Change, called: float) -> ChangeOutcome:
+    async def _decide(self, change: _Change, called_at: float) -> ChangeOutcome:
         """Commit or reject a change, or find out what became of an earlier copy."""
         leader = self._leader
         while True:
             term, state = leader.require_leadership().term, leader.state
             known = state.idempotency_records.get(change.digest)
             if known is not None:
-                return await self._known_outcome(known, called, term)
+                return await self._known_outcome(known, called_at, term)
             if change.body is _NOT_DECODED:
                 raise StaleCallError("it was known, and is forgotten now")
-            judged_gen = state.gen  # the state itself changes while it is judged
-            rejection = await self._judge(change, state)
+            validated_gen = state.gen  # the state itself changes while it is judged
+            rejection = await self._validate(change, state)
             if rejection is None:
                 return await self._commit(change)
-            await leader.confirm(called, term, decided=True)
+            await leader.confirm(called_at, term, decided=True)
             state = leader.state
-            if state.gen == judged_gen and change.digest not in state.idempotency_records:
+            if state.gen == validated_gen and change.digest not in state.idempotency_records:
                 log_event(Event.CONFIG_REJECTED, "%s", rejection[1].decode()[:300])
                 return ChangeOutcome(rejection)
 
-    async def _known_outcome(self, known: int, called: float, term: int) -> ChangeOutcome:
-        await self._leader.confirm(called, term)
+    async def _known_outcome(self, known: int, called_at: float, term: int) -> ChangeOutcome:
+        await self._leader.confirm(called_at, term)
         if known == REJECTED:
             return ChangeOutcome(error_response(412, "it was refused before"))
         return ChangeOutcome(json_response(200, {"gen": known}), self._leader.state.version)
@@ -130,7 +130,7 @@
             return ChangeOutcome(error_response(412, "another change came first"))
         return ChangeOutcome(json_response(200, {"gen": known}), state.version)  # an earlier copy's
 
-    async def _judge(self, change: _Change, state: State) -> Response | None:
+    async def _validate(self, change: _Change, state: State) -> Response | None:
         """A rejection, or None if the change may be committed.
 
         Raises CallError where neither can be said for sure.
--- a/cairndale/control/evacuation_log.py
+++ b/cairndale/control/evacuation_log.py
@@ -13,7 +13,7 @@
 import random
 from dataclasses import dataclass
 
-MAX_CALLS = 1024  # that are remembered here; the replicated state remembers more
+MAX_REMEMBERED_CALLS = 1024  # that are remembered here; the replicated state remembers more
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
         `had_predecessor`: another leader may have had orders that are sent again to this one.
         """
         self._retry_window = retry_window
-        self._unknown_until = now + retry_window if had_predecessor else now
+        self._predecessor_orders_until = now + retry_window if had_predecessor else now
         self._newest: dict[str, _Order] = {}  # by zone
         self._order_ids: dict[str, str] = {}  # by call id
 
@@ -50,7 +50,7 @@
             if newest and newest.id == self._order_ids[call_id]:
                 newest.calls_in_flight += 1
             return self._order_ids[call_id]
-        if newest is None and is_in_force and now < self._unknown_until:
+        if newest is None and is_in_force and now < self._predecessor_orders_until:
             return self._remember(call_id, "")
         if newest is None or newest.verb != verb or not self._may_be_repeated(now, newest):
             order_id = call_id or f"{random.getrandbits(64):016x}"
@@ -61,7 +61,7 @@
     def _remember(self, call_id: str, order_id: str) -> str:
         if call_id:
             self._order_ids[call_id] = order_id
-            while len(self._order_ids) > MAX_CALLS:
+            while len(self._order_ids) > MAX_REMEMBERED_CALLS:
                 del self._order_ids[next(iter(self._order_ids))]
         return order_id
 
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -1,7 +1,7 @@
 """What a control node does while it does not lead: watch the leader, and report heartbeats to it.
 
 A follower is in contact while the leader, with a majority behind it, has answered a call that was
-sent less than `contact_span` ago, which is a part of the servers' heartbeat interval. So a follower
+sent less than `contact_window` ago, which is a part of the servers' heartbeat interval. So a follower
 that is cut off, in either direction, confirms one heartbeat of each server at the most after the
 cut, and that one is reported once there is a way.
 """
@@ -35,7 +35,7 @@
 # time.
 REPORT_FRACTION = 0.5
 REPORT_TIMEOUT_S = 0.7  # after which the next report goes by another way
-FAILURE_MEMORY_S = 0.5  # for which a failed call is taken to speak for the next ones
+FAILURE_BACKOFF_S = 0.5  # for which a failed call is taken to speak for the next ones
 LONG_POLL_S = 1.0
 WATCH_TIMEOUT_S = 3.0  # for a watch request over all attempts
 WATCH_ATTEMPT_S = LONG_POLL_S + 0.6
@@ -100,26 +100,26 @@
     def __init__(self, process: Process, collector: HeartbeatCollector) -> None:
         self._process, self._collector = process, collector
         self._cursor = RegistryCursor()
-        self._newest_answered_at = float("-inf")  # when the newest call with an answer was sent
-        self._failed_at = float("-inf")  # when a call was last given up
+        self._last_contact_at = float("-inf")  # when the newest call with an answer was sent
+        self._last_failure_at = float("-inf")  # when a call was last given up
         self.batcher = HeartbeatBatcher(
             process.now, lambda: len(process.raft.members), self._send_batch
         )
 
-    def contact_span(self) -> float:
+    def contact_window(self) -> float:
         """Seconds for which an answered call shows that the node is in contact."""
         return min(MAX_CONTACT_S, CONTACT_FRACTION * self._process.settings.heartbeat_interval_s)
 
     def in_contact(self, now: float) -> bool:
         """Whether the leader, with a majority behind it, has answered a recent call."""
-        return now - self._newest_answered_at < self.contact_span()
+        return now - self._last_contact_at < self.contact_window()
 
-    def is_cut_off(self, now: float) -> bool:
+    def is_isolated(self, now: float) -> bool:
         """Whether the node is out of contact, and a call failed so lately that none need be tried.
 
         After a while it is tried again.
         """
-        return not self.in_contact(now) and now - self._failed_at < FAILURE_MEMORY_S
+        return not self.in_contact(now) and now - self._last_failure_at < FAILURE_BACKOFF_S
 
     async def call(
         self, envelope: pb.Envelope, timeout: float, attempt_timeout: float
@@ -129,9 +129,9 @@
         try:
             answer = await self._process.leader_client.call(envelope, timeout, attempt_timeout)
         except CallError:
-            self._failed_at = self._process.now()
+            self._last_failure_at = self._process.now()
             raise
-        self._newest_answered_at = max(self._newest_answered_at, sent_at)
+        self._last_contact_at = max(self._last_contact_at, sent_at)
         return answer
 
     async def _send_batch(self, batch: HeartbeatBatch) -> None:
@@ -224,7 +224,7 @@
         """
         process = self._process
         while True:
-            interval = REPORT_FRACTION * self.contact_span()
+            interval = REPORT_FRACTION * self.contact_window()
             await asyncio.sleep(interval * random.uniform(0.8, 1.2))
             report = self._collector.report(process.now())
             if process.leadership:
--- a/cairndale/control/grants.py
+++ b/cairndale/control/grants.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from cairndale.control.idempotency import IdempotencyCache
-from cairndale.control.ingress_counter import RECOUNT_S, IngressCounter
+from cairndale.control.ingress_counter import RECOUNT_INTERVAL_S, IngressCounter
 from cairndale.errors import RejectedError, StaleCallError
 from cairndale.quota.budget_counter import (
     BUDGET_GRANT_LIFE_S,
@@ -49,7 +49,7 @@
         self._budget_counter = BudgetCounter(now, had_predecessor)
         self._idempotency_cache = IdempotencyCache()
         self.is_counting = not had_predecessor
-        self._may_have_spent = False  # an ingress that was given a share in an earlier term
+        self._shares_may_be_spent = False  # an ingress that was given a share in an earlier term
         self._contact_updated_at = float("-inf")
         self._requests_per_s_in_warmup: dict[str, float] = {}  # by service
 
@@ -57,20 +57,20 @@
         """Take the quotas of the configuration's tenants."""
         self._quota_counter.set_quotas(
             {
-                t["name"]: (float(t["ratePerS"]), float(t.get("burst") or 0))
-                for t in tenants
-                if t.get("ratePerS")
+                tenant["name"]: (float(tenant["ratePerS"]), float(tenant.get("burst") or 0))
+                for tenant in tenants
+                if tenant.get("ratePerS")
             }
         )
 
     def set_services(self, backends: Any) -> None:
         """Take the warm-up rates of the configuration's services."""
-        rates = {b["name"]: float(b.get("warmupPerS") or 0) for b in backends}
+        rates = {backend["name"]: float(backend.get("warmupPerS") or 0) for backend in backends}
         self._requests_per_s_in_warmup = rates
 
-    def note_share_given(self) -> None:
+    def record_share_granted(self) -> None:
         """An ingress was told of the number of ingresses before, so it may have spent its share."""
-        self._may_have_spent = True
+        self._shares_may_be_spent = True
 
     def update_contact(self, now: float, force: bool = False) -> bool:
         """Count ingresses, connected and isolated, and begin to count quotas once that is safe.
@@ -78,14 +78,14 @@
         It is safe once all ingresses that may spend without a grant have made a request in this
         term, or their leases are over: it may be known then that nobody has spent anything. Where
         one that made a request has spent, empty buckets are safe at once. True if counting begins
-        now. Without `force` nothing is done within RECOUNT_S of the last time.
+        now. Without `force` nothing is done within RECOUNT_INTERVAL_S of the last time.
         """
-        if not force and 0 <= now - self._contact_updated_at < RECOUNT_S:
+        if not force and 0 <= now - self._contact_updated_at < RECOUNT_INTERVAL_S:
             return False
         self._contact_updated_at = now
         ingresses = self._ingress_counter.count(now)
         begins = not self.is_counting and (
-            self._may_have_spent or self._node_registry.all_contacted(now)
+            self._shares_may_be_spent or self._node_registry.all_contacted(now)
         )
         if begins:
             self._begin_counting(now)
@@ -113,8 +113,8 @@
         answer = pb.Envelope(term=self._term)
         if call.HasField("budget_request"):
             answer.budget_response.CopyFrom(self.grant_budget(now, call.budget_request))
-        elif (left := self.grant_quota(now, call.quota_request)) is not None:
-            answer.quota_response.remaining = left
+        elif (remaining := self.grant_quota(now, call.quota_request)) is not None:
+            answer.quota_response.remaining = remaining
         else:
             raise RejectedError()
         self._idempotency_cache.put(now, call.origin, call.request_id, answer)
--- a/cairndale/control/idempotency.py
+++ b/cairndale/control/idempotency.py
@@ -8,8 +8,8 @@
 
 # A caller sends copies for 0.5 s, a peer waits 2 s for the answer to what it forwards, and bytes
 # that nobody acknowledges are given up after 1.5 s.
-ANSWER_LIFE_S = 4.0
-MAX_ANSWERS = 4096  # about 300 bytes each
+ANSWER_TTL_S = 4.0
+MAX_CACHED_ANSWERS = 4096  # about 300 bytes each
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
 class IdempotencyCache:
     """Answers by the caller's life and the call's id (its idempotency key).
 
-    A copy that comes later than ANSWER_LIFE_S, as from a peer that stood still, is taken for
+    A copy that comes later than ANSWER_TTL_S, as from a peer that stood still, is taken for
     another call: units are granted once more, to nobody. That wastes them and never exceeds a
     bound. Times are seconds on the leader's clock.
     """
@@ -44,7 +44,7 @@
         answers = self._answers
         while answers:
             oldest = next(iter(answers))
-            is_alive = answers[oldest].made_at + ANSWER_LIFE_S > now
-            if is_alive and len(answers) < MAX_ANSWERS:
+            is_alive = answers[oldest].made_at + ANSWER_TTL_S > now
+            if is_alive and len(answers) < MAX_CACHED_ANSWERS:
                 return
             del answers[oldest]
--- a/cairndale/control/ingress_counter.py
+++ b/cairndale/control/ingress_counter.py
@@ -4,8 +4,8 @@
 
 from cairndale.registry.nodes import NodeRegistry
 
-COUNTED_AFTER_S = 20.0  # that an ingress still counts after it was last known
-RECOUNT_S = 0.05  # between two counts over all nodes, whose cost grows with their number
+INGRESS_COUNT_GRACE_S = 20.0  # that an ingress still counts after it was last known
+RECOUNT_INTERVAL_S = 0.05  # between two counts over all nodes, whose cost grows with their number
 
 
 class IngressCounter:
@@ -20,10 +20,10 @@
     def count(self, now: float) -> int:
         """The number of ingresses, 1 at the least.
 
-        It may be RECOUNT_S old, but never lacks a name that is new.
+        It may be RECOUNT_INTERVAL_S old, but never lacks a name that is new.
         """
         names_added = self._node_registry.names_added
-        is_recent = 0 <= now - self._counted_at < RECOUNT_S
+        is_recent = 0 <= now - self._counted_at < RECOUNT_INTERVAL_S
         if self._names_added != names_added or not is_recent:
             self._counted_at, self._names_added = now, names_added
             self._recount(now)
@@ -32,6 +32,8 @@
     def _recount(self, now: float) -> None:
         for lease in self._node_registry.leases.values():
             if lease.node.kind == "edge":
-                self._counted_until[lease.node.name] = now + COUNTED_AFTER_S
+                self._counted_until[lease.node.name] = now + INGRESS_COUNT_GRACE_S
         counted = self._counted_until
-        self._counted_until = {name: until for name, until in counted.items() if until > now}
+        self._counted_until = {
+            name: counted_until for name, counted_until in counted.items() if counted_until > now
+        }
--- a/cairndale/control/leader.py
+++ b/cairndale/control/leader.py
@@ -32,9 +32,9 @@
         """
 
     async def confirm(
-        self, called: float, term: int, decided: bool = False, at_once: bool = True
+        self, called_at: float, term: int, decided: bool = False, at_once: bool = True
     ) -> None:
-        """Return once a majority has followed this leader, in `term`, after the time `called`.
+        """Return once a majority has followed this leader, in `term`, after the time `called_at`.
 
         With `decided` all that the log holds now is committed as well. Raises CallError.
         """
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -151,7 +151,7 @@
         if lease.idle_from == float("inf"):
             lease.idle_from = now - request.idle_ms / 1000
             if request.epoch and node.kind == "edge":
-                self.grants.note_share_given()
+                self.grants.record_share_granted()
         lease.is_current = request.endpoints_version == self.endpoint_registry.version
         lease.uses_quota_counter = is_of_term and request.counter_active and self.grants.is_counting
         begins_counting = self.grants.update_contact(now, force=is_first_of_term)
--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -62,7 +62,7 @@
         if self._current and self._current.tick(self._clock.now()):
             self._notifier.notify()
 
-    def state_applied(self, applied: AppliedEntry) -> None:
+    def entry_applied(self, applied: AppliedEntry) -> None:
         """Takes a changed state over, and reports the change."""
         if applied.changed:
             if self._current:
--- a/cairndale/control/lease_enrolment.py
+++ b/cairndale/control/lease_enrolment.py
@@ -18,7 +18,7 @@
 from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError, CallTimeoutError
 
-GATHER_S = 0.02  # in which names that come at the same time are gathered into one round
+BATCH_DELAY_S = 0.02  # in which names that come at the same time are gathered into one round
 ENROLMENT_TIMEOUT_S = 3.0  # for which a request waits for a round
 REMOVAL_INTERVAL_S = 10.0
 
@@ -47,18 +47,18 @@
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
         self._waiting: set[str] = set()  # names for the next round
-        self._is_in_round = False
-        self._round_over = asyncio.Event()  # replaced by a new one after each round
+        self._is_enrolling = False
+        self._round_done = asyncio.Event()  # replaced by a new one after each round
         # No lease is granted to these until the outcome of their removal is known.
         self._in_removal: set[str] = set()
         # The newest list of the state, by object, and the same as a set.
-        self._enrolled_list: Sequence[str] = []
+        self._enrolled_names: Sequence[str] = []
         self._enrolled: frozenset[str] = frozenset()
 
     def _is_enrolled(self, name: str) -> bool:
         names = self._leader.state.edges
-        if self._enrolled_list is not names:
-            self._enrolled_list, self._enrolled = names, frozenset(names)
+        if self._enrolled_names is not names:
+            self._enrolled_names, self._enrolled = names, frozenset(names)
         return name in self._enrolled and name not in self._in_removal
 
     async def enrol(self, name: str) -> None:
@@ -70,7 +70,7 @@
         while not self._is_enrolled(name):
             if name not in self._in_removal:
                 self._waiting.add(name)
-            if self._is_in_round or name in self._in_removal:
+            if self._is_enrolling or name in self._in_removal:
                 await self._wait_for_round()
             else:
                 await self._run_round()
@@ -79,39 +79,39 @@
     async def _wait_for_round(self) -> None:
         try:
             async with asyncio.timeout(ENROLMENT_TIMEOUT_S):
-                await self._round_over.wait()
+                await self._round_done.wait()
         except TimeoutError:
             raise CallTimeoutError("not enrolled yet") from None
 
     async def _run_round(self) -> None:
-        self._is_in_round = True
+        self._is_enrolling = True
         try:
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(BATCH_DELAY_S)
             names = tuple(sorted(self._waiting - self._in_removal))
             self._waiting = set()
             if names:
                 await self._leader.decide(Command(Verb.ENROL, added_nodes=names))
         finally:
-            self._is_in_round = False
+            self._is_enrolling = False
             self._end_round()
 
     def _end_round(self) -> None:
-        over, self._round_over = self._round_over, asyncio.Event()
-        over.set()
+        done, self._round_done = self._round_done, asyncio.Event()
+        done.set()
 
     async def remove_forever(self) -> None:
         """Remove the names of nodes long gone, every REMOVAL_INTERVAL_S or so."""
         while True:
             await asyncio.sleep(REMOVAL_INTERVAL_S * random.uniform(0.8, 1.2))
             if leadership := self._leader.leadership:
-                await self._remove_gone(leadership)
+                await self._remove_expired(leadership)
 
-    async def _remove_gone(self, leadership: Leadership) -> None:
+    async def _remove_expired(self, leadership: Leadership) -> None:
         leases = leadership.node_registry.leases
-        gone = tuple(name for name in self._leader.state.edges if name not in leases)
-        self._in_removal = set(gone)
+        expired = tuple(name for name in self._leader.state.edges if name not in leases)
+        self._in_removal = set(expired)
         with contextlib.suppress(CallError):
-            if gone:
-                await self._leader.decide(Command(Verb.ENROL, removed_nodes=gone))
+            if expired:
+                await self._leader.decide(Command(Verb.ENROL, removed_nodes=expired))
                 self._in_removal = set()
         self._end_round()
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -43,9 +43,9 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, SettingsError, format_address
 
-TICK = 0.05  # s between two ticks of the Raft state machine
-LEAVE = 1.0  # s for other members to take over leadership and vote of one that ends
-LAST_SENDS = 0.2  # s for what was sent last to be read
+TICK_INTERVAL_S = 0.05  # s between two ticks of the Raft state machine
+LEAVE_TIMEOUT_S = 1.0  # s for other members to take over leadership and vote of one that ends
+FLUSH_DELAY_S = 0.2  # s for what was sent last to be read
 
 
 class ControlNode:
@@ -106,7 +106,7 @@
             applier=self.applier,
             snapshot_worker=self.snapshot_worker,
             driver=self.driver,
-            on_applied=(self.proposals.resolve, self.leadership_tracker.state_applied),
+            on_applied=(self.proposals.resolve, self.leadership_tracker.entry_applied),
             on_turn_end=self.system_name.adopt,
         )
         self.read_index = ReadIndex(
@@ -129,7 +129,7 @@
             clock=self.clock,
         )
         self._http_servers = {
-            "ctl": HttpServer(self.api.control, self.api.was_read),
+            "ctl": HttpServer(self.api.control, self.api.answer_received),
             "dir": HttpServer(self.api.lookup_api),
         }
         self._logged_members: tuple[Member, ...] = ()
@@ -141,7 +141,7 @@
         self.driver.subscribe(self._log_members)
         self.driver.subscribe(lambda _: self.leadership_tracker.update())
         self.driver.subscribe(lambda _: self.read_index.resolve())
-        self.driver.subscribe(lambda _: self.proposals.fail_those_of_past_terms())
+        self.driver.subscribe(lambda _: self.proposals.fail_stale_proposals())
 
     # Process life.
 
@@ -169,7 +169,7 @@
         for server in self._http_servers.values():
             server.stop()
         await self._leave()
-        await asyncio.sleep(LAST_SENDS)
+        await asyncio.sleep(FLUSH_DELAY_S)
         self.cancel()
         self.rpc_peer.stop()
         self._storage.close()
@@ -188,28 +188,28 @@
         self.leadership_tracker.reconfigure(settings)
 
     async def _leave(self) -> None:
-        """Waits, `LEAVE` seconds at most, until others hold the leadership and this one's vote."""
-        until = self.now() + LEAVE
+        """Waits, LEAVE_TIMEOUT_S seconds at most, until others hold the leadership and this one's vote."""
+        deadline = self.now() + LEAVE_TIMEOUT_S
         self.raft.leave()
-        while not self.raft.has_left() and self.now() < until:
-            await asyncio.sleep(TICK)
+        while not self.raft.has_left() and self.now() < deadline:
+            await asyncio.sleep(TICK_INTERVAL_S)
         leads = self.raft.role is Role.LEADER
         log_event(Event.LEAVING, "leads %s, votes %s", leads, self.raft.may_campaign())
 
     async def _tick_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(TICK_INTERVAL_S)
             try:
                 self.driver.tick()
                 self.leadership_tracker.tick()
-                self.system_name.draw()
+                self.system_name.propose()
             except Exception as error:
                 log_event(Event.FAILED, "tick: %r", error)
                 raise
 
     async def _make_snapshots_forever(self) -> None:
         while True:
-            await asyncio.sleep(self.snapshot_worker.timed_step())
+            await asyncio.sleep(self.snapshot_worker.step_and_pause())
 
     # What the node does with a step of the Raft state machine, between its parts.
 
@@ -277,16 +277,16 @@
         return await self.proposals.decide(command)
 
     async def confirm(
-        self, called: float, term: int, decided: bool = False, at_once: bool = True
+        self, called_at: float, term: int, decided: bool = False, at_once: bool = True
     ) -> None:
-        """Returns once a majority has followed this leader, in `term`, after the time `called`.
+        """Returns once a majority has followed this leader, in `term`, after the time `called_at`.
 
         All that was committed by the time of this call is applied then; with `decided`, all that
         the log held. `at_once`: a heartbeat is sent for it, else the next one is waited for. Raises
         NotLeaderError.
         """
         index = self.raft.last_index if decided else self.raft.commit_index
-        await self.read_index.confirm(called, term, index, at_once)
+        await self.read_index.confirm(called_at, term, index, at_once)
 
     async def register_endpoints(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
         """Registers endpoints at the leader (see `RequestDispatcher.register_endpoints`)."""
--- a/cairndale/control/proposals.py
+++ b/cairndale/control/proposals.py
@@ -22,7 +22,7 @@
 from cairndale.raft.messages import Ready
 from cairndale.raft.node import RaftNode
 
-DECIDE = 3.0  # s for an entry to be committed and applied
+DECISION_TIMEOUT_S = 3.0  # s for an entry to be committed and applied
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -40,7 +40,7 @@
     def __init__(self, raft: RaftNode, driver: RaftDriver, clock: Clock) -> None:
         self._raft, self._driver, self._clock = raft, driver, clock
         self._pending: dict[int, PendingProposal] = {}  # by index
-        self._fragments_turn = asyncio.Lock()  # one command in fragments at a time
+        self._fragments_lock = asyncio.Lock()  # one command in fragments at a time
         self._tasks: set[asyncio.Task[bool]] = set()
 
     async def decide(self, command: Command) -> bool:
@@ -78,15 +78,15 @@
             else:  # another's entry stands there; the command may have been committed elsewhere
                 pending.future.set_exception(CallTimeoutError("another leader came first"))
 
-    def fail_those_of_past_terms(self) -> None:
+    def fail_stale_proposals(self) -> None:
         """Ends all proposals of terms that this node no longer leads."""
         for pending in self._pending.values():
-            over = pending.term != self._raft.term or self._raft.leader != self._raft.me
-            if over and not pending.future.done():
+            is_over = pending.term != self._raft.term or self._raft.leader != self._raft.me
+            if is_over and not pending.future.done():
                 pending.future.set_exception(CallTimeoutError("the term is over"))
 
     async def _decide_in_fragments(self, fragments: Iterator[bytes]) -> bool:
-        async with self._fragments_turn:
+        async with self._fragments_lock:
             term, window, changed = self._raft.term, deque[PendingProposal](), False
             try:
                 for data in fragments:
@@ -103,8 +103,8 @@
                     pending.future.cancel()
                 # In a later term its leader's first entry makes the fragments void.
                 if self._raft.term == term:
-                    void = encode_fragment(FragmentKind.ABORT, 0, b"")
-                    self._driver.carry_out(self._raft.propose(self._clock.now(), void)[1])
+                    abort = encode_fragment(FragmentKind.ABORT, 0, b"")
+                    self._driver.carry_out(self._raft.propose(self._clock.now(), abort)[1])
                 raise
             return changed
 
@@ -123,7 +123,7 @@
 
     async def _outcome(self, pending: PendingProposal) -> bool:
         try:
-            async with asyncio.timeout(DECIDE):
+            async with asyncio.timeout(DECISION_TIMEOUT_S):
                 return await pending.future
         except TimeoutError:
             raise CallTimeoutError("no majority has it yet") from None
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -23,9 +23,9 @@
 from cairndale.errors import CallError, NotLeaderError
 from cairndale.raft.messages import Ready
 
-QUORUM_TIMEOUT = 0.6  # s for a majority to answer; time is left then to pass a call on
-HEARTBEAT_DELAY = 0.002  # s after a call: the heartbeat has to bear a later time than the call
-HEARTBEAT_SPACING = 0.01  # s at least between two heartbeats that were sent for calls
+QUORUM_TIMEOUT_S = 0.6  # s for a majority to answer; time is left then to pass a call on
+HEARTBEAT_DELAY_S = 0.002  # s after a call: the heartbeat has to bear a later time than the call
+MIN_HEARTBEAT_INTERVAL_S = 0.01  # s at least between two heartbeats that were sent for calls
 
 
 class Log(Protocol):
@@ -47,7 +47,7 @@
 class _PendingRead:
     """A call that waits for a majority."""
 
-    called: float
+    called_at: float
     term: int
     index: int
     future: asyncio.Future[None]
@@ -87,26 +87,30 @@
             raft.term, raft.leads(now), raft.last_quorum_contact(now), self._applied_index()
         )
 
-    def _is_met(self, pending: _PendingRead, status: _LogStatus) -> bool:
+    def _is_confirmed(self, pending: _PendingRead, status: _LogStatus) -> bool:
         if status.term != pending.term:
             raise NotLeaderError()
-        return status.leads and status.contact > pending.called and status.applied >= pending.index
+        return (
+            status.leads and status.contact > pending.called_at and status.applied >= pending.index
+        )
 
-    async def confirm(self, called: float, term: int, index: int = 0, at_once: bool = True) -> None:
-        """Returns once a majority has followed this leader, in `term`, since the time `called`.
+    async def confirm(
+        self, called_at: float, term: int, index: int = 0, at_once: bool = True
+    ) -> None:
+        """Returns once a majority has followed this leader, in `term`, since the time `called_at`.
 
         The log is applied up to `index` then. `at_once`: a heartbeat is sent for the call, else the
         next one is waited for. Raises NotLeaderError where the term is over or no majority answers
         in time: this node may lead no longer.
         """
-        pending = _PendingRead(called, term, index, asyncio.get_running_loop().create_future())
-        if self._is_met(pending, self._status()):
+        pending = _PendingRead(called_at, term, index, asyncio.get_running_loop().create_future())
+        if self._is_confirmed(pending, self._status()):
             return
         self._pending.add(pending)
         try:
             if at_once:
-                self._schedule_heartbeat(HEARTBEAT_DELAY)
-            async with asyncio.timeout(QUORUM_TIMEOUT):
+                self._schedule_heartbeat(HEARTBEAT_DELAY_S)
+            async with asyncio.timeout(QUORUM_TIMEOUT_S):
                 await pending.future
         except TimeoutError:
             raise NotLeaderError("no majority has answered") from None
@@ -122,11 +126,11 @@
         self._timer = None
         if not self._pending:
             return
-        step = self._raft.heartbeat_soon(self._clock.now(), HEARTBEAT_SPACING)
+        step = self._raft.heartbeat_soon(self._clock.now(), MIN_HEARTBEAT_INTERVAL_S)
         if step.sends:
             self._carry_out(step)
         else:
-            self._schedule_heartbeat(HEARTBEAT_SPACING)
+            self._schedule_heartbeat(MIN_HEARTBEAT_INTERVAL_S)
             self.resolve()
 
     def resolve(self) -> None:
@@ -141,7 +145,7 @@
             if pending.future.done():
                 continue
             try:
-                if self._is_met(pending, status):
+                if self._is_confirmed(pending, status):
                     pending.future.set_result(None)
             except CallError as failure:
                 pending.future.set_exception(failure)
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -100,6 +100,6 @@
         await self._confirm(now, leadership.term)
         return leadership.term
 
-    async def _confirm(self, called: float, term: int) -> None:
+    async def _confirm(self, called_at: float, term: int) -> None:
         """Waits for the next heartbeat's answers, which confirm many calls at once."""
-        await self._read_index.confirm(called, term, self._raft.commit_index, at_once=False)
+        await self._read_index.confirm(called_at, term, self._raft.commit_index, at_once=False)
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -21,10 +21,10 @@
 from cairndale.raft.storage import RaftStorage, StorageError
 
 INLINE_STEPS = 2  # steps done within the call: enough for a small state
-CHUNK = 64 * 1024  # bytes of a snapshot written to disk in one step
-MIN_PAUSE = 0.002  # s at least between two steps, and ...
+WRITE_CHUNK_BYTES = 64 * 1024  # bytes of a snapshot written to disk in one step
+MIN_PAUSE_S = 0.002  # s at least between two steps, and ...
 PAUSE_RATIO = 3.0  # ... so many times what the last one took: on a slow disk others get their turn
-RETRY_AFTER = 5.0  # s after a snapshot could not be written
+RETRY_DELAY_S = 5.0  # s after a snapshot could not be written
 
 Job = Iterator[None]
 
@@ -46,17 +46,17 @@
         self._storage, self._raft, self._carry_out, self._now = storage, raft, carry_out, now
         self._jobs: deque[Job] = deque([self._sweep_steps()])
         self._is_creating = False
-        self._not_before = float("-inf")
+        self._retry_at = float("-inf")
         self.installed_state = State()  # of the snapshot that is being installed
 
     def create(self, raw: dict[str, Any], index: int) -> None:
         """Begins a snapshot of the state as it is after the entry at `index`.
 
         Does nothing while another is being created, if one of that index exists, or for
-        `RETRY_AFTER` seconds after a failure.
+        RETRY_DELAY_S seconds after a failure.
         """
         is_newer = index > self._raft.base_snapshot.index
-        if not self._is_creating and is_newer and self._now() >= self._not_before:
+        if not self._is_creating and is_newer and self._now() >= self._retry_at:
             self._is_creating = True
             self._begin(self._create_steps(raw, index))
 
@@ -78,7 +78,7 @@
             return False
         except StorageError as error:  # a job itself writes nothing that must be durable
             log_event(Event.SNAPSHOT_FAILED, "%s", error)
-            self._not_before = self._now() + RETRY_AFTER
+            self._retry_at = self._now() + RETRY_DELAY_S
             self._jobs.append(self._sweep_steps(failed=True))
             return False
         return True
@@ -91,12 +91,14 @@
                 self._jobs.append(job)
         return bool(self._jobs)
 
-    def timed_step(self) -> float:
+    def step_and_pause(self) -> float:
         """Does one step; the seconds to wait until the next one."""
         begun = time.perf_counter()
         more = self.step()
         return (
-            max(MIN_PAUSE, PAUSE_RATIO * (time.perf_counter() - begun)) if more else 10 * MIN_PAUSE
+            max(MIN_PAUSE_S, PAUSE_RATIO * (time.perf_counter() - begun))
+            if more
+            else 10 * MIN_PAUSE_S
         )
 
     def _create_steps(self, raw: dict[str, Any], index: int) -> Job:
@@ -110,10 +112,10 @@
             if index <= self._raft.base_snapshot.index:  # a newer one was installed meanwhile
                 return
             snapshot = self._raft.make_snapshot(index, b"".join(made), digest.digest())
-            if len(snapshot.state) > CHUNK:
-                for at in range(0, len(snapshot.state), CHUNK):
+            if len(snapshot.state) > WRITE_CHUNK_BYTES:
+                for at in range(0, len(snapshot.state), WRITE_CHUNK_BYTES):
                     yield
-                    piece = snapshot.state[at : at + CHUNK]
+                    piece = snapshot.state[at : at + WRITE_CHUNK_BYTES]
                     self._storage.write(
                         [SaveSnapshotChunk(snapshot.head, at, piece, received=False)]
                     )
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -34,7 +34,7 @@
         self._raft, self._driver, self._clock = raft, driver, clock
         self._storage, self._applier, self._leadership = storage, applier, leadership
         self._rpc_peer = rpc_peer
-        self._drawn_in_term = 0
+        self._proposed_in_term = 0
         rpc_peer.system = storage.system_name() or applier.state.system_name
 
     def adopt(self) -> None:
@@ -45,16 +45,16 @@
                 self._storage.set_system_name(name)
             self._rpc_peer.set_system_name(name)
 
-    def draw(self) -> None:
+    def propose(self) -> None:
         """Proposes a name, once a term, as leader of a system that has none."""
         leadership = self._leadership.current
         if (
             self._applier.state.system_name
             or not leadership
-            or self._drawn_in_term == leadership.term
+            or self._proposed_in_term == leadership.term
         ):
             return
-        self._drawn_in_term = leadership.term
+        self._proposed_in_term = leadership.term
         name = self._rpc_peer.system or f"{random.SystemRandom().getrandbits(64):016x}"
         command = Command(Verb.NAME, digest=name)
         _, step = self._raft.propose(self._clock.now(), command.encode())
--- a/cairndale/control/watch_responses.py
+++ b/cairndale/control/watch_responses.py
@@ -20,9 +20,9 @@
 from cairndale.rpc.lease_timing import NODE_LEASE_S
 
 # Compressed lists are reused for this long: by so much longer an endpoint counts as warming up.
-LIST_LIFE_S = 0.2
+LISTS_TTL_S = 0.2
 # Lists of changes are reused for so long for each ingress: half of the time between two rounds.
-CHANGES_LIFE_PER_INGRESS_S = 0.0007
+DELTA_TTL_PER_INGRESS_S = 0.0007
 MAX_CACHED_LISTS = 64
 
 NONE_KNOWN = -1  # in place of a version: nothing of this epoch is known
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PackedLists:
+class _CompressedLists:
     made_at: float
     versions: ListVersions  # that whoever applies them knows
     data: bytes
@@ -64,9 +64,9 @@
     ) -> None:
         self._epoch, self._ingress_counter = epoch, ingress_counter
         self._endpoint_registry, self._node_registry = endpoint_registry, node_registry
-        self._lists: dict[tuple[ListVersions, bool], _PackedLists] = {}
+        self._lists: dict[tuple[ListVersions, bool], _CompressedLists] = {}
 
-    def get(self, now: float, known: ListVersions) -> _PackedLists:
+    def get(self, now: float, known: ListVersions) -> _CompressedLists:
         has_settled = self._epoch.has_settled(now)
         current = ListVersions(self._endpoint_registry.version, self._node_registry.version)
         cached = self._lists.get((known, has_settled))
@@ -75,17 +75,17 @@
         message = self._message(now, known, current, has_settled)
         if len(self._lists) >= MAX_CACHED_LISTS:
             self._lists.clear()
-        lists = self._lists[known, has_settled] = _PackedLists(
+        lists = self._lists[known, has_settled] = _CompressedLists(
             now, current, compress_lists(message)
         )
         return lists
 
     def _life(
-        self, now: float, known: ListVersions, cached: _PackedLists, current: ListVersions
+        self, now: float, known: ListVersions, cached: _CompressedLists, current: ListVersions
     ) -> float:
         if cached.versions == current or known.is_partial:
-            return LIST_LIFE_S
-        return min(LIST_LIFE_S, CHANGES_LIFE_PER_INGRESS_S * self._ingress_counter.count(now))
+            return LISTS_TTL_S
+        return min(LISTS_TTL_S, DELTA_TTL_PER_INGRESS_S * self._ingress_counter.count(now))
 
     def _message(
         self, now: float, known: ListVersions, current: ListVersions, has_settled: bool
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -32,7 +32,7 @@
 SEND_BURST_BYTES = 400_000
 MAX_RESPONSES_IN_A_ROW = 16  # before other tasks have their turn
 MIN_WAIT_S = 0.001
-MAX_CREDIT_S = 1.0  # of the send rate, that is added for time without a turn
+MAX_REFILL_S = 1.0  # of the send rate, that is added for time without a turn
 
 
 class Leader(Protocol):
@@ -89,7 +89,7 @@
         self._refilled_at = float("-inf")
 
     def refill(self, now: float) -> None:
-        elapsed = now - max(self._refilled_at, now - MAX_CREDIT_S)
+        elapsed = now - max(self._refilled_at, now - MAX_REFILL_S)
         self.bytes = min(SEND_BURST_BYTES, self.bytes + elapsed * SEND_RATE_BYTES_PER_S)
         self._refilled_at = now
 
@@ -113,7 +113,7 @@
         self._waiting_since: dict[str, float] = {}  # by node, while it waits for an update
         self._woken = asyncio.Event()
         self._has_changed = False  # endpoints or nodes, since the last round
-        self._round_at = float("-inf")
+        self._last_round_at = float("-inf")
         self._sent_state: _UrgentState | None = None  # as of the last round
         self._budget = _SendBudget()
 
@@ -225,7 +225,7 @@
         self._sent_state = None
 
     def _next_round_at(self, leadership: Leadership, now: float) -> float:
-        return self._round_at + round_interval(leadership.ingress_counter.count(now))
+        return self._last_round_at + round_interval(leadership.ingress_counter.count(now))
 
     def _begin_round(self, leadership: Leadership, now: float) -> None:
         """Find all requests with an update, once for all changes of a round."""
@@ -238,7 +238,7 @@
         is_round_due = self._has_changed and now >= self._next_round_at(leadership, now)
         if urgent == self._sent_state and not is_round_due:
             return
-        self._sent_state, self._has_changed, self._round_at = urgent, False, now
+        self._sent_state, self._has_changed, self._last_round_at = urgent, False, now
         has_update = leadership.watch_responses.has_update
         self._ready = [
             pending
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -21,7 +21,7 @@
 from cairndale.configuration.state import State
 from cairndale.control import endpoint_codec, watch_responses
 from cairndale.control import watch_server as watch_server_module
-from cairndale.control.ingress_counter import COUNTED_AFTER_S, RECOUNT_S
+from cairndale.control.ingress_counter import INGRESS_COUNT_GRACE_S, RECOUNT_INTERVAL_S
 from cairndale.control.leadership import Leadership
 from cairndale.control.watch_responses import WatchResponseBuilder
 from cairndale.control.watch_server import WatchServer
@@ -463,7 +463,7 @@
         )
         assert long_poll_timeout(edges) + NODE_CONTACT_MARGIN_S < NODE_LEASE_S / 2
         assert long_poll_timeout(edges) >= MIN_LONG_POLL_S
-    assert LEADER_CONTACT_MARGIN_S + RECOUNT_S < NODE_CONTACT_MARGIN_S
+    assert LEADER_CONTACT_MARGIN_S + RECOUNT_INTERVAL_S < NODE_CONTACT_MARGIN_S
 
 
 def test_who_cannot_be_told_yet_keeps_its_lease_and_is_told_later(
@@ -599,15 +599,15 @@
     rng, node_registry, names = random.Random(4), NodeRegistry(), [f"e{n}" for n in range(300)]
     looked = node_registry.leases = Looked()
     leadership = Leadership(1, 0.0, True, EndpointRegistry(), node_registry, names, Bounds(), BEAT)
-    counted = {name: COUNTED_AFTER_S for name in names}
+    counted = {name: INGRESS_COUNT_GRACE_S for name in names}
     for turn in range(600):
         now, looked.looks = 0.001 * turn, 0
         name = rng.choice(names) if turn % 100 else f"new{turn}"
         node_registry.record_request(now, pb.Node(name=name, incarnation=f"{turn}", kind="edge"), 0)
-        counted[name] = now + COUNTED_AFTER_S
+        counted[name] = now + INGRESS_COUNT_GRACE_S
         before = leadership.ingress_counter._counted_at
         assert leadership.ingress_counter.count(now) == len(counted)
-        assert looked.looks == 0 or name.startswith("new") or now - before >= RECOUNT_S
+        assert looked.looks == 0 or name.startswith("new") or now - before >= RECOUNT_INTERVAL_S
 
 
 def test_long_lists_are_not_made_anew_for_each_that_returns(
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -323,7 +323,7 @@
         self._loop.call_later(pause if who(self._raft) else 0.0, more)
 
     monkeypatch.setattr(ApplyLoop, "_yield_to_loop", leave)
-    monkeypatch.setattr(apply_loop, "APPLY", 0.0)
+    monkeypatch.setattr(apply_loop, "MAX_TURN_S", 0.0)
 
 
 async def begun(count: int = 6_000) -> tuple[World, History, ControlNode]:
@@ -416,7 +416,7 @@
     rest."""
     world, history, _ = await begun()
     with monkeypatch.context() as hasty:
-        hasty.setattr(proposals, "DECIDE", 0.03)
+        hasty.setattr(proposals, "DECISION_TIMEOUT_S", 0.03)
         assert (await world.call(world.hosts[0], "POST", "Config.Replace", history.sent[2][1]))[
             0
         ] == 503
@@ -442,7 +442,7 @@
 def test_no_snapshot_is_made_amid_a_command(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(apply_loop, "ENTRIES", 2)
+    monkeypatch.setattr(apply_loop, "SNAPSHOT_INTERVAL_ENTRIES", 2)
     play(amid_a_snapshot())
     monkeypatch.setattr(cairndale.control.node, "Applier", AlwaysWhole)
     with pytest.raises(ValueError, match="too many values"):  # states that differ
@@ -527,7 +527,7 @@
 def test_commands_of_disks_of_old_are_read() -> None:
     """A large one in one entry."""
     data = replaced(1, 0, 30_000).encode()
-    assert len(data) > applier.LARGE_ENTRY and in_force([Entry(1, 1, data)]).state.gen == 1
+    assert len(data) > applier.LARGE_ENTRY_BYTES and in_force([Entry(1, 1, data)]).state.gen == 1
 
 
 # The body of a call.
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -18,7 +18,7 @@
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import State
-from cairndale.control.snapshot_worker import CHUNK, RETRY_AFTER, SnapshotWorker
+from cairndale.control.snapshot_worker import RETRY_DELAY_S, WRITE_CHUNK_BYTES, SnapshotWorker
 from cairndale.raft import codec
 from cairndale.raft.messages import (
     Entry,
@@ -467,7 +467,7 @@
     steps.machine.log.append(Entry(10, 1, b"10"))
     store.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
     assert steps.machine.base_snapshot.index == 0 and store.load().snapshot.index == 0
-    assert steps.run() > 10 and max(written) <= CHUNK
+    assert steps.run() > 10 and max(written) <= WRITE_CHUNK_BYTES
     kept = store.load()
     assert (
         kept.snapshot.state == before and kept.entries == [Entry(10, 1, b"10")] == steps.machine.log
@@ -483,7 +483,7 @@
     store = RaftStorage(tmp_path, map_bytes=512 * 1024)
     steps = Steps(store, grown(8, tenants=30_000))
     for n in range(3):
-        steps.now += 2 * RETRY_AFTER
+        steps.now += 2 * RETRY_DELAY_S
         steps.snapshot_worker.create(steps.state.to_dict(), 9)
         steps.run()
         index = 10 + n
@@ -493,7 +493,7 @@
             kept.snapshot.index == steps.machine.base_snapshot.index == 0
             and kept.entries[-1].index == index
         )
-    steps.now += 2 * RETRY_AFTER
+    steps.now += 2 * RETRY_DELAY_S
     steps.snapshot_worker.create(State().to_dict(), 9)
     steps.run()
     assert store.load().snapshot.index == 9
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -493,7 +493,7 @@
     async with asyncio.timeout(10):
         while not (made.leadership and made.rpc_peer.system):
             made.driver.tick()
-            made.system_name.draw()
+            made.system_name.propose()
             await asyncio.sleep(0.005)
     assert made.leadership
     return made.leadership.term
@@ -630,12 +630,12 @@
     call = unit_call(1)
     call.quota_request.amount = 80
     first = made.grants.answer(100.0, call)
-    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
+    assert made.grants.answer(100.0 + idempotency.ANSWER_TTL_S - 0.01, call) == first
     # wasted, and bounded
-    assert made.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
-    for id in range(2, 2 * idempotency.MAX_ANSWERS):
+    assert made.grants.answer(100.0 + idempotency.ANSWER_TTL_S, call) != first
+    for id in range(2, 2 * idempotency.MAX_CACHED_ANSWERS):
         made.grants.answer(105.0, unit_call(id))
-    assert len(made.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
+    assert len(made.grants._idempotency_cache._answers) <= idempotency.MAX_CACHED_ANSWERS
     with pytest.raises(CallError) as stale:
         made.grants.answer(105.0, unit_call(1, term=2))
     assert stale.value.code is FaultCode.STALE
