--- a/cairndale/control/__init__.py
+++ b/cairndale/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control node: what the leader decides for all under its lease, and how others reach it."""
+"""The control node: replicates the state, decides changes as leader, and serves other processes."""
--- a/cairndale/control/api.py
+++ b/cairndale/control/api.py
@@ -1,4 +1,4 @@
-"""Calls of clients, servers and operators at any control node: answered here, or forwarded."""
+"""HTTP calls of clients, servers and operators to a control node: answered or forwarded."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import Settings
 
-# The leader has this long to answer a forwarded call with a body of so many bytes or more.
+# Timeout of a call forwarded to the leader whose body has LARGE_FORWARD_BYTES or more.
 LARGE_FORWARD_TIMEOUT_S = 2.5
 LARGE_FORWARD_BYTES = 16 * 1024
 
 
 class Process(Protocol):
-    """What the API needs of its process."""
+    """The part of the control node that the API uses."""
 
     settings: Settings
     node_registry: NodeRegistry
@@ -46,13 +46,13 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership, while this process leads."""
+        """The leadership, or None while this process does not lead."""
 
     def now(self) -> float:
         """Seconds on the process's clock."""
 
     def leads(self) -> bool:
-        """Whether this process leads, with a majority behind it."""
+        """Whether this process leads and holds the leader lease."""
 
 
 class ControlApi:
@@ -64,7 +64,7 @@
         self._routes, self._routes_content = ContentRoutes({}), Content()
 
     def ready(self) -> bool:
-        """Whether this node leads with a majority behind it, or is in contact with that leader."""
+        """Whether this node holds the leader lease, or is in contact with the leader that does."""
         process = self._process
         return process.leads() if process.leadership else self._follower.in_contact(process.now())
 
@@ -73,14 +73,14 @@
         return json_response(200 if is_ready else 503, {"ready": is_ready})
 
     async def lookup_api(self, method: str, target: str, body: bytes) -> Response:
-        """Response a client's call, at `dir`."""
-        found = match(LOOKUP_ROUTES, method, target)
-        if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
-        if found.call == "ready":
+        """Answers a client's call to the `dir` address."""
+        route = match(LOOKUP_ROUTES, method, target)
+        if isinstance(route, RouteFailure):
+            return error_response(route.status, route.why)
+        if route.call == "ready":
             return self._readiness()
         if not self.ready():
-            return error_response(503, "out of contact")
+            return error_response(503, "this control node is not in contact with the leader")
         return self._lookup(target)
 
     def _lookup(self, target: str) -> Response:
@@ -92,34 +92,37 @@
             process.node_registry.listed_nodes(),
             process.settings.bounds.ttl_max,
             self._routes,
-            version=object(),  # versions of the registry begin anew with each leader
+            # Registry versions start again with each leader, so no cached answer may be reused.
+            version=object(),
         )
 
     async def control(self, method: str, target: str, body: bytes) -> Response:
-        """Response a server's or an operator's call, at `ctl`."""
-        found = match(CONTROL_ROUTES, method, target)
-        if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
-        if found.call == "ready":
+        """Answers a server's or an operator's call to the `ctl` address."""
+        route = match(CONTROL_ROUTES, method, target)
+        if isinstance(route, RouteFailure):
+            return error_response(route.status, route.why)
+        if route.call == "ready":
             return self._readiness()
-        if found.call != "beat":
+        if route.call != "beat":
             return await self._execute(method, target, body, FORWARD_TIMEOUT_S)
-        status, answer = await self._heartbeat(found.args["id"], method, target, body)
+        status, answer = await self._heartbeat(route.args["id"], method, target, body)
         if status != 200:
             return status, answer
         return json_response(200, self._collector.closer_target(body) if self.ready() else {})
 
     async def _heartbeat(self, id: str, method: str, target: str, body: bytes) -> Response:
-        """Have a heartbeat taken in: collected here, in a batch for the leader, or as any call.
+        """Registers a heartbeat by the cheapest way that applies.
 
-        One that is not valid goes the last way: the leader says what is wrong with it.
+        A follower in contact with the leader collects a heartbeat that reports nothing new, and
+        sends any other valid one to the leader in a batch. An invalid heartbeat is handled like any
+        other call, so that the leader's answer says what is wrong with it.
         """
         now = self._process.now()
         if self._process.leadership is None:
             if self._follower.in_contact(now) and self._collector.collect(id, body, now):
                 return json_response(200, {})
             if self._follower.is_isolated(now):
-                return error_response(503, "out of contact")
+                return error_response(503, "this control node is not in contact with the leader")
             if heartbeat := self._collector.parse(id, body, now):
                 try:
                     await self._follower.batcher.register(heartbeat)
@@ -131,10 +134,10 @@
     async def _execute(
         self, method: str, target: str, body: bytes, isolated_timeout: float
     ) -> Response:
-        """Execute a call here if this node leads, else forward it to the leader.
+        """Executes a call here if this node leads, else forwards it to the leader.
 
-        Forwarding after it was executed here in vain does no harm: the call has an id, and
-        configurations are known by their digest.
+        A call may be forwarded after its execution here has failed because leadership was lost.
+        That is safe: the call has an id, and configuration changes are identified by their digest.
         """
         process, called_at = self._process, self._process.now()
         call_id = f"{random.getrandbits(64):016x}"
@@ -166,15 +169,15 @@
         return answer.operation_response.status, answer.operation_response.body
 
     def answer_received(self, method: str, target: str, answer: Response) -> None:
-        """The caller has received an answer: the same call for a zone is another order from now."""
-        found = match(CONTROL_ROUTES, method, target)
-        if isinstance(found, RouteFailure) or found.call not in ("evacuate", "take back"):
+        """Notes that a caller has received its answer: a later call for the zone is a new order."""
+        route = match(CONTROL_ROUTES, method, target)
+        if isinstance(route, RouteFailure) or route.call not in ("evacuate", "take back"):
             return
         status, body = answer
         if status != 200:
             return
         process = self._process
-        receipt = pb.EvacuationReceipt(zone=found.args["zone"], order_id=json.loads(body)["order"])
+        receipt = pb.EvacuationReceipt(zone=route.args["zone"], order_id=json.loads(body)["order"])
         if process.leadership:
             process.leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
         elif process.leader_client.leader_address:
--- a/cairndale/control/applier.py
+++ b/cairndale/control/applier.py
@@ -1,9 +1,10 @@
-"""Applies committed entries to the state, in steps of which none holds the event loop. Pure.
+"""Applies committed log entries to the state in short steps. Performs no I/O.
 
-A large command stands in the log in fragments (`cairndale.raft.fragments`), which are decoded as
-they are committed; the last one decides. What becomes of the command depends on the log alone, so
-it is alike at all members: it is void if its fragments do not follow one another in one term, if it
-was given up, or if its digest does not match.
+No step blocks the event loop for long. A large command is stored in the log as several fragments
+(`cairndale.raft.fragments`), which are decoded as they are committed; the command is applied with
+the last one. Whether it takes effect depends on the log alone, so all members agree: it is void if
+its fragments are not consecutive within one term, if it was aborted, or if its digest does not
+match.
 """
 
 from __future__ import annotations
@@ -23,14 +24,16 @@
 from cairndale.raft.fragments import Fragment, FragmentKind
 from cairndale.raft.messages import Entry, state_digest
 
-# Bytes of a command in one entry, as earlier versions wrote it, beyond which it makes many objects.
+# Earlier versions wrote a command of any size as one entry. The garbage collector is paused for
+# entries above this size, because decoding them creates many objects.
 LARGE_ENTRY_BYTES = 64 * 1024
 
 
 def encode_command(command: Command) -> bytes | Iterator[bytes]:
-    """The command as one entry's data, or as the data of several entries (`fragments.split`).
+    """The command as the data of one entry, or of several entries (`fragments.split`).
 
-    Each item of the iterator is a step of work; an empty one is no entry, only a pause.
+    Each item of the iterator is one step of work. An empty item is not an entry: it only marks a
+    point where the caller may yield to the event loop.
     """
     parts = serialization.encode_parts(command.to_dict())
     first = list(islice(parts, 3))  # the format's header, and a second part if there is one
@@ -41,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AppliedEntry:
-    """An entry that has been applied."""
+    """A log entry that has been applied."""
 
     entry: Entry
     changed: bool  # whether it changed the state; False for a void command
@@ -49,9 +52,9 @@
 
 @dataclass(slots=True)
 class _PartialCommand:
-    """A command of which not all fragments are committed."""
+    """A command whose last fragment is not committed yet."""
 
-    count: int = 0  # fragments so far
+    count: int = 0  # fragments received so far
     raw: dict[str, Any] = field(default_factory=dict)
     digest: Any = field(default_factory=state_digest)
     decoder: serialization.PartsDecoder = field(init=False)
@@ -61,11 +64,11 @@
 
 
 class Applier:
-    """The replicated state, and the committed entries that are still to be applied to it.
+    """The replicated state, and the queue of committed entries that are not applied yet.
 
-    `state` is as it is after the entry at `index`, which is of `term`. `encodes_content` is set
-    while this node leads: the configuration is then encoded for ingresses as it is applied, in
-    steps, and not all at once when the first one asks for it.
+    `state` includes all entries up to `index`; the entry at `index` is of `term`.
+    `encodes_content` is set while this node leads: the configuration is then encoded for ingresses
+    in steps while it is applied, instead of all at once when the first ingress requests it.
     """
 
     def __init__(self, state: State, index: int = 0, term: int = 0) -> None:
@@ -74,7 +77,7 @@
         self.restore(state, index, term)
 
     def restore(self, state: State, index: int, term: int) -> None:
-        """Replaces the state by a snapshot's; entries that were enqueued are dropped."""
+        """Replaces the state by that of a snapshot and drops the queued entries."""
         self.state, self.index, self.term = state, index, term
         self._queue.clear()
         self._work: Generator[None, None, bool] | None = None
@@ -82,25 +85,26 @@
 
     @property
     def has_backlog(self) -> bool:
-        """Whether committed entries are still to be applied."""
+        """Whether committed entries are waiting to be applied."""
         return bool(self._queue)
 
     @property
     def is_between_commands(self) -> bool:
-        """Whether the state is all that the log says up to `index`.
+        """Whether the state reflects the whole log up to `index`.
 
-        Within a command's fragments it is not, and no snapshot can take their place.
+        It does not between the fragments of a command: a snapshot taken there could not replace the
+        fragments before it.
         """
         return self._partial is None and self._work is None
 
     def enqueue(self, entries: Iterable[Entry]) -> None:
-        """Adds committed entries, in the order of the log."""
+        """Adds committed entries in log order."""
         self._queue.extend(entries)
 
     def step(self) -> AppliedEntry | None:
         """Does one step of work, if there is any.
 
-        Returns the entry if this was the last step of applying it.
+        Returns the entry once its last step is done, else None.
         """
         if not self._queue:
             return None
@@ -119,7 +123,7 @@
         return None
 
     def _apply_steps(self, entry: Entry) -> Generator[None, None, bool]:
-        if entry.is_term_start:  # the fragments before it are of a leader of an earlier term
+        if entry.is_term_start:  # earlier fragments were written by the leader of an earlier term
             self._partial = None
             if self.encodes_content:
                 yield from self.state.encode_content_steps()
@@ -134,7 +138,7 @@
         )
 
     def _assemble(self, fragment: Fragment) -> Generator[None, None, Command | None]:
-        """Decodes a fragment; returns the command if this is its last one."""
+        """Decodes a fragment; returns the command if the fragment completes it."""
         if fragment.number == 0 and fragment.kind is not FragmentKind.ABORT:
             self._partial = _PartialCommand()
         partial, self._partial = self._partial, None
--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -1,7 +1,7 @@
-"""Applies committed entries to the replicated state, in turns of bounded length.
+"""Applies committed entries to the replicated state in turns of bounded duration.
 
-A turn takes MAX_TURN_S seconds at most and then leaves the event loop to others, so that a large
-backlog delays no heartbeat. After an entry is applied a snapshot may be due.
+A turn takes at most about MAX_TURN_S and then yields to the event loop, so that a large backlog
+does not delay heartbeats. Snapshots are started here after entries have been applied.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
 
-SNAPSHOT_INTERVAL_ENTRIES = 128  # a snapshot is due after each so many entries of the log ...
-MAX_LOG_BYTES = 4 * 1024 * 1024  # ... and once the entries after the last one have so many bytes
-MAX_TURN_S = 0.005  # s that one turn may take
+SNAPSHOT_INTERVAL_ENTRIES = 128  # a snapshot is taken at each multiple of this index
+MAX_LOG_BYTES = 4 * 1024 * 1024  # of entries since the last snapshot, before the next one is taken
+MAX_TURN_S = 0.005
 
 
 class ApplyLoop:
-    """Brings committed entries into force, in the order of the log.
+    """Applies committed entries in log order.
 
     `on_applied` is called after each entry, `on_turn_end` after each turn.
     """
@@ -42,20 +42,20 @@
         self._snapshot_worker = snapshot_worker
         self._on_applied, self._on_turn_end = on_applied, on_turn_end
         self._loop = asyncio.get_running_loop()
-        self._is_running = False  # in a turn, or the next one is scheduled
-        self._is_snapshot_due = False  # since an entry within a command's fragments
+        self._is_running = False  # a turn is running or scheduled
+        self._is_snapshot_due = False  # deferred to the end of a fragmented command
 
     @property
     def state(self) -> State:
-        """The replicated state as it is after the last applied entry."""
+        """The replicated state as of the last applied entry."""
         return self._applier.state
 
     def applied_index(self) -> int:
-        """The index of the last entry that was applied."""
+        """The index of the last applied entry."""
         return self._applier.index
 
     def follow(self, step: Ready) -> None:
-        """Takes over what a step has restored or committed, and begins to apply it."""
+        """Applies the snapshot and the entries that a Raft step has restored or committed."""
         if step.restored_snapshot:
             self._applier.restore(
                 self._snapshot_worker.installed_state,
@@ -88,12 +88,13 @@
         self._loop.call_soon(resume)
 
     def _resume(self) -> None:
-        """An empty step: its listeners see what has been applied since the last one."""
+        """Starts the next turn by an empty Raft step, so that step listeners see the progress."""
         self._is_running = False
         self._driver.carry_out(Ready())
 
     def _entry_applied(self, applied: AppliedEntry) -> None:
-        # By the index alone, so alike at all members: whoever leads next has the same snapshot.
+        # Depends on the index alone, so that all members take the same snapshots and the next
+        # leader has the one that this leader has.
         self._is_snapshot_due |= applied.entry.index % SNAPSHOT_INTERVAL_ENTRIES == 0
         if self._is_snapshot_due and self._applier.is_between_commands:
             self._is_snapshot_due = False
--- a/cairndale/control/change_notifier.py
+++ b/cairndale/control/change_notifier.py
@@ -1,4 +1,4 @@
-"""Tells those who wait within the process that the control node's state has changed."""
+"""Wakes tasks of this process when the control node's state has changed."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 import contextlib
 from collections.abc import Callable
 
-MIN_WAIT_S = 0.001  # s
+MIN_WAIT_S = 0.001
 
 
 class ChangeNotifier:
-    """A condition that is always true again for those who begin to wait after a change.
+    """Notifies waiting tasks and listeners of each change.
 
-    What has changed is not said: whoever is woken looks at what it waits for.
+    A notification does not say what has changed: each task checks its own condition again. A wait
+    that begins after a change returns at the next one.
     """
 
     def __init__(self) -> None:
@@ -20,11 +21,11 @@
         self._listeners: list[Callable[[], None]] = []
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` at each change, within the call that reports it."""
+        """Calls `listener` synchronously within each `notify`."""
         self._listeners.append(listener)
 
     def notify(self) -> None:
-        """Reports a change: all who wait now go on, and the listeners are called."""
+        """Wakes all tasks that wait now, and calls the listeners."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
         for listener in self._listeners:
--- a/cairndale/control/change_queue.py
+++ b/cairndale/control/change_queue.py
@@ -1,4 +1,4 @@
-"""Changes of the replicated state, one after the other, and the wait for their acknowledgement."""
+"""Serialises changes of the replicated state and waits until ingresses acknowledge them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from cairndale.http_api.server import Response, error_response
 
 MAX_QUEUED_CHANGES = 64
-ACKNOWLEDGEMENT_POLL_S = 0.03  # leases end without a change that wakes those who wait
+ACKNOWLEDGEMENT_POLL_S = 0.03  # needed because the end of a lease triggers no notification
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeOutcome:
-    """The answer to a change, and what it waits for."""
+    """The answer to a change, and the version to wait for before it is given."""
 
     answer: Response
-    version: int = 0  # that all ingresses have to serve by before the answer is given; 0: none
+    version: int = 0  # that all ingresses must have first; 0: no wait
 
 
 class ChangeQueue:
-    """Decides one change at a time; then all wait together until every ingress has them."""
+    """Decides one change at a time; waits for acknowledgement run concurrently."""
 
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
@@ -31,12 +31,14 @@
         self._length = 0
 
     async def run(self, change: Callable[[], Awaitable[ChangeOutcome]]) -> Response:
-        """The answer to a change, which is 503 if too many wait already.
+        """Runs a change and returns its answer, or 503 if the queue is full.
 
-        Raises CallError where the outcome is not known, or not everywhere in time.
+        Raises CallError if the outcome is not known, or not acknowledged in time.
         """
         if self._length >= MAX_QUEUED_CHANGES:
-            return error_response(503, "too many changes wait")
+            return error_response(
+                503, f"change queue is full: {MAX_QUEUED_CHANGES} changes are waiting"
+            )
         self._length += 1
         try:
             async with self._lock:
@@ -48,10 +50,11 @@
         return outcome.answer
 
     async def wait_until_acknowledged(self, version: int) -> None:
-        """Return once no ingress can serve by an older version.
+        """Returns once no ingress can serve by an older version.
 
-        Each has acknowledged it, or has stopped as its lease is over. Raises CallTimeoutError after
-        the time that is allowed for it, and CallError where this process leads no longer.
+        Each ingress has acknowledged the version, or has stopped serving because its lease has
+        expired. Raises CallTimeoutError after the configured `ack` time, and CallError if this
+        process no longer leads.
         """
         leader = self._leader
         deadline = leader.now() + leader.settings.bounds.ack
@@ -60,5 +63,5 @@
             if node_registry.all_at_version(leader.now(), version):
                 return
             if leader.now() > deadline:
-                raise CallTimeoutError("some ingresses have not got it yet")
+                raise CallTimeoutError(f"not all ingresses have acknowledged version {version}")
             await leader.wait_for_change(ACKNOWLEDGEMENT_POLL_S)
--- a/cairndale/control/clock.py
+++ b/cairndale/control/clock.py
@@ -6,14 +6,14 @@
 
 
 class Clock:
-    """Seconds on the event loop's monotonic clock, which uvloop reads once a turn of the loop.
+    """The event loop's monotonic clock, in seconds; uvloop reads it once per loop iteration.
 
-    One object a node, so that a test can hold the whole node's time.
+    A node has a single instance, so that a test can stop the time of the whole node.
     """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
 
     def now(self) -> float:
-        """The time in seconds; it never goes back, and means nothing to other processes."""
+        """The time in seconds: never decreases, and is not comparable between processes."""
         return self._loop.time()
--- a/cairndale/control/configuration_changes.py
+++ b/cairndale/control/configuration_changes.py
@@ -1,8 +1,8 @@
 """Operators' changes of the configuration, as the leader decides them.
 
-A change is known by its digest (its idempotency key), however often and by whatever way it is sent.
-A rejection is final: it is given only once all that this leader's log held is committed, for a
-reason that no later state takes back.
+A change is identified by its digest (its idempotency key), however often and through whichever
+nodes it is sent. A rejection is final: it is answered only once everything in this leader's log at
+that time is committed, and only for a reason that holds in every later state.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 from cairndale.events import Event, log_event
 from cairndale.http_api.server import Response, error_response, json_response
 
-# A change waits so long for the generation that it builds on, which may be on its way.
+# How long a change waits for its parent generation, which may be about to be committed.
 PARENT_TIMEOUT_S = 0.2
-HASH_CHUNK_BYTES = 1024 * 1024  # of a body, that are hashed in one step
+HASH_CHUNK_BYTES = 1024 * 1024  # of a body, hashed in one step
 
 T = TypeVar("T")
 
@@ -38,13 +38,13 @@
 class _Change:
     verb: Verb
     digest: str
-    body: Any  # decoded JSON; _NOT_DECODED: the outcome was known when the call came
+    body: Any  # decoded JSON; _NOT_DECODED if the outcome was already known at the call
 
 
 async def run_in_steps(steps: Steps[T], is_large: bool = False) -> T:
-    """The result of a job, after each step of which other tasks have their turn.
+    """Runs a job step by step, yielding to other tasks after each step; returns its result.
 
-    `is_large`: the job makes so many objects that the garbage collector is paused.
+    `is_large`: the job creates many objects, so the garbage collector is paused.
     """
     with gc_paused() if is_large else contextlib.nullcontext():
         while (finished := advance(steps)) is None:
@@ -59,7 +59,7 @@
         self._leader, self._queue = leader, queue
 
     async def handle(self, verb: Verb, body: bytes) -> Response:
-        """The answer to a call. Raises CallError where the outcome is not known."""
+        """The answer to a call. Raises CallError if the outcome is not known."""
         called_at = self._leader.now()
         digest = await self._digest(verb, body)
         decoded: Any = _NOT_DECODED
@@ -93,7 +93,7 @@
             await leader.wait_for_change(deadline - leader.now())
 
     async def _decide(self, change: _Change, called_at: float) -> ChangeOutcome:
-        """Commit or reject a change, or find out what became of an earlier copy."""
+        """Commits or rejects a change, or returns the outcome of an earlier copy of it."""
         leader = self._leader
         while True:
             term, state = leader.require_leadership().term, leader.state
@@ -101,8 +101,10 @@
             if known is not None:
                 return await self._known_outcome(known, called_at, term)
             if change.body is _NOT_DECODED:
-                raise StaleCallError("it was known, and is forgotten now")
-            validated_gen = state.gen  # the state itself changes while it is judged
+                raise StaleCallError(
+                    "the idempotency record of this change was evicted during the call"
+                )
+            validated_gen = state.gen  # the state may change during validation
             rejection = await self._validate(change, state)
             if rejection is None:
                 return await self._commit(change)
@@ -115,11 +117,11 @@
     async def _known_outcome(self, known: int, called_at: float, term: int) -> ChangeOutcome:
         await self._leader.confirm(called_at, term)
         if known == REJECTED:
-            return ChangeOutcome(error_response(412, "it was refused before"))
+            return ChangeOutcome(error_response(412, "this change was rejected before"))
         return ChangeOutcome(json_response(200, {"gen": known}), self._leader.state.version)
 
     async def _commit(self, change: _Change) -> ChangeOutcome:
-        """A committed change needs no further confirmation: a majority has followed for it."""
+        """Commits a change. That needs no further confirmation: a majority has stored the entry."""
         if await self._leader.decide(Command(change.verb, change.digest, change.body)):
             state = self._leader.state
             log_event(Event.CONFIG_ACCEPTED, "gen %d, version %d", state.gen, state.version)
@@ -127,25 +129,28 @@
         state = self._leader.state
         known = state.idempotency_records.get(change.digest, REJECTED)
         if known == REJECTED:
-            return ChangeOutcome(error_response(412, "another change came first"))
-        return ChangeOutcome(json_response(200, {"gen": known}), state.version)  # an earlier copy's
+            return ChangeOutcome(error_response(412, "another change was committed first"))
+        # An earlier copy of the change was committed.
+        return ChangeOutcome(json_response(200, {"gen": known}), state.version)
 
     async def _validate(self, change: _Change, state: State) -> Response | None:
-        """A rejection, or None if the change may be committed.
+        """The rejection of a change, or None if it may be committed.
 
-        Raises CallError where neither can be said for sure.
+        Raises CallError if neither is certain.
         """
         body, is_full = change.body, change.verb is Verb.REPLACE
         if errors := change_errors(body, is_full, 0):
-            return error_response(400, *errors)  # whatever the state is
+            return error_response(400, *errors)  # invalid in every state
         gen, parent, gen_in_force = body["gen"], body["parent"], state.gen
         if parent < gen and state.record_may_be_evicted(gen):
             if is_full and (errors := await self._content_errors(change, state)):
                 return error_response(400, *errors)
-            raise StaleCallError("so old that it is not known what became of it")
+            raise StaleCallError(
+                f"the record of generation {gen} may be evicted: its outcome is not known"
+            )
         mismatch = f"parent: {parent} is not {gen_in_force}, which is in force"
         if parent > gen_in_force:
-            # A state with that parent may follow: the rejection has to be in force there as well.
+            # The parent may be committed later: the rejection must be in the log by then.
             if await self._leader.decide(Command(Verb.REJECT, change.digest)):
                 raise CallTimeoutError()
             return error_response(412, mismatch)
@@ -156,7 +161,7 @@
         return error_response(400, *errors) if errors else None
 
     async def _content_errors(self, change: _Change, state: State) -> list[str]:
-        """What is wrong with the content that would be in force after the change."""
+        """Validation errors of the content that would be in force after the change."""
         command = Command(change.verb, change.digest, change.body)
         content = await run_in_steps(state.resulting_content_steps(command))
         with gc_paused(freeze=False):
--- a/cairndale/control/endpoint_codec.py
+++ b/cairndale/control/endpoint_codec.py
@@ -1,6 +1,6 @@
-"""Endpoints as messages between control and data-plane nodes.
+"""Conversion of endpoints to and from messages between control and data-plane nodes.
 
-Times leave a process as what is left of a span, in ms, since clocks are not comparable.
+Points in time are sent as remaining durations in ms, since clocks of processes are not comparable.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 
 def encode_endpoint(endpoint: Endpoint, now: float) -> bytes:
-    """The field of a `WatchResponse` that holds this endpoint, serialised.
+    """The endpoint as a serialised field of a `WatchResponse`.
 
-    Made once for each change of an endpoint, unless it is warming up: then the message depends on
+    Cached until the endpoint changes, except while it is warming up: then the encoding depends on
     the time.
     """
     is_warm = endpoint.warmup_until <= now
@@ -40,7 +40,7 @@
 
 
 def endpoint_from_message(message: pb.Endpoint, now: float) -> Endpoint:
-    """The endpoint that a message describes, as if its heartbeat had come `now`."""
+    """The endpoint that a message describes, as if its heartbeat had been received at `now`."""
     return Endpoint(
         id=message.id,
         service=message.service,
--- a/cairndale/control/epoch.py
+++ b/cairndale/control/epoch.py
@@ -2,30 +2,30 @@
 
 from __future__ import annotations
 
-# Heartbeat intervals after the start of a leader with an empty registry, until which there may be
-# endpoints that it does not know yet.
+# Heartbeat intervals that a leader which started with an empty registry waits before it takes the
+# registry as complete.
 SETTLING_INTERVALS = 2.5
 UNSETTLED_SUFFIX = "~"
 
 
 class Epoch:
-    """A leader's term, in two parts: before and after its registry of endpoints has settled.
+    """A leader's term, in two parts: before and after its endpoint registry has settled.
 
-    Until then no node is told that an endpoint is not there. Times are seconds on the leader's
-    clock.
+    The registry has settled once every running server had time to send a heartbeat. Until then no
+    node is notified that an endpoint is missing. Times are seconds on the leader's clock.
     """
 
     def __init__(self, term: int, began: float, is_empty: bool, heartbeat_interval: float) -> None:
-        """`is_empty`: the leader began without any endpoint."""
+        """`is_empty`: the leader started its term without any known endpoint."""
         self.term, self.began = term, began
         self._settled_after = SETTLING_INTERVALS * heartbeat_interval if is_empty else None
 
     def has_settled(self, now: float) -> bool:
-        """Whether every endpoint there is had time to send a heartbeat to this leader."""
+        """Whether every running server had time to send this leader a heartbeat."""
         return self._settled_after is None or now - self.began > self._settled_after
 
     def name(self, now: float) -> str:
-        """The epoch's name, as nodes repeat it in their requests."""
+        """The epoch's name, which nodes send back in their requests."""
         return f"{self.term}" if self.has_settled(now) else self.unsettled_name
 
     @property
@@ -38,5 +38,5 @@
         return name.rstrip(UNSETTLED_SUFFIX) == f"{self.term}"
 
     def elapsed_ms(self, now: float) -> int:
-        """Ms since the term began, 1 at the least: 0 stands for none on the wire."""
+        """Milliseconds since the term began, at least 1: on the wire 0 means that none is given."""
         return max(1, int((now - self.began) * 1000))
--- a/cairndale/control/evacuation_log.py
+++ b/cairndale/control/evacuation_log.py
@@ -1,11 +1,13 @@
-"""Which calls to evacuate or restore a zone belong to one order.
+"""Decides which calls to evacuate or restore a zone are retries of one order.
 
-An evacuation has neither a body nor a name. A second call may be the same operator's, who got no
-clear answer, or another operator's, whose evacuation stands until that one, too, is taken back.
+An evacuation call has neither a body nor a name. A second call may be a retry by the same operator,
+who got no clear answer, or an order of another operator, whose evacuation holds until it is undone
+as well.
 
-A call belongs to the order before it while that is not answered, or for a while after, unless the
-caller is known to have received the answer. One call may arrive by two ways, and late: it carries
-an id from where it entered the system, and an order has the id of its first call.
+A call counts as a retry of the previous order while that order is unanswered, and for the retry
+window after its first call, unless the caller is known to have received the answer. Copies of one
+call may arrive through two nodes, and late: each call carries an id given where it entered the
+system, and an order has the id of its first call.
 """
 
 from __future__ import annotations
@@ -13,14 +15,14 @@
 import random
 from dataclasses import dataclass
 
-MAX_REMEMBERED_CALLS = 1024  # that are remembered here; the replicated state remembers more
+MAX_REMEMBERED_CALLS = 1024  # the replicated state remembers more
 
 
 @dataclass(slots=True)
 class _Order:
     verb: str
     id: str
-    began_at: float  # when its first call arrived
+    began_at: float  # arrival of its first call
     calls_in_flight: int = 0
     is_acknowledged: bool = False  # the caller has received the answer
 
@@ -29,9 +31,9 @@
     """The newest order of each zone, within one term. Times are seconds on the leader's clock."""
 
     def __init__(self, now: float, retry_window: float, had_predecessor: bool) -> None:
-        """`retry_window`: seconds in which an order without an answer may be sent again.
+        """`retry_window`: seconds in which an unanswered order may be retried.
 
-        `had_predecessor`: another leader may have had orders that are sent again to this one.
+        `had_predecessor`: orders given to an earlier leader may be retried at this one.
         """
         self._retry_window = retry_window
         self._predecessor_orders_until = now + retry_window if had_predecessor else now
@@ -43,10 +45,11 @@
     ) -> str:
         """The id of the order that a call belongs to; empty if there is nothing to do.
 
-        `is_in_force`: the zone is as the call wants it. Each call is ended with `end_call`.
+        `is_in_force`: the zone already is in the state that the call requests. Each call must be
+        ended with `end_call`.
         """
         newest = self._newest.get(zone)
-        if call_id in self._order_ids:  # a copy: it belongs to its order, whatever came since
+        if call_id in self._order_ids:  # a copy of a known call, whatever came since
             if newest and newest.id == self._order_ids[call_id]:
                 newest.calls_in_flight += 1
             return self._order_ids[call_id]
@@ -70,11 +73,11 @@
         return not order.is_acknowledged and (order.calls_in_flight > 0 or is_recent)
 
     def end_call(self, zone: str, order_id: str) -> None:
-        """A call of this order is answered, or has failed."""
+        """Notes that a call of this order was answered or has failed."""
         if (newest := self._newest.get(zone)) and newest.id == order_id:
             newest.calls_in_flight -= 1
 
     def acknowledge(self, zone: str, order_id: str) -> None:
-        """The caller has received the answer: a later call is another order."""
+        """Notes that the caller has received the answer: a later call is a new order."""
         if (newest := self._newest.get(zone)) and newest.id == order_id:
             newest.is_acknowledged = True
--- a/cairndale/control/evacuations.py
+++ b/cairndale/control/evacuations.py
@@ -1,7 +1,7 @@
-"""Operators' orders to evacuate a zone or to restore it, as the leader decides them.
+"""Operators' orders to evacuate or restore a zone, as the leader decides them.
 
-Several orders may hold at a time; a zone is restored once each is taken back. What belongs to one
-order is decided by the evacuation log.
+A zone may have several evacuation orders at a time and is restored once each of them is undone.
+The evacuation log decides which calls belong to one order.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
         self._leader, self._queue = leader, queue
 
     async def handle(self, verb: Verb, zone: str, call_id: str) -> Response:
-        """The answer to a call, which may arrive more than once with the same id.
+        """Answers a call, which may arrive more than once with the same id.
 
-        Raises CallError where the outcome is not known.
+        Raises CallError if the outcome is not known.
         """
         leader = self._leader
         leadership, now, state = leader.require_leadership(), leader.now(), leader.state
         if zone not in leader.settings.zones:
             await leader.confirm(now, leadership.term)
             return error_response(404, f"no zone {zone!r}")
-        if call_id in state.evacuation_calls:  # it has arrived by another way before
+        if call_id in state.evacuation_calls:  # a copy arrived through another node before
             await leader.confirm(now, leadership.term)
             await self._queue.wait_until_acknowledged(state.version)
             return self._answer(zone, state.evacuation_calls[call_id])
@@ -65,11 +65,16 @@
         if is_new and not is_evacuation and orders == 1:
             warmups = leadership.warmups(state)
             leadership.endpoint_registry.restart_warmup(zone, leader.now(), warmups)
-        # A committed order needs no further confirmation: a majority has followed for it.
+        # A committed order needs no further confirmation: a majority has stored its entry.
         await leader.decide(Command(call.verb, call.order_id, zone=zone, call_id=call.call_id))
         if is_new:
             event = Event.ZONE_EVACUATED if is_evacuation else Event.ZONE_RESTORED
-            log_event(event, "%s, orders: %d", zone, leader.state.evacuated.get(zone, 0))
+            log_event(
+                event,
+                "zone %s, evacuation orders in force: %d",
+                zone,
+                leader.state.evacuated.get(zone, 0),
+            )
         return ChangeOutcome(self._answer(zone, call.order_id), leader.state.version)
 
     def _answer(self, zone: str, order_id: str) -> Response:
--- a/cairndale/control/fleet_view.py
+++ b/cairndale/control/fleet_view.py
@@ -1,4 +1,4 @@
-"""What `Fleet.Show` tells operators of the leader's registries."""
+"""The answer to `Fleet.Show`: the leader's view of nodes and endpoints, for operators."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     endpoint_registry: EndpointRegistry,
     node_registry: NodeRegistry,
 ) -> dict[str, Any]:
-    """The answer's JSON object: nodes with their leases, and endpoints; times in seconds."""
+    """The JSON object of the answer: nodes with their leases, and endpoints; times in seconds."""
     nodes = sorted(node_registry.leases.items())
     endpoints = endpoint_registry.endpoints.values()
     return {
--- a/cairndale/control/follower.py
+++ b/cairndale/control/follower.py
@@ -1,9 +1,9 @@
-"""What a control node does while it does not lead: watch the leader, and report heartbeats to it.
+"""The follower's side of a control node: watches the leader and reports heartbeats to it.
 
-A follower is in contact while the leader, with a majority behind it, has answered a call that was
-sent less than `contact_window` ago, which is a part of the servers' heartbeat interval. So a follower
-that is cut off, in either direction, confirms one heartbeat of each server at the most after the
-cut, and that one is reported once there is a way.
+A follower is in contact while the leader, confirmed by a majority, has answered a call that was
+sent less than `contact_window` ago, which is a part of the servers' heartbeat interval. So a
+follower that is partitioned, in either direction, confirms at most one more heartbeat of each
+server, and reports that one once it is connected again.
 """
 
 from __future__ import annotations
@@ -27,38 +27,37 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, format_address
 
-# In contact for this part of a heartbeat interval, and under the time that a server may take to
-# call elsewhere.
+# The contact window is this fraction of a heartbeat interval, capped so that a server has time to
+# call another node.
 CONTACT_FRACTION = 2 / 3
 MAX_CONTACT_S = 1.0
-# Between two reports, of the span of contact: with the way there and the answer it is renewed in
-# time.
+# The interval between reports, as a fraction of the contact window: leaves time for the round trip.
 REPORT_FRACTION = 0.5
-REPORT_TIMEOUT_S = 0.7  # after which the next report goes by another way
-FAILURE_BACKOFF_S = 0.5  # for which a failed call is taken to speak for the next ones
+REPORT_TIMEOUT_S = 0.7
+FAILURE_BACKOFF_S = 0.5  # after a failed call, in which heartbeats are rejected while isolated
 LONG_POLL_S = 1.0
 WATCH_TIMEOUT_S = 3.0  # for a watch request over all attempts
 WATCH_ATTEMPT_S = LONG_POLL_S + 0.6
-LEADING_POLL_S = 0.2  # between looks whether this node leads no longer
+LEADING_POLL_S = 0.2  # between checks whether this node still leads
 RETRY_PAUSE_S = 0.1
-LAG_PAUSE_S = 0.05  # before the next watch request, while the node's own log is behind
-FORWARD_TIMEOUT_S = 0.95  # callers go elsewhere after a second
-ISOLATED_ATTEMPT_S = 0.4  # for one way to the leader, while out of contact
-# For a heartbeat while out of contact, by whatever way: its server has to reach another node in
-# time.
+LAG_PAUSE_S = 0.05  # before the next watch request, while the own log lags behind the leader's
+FORWARD_TIMEOUT_S = 0.95  # callers try another node after a second
+ISOLATED_ATTEMPT_S = 0.4  # of one attempt to reach the leader, while out of contact
+# Of all attempts for a heartbeat, while out of contact: its server needs time to reach another
+# node.
 ISOLATED_HEARTBEAT_TIMEOUT_S = 0.45
 
 
 class Log(Protocol):
-    """What a follower needs of the replicated log."""
+    """The part of the replicated log that a follower uses."""
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """The control nodes, as of the newest membership."""
+        """The control nodes by the latest membership."""
 
 
 class Process(Protocol):
-    """What a follower needs of its process."""
+    """The part of the control node that a follower uses."""
 
     settings: Settings
     endpoint_registry: EndpointRegistry
@@ -72,7 +71,7 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership, while this process leads."""
+        """The leadership, or None while this process does not lead."""
 
     @property
     def raft(self) -> Log:
@@ -82,12 +81,12 @@
         """Seconds on the process's clock."""
 
     async def register_endpoints(self, arrivals: pb.EndpointReport, term: int = 0) -> int:
-        """Register endpoints at the leader, which is this node by now. Raises CallError."""
+        """Registers endpoints here, now that this node leads. Raises CallError."""
 
 
 @dataclass(frozen=True, slots=True)
 class RegistryCursor:
-    """Up to which versions the leader's registries are known here."""
+    """The versions of the leader's registries that this node has received."""
 
     epoch: str = ""
     endpoints_version: int = 0
@@ -95,36 +94,36 @@
 
 
 class Follower:
-    """Keeps contact with the leader. Times are seconds on this process's clock."""
+    """Stays in contact with the leader. Times are seconds on this process's clock."""
 
     def __init__(self, process: Process, collector: HeartbeatCollector) -> None:
         self._process, self._collector = process, collector
         self._cursor = RegistryCursor()
-        self._last_contact_at = float("-inf")  # when the newest call with an answer was sent
-        self._last_failure_at = float("-inf")  # when a call was last given up
+        self._last_contact_at = float("-inf")  # sending of the latest answered call
+        self._last_failure_at = float("-inf")  # end of the latest failed call
         self.batcher = HeartbeatBatcher(
             process.now, lambda: len(process.raft.members), self._send_batch
         )
 
     def contact_window(self) -> float:
-        """Seconds for which an answered call shows that the node is in contact."""
+        """Seconds after its sending for which an answered call proves contact."""
         return min(MAX_CONTACT_S, CONTACT_FRACTION * self._process.settings.heartbeat_interval_s)
 
     def in_contact(self, now: float) -> bool:
-        """Whether the leader, with a majority behind it, has answered a recent call."""
+        """Whether the leader, confirmed by a majority, has answered a recent call."""
         return now - self._last_contact_at < self.contact_window()
 
     def is_isolated(self, now: float) -> bool:
-        """Whether the node is out of contact, and a call failed so lately that none need be tried.
+        """Whether the node is out of contact and a call has failed within FAILURE_BACKOFF_S.
 
-        After a while it is tried again.
+        Heartbeats are then rejected without an attempt to reach the leader.
         """
         return not self.in_contact(now) and now - self._last_failure_at < FAILURE_BACKOFF_S
 
     async def call(
         self, envelope: pb.Envelope, timeout: float, attempt_timeout: float
     ) -> pb.Envelope:
-        """The leader's answer, in `timeout` seconds over all attempts. Raises CallError."""
+        """The leader's answer, within `timeout` seconds over all attempts. Raises CallError."""
         sent_at = self._process.now()
         try:
             answer = await self._process.leader_client.call(envelope, timeout, attempt_timeout)
@@ -135,7 +134,7 @@
         return answer
 
     async def _send_batch(self, batch: HeartbeatBatch) -> None:
-        """Send a batch within the time of its first heartbeat. Raises CallError."""
+        """Sends a batch, with the timeout counted from its first heartbeat. Raises CallError."""
         process, now = self._process, self._process.now()
         report = batch.report(now)
         if process.leadership:
@@ -163,7 +162,7 @@
         )
 
     async def watch_forever(self) -> None:
-        """Keep copies of the leader's registries, while this node does not lead."""
+        """Replicates the leader's registries while this node does not lead."""
         process = self._process
         while True:
             if process.leadership:
@@ -217,10 +216,10 @@
         )
 
     async def report_forever(self) -> None:
-        """Report heartbeats that said nothing new, together.
+        """Reports collected heartbeats, which contained nothing new, in batches.
 
-        What was not answered is reported again, to whoever leads then. An empty report is sent as
-        well: its answer shows that the node is in contact.
+        Heartbeats of a report without an answer are reported again, to the leader of that time. An
+        empty report is sent as well, because its answer proves contact.
         """
         process = self._process
         while True:
--- a/cairndale/control/gc_pause.py
+++ b/cairndale/control/gc_pause.py
@@ -1,4 +1,4 @@
-"""Pauses the garbage collector for work that makes many objects."""
+"""Pauses the garbage collector during work that creates many objects."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @contextmanager
 def gc_paused(freeze: bool = True) -> Iterator[None]:
-    """Keeps the cyclic garbage collector from running within the block.
+    """Disables the cyclic garbage collector within the block.
 
-    It would look at all new objects again and again, for 0.2 s each time with 160,000 tenants. They
-    have no cycles and are freed when their last reference goes; with `freeze` they are exempt from
-    later collections as well.
+    It would scan all new objects repeatedly, for 0.2 s each time with 160,000 tenants. The objects
+    have no cycles, so reference counting frees them. With `freeze` they are exempt from later
+    collections as well.
     """
     was_enabled = gc.isenabled()
     gc.disable()
--- a/cairndale/control/grants.py
+++ b/cairndale/control/grants.py
@@ -1,7 +1,7 @@
-"""The leader's grants: units of quotas, retry budgets and warm-up budgets, for all ingresses.
+"""Grants quota units, and units of retry and warm-up budgets, to ingresses as the leader.
 
-Quotas are granted only once the leader counts: before, an ingress of an earlier term may still
-spend units or shares that this leader does not know of.
+Quota units are granted only once the leader counts quotas: until then an ingress may still spend
+units or quota shares that it was granted in an earlier term, which this leader does not know of.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import Bounds
 
-MAX_RETRY_AFTER_S = 1.0  # for which an ingress is asked to wait after a budget was not granted
+MAX_RETRY_AFTER_S = 1.0  # that an ingress is asked to wait after a denied budget request
 
 
 class GrantService:
-    """Answers calls for units within one term. Times are seconds on the leader's clock."""
+    """Answers requests for units within one term. Times are seconds on the leader's clock."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         node_registry: NodeRegistry,
         ingress_counter: IngressCounter,
     ) -> None:
-        """`had_predecessor`: another leader may have granted units before."""
+        """`had_predecessor`: an earlier leader may have granted units."""
         self._term, self._bounds = term, bounds
         self._endpoint_registry, self._node_registry = endpoint_registry, node_registry
         self._ingress_counter = ingress_counter
@@ -49,12 +49,12 @@
         self._budget_counter = BudgetCounter(now, had_predecessor)
         self._idempotency_cache = IdempotencyCache()
         self.is_counting = not had_predecessor
-        self._shares_may_be_spent = False  # an ingress that was given a share in an earlier term
+        self._shares_may_be_spent = False  # by an ingress, from an earlier term
         self._contact_updated_at = float("-inf")
         self._requests_per_s_in_warmup: dict[str, float] = {}  # by service
 
     def set_tenants(self, tenants: Any) -> None:
-        """Take the quotas of the configuration's tenants."""
+        """Adopts the quotas of the configuration's tenants."""
         self._quota_counter.set_quotas(
             {
                 tenant["name"]: (float(tenant["ratePerS"]), float(tenant.get("burst") or 0))
@@ -64,21 +64,22 @@
         )
 
     def set_services(self, backends: Any) -> None:
-        """Take the warm-up rates of the configuration's services."""
+        """Adopts the warm-up rates of the configuration's services."""
         rates = {backend["name"]: float(backend.get("warmupPerS") or 0) for backend in backends}
         self._requests_per_s_in_warmup = rates
 
     def record_share_granted(self) -> None:
-        """An ingress was told of the number of ingresses before, so it may have spent its share."""
+        """Notes that an ingress knew the ingress count before, so it may have spent its share."""
         self._shares_may_be_spent = True
 
     def update_contact(self, now: float, force: bool = False) -> bool:
-        """Count ingresses, connected and isolated, and begin to count quotas once that is safe.
+        """Counts connected and isolated ingresses, and starts to count quotas once that is safe.
 
-        It is safe once all ingresses that may spend without a grant have made a request in this
-        term, or their leases are over: it may be known then that nobody has spent anything. Where
-        one that made a request has spent, empty buckets are safe at once. True if counting begins
-        now. Without `force` nothing is done within RECOUNT_INTERVAL_S of the last time.
+        It is safe once each ingress that may spend without a grant has made a request in this term,
+        or its lease has expired: only then can the leader know that nothing was spent. As soon as
+        one that made a request may have spent its share, counting starts at once, with empty
+        buckets. Returns True if counting starts now. Without `force` nothing is done within
+        RECOUNT_INTERVAL_S of the last update.
         """
         if not force and 0 <= now - self._contact_updated_at < RECOUNT_INTERVAL_S:
             return False
@@ -101,13 +102,15 @@
         self._quota_counter, self.is_counting = counter, True
 
     def answer(self, now: float, call: pb.Envelope) -> pb.Envelope:
-        """The answer to a call for units, the same to each copy of it.
+        """Answers a request for units; all copies of a request get the same answer.
 
-        Raises StaleCallError for a call to another term, and RejectedError where no units are
-        granted: they are not counted yet, or the tenant has no quota.
+        Raises StaleCallError for a request to another term, and RejectedError if no units can be
+        granted because quotas are not counted yet or the tenant has no quota.
         """
         if call.term != self._term:
-            raise StaleCallError(f"meant for term {call.term}")
+            raise StaleCallError(
+                f"request is for term {call.term}, this leader's term is {self._term}"
+            )
         if cached := self._idempotency_cache.get(now, call.origin, call.request_id):
             return cached
         answer = pb.Envelope(term=self._term)
@@ -121,9 +124,9 @@
         return answer
 
     def grant_quota(self, now: float, request: pb.QuotaRequest) -> float | None:
-        """What is left of a tenant's units, as `QuotaCounter.grant` has it.
+        """The tenant's remaining units, as `QuotaCounter.grant` returns them.
 
-        None: quotas are not counted yet, or the tenant has none.
+        None if quotas are not counted yet or the tenant has no quota.
         """
         self.update_contact(now)
         if not self.is_counting:
@@ -131,7 +134,7 @@
         return self._quota_counter.grant(now, request.tenant, request.amount, request.spent)
 
     def grant_budget(self, now: float, request: pb.BudgetRequest) -> pb.BudgetResponse:
-        """One unit of each budget that is asked for, or of none."""
+        """Grants one unit of each requested budget, or of none."""
         budgets = {name: self._budget(name) for name in request.budgets}
         known = {name: budget for name, budget in budgets.items() if budget}
         wait = MAX_RETRY_AFTER_S
--- a/cairndale/control/heartbeat_batch.py
+++ b/cairndale/control/heartbeat_batch.py
@@ -1,8 +1,9 @@
-"""Heartbeats that report something new and reach a follower, sent to the leader in batches.
+"""Batches of heartbeats that report something new, from a follower to the leader.
 
-A server is answered once the leader has registered its heartbeat with a majority behind it. The
-first heartbeat is sent at once; those that follow soon after go together. So after a restart of all
-servers the leader takes so many calls a second, and not one for each server.
+A server is answered once the leader has registered its heartbeat, confirmed by a majority. The
+first heartbeat is sent at once; the ones that arrive within the batch interval after it are sent in
+one call. So after a restart of all servers the leader receives a bounded number of calls per
+second, instead of one call per server.
 """
 
 from __future__ import annotations
@@ -16,22 +17,22 @@
 from cairndale.registry.endpoints import REPORTED_STATES, Endpoint, EndpointRegistry
 from cairndale.rpc import protocol_pb2 as pb
 
-# Between two batches of one control node, for each control node there is: the leader takes the
-# reciprocal a second in all.
+# Interval between batches of one node, per control node of the cluster: the leader receives at most
+# the reciprocal (100 batches per second) from all of them.
 BATCH_INTERVAL_PER_NODE_S = 0.01
-MAX_BATCH_INTERVAL_S = 0.25  # a server waits a second for its answer
+MAX_BATCH_INTERVAL_S = 0.25  # a server waits one second for its answer
 MAX_BATCH_SIZE = 512
 
 
 def batch_interval(control_nodes: int) -> float:
-    """Seconds between two batches of one control node, of so many."""
+    """Seconds between batches of one control node, in a cluster of `control_nodes`."""
     return min(MAX_BATCH_INTERVAL_S, BATCH_INTERVAL_PER_NODE_S * control_nodes)
 
 
 def register_endpoints(
     endpoint_registry: EndpointRegistry, report: pb.EndpointReport, now: float
 ) -> bool:
-    """Register a batch at the leader. True if the data plane has to know."""
+    """Registers a batch at the leader. True if data-plane nodes must be notified."""
     heartbeats = [
         endpoint_from_message(message, now)
         for message in report.endpoints
@@ -45,7 +46,7 @@
 
 
 class HeartbeatBatch:
-    """Heartbeats that are sent in one call."""
+    """Heartbeats that are sent to the leader in one call."""
 
     def __init__(self, now: float) -> None:
         self.began_at = now
@@ -66,16 +67,16 @@
         count_control_nodes: Callable[[], int],
         send: Callable[[HeartbeatBatch], Awaitable[None]],
     ) -> None:
-        """`send` calls the leader, and raises CallError where it may not have registered all."""
+        """`send` calls the leader. It raises CallError if some heartbeat may not be registered."""
         self._now, self._count_control_nodes, self._send = now, count_control_nodes, send
-        self._open: HeartbeatBatch | None = None  # not sent yet
+        self._open: HeartbeatBatch | None = None  # still collecting
         self._sent_at = float("-inf")
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def register(self, heartbeat: Endpoint) -> None:
-        """Return once the leader has registered a heartbeat.
+        """Returns once the leader has registered a heartbeat.
 
-        Raises QueueFullError if the batch is full, and CallError where that is not known.
+        Raises QueueFullError if the batch is full, and CallError if the outcome is not known.
         """
         batch, now = self._open, self._now()
         if batch is None:
@@ -84,7 +85,7 @@
             delay = max(0.0, next_at - now)
             asyncio.get_running_loop().call_later(delay, self._close_batch, batch)
         if len(batch.heartbeats) >= MAX_BATCH_SIZE:
-            raise QueueFullError("too many servers at once")
+            raise QueueFullError(f"heartbeat batch is full: {MAX_BATCH_SIZE} heartbeats")
         batch.heartbeats.append(heartbeat)
         await asyncio.shield(batch.done)
 
@@ -99,8 +100,8 @@
             await self._send(batch)
         except CallError as failure:
             batch.done.set_exception(failure)
-            batch.done.exception()  # marks it as seen: nobody may wait for it any longer
+            batch.done.exception()  # marks it as retrieved: the waiters may have been cancelled
         else:
             batch.done.set_result(None)
         finally:
-            batch.done.cancel()  # after any other failure nobody is left waiting
+            batch.done.cancel()  # releases the waiters after any other failure
--- a/cairndale/control/ingress_counter.py
+++ b/cairndale/control/ingress_counter.py
@@ -1,26 +1,26 @@
-"""The number of ingresses that static shares of quotas and budgets are divided by."""
+"""Counts the ingresses among which quotas and budgets are divided in static shares."""
 
 from __future__ import annotations
 
 from cairndale.registry.nodes import NodeRegistry
 
-INGRESS_COUNT_GRACE_S = 20.0  # that an ingress still counts after it was last known
-RECOUNT_INTERVAL_S = 0.05  # between two counts over all nodes, whose cost grows with their number
+INGRESS_COUNT_GRACE_S = 20.0  # for which an ingress is counted after its lease was last present
+RECOUNT_INTERVAL_S = 0.05  # limits the cost of a count, which grows with the number of nodes
 
 
 class IngressCounter:
-    """Counts ingresses with a lease of late: shares must not grow as soon as one is missed."""
+    """Counts ingresses with a recent lease: shares must not grow as soon as one is missing."""
 
     def __init__(self, node_registry: NodeRegistry) -> None:
         self._node_registry = node_registry
         self._counted_until: dict[str, float] = {}  # by name
         self._counted_at = float("-inf")
-        self._names_added = -1  # to the registry, by the time of the newest count
+        self._names_added = -1  # of the registry at the latest count
 
     def count(self, now: float) -> int:
-        """The number of ingresses, 1 at the least.
+        """The number of ingresses, at least 1.
 
-        It may be RECOUNT_INTERVAL_S old, but never lacks a name that is new.
+        It may be RECOUNT_INTERVAL_S old, but always includes new names.
         """
         names_added = self._node_registry.names_added
         is_recent = 0 <= now - self._counted_at < RECOUNT_INTERVAL_S
--- a/cairndale/control/leader.py
+++ b/cairndale/control/leader.py
@@ -1,4 +1,4 @@
-"""What the handlers of operators' and servers' calls need of the process that leads."""
+"""The leading process as the handlers of operators' and servers' calls see it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Leader(Protocol):
-    """The control node, as its handlers see it."""
+    """The part of the control node that call handlers use."""
 
     settings: Settings
 
@@ -23,27 +23,27 @@
         """Seconds on the process's clock."""
 
     def require_leadership(self) -> Leadership:
-        """The leadership. Raises CallError where this process does not lead."""
+        """The leadership. Raises CallError if this process does not lead."""
 
     async def decide(self, command: Command) -> bool:
-        """Commit a command: True once a majority has it on disk and it is in force here.
+        """Commits a command: True once a majority has it on disk and it is applied here.
 
-        False if it is void. Raises CallError where its outcome is not known.
+        False if it is void. Raises CallError if its outcome is not known.
         """
 
     async def confirm(
         self, called_at: float, term: int, decided: bool = False, at_once: bool = True
     ) -> None:
-        """Return once a majority has followed this leader, in `term`, after the time `called_at`.
+        """Returns once a majority has acknowledged this leader, in `term`, after `called_at`.
 
-        With `decided` all that the log holds now is committed as well. Raises CallError.
+        With `decided`, also all entries that the log contains now are committed. Raises CallError.
         """
 
     async def wait_for_change(self, timeout: float) -> None:
-        """Return once something has changed, or after `timeout` seconds."""
+        """Returns at the next change, or after `timeout` seconds."""
 
     def notify_change(self) -> None:
-        """Wake all who wait for a change."""
+        """Wakes all tasks that wait for a change."""
 
     def describe_cluster(self) -> dict[str, Any]:
         """The cluster's members, for operators."""
--- a/cairndale/control/leadership.py
+++ b/cairndale/control/leadership.py
@@ -1,7 +1,7 @@
-"""What a control node knows and decides while it leads: the parts of one term, wired together.
+"""The leader's state and decisions within one term.
 
-A plain object without I/O; times are seconds on its process's clock. It begins with what the node
-has learnt of endpoints and nodes as a follower, and ends with the term.
+`Leadership` performs no I/O; times are seconds on its process's clock. It starts with the endpoint
+and node registries that the node replicated as a follower, and ends with the term.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import Bounds, parse_duration
 
-# Time that collected heartbeats usually take to be reported: it does not count as silence.
+# The usual delay until collected heartbeats are reported: it does not count towards expiry.
 REPORT_DELAY_S = 1.0
-# Between looks for endpoints without heartbeats, for each endpoint.
+# Interval between checks for expired endpoints, per endpoint.
 EXPIRE_INTERVAL_PER_ENDPOINT_S = 50e-6
 
 
@@ -42,9 +42,10 @@
         bounds: Bounds,
         heartbeat_interval: float,
     ) -> None:
-        """`had_predecessor`: another may have led before; the possible lease holders are its.
+        """`had_predecessor`: there may have been an earlier leader.
 
-        Both registries are as the node last knew them.
+        `possible_lease_holders` may hold leases that it granted. Both registries are as this node
+        last replicated them.
         """
         self.term, self.began = term, now
         self.endpoint_registry, self.node_registry = endpoint_registry, node_registry
@@ -65,13 +66,13 @@
         )
         self._heartbeat_interval = heartbeat_interval
         self._expired_at = float("-inf")
-        self._state: State | None = None  # as it was last applied
+        self._state: State | None = None  # as last applied
         self._tenants: Any = None  # as of that state
         self._services: Any = None
         self._take_over(now, possible_lease_holders)
 
     def _take_over(self, now: float, possible_lease_holders: Iterable[str]) -> None:
-        """Count the silence of endpoints and nodes from the term's beginning."""
+        """Starts the expiry times of endpoints and nodes at the beginning of the term."""
         for endpoint in self.endpoint_registry.endpoints.values():
             endpoint.last_heartbeat_at = now
         self.node_registry.begin_term(now, possible_lease_holders)
@@ -81,7 +82,7 @@
         return self._epoch.name(now)
 
     def apply_state(self, state: State) -> None:
-        """Take over a changed configuration; a table that is the same object has not changed."""
+        """Adopts a changed configuration. A table that is the same object has not changed."""
         self._state = state
         tenants, services = (state.content.get(table, ()) for table in ("tenants", "backends"))
         if tenants is not self._tenants:
@@ -91,7 +92,7 @@
         self._tenants, self._services = tenants, services
 
     def tick(self, now: float) -> bool:
-        """Act upon the time that has passed. True if nodes have to be told of something."""
+        """Handles what is due by time. True if nodes must be notified of a change."""
         if self._state:
             self._state.history.digest_next_items(self._state.content)
         begins_counting = self.grants.update_contact(now, force=True)
@@ -115,9 +116,10 @@
         }
 
     def record_report(self, now: float, report: pb.HeartbeatReport) -> None:
-        """Take in heartbeats that reached a follower and reported nothing new.
+        """Records heartbeats that a follower collected because they reported nothing new.
 
-        An endpoint that is not ready here is left alone: the server has more to say to the leader.
+        Endpoints that are not ready here are skipped: the leader needs their server's next full
+        heartbeat.
         """
         for number, (id, seq) in enumerate(zip(report.ids, report.seqs, strict=False)):
             endpoint = self.endpoint_registry.endpoints.get(id)
@@ -129,10 +131,10 @@
             endpoint.last_heartbeat_at = max(endpoint.last_heartbeat_at, received_at)
 
     def record_watch_request(self, now: float, request: pb.WatchRequest) -> bool:
-        """Take in a watch request as contact with its node. True if others have to be told.
+        """Records a watch request as contact with its node. True if other nodes must be notified.
 
-        Fills in the node where the request only names it. Raises StaleCallError where the node is
-        not known, or the request was delayed and says nothing of the present.
+        Fills in the node if the request contains only its name. Raises StaleCallError if that node
+        is not known, or if the request was delayed and no longer describes the node's state.
         """
         self._fill_in_node(request)
         node = request.node
@@ -143,7 +145,7 @@
         if is_of_term and request.leader_clock_ms:
             requested_at = min(now, self.began + request.leader_clock_ms / 1000)
         if self.node_registry.is_outdated(now, node, requested_at):
-            raise StaleCallError("held up")
+            raise StaleCallError(f"watch request of {node.name!r} is outdated")
         has_changed = self.node_registry.record_request(
             now, node, request.config_version, requested_at
         )
@@ -166,5 +168,5 @@
         request.node.CopyFrom(known.node)
 
     def fleet_view(self, now: float, state: State) -> dict[str, Any]:
-        """What `Fleet.Show` tells of the registries."""
+        """The registries as `Fleet.Show` presents them."""
         return fleet_view(now, self.term, state, self.endpoint_registry, self.node_registry)
--- a/cairndale/control/leadership_tracker.py
+++ b/cairndale/control/leadership_tracker.py
@@ -16,7 +16,7 @@
 
 
 class LeadershipTracker:
-    """Knows whether this node leads, and holds what it knows as leader while it does."""
+    """Tracks whether this node leads, and owns its `Leadership` while it does."""
 
     def __init__(
         self,
@@ -36,11 +36,11 @@
 
     @property
     def current(self) -> Leadership | None:
-        """The leadership as of the last step; `require` also asks whether it still holds."""
+        """The leadership as of the last step; `require` also checks that it is still valid."""
         return self._current
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over changed settings, for leaderships that begin from now on."""
+        """Adopts changed settings, which apply to leaderships that begin later."""
         self._settings = settings
 
     def leads(self) -> bool:
@@ -50,27 +50,27 @@
     def require(self, term: int = 0) -> Leadership:
         """The leadership, checked at this moment.
 
-        Raises NotLeaderError where this node does not lead, or not in a term of at least `term`:
-        the caller has heard of a later leader.
+        Raises NotLeaderError if this node does not lead, or leads in a term before `term`, in which
+        case the caller knows a later leader.
         """
         if self._current is None or not self.leads() or self._current.term < term:
             raise NotLeaderError()
         return self._current
 
     def tick(self) -> None:
-        """Lets the leadership act upon the time that has passed."""
+        """Lets the leadership handle what is due by time."""
         if self._current and self._current.tick(self._clock.now()):
             self._notifier.notify()
 
     def entry_applied(self, applied: AppliedEntry) -> None:
-        """Takes a changed state over, and reports the change."""
+        """Passes a changed state to the leadership, and notifies of the change."""
         if applied.changed:
             if self._current:
                 self._current.apply_state(self._applier.state)
             self._notifier.notify()
 
     def update(self) -> None:
-        """Begins or ends the leadership by how the log stands after a step."""
+        """Begins or ends the leadership according to the Raft state after a step."""
         raft, leads = self._raft, self.leads()
         if raft.leader:
             self._fence.admits(raft.term)
--- a/cairndale/control/lease_enrolment.py
+++ b/cairndale/control/lease_enrolment.py
@@ -1,8 +1,8 @@
-"""Enrolment of lease holders: their names are in the replicated state before they get a lease.
+"""Enrolment of lease holders: a node's name is committed before it is granted a lease.
 
-A new leader waits for all enrolled names, or for their leases to end, before it relies on what it
-knows. So a name must be committed before its first lease, and may be removed only once its last
-lease is over.
+Before a new leader relies on its own counts, it waits until every enrolled node has contacted it or
+has no valid lease any more. So a name must be committed before the node's first lease, and may be
+removed only after its last lease has expired.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from cairndale.control.leadership import Leadership
 from cairndale.errors import CallError, CallTimeoutError
 
-BATCH_DELAY_S = 0.02  # in which names that come at the same time are gathered into one round
-ENROLMENT_TIMEOUT_S = 3.0  # for which a request waits for a round
+BATCH_DELAY_S = 0.02  # in which concurrent requests are combined into one batch
+ENROLMENT_TIMEOUT_S = 3.0
 REMOVAL_INTERVAL_S = 10.0
 
 
 class Leader(Protocol):
-    """What enrolment needs of the process."""
+    """The part of the control node that enrolment uses."""
 
     @property
     def state(self) -> State:
@@ -32,26 +32,26 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership, while this process leads."""
+        """The leadership, or None while this process does not lead."""
 
     def require_leadership(self) -> Leadership:
-        """The leadership. Raises CallError where this process does not lead."""
+        """The leadership. Raises CallError if this process does not lead."""
 
     async def decide(self, command: Command) -> bool:
-        """Commit a command. Raises CallError where its outcome is not known."""
+        """Commits a command. Raises CallError if its outcome is not known."""
 
 
 class LeaseEnrolment:
-    """Enrols names in rounds, one at a time, and removes those that hold no lease any longer."""
+    """Enrols names in batches, one batch at a time, and removes names without a lease."""
 
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
-        self._waiting: set[str] = set()  # names for the next round
+        self._waiting: set[str] = set()  # names for the next batch
         self._is_enrolling = False
-        self._round_done = asyncio.Event()  # replaced by a new one after each round
-        # No lease is granted to these until the outcome of their removal is known.
+        self._batch_done = asyncio.Event()  # replaced by a new event after each batch
+        # These names are granted no lease until the outcome of their removal is known.
         self._in_removal: set[str] = set()
-        # The newest list of the state, by object, and the same as a set.
+        # The state's list object that `_enrolled` was built from; a changed list is a new object.
         self._enrolled_names: Sequence[str] = []
         self._enrolled: frozenset[str] = frozenset()
 
@@ -62,28 +62,30 @@
         return name in self._enrolled and name not in self._in_removal
 
     async def enrol(self, name: str) -> None:
-        """Return once a name is enrolled, so that it may be granted a lease.
+        """Returns once a name is enrolled, so that it may be granted a lease.
 
-        Raises CallTimeoutError after ENROLMENT_TIMEOUT_S without a round, and CallError where the
-        outcome is not known or this process does not lead any longer.
+        Raises CallTimeoutError if no batch is completed within ENROLMENT_TIMEOUT_S, and CallError
+        if the outcome is not known or this process no longer leads.
         """
         while not self._is_enrolled(name):
             if name not in self._in_removal:
                 self._waiting.add(name)
             if self._is_enrolling or name in self._in_removal:
-                await self._wait_for_round()
+                await self._wait_for_batch()
             else:
-                await self._run_round()
+                await self._enrol_batch()
             self._leader.require_leadership()
 
-    async def _wait_for_round(self) -> None:
+    async def _wait_for_batch(self) -> None:
         try:
             async with asyncio.timeout(ENROLMENT_TIMEOUT_S):
-                await self._round_done.wait()
+                await self._batch_done.wait()
         except TimeoutError:
-            raise CallTimeoutError("not enrolled yet") from None
+            raise CallTimeoutError(
+                f"lease holder not enrolled within {ENROLMENT_TIMEOUT_S} s"
+            ) from None
 
-    async def _run_round(self) -> None:
+    async def _enrol_batch(self) -> None:
         self._is_enrolling = True
         try:
             await asyncio.sleep(BATCH_DELAY_S)
@@ -93,14 +95,14 @@
                 await self._leader.decide(Command(Verb.ENROL, added_nodes=names))
         finally:
             self._is_enrolling = False
-            self._end_round()
+            self._notify_batch_done()
 
-    def _end_round(self) -> None:
-        done, self._round_done = self._round_done, asyncio.Event()
+    def _notify_batch_done(self) -> None:
+        done, self._batch_done = self._batch_done, asyncio.Event()
         done.set()
 
     async def remove_forever(self) -> None:
-        """Remove the names of nodes long gone, every REMOVAL_INTERVAL_S or so."""
+        """Removes the names of nodes that have left, about every REMOVAL_INTERVAL_S."""
         while True:
             await asyncio.sleep(REMOVAL_INTERVAL_S * random.uniform(0.8, 1.2))
             if leadership := self._leader.leadership:
@@ -114,4 +116,4 @@
             if expired:
                 await self._leader.decide(Command(Verb.ENROL, removed_nodes=expired))
                 self._in_removal = set()
-        self._end_round()
+        self._notify_batch_done()
--- a/cairndale/control/member_state.py
+++ b/cairndale/control/member_state.py
@@ -1,4 +1,4 @@
-"""What a member of the control cluster starts with: its identity, and the state on its disk."""
+"""Loads a Raft member's identity and persisted state at start."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberState:
-    """A member, and what its disk holds."""
+    """A member of the Raft cluster, and the state on its disk."""
 
     member: Member
     persisted: PersistedState
-    state: State  # of the newest snapshot; entries after it are not applied
+    state: State  # of the latest snapshot, without the log entries after it
 
 
 def load_member(settings: Settings, storage: RaftStorage, seeds: Sequence[str]) -> MemberState:
-    """Reads the member's state; an empty disk is given a name first.
+    """Reads the member's state; an empty disk is initialised with a new disk id first.
 
-    `seeds` are the addresses of the cluster's first members. Raises StorageError where the disk
-    cannot be read or written, or holds a state of another format.
+    `seeds` are the addresses of the cluster's first members. Raises StorageError if the disk cannot
+    be read or written, or if its state has an unknown format.
     """
     address = format_address((settings.ip, settings.own_port))
     disk_id = storage.disk_id()
@@ -41,7 +41,7 @@
     try:
         state = State.decode(persisted.snapshot.state)
     except FormatError as error:
-        raise StorageError(f"the state cannot be read: {error}") from error
+        raise StorageError(f"cannot decode the snapshot's state: {error}") from error
     member = Member(address, disk_id, settings.zone, settings.region)
     return MemberState(member, persisted, state)
 
@@ -49,10 +49,10 @@
 def _first_state(
     settings: Settings, address: str, seeds: Sequence[str]
 ) -> tuple[str, PersistedState]:
-    """The name and the content of an empty disk.
+    """The disk id and the initial state for an empty disk.
 
-    Only at the first start of the system is it that of a bootstrap member, which all seeds know. At
-    any later start it is a new member's, whatever the disk before it held.
+    At the first start of the system this is a bootstrap member, whose id all seeds can derive. At
+    any later start it is a new member, whatever an earlier disk of this machine contained.
     """
     if settings.bootstrap and address in seeds:
         disk_id = bootstrap_member(address).disk_id
--- a/cairndale/control/node.py
+++ b/cairndale/control/node.py
@@ -1,7 +1,7 @@
-"""A control node's process: its parts wired together, its start and its end.
+"""The control node's process: wires its parts together, starts and stops them.
 
-How the parts follow one another is written in `ControlNode.__init__`: the order in which they
-subscribe to the steps of the Raft state machine is the order in which they see each step.
+`ControlNode.__init__` subscribes the parts to the steps of the Raft state machine; the order of
+subscription is the order in which they handle each step.
 """
 
 from __future__ import annotations
@@ -43,21 +43,21 @@
 from cairndale.rpc.peer import RpcPeer
 from cairndale.settings import Settings, SettingsError, format_address
 
-TICK_INTERVAL_S = 0.05  # s between two ticks of the Raft state machine
-LEAVE_TIMEOUT_S = 1.0  # s for other members to take over leadership and vote of one that ends
-FLUSH_DELAY_S = 0.2  # s for what was sent last to be read
+TICK_INTERVAL_S = 0.05  # of the Raft state machine
+LEAVE_TIMEOUT_S = 1.0  # for other members to take over leadership and vote before the process ends
+FLUSH_DELAY_S = 0.2  # for peers to read the last messages before connections are closed
 
 
 class ControlNode:
-    """A member of the control cluster: it replicates the state, and leads when it is elected.
+    """A member of the control cluster: replicates the state, and leads when it is elected.
 
-    Raises SettingsError without a state directory, StorageError where the state on disk cannot be
+    Raises SettingsError without a state directory, and StorageError if the state on disk cannot be
     read.
     """
 
     def __init__(self, settings: Settings) -> None:
         if settings.state_dir is None:
-            raise SettingsError(["self.stateDir: a control node needs one"])
+            raise SettingsError(["self.stateDir: required for a control node"])
         self.settings = settings
         self.clock = Clock()
         self._storage = RaftStorage(settings.state_dir)
@@ -112,7 +112,9 @@
         self.read_index = ReadIndex(
             self.raft, self.clock, self.apply_loop.applied_index, self.driver.carry_out
         )
-        self.leader_client = LeaderClient(self.rpc_peer, self._core_addresses, self._edge_addresses)
+        self.leader_client = LeaderClient(
+            self.rpc_peer, self._control_addresses, self._ingress_addresses
+        )
         self.watch_server = WatchServer(self)
         self.operations = OperationHandler(self)
         collector = HeartbeatCollector(settings, self.endpoint_registry, self.node_registry)
@@ -143,10 +145,10 @@
         self.driver.subscribe(lambda _: self.read_index.resolve())
         self.driver.subscribe(lambda _: self.proposals.fail_stale_proposals())
 
-    # Process life.
+    # Process life cycle.
 
     async def start(self) -> None:
-        """Listens, and begins to take part in the cluster. Raises OSError if a port is taken."""
+        """Starts to listen and joins the cluster. Raises OSError if a port is in use."""
         await self.rpc_peer.listen()
         for name, server in self._http_servers.items():
             if name in self.settings.listen:
@@ -165,7 +167,7 @@
         ]
 
     async def stop(self) -> None:
-        """Stops listening, hands leadership and vote over if others can take them, and ends."""
+        """Stops listening, hands over leadership and vote if possible, and stops all tasks."""
         for server in self._http_servers.values():
             server.stop()
         await self._leave()
@@ -175,26 +177,28 @@
         self._storage.close()
 
     def cancel(self) -> None:
-        """Cancels all tasks; nothing is handed over."""
+        """Cancels all tasks without handing anything over."""
         for task in self._tasks:
             task.cancel()
         self.proposals.cancel()
 
     def reconfigure(self, settings: Settings) -> None:
-        """Takes over a changed settings file: the seeds and what follows from them."""
+        """Adopts changed settings: the seeds, the tolerance, and settings of later leaderships."""
         self.settings = settings
         self._seeds = self._seed_addresses(settings)
         self.raft.addresses, self.raft.tolerance = tuple(self._seeds), settings.tolerance
         self.leadership_tracker.reconfigure(settings)
 
     async def _leave(self) -> None:
-        """Waits, LEAVE_TIMEOUT_S seconds at most, until others hold the leadership and this one's vote."""
+        """Waits until other members have taken over leadership and vote, or LEAVE_TIMEOUT_S."""
         deadline = self.now() + LEAVE_TIMEOUT_S
         self.raft.leave()
         while not self.raft.has_left() and self.now() < deadline:
             await asyncio.sleep(TICK_INTERVAL_S)
         leads = self.raft.role is Role.LEADER
-        log_event(Event.LEAVING, "leads %s, votes %s", leads, self.raft.may_campaign())
+        log_event(
+            Event.LEAVING, "still leader: %s, still a voter: %s", leads, self.raft.may_campaign()
+        )
 
     async def _tick_forever(self) -> None:
         while True:
@@ -204,14 +208,14 @@
                 self.leadership_tracker.tick()
                 self.system_name.propose()
             except Exception as error:
-                log_event(Event.FAILED, "tick: %r", error)
+                log_event(Event.FAILED, "tick failed: %r", error)
                 raise
 
     async def _make_snapshots_forever(self) -> None:
         while True:
             await asyncio.sleep(self.snapshot_worker.step_and_pause())
 
-    # What the node does with a step of the Raft state machine, between its parts.
+    # Handlers of Raft steps that belong to no single part.
 
     def _install_snapshot(self, step: Ready) -> None:
         if step.received_snapshot:
@@ -219,14 +223,14 @@
 
     def _log_members(self, _: Ready) -> None:
         members = self.raft.members
-        if members is self._logged_members:  # the same object: roles and zones have not changed
+        if members is self._logged_members:  # the same object: no member has changed
             return
         self._logged_members = members
         voters = [m.address for m in self.raft.voters]
         learners = [m.address for m in members if m.learner]
         log_event(Event.MEMBERS, "voters %s learners %s", voters, learners)
 
-    # What other processes send.
+    # Messages and calls of other processes.
 
     def _receive(self, envelope: pb.Envelope) -> None:
         self.dispatcher.receive(envelope)
@@ -234,21 +238,21 @@
     async def _answer(self, envelope: pb.Envelope) -> pb.Envelope:
         return await self.dispatcher.answer(envelope)
 
-    # Addresses that the leader can be reached by.
+    # Addresses through which the leader can be reached.
 
     @staticmethod
     def _seed_addresses(settings: Settings) -> list[str]:
         return [format_address(settings.core_address(seed)) for seed in settings.seeds]
 
-    def _core_addresses(self) -> list[str]:
+    def _control_addresses(self) -> list[str]:
         voters = (m.address for m in self.raft.voters)
         return list(dict.fromkeys([*voters, *self._seeds]))
 
-    def _edge_addresses(self) -> list[str]:
+    def _ingress_addresses(self) -> list[str]:
         leases = self.node_registry.leases.values()
         return [lease.node.address for lease in leases if lease.node.kind == "edge"]
 
-    # What the parts that serve calls ask of their process.
+    # The interface that the parts which serve calls use (see `leader.Leader`).
 
     @property
     def state(self) -> State:
@@ -257,7 +261,7 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """What this node knows as leader; None while it does not lead."""
+        """The leadership, or None while this node does not lead."""
         return self.leadership_tracker.current
 
     def now(self) -> float:
@@ -265,7 +269,7 @@
         return self.clock.now()
 
     def leads(self) -> bool:
-        """Whether this node leads and has applied all that was committed before its term."""
+        """Whether this node leads and has applied all entries committed before its term."""
         return self.leadership_tracker.leads()
 
     def require_leadership(self, term: int = 0) -> Leadership:
@@ -279,11 +283,11 @@
     async def confirm(
         self, called_at: float, term: int, decided: bool = False, at_once: bool = True
     ) -> None:
-        """Returns once a majority has followed this leader, in `term`, after the time `called_at`.
+        """Returns once a majority has acknowledged this leader, in `term`, after `called_at`.
 
-        All that was committed by the time of this call is applied then; with `decided`, all that
-        the log held. `at_once`: a heartbeat is sent for it, else the next one is waited for. Raises
-        NotLeaderError.
+        All entries that were committed at the time of this call are applied by then; with
+        `decided`, all entries that the log contained. `at_once` sends a heartbeat for the call,
+        else the next regular one is awaited. Raises NotLeaderError.
         """
         index = self.raft.last_index if decided else self.raft.commit_index
         await self.read_index.confirm(called_at, term, index, at_once)
@@ -293,7 +297,7 @@
         return await self.dispatcher.register_endpoints(arrivals, term)
 
     def notify_change(self) -> None:
-        """Reports a change to all who wait for one."""
+        """Wakes all tasks that wait for a change."""
         self.notifier.notify()
 
     async def wait_for_change(self, timeout: float) -> None:
--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -1,7 +1,7 @@
-"""Calls of servers and operators at the leader, each handed to the part that handles it.
+"""Dispatches calls of servers and operators to their handlers at the leader.
 
-Whatever is answered rests on contact with a majority after the call came (`read_index.py`), so a
-node that was replaced as leader without knowing it yet answers nothing.
+Every answer is confirmed by contact with a majority after the call arrived (`read_index.py`), so a
+node that was replaced as leader without knowing it answers nothing.
 """
 
 from __future__ import annotations
@@ -30,28 +30,28 @@
         self._evacuations = Evacuations(leader, queue)
 
     async def handle(self, method: str, target: str, body: bytes, call_id: str = "") -> Response:
-        """The answer to a call, whose id was given where it entered the system.
+        """Answers a call; `call_id` was assigned where the call entered the system.
 
-        Raises CallError where this process does not lead, or no longer, or the outcome is not
+        Raises CallError if this process does not lead or no longer leads, or if the outcome is not
         known.
         """
-        found = match(CONTROL_ROUTES, method, target)
-        if isinstance(found, RouteFailure):
-            return error_response(found.status, found.why)
+        route = match(CONTROL_ROUTES, method, target)
+        if isinstance(route, RouteFailure):
+            return error_response(route.status, route.why)
         leadership, now = self._leader.require_leadership(), self._leader.now()
-        match found.call:
+        match route.call:
             case "replace":
                 return await self._configuration_changes.handle(Verb.REPLACE, body)
             case "update":
                 return await self._configuration_changes.handle(Verb.UPDATE, body)
             case "evacuate":
-                return await self._evacuations.handle(Verb.EVACUATE, found.args["zone"], call_id)
+                return await self._evacuations.handle(Verb.EVACUATE, route.args["zone"], call_id)
             case "take back":
-                return await self._evacuations.handle(Verb.RESTORE, found.args["zone"], call_id)
+                return await self._evacuations.handle(Verb.RESTORE, route.args["zone"], call_id)
             case "beat":
-                answer = self._record_heartbeat(leadership, found.args["id"], body, now)
+                answer = self._record_heartbeat(leadership, route.args["id"], body, now)
             case "end":
-                answer = self._record_end(leadership, found.args["id"], now)
+                answer = self._record_end(leadership, route.args["id"], now)
             case call:
                 await self._leader.confirm(now, leadership.term)
                 return self._read(leadership, call)
--- a/cairndale/control/proposals.py
+++ b/cairndale/control/proposals.py
@@ -1,9 +1,9 @@
-"""Proposes commands to the log and waits for what becomes of them.
+"""Proposes commands to the Raft log and waits for their outcome.
 
-A proposal is pending under its entry's index. It ends when an entry is applied at that index: the
-proposal's own (its outcome), or that of another leader (`CallTimeoutError`: the command may have
-been committed in another place). Where the term ends first, or no majority answers in time, the
-outcome is not known either.
+A proposal is pending under its entry's index until an entry is applied at that index. If that is
+the proposal's own entry, its outcome is known. If it is an entry of another leader, the command may
+have been committed at another index, so the outcome is unknown (`CallTimeoutError`). It is also
+unknown if the term ends first or no majority answers in time.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from cairndale.raft.messages import Ready
 from cairndale.raft.node import RaftNode
 
-DECISION_TIMEOUT_S = 3.0  # s for an entry to be committed and applied
+DECISION_TIMEOUT_S = 3.0  # for an entry to be committed and applied
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class PendingProposal:
-    """An entry of this leader's that is not applied yet."""
+    """An entry that this leader has proposed and that is not applied yet."""
 
     index: int
     term: int
@@ -35,24 +35,24 @@
 
 
 class Proposals:
-    """The commands that this node has proposed as leader and that are not decided yet."""
+    """The commands that this node has proposed as leader and whose outcome is pending."""
 
     def __init__(self, raft: RaftNode, driver: RaftDriver, clock: Clock) -> None:
         self._raft, self._driver, self._clock = raft, driver, clock
         self._pending: dict[int, PendingProposal] = {}  # by index
-        self._fragments_lock = asyncio.Lock()  # one command in fragments at a time
+        self._fragments_lock = asyncio.Lock()  # one fragmented command at a time
         self._tasks: set[asyncio.Task[bool]] = set()
 
     async def decide(self, command: Command) -> bool:
         """Returns once a majority has the command on disk and it is applied here.
 
-        True if it changed the state, False if it is void. Raises NotLeaderError where it was not
-        proposed, CallTimeoutError where its outcome is not known.
+        True if it changed the state, False if it is void. Raises NotLeaderError if it was not
+        proposed, and CallTimeoutError if its outcome is not known.
         """
         data = encode_command(command)
         if isinstance(data, bytes):
             return await self._outcome(self._propose(data, self._raft.term))
-        # It goes on though the caller no longer waits: half a command would delay snapshots.
+        # The task continues if the caller is cancelled: a partial command would delay snapshots.
         task = asyncio.get_running_loop().create_task(self._decide_in_fragments(data))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -61,29 +61,33 @@
         except asyncio.CancelledError:
             if not task.cancelled():
                 raise
-            raise CallTimeoutError("this process ends") from None
+            raise CallTimeoutError(
+                "process is stopping; the outcome of the command is not known"
+            ) from None
 
     def cancel(self) -> None:
-        """Gives up commands in fragments, as the process ends."""
+        """Cancels fragmented commands when the process stops."""
         for task in self._tasks:
             task.cancel()
 
     def resolve(self, applied: AppliedEntry) -> None:
-        """Ends the proposal that was pending under the applied entry's index, if there is one."""
+        """Completes the proposal that is pending under the applied entry's index, if any."""
         entry = applied.entry
         pending = self._pending.pop(entry.index, None)
         if pending and not pending.future.done():
             if pending.term == entry.term:
                 pending.future.set_result(applied.changed)
-            else:  # another's entry stands there; the command may have been committed elsewhere
-                pending.future.set_exception(CallTimeoutError("another leader came first"))
+            else:  # another leader's entry: the command may have been committed at another index
+                pending.future.set_exception(
+                    CallTimeoutError("another leader's entry was committed at this index")
+                )
 
     def fail_stale_proposals(self) -> None:
-        """Ends all proposals of terms that this node no longer leads."""
+        """Fails all proposals of terms that this node no longer leads."""
         for pending in self._pending.values():
             is_over = pending.term != self._raft.term or self._raft.leader != self._raft.me
             if is_over and not pending.future.done():
-                pending.future.set_exception(CallTimeoutError("the term is over"))
+                pending.future.set_exception(CallTimeoutError("the leader's term has ended"))
 
     async def _decide_in_fragments(self, fragments: Iterator[bytes]) -> bool:
         async with self._fragments_lock:
@@ -101,7 +105,7 @@
                 for pending in window:
                     self._pending.pop(pending.index, None)
                     pending.future.cancel()
-                # In a later term its leader's first entry makes the fragments void.
+                # In a later term the first entry of its leader already voids the fragments.
                 if self._raft.term == term:
                     abort = encode_fragment(FragmentKind.ABORT, 0, b"")
                     self._driver.carry_out(self._raft.propose(self._clock.now(), abort)[1])
@@ -109,14 +113,14 @@
             return changed
 
     def _propose(self, data: bytes, term: int) -> PendingProposal:
-        """Raises NotLeaderError where this node does not lead that term, or no longer."""
+        """Appends an entry to the log. Raises NotLeaderError if this node does not lead `term`."""
         step, index = Ready(), 0
         if self._raft.term == term:
             index, step = self._raft.propose(self._clock.now(), data)
         if not index:
             raise NotLeaderError()
         pending = PendingProposal(index, term, asyncio.get_running_loop().create_future())
-        # Before the step is carried out: in a cluster of one the entry is applied within it.
+        # Registered before the step is carried out: a cluster of one applies the entry within it.
         self._pending[index] = pending
         self._driver.carry_out(step)
         return pending
@@ -126,7 +130,9 @@
             async with asyncio.timeout(DECISION_TIMEOUT_S):
                 return await pending.future
         except TimeoutError:
-            raise CallTimeoutError("no majority has it yet") from None
+            raise CallTimeoutError(
+                f"no majority has stored the entry within {DECISION_TIMEOUT_S} s"
+            ) from None
         finally:
             if self._pending.get(pending.index) is pending:
                 del self._pending[pending.index]
--- a/cairndale/control/raft_driver.py
+++ b/cairndale/control/raft_driver.py
@@ -1,9 +1,10 @@
-"""Drives the Raft state machine: carries its steps out on disk, on the network and in the process.
+"""Drives the Raft state machine: carries out its steps on disk, network and in the process.
 
-`RaftNode` is pure. Each call of it yields a `Ready`, which says what has to be done. A step is
-carried out in one order: writes are synced to disk, then messages are sent, then the listeners see
-it. So no other member is ever told what this one's disk may not hold (Raft, section 5 and figure 2:
-persistent state is updated on stable storage before an RPC is answered).
+`RaftNode` performs no I/O. Each call of it returns a `Ready`, a step that lists the work to do. It
+is always carried out in this order: writes are synced to disk, then messages are sent, then
+listeners are called. So no other member receives anything that this member's disk may not contain
+(Raft, section 5 and figure 2: persistent state is updated on stable storage before an RPC is
+answered).
 """
 
 from __future__ import annotations
@@ -33,22 +34,22 @@
         self._listeners: list[StepListener] = []
 
     def subscribe(self, listener: StepListener) -> None:
-        """Calls `listener` with each step once it is on disk and sent, in order of subscription.
+        """Calls `listener` with each step after its writes and sends, in order of subscription.
 
-        A listener may carry out further steps: these are over before the next listener is called.
+        A listener may carry out further steps: these complete before the next listener is called.
         """
         self._listeners.append(listener)
 
     def tick(self) -> None:
-        """Lets the state machine act upon the time that has passed."""
+        """Lets the state machine handle what is due by time."""
         self.carry_out(self._raft.tick(self._clock.now()))
 
     def receive(self, message: Message) -> None:
-        """Hands another member's message to the state machine."""
+        """Passes another member's message to the state machine."""
         self.carry_out(self._raft.receive(self._clock.now(), message))
 
     def carry_out(self, step: Ready) -> None:
-        """Carries a step of the state machine out: on disk, to the others, then to listeners."""
+        """Carries out a step: syncs its writes, sends its messages, then calls the listeners."""
         if step.writes:
             self.persist(step.writes)
         for address, message in step.sends:
@@ -61,10 +62,10 @@
             listener(step)
 
     def persist(self, writes: Iterable[Write]) -> None:
-        """Returns once all is synced to disk.
+        """Returns once all writes are synced to disk.
 
-        Where the disk does not take it the process ends at once, as if it had been killed: a member
-        that cannot keep its word must not go on giving it.
+        If a write fails the process exits at once, as if it had been killed: a member that cannot
+        persist its votes and entries must not acknowledge any more.
         """
         try:
             self._storage.write(writes)
--- a/cairndale/control/read_index.py
+++ b/cairndale/control/read_index.py
@@ -1,15 +1,16 @@
-"""The read index (Raft, section 8): a leader answers a call once a majority has followed it since.
-
-Why that is enough. A majority answered, in this term, what was sent after the call came. Whoever
-leads in a later term needs the vote of one of them, which was given after its answer, so after the
-call: when the call came nobody led in a later term, and all that had been committed by then was
-committed by this leader, or before its first entry. Its state holds all of that once it is applied
-up to the commit index of that moment. Nothing is required of clocks but that this process's own
-does not go back; a pause of the process at any line only makes the call longer.
-
-The event loop reads its clock once a turn. What was sent in the turn of a call bears the call's
-time, and may have been sent before it, with a pause of the process between the two: so only what
-bears a later time counts.
+"""The read index (Raft, section 8): a leader answers a call once a majority has confirmed it since.
+
+Why this is linearizable: a majority has answered, in this term, messages sent after the call
+arrived. The leader of a later term needs the vote of one of these members, given after that answer
+and so after the call. Hence nobody led a later term when the call arrived, and everything committed
+by then was committed by this leader or before its first entry. The leader's state contains all of
+it once the log is applied up to the commit index of that time. The only requirement on clocks is
+that this process's own clock is monotonic; a pause of the process at any line only makes the call
+take longer.
+
+The event loop reads its clock once per iteration. A message sent in the same iteration as the call
+has the call's timestamp but may have been sent before it, with a pause of the process in between.
+So only messages with a later timestamp count.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 from cairndale.errors import CallError, NotLeaderError
 from cairndale.raft.messages import Ready
 
-QUORUM_TIMEOUT_S = 0.6  # s for a majority to answer; time is left then to pass a call on
-HEARTBEAT_DELAY_S = 0.002  # s after a call: the heartbeat has to bear a later time than the call
-MIN_HEARTBEAT_INTERVAL_S = 0.01  # s at least between two heartbeats that were sent for calls
+QUORUM_TIMEOUT_S = 0.6  # for a majority to answer; leaves time to forward the call afterwards
+HEARTBEAT_DELAY_S = 0.002  # after a call: the heartbeat needs a later timestamp than the call
+MIN_HEARTBEAT_INTERVAL_S = 0.01  # between heartbeats that are sent for calls
 
 
 class Log(Protocol):
-    """What is asked of the Raft state machine."""
+    """The part of the Raft state machine that the read index uses."""
 
     term: int
 
@@ -37,15 +38,15 @@
         """Whether this node holds the leader lease."""
 
     def last_quorum_contact(self, now: float) -> float:
-        """When that was sent which a majority has answered last."""
+        """The latest time such that a majority has answered messages sent at or after it."""
 
     def heartbeat_soon(self, now: float, apart: float) -> Ready:
-        """Heartbeats ahead of time, if the last ones were sent `apart` seconds ago or more."""
+        """Sends heartbeats early, if the last ones were sent at least `apart` seconds ago."""
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingRead:
-    """A call that waits for a majority."""
+    """A call that waits for confirmation by a majority."""
 
     called_at: float
     term: int
@@ -55,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LogStatus:
-    """What confirms calls, at one moment."""
+    """The Raft state that calls are checked against."""
 
     term: int
     leads: bool
@@ -64,7 +65,7 @@
 
 
 class ReadIndex:
-    """The calls that wait until this node is known to have led after they came.
+    """Confirms that this node still led after a call arrived.
 
     `carry_out` carries out a step of the Raft state machine.
     """
@@ -97,11 +98,11 @@
     async def confirm(
         self, called_at: float, term: int, index: int = 0, at_once: bool = True
     ) -> None:
-        """Returns once a majority has followed this leader, in `term`, since the time `called_at`.
+        """Returns once a majority has acknowledged this leader, in `term`, after `called_at`.
 
-        The log is applied up to `index` then. `at_once`: a heartbeat is sent for the call, else the
-        next one is waited for. Raises NotLeaderError where the term is over or no majority answers
-        in time: this node may lead no longer.
+        The log is applied up to `index` by then. `at_once` sends a heartbeat for the call, else the
+        next regular one is awaited. Raises NotLeaderError if the term has ended or no majority
+        answers in time, since this node may no longer lead.
         """
         pending = _PendingRead(called_at, term, index, asyncio.get_running_loop().create_future())
         if self._is_confirmed(pending, self._status()):
@@ -113,12 +114,12 @@
             async with asyncio.timeout(QUORUM_TIMEOUT_S):
                 await pending.future
         except TimeoutError:
-            raise NotLeaderError("no majority has answered") from None
+            raise NotLeaderError(f"no majority has answered within {QUORUM_TIMEOUT_S} s") from None
         finally:
             self._pending.discard(pending)
 
     def _schedule_heartbeat(self, delay: float) -> None:
-        """One heartbeat for all calls that wait."""
+        """Schedules one heartbeat for all pending calls, unless one is scheduled."""
         if self._timer is None:
             self._timer = asyncio.get_running_loop().call_later(delay, self._send_heartbeat)
 
@@ -134,9 +135,9 @@
             self.resolve()
 
     def resolve(self) -> None:
-        """Ends the calls that are confirmed by now, or whose term is over; after each step.
+        """Completes the calls that are confirmed or whose term has ended; called after each step.
 
-        The log is asked once for all of them.
+        Queries the Raft state once for all of them.
         """
         if not self._pending:
             return
--- a/cairndale/control/request_dispatch.py
+++ b/cairndale/control/request_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands what other processes send to its handlers: Raft messages, calls to the leader."""
+"""Dispatches Raft messages, and calls to the leader, to their handlers."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequestDispatcher:
-    """The receiving end of the RPC port of a control node."""
+    """Handles what arrives at the RPC port of a control node."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._operations, self._notifier, self._clock = operations, notifier, clock
 
     def receive(self, envelope: pb.Envelope) -> None:
-        """Acts upon a message that wants no answer; what cannot be read is dropped."""
+        """Handles a one-way message; a Raft message that cannot be decoded is dropped."""
         leadership = self._leadership.current
         match envelope.WhichOneof("body"):
             case "log_message":
@@ -49,10 +49,10 @@
                 leadership.evacuation_log.acknowledge(receipt.zone, receipt.order_id)
 
     async def answer(self, envelope: pb.Envelope) -> pb.Envelope:
-        """The answer to a call.
+        """Answers a call.
 
-        A call that this node is no leader for is answered with that fault and, where it is known,
-        the leader's address. Raises CallError for all other failures.
+        While this node does not lead, the answer is the fault NOT_LEADER with the leader's address,
+        if that is known. Raises CallError for all other failures.
         """
         try:
             return await self._answer_as_leader(envelope)
@@ -62,16 +62,16 @@
             return pb.Envelope(fault_code=FaultCode.NOT_LEADER, forward_to=hint)
 
     async def _answer_as_leader(self, envelope: pb.Envelope) -> pb.Envelope:
-        leads = self._leadership
+        tracker = self._leadership
         match envelope.WhichOneof("body"):
             case "watch_request":
-                leads.require(envelope.term)
+                tracker.require(envelope.term)
                 watch_response = await self._watch_server.watch(envelope.watch_request)
-                return pb.Envelope(watch_response=watch_response, term=leads.require().term)
+                return pb.Envelope(watch_response=watch_response, term=tracker.require().term)
             case "quota_request" | "budget_request":
-                return leads.require(envelope.term).grants.answer(self._clock.now(), envelope)
+                return tracker.require(envelope.term).grants.answer(self._clock.now(), envelope)
             case "heartbeat_report":
-                leadership, now = leads.require(envelope.term), self._clock.now()
+                leadership, now = tracker.require(envelope.term), self._clock.now()
                 leadership.record_report(now, envelope.heartbeat_report)
                 await self._confirm(now, leadership.term)
                 return pb.Envelope(term=leadership.term)
@@ -79,19 +79,19 @@
                 term = await self.register_endpoints(envelope.endpoint_report, envelope.term)
                 return pb.Envelope(term=term)
             case "operation_request":
-                term, order = leads.require(envelope.term).term, envelope.operation_request
+                term, operation = tracker.require(envelope.term).term, envelope.operation_request
                 status, body = await self._operations.handle(
-                    order.method, order.path, order.body, order.request_id
+                    operation.method, operation.path, operation.body, operation.request_id
                 )
                 response = pb.OperationResponse(status=status, body=body)
                 return pb.Envelope(operation_response=response, term=term)
-        raise RejectedError("not known here")
+        raise RejectedError(f"unknown call {envelope.WhichOneof('body')!r}")
 
     async def register_endpoints(self, report: pb.EndpointReport, term: int = 0) -> int:
         """Registers endpoints that were reported to another control node.
 
         Returns the term in which they are registered, once a majority has confirmed it. Raises
-        NotLeaderError where this node does not lead in a term of at least `term`, or loses the lead
+        NotLeaderError if this node does not lead in a term of at least `term`, or loses leadership
         meanwhile.
         """
         leadership, now = self._leadership.require(term), self._clock.now()
@@ -101,5 +101,5 @@
         return leadership.term
 
     async def _confirm(self, called_at: float, term: int) -> None:
-        """Waits for the next heartbeat's answers, which confirm many calls at once."""
+        """Waits for the answers to the next regular heartbeat, which confirm many calls at once."""
         await self._read_index.confirm(called_at, term, self._raft.commit_index, at_once=False)
--- a/cairndale/control/snapshot_worker.py
+++ b/cairndale/control/snapshot_worker.py
@@ -1,8 +1,8 @@
-"""Creates, stores, decodes and installs snapshots in steps that do not hold the event loop.
+"""Creates, stores, decodes and installs snapshots in steps that do not block the event loop.
 
-A job is a generator that pauses after each step. The worker takes the oldest job one step on and
-then leaves the loop free for a while. Snapshots of small states are done within the call that asks
-for them.
+A job is a generator that yields after each step. The worker advances the oldest job by one step and
+then leaves the loop to other tasks for a while. Snapshots of small states are completed within the
+call that starts them.
 """
 
 from __future__ import annotations
@@ -20,20 +20,21 @@
 from cairndale.raft.node import RaftNode
 from cairndale.raft.storage import RaftStorage, StorageError
 
-INLINE_STEPS = 2  # steps done within the call: enough for a small state
-WRITE_CHUNK_BYTES = 64 * 1024  # bytes of a snapshot written to disk in one step
-MIN_PAUSE_S = 0.002  # s at least between two steps, and ...
-PAUSE_RATIO = 3.0  # ... so many times what the last one took: on a slow disk others get their turn
-RETRY_DELAY_S = 5.0  # s after a snapshot could not be written
+INLINE_STEPS = 2  # done within the call that starts a job: enough for a small state
+WRITE_CHUNK_BYTES = 64 * 1024  # of a snapshot, written to disk in one step
+MIN_PAUSE_S = 0.002  # between two steps
+PAUSE_RATIO = 3.0  # of a pause to the duration of the step before: leaves time on a slow disk
+RETRY_DELAY_S = 5.0  # after a snapshot could not be written
 
 Job = Iterator[None]
 
 
 class SnapshotWorker:
-    """The one place that works on snapshots; one is created at a time.
+    """Runs all snapshot jobs; one snapshot is created at a time.
 
-    `carry_out` carries out a step of the Raft state machine, `now` is the time in seconds. A
-    snapshot that the disk does not take is logged and dropped: the log still holds its entries.
+    `carry_out` carries out a step of the Raft state machine, `now` returns the time in seconds. If
+    a snapshot cannot be written, that is logged and the snapshot is dropped: the log still contains
+    its entries.
     """
 
     def __init__(
@@ -47,12 +48,12 @@
         self._jobs: deque[Job] = deque([self._sweep_steps()])
         self._is_creating = False
         self._retry_at = float("-inf")
-        self.installed_state = State()  # of the snapshot that is being installed
+        self.installed_state = State()  # of the snapshot that was decoded last
 
     def create(self, raw: dict[str, Any], index: int) -> None:
-        """Begins a snapshot of the state as it is after the entry at `index`.
+        """Starts a snapshot of the state after the entry at `index`.
 
-        Does nothing while another is being created, if one of that index exists, or for
+        Does nothing while another is being created, if one of that index or later exists, or for
         RETRY_DELAY_S seconds after a failure.
         """
         is_newer = index > self._raft.base_snapshot.index
@@ -61,7 +62,7 @@
             self._begin(self._create_steps(raw, index))
 
     def install(self, snapshot: Snapshot) -> None:
-        """Begins to install a received snapshot; logs and drops one that cannot be decoded."""
+        """Starts to install a received snapshot; logs and drops one that cannot be decoded."""
         self._begin(self._install_steps(snapshot))
 
     def _begin(self, job: Job) -> None:
@@ -71,12 +72,12 @@
         self._jobs.append(job)
 
     def _advance(self, job: Job) -> bool:
-        """Takes a job one step on; False once it has ended."""
+        """Advances a job by one step; False once it has ended."""
         try:
             next(job)
         except StopIteration:
             return False
-        except StorageError as error:  # a job itself writes nothing that must be durable
+        except StorageError as error:  # jobs write nothing that must be durable by then
             log_event(Event.SNAPSHOT_FAILED, "%s", error)
             self._retry_at = self._now() + RETRY_DELAY_S
             self._jobs.append(self._sweep_steps(failed=True))
@@ -84,7 +85,7 @@
         return True
 
     def step(self) -> bool:
-        """Does one step of the oldest job; False once no work is left."""
+        """Advances the oldest job by one step; False once no work is left."""
         if self._jobs:
             job = self._jobs.popleft()
             if self._advance(job):
@@ -92,7 +93,7 @@
         return bool(self._jobs)
 
     def step_and_pause(self) -> float:
-        """Does one step; the seconds to wait until the next one."""
+        """Does one step; returns the seconds to pause until the next one."""
         begun = time.perf_counter()
         more = self.step()
         return (
@@ -103,21 +104,21 @@
 
     def _create_steps(self, raw: dict[str, Any], index: int) -> Job:
         try:
-            made, digest = [], state_digest()
+            parts, digest = [], state_digest()
             for part in serialization.encode_parts(raw):
-                made.append(part)
+                parts.append(part)
                 digest.update(part)
-                if len(made) > INLINE_STEPS:
+                if len(parts) > INLINE_STEPS:
                     yield
             if index <= self._raft.base_snapshot.index:  # a newer one was installed meanwhile
                 return
-            snapshot = self._raft.make_snapshot(index, b"".join(made), digest.digest())
+            snapshot = self._raft.make_snapshot(index, b"".join(parts), digest.digest())
             if len(snapshot.state) > WRITE_CHUNK_BYTES:
-                for at in range(0, len(snapshot.state), WRITE_CHUNK_BYTES):
+                for offset in range(0, len(snapshot.state), WRITE_CHUNK_BYTES):
                     yield
-                    piece = snapshot.state[at : at + WRITE_CHUNK_BYTES]
+                    chunk = snapshot.state[offset : offset + WRITE_CHUNK_BYTES]
                     self._storage.write(
-                        [SaveSnapshotChunk(snapshot.head, at, piece, received=False)]
+                        [SaveSnapshotChunk(snapshot.head, offset, chunk, received=False)]
                     )
                 yield
             self._carry_out(self._raft.compact(snapshot))
@@ -133,13 +134,21 @@
                     yield
             self.installed_state = State.from_dict(raw)
         except serialization.FormatError as error:
-            log_event(Event.SNAPSHOT_DROPPED, "the snapshot at %d: %s", snapshot.index, error)
+            log_event(
+                Event.SNAPSHOT_DROPPED,
+                "snapshot at index %d cannot be decoded: %s",
+                snapshot.index,
+                error,
+            )
             return
         step = self._raft.install_snapshot(self._now(), snapshot)
         self._carry_out(step)
         if step.restored_snapshot:
             log_event(
-                Event.SNAPSHOT_INSTALLED, "up to %d, %d bytes", snapshot.index, len(snapshot.state)
+                Event.SNAPSHOT_INSTALLED,
+                "snapshot at index %d, %d bytes",
+                snapshot.index,
+                len(snapshot.state),
             )
         yield from self._sweep_steps()
 
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -1,6 +1,6 @@
-"""The system's name: drawn once by a leader, committed to the log, and known to each member.
+"""The system's name: generated once by a leader, committed to the log, and stored by each member.
 
-Connections between processes carry it, so that processes of two systems never talk to each other.
+Connections between processes carry it, so that processes of different systems never communicate.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class SystemName:
-    """Keeps the name of connections, of the disk and of the log the same."""
+    """Keeps the system's name on connections and on disk in line with the log."""
 
     def __init__(
         self,
@@ -38,15 +38,15 @@
         rpc_peer.system = storage.system_name() or applier.state.system_name
 
     def adopt(self) -> None:
-        """Takes the name over that the log says, from the first entry that says one."""
+        """Adopts the name from the replicated state, once the state has one."""
         if (name := self._applier.state.system_name) and name != self._rpc_peer.system:
-            # If the disk is full, a later start learns it from the log, or from whom it dials.
+            # If this fails, a later start learns the name from the log or from a peer.
             with contextlib.suppress(StorageError):
                 self._storage.set_system_name(name)
             self._rpc_peer.set_system_name(name)
 
     def propose(self) -> None:
-        """Proposes a name, once a term, as leader of a system that has none."""
+        """Proposes a name, once per term, if this node leads a system without one."""
         leadership = self._leadership.current
         if (
             self._applier.state.system_name
--- a/cairndale/control/watch_responses.py
+++ b/cairndale/control/watch_responses.py
@@ -1,7 +1,7 @@
-"""What the leader answers to watch requests: the delta or the full state, and a renewed lease.
+"""Builds the leader's responses to watch requests: a delta or the full state, and a renewed lease.
 
 Lists of endpoints and nodes are serialised and compressed once for all nodes that know the same
-versions: after a restart of the system thousands of nodes ask for the same within a second.
+versions: after a restart of the system, thousands of nodes request the same lists within a second.
 """
 
 from __future__ import annotations
@@ -19,40 +19,41 @@
 from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.lease_timing import NODE_LEASE_S
 
-# Compressed lists are reused for this long: by so much longer an endpoint counts as warming up.
+# How long compressed lists are reused: for that much longer an endpoint may seem to be warming up.
 LISTS_TTL_S = 0.2
-# Lists of changes are reused for so long for each ingress: half of the time between two rounds.
+# How long lists of changes are reused, per ingress: half of the interval between rounds.
 DELTA_TTL_PER_INGRESS_S = 0.0007
 MAX_CACHED_LISTS = 64
 
-NONE_KNOWN = -1  # in place of a version: nothing of this epoch is known
+NONE_KNOWN = -1  # in place of a version: the node knows nothing of this epoch
 
 
 @dataclass(frozen=True, slots=True)
 class ListVersions:
-    """Versions of the registries up to which a node knows their contents."""
+    """Versions of the registries that a node has received."""
 
     endpoints: int
     nodes: int
 
     @property
     def is_partial(self) -> bool:
-        """Whether at least one of the lists is not known at all."""
+        """Whether at least one of the lists is entirely unknown to the node."""
         return min(self.endpoints, self.nodes) < 0
 
 
 @dataclass(frozen=True, slots=True)
 class _CompressedLists:
     made_at: float
-    versions: ListVersions  # that whoever applies them knows
+    versions: ListVersions  # that a node has after applying the lists
     data: bytes
 
 
 class _ListCache:
-    """Compressed lists by what is known already.
+    """Cache of compressed lists, by the versions that the receiving node already has.
 
-    Lists are reused for a while though there have been changes since. Who receives them is sent
-    those next, and all nodes that were answered in one round know the same versions in the next.
+    Lists are reused for a short time even if there have been changes since. A node that receives
+    them gets those changes in its next response, and all nodes answered in one round have the same
+    versions in the next round.
     """
 
     def __init__(
@@ -90,10 +91,10 @@
     def _message(
         self, now: float, known: ListVersions, current: ListVersions, has_settled: bool
     ) -> pb.WatchResponse:
-        """A response that holds the lists alone.
+        """A response that contains only the lists.
 
-        Until the registry of endpoints has settled it is sent as a delta: nothing is known to be
-        missing.
+        Until the endpoint registry has settled, endpoints are sent as a delta, because an endpoint
+        that is missing from the registry may still exist.
         """
         message = pb.WatchResponse(
             endpoints_complete=known.endpoints < 0 and has_settled, nodes_complete=known.nodes < 0
@@ -119,7 +120,7 @@
 class WatchResponseBuilder:
     """Builds responses within one term. Times are seconds on the leader's clock.
 
-    Each response renews the lease of the node that it is for, so one that is built must be sent.
+    Building a response renews the lease of its node, so every response must be sent.
     """
 
     def __init__(
@@ -135,7 +136,7 @@
         self._lists = _ListCache(epoch, endpoint_registry, node_registry, ingress_counter)
 
     def has_update(self, now: float, request: pb.WatchRequest, state: State) -> bool:
-        """Whether the node that made this request does not know all that there is."""
+        """Whether there is anything that the requesting node has not received yet."""
         if request.epoch != self._epoch.name(now) or request.config_version != state.version:
             return True
         if request.node.kind == "edge" and request.counter_active != self._grants.is_counting:
@@ -146,7 +147,7 @@
         )
 
     def update(self, now: float, request: pb.WatchRequest, state: State) -> pb.WatchResponse:
-        """All that the node does not know yet, and its lease, which begins now."""
+        """Everything that the node has not received yet, and its lease, which starts now."""
         response = self._begin(
             now,
             request,
@@ -161,9 +162,9 @@
         return response
 
     def renewal(self, now: float, request: pb.WatchRequest) -> pb.WatchResponse:
-        """A lease that begins now, and nothing else.
+        """A lease that starts now, without updates.
 
-        What the node knows stands; updates may be left for the answer to its next request.
+        The versions stay those of the request; pending updates follow in a later response.
         """
         response = self._begin(
             now,
@@ -189,7 +190,7 @@
     ) -> pb.WatchResponse:
         self._node_registry.renew_lease(now, request.node.name)
         if lease := self._node_registry.leases.get(request.node.name):
-            lease.idle_until = min(lease.idle_until, now)  # it may spend its share from now on
+            lease.idle_until = min(lease.idle_until, now)  # from now on it may spend its share
         return pb.WatchResponse(
             epoch=epoch,
             lease_ms=round(NODE_LEASE_S * 1000),
@@ -203,9 +204,10 @@
     def _add_configuration(
         self, response: pb.WatchResponse, request: pb.WatchRequest, state: State
     ) -> None:
-        """Evacuations, and for an ingress the content: control nodes have that from the log.
+        """Adds evacuated zones and, for an ingress, the configuration's content.
 
-        A delta is sent where the node accepts it and its generation is known, else the full state.
+        Control nodes have the content from the log. A delta is sent if the node accepts it and its
+        generation is known, else the full content.
         """
         response.evacuated_zones.extend(state.evacuated)
         response.has_evacuated_zones = True
@@ -227,8 +229,8 @@
     def _add_lists(self, now: float, response: pb.WatchResponse, request: pb.WatchRequest) -> None:
         is_current_epoch = request.epoch == response.epoch
         is_of_term = is_current_epoch or request.epoch == self._epoch.unsettled_name
-        # Once the registry has settled, an ingress is not sent again the endpoints that it was sent
-        # before in this term; all others are gone.
+        # Once the registry has settled, an ingress is not sent the endpoints that it has already
+        # received in this term again; all others that it knows are removed.
         response.unlisted_endpoints_gone = (
             is_of_term and not is_current_epoch and request.node.kind == "edge"
         )
--- a/cairndale/control/watch_server.py
+++ b/cairndale/control/watch_server.py
@@ -1,11 +1,11 @@
-"""The leader's queue of watch requests: who is answered, when, and in which order.
-
-A request is kept until there is an update for it or its long-poll timeout is over. Changes that
-come close together are sent in one round, as each wakes all requests. Bytes a second are capped, so
-that heartbeats of the log are not delayed on the leader's link, and responses built in a row are
-capped for its processor. Nodes that know nothing of this term come first, the others by how long
-they have waited. A request whose turn does not come in time has its node's lease renewed, and the
-node asks again: no response is built in vain.
+"""The leader's queue of watch requests: decides when and in which order they are answered.
+
+A request stays pending until there is an update for it or its long-poll timeout expires. Changes
+close in time are sent in one round, because each change concerns all requests. The send rate is
+limited so that Raft heartbeats are not delayed on the leader's link, and the number of responses
+built in a row so that other tasks get processor time. Nodes that know nothing of this term are
+answered first, the others in the order of their waiting time. A request that cannot be answered in
+time only gets its node's lease renewed, and the node asks again: no response is built in vain.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from cairndale.rpc import protocol_pb2 as pb
 
 MAX_PENDING_S = 5.0
-RESPONSE_GRACE_S = 1.0  # beyond its long-poll timeout, after which a request is given up
-# Between two rounds in which all nodes are sent changes of endpoints and nodes, for each ingress.
+RESPONSE_GRACE_S = 1.0  # after its long-poll timeout, until a request fails
+# Interval between rounds in which all nodes are sent changes of endpoints and nodes, per ingress.
 ROUND_INTERVAL_PER_INGRESS_S = 0.0015
 MAX_ROUND_INTERVAL_S = 0.5
 SEND_RATE_BYTES_PER_S = 7_500_000  # on average; half of a link of 120 Mbit/s
 SEND_BURST_BYTES = 400_000
-MAX_RESPONSES_IN_A_ROW = 16  # before other tasks have their turn
+MAX_RESPONSES_IN_A_ROW = 16  # before yielding to other tasks
 MIN_WAIT_S = 0.001
-MAX_REFILL_S = 1.0  # of the send rate, that is added for time without a turn
+MAX_REFILL_S = 1.0  # the longest elapsed time that one refill accounts for
 
 
 class Leader(Protocol):
-    """What the watch server needs of its process."""
+    """The part of the control node that the watch server uses."""
 
     @property
     def state(self) -> State:
@@ -44,29 +44,29 @@
 
     @property
     def leadership(self) -> Leadership | None:
-        """The leadership, while this process leads."""
+        """The leadership, or None while this process does not lead."""
 
     def now(self) -> float:
         """Seconds on the process's clock."""
 
     def require_leadership(self) -> Leadership:
-        """The leadership. Raises CallError where this process does not lead."""
+        """The leadership. Raises CallError if this process does not lead."""
 
     async def decide(self, command: Command) -> bool:
-        """Commit a command. Raises CallError where its outcome is not known."""
+        """Commits a command. Raises CallError if its outcome is not known."""
 
     def notify_change(self) -> None:
-        """Wake all who wait for a change."""
+        """Wakes all tasks that wait for a change."""
 
 
 def round_interval(ingresses: int) -> float:
-    """Seconds between two rounds of changes, with so many ingresses."""
+    """Seconds between rounds of changes, with this number of ingresses."""
     return min(MAX_ROUND_INTERVAL_S, ROUND_INTERVAL_PER_INGRESS_S * ingresses)
 
 
 @dataclass(frozen=True, slots=True)
 class _UrgentState:
-    """What all nodes are sent at once, without waiting for the next round."""
+    """State whose changes are sent at once, without waiting for the next round."""
 
     epoch: str
     config_version: int
@@ -76,13 +76,13 @@
 @dataclass(slots=True, eq=False)
 class _PendingWatch:
     request: pb.WatchRequest
-    deadline: float  # when its long-poll timeout is over
-    waiting_since: float  # the node's first request for what it has not been sent yet
+    deadline: float  # when its long-poll timeout expires
+    waiting_since: float  # the node's first request since it was last sent an update
     response: asyncio.Future[pb.WatchResponse]
 
 
 class _SendBudget:
-    """A token bucket of bytes that may go into debt by one response."""
+    """A token bucket of bytes, which one response may overdraw."""
 
     def __init__(self) -> None:
         self.bytes = float(SEND_BURST_BYTES)
@@ -94,7 +94,7 @@
         self._refilled_at = now
 
     def time_to_credit(self) -> float:
-        """Seconds until there is something to send, MIN_WAIT_S at the least."""
+        """Seconds until the bucket allows a response, at least MIN_WAIT_S."""
         return max(MIN_WAIT_S, -self.bytes / SEND_RATE_BYTES_PER_S)
 
 
@@ -104,11 +104,13 @@
     def __init__(self, leader: Leader) -> None:
         self._leader = leader
         self.enrolment = LeaseEnrolment(leader)
-        self._pending: dict[_PendingWatch, None] = {}  # in the order of arrival
-        self._newest: dict[str, _PendingWatch] = {}  # by node: it does not wait for an earlier one
+        self._pending: dict[_PendingWatch, None] = {}  # in order of arrival
+        self._newest: dict[
+            str, _PendingWatch
+        ] = {}  # by node; a new request fails the node's earlier one
         self._by_deadline: list[tuple[float, int, _PendingWatch]] = []  # a heap
-        self._arrivals = 0  # so that requests of one deadline are ordered
-        self._ready: list[_PendingWatch] = []  # there is an update for these
+        self._arrivals = 0  # tie-breaker between equal deadlines
+        self._ready: list[_PendingWatch] = []  # have an update
         self._ready_is_sorted = True
         self._waiting_since: dict[str, float] = {}  # by node, while it waits for an update
         self._woken = asyncio.Event()
@@ -118,16 +120,16 @@
         self._budget = _SendBudget()
 
     def wake(self) -> None:
-        """Something has changed: nodes are sent it in the next round."""
+        """Notes a change, which is sent to the nodes in the next round."""
         self._has_changed = True
         self._woken.set()
 
     async def watch(self, request: pb.WatchRequest) -> pb.WatchResponse:
-        """The response to a request, once there is an update or its long-poll timeout is over.
+        """The response to a request, once there is an update or its long-poll timeout expires.
 
-        A node has one request at a time: an earlier one fails. Raises QueueFullError if there is no
-        response within RESPONSE_GRACE_S beyond the timeout, StaleCallError, and CallError where
-        this process does not lead.
+        A node has one request at a time: a new one fails the earlier one. Raises QueueFullError if
+        there is no response within RESPONSE_GRACE_S after the timeout, StaleCallError for an
+        outdated or superseded request, and CallError if this process does not lead.
         """
         leader = self._leader
         leader.require_leadership()
@@ -142,7 +144,9 @@
             async with asyncio.timeout(pending.deadline - now + RESPONSE_GRACE_S):
                 return await pending.response
         except TimeoutError:
-            raise QueueFullError("too many ask") from None
+            raise QueueFullError(
+                f"no response in time: {len(self._pending)} watch requests are pending"
+            ) from None
         finally:
             self._dequeue(pending)
 
@@ -156,7 +160,9 @@
         )
         self._pending[pending] = None
         if (previous := self._newest.get(name)) and not previous.response.done():
-            previous.response.set_exception(StaleCallError("asked anew"))
+            previous.response.set_exception(
+                StaleCallError("superseded by a newer watch request of the node")
+            )
         self._newest[name] = pending
         self._arrivals += 1
         heapq.heappush(self._by_deadline, (pending.deadline, self._arrivals, pending))
@@ -169,7 +175,7 @@
             del self._newest[name]
 
     def _schedule(self, pending: _PendingWatch, leadership: Leadership, now: float) -> None:
-        """See to it that the next turn comes early enough for a new request."""
+        """Wakes the answering task as early as a new request requires."""
         request, state = pending.request, self._leader.state
         if request.epoch != leadership.epoch(now) or request.config_version != state.version:
             self._ready.append(pending)
@@ -181,7 +187,7 @@
             self._woken.set()
 
     async def run(self) -> None:
-        """Answer requests for as long as the process runs."""
+        """Answers requests for as long as the process runs."""
         while True:
             self._woken.clear()
             wait = self.answer_due()
@@ -193,9 +199,9 @@
                 await asyncio.sleep(0)
 
     def answer_due(self) -> float:
-        """Answer the requests whose time it is.
+        """Answers the requests that are due.
 
-        Returns the seconds until the next turn, if nothing changes before.
+        Returns the seconds until the next call is needed, if nothing changes before.
         """
         now = self._leader.now()
         try:
@@ -228,7 +234,7 @@
         return self._last_round_at + round_interval(leadership.ingress_counter.count(now))
 
     def _begin_round(self, leadership: Leadership, now: float) -> None:
-        """Find all requests with an update, once for all changes of a round."""
+        """Collects all requests that have an update, once per round or urgent change."""
         state = self._leader.state
         urgent = _UrgentState(
             epoch=leadership.epoch(now),
@@ -248,7 +254,7 @@
         self._ready_is_sorted = False
 
     def _answer_ready(self, leadership: Leadership, now: float) -> bool:
-        """Answer some of those that are ready; True if others may be answered at once."""
+        """Answers some of the ready requests; True if more may be answered at once."""
         if not self._ready_is_sorted:
             self._ready.sort(key=lambda p: (p.request.epoch != "", p.waiting_since))
             self._ready_is_sorted = True
@@ -270,7 +276,7 @@
         pending.response.set_result(response)
 
     def _renew_overdue(self, leadership: Leadership, now: float) -> None:
-        """Renew the leases of nodes whose long-poll timeout is over."""
+        """Renews the leases of nodes whose long-poll timeout has expired."""
         by_deadline = self._by_deadline
         is_any_overdue = bool(by_deadline) and by_deadline[0][0] <= now
         ready = set(self._ready) if is_any_overdue else set()
@@ -278,6 +284,6 @@
             pending = heapq.heappop(by_deadline)[2]
             if pending.response.done():
                 continue
-            if pending not in ready:  # else it goes on waiting for its update
+            if pending not in ready:  # else the node keeps its place in the order of waiting time
                 self._waiting_since.pop(pending.request.node.name, None)
             pending.response.set_result(leadership.watch_responses.renewal(now, pending.request))
--- a/tests/control/test_heartbeat_batch.py
+++ b/tests/control/test_heartbeat_batch.py
@@ -1,5 +1,5 @@
-"""Beats that say something new are passed on together, beside a plain model of when; what waits for
-contact is looked at once a step."""
+"""Batches of heartbeats against a simple model of their times; the cost of confirmations and of
+watch responses."""
 
 from __future__ import annotations
 
@@ -26,23 +26,22 @@
 from cairndale.raft.messages import Ready
 from cairndale.registry.endpoints import EndpointRegistry, read_heartbeat
 from cairndale.rpc import protocol_pb2 as pb
-from tests.control.test_operations import first, now, operator
-from tests.control.test_recovery import World as Fleet
-from tests.control.test_recovery import play as play_fleet
+from tests.control.test_operations import first_change, now, submit_change
+from tests.control.test_recovery import RecoverySimulation, run_simulation
 from tests.control.test_state_models import heartbeat
-from tests.testing.control_cluster import World, in_memory, play
+from tests.testing.control_cluster import ControlCluster, run_in_virtual_time, use_memory_cluster
 
-WAY = 0.3  # s until the leader has answered, in the plain scenes
+LEADER_DELAY_S = 0.3  # until the leader answers a batch
 
 
-def plainly(came: list[float], pause: float) -> list[tuple[float, int]]:
-    """When each call is made, and how many beats go with it."""
+def expected_batches(arrivals: list[float], pause: float) -> list[tuple[float, int]]:
+    """The time of each call, and the number of heartbeats in it."""
     calls: list[tuple[float, int]] = []
     at = float("-inf")
-    while came:
-        at = max(came[0], at + pause)
-        together = [one for one in came if one <= at]
-        calls, came = [*calls, (at, len(together))], came[len(together) :]
+    while arrivals:
+        at = max(arrivals[0], at + pause)
+        together = [one for one in arrivals if one <= at]
+        calls, arrivals = [*calls, (at, len(together))], arrivals[len(together) :]
     return calls
 
 
@@ -50,58 +49,58 @@
     ("control_nodes", "heartbeats", "within"),
     [(12, 400, 1.5), (36, 400, 1.5), (5, 9, 30.0), (1, 60, 0.5)],
 )
-def test_what_comes_close_together_goes_together_as_in_the_plain_model(
+def test_heartbeats_close_in_time_are_batched_as_in_the_model(
     control_nodes: int, heartbeats: int, within: float
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         rng, sent, answered = (
             random.Random(control_nodes),
             list[tuple[float, int]](),
             dict[str, float](),
         )
 
-        async def tell(batch: HeartbeatBatch) -> None:
+        async def send(batch: HeartbeatBatch) -> None:
             sent.append((now(), len(batch.report(now()).endpoints)))
-            await asyncio.sleep(WAY)
+            await asyncio.sleep(LEADER_DELAY_S)
 
-        made, began = HeartbeatBatcher(now, lambda: control_nodes, tell), now()
-        came = sorted(began + rng.uniform(0.0, within) for _ in range(heartbeats))
+        batcher, began = HeartbeatBatcher(now, lambda: control_nodes, send), now()
+        arrivals = sorted(began + rng.uniform(0.0, within) for _ in range(heartbeats))
 
         async def server(id: str, at: float) -> None:
             await asyncio.sleep(at - now())
-            await made.register(read_heartbeat(id, heartbeat(1), now()))
+            await batcher.register(read_heartbeat(id, heartbeat(1), now()))
             answered[id] = now() - at
 
-        await asyncio.gather(*(server(f"i{n}", at) for n, at in enumerate(came)))
-        model = plainly(came, min(MAX_BATCH_INTERVAL_S, 0.01 * control_nodes))
+        await asyncio.gather(*(server(f"i{n}", at) for n, at in enumerate(arrivals)))
+        model = expected_batches(arrivals, min(MAX_BATCH_INTERVAL_S, 0.01 * control_nodes))
         assert [n for _, n in sent] == [n for _, n in model]
         assert [at for at, _ in sent] == pytest.approx([at for at, _ in model], abs=1e-6)
         assert (
-            max(answered.values()) < batch_interval(control_nodes) + WAY + 1e-6
+            max(answered.values()) < batch_interval(control_nodes) + LEADER_DELAY_S + 1e-6
             and len(answered) == heartbeats
         )
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-def test_a_call_that_fails_fails_for_all_who_went_with_it_and_for_nobody_else() -> None:
-    async def scene() -> None:
+def test_a_failed_call_fails_for_all_heartbeats_of_its_batch_and_no_other() -> None:
+    async def scenario() -> None:
         calls = 0
 
-        async def tell(batch: HeartbeatBatch) -> None:
+        async def send(batch: HeartbeatBatch) -> None:
             nonlocal calls
             calls += 1
             number = calls
-            await asyncio.sleep(WAY)
+            await asyncio.sleep(LEADER_DELAY_S)
             if number == 2:
                 raise CallTimeoutError()
 
-        made = HeartbeatBatcher(now, lambda: 36, tell)
+        batcher = HeartbeatBatcher(now, lambda: 36, send)
 
         async def server(id: str, at: float) -> bool:
             await asyncio.sleep(at)
             try:
-                await made.register(read_heartbeat(id, heartbeat(1), now()))
+                await batcher.register(read_heartbeat(id, heartbeat(1), now()))
             except CallError:
                 return False
             return True
@@ -114,13 +113,13 @@
             asyncio.ensure_future(server(f"j{n}", 0.0))
             for n in range(heartbeat_batch.MAX_BATCH_SIZE + 3)
         ]
-        # The rest goes to another machine at once.
+        # The others fail at once, so that their servers try another node.
         assert sum(await asyncio.gather(*tasks)) == heartbeat_batch.MAX_BATCH_SIZE
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-def test_the_leader_hears_a_copy_or_an_older_word_once_and_nothing_unsound() -> None:
+def test_the_leader_ignores_copies_outdated_heartbeats_and_invalid_states() -> None:
     endpoint_registry = EndpointRegistry()
     sent = [
         endpoint_to_message(read_heartbeat(id, heartbeat(seq), 5.0), 5.0)
@@ -137,66 +136,66 @@
 
 
 @pytest.mark.parametrize("killed", [False, True])
-def test_the_first_beats_of_many_servers_take_few_calls(
+def test_the_first_heartbeats_of_many_servers_take_few_calls(
     killed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """`killed`: at the same moment the leader is, and nothing that it had acknowledged may be
-    missing."""
-    in_memory(monkeypatch)
+    """`killed`: the leader crashes meanwhile; no server that it acknowledged may be missing at the
+    next leader."""
+    use_memory_cluster(monkeypatch)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         random.seed(3)
-        world, calls = World(Path("arrivals")), 0
-        await world.begin()
-        assert await operator(world, first(), 1, world.hosts) == 200
+        cluster, calls = ControlCluster(Path("arrivals")), 0
+        await cluster.start_all()
+        assert await submit_change(cluster, first_change(), 1, cluster.hosts) == 200
         await asyncio.sleep(2.0)
-        leader = world.leader()
+        leader = cluster.leader()
         assert leader
-        others = [h for h in world.hosts if h != leader.settings.ip]
-        whole = world.net.go
+        others = [h for h in cluster.hosts if h != leader.settings.ip]
+        send_message = cluster.network.send
 
-        def go(sender: str, receiver: str, envelope: pb.Envelope) -> None:
+        def counting_send(sender: str, receiver: str, envelope: pb.Envelope) -> None:
             nonlocal calls
             calls += not envelope.is_answer and envelope.WhichOneof("body") in (
                 "endpoint_report",
                 "operation_request",
             )
-            whole(sender, receiver, envelope)
+            send_message(sender, receiver, envelope)
 
-        world.net.go = go  # type: ignore[method-assign]
-        acked = dict[str, float]()
+        cluster.network.send = counting_send  # type: ignore[method-assign]
+        answer_delays = dict[str, float]()
 
         async def server(id: str) -> None:
             await asyncio.sleep(random.uniform(0.0, 1.5))
             began, seq = now(), 1
-            while await world.beat(random.choice(others), id, seq, "z1") != 200:
+            while await cluster.send_heartbeat(random.choice(others), id, seq, "z1") != 200:
                 seq += 1
                 await asyncio.sleep(0.05)
-            acked[id] = now() - began
+            answer_delays[id] = now() - began
 
         tasks = [asyncio.ensure_future(server(f"i{n}")) for n in range(300)]
         if killed:
             await asyncio.sleep(0.7)
-            await world.crash(leader.settings.ip)
+            await cluster.crash(leader.settings.ip)
         await asyncio.gather(*tasks)
         if not killed:
-            assert calls < 4 * (1.5 / batch_interval(5) + 2) and max(acked.values()) < 0.45
+            assert calls < 4 * (1.5 / batch_interval(5) + 2) and max(answer_delays.values()) < 0.45
         await asyncio.sleep(1.0)
-        holder = world.leader()
-        assert holder and {
-            s.id for s in holder.endpoint_registry.endpoints.values() if s.state == "ready"
-        } >= set(acked)
+        new_leader = cluster.leader()
+        assert new_leader and {
+            s.id for s in new_leader.endpoint_registry.endpoints.values() if s.state == "ready"
+        } >= set(answer_delays)
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-def test_what_waits_for_contact_is_looked_at_once_a_step() -> None:
-    async def scene() -> None:
-        asked = 0
+def test_the_raft_state_is_queried_once_per_step_for_all_pending_calls() -> None:
+    async def scenario() -> None:
+        queries = 0
 
         def contact(at: float) -> float:
-            nonlocal asked
-            asked += 1
+            nonlocal queries
+            queries += 1
             return reached
 
         log = SimpleNamespace(
@@ -206,26 +205,26 @@
             heartbeat_soon=lambda at, apart: Ready(),
         )
         clock = SimpleNamespace(now=now)
-        made: Any = ReadIndex(log, clock, lambda: 4, lambda step: None)  # type: ignore[arg-type]
+        read_index: Any = ReadIndex(log, clock, lambda: 4, lambda step: None)  # type: ignore[arg-type]
         began = reached = now()
         tasks = [
-            asyncio.ensure_future(made.confirm(began + n / 1000, 1, index, at_once=False))
+            asyncio.ensure_future(read_index.confirm(began + n / 1000, 1, index, at_once=False))
             for n, index in enumerate([0] * 200 + [5] * 100)
         ]
         await asyncio.sleep(0)
-        asked, reached = 0, began + 0.25
-        made.resolve()
+        queries, reached = 0, began + 0.25
+        read_index.resolve()
         await asyncio.sleep(0)
-        assert asked == 1 and sum(task.done() for task in tasks) == 200
+        assert queries == 1 and sum(task.done() for task in tasks) == 200
         log.term = 2
-        made.resolve()
-        ended = await asyncio.gather(*tasks, return_exceptions=True)
-        assert sum(isinstance(one, CallError) for one in ended) == 100
+        read_index.resolve()
+        results = await asyncio.gather(*tasks, return_exceptions=True)
+        assert sum(isinstance(result, CallError) for result in results) == 100
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-def test_what_changed_since_is_as_in_the_plain_model() -> None:
+def test_changed_since_agrees_with_a_full_scan() -> None:
     rng, endpoint_registry, follower = random.Random(5), EndpointRegistry(), EndpointRegistry()
     for step in range(3000):
         at, id = step / 10, f"i{rng.randrange(30)}"
@@ -249,11 +248,11 @@
             s.id for s in endpoint_registry.endpoints.values() if s.changed_at_version > number
         }
         assert len({s.id for s in since}) == len(since)
-        for endpoint in since:  # and what was made before is what would be made now
+        for endpoint in since:  # the cached encoding equals a fresh one
             fresh = pb.WatchResponse(endpoints=[endpoint_to_message(endpoint, at)])
-            made = pb.WatchResponse.FromString(endpoint_codec.encode_endpoint(endpoint, at))
-            made.endpoints[0].seq = fresh.endpoints[0].seq
-            assert made == fresh
+            cached = pb.WatchResponse.FromString(endpoint_codec.encode_endpoint(endpoint, at))
+            cached.endpoints[0].seq = fresh.endpoints[0].seq
+            assert cached == fresh
         if rng.random() < 0.1:
             follower.apply_update(
                 endpoint_registry.changed_since(follower.version),
@@ -263,31 +262,31 @@
             assert {s.id for s in follower.changed_since(-1)} == set(follower.endpoints)
 
 
-def test_servers_are_encoded_once_each_and_lists_once_a_round(
+def test_endpoints_are_encoded_once_each_and_lists_once_per_round(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     counts = {"endpoint_to_message": 0, "compress_lists": 0}
 
-    async def scene(world: Fleet) -> None:
-        await world.until(world.returned, 8.0)
+    async def scenario(simulation: RecoverySimulation) -> None:
+        await simulation.wait_until(simulation.has_recovered, 8.0)
         await asyncio.sleep(4.0)
         for name in counts:
             module = watch_responses if name == "compress_lists" else endpoint_codec
             monkeypatch.setattr(module, name, counted(name, getattr(module, name)))
-        world.begin()  # a later leader that knows of no server
-        began = world.now()
-        await world.until(world.returned, 5.0)
+        simulation.begin_term()  # a new leader with an empty registry
+        began = simulation.now()
+        await simulation.wait_until(simulation.has_recovered, 5.0)
         await asyncio.sleep(2 * 1.5)
-        assert counts["endpoint_to_message"] <= 1.2 * len(world.up)
+        assert counts["endpoint_to_message"] <= 1.2 * len(simulation.heartbeat_phases)
         assert counts["compress_lists"] <= 2.5 * (
-            world.now() - began
-        ) / watch_server_module.round_interval(len(world.ingresses))
+            simulation.now() - began
+        ) / watch_server_module.round_interval(len(simulation.ingresses))
 
-    def counted(name: str, whole: Any) -> Any:
+    def counted(name: str, send_message: Any) -> Any:
         def count(*args: Any) -> Any:
             counts[name] += 1
-            return whole(*args)
+            return send_message(*args)
 
         return count
 
-    play_fleet(150, 1000, scene, monkeypatch)
+    run_simulation(150, 1000, scenario, monkeypatch)
--- a/tests/control/test_lookup_api.py
+++ b/tests/control/test_lookup_api.py
@@ -1,4 +1,4 @@
-"""Look-ups at a control node that serves `dir`: by the same homes as at a data-plane node."""
+"""Lookups at a control node that serves `dir`: they use home regions as a data-plane node does."""
 
 from __future__ import annotations
 
@@ -13,8 +13,10 @@
 from tests.testing.nodes import prepared_ingress
 
 
-async def test_a_control_node_keeps_clients_in_homes_by_the_configuration_in_force() -> None:
-    """It sent clients of a region that drained to every ready ingress: it asked for no homes."""
+async def test_a_control_node_sends_clients_to_the_home_regions_of_the_current_configuration() -> (
+    None
+):
+    """Without home regions, clients of a draining region were sent to every ready ingress."""
     nodes = [prepared_ingress(r, draining=r == "t") for r in ("t", "f", "s")]
     process = SimpleNamespace(
         state=State(content=content(routes=[route(homeRegions=["t", "f"])])),
@@ -26,12 +28,12 @@
     )
     api = ControlApi(cast(Any, process), Mock(), Mock())
 
-    async def named() -> list[str]:
+    async def looked_up() -> list[str]:
         status, body = await api.lookup_api("GET", "/-/lookup?name=a.example&region=t", b"")
         assert status == 200
         return cast("list[str]", json.loads(body)["addrs"])
 
-    assert await named() == ["f:80"]
-    # A version of its own for each change: the next one has other homes.
+    assert await looked_up() == ["f:80"]
+    # The cached routes are replaced when the configuration changes.
     process.state = State(content=content(gen=8, routes=[route(homeRegions=["s"])]))
-    assert await named() == ["s:80"]
+    assert await looked_up() == ["s:80"]
