--- a/tests/control/test_operations.py
+++ b/tests/control/test_operations.py
@@ -1,6 +1,5 @@
-"""Contact with a majority before anything is answered; one order at a time, and again: core
-machines in virtual time, each cut off in turn, judged against a plain model of the
-configuration."""
+"""Linearizability and idempotency of operators' calls: control nodes in virtual time, with network
+partitions, crashes and lost messages, checked against a simple model of the configuration."""
 
 from __future__ import annotations
 
@@ -32,64 +31,77 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.settings import parse_settings
 from tests.control.test_state_models import SETTINGS, heartbeat
-from tests.testing.control_cluster import World, configuration, in_memory, play
+from tests.testing.control_cluster import (
+    ControlCluster,
+    configuration,
+    run_in_virtual_time,
+    use_memory_cluster,
+)
 
 
 @pytest.fixture(autouse=True)
-def world_in_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    in_memory(monkeypatch)
+def memory_cluster(monkeypatch: pytest.MonkeyPatch) -> None:
+    use_memory_cluster(monkeypatch)
 
 
-# The plain model: a register that is changed by orders, each on top of its parent, each once.
+# The reference model: a register that is changed by configuration changes, each based on its parent
+# and each applied once.
 
 
 @dataclass
-class Done:
-    """One try of a call: what was answered, and between when."""
+class CallAttempt:
+    """One attempt of a call, its answer and its start and end times."""
 
-    what: str  # "read" or "order"
-    gen: int  # that was read, or that the order brings
-    begun: float
-    ended: float
+    kind: str  # "read" or "order"
+    gen: int  # that was read, or that the change creates
+    started_at: float
+    ended_at: float
     status: int
 
 
 @dataclass
-class History:
-    tries: list[Done] = field(default_factory=list)
+class CallHistory:
+    attempts: list[CallAttempt] = field(default_factory=list)
     sent: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # by gen: parent and body
 
-    def broken(self, chain: list[int]) -> list[str]:
-        """`chain`: gens that were in force, in order; the first is 0."""
-        wrong, place = [], {gen: n for n, gen in enumerate(chain)}
+    def violations(self, chain: list[int]) -> list[str]:
+        """Violations of linearizability.
+
+        `chain`: generations that were in force, in order; the first is 0.
+        """
+        wrong, position = [], {gen: n for n, gen in enumerate(chain)}
         for older, newer in pairwise(chain):
             if self.sent[newer][0] != older:
                 wrong.append(f"{newer} is in force on top of {older}, not of {self.sent[newer][0]}")
-        orders = [t for t in self.tries if t.what == "order"]
-        reads = [t for t in self.tries if t.what == "read" and t.status in (200, 404)]
-        for one in orders:
-            if one.status == 200 and one.gen not in place:
-                wrong.append(f"{one.gen} was acknowledged, and was never in force")
-            if 400 <= one.status < 500 and one.gen in place:
-                wrong.append(f"{one.gen} was refused with {one.status}, and was in force")
-        known = [(t.begun, t.ended, place[t.gen]) for t in reads]
+        orders = [t for t in self.attempts if t.kind == "order"]
+        reads = [t for t in self.attempts if t.kind == "read" and t.status in (200, 404)]
+        for change in orders:
+            if change.status == 200 and change.gen not in position:
+                wrong.append(f"{change.gen} was acknowledged, and was never in force")
+            if 400 <= change.status < 500 and change.gen in position:
+                wrong.append(f"{change.gen} was rejected with {change.status}, and was in force")
+        known = [(t.started_at, t.ended_at, position[t.gen]) for t in reads]
         known += [
-            (t.begun, t.ended, place[t.gen]) for t in orders if t.status == 200 and t.gen in place
+            (t.started_at, t.ended_at, position[t.gen])
+            for t in orders
+            if t.status == 200 and t.gen in position
         ]
         for begun, _, at in known:
             for _, ended, before in known:
                 if (
                     ended < begun
                     and before > at
-                    and (begun, at) in {(r.begun, place[r.gen]) for r in reads}
+                    and (begun, at) in {(r.started_at, position[r.gen]) for r in reads}
                 ):
                     wrong.append(
                         f"{chain[at]} was read at {begun:.2f}, {chain[before]} known at {ended:.2f}"
                     )
-        first = {g: min(t.begun for t in orders if t.gen == g) for g in {t.gen for t in orders}}
-        for read in reads:
-            if read.gen in first and read.ended < first[read.gen]:
-                wrong.append(f"{read.gen} was read before it was sent")
+        first_sent = {
+            g: min(t.started_at for t in orders if t.gen == g) for g in {t.gen for t in orders}
+        }
+        for one_read in reads:
+            if one_read.gen in first_sent and one_read.ended_at < first_sent[one_read.gen]:
+                wrong.append(f"{one_read.gen} was read before it was sent")
         return wrong
 
 
@@ -97,559 +109,587 @@
     return asyncio.get_running_loop().time()
 
 
-def settled_state(world: World) -> State:
-    leader = world.leader()
+def leader_state(cluster: ControlCluster) -> State:
+    leader = cluster.leader()
     assert leader
     return leader.state
 
 
-def chain_of(world: World, history: History) -> list[int]:
-    """What was in force, as the state remembers it."""
-    gens = [gen for gen in settled_state(world).idempotency_records.values() if gen != REJECTED]
+def committed_generations(cluster: ControlCluster, history: CallHistory) -> list[int]:
+    """The generations that were in force, by the idempotency records of the state."""
+    gens = [gen for gen in leader_state(cluster).idempotency_records.values() if gen != REJECTED]
     return [0, *gens]
 
 
-async def order(
-    world: World, history: History, host: str, gen: int, call: str = "Config.Replace"
+async def send_change(
+    cluster: ControlCluster, history: CallHistory, host: str, gen: int, call: str = "Config.Replace"
 ) -> int:
-    """One try, as an operator's: a second, and no answer."""
+    """One attempt of an operator, who waits one second for the answer; 0 without one."""
     begun, status = now(), 0
     try:
         async with asyncio.timeout(1.0):
-            status, _ = await world.call(host, "POST", call, history.sent[gen][1])
+            status, _ = await cluster.call(host, "POST", call, history.sent[gen][1])
     except (TimeoutError, KeyError):
         pass
-    history.tries.append(Done("order", gen, begun, now(), status))
+    history.attempts.append(CallAttempt("order", gen, begun, now(), status))
     return status
 
 
-async def read(world: World, history: History, host: str) -> int:
+async def send_read(cluster: ControlCluster, history: CallHistory, host: str) -> int:
     begun = now()
     try:
         async with asyncio.timeout(1.0):
-            status, body = await world.call(host, "GET", "Config.Read")
+            status, body = await cluster.call(host, "GET", "Config.Read")
     except (TimeoutError, KeyError):
         return 0
-    history.tries.append(Done("read", body.get("gen", 0), begun, now(), status))
+    history.attempts.append(CallAttempt("read", body.get("gen", 0), begun, now(), status))
     return status
 
 
-def first() -> History:
-    return History(sent={1: (0, configuration(1, 0))})
+def first_change() -> CallHistory:
+    return CallHistory(sent={1: (0, configuration(1, 0))})
 
 
-def is_clear(status: int) -> bool:
+def is_final(status: int) -> bool:
     return 200 <= status < 500
 
 
-async def operator(
-    world: World,
-    history: History,
+async def submit_change(
+    cluster: ControlCluster,
+    history: CallHistory,
     gen: int,
     hosts: list[str],
     pause: float = 0.1,
     within: float = 30.0,
 ) -> int:
-    """Sends an order until there is a clear answer, to any machine."""
+    """Sends a change to random nodes until there is a final answer; 0 if there is none in time."""
     until = now() + within
     while now() < until:
-        if is_clear(status := await order(world, history, random.choice(hosts), gen)):
+        if is_final(status := await send_change(cluster, history, random.choice(hosts), gen)):
             return status
         await asyncio.sleep(pause)
     return 0
 
 
-async def server(world: World, id: str, zone: str, home: str, hosts: list[str]) -> None:
-    """Beats as servers do: where there is no answer, to the next at once."""
+async def run_server(
+    cluster: ControlCluster, id: str, zone: str, home: str, hosts: list[str]
+) -> None:
+    """Sends heartbeats as servers do: without an answer, to another node at once."""
     at, seq = home, 0
     while True:
         seq += 1
         began = now()
-        while await world.beat(at, id, seq, zone) != 200:
+        while await cluster.send_heartbeat(at, id, seq, zone) != 200:
             at = random.choice(hosts)
             await asyncio.sleep(0.01)
         await asyncio.sleep(max(0.0, 1.5 - (now() - began)))
 
 
-async def gone(world: World, seen: list[str]) -> None:
-    """Notes each living server that a leader calls gone."""
+async def record_removed_servers(cluster: ControlCluster, removed: list[str]) -> None:
+    """Records running servers that a leader reports as gone."""
     began = now()
     while True:
-        for core in world.cores.values():
-            if core.leadership and core.leads():
-                seen += [
+        for node in cluster.nodes.values():
+            if node.leadership and node.leads():
+                removed += [
                     f"{s.id} gone at {now() - began:.1f} s"
-                    for s in core.endpoint_registry.endpoints.values()
+                    for s in node.endpoint_registry.endpoints.values()
                     if s.state == "gone"
                 ]
         await asyncio.sleep(0.1)
 
 
-CUTS: dict[str, Callable[[World, str], None]] = {
-    "whole": lambda w, h: w.part(
-        h, [o for o in [*w.hosts, *(i.host for i in w.ingresses)] if o != h]
+PARTITIONS: dict[str, Callable[[ControlCluster, str], None]] = {
+    "whole": lambda c, h: c.partition(
+        h, [o for o in [*c.hosts, *(i.host for i in c.ingresses)] if o != h]
     ),
-    "cores": lambda w, h: w.part(h, [o for o in w.hosts if o != h]),
-    "out": lambda w, h: w.part(h, [o for o in w.hosts if o != h], back=False),
-    "in": lambda w, h: w.part(h, [o for o in w.hosts if o != h], there=False),
-    "some": lambda w, h: w.part(h, [o for o in w.hosts if o != h][1:3]),
+    "cores": lambda c, h: c.partition(h, [o for o in c.hosts if o != h]),
+    "out": lambda c, h: c.partition(h, [o for o in c.hosts if o != h], incoming=False),
+    "in": lambda c, h: c.partition(h, [o for o in c.hosts if o != h], outgoing=False),
+    "some": lambda c, h: c.partition(h, [o for o in c.hosts if o != h][1:3]),
 }
 
 
-async def cut_off(cut: str, number: int, broken: list[str]) -> None:
-    """20 s in which one machine is cut off; orders, reads, beats and evacuations at both sides."""
-    random.seed(f"{cut}{number}")
-    world, history, seen = World(Path("cut")), History(), list[str]()
-    await world.begin()
+async def run_with_partition(partition: str, number: int, violations: list[str]) -> None:
+    """Calls of all kinds on both sides while one node is partitioned for 20 s."""
+    random.seed(f"{partition}{number}")
+    cluster, history, removed = ControlCluster(Path("cut")), CallHistory(), list[str]()
+    await cluster.start_all()
     history.sent[1] = 0, configuration(1, 0)
-    assert await operator(world, history, 1, world.hosts) == 200
-    leader = world.leader()
+    assert await submit_change(cluster, history, 1, cluster.hosts) == 200
+    leader = cluster.leader()
     assert leader
-    victim = [leader.settings.ip, *(h for h in world.hosts if h != leader.settings.ip)][number]
-    others = [h for h in world.hosts if h != victim]
+    victim = [leader.settings.ip, *(h for h in cluster.hosts if h != leader.settings.ip)][number]
+    others = [h for h in cluster.hosts if h != victim]
     loop, tasks = asyncio.get_running_loop(), []
     for n in range(6):
         home = victim if n < 3 else others[n % 4]
-        zone = f"z{world.hosts.index(home) + 1}"
-        tasks.append(loop.create_task(server(world, f"s{n}", zone, home, world.hosts)))
+        zone = f"z{cluster.hosts.index(home) + 1}"
+        tasks.append(loop.create_task(run_server(cluster, f"s{n}", zone, home, cluster.hosts)))
     await asyncio.sleep(3.0)
-    tasks.append(loop.create_task(gone(world, seen)))
-    CUTS[cut](world, victim)
+    tasks.append(loop.create_task(record_removed_servers(cluster, removed)))
+    PARTITIONS[partition](cluster, victim)
     began, gen = now(), 1
-    if cut == "whole":
+    if partition == "whole":
         await asyncio.sleep(1.5)
-        status, _ = await world.call(victim, "GET", "readyz")
-        assert status == 503 and (await world.beat(victim, "s0", 999, "z9")) == 503
-        assert (await world.cores[victim].api.lookup_api("GET", "/-/lookup?region=r1", b""))[
+        status, _ = await cluster.call(victim, "GET", "readyz")
+        assert status == 503 and (await cluster.send_heartbeat(victim, "s0", 999, "z9")) == 503
+        assert (await cluster.nodes[victim].api.lookup_api("GET", "/-/lookup?region=r1", b""))[
             0
         ] == 503
     while now() < began + 20.0:
         for host in (victim, random.choice(others)):
-            asked = now()
-            await read(world, history, host)
-            assert now() - asked <= 1.0
+            asked_at = now()
+            await send_read(cluster, history, host)
+            assert now() - asked_at <= 1.0
         gen += random.randint(2, 4)
         parent = max(
-            g for g in history.sent if any(t.gen == g and t.status == 200 for t in history.tries)
+            g for g in history.sent if any(t.gen == g and t.status == 200 for t in history.attempts)
         )
         history.sent[gen], history.sent[gen + 1] = (
             (parent, configuration(gen, parent)),
             (parent, configuration(gen + 1, parent)),
         )
-        await asyncio.gather(  # two on one parent, at both sides; each is sent on to any
-            operator(world, history, gen, [victim, *others], within=4.0),
-            operator(
-                world, history, gen + 1, [victim] if random.random() < 0.5 else others, within=4.0
+        # Two changes on one parent, on both sides; each is retried at other nodes.
+        await asyncio.gather(
+            submit_change(cluster, history, gen, [victim, *others], within=4.0),
+            submit_change(
+                cluster, history, gen + 1, [victim] if random.random() < 0.5 else others, within=4.0
             ),
-            read(world, history, victim),
-            zone_order(world, "Drain.Begin", "z2", [victim, random.choice(others)]),
+            send_read(cluster, history, victim),
+            send_zone_order(cluster, "Drain.Begin", "z2", [victim, random.choice(others)]),
         )
         gen += 1
-        evacuated = settled_state(world).evacuated if world.leader() else {"z2": 1}
+        evacuated = leader_state(cluster).evacuated if cluster.leader() else {"z2": 1}
         if "z2" not in evacuated:
-            broken.append("z2 is in use after its evacuation was acknowledged")
-        await zone_order(world, "Drain.Finish", "z2", [random.choice(others)])
-    world.heal()
+            violations.append("z2 is not evacuated after its evacuation was acknowledged")
+        await send_zone_order(cluster, "Drain.Finish", "z2", [random.choice(others)])
+    cluster.reconnect()
     await asyncio.sleep(3.0)
-    await read(world, history, victim)
-    final = settled_state(world)
-    broken += history.broken(chain_of(world, history)) + seen[:3]
-    broken += [f"z2 evacuated: {final.evacuated}"] if final.evacuated else []
-    broken += [] if len(chain_of(world, history)) > 4 else ["no order was taken"]
+    await send_read(cluster, history, victim)
+    final = leader_state(cluster)
+    violations += history.violations(committed_generations(cluster, history)) + removed[:3]
+    violations += [f"z2 evacuated: {final.evacuated}"] if final.evacuated else []
+    violations += (
+        []
+        if len(committed_generations(cluster, history)) > 4
+        else ["hardly any change was committed"]
+    )
     for task in tasks:
         task.cancel()
 
 
-async def near_a_cut(number: int, broken: list[str]) -> None:
-    """Servers that beat at a machine that is cut off for 20 s: none is ever called gone."""
-    world, seen = World(Path("near")), list[str]()
-    await world.begin()
-    assert await operator(world, first(), 1, world.hosts) == 200
-    leader = world.leader()
+async def run_heartbeats_near_partition(number: int, violations: list[str]) -> None:
+    """Servers send heartbeats to a node that is partitioned for 20 s: none is reported gone."""
+    cluster, removed = ControlCluster(Path("near")), list[str]()
+    await cluster.start_all()
+    assert await submit_change(cluster, first_change(), 1, cluster.hosts) == 200
+    leader = cluster.leader()
     assert leader
-    victim = [leader.settings.ip, *(h for h in world.hosts if h != leader.settings.ip)][number]
-    zone = world.cores[victim].settings.zone
+    victim = [leader.settings.ip, *(h for h in cluster.hosts if h != leader.settings.ip)][number]
+    zone = cluster.nodes[victim].settings.zone
     loop = asyncio.get_running_loop()
-    tasks = [loop.create_task(server(world, f"s{n}", zone, victim, world.hosts)) for n in range(8)]
+    tasks = [
+        loop.create_task(run_server(cluster, f"s{n}", zone, victim, cluster.hosts))
+        for n in range(8)
+    ]
     await asyncio.sleep(3.0)
-    tasks.append(loop.create_task(gone(world, seen)))
-    for cut in ("whole", "out", "in"):
-        CUTS[cut](world, victim)
+    tasks.append(loop.create_task(record_removed_servers(cluster, removed)))
+    for partition in ("whole", "out", "in"):
+        PARTITIONS[partition](cluster, victim)
         await asyncio.sleep(20.0)
-        world.heal()
+        cluster.reconnect()
         await asyncio.sleep(5.0)
-    broken += seen[:5]
+    violations += removed[:5]
     for task in tasks:
         task.cancel()
 
 
 @pytest.mark.parametrize("number", range(5))
-def test_no_server_is_called_gone_as_the_machine_it_beats_at_is_cut_off(number: int) -> None:
+def test_no_server_is_reported_gone_while_its_control_node_is_partitioned(number: int) -> None:
     random.seed(number)
-    broken = list[str]()
-    play(near_a_cut(number, broken))
-    assert not broken
+    violations = list[str]()
+    run_in_virtual_time(run_heartbeats_near_partition(number, violations))
+    assert not violations
 
 
-async def zone_order(world: World, call: str, zone: str, hosts: list[str]) -> None:
-    """Until it is answered, and the answer is known to be read."""
+async def send_zone_order(cluster: ControlCluster, call: str, zone: str, hosts: list[str]) -> None:
+    """Retries a call for a zone until it is answered, and acknowledges the answer."""
     for _ in range(60):
-        host = random.choice(hosts) if hosts else world.hosts[0]
+        host = random.choice(hosts) if hosts else cluster.hosts[0]
         target = f"/-/{call}/{zone}"
         try:
             async with asyncio.timeout(1.0):
-                answer = await world.cores[host].api.control("POST", target, b"")
+                answer = await cluster.nodes[host].api.control("POST", target, b"")
         except TimeoutError:
             continue
         if answer[0] == 200:
-            leader = world.leader()
-            if leader and leader.leadership:  # the receipt came
+            leader = cluster.leader()
+            if leader and leader.leadership:  # in place of the caller's receipt
                 leader.leadership.evacuation_log.acknowledge(zone, json.loads(answer[1])["order"])
             return
-        hosts = [*hosts, *world.hosts]
+        hosts = [*hosts, *cluster.hosts]
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize("cut", CUTS)
+@pytest.mark.parametrize("partition", PARTITIONS)
 @pytest.mark.parametrize("number", range(5))
-def test_each_member_is_cut_off_for_20_s(cut: str, number: int) -> None:
-    broken = list[str]()
-    play(cut_off(cut, number, broken))
-    assert not broken
+def test_calls_stay_linearizable_while_one_member_is_partitioned_for_20_s(
+    partition: str, number: int
+) -> None:
+    violations = list[str]()
+    run_in_virtual_time(run_with_partition(partition, number, violations))
+    assert not violations
 
 
-# What is answered from old state, and what is refused.
+# Stale reads and rejected changes.
 
 
-async def frozen_reader(found: list[str]) -> None:
-    """The leader is frozen behind its checks, and wakes at the next line, with another in its
-    place."""
-    world, history = World(Path("frozen")), History()
-    await world.begin()
+async def calls_at_frozen_leader(violations: list[str]) -> None:
+    """The leader's process is paused after its checks and resumed after another was elected: it
+    must not answer from its stale state."""
+    cluster, history = ControlCluster(Path("frozen")), CallHistory()
+    await cluster.start_all()
     history.sent |= {
         1: (0, configuration(1, 0)),
         2: (1, configuration(2, 1)),
         3: (1, configuration(3, 1)),
     }
-    assert await operator(world, history, 1, world.hosts) == 200
-    old = world.leader()
+    assert await submit_change(cluster, history, 1, cluster.hosts) == 200
+    old = cluster.leader()
     assert old
     host = old.settings.ip
-    others = [h for h in world.hosts if h != host]
-    world.freeze(host)
-    assert await operator(world, history, 2, others) == 200
-    asked = [
-        asyncio.create_task(read(world, history, host)),
-        asyncio.create_task(order(world, history, host, 3)),
-        asyncio.create_task(world.beat(host, "s1", 1)),
-        asyncio.create_task(world.call(host, "GET", "Fleet.Show")),
+    others = [h for h in cluster.hosts if h != host]
+    cluster.freeze(host)
+    assert await submit_change(cluster, history, 2, others) == 200
+    tasks = [
+        asyncio.create_task(send_read(cluster, history, host)),
+        asyncio.create_task(send_change(cluster, history, host, 3)),
+        asyncio.create_task(cluster.send_heartbeat(host, "s1", 1)),
+        asyncio.create_task(cluster.call(host, "GET", "Fleet.Show")),
     ]
     await asyncio.sleep(0.1)
-    world.thaw(host)
-    await asyncio.gather(*asked)
-    await operator(world, history, 3, [host])
-    found += history.broken(chain_of(world, history))
-    show = asked[3].result()
+    cluster.unfreeze(host)
+    await asyncio.gather(*tasks)
+    await submit_change(cluster, history, 3, [host])
+    violations += history.violations(committed_generations(cluster, history))
+    show = tasks[3].result()
     if show[0] == 200 and show[1]["gen"] != 2:
-        found.append("old state was shown")
-    leader = world.leader()
+        violations.append("Fleet.Show returned stale state")
+    leader = cluster.leader()
     assert leader
-    if asked[2].result() == 200 and "s1" not in leader.endpoint_registry.endpoints:
-        found.append("a beat was confirmed that no leader knows")
+    if tasks[2].result() == 200 and "s1" not in leader.endpoint_registry.endpoints:
+        violations.append("a heartbeat was confirmed that the leader does not know")
 
 
-def is_append(sender: str, takers: set[str], envelope: pb.Envelope, receiver: str) -> bool:
-    line = envelope.log_message
+def is_append(sender: str, allowed: set[str], envelope: pb.Envelope, receiver: str) -> bool:
+    """Whether this appends entries to the log of a member other than `allowed`."""
+    message = envelope.log_message
     return (
-        line.sender.address == sender
-        and bool(line.append_entries.entries)
-        and receiver not in takers
+        message.sender.address == sender
+        and bool(message.append_entries.entries)
+        and receiver not in allowed
     )
 
 
-async def undecided(found: list[str]) -> None:
-    """The first copy stands in the log, and no majority has it; the second is judged meanwhile, and
-    a third at the next leader."""
-    for far in (None, 0, 1):
-        world, history = World(Path("undecided")), History()
-        await world.begin()
+async def uncommitted_change(violations: list[str]) -> None:
+    """The first copy of a change is in the leader's log but not committed, while a second copy is
+    checked there, and a third one at the next leader."""
+    for replica_count in (None, 0, 1):
+        cluster, history = ControlCluster(Path("undecided")), CallHistory()
+        await cluster.start_all()
         history.sent |= {
             g: (0 if g == 1 else 1, configuration(g, 0 if g == 1 else 1)) for g in (1, 2, 3)
         }
-        assert await operator(world, history, 1, world.hosts) == 200
-        leader = world.leader()
+        assert await submit_change(cluster, history, 1, cluster.hosts) == 200
+        leader = cluster.leader()
         assert leader
-        host, others = leader.settings.ip, [h for h in world.hosts if h != leader.settings.ip]
-        takers = {f"{h}:7600" for h in others[: far or 0]}  # with these and itself, no majority
-        world.net.loses = partial(is_append, leader.me.address, takers)
-        assert await order(world, history, host, 2) == 0
-        # the same leader: the first is given up at 3 s, and stands in the log all the same
-        if far is None:
+        host, others = leader.settings.ip, [h for h in cluster.hosts if h != leader.settings.ip]
+        # With these and the leader itself there is no majority.
+        allowed = {f"{h}:7600" for h in others[: replica_count or 0]}
+        cluster.network.drops = partial(is_append, leader.me.address, allowed)
+        assert await send_change(cluster, history, host, 2) == 0
+        # At the same leader: the first copy times out after 3 s but remains in the log.
+        if replica_count is None:
             await asyncio.sleep(1.9)
-            again = [asyncio.create_task(order(world, history, host, g)) for g in (2, 3, 2)]
+            again = [asyncio.create_task(send_change(cluster, history, host, g)) for g in (2, 3, 2)]
             await asyncio.sleep(0.2)
         else:
-            again = [asyncio.create_task(order(world, history, host, g)) for g in (2, 3, 2)]
+            again = [asyncio.create_task(send_change(cluster, history, host, g)) for g in (2, 3, 2)]
             await asyncio.gather(*again)
-            world.part(host, others)
-            again = [asyncio.create_task(operator(world, history, g, others)) for g in (3, 2)]
+            cluster.partition(host, others)
+            again = [
+                asyncio.create_task(submit_change(cluster, history, g, others)) for g in (3, 2)
+            ]
             await asyncio.gather(*again)
-        world.net.loses = lambda e, to: False
+        cluster.network.drops = lambda e, to: False
         await asyncio.gather(*again)
-        world.heal()
+        cluster.reconnect()
         for gen in (2, 3):
-            if not is_clear(await operator(world, history, gen, world.hosts)):
-                found.append(f"{gen} is never answered")
-        found += history.broken(chain_of(world, history))
+            if not is_final(await submit_change(cluster, history, gen, cluster.hosts)):
+                violations.append(f"change {gen} never got a final answer")
+        violations += history.violations(committed_generations(cluster, history))
 
 
-async def ahead_of_its_parent(found: list[str]) -> None:
-    """What was refused because its parent is not known stays refused, whoever brings it again, and
-    when."""
-    world, history = World(Path("ahead")), History()
-    await world.begin()
+async def change_ahead_of_its_parent(violations: list[str]) -> None:
+    """A change that was rejected because its parent is unknown stays rejected, wherever and
+    whenever it is sent again."""
+    cluster, history = ControlCluster(Path("ahead")), CallHistory()
+    await cluster.start_all()
     parents = {1: 0, 9: 1, 12: 9}
     history.sent |= {gen: (parent, configuration(gen, parent)) for gen, parent in parents.items()}
-    assert await operator(world, history, 1, world.hosts) == 200
-    assert await operator(world, history, 12, world.hosts) == 412
-    assert await operator(world, history, 9, world.hosts) == 200
-    await order(world, history, world.hosts[2], 12)
-    leader = world.leader()
+    assert await submit_change(cluster, history, 1, cluster.hosts) == 200
+    assert await submit_change(cluster, history, 12, cluster.hosts) == 412
+    assert await submit_change(cluster, history, 9, cluster.hosts) == 200
+    await send_change(cluster, history, cluster.hosts[2], 12)
+    leader = cluster.leader()
     assert leader
-    await world.crash(leader.settings.ip)
-    await world.until(world.leader)
-    await operator(world, history, 12, [h for h in world.hosts if h in world.cores])
-    found += history.broken(chain_of(world, history))
+    await cluster.crash(leader.settings.ip)
+    await cluster.wait_until(cluster.leader)
+    await submit_change(cluster, history, 12, [h for h in cluster.hosts if h in cluster.nodes])
+    violations += history.violations(committed_generations(cluster, history))
 
 
-async def forgotten(found: list[str]) -> None:
-    """After hundreds of others: what was taken is known, or nothing clear is said."""
-    world, history = World(Path("forgotten")), History()
-    await world.begin()
+async def evicted_records(violations: list[str]) -> None:
+    """After hundreds of changes an old one is answered by its true outcome, or without a final
+    answer."""
+    cluster, history = ControlCluster(Path("forgotten")), CallHistory()
+    await cluster.start_all()
     history.sent[1] = 0, configuration(1, 0)
-    lost = json.dumps({"gen": 3, "parent": 2, "upsert": {}}).encode()
+    never_sent = json.dumps({"gen": 3, "parent": 2, "upsert": {}}).encode()
     for gen in range(1, 301):
         history.sent[gen] = gen - 1, configuration(gen, gen - 1)
-        host = random.choice(world.hosts)
+        host = random.choice(cluster.hosts)
         begun, (status, _) = (
             now(),
-            await world.call(host, "POST", "Config.Replace", history.sent[gen][1]),
+            await cluster.call(host, "POST", "Config.Replace", history.sent[gen][1]),
         )
-        history.tries.append(Done("order", gen, begun, now(), status))
+        history.attempts.append(CallAttempt("order", gen, begun, now(), status))
         assert status == 200
-    leader = world.leader()
+    leader = cluster.leader()
     assert leader
-    await world.crash(leader.settings.ip)
-    await world.until(world.leader)
-    hosts = list(world.cores)
+    await cluster.crash(leader.settings.ip)
+    await cluster.wait_until(cluster.leader)
+    hosts = list(cluster.nodes)
     for gen in (1, 2, 7, 40, 150, 300):
-        if 400 <= (status := await order(world, history, random.choice(hosts), gen)) < 500:
-            found.append(f"{gen} was taken, and is refused with {status}")
+        if 400 <= (status := await send_change(cluster, history, random.choice(hosts), gen)) < 500:
+            violations.append(f"change {gen} was committed, and is rejected with {status}")
 
-    async def clear(call: str, body: bytes) -> int:
-        """What is answered at last, if that is clear."""
+    async def final_answer(call: str, body: bytes) -> int:
+        """The final answer, or 503 if there is none in 20 attempts."""
         for _ in range(20):
-            status, _ = await world.call(random.choice(hosts), "POST", call, body)
-            if is_clear(status):
+            status, _ = await cluster.call(random.choice(hosts), "POST", call, body)
+            if is_final(status):
                 return status
             await asyncio.sleep(0.05)
         return 503
 
-    state = settled_state(world)
-    assert await clear("Config.Replace", configuration(2, 1)) == (
+    state = leader_state(cluster)
+    assert await final_answer("Config.Replace", configuration(2, 1)) == (
         503 if state.evicted_gen >= 2 else 412
     )
-    assert await clear("Config.Update", lost) == (503 if state.evicted_gen >= 3 else 412)
+    assert await final_answer("Config.Update", never_sent) == (
+        503 if state.evicted_gen >= 3 else 412
+    )
     again = history.sent[300][1]
-    assert await clear("Config.Update", again) in (400, 412)  # the same, to another call ...
-    assert await clear("Config.Replace", again + b" ") == 412  # ... or not as it was
+    assert await final_answer("Config.Update", again) in (
+        400,
+        412,
+    )  # the same body in another call ...
+    assert await final_answer("Config.Replace", again + b" ") == 412  # ... or a changed body
     for body, call in (
         (b"{", "Config.Replace"),
         (b'{"gen": 3, "parent": 2}', "Config.Replace"),
         (configuration(7, 6, routes=[{}]), "Config.Replace"),
         (b'{"gen": 3, "parent": 2, "upsert": 5}', "Config.Update"),
     ):
-        assert await clear(call, body) in (400, 412), body  # invalid, whatever the state was
+        assert await final_answer(call, body) in (400, 412), body  # invalid in every state
 
 
-SCENES = {
-    "frozen": frozen_reader,
-    "undecided": undecided,
-    "ahead": ahead_of_its_parent,
-    "forgotten": forgotten,
+SCENARIOS = {
+    "frozen": calls_at_frozen_leader,
+    "undecided": uncommitted_change,
+    "ahead": change_ahead_of_its_parent,
+    "forgotten": evicted_records,
 }
 
 
-@pytest.mark.parametrize("scene", SCENES)
-def test_nothing_is_answered_from_old_state_and_what_is_refused_stays_so(scene: str) -> None:
-    found = list[str]()
-    play(SCENES[scene](found))
-    assert not found
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_no_stale_answers_and_rejections_are_final(scenario: str) -> None:
+    violations = list[str]()
+    run_in_virtual_time(SCENARIOS[scenario](violations))
+    assert not violations
 
 
-def test_little_room_to_remember_leaves_no_clear_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_evicted_idempotency_records_leave_no_final_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(cairndale.configuration.state, "MAX_IDEMPOTENCY_RECORDS", 20)
-    found = list[str]()
-    play(forgotten(found))
-    assert not found
+    violations = list[str]()
+    run_in_virtual_time(evicted_records(violations))
+    assert not violations
 
 
-# Two orders on one parent, with a change of the leader at each step of the way.
+# Two changes on one parent, with a change of leader after each possible message.
 
 
-async def two_at_once(step: int, crash: bool, found: list[str]) -> None:
-    world, history = World(Path("two")), History()
-    await world.begin()
+async def two_concurrent_changes(step: int, crash: bool, violations: list[str]) -> None:
+    cluster, history = ControlCluster(Path("two")), CallHistory()
+    await cluster.start_all()
     history.sent |= {
         g: (0 if g == 1 else 1, configuration(g, 0 if g == 1 else 1)) for g in (1, 2, 3)
     }
-    assert await operator(world, history, 1, world.hosts) == 200
-    leader = world.leader()
+    assert await submit_change(cluster, history, 1, cluster.hosts) == 200
+    leader = cluster.leader()
     assert leader
-    host, due = leader.settings.ip, world.net.steps + step
-    others = [h for h in world.hosts if h != host]
-    back = asyncio.Event()
+    host, due = leader.settings.ip, cluster.network.deliveries + step
+    others = [h for h in cluster.hosts if h != host]
+    may_return = asyncio.Event()
 
-    def change(steps: int) -> None:
-        if steps == due:
+    def change_leader(deliveries: int) -> None:
+        if deliveries == due:
             if crash:
-                asyncio.get_running_loop().create_task(world.crash(host))
+                asyncio.get_running_loop().create_task(cluster.crash(host))
             else:
-                world.part(host, [*others, *(i.host for i in world.ingresses)])
-            asyncio.get_running_loop().call_later(2.0, back.set)
+                cluster.partition(host, [*others, *(i.host for i in cluster.ingresses)])
+            asyncio.get_running_loop().call_later(2.0, may_return.set)
 
-    world.net.at_step = change
+    cluster.network.on_delivery = change_leader
     clear = await asyncio.gather(
-        operator(world, history, 2, [host, *others]), operator(world, history, 3, others[:2])
+        submit_change(cluster, history, 2, [host, *others]),
+        submit_change(cluster, history, 3, others[:2]),
     )
-    await back.wait()
+    await may_return.wait()
     if crash:
-        await world.start(host)
-    world.heal()
+        await cluster.start(host)
+    cluster.reconnect()
     await asyncio.sleep(1.5)
-    again = await asyncio.gather(*(operator(world, history, g, world.hosts) for g in (2, 3)))
-    found += history.broken(chain_of(world, history))
+    again = await asyncio.gather(
+        *(submit_change(cluster, history, g, cluster.hosts) for g in (2, 3))
+    )
+    violations += history.violations(committed_generations(cluster, history))
     if sorted(again) != [200, 412] or list(clear) != again:
-        found.append(f"answers: {clear}, then {again}")
+        violations.append(f"answers: {clear}, then {again}")
 
 
 @pytest.mark.parametrize("crash", [False, True], ids=["cut", "crash"])
 @pytest.mark.parametrize("part", range(4))
-def test_two_orders_on_one_parent_with_a_change_of_leader_at_each_step(
+def test_two_changes_on_one_parent_with_a_change_of_leader_at_each_step(
     crash: bool, part: int
 ) -> None:
     for step in range(1 + part, 81, 4):
-        found = list[str]()
+        violations = list[str]()
         random.seed(step)
-        play(two_at_once(step, crash, found))
-        assert not found, step
+        run_in_virtual_time(two_concurrent_changes(step, crash, violations))
+        assert not violations, step
 
 
-async def eight_under_way(seed: int, found: list[str]) -> None:
-    """Answers are lost, calls come twice, the leader changes again and again."""
+async def eight_concurrent_operators(seed: int, violations: list[str]) -> None:
+    """Answers are lost, calls are duplicated, and the leader changes repeatedly."""
     random.seed(seed)
-    world, history = World(Path("eight")), History()
-    await world.begin()
-    world.net.twice = True
-    world.net.loses = lambda e, to: (
+    cluster, history = ControlCluster(Path("eight")), CallHistory()
+    await cluster.start_all()
+    cluster.network.duplicates_operations = True
+    cluster.network.drops = lambda e, to: (
         e.WhichOneof("body") == "operation_response" and random.random() < 0.3
     )
     history.sent[1] = 0, configuration(1, 0)
-    assert await operator(world, history, 1, world.hosts) == 200
+    assert await submit_change(cluster, history, 1, cluster.hosts) == 200
     gens = iter(range(2, 10_000))
 
-    async def one() -> None:
+    async def operate() -> None:
         until = now() + 25.0
         while now() < until:
-            leader = world.leader()
+            leader = cluster.leader()
             gen, parent = next(gens), leader.state.gen if leader else 0
             history.sent[gen] = parent, configuration(gen, parent)
-            await operator(world, history, gen, world.hosts, within=8.0)
-            if random.random() < 0.3:  # another's, from before
-                await order(
-                    world, history, random.choice(world.hosts), random.choice(list(history.sent))
+            await submit_change(cluster, history, gen, cluster.hosts, within=8.0)
+            if random.random() < 0.3:  # an earlier change of any operator
+                await send_change(
+                    cluster,
+                    history,
+                    random.choice(cluster.hosts),
+                    random.choice(list(history.sent)),
                 )
-            await read(world, history, random.choice(world.hosts))
+            await send_read(cluster, history, random.choice(cluster.hosts))
 
-    async def trouble() -> None:
+    async def inject_faults() -> None:
         while True:
             await asyncio.sleep(random.uniform(1.5, 4.0))
-            leader = world.leader()
+            leader = cluster.leader()
             if leader and random.random() < 0.5:
                 host = leader.settings.ip
-                CUTS[random.choice(list(CUTS))](world, host)
+                PARTITIONS[random.choice(list(PARTITIONS))](cluster, host)
                 await asyncio.sleep(random.uniform(0.3, 3.0))
-                world.heal()
+                cluster.reconnect()
             elif leader:
                 host = leader.settings.ip
-                await world.crash(host)
+                await cluster.crash(host)
                 await asyncio.sleep(random.uniform(0.0, 2.0))
-                await world.start(host)
+                await cluster.start(host)
 
-    work = asyncio.create_task(trouble())
-    await asyncio.gather(*(one() for _ in range(8)))
+    work = asyncio.create_task(inject_faults())
+    await asyncio.gather(*(operate() for _ in range(8)))
     work.cancel()
-    world.heal()
-    for host in world.hosts:
-        if host not in world.cores:
-            await world.start(host)
+    cluster.reconnect()
+    for host in cluster.hosts:
+        if host not in cluster.nodes:
+            await cluster.start(host)
     await asyncio.sleep(3.0)
-    await read(world, history, world.hosts[0])
-    found += history.broken(chain_of(world, history))
-    if len(chain_of(world, history)) < 10:
-        found.append("hardly anything was taken")
+    await send_read(cluster, history, cluster.hosts[0])
+    violations += history.violations(committed_generations(cluster, history))
+    if len(committed_generations(cluster, history)) < 10:
+        violations.append("hardly any change was committed by the operators")
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_eight_orders_under_way_with_lost_answers_and_changes_of_leader(seed: int) -> None:
-    found = list[str]()
-    play(eight_under_way(seed, found))
-    assert not found
+def test_eight_operators_with_lost_answers_and_changes_of_leader(seed: int) -> None:
+    violations = list[str]()
+    run_in_virtual_time(eight_concurrent_operators(seed, violations))
+    assert not violations
 
 
-# Evacuations that come by two ways, and late.
+# Evacuation calls that are duplicated and delayed.
 
 
-async def evacuations(found: list[str]) -> None:
-    """Each call comes again 0.7 s later, by another way; the plain model counts the orders."""
-    world, model = World(Path("zones")), dict[str, int]()
-    await world.begin()
-    world.net.twice = True
+async def duplicated_evacuation_calls(violations: list[str]) -> None:
+    """Each forwarded call is delivered again 0.7 s later; the model counts the orders."""
+    cluster, model = ControlCluster(Path("zones")), dict[str, int]()
+    await cluster.start_all()
+    cluster.network.duplicates_operations = True
     for number in range(60):
         zone = random.choice(["z2", "z3"])
         begin = random.random() < 0.5 or not model.get(zone)
         call = "Drain.Begin" if begin else "Drain.Finish"
-        await zone_order(world, call, zone, [])
+        await send_zone_order(cluster, call, zone, [])
         model[zone] = model.get(zone, 0) + (1 if begin else -1)
-        if number % 12 == 5:  # with copies still under way
-            leader = world.leader()
+        if number % 12 == 5:  # while duplicates are still in flight
+            leader = cluster.leader()
             assert leader
             host = leader.settings.ip
-            await world.crash(host)
-            await world.until(world.leader)
-            await world.start(host)
-            # calls that nobody is known to have read are the same order for so long
+            await cluster.crash(host)
+            await cluster.wait_until(cluster.leader)
+            await cluster.start(host)
+            # In this time unacknowledged calls still count as the same order.
             await asyncio.sleep(6.5)
         elif random.random() < 0.5:
             await asyncio.sleep(random.uniform(0.0, 1.0))
         want = {zone: orders for zone, orders in model.items() if orders}
-        if world.leader() and (have := settled_state(world).evacuated) != want:
-            found.append(f"after {number + 1} orders {have}, not {want}")
+        if cluster.leader() and (have := leader_state(cluster).evacuated) != want:
+            violations.append(f"after {number + 1} orders {have}, not {want}")
             return
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_orders_for_zones_that_come_by_two_ways_are_one(seed: int) -> None:
+def test_duplicated_evacuation_calls_are_one_order(seed: int) -> None:
     random.seed(seed)
-    found = list[str]()
-    play(evacuations(found))
-    assert not found
+    violations = list[str]()
+    run_in_virtual_time(duplicated_evacuation_calls(violations))
+    assert not violations
 
 
-# What is confirmed, and who is named.
+# Collected heartbeats, and control nodes that servers are referred to.
 
 
-async def test_what_no_leader_has_answered_is_kept_and_told_with_its_age() -> None:
+async def test_unacknowledged_heartbeats_are_kept_and_reported_with_their_age() -> None:
     endpoint_registry, node_registry = EndpointRegistry(), NodeRegistry()
     settings = parse_settings(SETTINGS)
     collector = HeartbeatCollector(settings, endpoint_registry, node_registry)
@@ -658,15 +698,15 @@
     assert not collector.collect("k", json.dumps(heartbeat(2)).encode(), 1.0)  # unknown
     for id, seq, at in (("i", 2, 1.0), ("j", 2, 1.2), ("i", 3, 2.5)):
         assert collector.collect(id, json.dumps(heartbeat(seq)).encode(), at)
-    lost = collector.report(3.0)
-    assert (list(lost.ids), list(lost.seqs), list(lost.ages_ms)) == (
+    report = collector.report(3.0)
+    assert (list(report.ids), list(report.seqs), list(report.ages_ms)) == (
         ["i", "j"],
         [3, 2],
         [500, 1800],
     )
-    assert collector.report(3.1).seqs == lost.seqs  # there was no answer
+    assert collector.report(3.1).seqs == report.seqs  # there was no answer
     assert collector.collect("i", json.dumps(heartbeat(4)).encode(), 3.2)
-    collector.acknowledge(lost)
+    collector.acknowledge(report)
     assert list(collector.report(3.3).ids) == ["i"] and list(collector.report(3.3).seqs) == [4]
     endpoint_registry.endpoints.clear()
     assert not collector.report(3.4).ids
@@ -683,17 +723,17 @@
     )
 
 
-def test_who_is_cut_off_is_not_named_to_servers() -> None:
-    async def scene() -> None:
-        world = World(Path("named"))
-        await world.begin()
-        assert await operator(world, first(), 1, world.hosts) == 200
+def test_servers_are_not_referred_to_a_partitioned_node() -> None:
+    async def scenario() -> None:
+        cluster = ControlCluster(Path("named"))
+        await cluster.start_all()
+        assert await submit_change(cluster, first_change(), 1, cluster.hosts) == 200
         await asyncio.sleep(2.0)
-        leader = world.leader()
+        leader = cluster.leader()
         assert leader
-        others = [h for h in world.hosts if h != leader.settings.ip]
-        victim, asked = others[0], others[1]
-        zone = world.cores[victim].settings.zone
+        others = [h for h in cluster.hosts if h != leader.settings.ip]
+        victim, tasks = others[0], others[1]
+        zone = cluster.nodes[victim].settings.zone
 
         async def named() -> str:
             raw = {
@@ -703,28 +743,28 @@
             }
             return str(
                 (
-                    await world.call(
-                        asked, "POST", "Instances.Heartbeat/s", json.dumps(raw).encode()
+                    await cluster.call(
+                        tasks, "POST", "Instances.Heartbeat/s", json.dumps(raw).encode()
                     )
                 )[1]
             )
 
         assert f"{victim}:8200" in await named()
-        CUTS["whole"](world, victim)
+        PARTITIONS["whole"](cluster, victim)
         await asyncio.sleep(3.0)
         assert victim not in await named()
-        world.heal()
+        cluster.reconnect()
         await asyncio.sleep(3.0)
         assert f"{victim}:8200" in await named()
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-# Planted defects, and the scene that is to see each.
+# Mutations, and the scenario that must detect each.
 
 
-def lease_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is answered rests on the lease, checked before the state is taken."""
+def skip_read_index(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Answers rely on the leader lease alone, checked before the state is read."""
 
     async def at_once(self: ReadIndex, *args: object, **fields: object) -> None:
         return
@@ -732,14 +772,14 @@
     monkeypatch.setattr(ReadIndex, "confirm", at_once)
 
 
-def own_board(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A beat is confirmed from the own board, at whatever age."""
+def always_in_contact(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A follower confirms heartbeats from its own registry, however old that is."""
     monkeypatch.setattr(Follower, "in_contact", lambda self, now: True)
 
 
-def void_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is void in the log is refused, though its first copy may have been taken there before
-    it."""
+def reject_void_commands(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A void command is answered as rejected, though an earlier copy of it may have been committed
+    before."""
     decide_change = ConfigurationChanges._decide
 
     async def refused(self: ConfigurationChanges, *args: Any) -> Any:
@@ -755,13 +795,17 @@
             outcome = await decide_change(self, *args)
         finally:
             self._leader.decide = decide  # type: ignore[method-assign]
-        return ChangeOutcome(error_response(412, "another change came first")) if void else outcome
+        return (
+            ChangeOutcome(error_response(412, "another change was committed first"))
+            if void
+            else outcome
+        )
 
     monkeypatch.setattr(ConfigurationChanges, "_decide", refused)
 
 
-def unsaid_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A refusal that a later state would take back is nowhere written down."""
+def skip_logged_rejections(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A rejection that a later state would contradict is not recorded in the log."""
     applying = State.apply_steps
 
     def unsaid(self: State, command: Command, tells: bool) -> Generator[None, None, bool]:
@@ -774,14 +818,14 @@
     monkeypatch.setattr(State, "apply_steps", unsaid)
 
 
-def by_count(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The last calls are remembered, and those before count as never taken."""
+def forget_old_records(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Only recent changes are remembered, and older ones count as never committed."""
     monkeypatch.setattr(cairndale.configuration.state, "MAX_IDEMPOTENCY_RECORDS", 20)
     monkeypatch.setattr(State, "record_may_be_evicted", lambda self, gen: False)
 
 
-def nameless(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A call for a zone has no id."""
+def drop_call_ids(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Calls for a zone have no id."""
     handle = OperationHandler.handle
     monkeypatch.setattr(
         OperationHandler,
@@ -790,63 +834,65 @@
     )
 
 
-PLANTED: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], Callable[[list[str]], Any]]] = {
-    "lease alone": (lease_alone, frozen_reader),
-    "own board of one that led": (own_board, partial(near_a_cut, 0)),
-    "own board of another": (own_board, partial(near_a_cut, 2)),
-    "void is refused": (void_is_refused, undecided),
-    "unsaid refusal": (unsaid_refusal, ahead_of_its_parent),
-    "by count": (by_count, forgotten),
-    "nameless": (nameless, evacuations),
+MUTATIONS: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], Callable[[list[str]], Any]]] = {
+    "lease alone": (skip_read_index, calls_at_frozen_leader),
+    "own board of one that led": (always_in_contact, partial(run_heartbeats_near_partition, 0)),
+    "own board of another": (always_in_contact, partial(run_heartbeats_near_partition, 2)),
+    "void is refused": (reject_void_commands, uncommitted_change),
+    "unsaid refusal": (skip_logged_rejections, change_ahead_of_its_parent),
+    "by count": (forget_old_records, evicted_records),
+    "nameless": (drop_call_ids, duplicated_evacuation_calls),
 }
 
 
-@pytest.mark.parametrize("defect", PLANTED)
-def test_planted_defects_are_seen(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("defect", MUTATIONS)
+def test_mutations_are_detected(defect: str, monkeypatch: pytest.MonkeyPatch) -> None:
     random.seed(1)
-    plant, scene = PLANTED[defect]
-    plant(monkeypatch)
-    found = list[str]()
+    apply_mutation, scenario = MUTATIONS[defect]
+    apply_mutation(monkeypatch)
+    violations = list[str]()
     try:
-        play(scene(found))
+        run_in_virtual_time(scenario(violations))
     except AssertionError as error:
-        found.append(str(error))
-    assert found
+        violations.append(str(error))
+    assert violations
 
 
-# A leave that was acknowledged outlives the leader that heard it.
+# An acknowledged deregistration survives the leader that received it.
 
 
-async def leave_and_crash(number: int, by: str, broken: list[str]) -> None:
-    """One server's leave is acknowledged, and the leader is gone at that moment."""
+async def deregister_and_crash(number: int, by: str, violations: list[str]) -> None:
+    """A server's deregistration is acknowledged, and the leader crashes at that moment."""
     random.seed(number)
-    world, loop = World(Path("leave")), asyncio.get_running_loop()
-    await world.begin()
-    assert await operator(world, first(), 1, world.hosts) == 200
+    cluster, loop = ControlCluster(Path("leave")), asyncio.get_running_loop()
+    await cluster.start_all()
+    assert await submit_change(cluster, first_change(), 1, cluster.hosts) == 200
     others = [
-        loop.create_task(server(world, f"s{n}", "z1", world.hosts[n], world.hosts))
+        loop.create_task(run_server(cluster, f"s{n}", "z1", cluster.hosts[n], cluster.hosts))
         for n in range(4)
     ]
     for seq in range(1, 4):
-        assert await world.beat(random.choice(world.hosts), "s9", seq) == 200
+        assert await cluster.send_heartbeat(random.choice(cluster.hosts), "s9", seq) == 200
         await asyncio.sleep(1.4 + 0.2 * random.random())
-    leader = world.leader()
+    leader = cluster.leader()
     assert leader
-    lost = leader.settings.ip
-    address = lost if by == "leader" else random.choice([h for h in world.hosts if h != lost])
+    crashed = leader.settings.ip
+    address = (
+        crashed if by == "leader" else random.choice([h for h in cluster.hosts if h != crashed])
+    )
     status = 0
     while status != 200:
-        status, _ = await world.call(address, "POST", "Instances.Deregister/s9")
-    await world.crash(lost)
-    await world.until(lambda: world.leader() is not None)
+        status, _ = await cluster.call(address, "POST", "Instances.Deregister/s9")
+    await cluster.crash(crashed)
+    await cluster.wait_until(lambda: cluster.leader() is not None)
     taken_over = now()
     while now() < taken_over + 6.0:
         if (
-            (held := world.leader())
-            and (known := held.endpoint_registry.endpoints.get("s9"))
+            (new_leader := cluster.leader())
+            and (known := new_leader.endpoint_registry.endpoints.get("s9"))
             and known.state == "ready"
         ):
-            broken.append(f"ready {now() - taken_over:.1f} s after the takeover")
+            violations.append(f"ready {now() - taken_over:.1f} s after the takeover")
             break
         await asyncio.sleep(0.1)
     for task in others:
@@ -855,7 +901,7 @@
 
 @pytest.mark.parametrize("by", ["leader", "follower"])
 @pytest.mark.parametrize("number", range(8))
-def test_a_leave_that_was_acknowledged_outlives_its_leader(number: int, by: str) -> None:
-    broken = list[str]()
-    play(leave_and_crash(number, by, broken))
-    assert not broken
+def test_an_acknowledged_deregistration_survives_its_leader(number: int, by: str) -> None:
+    violations = list[str]()
+    run_in_virtual_time(deregister_and_crash(number, by, violations))
+    assert not violations
--- a/tests/control/test_state_models.py
+++ b/tests/control/test_state_models.py
@@ -1,5 +1,5 @@
-"""Configuration, servers, ingresses and units: the pure parts of control against slow plain
-models."""
+"""Configuration, endpoints, ingresses and quota units: the parts without I/O, against simple
+reference models."""
 
 from __future__ import annotations
 
@@ -94,15 +94,15 @@
 
 
 @pytest.mark.parametrize("what", INVALID)
-def test_what_is_invalid_is_told_with_its_path(what: str) -> None:
-    made, said = INVALID[what]
+def test_invalid_content_is_reported_with_its_path(what: str) -> None:
+    made, message = INVALID[what]
     errors = content_errors(made)
-    assert any(error.startswith(said) for error in errors), errors
+    assert any(error.startswith(message) for error in errors), errors
     assert content_errors(content()) == []
 
 
-def test_a_large_configuration_is_checked_in_little_more_time_than_it_is_read() -> None:
-    """One of 350 routes took a leader 0.8 s, in which it lost the leadership (khadra-carto,
+def test_validation_of_a_large_configuration_takes_a_bounded_multiple_of_its_parsing() -> None:
+    """Validation of 350 routes once took a leader 0.8 s, in which it lost leadership (khadra-carto,
     trouble-3)."""
     made = content(
         routes=[route(f"r{n}", split=[{"backend": "s1", "weight": 9}]) for n in range(1000)]
@@ -111,20 +111,20 @@
         del one["backend"]
     text = json.dumps(made)
 
-    def least(work: Callable[[], object]) -> float:
-        spans = []
+    def fastest(work: Callable[[], object]) -> float:
+        durations = []
         for _ in range(5):
             begun = time.process_time()
             work()
-            spans.append(time.process_time() - begun)
-        return min(spans)
+            durations.append(time.process_time() - begun)
+        return min(durations)
 
     assert content_errors(made) == []
-    assert least(lambda: content_errors(made)) < 20 * least(lambda: json.loads(text))
-    assert sum(1 for _ in content_errors_steps(made)) > 10  # others get their turn
+    assert fastest(lambda: content_errors(made)) < 20 * fastest(lambda: json.loads(text))
+    assert sum(1 for _ in content_errors_steps(made)) > 10  # yields to other tasks
 
 
-def test_every_error_at_once() -> None:
+def test_all_errors_of_a_configuration_are_reported_at_once() -> None:
     made = content(
         routes=[route(kind="x", pathPrefix="y"), route("r2", backend="z")], tenants=[{"name": ""}]
     )
@@ -155,31 +155,31 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(CHANGES, max_size=12))
-def test_changes_are_applied_as_the_plain_model_has_it(changes: list[Any]) -> None:
-    """The model keeps a dict by name. Only what builds on the version in force is taken."""
+def test_changes_are_applied_as_in_the_model(changes: list[Any]) -> None:
+    """The model is a dict by name. Only a change based on the current generation is applied."""
     state = State()
     assert state.apply(Command(Verb.REPLACE, "first", content(gen=1)))
     model, gen, version = {"r1": content()["routes"][0]}, 1, 1
-    for off, step, put, out in changes:
+    for parent_offset, step, upserts, removals in changes:
         order = {
             "gen": gen + step,
-            "parent": gen + off,
-            "upsert": {"routes": [route(n, prio=p) for n, p in put]},
-            "remove": {"routes": out},
+            "parent": gen + parent_offset,
+            "upsert": {"routes": [route(n, prio=p) for n, p in upserts]},
+            "remove": {"routes": removals},
         }
         command = Command.decode(Command(Verb.UPDATE, f"{gen}{order}", order).encode())
-        taken = state.apply(command)
-        assert taken == (off == 0 and step > 0)
-        if taken:
+        applied = state.apply(command)
+        assert applied == (parent_offset == 0 and step > 0)
+        if applied:
             gen, version = gen + step, version + 1
-            last = {n: route(n, prio=p) for n, p in put}
-            model = {n: r for n, r in model.items() if n not in out} | last
+            last = {n: route(n, prio=p) for n, p in upserts}
+            model = {n: r for n, r in model.items() if n not in removals} | last
         assert {r["name"]: r for r in state.content["routes"]} == model
         assert (state.gen, state.version) == (gen, version)
         state = State.decode(state.encode())
 
 
-def test_a_zone_is_evacuated_until_each_order_is_taken_back() -> None:
+def test_a_zone_is_evacuated_until_each_order_is_undone() -> None:
     state = State()
     orders = (
         (Verb.EVACUATE, "a", 1, True),
@@ -195,28 +195,28 @@
         assert state.apply(Command(verb, order, zone="z")) == applied
         assert state.evacuated.get("z", 0) == left and State.decode(state.encode()) == state
         versions.append(state.version)
-    assert versions == [1, 1, 1, 1, 1, 2, 2]  # ingresses hear of the first and of the last
+    assert versions == [1, 1, 1, 1, 1, 2, 2]  # ingresses are notified of the first and the last
 
 
-def test_calls_for_a_zone_are_one_order_until_the_answer_was_read() -> None:
+def test_calls_for_a_zone_are_one_order_until_the_answer_is_acknowledged() -> None:
     evacuation_log = EvacuationLog(100.0, 6.0, had_predecessor=False)
     first = evacuation_log.begin_call(100.0, "z", "evacuate", False)
-    # the first is not answered yet
+    # The first call is not answered yet.
     assert evacuation_log.begin_call(101.0, "z", "evacuate", False) == first
     evacuation_log.end_call("z", first)
     evacuation_log.end_call("z", first)
-    # the answer may have been lost
+    # The answer may have been lost.
     assert evacuation_log.begin_call(105.0, "z", "evacuate", True) == first
     evacuation_log.end_call("z", first)
     evacuation_log.acknowledge("z", first)
     second = evacuation_log.begin_call(105.1, "z", "evacuate", True)
     assert second not in ("", first)
     evacuation_log.end_call("z", second)
-    # sent again for so long only
+    # The retry window is over.
     assert evacuation_log.begin_call(112.0, "z", "evacuate", True) not in ("", second)
     back = evacuation_log.begin_call(113.0, "z", "take back", False)
     assert back and evacuation_log.begin_call(113.1, "y", "take back", True)
-    # another leads: who led before may have heard this one
+    # A new leader: its predecessor may have received the same call.
     later = EvacuationLog(200.0, 6.0, had_predecessor=True)
     assert later.begin_call(201.0, "z", "evacuate", True) == "" and later.begin_call(
         201.0, "z", "take back", False
@@ -224,7 +224,7 @@
     assert later.begin_call(207.0, "y", "evacuate", True)
 
 
-def test_the_longest_prefix_of_the_host_wins_as_in_a_plain_search() -> None:
+def test_the_longest_prefix_of_the_host_wins_as_in_a_linear_search() -> None:
     rng = random.Random(5)
     parts = ["a", "b", "ab"]
     prefixes = {
@@ -258,12 +258,12 @@
         (b"", None),
     ],
 )
-def test_a_key_is_taken_to_the_letter_and_once(field: bytes, tenant: str | None) -> None:
+def test_an_api_key_must_match_exactly_and_be_given_once(field: bytes, tenant: str | None) -> None:
     found = RouteTable(content()).find_tenant(field)
     assert (found.name if found else None) == tenant
 
 
-def test_a_split_goes_by_weight() -> None:
+def test_a_split_distributes_by_weight() -> None:
     split = [
         {"backend": "s1", "weight": 90},
         {"backend": "s2", "weight": 10},
@@ -279,7 +279,7 @@
     assert 1750 < counts["s1"] < 1850 and counts["s3"] == 0
 
 
-# Servers.
+# Endpoints.
 
 
 def heartbeat(seq: int, state: str = "ready", **fields: Any) -> dict[str, Any]:
@@ -288,15 +288,15 @@
     return {"addr": "10.0.0.9:80", "details": details | fields, "status": status}
 
 
-def test_beats_late_again_and_of_one_that_ended() -> None:
+def test_heartbeats_that_are_late_repeated_or_of_an_ended_server() -> None:
     endpoint_registry = EndpointRegistry()
-    cold = heartbeat(4)
-    cold["status"]["warmupLeft"] = "1s"
-    said = [
+    warming_up = heartbeat(4)
+    warming_up["status"]["warmupLeft"] = "1s"
+    changed = [
         endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(n, s), 0.0))
         for n, s in ((1, "ready"), (3, "draining"), (2, "ready"))
     ]
-    assert said == [True, True, False] and endpoint_registry.endpoints["i"].state == "draining"
+    assert changed == [True, True, False] and endpoint_registry.endpoints["i"].state == "draining"
     assert (
         not endpoint_registry.record_heartbeat(read_heartbeat("i", heartbeat(4, "ready"), 0.0))
         and endpoint_registry.endpoints["i"].state == "draining"
@@ -307,7 +307,7 @@
         and endpoint_registry.endpoints["i"].state == "gone"
     )
     number = endpoint_registry.version
-    # another life at the same address
+    # A new server at the same address.
     assert endpoint_registry.record_heartbeat(read_heartbeat("j", heartbeat(1), 2.0))
     assert [s.id for s in endpoint_registry.changed_since(number)] == ["j"]
     assert (
@@ -321,7 +321,7 @@
     )
     assert not endpoint_registry.record_heartbeat(
         read_heartbeat("j", heartbeat(3), 8.5)
-    ) and endpoint_registry.record_heartbeat(read_heartbeat("j", cold, 8.6))
+    ) and endpoint_registry.record_heartbeat(read_heartbeat("j", warming_up, 8.6))
     assert endpoint_registry.endpoints["j"].warmup_until == 9.6
     assert (
         endpoint_registry.restart_warmup("z", 7.0, {"s1": 3.0})
@@ -340,13 +340,13 @@
         heartbeat(1 << 70, capacity=1 << 40),  # would not fit into any message
     ],
 )
-def test_a_beat_without_its_fields_is_refused_whole(raw: Any) -> None:
+def test_a_heartbeat_with_invalid_fields_is_rejected(raw: Any) -> None:
     with pytest.raises(HeartbeatError) as caught:
         read_heartbeat("i", raw, 0.0)
     assert len(caught.value.errors) >= 2
 
 
-def test_a_server_that_says_it_is_cold_for_ages_is_not_taken_at_its_word() -> None:
+def test_the_warmup_time_that_a_server_reports_is_capped() -> None:
     raw = heartbeat(1)
     raw["status"]["warmupLeft"] = "999999999s"
     assert 0 < endpoint_to_message(read_heartbeat("i", raw, 5.0), 5.0).warmup_left_ms <= 3_600_000
@@ -355,10 +355,12 @@
 # Ingresses.
 
 
-def node(name: str, life: str = "1", zone: str = "z", region: str = "r", **fields: Any) -> pb.Node:
+def node(
+    name: str, incarnation: str = "1", zone: str = "z", region: str = "r", **fields: Any
+) -> pb.Node:
     return pb.Node(
         name=name,
-        incarnation=life,
+        incarnation=incarnation,
         zone=zone,
         region=region,
         http_address=f"{name}:80",
@@ -366,7 +368,7 @@
     )
 
 
-def test_a_version_is_everywhere_once_all_have_it_or_their_leases_are_over() -> None:
+def test_a_version_is_acknowledged_once_all_have_it_or_their_leases_have_expired() -> None:
     node_registry = NodeRegistry()
     node_registry.begin_term(0.0, [])
     assert (
@@ -383,11 +385,11 @@
         and not node_registry.all_at_version(1.0 + NODE_LEASE_S, 2)
         and node_registry.all_at_version(1.01 + NODE_LEASE_S, 2)
     )
-    # its life before is over, and so is what that had told
-    node_registry.record_request(2.0, node("b", life="2"), 0)
+    # A new incarnation: the version that the previous one reported no longer counts.
+    node_registry.record_request(2.0, node("b", incarnation="2"), 0)
     assert node_registry.leases["b"].config_version == 0
     later = NodeRegistry()
-    # another led, and may have given them leases to the last
+    # A new leader: the previous one may have renewed their leases until its end.
     later.begin_term(10.0, ["a", "b"])
     later.record_request(10.1, node("a"), 2)
     assert not later.all_contacted(10.2) and not later.all_at_version(10.0 + NODE_LEASE_S, 2)
@@ -405,43 +407,50 @@
         node("e", kind="core"),
     ]
 
-    def told(query: str) -> Any:
+    def looked_up(query: str) -> Any:
         target = f"/-/lookup?{query}"
         status, body = Lookups("").answer(target, nodes, 5.0, RouteTable({}), version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
-    assert told("name=x&region=r&zone=z") == ["a:80"] and told("region=nowhere") == ["a:80", "b:80"]
+    assert looked_up("name=x&region=r&zone=z") == ["a:80"] and looked_up("region=nowhere") == [
+        "a:80",
+        "b:80",
+    ]
     del nodes[:2]
-    assert told("region=r") == ["d:80"]  # nobody else is left, and it serves to its end
+    assert looked_up("region=r") == [
+        "d:80"
+    ]  # no other is left, and a draining ingress still serves
     nodes.clear()
-    assert told("region=r") == 503
+    assert looked_up("region=r") == 503
 
 
-def test_clients_of_routes_with_homes_are_sent_nowhere_else_while_one_there_or_near_serves() -> (
+def test_clients_of_routes_with_home_regions_are_kept_there_or_near_while_an_ingress_serves() -> (
     None
 ):
-    """A whole region may be stopped in order at once: its machines take requests to the end of the
-    grace."""
+    """A whole region may drain at once: its ingresses accept requests until the end of the drain
+    time."""
     homed = [route(homeRegions=["p", "q"]), route("r2", homeRegions=["q"])]
     route_table = RouteTable(content(routes=[*homed, route("r3")]))
     plain = RouteTable(content(routes=[route()]))
-    here, home = node("a", draining=True), node("b", zone="y", region="q")
+    near, home = node("a", draining=True), node("b", zone="y", region="q")
     away, half = node("c", zone="x", region="s"), node("e", zone="w", region="p")
 
-    def told(nodes: list[pb.Node], of: RouteTable) -> Any:
+    def looked_up(nodes: list[pb.Node], of: RouteTable) -> Any:
         target = "/-/lookup?name=a.example&region=r&zone=z"
         status, body = Lookups("").answer(target, nodes, 5.0, of, version=None)
         return json.loads(body)["addrs"] if status == 200 else status
 
-    assert told([node("d"), home, away], route_table) == ["d:80"]
-    assert told([here, home, away], route_table) == ["b:80"]  # in a home of all its routes
-    assert told([here, half, away], route_table) == ["a:80"] and told([away], route_table) == [
-        "c:80"
-    ]
-    assert told([here, home, away], plain) == ["b:80", "c:80"] and told([here], plain) == ["a:80"]
+    assert looked_up([node("d"), home, away], route_table) == ["d:80"]
+    assert looked_up([near, home, away], route_table) == ["b:80"]  # in a home of all its routes
+    assert looked_up([near, half, away], route_table) == ["a:80"] and looked_up(
+        [away], route_table
+    ) == ["c:80"]
+    assert looked_up([near, home, away], plain) == ["b:80", "c:80"] and looked_up(
+        [near], plain
+    ) == ["a:80"]
 
 
-# Units.
+# Quota units.
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -454,7 +463,7 @@
 def test_leased_units_never_sum_above_the_bound_in_any_window(
     rate: float, burst: float, seed: int, gaps: list[float]
 ) -> None:
-    """The model spends each lease at the worst moment of its life, over changes of the leader's
+    """The model spends each grant at the worst time of its validity, across changes of the
     leader."""
     bounds = Bounds(quota_overrun=0.1, quota_slack=20)
     rng, now, spent = random.Random(seed), 0.0, list[tuple[float, float]]()
--- a/tests/control/test_zone_loss.py
+++ b/tests/control/test_zone_loss.py
@@ -1,6 +1,6 @@
-"""A zone is lost together with the leader: requests within their quota are served again at once.
+"""A zone fails together with the leader: requests within their quota are served again at once.
 
-And a call to a leader that nobody answers ends in time.
+Also: a call to a leader that does not answer ends in time.
 """
 
 from __future__ import annotations
@@ -19,28 +19,25 @@
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.rpc.leader_client import LeaderClient
 from tests.control.test_operations import now
-from tests.control.test_recovery import Ingress as FleetIngress
-from tests.control.test_recovery import World as Fleet
-from tests.control.test_recovery import play as play_fleet
+from tests.control.test_recovery import RecoverySimulation, SimulatedIngress, run_simulation
 from tests.quota.test_quota import BOUNDS, SMALL, Edge, Fault, World, broken, drawn
-from tests.testing.control_cluster import World as Machines
-from tests.testing.control_cluster import in_memory, play
+from tests.testing.control_cluster import ControlCluster, run_in_virtual_time, use_memory_cluster
 
-ZONE = 5  # of the ingresses: those that are lost with the leader
+ZONE = 5  # ingresses that fail with the leader
 
 
-def test_a_call_that_nobody_answers_ends_in_its_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    in_memory(monkeypatch)
+def test_a_call_without_an_answer_ends_at_its_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    use_memory_cluster(monkeypatch)
 
-    async def scene() -> None:
-        world = Machines(Path("silent"))
-        await world.begin()
+    async def scenario() -> None:
+        cluster = ControlCluster(Path("silent"))
+        await cluster.start_all()
         await asyncio.sleep(2.0)
-        leader = world.leader()
+        leader = cluster.leader()
         assert leader
-        host = next(h for h in world.hosts if h != leader.settings.ip)
-        world.part(host, [*world.hosts, *(i.host for i in world.ingresses)])
-        leader_client: LeaderClient = world.cores[host].leader_client
+        host = next(h for h in cluster.hosts if h != leader.settings.ip)
+        cluster.partition(host, [*cluster.hosts, *(i.host for i in cluster.ingresses)])
+        leader_client: LeaderClient = cluster.nodes[host].leader_client
         for within in [0.95, *(random.Random(1).uniform(0.05, 1.0) for _ in range(40))]:
             began = now()
             with pytest.raises(CallError):
@@ -51,14 +48,14 @@
                 )
             assert now() - began <= within + 1e-6
 
-    play(scene())
+    run_in_virtual_time(scenario())
 
 
-class OneAsks(World):
-    """Only one ingress has requests, of a tenant with a small quota; the last ZONE of all are
-    lost."""
+class SingleBusyIngress(World):
+    """Only one ingress has requests, of a tenant with a small quota; the last ZONE ingresses
+    fail."""
 
-    began = 0.0  # when the later leader's term did
+    began = 0.0  # start of the new leader's term
 
     def spend(self, edge: Edge) -> None:
         if edge.name == "e0":
@@ -74,8 +71,8 @@
         super().begin_leadership(had_predecessor)
         self.began = self.now
 
-    def had(self, since: float, until: float) -> float:
-        """Units, in these seconds of the later leader's term."""
+    def granted_units(self, since: float, until: float) -> float:
+        """Units granted between these seconds of the new leader's term."""
         return sum(units for at, units in self.spent if since < at - self.began <= until)
 
 
@@ -83,17 +80,17 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_quota_can_be_had_within_a_second_of_a_later_leaders_term(seed: int) -> None:
-    """Though some that held leases of the leader before are not heard of, and may spend their
-    parts."""
-    world = OneAsks(seed, quota=SMALL)
+def test_quota_units_are_granted_within_a_second_of_a_new_leaders_term(seed: int) -> None:
+    """Although some lease holders of the previous leader are unreachable and may spend their
+    shares."""
+    world = SingleBusyIngress(seed, quota=SMALL)
     world.run(LOST, 12.0)
     assert 5.0 < world.began < 8.0 and world.leadership
-    assert world.had(1.0, 4.0) > 0.75 * SMALL[0] * 3.0
+    assert world.granted_units(1.0, 4.0) > 0.75 * SMALL[0] * 3.0
 
 
-def test_a_later_leaders_stores_hold_a_burst_before_long() -> None:
-    world = OneAsks(1, quota=SMALL)
+def test_a_new_leaders_token_buckets_soon_allow_a_burst() -> None:
+    world = SingleBusyIngress(1, quota=SMALL)
     world.spend = lambda edge: None  # type: ignore[method-assign]
     world.run(LOST, 9.5)
     assert (
@@ -105,12 +102,12 @@
     assert left is not None and left >= 0.0
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_where_nobody_spent_anything_counting_waits_for_all_and_begins_with_full_stores(
-    told: bool,
+@pytest.mark.parametrize("spent_before", [False, True])
+def test_if_nothing_was_spent_counting_waits_for_all_ingresses_and_begins_with_full_buckets(
+    spent_before: bool,
 ) -> None:
-    """Of two that were killed with the leader one asks before it is 1 ms old. `told`: it lives
-    on."""
+    """Two ingresses held leases of the previous leader. `spent_before`: the first to contact the
+    new one survived and may have spent its share; else it has restarted and is 0 ms old."""
     world = World(1, quota=SMALL)
     leadership = Leadership(
         2, 10.0, True, EndpointRegistry(), NodeRegistry(), ["e0", "e1"], BOUNDS, 1.5
@@ -121,16 +118,16 @@
         node = pb.Node(name=name, incarnation="1", kind="edge", address="d")
         leadership.record_watch_request(now, pb.WatchRequest(node=node, epoch=epoch, idle_ms=idle))
 
-    send_request("e0", 10.1, "1" if told else "", 0)
-    assert leadership.grants.is_counting == told
+    send_request("e0", 10.1, "1" if spent_before else "", 0)
+    assert leadership.grants.is_counting == spent_before
     send_request("e1", 12.0, "", 1900)
     left = leadership.grants.grant_quota(12.1, pb.QuotaRequest(tenant="t", amount=SMALL[1]))
-    assert left is not None and (left >= 0.0) == (not told)
+    assert left is not None and (left >= 0.0) == (not spent_before)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_window_sees_more_than_the_whole_as_zones_and_leaders_are_lost(seed: int) -> None:
-    """All spend all that they may."""
+def test_no_window_exceeds_the_quota_while_zones_and_leaders_fail(seed: int) -> None:
+    """All ingresses spend as much as they are allowed to."""
     rng = random.Random(seed)
     kinds = (("cut", SMALL[2] - ZONE), ("leader", 0), ("heal", 0))
     lost = [(rng.uniform(0.0, 3.0), kind, who) for kind, who in kinds]
@@ -139,36 +136,42 @@
     assert broken(world) == []
 
 
-def test_a_zone_of_100_returns_that_was_lost_with_the_leader(
+def test_a_zone_of_100_ingresses_recovers_that_failed_with_the_leader(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The others serve all along: by their leases, by all servers that are left, and by counted
+    """The other ingresses serve all the time: with leases, all remaining servers and counted
     quotas."""
 
-    async def scene(world: Fleet) -> None:
-        await world.until(world.returned, 8.0)
+    async def scenario(simulation: RecoverySimulation) -> None:
+        await simulation.wait_until(simulation.has_recovered, 8.0)
         await asyncio.sleep(4.0)
-        names = [n for n in world.ingresses if int(n[1:]) % 9 == 4]
-        gone = {id: world.up.pop(id) for id in list(world.up) if int(id[1:]) % 9 == 4}
+        names = [n for n in simulation.ingresses if int(n[1:]) % 9 == 4]
+        removed = {
+            id: simulation.heartbeat_phases.pop(id)
+            for id in list(simulation.heartbeat_phases)
+            if int(id[1:]) % 9 == 4
+        }
         for name in names:
-            world.ingresses.pop(name).task.cancel()
+            simulation.ingresses.pop(name).task.cancel()
         await asyncio.sleep(0.6)
-        world.begin()  # the next leader, which has heard of no server
-        counted = await world.until(lambda: world.require_leadership().grants.is_counting, 1.0)
-        # those that are left serve by what they know: nobody is told that others are gone
-        for id in gone:
-            assert all(id in e.servers for e in world.ingresses.values())
-        await world.until(world.returned, 5.0)
-        assert counted < 1.0 and world.require_leadership().grants.is_counting
-        world.up |= gone
-        world.ingresses |= {name: FleetIngress(world, name) for name in names}
-        await world.until(world.returned, 5.0)
+        simulation.begin_term()  # the new leader, with an empty registry
+        counted = await simulation.wait_until(
+            lambda: simulation.require_leadership().grants.is_counting, 1.0
+        )
+        # The others keep their endpoints: the new leader does not report any server as gone yet.
+        for id in removed:
+            assert all(id in e.endpoint_states for e in simulation.ingresses.values())
+        await simulation.wait_until(simulation.has_recovered, 5.0)
+        assert counted < 1.0 and simulation.require_leadership().grants.is_counting
+        simulation.heartbeat_phases |= removed
+        simulation.ingresses |= {name: SimulatedIngress(simulation, name) for name in names}
+        await simulation.wait_until(simulation.has_recovered, 5.0)
         await asyncio.sleep(1.0)
         assert (
-            world.returned()
-            and world.require_leadership().grants.is_counting
-            and not world.lapsed
-            and world.longest < 0.3
+            simulation.has_recovered()
+            and simulation.require_leadership().grants.is_counting
+            and not simulation.expired_leases
+            and simulation.longest_tick_delay < 0.3
         )
 
-    play_fleet(100, 1000, scene, monkeypatch)
+    run_simulation(100, 1000, scenario, monkeypatch)
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -31,9 +31,14 @@
 from cairndale.raft.node import MAX_APPEND_BYTES, RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
-from tests.control.test_operations import History, first, operator, read
+from tests.control.test_operations import CallHistory, first_change, send_read, submit_change
 from tests.raft.test_snapshots import Killed, KillError
-from tests.testing.control_cluster import World, configuration, in_memory, play
+from tests.testing.control_cluster import (
+    ControlCluster,
+    configuration,
+    run_in_virtual_time,
+    use_memory_cluster,
+)
 
 ME = Member("a:1", "x")
 
@@ -311,7 +316,7 @@
 
 @pytest.fixture
 def core_machines(monkeypatch: pytest.MonkeyPatch) -> None:
-    in_memory(monkeypatch)
+    use_memory_cluster(monkeypatch)
 
 
 def slow(
@@ -326,21 +331,21 @@
     monkeypatch.setattr(apply_loop, "MAX_TURN_S", 0.0)
 
 
-async def begun(count: int = 6_000) -> tuple[World, History, ControlNode]:
+async def begun(count: int = 6_000) -> tuple[ControlCluster, CallHistory, ControlNode]:
     """A configuration in force, and a large one to come."""
-    world, history = World(Path("parts")), first()
-    await world.begin()
-    assert await operator(world, history, 1, world.hosts) == 200
+    world, history = ControlCluster(Path("parts")), first_change()
+    await world.start_all()
+    assert await submit_change(world, history, 1, world.hosts) == 200
     history.sent[2] = 1, configuration(2, 1, tenants=tenants(2, count))
     leader = world.leader()
     assert leader
     return world, history, leader
 
 
-async def alike(world: World) -> State:
+async def alike(world: ControlCluster) -> State:
     await asyncio.sleep(8.0)
-    (state,) = {c.state.encode() for c in world.cores.values()}
-    assert all(c.applier.is_between_commands for c in world.cores.values()), (
+    (state,) = {c.state.encode() for c in world.nodes.values()}
+    assert all(c.applier.is_between_commands for c in world.nodes.values()), (
         "it waits for what will never come"
     )
     return State.decode(state)
@@ -361,8 +366,8 @@
     """Snapshots after each 2nd entry: a member that starts again has the command all the same."""
     world, history, leader = await begun(15_000)
     host = next(h for h in world.hosts if h != leader.settings.ip)
-    task = asyncio.create_task(operator(world, history, 2, world.hosts))
-    await world.until(lambda: len(told(leader)) >= 10)
+    task = asyncio.create_task(submit_change(world, history, 2, world.hosts))
+    await world.wait_until(lambda: len(told(leader)) >= 10)
     await world.crash(host)
     await world.start(host)
     assert await task == 200
@@ -374,7 +379,7 @@
     world, history, leader = await begun()
     host, log = leader.settings.ip, leader.raft
     task = asyncio.create_task(world.call(host, "POST", "Config.Replace", history.sent[2][1]))
-    await world.until(
+    await world.wait_until(
         lambda: (
             any(p.kind is FragmentKind.LAST for p in told(leader))
             and log.commit_index == log.last_index
@@ -390,21 +395,21 @@
     """Acknowledged by a leader that ends at once; who leads next has yet to apply it."""
     world, history, leader = await begun(12_000)
     quick.add(leader.me.address)
-    assert await operator(world, history, 2, [leader.settings.ip]) == 200
+    assert await submit_change(world, history, 2, [leader.settings.ip]) == 200
     await world.crash(leader.settings.ip)
-    assert max(c.state.gen for c in world.cores.values()) == 1
+    assert max(c.state.gen for c in world.nodes.values()) == 1
     for _ in range(60):
-        await asyncio.gather(*(read(world, history, host) for host in world.cores))
+        await asyncio.gather(*(send_read(world, history, host) for host in world.nodes))
         await asyncio.sleep(0.05)
-    assert not history.broken([0, 1, 2]), "an older one was read"
-    assert any(t.gen == 2 for t in history.tries if t.what == "read")
+    assert not history.violations([0, 1, 2]), "an older one was read"
+    assert any(t.gen == 2 for t in history.attempts if t.kind == "read")
 
 
 async def ends_amid() -> None:
     """The leader ends amid a command: it is void everywhere, sent again it is taken, once."""
     world, history, leader = await begun(15_000)
-    task = asyncio.create_task(operator(world, history, 2, world.hosts))
-    await world.until(lambda: len(told(leader)) >= 3)
+    task = asyncio.create_task(submit_change(world, history, 2, world.hosts))
+    await world.wait_until(lambda: len(told(leader)) >= 3)
     assert told(leader)[-1].kind is FragmentKind.MORE
     await world.crash(leader.settings.ip)
     assert await task == 200
@@ -421,42 +426,42 @@
             0
         ] == 503
     assert (await alike(world)).gen == 1
-    assert await operator(world, history, 2, world.hosts) == 200
+    assert await submit_change(world, history, 2, world.hosts) == 200
 
 
 def test_control_nodes_take_a_large_command(core_machines: None) -> None:
     async def scene() -> None:
         world, history, leader = await begun()
-        assert await operator(world, history, 2, world.hosts) == 200
+        assert await submit_change(world, history, 2, world.hosts) == 200
         assert len((await alike(world)).content["tenants"]) == 6_000
         *before, last = (p.kind for p in told(leader))
         assert last is FragmentKind.LAST and {*before} == {FragmentKind.MORE} and len(before) > 2
         assert (
-            max(len(e.data) for c in world.cores.values() for e in log_of(c))
+            max(len(e.data) for c in world.nodes.values() for e in log_of(c))
             <= fragments.FRAGMENT_BYTES
         )
 
-    play(scene())
+    run_in_virtual_time(scene())
 
 
 def test_no_snapshot_is_made_amid_a_command(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(apply_loop, "SNAPSHOT_INTERVAL_ENTRIES", 2)
-    play(amid_a_snapshot())
+    run_in_virtual_time(amid_a_snapshot())
     monkeypatch.setattr(cairndale.control.node, "Applier", AlwaysWhole)
     with pytest.raises(ValueError, match="too many values"):  # states that differ
-        play(amid_a_snapshot())
+        run_in_virtual_time(amid_a_snapshot())
 
 
 def test_who_reads_waits_for_what_is_decided(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow(monkeypatch, lambda raft: raft.role is Role.LEADER, 0.02)
-    play(read_amid())
+    run_in_virtual_time(read_amid())
     monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
-        play(read_amid())
+        run_in_virtual_time(read_amid())
 
 
 def test_who_leads_next_applies_all_first(
@@ -464,23 +469,23 @@
 ) -> None:
     quick: set[str] = set()
     slow(monkeypatch, lambda raft: raft.me.address not in quick)
-    play(leader_behind(quick))
+    run_in_virtual_time(leader_behind(quick))
     monkeypatch.setattr(
         LeadershipTracker, "leads", lambda self: self._raft.leads(self._clock.now())
     )
     monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="an older one"):
-        play(leader_behind(quick))
+        run_in_virtual_time(leader_behind(quick))
 
 
 async def told_in_steps(made: list[int]) -> None:
     """Two leaders: what ingresses are told is there before they are told it."""
     world, history, leader = await begun()
-    assert await operator(world, history, 2, world.hosts) == 200
+    assert await submit_change(world, history, 2, world.hosts) == 200
     await world.crash(leader.settings.ip)
     history.sent[3] = 2, configuration(3, 2, tenants=tenants(3, 6_000))
     made.clear()
-    assert await operator(world, history, 3, world.hosts) == 200
+    assert await submit_change(world, history, 3, world.hosts) == 200
     assert all(i.gen == 3 for i in world.ingresses) and max(made, default=0) == 0, "made at once"
 
 
@@ -503,7 +508,7 @@
         made.append(len(steps))
 
     monkeypatch.setattr(stepwise, "run_to_completion", counted)
-    play(told_in_steps(made))
+    run_in_virtual_time(told_in_steps(made))
     monkeypatch.setattr(
         Applier,
         "encodes_content",
@@ -511,17 +516,17 @@
         raising=False,
     )
     with pytest.raises(AssertionError, match="made at once"):
-        play(told_in_steps(made))
+        run_in_virtual_time(told_in_steps(made))
 
 
 def test_a_command_whose_leader_ends_or_gives_it_up_is_void(
     core_machines: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play(ends_amid())
-    play(given_up(monkeypatch))
+    run_in_virtual_time(ends_amid())
+    run_in_virtual_time(given_up(monkeypatch))
     monkeypatch.setattr(proposals, "encode_fragment", lambda *_: b"")
     with pytest.raises(AssertionError, match="it waits"):
-        play(given_up(monkeypatch))
+        run_in_virtual_time(given_up(monkeypatch))
 
 
 def test_commands_of_disks_of_old_are_read() -> None:
--- a/tests/testing/control_cluster.py
+++ b/tests/testing/control_cluster.py
@@ -1,6 +1,6 @@
-"""Several control nodes in one process, in virtual time, on a network that loses what it is told.
+"""Several control nodes in one process, in virtual time, on a network with injected message loss.
 
-There is no sleeping and there are no sockets. A node's disk is kept over its restart.
+Nothing sleeps and there are no sockets. A node's disk survives its restart.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from cairndale.rpc.leader_client import LeaderClient
 from cairndale.settings import Address, format_address, parse_settings
 
-LATENCY = 0.02  # s between two machines, one way
+LATENCY = 0.02  # s, one way between two hosts
 ZONES = {f"z{n}": f"r{n % 3}" for n in range(1, 6)}
 
 
 class _VirtualSelector(selectors.SelectSelector):
-    """Does not wait: the time jumps to the next timer."""
+    """Never waits: the clock jumps to the next timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise RuntimeError("all tasks wait, and no timer is set")
+            raise RuntimeError("all tasks are waiting, and no timer is set")
         self.now += max(0.0, timeout)
         return super().select(0)
 
@@ -61,8 +61,8 @@
         return self._virtual.now
 
 
-def play(main: Coroutine[Any, Any, None]) -> None:
-    """Runs a scene in virtual time, and cancels what it leaves behind."""
+def run_in_virtual_time(main: Coroutine[Any, Any, None]) -> None:
+    """Runs a scenario in virtual time, and cancels the tasks that it leaves behind."""
     loop = VirtualLoop()
     try:
         loop.run_until_complete(main)
@@ -76,7 +76,7 @@
 
 
 class MemoryStorage:
-    """In place of `RaftStorage`: what was written, by folder."""
+    """Replaces `RaftStorage`: the written state in memory, by folder."""
 
     disks: ClassVar[dict[Path, tuple[str, PersistedState]]] = {}
 
@@ -86,8 +86,8 @@
     def disk_id(self) -> str:
         return self.disks.get(self.folder, ("", None))[0]
 
-    def initialize(self, disk: str, kept: PersistedState) -> None:
-        self.disks[self.folder] = disk, kept
+    def initialize(self, disk_id: str, persisted: PersistedState) -> None:
+        self.disks[self.folder] = disk_id, persisted
 
     def load(self) -> PersistedState:
         return copy.copy(self.disks[self.folder][1])
@@ -99,19 +99,22 @@
         pass
 
     def write(self, writes: list[Write]) -> None:
-        kept = self.disks[self.folder][1]
+        persisted = self.disks[self.folder][1]
         for write in writes:
             match write:
                 case HardState(term, voted_for):
-                    kept.term, kept.voted_for = term, voted_for
+                    persisted.term, persisted.voted_for = term, voted_for
                 case SaveEntries(first, entries):
-                    kept.entries = [*(e for e in kept.entries if e.index < first), *entries]
+                    persisted.entries = [
+                        *(e for e in persisted.entries if e.index < first),
+                        *entries,
+                    ]
                 case SaveSnapshotChunk():
-                    pass  # a state this small is written whole
+                    pass  # states in these tests are not written in chunks
                 case SaveSnapshot(snapshot, alone):
-                    kept.snapshot = snapshot
-                    kept.entries = [
-                        e for e in kept.entries if not alone and e.index > snapshot.index
+                    persisted.snapshot = snapshot
+                    persisted.entries = [
+                        e for e in persisted.entries if not alone and e.index > snapshot.index
                     ]
 
     def sweep(self) -> bool:
@@ -126,62 +129,64 @@
 
 @dataclass
 class Network:
-    """Delivers messages between hosts; what is on its way when a link is cut is lost.
+    """Delivers messages between hosts; messages in flight on a link that is cut are lost.
 
-    Links are pairs of sender and receiver: each direction is cut on its own.
+    Links are pairs of sender and receiver host: each direction can be cut separately.
     """
 
     peers: dict[str, RpcPeer] = field(default_factory=dict)
-    cut: set[tuple[str, str]] = field(default_factory=set)
-    # By the kind of body: additional latency in s, each way.
-    late: dict[str, float] = field(default_factory=dict)
-    twice: bool = False  # each forwarded operation is delivered a second time, later
-    # Hosts whose clocks stand: what is sent to them is held back, what they send is lost.
+    cut_links: set[tuple[str, str]] = field(default_factory=set)
+    # Additional latency in s, one way, by the kind of body.
+    extra_latency: dict[str, float] = field(default_factory=dict)
+    duplicates_operations: bool = False  # delivers each forwarded operation again, 0.7 s later
+    # Hosts with stopped clocks: messages to them are deferred, messages from them are lost.
     frozen: set[str] = field(default_factory=set)
-    held_back: list[tuple[str, str, pb.Envelope]] = field(default_factory=list)
-    loses: Callable[[pb.Envelope, str], bool] = lambda envelope, receiver: False
-    steps: int = 0  # messages delivered so far
-    at_step: Callable[[int], None] = lambda step: None
+    deferred: list[tuple[str, str, pb.Envelope]] = field(default_factory=list)
+    drops: Callable[[pb.Envelope, str], bool] = lambda envelope, receiver: False
+    deliveries: int = 0  # messages delivered so far
+    on_delivery: Callable[[int], None] = lambda count: None
 
-    def go(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
-        if sender.partition(":")[0] in self.frozen or self.loses(envelope, receiver):
+    def send(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
+        if sender.partition(":")[0] in self.frozen or self.drops(envelope, receiver):
             return
-        made = pb.Envelope()
-        made.CopyFrom(envelope)
+        copied = pb.Envelope()
+        copied.CopyFrom(envelope)
         loop, kind = asyncio.get_running_loop(), envelope.WhichOneof("body") or ""
-        loop.call_later(LATENCY + self.late.get(kind, 0.0), self._deliver, sender, receiver, made)
-        if self.twice and kind == "operation_request" and not envelope.is_answer:
-            loop.call_later(0.7, self._deliver, sender, receiver, made)
+        loop.call_later(
+            LATENCY + self.extra_latency.get(kind, 0.0), self._deliver, sender, receiver, copied
+        )
+        if self.duplicates_operations and kind == "operation_request" and not envelope.is_answer:
+            loop.call_later(0.7, self._deliver, sender, receiver, copied)
 
     def _deliver(self, sender: str, receiver: str, envelope: pb.Envelope) -> None:
-        ways = (sender.partition(":")[0], receiver.partition(":")[0])
-        if ways in self.cut or receiver not in self.peers:
+        link = (sender.partition(":")[0], receiver.partition(":")[0])
+        if link in self.cut_links or receiver not in self.peers:
             return
-        if ways[1] in self.frozen:
-            self.held_back.append((sender, receiver, envelope))
+        if link[1] in self.frozen:
+            self.deferred.append((sender, receiver, envelope))
             return
-        self.steps += 1
-        self.at_step(self.steps)
+        self.deliveries += 1
+        self.on_delivery(self.deliveries)
         self.peers[receiver].envelope_received(sender, envelope)
 
 
 class RpcPeer:
-    """In place of `cairndale.rpc.peer.RpcPeer`: the same calls, on a `Network`."""
+    """Replaces `cairndale.rpc.peer.RpcPeer`: the same interface, on a `Network`."""
 
     latest = Network()
 
-    def __init__(self, own: Address, hear: Any, handle: Any) -> None:
+    def __init__(self, own_address: Address, handle_message: Any, handle_call: Any) -> None:
         self.own_address, self._handle_message, self._handle_call = (
-            format_address(own),
-            hear,
-            handle,
+            format_address(own_address),
+            handle_message,
+            handle_call,
         )
         self._loop, self._next = asyncio.get_running_loop(), 0
         self._calls: dict[int, asyncio.Future[pb.Envelope]] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.net, self.fence = self.latest, TermFence()
+        self.network, self.fence = self.latest, TermFence()
         self.incarnation, self.system = f"{random.getrandbits(48):x}", ""
-        self.net.peers[self.own_address] = self
+        self.network.peers[self.own_address] = self
 
     def now(self) -> float:
         return self._loop.time()
@@ -216,7 +221,7 @@
         except CallError as failure:
             answer = pb.Envelope(fault_code=failure.code)
         answer.call_id, answer.is_answer = call, True
-        self.net.go(self.own_address, sender, answer)
+        self.network.send(self.own_address, sender, answer)
 
     def set_system_name(self, name: str) -> None:
         self.system = name
@@ -225,13 +230,13 @@
         return not envelope.fault_code and not self.fence.admits(envelope.term)
 
     def send(self, address: str, envelope: pb.Envelope) -> None:
-        self.net.go(self.own_address, address, envelope)
+        self.network.send(self.own_address, address, envelope)
 
     async def call(self, address: str, envelope: pb.Envelope, within: float) -> pb.Envelope:
         self._next += 1
         number = envelope.call_id = self._next
         future = self._calls[number] = self._loop.create_future()
-        self.net.go(self.own_address, address, envelope)
+        self.network.send(self.own_address, address, envelope)
         try:
             async with asyncio.timeout(within):
                 answer = await future
@@ -245,27 +250,27 @@
 
 
 class HttpServer:
-    """In place of the server: tests call the handlers themselves."""
+    """Replaces the HTTP server: tests call the handlers directly."""
 
-    def __init__(self, *takes: Any) -> None: ...
-    async def listen(self, at: Address) -> None: ...
+    def __init__(self, *handlers: Any) -> None: ...
+    async def listen(self, address: Address) -> None: ...
     def stop(self) -> None: ...
 
 
 class Ingress:
-    """Watches the configuration and forwards calls as an ingress does."""
+    """Watches the configuration as an ingress does."""
 
-    def __init__(self, world: World, number: int) -> None:
+    def __init__(self, cluster: ControlCluster, number: int) -> None:
         self.name, self.host = f"edge-{number}", f"10.0.1.{number}"
         self.rpc_peer = RpcPeer((self.host, 7601), lambda envelope: None, self._refuse)
-        self.leader_client = LeaderClient(self.rpc_peer, lambda: world.addresses, lambda: [])  # type: ignore[arg-type]
+        self.leader_client = LeaderClient(self.rpc_peer, lambda: cluster.addresses, lambda: [])  # type: ignore[arg-type]
         self.config_version = self.gen = 0
         self.zone = list(ZONES)[number % len(ZONES)]
 
     async def _refuse(self, envelope: pb.Envelope) -> pb.Envelope:
         raise RejectedError()
 
-    async def ask(self) -> None:
+    async def watch_forever(self) -> None:
         while True:
             node = pb.Node(
                 name=self.name,
@@ -277,12 +282,12 @@
                 kind="edge",
                 ready=True,
             )
-            ask = pb.WatchRequest(
+            request = pb.WatchRequest(
                 node=node, config_version=self.config_version, generation=self.gen, wait_ms=250
             )
             try:
                 watch_response = (
-                    await self.leader_client.call(pb.Envelope(watch_request=ask), 2.0, 0.6)
+                    await self.leader_client.call(pb.Envelope(watch_request=request), 2.0, 0.6)
                 ).watch_response
             except CallError:
                 await asyncio.sleep(0.1)
@@ -295,26 +300,28 @@
             await asyncio.sleep(0.01)
 
 
-class World:
-    """A cluster of control nodes at 10.0.0.1 and on, each in its own zone, and two ingresses."""
+class ControlCluster:
+    """A cluster of control nodes, from 10.0.0.1 on, each in its own zone, and two ingresses."""
 
-    def __init__(self, folder: Path, cores: int = 5, heartbeat: str = "1500ms") -> None:
+    def __init__(self, folder: Path, node_count: int = 5, heartbeat: str = "1500ms") -> None:
         self.folder, self.heartbeat = folder, heartbeat
-        self.net = RpcPeer.latest = Network()
+        self.network = RpcPeer.latest = Network()
         MemoryStorage.disks = {}
-        self.hosts = [f"10.0.0.{n}" for n in range(1, cores + 1)]
+        self.hosts = [f"10.0.0.{n}" for n in range(1, node_count + 1)]
         self.addresses = [f"{host}:7600" for host in self.hosts]
-        self.cores: dict[str, ControlNode] = {}
+        self.nodes: dict[str, ControlNode] = {}
         self.ingresses: list[Ingress] = []
-        self.starts = 0
+        self.start_count = 0
         self._calls: set[asyncio.Task[tuple[int, bytes]]] = set()
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         for host in self.hosts:
             await self.start(host)
         self.ingresses = [Ingress(self, n) for n in (1, 2)]
-        self.asks = [asyncio.get_running_loop().create_task(i.ask()) for i in self.ingresses]
-        await self.until(lambda: self.leader() is not None)
+        self.watch_tasks = [
+            asyncio.get_running_loop().create_task(i.watch_forever()) for i in self.ingresses
+        ]
+        await self.wait_until(lambda: self.leader() is not None)
 
     def settings(self, host: str) -> dict[str, Any]:
         number = self.hosts.index(host)
@@ -326,7 +333,7 @@
                 "ip": host,
                 "zone": list(ZONES)[number],
                 "region": ZONES[list(ZONES)[number]],
-                "bootstrap": self.starts < len(self.hosts),
+                "bootstrap": self.start_count < len(self.hosts),
                 "stateDir": str(self.folder / host),
                 "limits": {"memMb": 300, "nofile": 1024},
             },
@@ -341,61 +348,63 @@
         }
 
     async def start(self, host: str) -> ControlNode:
-        core = self.cores[host] = ControlNode(parse_settings(self.settings(host)))
-        self.starts += 1
-        await core.start()
-        return core
+        node = self.nodes[host] = ControlNode(parse_settings(self.settings(host)))
+        self.start_count += 1
+        await node.start()
+        return node
 
     async def crash(self, host: str) -> None:
-        core = self.cores.pop(host)
-        self.net.peers.pop(f"{host}:7600")
-        core.cancel()
-        core.rpc_peer.stop()
+        node = self.nodes.pop(host)
+        self.network.peers.pop(f"{host}:7600")
+        node.cancel()
+        node.rpc_peer.stop()
 
     def leader(self) -> ControlNode | None:
-        return next((c for c in self.cores.values() if c.leadership and c.leads()), None)
+        return next((c for c in self.nodes.values() if c.leadership and c.leads()), None)
 
-    async def until(self, what: Any, within: float = 30.0) -> None:
+    async def wait_until(self, condition: Any, within: float = 30.0) -> None:
         async with asyncio.timeout(within):
-            while not what():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     # Links and clocks.
 
-    def part(self, one: str, others: list[str], there: bool = True, back: bool = True) -> None:
-        """Cuts the links from `one` to the others (`there`) and from them to it (`back`)."""
-        self.net.cut |= {(one, other) for other in others if there}
-        self.net.cut |= {(other, one) for other in others if back}
+    def partition(
+        self, one: str, others: list[str], outgoing: bool = True, incoming: bool = True
+    ) -> None:
+        """Cuts the links from `one` to the others (`outgoing`) and in reverse (`incoming`)."""
+        self.network.cut_links |= {(one, other) for other in others if outgoing}
+        self.network.cut_links |= {(other, one) for other in others if incoming}
 
-    def heal(self) -> None:
-        self.net.cut.clear()
+    def reconnect(self) -> None:
+        self.network.cut_links.clear()
 
     def freeze(self, host: str) -> None:
-        """Stops the node's clock, as a pause of the process does: later it goes on where it was."""
-        core = self.cores[host]
-        now = core.now()
-        core.clock.now = lambda: now  # type: ignore[method-assign]
-        self.net.frozen.add(host)
-
-    def thaw(self, host: str) -> None:
-        del self.cores[host].clock.now
-        self.net.frozen.discard(host)
-        held, self.net.held_back = self.net.held_back, []
-        for sender, receiver, envelope in held:
-            self.net._deliver(sender, receiver, envelope)
+        """Stops the node's clock and messages, as a pause of its process does, until `unfreeze`."""
+        node = self.nodes[host]
+        now = node.now()
+        node.clock.now = lambda: now  # type: ignore[method-assign]
+        self.network.frozen.add(host)
+
+    def unfreeze(self, host: str) -> None:
+        del self.nodes[host].clock.now
+        self.network.frozen.discard(host)
+        deferred, self.network.deferred = self.network.deferred, []
+        for sender, receiver, envelope in deferred:
+            self.network._deliver(sender, receiver, envelope)
 
     # Calls.
 
     async def call(self, host: str, method: str, call: str, body: bytes = b"") -> tuple[int, Any]:
-        """An HTTP call to a host; it goes on there when the caller no longer waits."""
-        work = self.cores[host].api.control(method, f"/-/{call}", body)
+        """Makes an HTTP call to a host; the call continues there if the caller is cancelled."""
+        work = self.nodes[host].api.control(method, f"/-/{call}", body)
         task = asyncio.get_running_loop().create_task(work)
         self._calls.add(task)
         task.add_done_callback(self._calls.discard)
         status, answer = await asyncio.shield(task)
         return status, json.loads(answer)
 
-    async def beat(
+    async def send_heartbeat(
         self, host: str, id: str, seq: int, zone: str = "z1", state: str = "ready"
     ) -> int:
         raw = {
@@ -404,14 +413,14 @@
             "status": {"state": state, "seq": seq, "warmupLeft": "0ms"},
         }
         body = json.dumps(raw).encode()
-        with suppress(TimeoutError):  # a server waits so long
+        with suppress(TimeoutError):  # a server waits one second
             async with asyncio.timeout(1.0):
                 return (await self.call(host, "POST", f"Instances.Heartbeat/{id}", body))[0]
         return 0
 
 
 def configuration(gen: int, parent: int, **fields: Any) -> bytes:
-    made = {
+    content = {
         "gen": gen,
         "parent": parent,
         "routes": [
@@ -426,11 +435,11 @@
         "backends": [{"name": "s1"}],
         "tenants": [{"name": f"t{random.getrandbits(40):x}", "apiKeys": ["k"]}],
     }
-    return json.dumps(made | fields).encode()
+    return json.dumps(content | fields).encode()
 
 
-def in_memory(monkeypatch: Any) -> None:
-    """Control nodes have memory for disks, and the `Network` for connections."""
+def use_memory_cluster(monkeypatch: Any) -> None:
+    """Makes control nodes use memory instead of disks, and the `Network` for connections."""
     monkeypatch.setattr(cairndale.control.node, "RpcPeer", RpcPeer)
     monkeypatch.setattr(cairndale.control.node, "RaftStorage", MemoryStorage)
     monkeypatch.setattr(cairndale.control.node, "HttpServer", HttpServer)
--- a/tests/testing/nodes.py
+++ b/tests/testing/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as the leader announces them."""
+"""Nodes as the leader lists them in watch responses."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def prepared_ingress(region: str, *, zone: str = "", draining: bool = False) -> pb.Node:
-    """An ingress that serves, named after its zone (or region): clients reach it at `NAME:80`."""
+    """A ready ingress, named after its zone (or region): clients reach it at `NAME:80`."""
     name = zone or region
     return pb.Node(
         name=name,
