--- a/cairndale/control/operations.py
+++ b/cairndale/control/operations.py
@@ -80,8 +80,8 @@
         except ValueError as error:
             return error_response(400, f"not JSON: {error}")
         if leadership.endpoint_registry.record_heartbeat(heartbeat):
-            what = heartbeat.id, heartbeat.service, heartbeat.state
-            log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", *what)
+            fields = heartbeat.id, heartbeat.service, heartbeat.state
+            log_event(Event.ENDPOINTS_CHANGED, "%s %s %s", *fields)
             self._leader.notify_change()
         return json_response(200, {})
 
--- a/tests/control/test_recovery.py
+++ b/tests/control/test_recovery.py
@@ -290,9 +290,9 @@
             for e in self.ingresses.values()
         )
 
-    async def wait_until(self, what: Callable[[], bool], within: float) -> float:
+    async def wait_until(self, condition: Callable[[], bool], within: float) -> float:
         began = self.now()
-        while not what():
+        while not condition():
             assert self.now() - began < within, f"not within {within} s"
             await asyncio.sleep(0.05)
         return self.now() - began
