--- a/cairndale/control/apply_loop.py
+++ b/cairndale/control/apply_loop.py
@@ -1,7 +1,7 @@
-"""Applies committed entries to the replicated state, in turns of bounded length.
+"""Applies committed entries to the replicated state in turns of bounded duration.
 
-A turn takes `APPLY` seconds at most and then leaves the event loop to others, so that a large
-backlog delays no heartbeat. After an entry is applied a snapshot may be due.
+A turn takes at most about MAX_TURN_S and then yields to the event loop, so that a large backlog
+does not delay heartbeats. Snapshots are started here after entries have been applied.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from cairndale.raft.node import RaftNode
 from cairndale.raft.replica import Role
 
-ENTRIES = 128  # a snapshot is due after each so many entries of the log ...
-BYTES = 4 * 1024 * 1024  # ... and once the entries after the last one have so many bytes
-APPLY = 0.005  # s that one turn may take
+SNAPSHOT_INTERVAL_ENTRIES = 128  # a snapshot is taken at each multiple of this index
+MAX_LOG_BYTES = 4 * 1024 * 1024  # of entries since the last snapshot, before the next one is taken
+MAX_TURN_S = 0.005
 
 
 class ApplyLoop:
-    """Brings committed entries into force, in the order of the log.
+    """Applies committed entries in log order.
 
     `on_applied` is called after each entry, `on_turn_end` after each turn.
     """
@@ -42,20 +42,20 @@
         self._snapshot_worker = snapshot_worker
         self._on_applied, self._on_turn_end = on_applied, on_turn_end
         self._loop = asyncio.get_running_loop()
-        self._is_running = False  # in a turn, or the next one is scheduled
-        self._is_snapshot_due = False  # since an entry within a command's fragments
+        self._is_running = False  # a turn is running or scheduled
+        self._is_snapshot_due = False  # deferred to the end of a fragmented command
 
     @property
     def state(self) -> State:
-        """The replicated state as it is after the last applied entry."""
+        """The replicated state as of the last applied entry."""
         return self._applier.state
 
     def applied_index(self) -> int:
-        """The index of the last entry that was applied."""
+        """The index of the last applied entry."""
         return self._applier.index
 
     def follow(self, step: Ready) -> None:
-        """Takes over what a step has restored or committed, and begins to apply it."""
+        """Applies the snapshot and the entries that a Raft step has restored or committed."""
         if step.restored_snapshot:
             self._applier.restore(
                 self._snapshot_worker.installed_state,
@@ -69,15 +69,15 @@
     def _run_turn(self) -> None:
         if self._is_running or not self._applier.has_backlog:
             return
-        self._is_running, until = True, time.perf_counter() + APPLY
+        self._is_running, deadline = True, time.perf_counter() + MAX_TURN_S
         self._applier.encodes_content = self._raft.role is Role.LEADER
         more = True
         while more:
             if applied := self._applier.step():
                 self._entry_applied(applied)
-            more = self._applier.has_backlog and time.perf_counter() < until
+            more = self._applier.has_backlog and time.perf_counter() < deadline
         self._on_turn_end()
-        if self._applier.is_between_commands and self._is_log_long():
+        if self._applier.is_between_commands and self._is_log_oversized():
             self._snapshot_worker.create(self.state.to_dict(), self._applier.index)
         if self._applier.has_backlog:
             self._yield_to_loop(self._resume)
@@ -88,20 +88,25 @@
         self._loop.call_soon(resume)
 
     def _resume(self) -> None:
-        """An empty step: its listeners see what has been applied since the last one."""
+        """Starts the next turn by an empty Raft step, so that step listeners see the progress."""
         self._is_running = False
         self._driver.carry_out(Ready())
 
     def _entry_applied(self, applied: AppliedEntry) -> None:
-        # By the index alone, so alike at all members: whoever leads next has the same snapshot.
-        self._is_snapshot_due |= applied.entry.index % ENTRIES == 0
+        # Depends on the index alone, so that all members take the same snapshots and the next
+        # leader has the one that this leader has.
+        self._is_snapshot_due |= applied.entry.index % SNAPSHOT_INTERVAL_ENTRIES == 0
         if self._is_snapshot_due and self._applier.is_between_commands:
             self._is_snapshot_due = False
             self._snapshot_worker.create(self.state.to_dict(), applied.entry.index)
         for listener in self._on_applied:
             listener(applied)
 
-    def _is_log_long(self) -> bool:
+    def _is_log_oversized(self) -> bool:
         log = self._raft.log
-        many = len(log) >= 2 * ENTRIES
-        return self._raft.wants_snapshot() or many or sum(len(e.data) for e in log) >= BYTES
+        has_many_entries = len(log) >= 2 * SNAPSHOT_INTERVAL_ENTRIES
+        return (
+            self._raft.wants_snapshot()
+            or has_many_entries
+            or sum(len(e.data) for e in log) >= MAX_LOG_BYTES
+        )
--- a/cairndale/control/system_name.py
+++ b/cairndale/control/system_name.py
@@ -1,6 +1,6 @@
-"""The system's name: drawn once by a leader, committed to the log, and known to each member.
+"""The system's name: generated once by a leader, committed to the log, and stored by each member.
 
-Connections between processes carry it, so that processes of two systems never talk to each other.
+Connections between processes carry it, so that processes of different systems never communicate.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class SystemName:
-    """Keeps the name of connections, of the disk and of the log the same."""
+    """Keeps the system's name on connections and on disk in line with the log."""
 
     def __init__(
         self,
@@ -34,27 +34,27 @@
         self._raft, self._driver, self._clock = raft, driver, clock
         self._storage, self._applier, self._leadership = storage, applier, leadership
         self._rpc_peer = rpc_peer
-        self._drawn_in_term = 0
+        self._proposed_in_term = 0
         rpc_peer.system = storage.system_name() or applier.state.system_name
 
     def adopt(self) -> None:
-        """Takes the name over that the log says, from the first entry that says one."""
+        """Adopts the name from the replicated state, once the state has one."""
         if (name := self._applier.state.system_name) and name != self._rpc_peer.system:
-            # If the disk is full, a later start learns it from the log, or from whom it dials.
+            # If this fails, a later start learns the name from the log or from a peer.
             with contextlib.suppress(StorageError):
                 self._storage.set_system_name(name)
             self._rpc_peer.set_system_name(name)
 
-    def draw(self) -> None:
-        """Proposes a name, once a term, as leader of a system that has none."""
+    def propose(self) -> None:
+        """Proposes a name, once per term, if this node leads a system without one."""
         leadership = self._leadership.current
         if (
             self._applier.state.system_name
             or not leadership
-            or self._drawn_in_term == leadership.term
+            or self._proposed_in_term == leadership.term
         ):
             return
-        self._drawn_in_term = leadership.term
+        self._proposed_in_term = leadership.term
         name = self._rpc_peer.system or f"{random.SystemRandom().getrandbits(64):016x}"
         command = Command(Verb.NAME, digest=name)
         _, step = self._raft.propose(self._clock.now(), command.encode())
--- a/tests/features/system.feature
+++ b/tests/features/system.feature
@@ -52,7 +52,7 @@
     And these calls are rejected and change nothing:
       | method | call                | body             | status | error                 |
       | POST   | Config.Replace      | {"gen": 99       | 400    | not JSON              |
-      | POST   | Config.Replace      | []               | 400    | no JSON object        |
+      | POST   | Config.Replace      | []               | 400    | not a JSON object     |
       | POST   | Config.Update       | {"gen":1}        | 400    | parent                |
       | POST   | Instances.Heartbeat/i | {}             | 400    | addr                  |
       | POST   | Drain.Begin/nowhere |                  | 404    | no zone               |
--- a/tests/raft/test_fragments.py
+++ b/tests/raft/test_fragments.py
@@ -32,9 +32,14 @@
 from cairndale.raft.node import MAX_APPEND_BYTES, RaftNode, bootstrap_state
 from cairndale.raft.replica import Role
 from cairndale.raft.storage import RaftStorage, StorageError
-from tests.control.test_operations import History, first, operator, read
+from tests.control.test_operations import CallHistory, first_change, send_read, submit_change
 from tests.raft.test_snapshots import PowerLossEnv, PowerLossError
-from tests.testing.control_cluster import World, configuration, in_memory, play
+from tests.testing.control_cluster import (
+    ControlCluster,
+    configuration,
+    run_in_virtual_time,
+    use_memory_cluster,
+)
 
 ME = Member("a:1", "x")
 
@@ -343,7 +348,7 @@
 
 @pytest.fixture
 def in_memory_cluster(monkeypatch: pytest.MonkeyPatch) -> None:
-    in_memory(monkeypatch)
+    use_memory_cluster(monkeypatch)
 
 
 def slow_down(
@@ -355,24 +360,24 @@
         self._loop.call_later(pause if is_slow(self._raft) else 0.0, resume)
 
     monkeypatch.setattr(ApplyLoop, "_yield_to_loop", yield_slowly)
-    monkeypatch.setattr(apply_loop, "APPLY", 0.0)
+    monkeypatch.setattr(apply_loop, "MAX_TURN_S", 0.0)
 
 
-async def started_world(count: int = 6_000) -> tuple[World, History, ControlNode]:
+async def started_world(count: int = 6_000) -> tuple[ControlCluster, CallHistory, ControlNode]:
     """A world with an applied configuration, and a large one prepared as operation 2."""
-    world, history = World(Path("parts")), first()
-    await world.begin()
-    assert await operator(world, history, 1, world.hosts) == 200
+    world, history = ControlCluster(Path("parts")), first_change()
+    await world.start_all()
+    assert await submit_change(world, history, 1, world.hosts) == 200
     history.sent[2] = 1, configuration(2, 1, tenants=tenants(2, count))
     leader = world.leader()
     assert leader
     return world, history, leader
 
 
-async def converged_state(world: World) -> State:
+async def converged_state(world: ControlCluster) -> State:
     await asyncio.sleep(8.0)
-    (state,) = {c.state.encode() for c in world.cores.values()}
-    assert all(c.applier.is_between_commands for c in world.cores.values()), (
+    (state,) = {c.state.encode() for c in world.nodes.values()}
+    assert all(c.applier.is_between_commands for c in world.nodes.values()), (
         "waits for fragments that will never arrive"
     )
     return State.decode(state)
@@ -393,8 +398,8 @@
     """With a snapshot after every 2nd entry, a node that restarts still applies the command."""
     world, history, leader = await started_world(15_000)
     host = next(h for h in world.hosts if h != leader.settings.ip)
-    task = asyncio.create_task(operator(world, history, 2, world.hosts))
-    await world.until(lambda: len(logged_fragments(leader)) >= 10)
+    task = asyncio.create_task(submit_change(world, history, 2, world.hosts))
+    await world.wait_until(lambda: len(logged_fragments(leader)) >= 10)
     await world.crash(host)
     await world.start(host)
     assert await task == 200
@@ -406,7 +411,7 @@
     world, history, leader = await started_world()
     host, log = leader.settings.ip, leader.raft
     task = asyncio.create_task(world.call(host, "POST", "Config.Replace", history.sent[2][1]))
-    await world.until(
+    await world.wait_until(
         lambda: (
             any(p.kind is FragmentKind.LAST for p in logged_fragments(leader))
             and log.commit_index == log.last_index
@@ -422,21 +427,21 @@
     """The leader crashes right after the acknowledgement; its successor has not applied it yet."""
     world, history, leader = await started_world(12_000)
     fast_addresses.add(leader.me.address)
-    assert await operator(world, history, 2, [leader.settings.ip]) == 200
+    assert await submit_change(world, history, 2, [leader.settings.ip]) == 200
     await world.crash(leader.settings.ip)
-    assert max(c.state.gen for c in world.cores.values()) == 1
+    assert max(c.state.gen for c in world.nodes.values()) == 1
     for _ in range(60):
-        await asyncio.gather(*(read(world, history, host) for host in world.cores))
+        await asyncio.gather(*(send_read(world, history, host) for host in world.nodes))
         await asyncio.sleep(0.05)
-    assert not history.broken([0, 1, 2]), "stale read"
-    assert any(t.gen == 2 for t in history.tries if t.what == "read")
+    assert not history.violations([0, 1, 2]), "stale read"
+    assert any(t.gen == 2 for t in history.attempts if t.kind == "read")
 
 
 async def leader_crashes_during_command() -> None:
     """The leader crashes during a command: no node applies it, and a retry is applied once."""
     world, history, leader = await started_world(15_000)
-    task = asyncio.create_task(operator(world, history, 2, world.hosts))
-    await world.until(lambda: len(logged_fragments(leader)) >= 3)
+    task = asyncio.create_task(submit_change(world, history, 2, world.hosts))
+    await world.wait_until(lambda: len(logged_fragments(leader)) >= 3)
     assert logged_fragments(leader)[-1].kind is FragmentKind.MORE
     await world.crash(leader.settings.ip)
     assert await task == 200
@@ -447,47 +452,47 @@
     """The commit times out and the leader stays: its next snapshot does not wait for the rest."""
     world, history, _ = await started_world()
     with monkeypatch.context() as short_timeout:
-        short_timeout.setattr(proposals, "DECIDE", 0.03)
+        short_timeout.setattr(proposals, "DECISION_TIMEOUT_S", 0.03)
         assert (await world.call(world.hosts[0], "POST", "Config.Replace", history.sent[2][1]))[
             0
         ] == 503
     assert (await converged_state(world)).gen == 1
-    assert await operator(world, history, 2, world.hosts) == 200
+    assert await submit_change(world, history, 2, world.hosts) == 200
 
 
 def test_control_nodes_apply_a_large_command(in_memory_cluster: None) -> None:
     async def scene() -> None:
         world, history, leader = await started_world()
-        assert await operator(world, history, 2, world.hosts) == 200
+        assert await submit_change(world, history, 2, world.hosts) == 200
         assert len((await converged_state(world)).content["tenants"]) == 6_000
         *before, last = (p.kind for p in logged_fragments(leader))
         assert last is FragmentKind.LAST and {*before} == {FragmentKind.MORE} and len(before) > 2
         assert (
-            max(len(e.data) for c in world.cores.values() for e in log_of(c))
+            max(len(e.data) for c in world.nodes.values() for e in log_of(c))
             <= fragments.FRAGMENT_BYTES
         )
 
-    play(scene())
+    run_in_virtual_time(scene())
 
 
 def test_no_snapshot_is_made_during_a_command(
     in_memory_cluster: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(apply_loop, "ENTRIES", 2)
-    play(restart_during_command())
+    monkeypatch.setattr(apply_loop, "SNAPSHOT_INTERVAL_ENTRIES", 2)
+    run_in_virtual_time(restart_during_command())
     monkeypatch.setattr(cairndale.control.node, "Applier", AlwaysBetweenCommands)
     with pytest.raises(ValueError, match="too many values"):  # states that differ
-        play(restart_during_command())
+        run_in_virtual_time(restart_during_command())
 
 
 def test_read_waits_until_committed_entries_are_applied(
     in_memory_cluster: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     slow_down(monkeypatch, lambda raft: raft.role is Role.LEADER, 0.02)
-    play(read_before_application())
+    run_in_virtual_time(read_before_application())
     monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="stale read"):
-        play(read_before_application())
+        run_in_virtual_time(read_before_application())
 
 
 def test_new_leader_applies_all_entries_before_it_serves(
@@ -495,23 +500,23 @@
 ) -> None:
     fast_addresses: set[str] = set()
     slow_down(monkeypatch, lambda raft: raft.me.address not in fast_addresses)
-    play(successor_lags(fast_addresses))
+    run_in_virtual_time(successor_lags(fast_addresses))
     monkeypatch.setattr(
         LeadershipTracker, "leads", lambda self: self._raft.leads(self._clock.now())
     )
     monkeypatch.setattr(ApplyLoop, "applied_index", lambda self: self._raft.commit_index)
     with pytest.raises(AssertionError, match="stale read"):
-        play(successor_lags(fast_addresses))
+        run_in_virtual_time(successor_lags(fast_addresses))
 
 
 async def content_encoded_in_steps(step_counts: list[int]) -> None:
     """Under two leaders in turn, the content for ingresses is encoded in steps beforehand."""
     world, history, leader = await started_world()
-    assert await operator(world, history, 2, world.hosts) == 200
+    assert await submit_change(world, history, 2, world.hosts) == 200
     await world.crash(leader.settings.ip)
     history.sent[3] = 2, configuration(3, 2, tenants=tenants(3, 6_000))
     step_counts.clear()
-    assert await operator(world, history, 3, world.hosts) == 200
+    assert await submit_change(world, history, 3, world.hosts) == 200
     assert all(i.gen == 3 for i in world.ingresses) and max(step_counts, default=0) == 0, (
         "encoded at once"
     )
@@ -536,7 +541,7 @@
         step_counts.append(len(steps))
 
     monkeypatch.setattr(stepwise, "run_to_completion", count_steps)
-    play(content_encoded_in_steps(step_counts))
+    run_in_virtual_time(content_encoded_in_steps(step_counts))
     monkeypatch.setattr(
         Applier,
         "encodes_content",
@@ -544,23 +549,25 @@
         raising=False,
     )
     with pytest.raises(AssertionError, match="encoded at once"):
-        play(content_encoded_in_steps(step_counts))
+        run_in_virtual_time(content_encoded_in_steps(step_counts))
 
 
 def test_command_is_void_if_its_leader_crashes_or_abandons_it(
     in_memory_cluster: None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    play(leader_crashes_during_command())
-    play(command_abandoned(monkeypatch))
+    run_in_virtual_time(leader_crashes_during_command())
+    run_in_virtual_time(command_abandoned(monkeypatch))
     monkeypatch.setattr(proposals, "encode_fragment", lambda *_: b"")
     with pytest.raises(AssertionError, match="waits for fragments"):
-        play(command_abandoned(monkeypatch))
+        run_in_virtual_time(command_abandoned(monkeypatch))
 
 
 def test_large_command_of_an_earlier_version_is_applied() -> None:
     """Earlier versions stored a large command in a single entry."""
     data = replace_command(1, 0, 30_000).encode()
-    assert len(data) > applier.LARGE_ENTRY and apply_entries([Entry(1, 1, data)]).state.gen == 1
+    assert (
+        len(data) > applier.LARGE_ENTRY_BYTES and apply_entries([Entry(1, 1, data)]).state.gen == 1
+    )
 
 
 # The body of a request.
--- a/tests/raft/test_snapshots.py
+++ b/tests/raft/test_snapshots.py
@@ -17,7 +17,7 @@
 from cairndale.configuration.commands import Command, Verb
 from cairndale.configuration.serialization import FormatError
 from cairndale.configuration.state import State
-from cairndale.control.snapshot_worker import CHUNK, RETRY_AFTER, SnapshotWorker
+from cairndale.control.snapshot_worker import RETRY_DELAY_S, WRITE_CHUNK_BYTES, SnapshotWorker
 from cairndale.raft import codec
 from cairndale.raft.messages import (
     Entry,
@@ -481,7 +481,7 @@
     harness.node.log.append(Entry(10, 1, b"10"))
     storage.write([SaveEntries(10, (Entry(10, 1, b"10"),))])
     assert harness.node.base_snapshot.index == 0 and storage.load().snapshot.index == 0
-    assert harness.run() > 10 and max(written) <= CHUNK
+    assert harness.run() > 10 and max(written) <= WRITE_CHUNK_BYTES
     persisted = storage.load()
     assert (
         persisted.snapshot.state == before
@@ -499,7 +499,7 @@
     storage = RaftStorage(tmp_path, map_bytes=512 * 1024)
     harness = SnapshotHarness(storage, state_with_history(8, tenants=30_000))
     for n in range(3):
-        harness.now += 2 * RETRY_AFTER
+        harness.now += 2 * RETRY_DELAY_S
         harness.snapshot_worker.create(harness.state.to_dict(), 9)
         harness.run()
         index = 10 + n
@@ -509,7 +509,7 @@
             persisted.snapshot.index == harness.node.base_snapshot.index == 0
             and persisted.entries[-1].index == index
         )
-    harness.now += 2 * RETRY_AFTER
+    harness.now += 2 * RETRY_DELAY_S
     harness.snapshot_worker.create(State().to_dict(), 9)
     harness.run()
     assert storage.load().snapshot.index == 9
--- a/tests/rpc/test_framing.py
+++ b/tests/rpc/test_framing.py
@@ -515,7 +515,7 @@
     async with asyncio.timeout(10):
         while not (node.leadership and node.rpc_peer.system):
             node.driver.tick()
-            node.system_name.draw()
+            node.system_name.propose()
             await asyncio.sleep(0.005)
     assert node.leadership
     return node.leadership.term
@@ -661,12 +661,12 @@
     call = unit_call(1)
     call.quota_request.amount = 80
     first = leadership.grants.answer(100.0, call)
-    assert leadership.grants.answer(100.0 + idempotency.ANSWER_LIFE_S - 0.01, call) == first
+    assert leadership.grants.answer(100.0 + idempotency.ANSWER_TTL_S - 0.01, call) == first
     # After that time a duplicate is counted again: it wastes units, but a bounded number.
-    assert leadership.grants.answer(100.0 + idempotency.ANSWER_LIFE_S, call) != first
-    for id in range(2, 2 * idempotency.MAX_ANSWERS):
+    assert leadership.grants.answer(100.0 + idempotency.ANSWER_TTL_S, call) != first
+    for id in range(2, 2 * idempotency.MAX_CACHED_ANSWERS):
         leadership.grants.answer(105.0, unit_call(id))
-    assert len(leadership.grants._idempotency_cache._answers) <= idempotency.MAX_ANSWERS
+    assert len(leadership.grants._idempotency_cache._answers) <= idempotency.MAX_CACHED_ANSWERS
     with pytest.raises(CallError) as stale:
         leadership.grants.answer(105.0, unit_call(1, term=2))
     assert stale.value.code is FaultCode.STALE
