--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -1,5 +1,5 @@
-"""A member on its own: `python -m cairndale.gossip FILE`. It serves nothing but the word of who is
-there."""
+"""Runs a standalone member: `python -m cairndale.gossip FILE`. It serves nothing but the membership
+itself."""
 
 from __future__ import annotations
 
@@ -19,111 +19,117 @@
 
 from cairndale.gossip.core import Timing
 from cairndale.gossip.shell import Config, Member, MemberError
-from cairndale.gossip.wire import NAME, Address
+from cairndale.gossip.wire import MAX_NAME_LENGTH, Address
 from cairndale.ingress.cli.checked import about, sound
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 Positive = Annotated[float, Meta(gt=0)]
-PATIENCE = 2.0  # s for an operator's call to come whole
+CALL_TIMEOUT = 2.0  # s, for an operator's request to be received completely
 
 
 class Options(Struct, forbid_unknown_fields=True):
-    """The file, TOML."""
+    """The configuration file, in TOML."""
 
     name: Annotated[
-        str, Meta(min_length=1, max_length=NAME), about("this member's, one in the fleet")
+        str,
+        Meta(min_length=1, max_length=MAX_NAME_LENGTH),
+        about("name of this member, unique in the fleet"),
     ]
     fleet: Annotated[
-        str, Meta(min_length=1, max_length=NAME), about("the fleet's; others are not heard")
+        str,
+        Meta(min_length=1, max_length=MAX_NAME_LENGTH),
+        about("name of the fleet; messages of other fleets are dropped"),
     ]
-    listen: Annotated[str, about("HOST:PORT, for UDP and TCP; others reach it there")]
-    folder: Annotated[str, about("what it keeps over a restart")]
+    listen: Annotated[str, about("HOST:PORT that other members reach it at, by UDP and TCP")]
+    folder: Annotated[str, about("directory of the state that is kept over restarts")]
     seeds: Annotated[list[str], about("HOST:PORT of members to join through")] = field(
         default_factory=list
     )
-    founds: Annotated[bool, about("begins a fleet where no seed answers: one member at most")] = (
-        False
-    )
+    founds: Annotated[
+        bool, about("creates a fleet if no seed answers; true for at most one member")
+    ] = False
     key_file: Annotated[
-        str, about("a file with the fleet's key; without one only loopback is heard")
+        str, about("file with the key of the fleet; without it, only loopback is accepted")
     ] = ""
-    zone: Annotated[str, about("where it stands")] = ""
-    ops: Annotated[str, about("HOST:PORT for operators; empty: none")] = ""
-    period_s: Annotated[Positive, about("s between probes; all other times go with it")] = 1.0
+    zone: Annotated[str, about("availability zone")] = ""
+    ops: Annotated[str, about("HOST:PORT of the operator's page; empty: none")] = ""
+    period_s: Annotated[Positive, about("s between probes; all other times scale with it")] = 1.0
 
 
-def address(text: str) -> Address:
-    """`HOST:PORT` or `[HOST]:PORT`, the host an address of its own. Raises ValueError."""
+def parse_address(text: str) -> Address:
+    """Parses `HOST:PORT` or `[HOST]:PORT`, where HOST is an IP address. Raises ValueError."""
     host, _, port = text.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
     ip_address(host)
     if not (port.isascii() and port.isdecimal() and 0 < int(port) < 65536):
-        raise ValueError("no port")
+        raise ValueError("not a port number: expected 1 to 65535")
     return host, int(port)
 
 
-def timing(period: float) -> Timing:
-    """All times in proportion to the period."""
-    usual = Timing()
+def scaled_timing(probe_period: float) -> Timing:
+    """The default timing, with all times scaled in proportion to the probe period."""
+    defaults = Timing()
     return Timing(
-        period=period,
-        timeout=usual.timeout * period,
-        gossip=usual.gossip * period,
-        sync=usual.sync * period,
-        heal=usual.heal * period,
-        round=usual.round * period,
+        probe_period=probe_period,
+        probe_timeout=defaults.probe_timeout * probe_period,
+        gossip_interval=defaults.gossip_interval * probe_period,
+        sync_interval=defaults.sync_interval * probe_period,
+        reconnect_interval=defaults.reconnect_interval * probe_period,
+        ballot_timeout=defaults.ballot_timeout * probe_period,
     )
 
 
-def read(path: Path) -> tuple[Config, Address | None]:
-    """And where operators call. Raises MemberError with every error at once."""
+def read_config(path: Path) -> tuple[Config, Address | None]:
+    """Reads the configuration file, and the address of the operator's page if there is one. Raises
+    MemberError with all errors at once."""
     errors: list[str] = []
     try:
-        found = sound(tomllib.loads(path.read_text()), Options, "", errors)
+        options = sound(tomllib.loads(path.read_text()), Options, "", errors)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise MemberError(f"{path}: {error}") from None
-    places: dict[str, Address] = {}
+    addresses: dict[str, Address] = {}
     key = b""
-    if isinstance(found, Options):
-        wanted = {"listen": found.listen} | ({"ops": found.ops} if found.ops else {})
-        wanted |= {f"seeds[{n}]": seed for n, seed in enumerate(found.seeds)}
-        for name, text in wanted.items():
+    if isinstance(options, Options):
+        address_texts = {"listen": options.listen} | ({"ops": options.ops} if options.ops else {})
+        address_texts |= {f"seeds[{n}]": seed for n, seed in enumerate(options.seeds)}
+        for name, text in address_texts.items():
             try:
-                places[name] = address(text)
+                addresses[name] = parse_address(text)
             except ValueError:
-                errors.append(f"{name}: found {text!r}, IP:PORT is wanted")
-        if found.key_file:
+                errors.append(f"{name}: expected IP:PORT, got {text!r}")
+        if options.key_file:
             try:
-                key = Path(found.key_file).read_bytes().strip()
+                key = Path(options.key_file).read_bytes().strip()
             except OSError as error:
                 errors.append(f"key_file: {error.strerror}")
             if not errors and len(key) < 16:
-                errors.append(f"key_file: {len(key)} bytes, 16 or more are wanted")
+                errors.append(f"key_file: {len(key)} bytes, expected 16 or more")
         if (
-            not found.key_file
-            and "listen" in places
-            and not ip_address(places["listen"][0]).is_loopback
+            not options.key_file
+            and "listen" in addresses
+            and not ip_address(addresses["listen"][0]).is_loopback
         ):
-            errors.append("key_file: is missing, and listen is not on loopback")
-    if errors or not isinstance(found, Options):
+            errors.append("key_file: required, because listen is not on loopback")
+    if errors or not isinstance(options, Options):
         raise MemberError("\n".join(f"{path.name}: {e}" for e in errors))
-    seeds = tuple(places[f"seeds[{n}]"] for n in range(len(found.seeds)))
+    seeds = tuple(addresses[f"seeds[{n}]"] for n in range(len(options.seeds)))
     config = Config(
-        found.name,
-        found.fleet,
-        places["listen"],
+        options.name,
+        options.fleet,
+        addresses["listen"],
         seeds,
-        Path(found.folder),
+        Path(options.folder),
         key,
-        found.zone,
-        found.founds,
-        timing(found.period_s),
+        options.zone,
+        options.founds,
+        scaled_timing(options.period_s),
     )
-    return config, places.get("ops")
+    return config, addresses.get("ops")
 
 
-class Caller(HttpConnection):
-    """`GET /members`, `POST /members/remove?name=NAME`: one call a connection."""
+class OperatorConnection(HttpConnection):
+    """Serves the operator's page: `GET /members` and `POST /members/remove?name=NAME`, one request
+    per connection."""
 
     def __init__(self, member: Member) -> None:
         super().__init__(httptools.HttpRequestParser)
@@ -132,7 +138,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self.garbage, 408)
+        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT, self.garbage, 408)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer:
@@ -145,9 +151,10 @@
                 self._answer(200, self._member.status())
             case b"POST", "/members/remove":
                 name = query.removeprefix("name=")
-                good = query.startswith("name=") and self._member.remove(name)
+                removed = query.startswith("name=") and self._member.remove(name)
                 self._answer(
-                    200 if good else 404, {"removed": name} if good else {"error": "no such member"}
+                    200 if removed else 404,
+                    {"removed": name} if removed else {"error": "no such member"},
                 )
             case _, "/members" | "/members/remove":
                 self._answer(405, {"error": "not with this method"})
@@ -157,23 +164,24 @@
     def garbage(self, status: int) -> None:
         self._answer(status, {"error": "not understood"})
 
-    def _answer(self, status: int, what: object) -> None:
+    def _answer(self, status: int, body: object) -> None:
         if not self.transport.is_closing():
-            self.transport.write(plain(status, json.dumps(what).encode() + b"\n", close=True))
+            self.transport.write(plain(status, json.dumps(body).encode() + b"\n", close=True))
             self.transport.close()
 
 
 async def serve(config: Config, ops: Address | None) -> bool:
-    """Until SIGTERM, or until it can keep nothing any longer: then False."""
+    """Runs the member until SIGTERM or SIGINT. Returns False if it stopped because its state could
+    not be written to disk."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     member = Member(config, lambda changed: None)
     await member.start()
-    server = await loop.create_server(lambda: Caller(member), *ops) if ops else None
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
-    ends = [loop.create_task(event.wait()) for event in (stop, member.failed)]
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-    for task in ends:
+    server = await loop.create_server(lambda: OperatorConnection(member), *ops) if ops else None
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
+    waits = [loop.create_task(event.wait()) for event in (stop, member.failed)]
+    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+    for task in waits:
         task.cancel()
     if server:
         server.close()
@@ -189,7 +197,7 @@
         print("usage: python -m cairndale.gossip FILE", file=sys.stderr)
         return 2
     try:
-        return 0 if uvloop.run(serve(*read(Path(sys.argv[1])))) else 1
+        return 0 if uvloop.run(serve(*read_config(Path(sys.argv[1])))) else 1
     except (MemberError, OSError) as error:
         print(f"cairndale.gossip: {error}", file=sys.stderr)
         return 2 if isinstance(error, MemberError) else 1
--- a/cairndale/gossip/core.py
+++ b/cairndale/gossip/core.py
@@ -1,15 +1,19 @@
-"""One member, as a pure machine: what is heard and the time go in, what is to be said, asked, kept
-and told comes out.
-
-Failures are detected as by SWIM (Das, Gupta and Motivala, DSN 2002): each period one member is
-probed, then through others; who does not answer is suspected, and can refute that with a higher
-incarnation; news travels on the probes. With Lifeguard's corrections (Dadgar, Phillips and Currey,
-DSN-W 2018): a member that is slow itself notices and waits longer, others that hear the probe late
-say so (nack), a suspicion lasts the shorter the more members share it, and who is suspected hears
-of it first. A member that stays suspect is reported by its observers; who belongs to the fleet is
-agreed on as a whole (`cuts.py`), so that all go through the same few views.
-
-Times are s on the caller's monotonic clock; nothing here reads one, or any wall clock.
+"""The membership protocol of one member, as a deterministic state machine without I/O: received
+messages and the time go in; messages to send, state to persist and notifications come out.
+
+Failures are detected as in SWIM (Das, Gupta and Motivala, DSN 2002): in each period one member is
+probed directly, then indirectly through other members. A member that does not answer is suspected,
+and can refute the suspicion with a higher incarnation. Gossip updates are piggybacked on probes.
+
+Lifeguard's extensions (Dadgar, Phillips and Currey, DSN-W 2018) are included: a member that is slow
+itself notices this and extends its timeouts (local health multiplier), helpers of an indirect probe
+that get no answer in time report that (nack), a suspicion times out earlier the more members
+confirm it, and a suspected member is notified first (buddy system).
+
+A member that stays suspect is reported by its observers. The membership of the fleet changes by
+agreement on a whole view (`cuts.py`), so that all members go through the same few views.
+
+Times are in seconds on the caller's monotonic clock; this module reads no clock.
 """
 
 from __future__ import annotations
@@ -21,66 +25,72 @@
 from dataclasses import dataclass, field
 from itertools import count
 
+import msgspec
 from msgspec import Raw, Struct
 
-from cairndale.gossip.cuts import Acceptor, Alerts, Ballot, Promise, Proposal, wanted_cut
-from cairndale.gossip.standing import Standing, judged
+from cairndale.gossip.cuts import Acceptor, AcceptorState, Alerts, Ballot, Proposal, proposed_change
+from cairndale.gossip.standing import Standing, assess_standing
 from cairndale.gossip.wire import (
-    MAX_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     Address,
     Body,
-    Cut,
-    Held,
-    News,
+    FullState,
+    GossipUpdate,
+    MemberState,
     Packet,
     Peer,
-    State,
     View,
-    raw_news,
-    read_news,
+    ViewChange,
+    decode_update,
+    encode_update,
 )
 
 ALIVE, SUSPECT, FAILED, LEFT = "alive", "suspect", "failed", "left"
-ORDER = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEFT: 3}
-TOP = 1 << 62  # incarnations end here: one beyond is forged
-LEAP = 1 << 20  # by which a word on oneself may be ahead of what one has said: more is forged
-HEAD = 400  # bytes of a datagram that are not news
-QUEUED = 4096  # news that wait to be passed on; of more the most told goes first
-LOST = 1024  # members that are remembered as lost
+SEVERITY = {ALIVE: 0, SUSPECT: 1, FAILED: 2, LEFT: 3}
+MAX_INCARNATION = 1 << 62  # updates with this incarnation or a higher one are taken as forged
+# An update whose incarnation is ahead of the known one by more than this is taken as forged.
+MAX_INCARNATION_STEP = 1 << 20
+HEADER_RESERVE_BYTES = 400  # of a datagram, not available for gossip updates
+MAX_QUEUED_UPDATES = 4096  # beyond this, the update with the most transmissions is dropped
+MAX_UNREACHABLE = 1024  # removed members that are remembered, to reconnect to
 
 
 class Timing(Struct, frozen=True):
-    """s, and numbers; the defaults suit a fleet in one site."""
-
-    period: float = 1.0  # a probe each, while this member is well
-    timeout: float = 0.3  # until others are asked to probe
-    helpers: int = 3  # that are asked
-    gossip: float = 0.2  # between news that are passed on beside probes
-    fanout: int = 3  # members that they go to
-    told: float = 3.0  # times log10 of the fleet that each news is passed on
-    # periods, times log10 of the fleet, that a suspicion shared by all lasts ...
-    suspicion: float = 4.0
-    slack: float = 6.0  # ... and times as long one that nobody shares
-    unwell: int = 8  # the most that a member's own health stretches its times by
-    sync: float = 15.0  # between whole states exchanged with one member
-    heal: float = 10.0  # between tries to reach one that is lost
-    round: float = 1.0  # that a proposal waits for its majority, at the least
-    # periods after most are reached again until a cut is proposed: many that seem lost are not
-    regain: float = 6.0
-    fresh: float = 5.0  # periods without any answer after which a member is unsure
-
-
-class Stored(Struct, frozen=True):
-    """What a member knows over a restart. Kept on disk, synced, before anything that follows from
-    it is said."""
+    """Settings of the protocol: times in seconds, and counts. The defaults suit a fleet within one
+    site."""
+
+    probe_period: float = 1.0  # one member is probed per period, while this member is healthy
+    probe_timeout: float = 0.3  # without an ack, until an indirect probe is started
+    indirect_probe_helpers: int = 3  # members that are asked to probe indirectly
+    gossip_interval: float = 0.2  # between sends of gossip updates apart from probes
+    gossip_fanout: int = 3  # members that each of these sends goes to
+    # times log10 of the fleet size: how often a member sends each update
+    transmit_multiplier: float = 3.0
+    # times log10 of the fleet size, in probe periods: timeout of a fully confirmed suspicion
+    suspicion_multiplier: float = 4.0
+    # times the timeout above: timeout of a suspicion that no other member confirms
+    suspicion_max_multiplier: float = 6.0
+    max_health_multiplier: int = 8  # upper limit of Lifeguard's local health multiplier
+    sync_interval: float = 15.0  # between exchanges of full state, each with one member
+    reconnect_interval: float = 10.0  # between attempts to reach an unreachable or failed member
+    ballot_timeout: float = 1.0  # shortest time that a proposer waits for a majority
+    # Probe periods between reaching a majority again and proposing a view change: just after a
+    # partition, many members that seem to have failed have not.
+    recovery_periods: float = 6.0
+    answer_timeout_periods: float = 5.0  # without any answer, after which a member is unsure
+
+
+class PersistentState(Struct, frozen=True):
+    """What a member keeps on disk over a restart. It is synced to disk before any message that
+    depends on it is sent."""
 
     name: str = ""
-    seat: int = 0
-    boot: int = 0
+    generation: int = msgspec.field(name="seat", default=0)
+    boot_epoch: int = msgspec.field(name="boot", default=0)
     incarnation: int = 0
     view: View | None = None
-    promise: Promise = Promise()
-    lost: tuple[Peer, ...] = ()
+    acceptor: AcceptorState = msgspec.field(name="promise", default=AcceptorState())
+    unreachable: tuple[Peer, ...] = msgspec.field(name="lost", default=())
 
 
 # Actions.
@@ -88,251 +98,303 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a datagram."""
+
     to: Address
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """Exchange whole states with it over TCP; the answer, if one comes, goes to `answered`."""
+class ExchangeState:
+    """Exchange full states with another member over TCP. Its answer, if there is one, goes to
+    `Core.receive_exchange_answer`."""
 
     to: Address
-    state: State
+    state: FullState
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """On disk before what comes after it in the list."""
+class Persist:
+    """Write the state to disk before the actions that follow in the list are carried out."""
 
-    stored: Stored
+    stored: PersistentState
 
 
 @dataclass(frozen=True, slots=True)
-class Changed:
-    """For whoever uses membership: a view, or one's own standing."""
+class MembershipChanged:
+    """Notify the user of the membership: the view, or this member's standing, has changed."""
 
     view: View
     standing: Standing
     added: tuple[str, ...] = ()
-    gone: tuple[str, ...] = ()
+    removed: tuple[str, ...] = ()
 
 
-Action = Send | Ask | Keep | Changed
+Action = Send | ExchangeState | Persist | MembershipChanged
 
 
 @dataclass(slots=True)
 class Suspicion:
+    """A suspicion, and the members that have reported it."""
+
     since: float
-    by: set[str]
+    reporters: set[str]
 
 
 @dataclass(slots=True)
-class Known:
-    """What is held of another member."""
+class KnownMember:
+    """What this member knows of another one."""
 
     peer: Peer
     incarnation: int = 0
     state: str = ALIVE
     since: float = 0.0
-    why: str = "in the view"
+    reason: str = "in the view"
     suspicion: Suspicion | None = None
-    trip: float = 0.0  # s of the last probe, there and back
-    answered: float = -math.inf  # when it last answered here
+    round_trip: float = 0.0  # s, of the last probe that was answered directly
+    last_answered_at: float = -math.inf  # when it last answered a probe of this member
 
 
 @dataclass(slots=True)
 class Probe:
+    """A probe of this member that is in flight."""
+
     name: str
-    at: float
+    sent_at: float
     answered: bool = False
     nacks: int = 0
-    asked: int = 0
+    helpers_asked: int = 0
 
 
 @dataclass(slots=True)
-class Queued:
+class QueuedUpdate:
+    """An encoded gossip update that is still to be sent, and how often it has been."""
+
     raw: bytes
-    times: int
+    transmissions: int
 
 
 @dataclass(slots=True)
 class Core:
-    me: Peer
+    """The state machine of one member. Each public method that takes an event returns the actions
+    that the caller has to carry out, in order."""
+
+    local: Peer  # this member
     fleet: str
     timing: Timing
     rng: random.Random
     seeds: tuple[Address, ...] = ()
-    # makes a view of its own where no seed answers: one member of a fleet at most
-    founds: bool = False
-    boot: int = 1
+    # creates the first view if no seed answers; to be set on at most one member of a fleet
+    may_bootstrap: bool = False
+    boot_epoch: int = 1
     incarnation: int = 1
     view: View | None = None
-    others: dict[str, Known] = field(default_factory=dict)
-    lost: dict[str, Peer] = field(default_factory=dict)  # cut off, and not seen since
-    health: int = 0  # 0: well; times are stretched by one more than that
-    refused: str = ""  # why this member was not admitted
+    others: dict[str, KnownMember] = field(default_factory=dict)
+    # removed from the view as failed, and not admitted again since
+    unreachable: dict[str, Peer] = field(default_factory=dict)
+    health_score: int = 0  # 0: healthy; the local health multiplier is one more
+    refusal: str = ""  # why this member was not admitted
     leaving: bool = False
     standing: Standing = field(default_factory=lambda: Standing("alone", 0.0, 0))
-    counts: dict[str, int] = field(default_factory=dict)
-    _acceptor: Acceptor = field(default_factory=lambda: Acceptor(Promise()))
+    drop_counts: dict[str, int] = field(default_factory=dict)
+    _acceptor: Acceptor = field(default_factory=lambda: Acceptor(AcceptorState()))
     _alerts: Alerts | None = None
     _proposal: Proposal | None = None
-    _rounds: int = 0
+    _ballot_number: int = 0
     _probes: dict[int, Probe] = field(default_factory=dict)
-    # own seq: for whom, their seq
-    _helping: dict[int, tuple[str, int, float]] = field(default_factory=dict)
-    _order: list[str] = field(default_factory=list)
-    _queue: dict[tuple[str, str, str], Queued] = field(default_factory=dict)
+    # sequence number of this member's ping -> (requesting member, sequence number of its request,
+    # time at which this entry expires)
+    _indirect_probes: dict[int, tuple[str, int, float]] = field(default_factory=dict)
+    _probe_order: list[str] = field(default_factory=list)
+    _update_queue: dict[tuple[str, str, str], QueuedUpdate] = field(default_factory=dict)
     _joining: dict[str, Peer] = field(default_factory=dict)
-    _left: set[str] = field(default_factory=set)
-    # who was heard with another view, and when
-    _differs: dict[str, float] = field(default_factory=dict)
-    _seq: int = 0
-    _count: int = 0
+    _left: set[str] = field(default_factory=set)  # members that left, but are still in the view
+    # members whose pings carried another view -> when the last of these was received
+    _view_mismatches: dict[str, float] = field(default_factory=dict)
+    _probe_seq: int = 0
+    _packets_sent: int = 0
     _timers: list[tuple[float, int, Callable[[float], None]]] = field(default_factory=list)
     _ids: count[int] = field(default_factory=count)
-    _out: list[Action] = field(default_factory=list)
-    _answered_at: float = 0.0
+    _actions: list[Action] = field(default_factory=list)
+    _last_answer_at: float = 0.0
     _unstable_since: float | None = None
-    _look_at: float = -1.0  # when what is to be proposed is looked into next
-    _chosen: Cut | None = None  # decided by this member's round, and not adopted yet
-    _few_at: float = -math.inf  # when most of the view were last out of reach
-
-    # Life.
-
-    def begin(self, now: float, stored: Stored | None = None) -> list[Action]:
-        self._answered_at = now
-        if stored is not None and stored.seat and stored.name == self.me.name:
-            self.me = Peer(self.me.name, stored.seat, self.me.host, self.me.port, self.me.zone)
-            self.boot, self.incarnation = stored.boot + 1, stored.incarnation + 1
-            self._acceptor.held = stored.promise
-            self.lost = {p.name: p for p in stored.lost}
-            if stored.view is not None and self.me in stored.view.members:
-                self._adopt(now, stored.view, "kept on disk")
+    _proposal_due_at: float = -1.0  # of the next scheduled proposal; negative: none is scheduled
+    _decided_change: ViewChange | None = None  # by this member's ballot, and not yet applied
+    _last_without_majority_at: float = -math.inf  # last time that no majority was reachable
+
+    # Start and leave.
+
+    def start(self, now: float, stored: PersistentState | None = None) -> list[Action]:
+        """Restores the persisted state, if it is of this member, and starts all timers."""
+        self._last_answer_at = now
+        if stored is not None and stored.generation and stored.name == self.local.name:
+            self.local = Peer(
+                self.local.name,
+                stored.generation,
+                self.local.host,
+                self.local.port,
+                self.local.zone,
+            )
+            self.boot_epoch, self.incarnation = stored.boot_epoch + 1, stored.incarnation + 1
+            self._acceptor.state = stored.acceptor
+            self.unreachable = {p.name: p for p in stored.unreachable}
+            if stored.view is not None and self.local in stored.view.members:
+                self._adopt_view(now, stored.view, "kept on disk")
             else:
-                self._remember(stored.view)
-        self._keep()
-        self._at(now, self._period)
-        self._at(now + self.rng.uniform(0.5, 1) * self.timing.gossip, self._gossip)
-        self._at(now + self.rng.uniform(0.5, 1) * self.timing.sync, self._sync)
-        self._at(now + self.rng.uniform(0.5, 1) * self.timing.heal, self._heal)
-        self._at(now, self._join)
+                self._remember_members(stored.view)
+        self._persist()
+        self._call_at(now, self._start_probe)
+        self._call_at(now + self.rng.uniform(0.5, 1) * self.timing.gossip_interval, self._gossip)
+        self._call_at(now + self.rng.uniform(0.5, 1) * self.timing.sync_interval, self._sync)
+        self._call_at(
+            now + self.rng.uniform(0.5, 1) * self.timing.reconnect_interval, self._reconnect
+        )
+        self._call_at(now, self._join)
         if self.view is not None:
             self._refute(now, 0)
-        return self._done(now)
+        return self._finish(now)
 
-    def _remember(self, view: View | None) -> None:
-        """Members of a view that this one is not part of: somebody to join through."""
+    def _remember_members(self, view: View | None) -> None:
+        """Remembers the members of a view that does not include this member, to join through."""
         for peer in view.members if view else ():
-            if peer.name != self.me.name and len(self.lost) < LOST:
-                self.lost[peer.name] = peer
+            if peer.name != self.local.name and len(self.unreachable) < MAX_UNREACHABLE:
+                self.unreachable[peer.name] = peer
 
     def leave(self, now: float) -> list[Action]:
-        """Said before going: no suspicion, and no word of a loss."""
+        """Announces that this member leaves, so that it is neither suspected nor reported as
+        failed."""
         self.leaving = True
-        self._spread(News("left", self.me.name, self.incarnation, self.me.name))
-        for known in self._shuffled(lambda k: k.state == ALIVE):
-            self._send(known.peer.address, Body("news"))
-        return self._done(now)
+        self._enqueue_update(
+            GossipUpdate("left", self.local.name, self.incarnation, self.local.name)
+        )
+        for member in self._random_members(lambda k: k.state == ALIVE):
+            self._send(member.peer.address, Body("news"))
+        return self._finish(now)
 
     def remove(self, now: float, name: str) -> list[Action]:
-        """An operator's word: it is to be cut off, and not missed."""
-        known = self.others.get(name)
-        self.lost.pop(name, None)
-        if known is not None:
-            self._heard_state(now, News("left", name, known.incarnation, self.me.name))
-        return self._done(now)
+        """Removes a member at an operator's request, as if it had left."""
+        member = self.others.get(name)
+        self.unreachable.pop(name, None)
+        if member is not None:
+            self._apply_update(now, GossipUpdate("left", name, member.incarnation, self.local.name))
+        return self._finish(now)
 
     # Time.
 
     def wake_at(self) -> float:
+        """When `tick` is to be called next."""
         return self._timers[0][0] if self._timers else math.inf
 
     def tick(self, now: float) -> list[Action]:
+        """Runs the timers that are due."""
         while self._timers and self._timers[0][0] <= now:
             heapq.heappop(self._timers)[2](now)
-        return self._done(now)
+        return self._finish(now)
 
-    def _at(self, when: float, what: Callable[[float], None]) -> None:
-        heapq.heappush(self._timers, (when, next(self._ids), what))
+    def _call_at(self, when: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self._timers, (when, next(self._ids), callback))
 
-    def _done(self, now: float) -> list[Action]:
-        self._judge(now)
-        out, self._out = self._out, []
-        return out
+    def _finish(self, now: float) -> list[Action]:
+        self._update_standing(now)
+        actions, self._actions = self._actions, []
+        return actions
 
-    # Saying.
+    # Sending.
 
     def _send(self, to: Address, body: Body) -> None:
-        self._count += 1
-        news = self._news(MAX_DATAGRAM - HEAD - (len(body.cut.removed) if body.cut else 0))
-        packet = Packet(self.fleet, self.me.name, self.boot, self._count, body, news)
-        self._out.append(Send(to, packet))
-
-    def _spread(self, news: News, raw: bytes | None = None) -> None:
-        self._queue[news.key] = Queued(raw or raw_news(news), 0)
-        if len(self._queue) > QUEUED:
-            del self._queue[max(self._queue, key=lambda k: self._queue[k].times)]
-
-    def _news(self, room: int) -> tuple[Raw, ...]:
-        """What was told least goes first, as fits; what was told often enough is
-        dropped."""
-        if not self._queue:
+        self._packets_sent += 1
+        updates = self._take_updates(
+            MAX_DATAGRAM_BYTES
+            - HEADER_RESERVE_BYTES
+            - (len(body.change.removed) if body.change else 0)
+        )
+        packet = Packet(
+            self.fleet, self.local.name, self.boot_epoch, self._packets_sent, body, updates
+        )
+        self._actions.append(Send(to, packet))
+
+    def _enqueue_update(self, update: GossipUpdate, raw: bytes | None = None) -> None:
+        self._update_queue[update.key] = QueuedUpdate(raw or encode_update(update), 0)
+        if len(self._update_queue) > MAX_QUEUED_UPDATES:
+            del self._update_queue[
+                max(self._update_queue, key=lambda k: self._update_queue[k].transmissions)
+            ]
+
+    def _take_updates(self, capacity: int) -> tuple[Raw, ...]:
+        """Takes queued updates for a datagram, those with the fewest transmissions first, as many
+        as fit. Updates that have reached their maximum of transmissions leave the queue."""
+        if not self._update_queue:
             return ()
-        most = max(1, math.ceil(self.timing.told * math.log10(len(self.others) + 2)))
-        found: list[Raw] = []
-        for key, queued in sorted(self._queue.items(), key=lambda item: item[1].times):
-            if len(queued.raw) + 3 > room:
+        max_transmissions = max(
+            1, math.ceil(self.timing.transmit_multiplier * math.log10(len(self.others) + 2))
+        )
+        taken: list[Raw] = []
+        for key, queued in sorted(
+            self._update_queue.items(), key=lambda item: item[1].transmissions
+        ):
+            if len(queued.raw) + 3 > capacity:
                 continue
-            room -= len(queued.raw) + 3
-            found.append(Raw(queued.raw))
-            queued.times += 1
-            if queued.times >= most:
-                del self._queue[key]
-        return tuple(found)
-
-    def _shuffled(self, fit: Callable[[Known], bool], most: int | None = None) -> list[Known]:
-        chosen = [k for k in self.others.values() if fit(k)]
+            capacity -= len(queued.raw) + 3
+            taken.append(Raw(queued.raw))
+            queued.transmissions += 1
+            if queued.transmissions >= max_transmissions:
+                del self._update_queue[key]
+        return tuple(taken)
+
+    def _random_members(
+        self, matches: Callable[[KnownMember], bool], limit: int | None = None
+    ) -> list[KnownMember]:
+        chosen = [k for k in self.others.values() if matches(k)]
         self.rng.shuffle(chosen)
-        return chosen[:most]
-
-    def _keep(self) -> None:
-        lost = tuple(self.lost.values())
-        stored = Stored(
-            self.me.name,
-            self.me.seat,
-            self.boot,
+        return chosen[:limit]
+
+    def _persist(self) -> None:
+        unreachable = tuple(self.unreachable.values())
+        stored = PersistentState(
+            self.local.name,
+            self.local.generation,
+            self.boot_epoch,
             self.incarnation,
             self.view,
-            self._acceptor.held,
-            lost,
+            self._acceptor.state,
+            unreachable,
         )
-        self._out.append(Keep(stored))
+        self._actions.append(Persist(stored))
 
     # Probes.
 
-    def _stretch(self) -> int:
-        return self.health + 1
+    def _health_multiplier(self) -> int:
+        return self.health_score + 1
 
-    def _ail(self, change: int) -> None:
-        self.health = min(self.timing.unwell - 1, max(0, self.health + change))
+    def _adjust_health(self, delta: int) -> None:
+        self.health_score = min(
+            self.timing.max_health_multiplier - 1, max(0, self.health_score + delta)
+        )
 
-    def _period(self, now: float) -> None:
-        self._at(now + self.timing.period * self._stretch(), self._period)
-        for seq in [s for s, h in self._helping.items() if now > h[2]]:
-            del self._helping[seq]
-        known = self._next()
-        if known is None or self.view is None:
+    def _start_probe(self, now: float) -> None:
+        self._call_at(now + self.timing.probe_period * self._health_multiplier(), self._start_probe)
+        for seq in [s for s, h in self._indirect_probes.items() if now > h[2]]:
+            del self._indirect_probes[seq]
+        member = self._next_target()
+        if member is None or self.view is None:
             return
-        self._seq += 1
-        seq = self._seq
-        self._probes[seq] = Probe(known.peer.name, now)
-        if known.state != ALIVE:  # who is suspected hears of it first
-            word = News("suspect", known.peer.name, known.incarnation, self.me.name)
-            self._queue[word.key] = Queued(raw_news(word), 0)
-        self._send(known.peer.address, self._ping(seq))
-        self._at(now + self.timing.timeout * self._stretch(), lambda at: self._unanswered(at, seq))
-        self._at(now + self.timing.period * self._stretch() * 0.95, lambda at: self._over(at, seq))
+        self._probe_seq += 1
+        seq = self._probe_seq
+        self._probes[seq] = Probe(member.peer.name, now)
+        if member.state != ALIVE:  # Lifeguard's buddy system: notify the suspected member first
+            suspicion = GossipUpdate(
+                "suspect", member.peer.name, member.incarnation, self.local.name
+            )
+            self._update_queue[suspicion.key] = QueuedUpdate(encode_update(suspicion), 0)
+        self._send(member.peer.address, self._ping(seq))
+        self._call_at(
+            now + self.timing.probe_timeout * self._health_multiplier(),
+            lambda at: self._probe_indirectly(at, seq),
+        )
+        self._call_at(
+            now + self.timing.probe_period * self._health_multiplier() * 0.95,
+            lambda at: self._finish_probe(at, seq),
+        )
 
     def _ping(self, seq: int) -> Body:
         view = self.view
@@ -340,357 +402,407 @@
             "ping", seq, view=view.number if view else 0, digest=view.digest if view else ""
         )
 
-    def _next(self) -> Known | None:
-        """Each in turn, in an order drawn anew for each round; who failed is tried on, as it may
-        come back."""
-        while self._order:
-            known = self.others.get(self._order.pop())
-            if known is not None and known.state != LEFT:
-                return known
-        self._order = [n for n, k in self.others.items() if k.state != LEFT]
-        self.rng.shuffle(self._order)
-        return self.others.get(self._order.pop()) if self._order else None
-
-    def _unanswered(self, now: float, seq: int) -> None:
+    def _next_target(self) -> KnownMember | None:
+        """The members in turn, in an order shuffled anew for each pass. Failed members are still
+        probed, as they may recover."""
+        while self._probe_order:
+            member = self.others.get(self._probe_order.pop())
+            if member is not None and member.state != LEFT:
+                return member
+        self._probe_order = [n for n, k in self.others.items() if k.state != LEFT]
+        self.rng.shuffle(self._probe_order)
+        return self.others.get(self._probe_order.pop()) if self._probe_order else None
+
+    def _probe_indirectly(self, now: float, seq: int) -> None:
         probe = self._probes.get(seq)
         if probe is None or probe.answered:
             return
-        helpers = self._shuffled(
-            lambda k: k.state == ALIVE and k.peer.name != probe.name, self.timing.helpers
+        helpers = self._random_members(
+            lambda k: k.state == ALIVE and k.peer.name != probe.name,
+            self.timing.indirect_probe_helpers,
         )
-        probe.asked = len(helpers)
+        probe.helpers_asked = len(helpers)
         for helper in helpers:
             self._send(helper.peer.address, Body("ask", seq, probe.name))
 
-    def _over(self, now: float, seq: int) -> None:
+    def _finish_probe(self, now: float, seq: int) -> None:
         probe = self._probes.pop(seq, None)
         if probe is None or probe.answered:
             return
-        # Helpers that did not even say that they had no answer: it may be this member that hears
-        # nothing.
-        self._ail(max(0, probe.asked - probe.nacks) if probe.asked else 1)
-        known = self.others.get(probe.name)
-        if known is not None:
-            self._heard_state(now, News("suspect", probe.name, known.incarnation, self.me.name))
+        # Helpers that sent not even a nack suggest that this member itself receives messages late
+        # or not at all (Lifeguard).
+        self._adjust_health(max(0, probe.helpers_asked - probe.nacks) if probe.helpers_asked else 1)
+        member = self.others.get(probe.name)
+        if member is not None:
+            self._apply_update(
+                now, GossipUpdate("suspect", probe.name, member.incarnation, self.local.name)
+            )
 
     def _gossip(self, now: float) -> None:
-        self._at(now + self.timing.gossip * self._stretch(), self._gossip)
-        if self._queue:
-            for known in self._shuffled(lambda k: k.state in (ALIVE, SUSPECT), self.timing.fanout):
-                if self._queue:
-                    self._send(known.peer.address, Body("news"))
-
-    # Hearing.
-
-    def heard(self, now: float, source: Address, packet: Packet) -> list[Action]:
-        known = self.others.get(packet.sender)
-        if packet.sender == self.me.name or (known is None and self.view is not None):
-            self._count_one("not a member")
-            if packet.sender in self.lost:  # it does not know yet that it was cut off
-                self._ask(self.lost[packet.sender].address)
-            return self._done(now)
-        for raw in packet.news:
-            news = read_news(raw)
-            if news is not None:
-                self._heard_news(now, news, bytes(raw))
-        if known is not None:
-            self._heard_body(now, known, source, packet.body)
-        return self._done(now)
-
-    def _count_one(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
-
-    def _heard_body(self, now: float, known: Known, source: Address, body: Body) -> None:
+        self._call_at(now + self.timing.gossip_interval * self._health_multiplier(), self._gossip)
+        if self._update_queue:
+            for member in self._random_members(
+                lambda k: k.state in (ALIVE, SUSPECT), self.timing.gossip_fanout
+            ):
+                if self._update_queue:
+                    self._send(member.peer.address, Body("news"))
+
+    # Receiving.
+
+    def receive(self, now: float, source: Address, packet: Packet) -> list[Action]:
+        """Processes a packet."""
+        member = self.others.get(packet.sender)
+        if packet.sender == self.local.name or (member is None and self.view is not None):
+            self._count_drop("not a member")
+            if packet.sender in self.unreachable:  # it does not know yet that it was removed
+                self._request_exchange(self.unreachable[packet.sender].address)
+            return self._finish(now)
+        for raw in packet.updates:
+            update = decode_update(raw)
+            if update is not None:
+                self._receive_update(now, update, bytes(raw))
+        if member is not None:
+            self._receive_body(now, member, source, packet.body)
+        return self._finish(now)
+
+    def _count_drop(self, reason: str) -> None:
+        self.drop_counts[reason] = self.drop_counts.get(reason, 0) + 1
+
+    def _receive_body(self, now: float, member: KnownMember, source: Address, body: Body) -> None:
         match body.kind:
             case "ping":
-                self._send(known.peer.address, Body("ack", body.seq, incarnation=self.incarnation))
-                self._compare(now, known, body)
+                self._send(member.peer.address, Body("ack", body.seq, incarnation=self.incarnation))
+                self._compare_views(now, member, body)
             case "ack":
-                self._acknowledged(now, known, body)
-            case "ask":
+                self._receive_ack(now, member, body)
+            case "ask":  # SWIM's ping-req
                 target = self.others.get(body.name)
                 if target is not None:
-                    self._seq += 1
-                    own = self._seq
-                    self._helping[own] = known.peer.name, body.seq, now + 4 * self.timing.period
-                    self._send(target.peer.address, self._ping(own))
-                    self._at(now + self.timing.timeout, lambda at: self._no_answer(at, own))
+                    self._probe_seq += 1
+                    helper_seq = self._probe_seq
+                    self._indirect_probes[helper_seq] = (
+                        member.peer.name,
+                        body.seq,
+                        now + 4 * self.timing.probe_period,
+                    )
+                    self._send(target.peer.address, self._ping(helper_seq))
+                    self._call_at(
+                        now + self.timing.probe_timeout, lambda at: self._send_nack(at, helper_seq)
+                    )
             case "nack":
                 if (probe := self._probes.get(body.seq)) is not None:
                     probe.nacks += 1
-            case "relayed":  # a helper's probe was answered
+            case "relayed":  # the ack of a helper's probe
                 if (probe := self._probes.get(body.seq)) is not None and not probe.answered:
                     probe.answered = True
-                    self._answered_at = now
+                    self._last_answer_at = now
                     if (target := self.others.get(probe.name)) is not None:
-                        self._lives(now, target, body.incarnation)
+                        self._confirm_alive(now, target, body.incarnation)
             case "prepare" | "accept":
-                self._vote(known, body)
+                self._answer_proposer(member, body)
             case "promise" | "accepted":
-                self._tally(known.peer.name, body)
+                self._receive_acceptor_reply(member.peer.name, body)
 
-    def _acknowledged(self, now: float, known: Known, body: Body) -> None:
-        helped = self._helping.pop(body.seq, None)
-        if helped is not None:
-            asker = self.others.get(helped[0])
-            if asker is not None:
+    def _receive_ack(self, now: float, member: KnownMember, body: Body) -> None:
+        request = self._indirect_probes.pop(body.seq, None)
+        if request is not None:
+            requester = self.others.get(request[0])
+            if requester is not None:
                 self._send(
-                    asker.peer.address, Body("relayed", helped[1], incarnation=body.incarnation)
+                    requester.peer.address,
+                    Body("relayed", request[1], incarnation=body.incarnation),
                 )
             return
         probe = self._probes.pop(body.seq, None)
-        if probe is None or probe.name != known.peer.name:
+        if probe is None or probe.name != member.peer.name:
             return
-        probe.answered, known.trip, known.answered = True, now - probe.at, now
-        self._answered_at = now
-        self._ail(-1)
-        self._lives(now, known, body.incarnation)
-
-    def _no_answer(self, now: float, own: int) -> None:
-        helped = self._helping.get(own)
-        if helped is not None and (asker := self.others.get(helped[0])) is not None:
-            self._send(asker.peer.address, Body("nack", helped[1]))
-
-    def _lives(self, now: float, known: Known, incarnation: int) -> None:
-        """Its own answer. It does not overrule a suspicion that others share: that takes a higher
-        incarnation, which the answer brings once it has heard of the suspicion."""
-        if known.incarnation < incarnation < TOP:
-            self._heard_state(now, News("alive", known.peer.name, incarnation, known.peer.name))
-
-    def _compare(self, now: float, known: Known, body: Body) -> None:
+        probe.answered, member.round_trip, member.last_answered_at = True, now - probe.sent_at, now
+        self._last_answer_at = now
+        self._adjust_health(-1)
+        self._confirm_alive(now, member, body.incarnation)
+
+    def _send_nack(self, now: float, helper_seq: int) -> None:
+        request = self._indirect_probes.get(helper_seq)
+        if request is not None and (requester := self.others.get(request[0])) is not None:
+            self._send(requester.peer.address, Body("nack", request[1]))
+
+    def _confirm_alive(self, now: float, member: KnownMember, incarnation: int) -> None:
+        """Applies the incarnation in a member's own ack. An ack does not override a suspicion: that
+        takes a higher incarnation, which the acks carry once the member has received the
+        suspicion."""
+        if member.incarnation < incarnation < MAX_INCARNATION:
+            self._apply_update(
+                now, GossipUpdate("alive", member.peer.name, incarnation, member.peer.name)
+            )
+
+    def _compare_views(self, now: float, member: KnownMember, body: Body) -> None:
         view = self.view
         if view is None or (body.view, body.digest) == (view.number, view.digest):
-            self._differs.pop(known.peer.name, None)
+            self._view_mismatches.pop(member.peer.name, None)
             return
-        self._differs[known.peer.name] = now
-        if body.view >= view.number:  # it is ahead, or the two differ
-            self._ask(known.peer.address)
-
-    # News.
-
-    def _heard_news(self, now: float, news: News, raw: bytes) -> None:
-        if news.kind in ("alive", "suspect", "left"):
-            self._heard_state(now, news, raw)
-        elif news.kind == "alert":
-            if self._alerts is not None and news.view == self._alerts.view.number:
-                known = self.others.get(news.name)
-                current = known is not None and news.incarnation >= known.incarnation
-                if (current or news.name == self.me.name) and self._alerts.add(
-                    news.by, news.name, news.incarnation
+        self._view_mismatches[member.peer.name] = now
+        if body.view >= view.number:  # its view is newer, or differs at the same number
+            self._request_exchange(member.peer.address)
+
+    # Gossip updates.
+
+    def _receive_update(self, now: float, update: GossipUpdate, raw: bytes) -> None:
+        if update.kind in ("alive", "suspect", "left"):
+            self._apply_update(now, update, raw)
+        elif update.kind == "alert":
+            if self._alerts is not None and update.view == self._alerts.view.number:
+                member = self.others.get(update.name)
+                current = member is not None and update.incarnation >= member.incarnation
+                if (current or update.name == self.local.name) and self._alerts.add(
+                    update.reported_by, update.name, update.incarnation
                 ):
-                    self._spread(news, raw)
-                    if news.name == self.me.name:
-                        self._refute(now, news.incarnation)
-        elif news.kind == "decided" and self.view is not None:
-            if news.view == self.view.number and news.by == self.view.digest:
-                self._spread(news, raw)
-                self._decided(now, news.cut)
+                    self._enqueue_update(update, raw)
+                    if update.name == self.local.name:
+                        self._refute(now, update.incarnation)
+        elif update.kind == "decided" and self.view is not None:
+            if update.view == self.view.number and update.reported_by == self.view.digest:
+                self._enqueue_update(update, raw)
+                self._apply_decision(now, update.change)
             elif (
-                news.view > self.view.number and (source := self.others.get(news.name)) is not None
+                update.view > self.view.number
+                and (source := self.others.get(update.name)) is not None
             ):
-                self._ask(source.peer.address)
+                self._request_exchange(source.peer.address)
 
-    def _heard_state(self, now: float, news: News, raw: bytes | None = None) -> None:
-        if news.name == self.me.name:
-            if news.kind != "alive" and not self.leaving:
-                self._refute(now, news.incarnation)
+    def _apply_update(self, now: float, update: GossipUpdate, raw: bytes | None = None) -> None:
+        if update.name == self.local.name:
+            if update.kind != "alive" and not self.leaving:
+                self._refute(now, update.incarnation)
             return
-        known = self.others.get(news.name)
+        member = self.others.get(update.name)
         if (
-            known is None
-            or not 0 <= news.incarnation < TOP
-            or news.incarnation > known.incarnation + LEAP
+            member is None
+            or not 0 <= update.incarnation < MAX_INCARNATION
+            or update.incarnation > member.incarnation + MAX_INCARNATION_STEP
         ):
             return
         if (
-            news.kind == "suspect"
-            and known.state == SUSPECT
-            and news.incarnation == known.incarnation
+            update.kind == "suspect"
+            and member.state == SUSPECT
+            and update.incarnation == member.incarnation
         ):
-            suspicion = known.suspicion
+            suspicion = member.suspicion
             if (
                 suspicion is not None
-                and news.by not in suspicion.by
-                and len(suspicion.by) <= self.timing.helpers
+                and update.reported_by not in suspicion.reporters
+                and len(suspicion.reporters) <= self.timing.indirect_probe_helpers
             ):
-                suspicion.by.add(news.by)
-                self._spread(news, raw)
-                self._plan_failure(known, suspicion)
+                suspicion.reporters.add(update.reported_by)
+                self._enqueue_update(update, raw)
+                self._schedule_failure(member, suspicion)
             return
-        # An older word never overrules; of the same incarnation the worse one does.
-        newer = news.incarnation > known.incarnation
-        worse = news.incarnation == known.incarnation and ORDER[news.kind] > ORDER[known.state]
+        # A lower incarnation never overrides; at the same incarnation the more severe state does.
+        newer = update.incarnation > member.incarnation
+        worse = (
+            update.incarnation == member.incarnation
+            and SEVERITY[update.kind] > SEVERITY[member.state]
+        )
         if not (newer or worse):
             return
-        known.incarnation, known.state, known.since, known.why = (
-            news.incarnation,
-            news.kind,
+        member.incarnation, member.state, member.since, member.reason = (
+            update.incarnation,
+            update.kind,
             now,
-            f"said by {news.by}",
+            f"said by {update.reported_by}",
         )
-        known.suspicion = None
-        self._spread(news, raw)
-        if news.kind == "suspect":
-            known.suspicion = Suspicion(now, {news.by})
-            self._plan_failure(known, known.suspicion)
-        elif news.kind == "alive" and self._alerts is not None:
-            self._alerts.clear(known.peer.name, news.incarnation)
-        elif news.kind == "left":
-            self._left.add(known.peer.name)
-            self._plan_proposal(now)
+        member.suspicion = None
+        self._enqueue_update(update, raw)
+        if update.kind == "suspect":
+            member.suspicion = Suspicion(now, {update.reported_by})
+            self._schedule_failure(member, member.suspicion)
+        elif update.kind == "alive" and self._alerts is not None:
+            self._alerts.clear(member.peer.name, update.incarnation)
+        elif update.kind == "left":
+            self._left.add(member.peer.name)
+            self._schedule_proposal(now)
 
     def _refute(self, now: float, incarnation: int) -> None:
-        """Word has it that this member is not well: it is, and says so."""
-        if incarnation >= TOP - 1 or incarnation > self.incarnation + LEAP:
-            self._count_one("forged")
+        """Refutes a report that this member is not alive, by a higher incarnation."""
+        if (
+            incarnation >= MAX_INCARNATION - 1
+            or incarnation > self.incarnation + MAX_INCARNATION_STEP
+        ):
+            self._count_drop("forged")
             return
         if incarnation >= self.incarnation:
             self.incarnation = incarnation + 1
-            self._ail(1)
-            self._keep()
-        self._spread(News("alive", self.me.name, self.incarnation, self.me.name))
-
-    def _plan_failure(self, known: Known, suspicion: Suspicion) -> None:
-        """Lifeguard's time-out: from long to short as more members share the suspicion."""
-        least = (
-            self.timing.suspicion * max(1.0, math.log10(len(self.others) + 1)) * self.timing.period
+            self._adjust_health(1)
+            self._persist()
+        self._enqueue_update(
+            GossipUpdate("alive", self.local.name, self.incarnation, self.local.name)
+        )
+
+    def _schedule_failure(self, member: KnownMember, suspicion: Suspicion) -> None:
+        """Schedules Lifeguard's suspicion timeout, which shortens as more members confirm the
+        suspicion."""
+        min_timeout = (
+            self.timing.suspicion_multiplier
+            * max(1.0, math.log10(len(self.others) + 1))
+            * self.timing.probe_period
+        )
+        confirmation = math.log(len(suspicion.reporters)) / math.log(
+            self.timing.indirect_probe_helpers + 1
         )
-        share = math.log(len(suspicion.by)) / math.log(self.timing.helpers + 1)
-        span = max(least, least * self.timing.slack - (least * self.timing.slack - least) * share)
-        due = suspicion.since + span * (1 + self.health / 4)
-        self._at(due, lambda now: self._failed(now, known, suspicion))
+        timeout = max(
+            min_timeout,
+            min_timeout * self.timing.suspicion_max_multiplier
+            - (min_timeout * self.timing.suspicion_max_multiplier - min_timeout) * confirmation,
+        )
+        due = suspicion.since + timeout * (1 + self.health_score / 4)
+        self._call_at(due, lambda now: self._mark_failed(now, member, suspicion))
 
-    def _failed(self, now: float, known: Known, suspicion: Suspicion) -> None:
-        if known.suspicion is not suspicion or known.state != SUSPECT:
+    def _mark_failed(self, now: float, member: KnownMember, suspicion: Suspicion) -> None:
+        if member.suspicion is not suspicion or member.state != SUSPECT:
             return
-        known.state, known.since, known.why = (
+        member.state, member.since, member.reason = (
             FAILED,
             now,
-            f"suspect to {', '.join(sorted(suspicion.by))}",
+            f"suspect to {', '.join(sorted(suspicion.reporters))}",
         )
-        known.suspicion = None
-        self._alert(now, known)
+        member.suspicion = None
+        self._report_failure(now, member)
 
-    def _alert(self, now: float, known: Known) -> None:
-        """As one of its observers this member reports it."""
+    def _report_failure(self, now: float, member: KnownMember) -> None:
+        """Spreads an alert, if this member is one of the failed member's observers."""
         if self._alerts is None or self.view is None:
             return
-        if self._alerts.add(self.me.name, known.peer.name, known.incarnation):
+        if self._alerts.add(self.local.name, member.peer.name, member.incarnation):
             number = self.view.number
-            self._spread(News("alert", known.peer.name, known.incarnation, self.me.name, number))
-        self._plan_proposal(now)
+            self._enqueue_update(
+                GossipUpdate("alert", member.peer.name, member.incarnation, self.local.name, number)
+            )
+        self._schedule_proposal(now)
 
     # Views.
 
-    def _plan_proposal(self, now: float) -> None:
-        """Whoever comes first in the view's order proposes at once, others wait in case it is lost
+    def _schedule_proposal(self, now: float) -> None:
+        """Schedules a proposal by this member's rank among the alive members, in the order of the
+        view: the first proposes soonest; later ones wait, and act if the earlier ones have failed
         too."""
         if self.view is None:
             return
-        alive = [p.name for p in self.view.members if p.name == self.me.name or self._well(p.name)]
-        rank = min(alive.index(self.me.name), 10)
-        self._propose_in(now, self.timing.gossip * (1 + rank * 2) * self.rng.uniform(0.8, 1.2))
-
-    def _propose_in(self, now: float, wait: float) -> None:
-        """One look at what is to be proposed is planned at a time: the soonest."""
-        due = now + wait
-        if now <= self._look_at <= due:
+        alive = [
+            p.name for p in self.view.members if p.name == self.local.name or self._is_alive(p.name)
+        ]
+        rank = min(alive.index(self.local.name), 10)
+        self._propose_after(
+            now, self.timing.gossip_interval * (1 + rank * 2) * self.rng.uniform(0.8, 1.2)
+        )
+
+    def _propose_after(self, now: float, delay: float) -> None:
+        """Schedules a proposal. Only one is scheduled at a time: the earliest."""
+        due = now + delay
+        if now <= self._proposal_due_at <= due:
             return
-        self._look_at = due
-        self._at(due, lambda at: self._propose(at, due))
+        self._proposal_due_at = due
+        self._call_at(due, lambda at: self._propose(at, due))
 
-    def _alive(self) -> set[str]:
+    def _alive_names(self) -> set[str]:
         return {n for n, k in self.others.items() if k.state == ALIVE}
 
-    def _well(self, name: str) -> bool:
-        known = self.others.get(name)
-        return known is not None and known.state == ALIVE
+    def _is_alive(self, name: str) -> bool:
+        member = self.others.get(name)
+        return member is not None and member.state == ALIVE
 
-    def _wanted(self, now: float) -> Cut | None:
-        """The cut to propose now; None where nothing is to be cut, or somebody stands between."""
+    def _next_change(self, now: float) -> ViewChange | None:
+        """The view change to propose now. None if nothing changes, if a majority has been reachable
+        only for a short time, or if alerts about some member are between the two watermarks."""
         if self.view is None or self._alerts is None:
             return None
-        if now - self._few_at < self.timing.regain * self.timing.period:
+        if (
+            now - self._last_without_majority_at
+            < self.timing.recovery_periods * self.timing.probe_period
+        ):
             return None
-        sure, unsure = (names - self._alive() for names in self._alerts.lost())
-        if unsure:
+        failed, unstable = (
+            names - self._alive_names() for names in self._alerts.stable_and_unstable()
+        )
+        if unstable:
             if self._unstable_since is None:
                 self._unstable_since = now
-            if now - self._unstable_since < 10 * self.timing.period:
+            if now - self._unstable_since < 10 * self.timing.probe_period:
                 return None
-            # it stands so for good: others' word is enough
-            sure |= {n for n in unsure if not self._well(n)}
+            # the number of alerts has not settled for 10 periods: those members are removed too
+            failed |= {n for n in unstable if not self._is_alive(n)}
         else:
             self._unstable_since = None
         leaving = {n for n in self._left if n in self.others}
         joining = [p for p in self._joining.values() if p not in self.view.members]
-        return wanted_cut(self.view, sure, leaving, joining)
+        return proposed_change(self.view, failed, leaving, joining)
 
     def _propose(self, now: float, due: float) -> None:
-        if due != self._look_at:
-            return  # planned anew since
-        self._look_at = -1.0
+        if due != self._proposal_due_at:
+            return  # it was rescheduled since
+        self._proposal_due_at = -1.0
         view = self.view
         if view is None or self._proposal is not None:
             return
-        cut = self._wanted(now)
-        if cut is None:
+        change = self._next_change(now)
+        if change is None:
             if (
-                (self._alerts is not None and any(self._alerts.lost()))
+                (self._alerts is not None and any(self._alerts.stable_and_unstable()))
                 or self._joining
                 or self._left
             ):
-                self._propose_in(now, self.timing.period)
+                self._propose_after(now, self.timing.probe_period)
             return
-        self._rounds = max(self._rounds, self._acceptor.of(view).promised[0]) + 1
-        ballot = (self._rounds, self.me.name)
-        self._proposal = Proposal(view, ballot, cut)
+        self._ballot_number = (
+            max(self._ballot_number, self._acceptor.state_for(view).promised_ballot[0]) + 1
+        )
+        ballot = (self._ballot_number, self.local.name)
+        self._proposal = Proposal(view, ballot, change)
         self._broadcast(Body("prepare", view=view.number, digest=view.digest, ballot=ballot))
-        self._at(
-            now + self.timing.round * self.rng.uniform(1, 2),
-            lambda at: self._round_over(at, ballot),
+        self._call_at(
+            now + self.timing.ballot_timeout * self.rng.uniform(1, 2),
+            lambda at: self._ballot_timed_out(at, ballot),
         )
 
     def _broadcast(self, body: Body) -> None:
-        for known in self.others.values():
-            if known.state != LEFT:
-                self._send(known.peer.address, body)
-        self._vote(None, body)
+        for member in self.others.values():
+            if member.state != LEFT:
+                self._send(member.peer.address, body)
+        self._answer_proposer(None, body)
 
-    def _round_over(self, now: float, ballot: Ballot) -> None:
-        """No majority in time: once more, later and with a higher round."""
+    def _ballot_timed_out(self, now: float, ballot: Ballot) -> None:
+        """Without a majority in time, proposes again later, with a higher ballot."""
         if self._proposal is not None and self._proposal.ballot == ballot:
             self._proposal = None
-            self._propose_in(now, self.timing.round * self.rng.uniform(0.5, 2))
+            self._propose_after(now, self.timing.ballot_timeout * self.rng.uniform(0.5, 2))
 
-    def _vote(self, asker: Known | None, body: Body) -> None:
-        """`asker` is None where it is this member's own proposal."""
+    def _answer_proposer(self, proposer: KnownMember | None, body: Body) -> None:
+        """Answers a prepare or accept message as a Paxos acceptor. `proposer` is None for this
+        member's own proposal."""
         view = self.view
         if view is None or (body.view, body.digest) != (view.number, view.digest):
             return
         if body.kind == "prepare":
-            held = self._acceptor.prepare(view, body.ballot)
-            if held is None:
+            state = self._acceptor.prepare(view, body.ballot)
+            if state is None:
                 return
             answer = Body(
                 "promise",
                 view=view.number,
                 digest=view.digest,
                 ballot=body.ballot,
-                held=held.accepted,
-                cut=held.cut,
+                accepted_ballot=state.accepted_ballot,
+                change=state.change,
             )
         else:
-            if body.cut is None or self._acceptor.accept(view, body.ballot, body.cut) is None:
+            if body.change is None or self._acceptor.accept(view, body.ballot, body.change) is None:
                 return
             answer = Body("accepted", view=view.number, digest=view.digest, ballot=body.ballot)
-        self._keep()
-        if asker is None:
-            self._tally(self.me.name, answer)
+        self._persist()
+        if proposer is None:
+            self._receive_acceptor_reply(self.local.name, answer)
         else:
-            self._send(asker.peer.address, answer)
+            self._send(proposer.peer.address, answer)
 
-    def _tally(self, name: str, body: Body) -> None:
+    def _receive_acceptor_reply(self, name: str, body: Body) -> None:
         proposal, view = self._proposal, self.view
         if (
             proposal is None
@@ -700,210 +812,265 @@
         ):
             return
         if body.kind == "promise":
-            cut = proposal.promised(name, body.held, body.cut)
-            if cut is not None:
+            change = proposal.add_promise(name, body.accepted_ballot, body.change)
+            if change is not None:
                 accept = Body(
-                    "accept", view=view.number, digest=view.digest, ballot=proposal.ballot, cut=cut
+                    "accept",
+                    view=view.number,
+                    digest=view.digest,
+                    ballot=proposal.ballot,
+                    change=change,
                 )
                 self._broadcast(accept)
             return
-        decided = proposal.voted(name)
+        decided = proposal.add_acceptance(name)
         if decided is not None:
-            self._spread(
-                News("decided", self.me.name, by=view.digest, view=view.number, cut=decided)
+            self._enqueue_update(
+                GossipUpdate(
+                    "decided",
+                    self.local.name,
+                    reported_by=view.digest,
+                    view=view.number,
+                    change=decided,
+                )
             )
-            self._chosen = decided
+            self._decided_change = decided
 
-    def _decided(self, now: float, cut: Cut) -> None:
+    def _apply_decision(self, now: float, change: ViewChange) -> None:
         if self.view is not None:
-            self._adopt(now, self.view.without(cut), "agreed")
-
-    def _adopt(self, now: float, view: View, why: str) -> None:
-        """A view that was agreed on. One without this member leaves it outside, to be admitted
-        again."""
-        before = self.view
-        self._proposal, self._unstable_since, self._rounds = None, None, 0
-        self._differs.clear()
-        known_before = {p.name: p for p in before.members} if before else {}
+            self._adopt_view(now, self.view.apply(change), "agreed")
+
+    def _adopt_view(self, now: float, view: View, reason: str) -> None:
+        """Adopts a view that was agreed on. If it does not include this member, the member is left
+        without a view and asks to be admitted again."""
+        previous_view = self.view
+        self._proposal, self._unstable_since, self._ballot_number = None, None, 0
+        self._view_mismatches.clear()
+        previous_members = {p.name: p for p in previous_view.members} if previous_view else {}
         members = {p.name: p for p in view.members}
-        gone = [n for n in known_before if n not in members and n != self.me.name]
-        for name in gone:
-            if name not in self._left and len(self.lost) < LOST:
-                self.lost[name] = known_before[name]
+        removed = [n for n in previous_members if n not in members and n != self.local.name]
+        for name in removed:
+            if name not in self._left and len(self.unreachable) < MAX_UNREACHABLE:
+                self.unreachable[name] = previous_members[name]
             self._left.discard(name)
         for name, peer in members.items():
-            self.lost.pop(name, None)
+            self.unreachable.pop(name, None)
             self._joining.pop(name, None)
-            known = self.others.get(name)
-            if name != self.me.name and (known is None or known.peer != peer):
-                self.others[name] = Known(peer, since=now, why=why)
+            member = self.others.get(name)
+            if name != self.local.name and (member is None or member.peer != peer):
+                self.others[name] = KnownMember(peer, since=now, reason=reason)
         for name in [n for n in self.others if n not in members]:
             del self.others[name]
-        inside = self.me in view.members
-        if not inside:
-            self._remember(view)
+        is_member = self.local in view.members
+        if not is_member:
+            self._remember_members(view)
             self.others.clear()
-        self.view = view if inside else None
-        self._alerts = Alerts(view) if inside else None
-        self._keep()
-        added = tuple(n for n in members if n not in known_before)
-        self._judge(now, tell=(added, tuple(gone)))
-        if inside:
-            # who was failed in the view before is reported in this one
-            for known in self.others.values():
-                if known.state == FAILED:
-                    self._alert(now, known)
+        self.view = view if is_member else None
+        self._alerts = Alerts(view) if is_member else None
+        self._persist()
+        added = tuple(n for n in members if n not in previous_members)
+        self._update_standing(now, added_and_removed=(added, tuple(removed)))
+        if is_member:
+            # members that had failed in the previous view are reported again in this one
+            for member in self.others.values():
+                if member.state == FAILED:
+                    self._report_failure(now, member)
             if self._joining or self._left:
-                self._plan_proposal(now)
+                self._schedule_proposal(now)
         else:
-            self._at(now + self.timing.gossip, self._join)
+            self._call_at(now + self.timing.gossip_interval, self._join)
 
-    # Whole states.
+    # Exchange of full state.
 
-    def state(self, joins: Peer | None = None, seat: int = 0, refused: str = "") -> State:
-        held = tuple(Held(n, k.incarnation, k.state) for n, k in self.others.items())
-        own = Held(self.me.name, self.incarnation, LEFT if self.leaving else ALIVE)
+    def full_state(
+        self, joining: Peer | None = None, generation: int = 0, refusal: str = ""
+    ) -> FullState:
+        """Everything that this member knows of the fleet, for an exchange."""
+        member_states = tuple(
+            MemberState(n, k.incarnation, k.state) for n, k in self.others.items()
+        )
+        own_state = MemberState(self.local.name, self.incarnation, LEFT if self.leaving else ALIVE)
         view = self.view or View(0, ())
-        lost = tuple(self.lost.values())
-        return State(self.fleet, self.me.name, view, (own, *held), lost, joins, seat, refused)
+        unreachable = tuple(self.unreachable.values())
+        return FullState(
+            self.fleet,
+            self.local.name,
+            view,
+            (own_state, *member_states),
+            unreachable,
+            joining,
+            generation,
+            refusal,
+        )
 
-    def _ask(self, to: Address) -> None:
-        if not any(isinstance(a, Ask) and a.to == to for a in self._out):
-            self._out.append(Ask(to, self.state(joins=self.me if self.view is None else None)))
+    def _request_exchange(self, to: Address) -> None:
+        if not any(isinstance(a, ExchangeState) and a.to == to for a in self._actions):
+            self._actions.append(
+                ExchangeState(
+                    to, self.full_state(joining=self.local if self.view is None else None)
+                )
+            )
 
     def _sync(self, now: float) -> None:
-        self._at(now + self.timing.sync * self.rng.uniform(0.8, 1.2), self._sync)
-        for known in self._shuffled(lambda k: k.state == ALIVE, 1):
-            self._ask(known.peer.address)
-
-    def _heal(self, now: float) -> None:
-        """One of those that are lost is tried, on both sides of a cut."""
-        self._at(now + self.timing.heal * self.rng.uniform(0.5, 1.5), self._heal)
-        away = [p.address for p in self.lost.values()]
-        away += [k.peer.address for k in self.others.values() if k.state == FAILED]
-        if away:
-            self._ask(self.rng.choice(away))
+        self._call_at(now + self.timing.sync_interval * self.rng.uniform(0.8, 1.2), self._sync)
+        for member in self._random_members(lambda k: k.state == ALIVE, 1):
+            self._request_exchange(member.peer.address)
+
+    def _reconnect(self, now: float) -> None:
+        """Attempts an exchange with one unreachable or failed member. Members on both sides of a
+        network partition do so."""
+        self._call_at(
+            now + self.timing.reconnect_interval * self.rng.uniform(0.5, 1.5), self._reconnect
+        )
+        addresses = [p.address for p in self.unreachable.values()]
+        addresses += [k.peer.address for k in self.others.values() if k.state == FAILED]
+        if addresses:
+            self._request_exchange(self.rng.choice(addresses))
 
     def _join(self, now: float) -> None:
         if self.view is not None or self.leaving:
             return
-        places = [*self.seeds, *(p.address for p in self.lost.values())]
-        places = [p for p in dict.fromkeys(places) if p != self.me.address]
-        if places:
-            self._ask(self.rng.choice(places))
-        self._at(now + 2 * self.timing.period * self.rng.uniform(0.5, 1.5), self._join)
-        if self.founds and not self.lost and now - self._answered_at > 3 * self.timing.period:
-            self._found(now)
-
-    def _found(self, now: float) -> None:
-        """No seed answers, and no earlier fleet is known of: this is the first member."""
-        if self.me.seat == 0:
-            self.me = Peer(self.me.name, 1, self.me.host, self.me.port, self.me.zone)
-        self._adopt(now, View(1, (self.me,)), "founded")
-
-    def asked(self, now: float, state: State) -> tuple[State, list[Action]]:
-        """Another's whole state has come over TCP: what is answered."""
-        seat, refused = 0, ""
-        if state.joins is not None:
-            seat, refused = self._admit(now, state.joins)
-        answer = self.state(seat=seat, refused=refused)
-        if not refused:
-            self._merge(now, state)
-        return answer, self._done(now)
+        addresses = [*self.seeds, *(p.address for p in self.unreachable.values())]
+        addresses = [p for p in dict.fromkeys(addresses) if p != self.local.address]
+        if addresses:
+            self._request_exchange(self.rng.choice(addresses))
+        self._call_at(now + 2 * self.timing.probe_period * self.rng.uniform(0.5, 1.5), self._join)
+        if (
+            self.may_bootstrap
+            and not self.unreachable
+            and now - self._last_answer_at > 3 * self.timing.probe_period
+        ):
+            self._bootstrap(now)
+
+    def _bootstrap(self, now: float) -> None:
+        """Creates the first view: no seed answers, and no earlier fleet is known."""
+        if self.local.generation == 0:
+            self.local = Peer(self.local.name, 1, self.local.host, self.local.port, self.local.zone)
+        self._adopt_view(now, View(1, (self.local,)), "founded")
+
+    def receive_exchange(self, now: float, state: FullState) -> tuple[FullState, list[Action]]:
+        """Processes a full state received over TCP, and returns the full state to answer with."""
+        generation, refusal = 0, ""
+        if state.joining is not None:
+            generation, refusal = self._admit(now, state.joining)
+        answer = self.full_state(generation=generation, refusal=refusal)
+        if not refusal:
+            self._merge_state(now, state)
+        return answer, self._finish(now)
 
     def _admit(self, now: float, peer: Peer) -> tuple[int, str]:
-        """The seat that the joiner should have, 0 if the one that it has will do."""
+        """Returns the generation that the joining member has to take (0: its own is valid), and why
+        it is refused (empty: it is not)."""
         if self.view is None:
             return 0, "not admitted myself"
-        held = self.view.find(peer.name)
+        admitted = self.view.find(peer.name)
         known = self.others.get(peer.name)
-        if peer.name == self.me.name:
+        if peer.name == self.local.name:
             return 0, "the name is mine"
-        if held is not None and held == peer:
+        if admitted is not None and admitted == peer:
             return 0, ""
         if (
-            held is not None
+            admitted is not None
             and known is not None
             and known.state == ALIVE
-            and held.address != peer.address
+            and admitted.address != peer.address
         ):
-            return 0, f"{peer.name} is there, at {held.host}:{held.port}"
-        before = held or self.lost.get(peer.name)
-        least = before.seat if before is not None else 0
-        if peer.seat <= least and not (before is not None and before == peer):
-            return least + 1, ""
-        if peer.seat == 0:
+            return 0, f"{peer.name} is there, at {admitted.host}:{admitted.port}"
+        earlier = admitted or self.unreachable.get(peer.name)
+        last_generation = earlier.generation if earlier is not None else 0
+        if peer.generation <= last_generation and not (earlier is not None and earlier == peer):
+            return last_generation + 1, ""
+        if peer.generation == 0:
             return 1, ""
         self._joining[peer.name] = peer
-        if held is not None:
+        if admitted is not None:
             self._left.add(peer.name)
-        self._plan_proposal(now)
+        self._schedule_proposal(now)
         return 0, ""
 
-    def answered(self, now: float, to: Address, state: State) -> list[Action]:
-        """What came back from an `Ask`."""
-        if state.refused:
-            self.refused = state.refused
-        elif state.seat and self.view is None:
-            self.me = Peer(self.me.name, state.seat, self.me.host, self.me.port, self.me.zone)
-            self.refused = ""
-            self._keep()
-            self._at(now, self._join)
+    def receive_exchange_answer(self, now: float, to: Address, state: FullState) -> list[Action]:
+        """Processes the answer to an `ExchangeState`."""
+        if state.refusal:
+            self.refusal = state.refusal
+        elif state.generation and self.view is None:
+            self.local = Peer(
+                self.local.name, state.generation, self.local.host, self.local.port, self.local.zone
+            )
+            self.refusal = ""
+            self._persist()
+            self._call_at(now, self._join)
         else:
-            self._merge(now, state)
-        return self._done(now)
-
-    def _merge(self, now: float, state: State) -> None:
-        theirs, own = state.view, self.view
-        if self.me in theirs.members and (own is None or theirs.number > own.number):
-            self._adopt(now, theirs, f"told by {state.sender}")
-        elif own is not None and theirs.number > own.number:
-            self._adopt(now, theirs, f"told by {state.sender}")  # it is without this member
+            self._merge_state(now, state)
+        return self._finish(now)
+
+    def _merge_state(self, now: float, state: FullState) -> None:
+        remote_view, local_view = state.view, self.view
+        if self.local in remote_view.members and (
+            local_view is None or remote_view.number > local_view.number
+        ):
+            self._adopt_view(now, remote_view, f"told by {state.sender}")
+        elif local_view is not None and remote_view.number > local_view.number:
+            # this member was removed
+            self._adopt_view(now, remote_view, f"told by {state.sender}")
         if self.view is None:
             return
-        for held in state.members:
-            if held.state in (ALIVE, SUSPECT, LEFT):
-                self._heard_state(now, News(held.state, held.name, held.incarnation, state.sender))
-            elif held.state == FAILED:  # to be looked into, not to be taken over
-                self._heard_state(now, News("suspect", held.name, held.incarnation, state.sender))
+        for remote in state.members:
+            if remote.state in (ALIVE, SUSPECT, LEFT):
+                self._apply_update(
+                    now, GossipUpdate(remote.state, remote.name, remote.incarnation, state.sender)
+                )
+            elif remote.state == FAILED:  # only a reason to suspect it, not taken over as failed
+                self._apply_update(
+                    now, GossipUpdate("suspect", remote.name, remote.incarnation, state.sender)
+                )
 
     # Standing.
 
-    def _judge(
-        self, now: float, tell: tuple[tuple[str, ...], tuple[str, ...]] | None = None
+    def _update_standing(
+        self, now: float, added_and_removed: tuple[tuple[str, ...], tuple[str, ...]] | None = None
     ) -> None:
-        if self._chosen is not None:
-            cut, self._chosen = self._chosen, None
-            self._decided(now, cut)
+        if self._decided_change is not None:
+            change, self._decided_change = self._decided_change, None
+            self._apply_decision(now, change)
             return
-        alive = len(self._alive())
+        alive = len(self._alive_names())
         suspect = sum(1 for k in self.others.values() if k.state == SUSPECT)
-        limit = now - self.timing.fresh * self.timing.period * self._stretch()
-        differs = sum(1 for at in self._differs.values() if at > limit)
+        oldest_fresh_at = (
+            now
+            - self.timing.answer_timeout_periods
+            * self.timing.probe_period
+            * self._health_multiplier()
+        )
+        mismatches = sum(1 for at in self._view_mismatches.values() if at > oldest_fresh_at)
         size = len(self.view.members) if self.view else 0
         if 2 * (alive + suspect + 1) <= size:
-            self._few_at = now
-        found = judged(
+            self._last_without_majority_at = now
+        standing = assess_standing(
             size=size,
             alive=alive,
             suspect=suspect,
-            lost=len(self.lost),
-            ill=self.health >= self.timing.unwell // 2,
-            differs=2 * differs > len(self.others),
-            silent=bool(self.others) and self._answered_at < limit,
+            unreachable=len(self.unreachable),
+            unhealthy=self.health_score >= self.timing.max_health_multiplier // 2,
+            views_differ=2 * mismatches > len(self.others),
+            no_recent_answer=bool(self.others) and self._last_answer_at < oldest_fresh_at,
             now=now,
-            answered_at=self._answered_at,
+            last_answer_at=self._last_answer_at,
         )
-        changed = found.word != self.standing.word
-        self.standing = found
-        if self.view is not None and (changed or tell):
-            self._out.append(Changed(self.view, found, *(tell or ((), ()))))
-        elif changed or tell:
-            self._out.append(Changed(View(0, ()), found, *(tell or ((), ()))))
-
-    def shown(self, now: float) -> list[dict[str, object]]:
-        """For `ops members`: each member of the view as it is seen from here."""
-        watched = self._alerts.watched_by if self._alerts is not None else {}
+        changed = standing.status != self.standing.status
+        self.standing = standing
+        if self.view is not None and (changed or added_and_removed):
+            self._actions.append(
+                MembershipChanged(self.view, standing, *(added_and_removed or ((), ())))
+            )
+        elif changed or added_and_removed:
+            self._actions.append(
+                MembershipChanged(View(0, ()), standing, *(added_and_removed or ((), ())))
+            )
+
+    def member_rows(self, now: float) -> list[dict[str, object]]:
+        """Rows of the operator's page: each other member of the view, and each unreachable member,
+        as this member sees it."""
+        observers = self._alerts.observers_by_subject if self._alerts is not None else {}
         rows = [
             {
                 "name": n,
@@ -912,21 +1079,21 @@
                 "state": k.state,
                 "incarnation": k.incarnation,
                 "since_s": round(now - k.since, 1),
-                "why": k.why,
-                "observers": list(watched.get(n, ())),
-                "trip_ms": round(k.trip * 1000, 2),
+                "why": k.reason,
+                "observers": list(observers.get(n, ())),
+                "trip_ms": round(k.round_trip * 1000, 2),
             }
             for n, k in sorted(self.others.items())
         ]
         rows += [
             {"name": n, "address": f"{p.host}:{p.port}", "zone": p.zone, "state": "lost"}
-            for n, p in sorted(self.lost.items())
+            for n, p in sorted(self.unreachable.items())
         ]
         return rows
 
 
-def bounded(names: Iterable[str], most: int = 10) -> str:
-    """For a log line."""
+def summarize_names(names: Iterable[str], limit: int = 10) -> str:
+    """Formats names for a log line: the first `limit` of them, and how many more there are."""
     names = sorted(names)
-    more = f" and {len(names) - most} more" if len(names) > most else ""
-    return ", ".join(names[:most]) + more
+    more = f" and {len(names) - limit} more" if len(names) > limit else ""
+    return ", ".join(names[:limit]) + more
--- a/cairndale/gossip/shell.py
+++ b/cairndale/gossip/shell.py
@@ -1,5 +1,5 @@
-"""A member on sockets: datagrams over UDP, whole states over TCP at the same port, and what it
-keeps on disk."""
+"""Runs the state machine of a member: datagrams over UDP, exchanges of full state over TCP on the
+same port, and the state on disk."""
 
 from __future__ import annotations
 
@@ -16,28 +16,42 @@
 import msgspec
 
 from cairndale.durable import replace_file
-from cairndale.gossip.core import Action, Ask, Changed, Core, Keep, Send, Stored, Timing, bounded
-from cairndale.gossip.wire import MAX_STATE, Address, Bad, Codec, Peer, State
-
-CONNECT = 1.0  # s for another member to take a connection
-EXCHANGE = 5.0  # s for a whole exchange of states
-ASKING = 8  # exchanges of its own that a member has under way; more are left out
-ASKED = 32  # of others'; more are turned away
-LEAVE = 0.5  # s that others are given to hear of it
-FILE = "member"
-HEAD = 4  # bytes of a state's length
+from cairndale.gossip.core import (
+    Action,
+    Core,
+    ExchangeState,
+    MembershipChanged,
+    Persist,
+    PersistentState,
+    Send,
+    Timing,
+    summarize_names,
+)
+from cairndale.gossip.wire import MAX_STATE_BYTES, Address, Codec, FullState, InvalidMessage, Peer
+
+CONNECT_TIMEOUT = 1.0  # s, for the connection of an exchange
+EXCHANGE_TIMEOUT = 5.0  # s, for an exchange once it is connected
+# Exchanges in flight. Incoming ones above their maximum are rejected; outgoing ones are skipped
+# while as many are in flight as both maxima together.
+MAX_OUTGOING_EXCHANGES = 8
+MAX_INCOMING_EXCHANGES = 32
+LEAVE_GRACE = 0.5  # s, between announcing that this member leaves and closing its sockets
+STATE_FILE = "member"
+LENGTH_BYTES = 4  # size of the length prefix of a full state
 
 log = logging.getLogger(__name__)
 
-Told = Callable[[Changed], None]
+ChangeListener = Callable[[MembershipChanged], None]
 
 
 class MemberError(Exception):
-    """It cannot start: what is wrong."""
+    """A member cannot start; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """Configuration of a member."""
+
     name: str
     fleet: str
     listen: Address
@@ -45,15 +59,16 @@
     folder: Path
     key: bytes = b""
     zone: str = ""
-    founds: bool = False
+    may_bootstrap: bool = False
     timing: Timing = field(default_factory=Timing)
 
 
-def recalled(folder: Path) -> Stored | None:
-    """What an earlier process of this member kept. Raises MemberError if that is damaged."""
-    path = folder / FILE
+def load_state(folder: Path) -> PersistentState | None:
+    """Loads what an earlier process of this member persisted. Raises MemberError if the file cannot
+    be read or decoded."""
+    path = folder / STATE_FILE
     try:
-        return msgspec.msgpack.decode(path.read_bytes(), type=Stored)
+        return msgspec.msgpack.decode(path.read_bytes(), type=PersistentState)
     except FileNotFoundError:
         return None
     except (OSError, msgspec.MsgspecError) as error:
@@ -62,18 +77,20 @@
 
 @dataclass(slots=True)
 class Member(asyncio.DatagramProtocol):
-    """`told` hears each change of view and standing. Whoever starts it stops it."""
+    """A running member. `on_change` is called on each change of the view or standing. The caller of
+    `start` has to call `stop`."""
 
     config: Config
-    told: Told
+    on_change: ChangeListener
     core: Core = field(init=False)
-    failed: asyncio.Event = field(default_factory=asyncio.Event)  # the disk: it says nothing more
+    # set when the state cannot be written to disk: the member sends nothing from then on
+    failed: asyncio.Event = field(default_factory=asyncio.Event)
     _codec: Codec = field(init=False)
     _transport: asyncio.DatagramTransport | None = None
     _server: asyncio.Server | None = None
     _timer: asyncio.TimerHandle | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    _asked: int = 0
+    _incoming_exchanges: int = 0
     _stopped: bool = False
 
     def __post_init__(self) -> None:
@@ -81,7 +98,7 @@
         self._codec = Codec(config.fleet, config.key)
         peer = Peer(config.name, 0, *config.listen, config.zone)
         self.core = Core(
-            peer, config.fleet, config.timing, random.Random(), config.seeds, config.founds
+            peer, config.fleet, config.timing, random.Random(), config.seeds, config.may_bootstrap
         )
 
     @property
@@ -89,22 +106,27 @@
         return asyncio.get_running_loop()
 
     async def start(self) -> None:
-        """Listens, then joins. Raises MemberError, or OSError for an address that is taken."""
+        """Starts to listen, then joins the fleet. Raises MemberError, or OSError if the address is
+        in use."""
         self.config.folder.mkdir(parents=True, exist_ok=True)
-        stored = recalled(self.config.folder)
+        stored = load_state(self.config.folder)
         if stored is not None and stored.name != self.config.name:
             raise MemberError(
-                f"{self.config.folder / FILE}: is {stored.name!r}'s, not {self.config.name!r}'s"
+                f"{self.config.folder / STATE_FILE}: state of member {stored.name!r}, "
+                f"not of {self.config.name!r}"
             )
-        self._server = await asyncio.start_server(self._serve, *self.config.listen, limit=MAX_STATE)
+        self._server = await asyncio.start_server(
+            self._serve, *self.config.listen, limit=MAX_STATE_BYTES
+        )
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=self.config.listen)
-        self._carry_out(self.core.begin(self._loop.time(), stored))
+        self._carry_out(self.core.start(self._loop.time(), stored))
 
     async def stop(self, leave: bool = True) -> None:
-        """Leaves in order, so that nobody is suspected, unless told not to."""
+        """Closes all sockets. Unless `leave` is False, first announces that this member leaves, so
+        that others neither suspect it nor report it as failed."""
         if leave and self._transport is not None and not self.failed.is_set():
             self._carry_out(self.core.leave(self._loop.time()))
-            await asyncio.sleep(LEAVE)
+            await asyncio.sleep(LEAVE_GRACE)
         self._stopped = True
         if self._timer:
             self._timer.cancel()
@@ -117,8 +139,8 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def remove(self, name: str) -> bool:
-        """An operator's call; False if there is no such member."""
-        known = name in self.core.others or name in self.core.lost
+        """Removes a member at an operator's request. Returns False if there is no such member."""
+        known = name in self.core.others or name in self.core.unreachable
         self._carry_out(self.core.remove(self._loop.time(), name))
         return known
 
@@ -131,16 +153,16 @@
         if self._stopped or self.failed.is_set():
             return
         try:
-            packet = self._codec.read(data, addr[0])
-        except Bad as error:
-            self._drop(str(error))
+            packet = self._codec.decode(data, addr[0])
+        except InvalidMessage as error:
+            self._count_drop(str(error))
             return
-        self._carry_out(self.core.heard(self._loop.time(), (addr[0], addr[1]), packet))
+        self._carry_out(self.core.receive(self._loop.time(), (addr[0], addr[1]), packet))
 
-    def _drop(self, why: str) -> None:
-        self.core.counts[why] = self.core.counts.get(why, 0) + 1
+    def _count_drop(self, reason: str) -> None:
+        self.core.drop_counts[reason] = self.core.drop_counts.get(reason, 0) + 1
 
-    # What the machine wants.
+    # Actions of the state machine.
 
     def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:
@@ -149,39 +171,50 @@
             match action:
                 case Send(to, packet):
                     if self._transport is not None:
-                        self._transport.sendto(self._codec.write(packet), to)
-                case Ask():
-                    if len(self._tasks) < ASKING + ASKED:
-                        self._task(self._ask(action))
-                case Keep(stored):
-                    self._keep(stored)
-                case Changed():
-                    self._say(action)
-                    self.told(action)
-        self._plan()
-
-    def _keep(self, stored: Stored) -> None:
-        """Synced before anything else is said. Views change seldom: that the loop waits for the
-        disk is the price of an order that cannot be wrong."""
+                        self._transport.sendto(self._codec.encode(packet), to)
+                case ExchangeState():
+                    if len(self._tasks) < MAX_OUTGOING_EXCHANGES + MAX_INCOMING_EXCHANGES:
+                        self._spawn(self._exchange(action))
+                case Persist(stored):
+                    self._persist(stored)
+                case MembershipChanged():
+                    self._log_change(action)
+                    self.on_change(action)
+        self._schedule_tick()
+
+    def _persist(self, stored: PersistentState) -> None:
+        """Writes and syncs the state before any further action. This blocks the event loop, which
+        guarantees the order; it is acceptable because views change rarely."""
         try:
-            replace_file(self.config.folder / FILE, msgspec.msgpack.encode(stored))
+            replace_file(self.config.folder / STATE_FILE, msgspec.msgpack.encode(stored))
         except OSError as error:
-            log.error("members: not kept: %s; this member says nothing more", error.strerror)
+            log.error(
+                "members: cannot write state to disk: %s; this member sends nothing more",
+                error.strerror,
+            )
             self.failed.set()
 
-    def _say(self, changed: Changed) -> None:
+    def _log_change(self, changed: MembershipChanged) -> None:
         view, standing = changed.view, changed.standing
-        parts = [f"{len(changed.added)} came: {bounded(changed.added)}"] if changed.added else []
-        parts += [f"{len(changed.gone)} went: {bounded(changed.gone)}"] if changed.gone else []
+        parts = (
+            [f"{len(changed.added)} added: {summarize_names(changed.added)}"]
+            if changed.added
+            else []
+        )
+        parts += (
+            [f"{len(changed.removed)} removed: {summarize_names(changed.removed)}"]
+            if changed.removed
+            else []
+        )
         log.info(
-            "members: view %d of %d, %s%s",
+            "members: view %d with %d members, standing %s%s",
             view.number,
             len(view.members),
-            standing.word,
+            standing.status,
             "; " + "; ".join(parts) if parts else "",
         )
 
-    def _plan(self) -> None:
+    def _schedule_tick(self) -> None:
         if self._timer:
             self._timer.cancel()
         if not self._stopped and not self.failed.is_set():
@@ -190,83 +223,84 @@
     def _tick(self) -> None:
         self._carry_out(self.core.tick(self._loop.time()))
 
-    # Whole states.
+    # Exchanges of full state.
 
-    def _task(self, what: Coroutine[Any, Any, None]) -> None:
-        task = self._loop.create_task(what)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, action: Ask) -> None:
+    async def _exchange(self, action: ExchangeState) -> None:
         try:
-            answer = await self._exchanged(action)
-        except (OSError, Bad, asyncio.IncompleteReadError) as error:
-            if isinstance(error, Bad):
-                self._drop(str(error))
+            answer = await self._exchange_over_tcp(action)
+        except (OSError, InvalidMessage, asyncio.IncompleteReadError) as error:
+            if isinstance(error, InvalidMessage):
+                self._count_drop(str(error))
             return
-        self._carry_out(self.core.answered(self._loop.time(), action.to, answer))
+        self._carry_out(self.core.receive_exchange_answer(self._loop.time(), action.to, answer))
 
-    async def _exchanged(self, action: Ask) -> State:
-        async with asyncio.timeout(CONNECT):
-            reader, writer = await asyncio.open_connection(*action.to, limit=MAX_STATE)
+    async def _exchange_over_tcp(self, action: ExchangeState) -> FullState:
+        async with asyncio.timeout(CONNECT_TIMEOUT):
+            reader, writer = await asyncio.open_connection(*action.to, limit=MAX_STATE_BYTES)
         try:
-            async with asyncio.timeout(EXCHANGE):
-                self._write(writer, action.state)
-                return self._codec.read_state(await _read(reader), action.to[0])
+            async with asyncio.timeout(EXCHANGE_TIMEOUT):
+                self._send_state(writer, action.state)
+                return self._codec.decode_state(await _read_state(reader), action.to[0])
         finally:
             writer.transport.abort()
 
-    def _write(self, writer: asyncio.StreamWriter, state: State) -> None:
-        data = self._codec.write_state(state)
-        writer.write(len(data).to_bytes(HEAD, "big") + data)
+    def _send_state(self, writer: asyncio.StreamWriter, state: FullState) -> None:
+        data = self._codec.encode_state(state)
+        writer.write(len(data).to_bytes(LENGTH_BYTES, "big") + data)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Strangers, and whoever comes while too many are here, get no answer."""
+        """Serves an incoming exchange. A request that is not authentic, or that exceeds the maximum
+        of exchanges, gets no answer."""
         host = writer.get_extra_info("peername")[0]
-        self._asked += 1
+        self._incoming_exchanges += 1
         try:
-            if self._asked > ASKED or self._stopped:
-                self._drop("busy")
+            if self._incoming_exchanges > MAX_INCOMING_EXCHANGES or self._stopped:
+                self._count_drop("busy")
                 return
-            async with asyncio.timeout(EXCHANGE):
-                state = self._codec.read_state(await _read(reader), host)
-                answer, actions = self.core.asked(self._loop.time(), state)
+            async with asyncio.timeout(EXCHANGE_TIMEOUT):
+                state = self._codec.decode_state(await _read_state(reader), host)
+                answer, actions = self.core.receive_exchange(self._loop.time(), state)
                 self._carry_out(actions)
-                self._write(writer, answer)
+                self._send_state(writer, answer)
                 await writer.drain()
-                await reader.read(1)  # until the other end has it and closes
-        except Bad as error:
-            self._drop(str(error))
-        except (OSError, asyncio.IncompleteReadError):  # TimeoutError is one of the first
-            self._drop("cut off")
+                await reader.read(1)  # until the other end has read the answer and closes
+        except InvalidMessage as error:
+            self._count_drop(str(error))
+        except (OSError, asyncio.IncompleteReadError):  # TimeoutError is an OSError
+            self._count_drop("cut off")
         finally:
-            self._asked -= 1
+            self._incoming_exchanges -= 1
             with contextlib.suppress(OSError):
                 writer.transport.abort()
 
     def status(self) -> dict[str, object]:
-        """For operators."""
+        """The operator's page."""
         now, core = self._loop.time(), self.core
         view, standing = core.view, core.standing
         return {
-            "name": core.me.name,
-            "standing": standing.word,
+            "name": core.local.name,
+            "standing": standing.status,
             "age_s": round(max(0.0, standing.age), 2),
-            "acts": standing.acts,
-            "health": core.health,
+            "acts": standing.may_act,
+            "health": core.health_score,
             "incarnation": core.incarnation,
             "view": view.number if view else 0,
             "digest": view.digest if view else "",
             "size": len(view.members) if view else 0,
-            "refused": core.refused or None,
-            "members": core.shown(now),
-            "dropped": dict(core.counts),
+            "refused": core.refusal or None,
+            "members": core.member_rows(now),
+            "dropped": dict(core.drop_counts),
             "pid": os.getpid(),
         }
 
 
-async def _read(reader: asyncio.StreamReader) -> bytes:
-    size = int.from_bytes(await reader.readexactly(HEAD), "big")
-    if size > MAX_STATE:
-        raise Bad("oversized")
+async def _read_state(reader: asyncio.StreamReader) -> bytes:
+    size = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
+    if size > MAX_STATE_BYTES:
+        raise InvalidMessage("oversized")
     return await reader.readexactly(size)
--- a/cairndale/gossip/standing.py
+++ b/cairndale/gossip/standing.py
@@ -1,52 +1,61 @@
-"""A member's word about itself: whether it is on the side that may act for the fleet."""
+"""Standing of a member: whether it is in the partition that may act for the fleet."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-WORDS = ("whole", "majority", "minority", "alone", "unsure")
+STATUSES = ("whole", "majority", "minority", "alone", "unsure")
 
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """`word`: one of `WORDS`. `age`: s since another member last answered. `size`: of the agreed
-    view."""
+    """The standing of a member.
 
-    word: str
+    `status` is one of `STATUSES`. `age` is in seconds since another member last answered. `size` is
+    the number of members in the view."""
+
+    status: str
     age: float
     size: int
 
     @property
-    def acts(self) -> bool:
-        """Whether it may act for the fleet, with an owner's lease."""
-        return self.word in ("whole", "majority")
+    def may_act(self) -> bool:
+        """Whether the member may act for the fleet, given an owner's lease."""
+        return self.status in ("whole", "majority")
 
 
-def judged(
+def assess_standing(
     *,
     size: int,
     alive: int,
     suspect: int,
-    lost: int,
-    ill: bool,
-    differs: bool,
-    silent: bool,
+    unreachable: int,
+    unhealthy: bool,
+    views_differ: bool,
+    no_recent_answer: bool,
     now: float,
-    answered_at: float,
+    last_answer_at: float,
 ) -> Standing:
-    """`size`: members of the view, this one among them (0: it is in none); `alive`, `suspect`:
-    others of them; `lost`: cut off before, and not seen since; `ill`: its own health is bad;
-    `differs`: most have another view; `silent`: nobody has answered for long."""
-    age = max(0.0, now - answered_at)
-    reached = alive + 1
+    """Derives the standing of this member from what it knows of the fleet.
+
+    - `size`: members in the view, including this one; 0 if it has no view;
+    - `alive`, `suspect`: other members of the view in these states;
+    - `unreachable`: members removed from the view as failed, and not admitted again since;
+    - `unhealthy`: this member's local health is bad (Lifeguard);
+    - `views_differ`: most other members have another view;
+    - `no_recent_answer`: no other member has answered recently;
+    - `now`, `last_answer_at`: seconds on the monotonic clock.
+    """
+    age = max(0.0, now - last_answer_at)
+    reachable = alive + 1
     if size == 0 or (size > 1 and alive == 0):
-        word = "alone"
-    elif 2 * reached <= size:
-        word = "minority"
-    elif ill or differs or silent:
-        word = "unsure"
-    elif reached == size and not lost and not suspect:
-        word = "whole"
+        status = "alone"
+    elif 2 * reachable <= size:
+        status = "minority"
+    elif unhealthy or views_differ or no_recent_answer:
+        status = "unsure"
+    elif reachable == size and not unreachable and not suspect:
+        status = "whole"
     else:
-        word = "majority"
-    return Standing(word, age, size)
+        status = "majority"
+    return Standing(status, age, size)
--- a/cairndale/lab/members.py
+++ b/cairndale/lab/members.py
@@ -9,7 +9,16 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from cairndale.gossip.core import Action, Ask, Changed, Core, Keep, Send, Stored, Timing
+from cairndale.gossip.core import (
+    Action,
+    Core,
+    ExchangeState,
+    MembershipChanged,
+    Persist,
+    PersistentState,
+    Send,
+    Timing,
+)
 from cairndale.gossip.wire import Address, Codec, Peer, View
 
 
@@ -21,7 +30,7 @@
     founds: bool
     zone: str = ""
     core: Core | None = None  # None: not running
-    disk: Stored | None = None
+    disk: PersistentState | None = None
     stopped: bool = False
     inbox: list[tuple[Address, bytes]] = field(default_factory=list)  # while it is stopped, bounded
     starts: int = 0
@@ -77,7 +86,7 @@
         peer = Peer(name, 0, host, port, node.zone)
         node.core = Core(peer, "lab", self.timing, rng, node.seeds, node.founds)
         node.stopped, node.inbox = False, []
-        self._carry_out(node, node.core.begin(self.now, stored))
+        self._carry_out(node, node.core.start(self.now, stored))
 
     def kill(self, name: str) -> None:
         self.nodes[name].core = None
@@ -145,18 +154,18 @@
         for action in actions:
             match action:
                 case Send(to, packet):
-                    data = self._codec.write(packet)
+                    data = self._codec.encode(packet)
                     node.sent += 1
                     node.bytes += len(data)
                     self._datagram(node, to, data)
-                case Ask(to, _):
+                case ExchangeState(to, _):
                     self._exchange(node, to, action)
-                case Keep(stored):
+                case Persist(stored):
                     node.disk = stored
-                case Changed(view, standing, added, gone):
+                case MembershipChanged(view, standing, added, gone):
                     if added or gone:
                         node.views.append((self.now, view))
-                    node.words.append((self.now, standing.word))
+                    node.words.append((self.now, standing.status))
         self._wake(node)
 
     def _way(self) -> float:
@@ -178,23 +187,23 @@
             if len(node.inbox) < 1000:
                 node.inbox.append((source, data))
             return
-        packet = Codec("lab", b"key").read(data, source[0])
-        self._carry_out(node, node.core.heard(self.now, source, packet))
+        packet = Codec("lab", b"key").decode(data, source[0])
+        self._carry_out(node, node.core.receive(self.now, source, packet))
 
-    def _exchange(self, node: Node, to: Address, ask: Ask) -> None:
+    def _exchange(self, node: Node, to: Address, ask: ExchangeState) -> None:
         """Over TCP: both ways must be open, and the other one there."""
         core, target = node.core, self._by.get(to)
 
         def reaches() -> None:
             if target is None or target.core is None or target.stopped or self._apart(node, target):
                 return
-            answer, actions = target.core.asked(self.now, ask.state)
+            answer, actions = target.core.receive_exchange(self.now, ask.state)
             self._carry_out(target, actions)
             self.at(self.now + self._way(), lambda: back(answer))
 
         def back(answer: object) -> None:
             if node.core is core and core is not None and not node.stopped:
-                self._carry_out(node, core.answered(self.now, to, answer))  # type: ignore[arg-type]
+                self._carry_out(node, core.receive_exchange_answer(self.now, to, answer))  # type: ignore[arg-type]
 
         self.at(self.now + self._way(), reaches)
 
--- a/tests/gossip/test_gossip.py
+++ b/tests/gossip/test_gossip.py
@@ -19,22 +19,22 @@
 
 from cairndale.gossip import core as core_module
 from cairndale.gossip import wire
-from cairndale.gossip.__main__ import read
-from cairndale.gossip.core import ALIVE, Core, Known, Send, Timing
-from cairndale.gossip.cuts import Acceptor, Alerts, Promise, Proposal, observers
+from cairndale.gossip.__main__ import read_config
+from cairndale.gossip.core import ALIVE, Core, KnownMember, Send, Timing
+from cairndale.gossip.cuts import Acceptor, AcceptorState, Alerts, Proposal, observers
 from cairndale.gossip.shell import MemberError
-from cairndale.gossip.standing import judged
+from cairndale.gossip.standing import assess_standing
 from cairndale.gossip.wire import (
-    Bad,
     Body,
     Codec,
-    News,
+    GossipUpdate,
+    InvalidMessage,
     Packet,
     Peer,
+    ReplayWindow,
     View,
-    Window,
-    cut_of,
-    removed,
+    build_view_change,
+    removed_names,
 )
 from cairndale.lab.members import Net
 from tests.testing.discovery import ROOT
@@ -58,7 +58,7 @@
     found: dict[str, int] = {}
     for node in net.running():
         assert node.core
-        word = node.core.standing.word
+        word = node.core.standing.status
         found[word] = found.get(word, 0) + 1
     return found
 
@@ -87,7 +87,9 @@
     assert net.until(net.agree, 60) is not None
     assert words(net) == {"majority": 8}
     assert max(v.number for n in net.nodes.values() for _, v in n.views) == before + 1
-    seat = next(p.seat for _, v in net.nodes["m0000"].views for p in v.members if p.name == "m0003")
+    seat = next(
+        p.generation for _, v in net.nodes["m0000"].views for p in v.members if p.name == "m0003"
+    )
     net.start("m0003")
     assert net.until(net.agree, 60) is not None
     net.kill("m0003")
@@ -95,7 +97,7 @@
     net.start("m0003", folder=False)
     assert net.until(lambda: net.agree() and "whole" in words(net), 60) is not None
     core = net.nodes["m0003"].core
-    assert core and core.me.seat > seat
+    assert core and core.local.generation > seat
     check_views(net)
 
 
@@ -106,7 +108,7 @@
     assert net.until(net.agree, 30) is not None
     net.run(net.now + 10)
     assert words(net) == {"whole": 6}  # nobody is missed
-    assert all(not n.core.lost for n in net.running() if n.core)
+    assert all(not n.core.unreachable for n in net.running() if n.core)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -209,9 +211,9 @@
     twin = net.nodes["twin"]
     net.start("twin")
     assert twin.core
-    twin.core.me = Peer("m0002", 0, *twin.address)
+    twin.core.local = Peer("m0002", 0, *twin.address)
     net.run(net.now + 20)
-    assert twin.core.view is None and twin.core.refused.startswith("m0002 is there")
+    assert twin.core.view is None and twin.core.refusal.startswith("m0002 is there")
     assert words(net)["whole"] == 4
 
 
@@ -247,7 +249,7 @@
             / size
             / 60
         )
-        assert net.largest <= wire.MAX_DATAGRAM
+        assert net.largest <= wire.MAX_DATAGRAM_BYTES
     assert said[60] < 1.3 * said[10]
 
 
@@ -263,9 +265,9 @@
 ) -> None:
     def ended(order: list[tuple[str, int]]) -> tuple[str, int]:
         core = Core(peers(2)[0], "f", Timing(), random.Random(1))
-        core.others["m1"] = Known(peers(2)[1])
+        core.others["m1"] = KnownMember(peers(2)[1])
         for kind, incarnation in order:
-            core._heard_state(0.0, News(kind, "m1", incarnation, "m0"))
+            core._apply_update(0.0, GossipUpdate(kind, "m1", incarnation, "m0"))
         return core.others["m1"].state, core.others["m1"].incarnation
 
     shuffled = list(news)
@@ -275,12 +277,21 @@
 
 def test_forged_incarnations_neither_bury_a_member_nor_exhaust_it() -> None:
     core = Core(peers(2)[0], "f", Timing(), random.Random(1))
-    core.others["m1"] = Known(peers(2)[1], 5)
-    for incarnation in (core_module.TOP, core_module.TOP - 1, -3, 5 + core_module.LEAP + 1):
-        core._heard_state(0.0, News("suspect", "m1", incarnation, "m9"))
-        core._heard_state(0.0, News("alive", "m0", incarnation, "m9"))
-        core._heard_state(0.0, News("suspect", "m0", incarnation, "m9"))
-    assert core.others["m1"].state == ALIVE and core.incarnation <= 2 and core.counts["forged"] == 3
+    core.others["m1"] = KnownMember(peers(2)[1], 5)
+    for incarnation in (
+        core_module.MAX_INCARNATION,
+        core_module.MAX_INCARNATION - 1,
+        -3,
+        5 + core_module.MAX_INCARNATION_STEP + 1,
+    ):
+        core._apply_update(0.0, GossipUpdate("suspect", "m1", incarnation, "m9"))
+        core._apply_update(0.0, GossipUpdate("alive", "m0", incarnation, "m9"))
+        core._apply_update(0.0, GossipUpdate("suspect", "m0", incarnation, "m9"))
+    assert (
+        core.others["m1"].state == ALIVE
+        and core.incarnation <= 2
+        and core.drop_counts["forged"] == 3
+    )
 
 
 def test_alerts_of_a_few_are_noise_and_who_stands_between_holds_the_cut_up() -> None:
@@ -292,25 +303,25 @@
         assert alerts.add(observer, "m3", 1) and not alerts.add(observer, "m3", 1)
     assert not alerts.add(next(n for n in watched if n not in watched["m3"]), "m3", 1)
     alerts.add(watched["m7"][0], "m7", 1)
-    assert alerts.lost() == ({"m3"}, set())
+    assert alerts.stable_and_unstable() == ({"m3"}, set())
     for observer in watched["m7"][1:3]:
         alerts.add(observer, "m7", 1)
-    assert alerts.lost() == ({"m3"}, {"m7"})
+    assert alerts.stable_and_unstable() == ({"m3"}, {"m7"})
     alerts.clear("m7", 2)
     alerts.clear("m3", 1)
-    assert alerts.lost() == ({"m3"}, set())
+    assert alerts.stable_and_unstable() == ({"m3"}, set())
 
 
 # Agreement, over all orders.
 
 
-def votes(crash: Callable[[Promise], Promise]) -> tuple[int, int]:
+def votes(crash: Callable[[AcceptorState], AcceptorState]) -> tuple[int, int]:
     """All that can happen where three members vote on one view, the first two propose different
     cuts, and the third is killed and started again once, with what `crash` leaves of its promise.
     Messages come in any order or never; one's own vote counts at once. How many states there are,
     and the most cuts decided in one."""
     view = View(4, peers(3))
-    cuts = {"m0": cut_of(view, {"m2"}), "m1": cut_of(view, {"m0"})}
+    cuts = {"m0": build_view_change(view, {"m2"}), "m1": build_view_change(view, {"m0"})}
     others = {"m0": ("m1", "m2"), "m1": ("m0", "m2")}
 
     def told(state: Any, source: str, to: str, kind: str, ballot: Any, more: Any) -> Any:
@@ -326,7 +337,7 @@
             if took is None:
                 return state
             answer = (
-                ("promise", ballot, (took.accepted, took.cut))
+                ("promise", ballot, (took.accepted_ballot, took.change))
                 if kind == "prepare"
                 else ("accepted", ballot, None)
             )
@@ -338,14 +349,14 @@
         name, promises, accepted, put = next(r for r in rounds if r[0] == to)
         proposal = Proposal(view, (1, to), cuts[to], dict(promises), set(accepted), put)
         if kind == "promise":
-            chosen = proposal.promised(source, *more)
-        elif (cut := proposal.voted(source)) is not None:
+            chosen = proposal.add_promise(source, *more)
+        elif (cut := proposal.add_acceptance(source)) is not None:
             decided |= {cut}
         row = (
             name,
             tuple(sorted(proposal.promises.items())),
-            frozenset(proposal.accepted),
-            proposal.cut,
+            frozenset(proposal.accepted_by),
+            proposal.change,
         )
         rounds = tuple(row if r[0] == to else r for r in rounds)
         if kind == "promise" and chosen is not None:
@@ -356,7 +367,7 @@
         return held, rounds, under_way, decided, crashed
 
     start: Any = (
-        tuple((p.name, Promise()) for p in view.members),
+        tuple((p.name, AcceptorState()) for p in view.members),
         tuple((n, (), frozenset(), None) for n in cuts),
         frozenset((n, to, "prepare", (1, n), None) for n in cuts for to in others[n]),
         frozenset(),
@@ -387,7 +398,7 @@
 
 def test_an_acceptor_that_forgets_what_it_promised_lets_two_cuts_be_decided() -> None:
     """The mutation of the one before: why promises are synced before they are told."""
-    assert votes(lambda held: Promise())[1] == 2
+    assert votes(lambda held: AcceptorState())[1] == 2
 
 
 def test_standing_says_who_may_act() -> None:
@@ -395,27 +406,34 @@
         "size": 5,
         "alive": 4,
         "suspect": 0,
-        "lost": 0,
-        "ill": False,
-        "differs": False,
-        "silent": False,
+        "unreachable": 0,
+        "unhealthy": False,
+        "views_differ": False,
+        "no_recent_answer": False,
         "now": 9.0,
-        "answered_at": 8.0,
+        "last_answer_at": 8.0,
     }
 
     def word(**more: Any) -> str:
-        found = judged(**(usual | more))
-        assert found.acts == (found.word in ("whole", "majority")) and found.age == 1.0
-        return found.word
+        found = assess_standing(**(usual | more))
+        assert found.may_act == (found.status in ("whole", "majority")) and found.age == 1.0
+        return found.status
 
     assert (
-        word() == "whole" and word(lost=1) == "majority" and word(alive=3, suspect=1) == "majority"
+        word() == "whole"
+        and word(unreachable=1) == "majority"
+        and word(alive=3, suspect=1) == "majority"
     )
     assert (
-        word(size=4, alive=1, suspect=2) == word(alive=1) == word(ill=True, alive=1) == "minority"
+        word(size=4, alive=1, suspect=2)
+        == word(alive=1)
+        == word(unhealthy=True, alive=1)
+        == "minority"
     )
     assert word(alive=0) == word(size=0, alive=0) == "alone" and word(size=1, alive=0) == "whole"
-    assert word(ill=True) == word(differs=True) == word(silent=True) == "unsure"
+    assert (
+        word(unhealthy=True) == word(views_differ=True) == word(no_recent_answer=True) == "unsure"
+    )
 
 
 # The wire.
@@ -425,10 +443,10 @@
     told = {
         "fleet": "f",
         "sender": "m1",
-        "boot": 1,
-        "count": 1,
+        "boot_epoch": 1,
+        "packet_number": 1,
         "body": Body("ping", 7),
-        "news": (),
+        "updates": (),
     } | more
     return Packet(**told)
 
@@ -436,27 +454,27 @@
 def test_what_is_not_of_this_fleet_is_dropped_by_its_reason_and_nothing_is_said_twice() -> None:
     key = b"k" * 32
     codec, other = Codec("f", key), Codec("f", b"j" * 32)
-    good = codec.write(packet())
+    good = codec.encode(packet())
 
     def why(data: bytes, host: str = "10.0.0.1", at: Codec = codec) -> str:
-        with pytest.raises(Bad) as error:
-            at.read(data, host)
+        with pytest.raises(InvalidMessage) as error:
+            at.decode(data, host)
         return str(error.value)
 
-    assert codec.read(good, "10.0.0.1").body.seq == 7 and why(good) == "replayed"
-    assert why(other.write(packet(count=2))) == "key"
-    assert why(Codec("g", key).write(packet(fleet="g", count=2))) == "fleet"
-    assert why(codec.write(packet(count=2, version=3))) == "version"
+    assert codec.decode(good, "10.0.0.1").body.seq == 7 and why(good) == "replayed"
+    assert why(other.encode(packet(packet_number=2))) == "key"
+    assert why(Codec("g", key).encode(packet(fleet="g", packet_number=2))) == "fleet"
+    assert why(codec.encode(packet(packet_number=2, version=3))) == "version"
     assert why(b"x" * 2000) == "oversized" and why(b"") == why(b"im") == "garbage"
     assert why(codec.seal(b"\xc1 no packet")) == "garbage"
-    assert why(codec.write(packet(sender=""))) == "garbage"
-    assert why(Codec("f").write(packet()), "10.0.0.1", Codec("f")) == "stranger"
-    assert Codec("f").read(Codec("f").write(packet()), "::1").sender == "m1"
+    assert why(codec.encode(packet(sender=""))) == "garbage"
+    assert why(Codec("f").encode(packet()), "10.0.0.1", Codec("f")) == "stranger"
+    assert Codec("f").decode(Codec("f").encode(packet()), "::1").sender == "m1"
     for n in range(len(good)):
         cut = good[:n] + bytes([good[n] ^ 1]) + good[n + 1 :]
         assert why(good[:n]) in ("garbage", "key") and why(cut) in ("garbage", "key")
-    window = Window()
-    assert [window.takes(2, n) for n in (1, 3, 2, 2, 200, 3)] == [
+    window = ReplayWindow()
+    assert [window.accepts(2, n) for n in (1, 3, 2, 2, 200, 3)] == [
         True,
         True,
         True,
@@ -464,15 +482,15 @@
         True,
         False,
     ]
-    assert not window.takes(1, 999) and window.takes(3, 1)
+    assert not window.accepts(1, 999) and window.accepts(3, 1)
 
 
 @FIXED
 @given(st.binary(max_size=200))
 def test_noise_is_never_understood(data: bytes) -> None:
     for sealed in (data, Codec("f").seal(data)):
-        with pytest.raises(Bad):
-            Codec("f").read(sealed, "127.0.0.1")
+        with pytest.raises(InvalidMessage):
+            Codec("f").decode(sealed, "127.0.0.1")
 
 
 def test_news_of_a_later_version_is_passed_on_with_what_is_not_understood() -> None:
@@ -481,16 +499,19 @@
     )
     core = Core(peers(3)[0], "f", Timing(), random.Random(1))
     core.view = View(1, peers(3))
-    core.others = {p.name: Known(p) for p in peers(3)[1:]}
+    core.others = {p.name: KnownMember(p) for p in peers(3)[1:]}
     said = packet(
-        news=(msgspec.Raw(later), msgspec.Raw(msgspec.msgpack.encode({"kind": "new-kind", "x": 1})))
+        updates=(
+            msgspec.Raw(later),
+            msgspec.Raw(msgspec.msgpack.encode({"kind": "new-kind", "x": 1})),
+        )
     )
-    actions = core.heard(
+    actions = core.receive(
         0.0, ("127.0.0.1", 9001), msgspec.msgpack.decode(msgspec.msgpack.encode(said), type=Packet)
     )
     assert core.others["m1"].incarnation == 3
     (ack,) = [a for a in actions if isinstance(a, Send)]
-    assert [bytes(r) for r in ack.packet.news] == [later]
+    assert [bytes(r) for r in ack.packet.updates] == [later]
     unread = {
         "fleet": "f",
         "sender": "m1",
@@ -501,14 +522,14 @@
         "body": {"kind": "ping", "seq": 1, "hint": "x"},
     }
     codec = Codec("f")
-    assert codec.read(codec.seal(msgspec.msgpack.encode(unread)), "127.0.0.1").body.seq == 1
+    assert codec.decode(codec.seal(msgspec.msgpack.encode(unread)), "127.0.0.1").body.seq == 1
 
 
 def test_a_cut_is_a_bit_a_member_and_names_no_other() -> None:
     view = View(3, peers(9))
-    cut = cut_of(view, {"m0", "m8"}, (Peer("new", 1, "127.0.0.1", 1),))
-    assert len(cut.removed) == 2 and removed(view, cut) == ["m0", "m8"]
-    after = view.without(cut)
+    cut = build_view_change(view, {"m0", "m8"}, (Peer("new", 1, "127.0.0.1", 1),))
+    assert len(cut.removed) == 2 and removed_names(view, cut) == ["m0", "m8"]
+    after = view.apply(cut)
     assert after.number == 4 and [p.name for p in after.members] == [
         *(f"m{n}" for n in range(1, 8)),
         "new",
@@ -525,13 +546,13 @@
         'name = ""\nfleet = "f"\nlisten = "here"\nfolder = "x"\nseeds = ["1.2.3.4"]\nsead = 1\n'
     )
     with pytest.raises(MemberError) as error:
-        read(path)
+        read_config(path)
     assert [line.split(": ")[1] for line in str(error.value).splitlines()] == ["sead", "name"]
     path.write_text(
         'name = "a"\nfleet = "f"\nlisten = "10.0.0.1:1"\nfolder = "x"\nseeds = ["1.2.3.4"]\n'
     )
     with pytest.raises(MemberError) as error:
-        read(path)
+        read_config(path)
     assert [line.split(": ")[1] for line in str(error.value).splitlines()] == [
         "seeds[0]",
         "key_file",
