--- a/cairndale/gossip/core.py
+++ b/cairndale/gossip/core.py
@@ -105,7 +105,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExchangeState:
+class RequestExchange:
     """Exchange full states with another member over TCP. Its answer, if there is one, goes to
     `Core.receive_exchange_answer`."""
 
@@ -130,7 +130,7 @@
     removed: tuple[str, ...] = ()
 
 
-Action = Send | ExchangeState | Persist | MembershipChanged
+Action = Send | RequestExchange | Persist | MembershipChanged
 
 
 @dataclass(slots=True)
@@ -267,7 +267,7 @@
         self._enqueue_update(
             GossipUpdate("left", self.local.name, self.incarnation, self.local.name)
         )
-        for member in self._random_members(lambda k: k.state == ALIVE):
+        for member in self._random_members(lambda m: m.state == ALIVE):
             self._send(member.peer.address, Body("news"))
         return self._finish(now)
 
@@ -344,7 +344,7 @@
     def _random_members(
         self, matches: Callable[[KnownMember], bool], limit: int | None = None
     ) -> list[KnownMember]:
-        chosen = [k for k in self.others.values() if matches(k)]
+        chosen = [m for m in self.others.values() if matches(m)]
         self.rng.shuffle(chosen)
         return chosen[:limit]
 
@@ -409,7 +409,7 @@
             member = self.others.get(self._probe_order.pop())
             if member is not None and member.state != LEFT:
                 return member
-        self._probe_order = [n for n, k in self.others.items() if k.state != LEFT]
+        self._probe_order = [n for n, m in self.others.items() if m.state != LEFT]
         self.rng.shuffle(self._probe_order)
         return self.others.get(self._probe_order.pop()) if self._probe_order else None
 
@@ -418,7 +418,7 @@
         if probe is None or probe.answered:
             return
         helpers = self._random_members(
-            lambda k: k.state == ALIVE and k.peer.name != probe.name,
+            lambda m: m.state == ALIVE and m.peer.name != probe.name,
             self.timing.indirect_probe_helpers,
         )
         probe.helpers_asked = len(helpers)
@@ -442,7 +442,7 @@
         self._call_at(now + self.timing.gossip_interval * self._health_multiplier(), self._gossip)
         if self._update_queue:
             for member in self._random_members(
-                lambda k: k.state in (ALIVE, SUSPECT), self.timing.gossip_fanout
+                lambda m: m.state in (ALIVE, SUSPECT), self.timing.gossip_fanout
             ):
                 if self._update_queue:
                     self._send(member.peer.address, Body("news"))
@@ -703,7 +703,7 @@
         self._call_at(due, lambda at: self._propose(at, due))
 
     def _alive_names(self) -> set[str]:
-        return {n for n, k in self.others.items() if k.state == ALIVE}
+        return {n for n, m in self.others.items() if m.state == ALIVE}
 
     def _is_alive(self, name: str) -> bool:
         member = self.others.get(name)
@@ -887,7 +887,7 @@
     ) -> FullState:
         """Everything that this member knows of the fleet, for an exchange."""
         member_states = tuple(
-            MemberState(n, k.incarnation, k.state) for n, k in self.others.items()
+            MemberState(n, m.incarnation, m.state) for n, m in self.others.items()
         )
         own_state = MemberState(self.local.name, self.incarnation, LEFT if self.leaving else ALIVE)
         view = self.view or View(0, ())
@@ -904,16 +904,16 @@
         )
 
     def _request_exchange(self, to: Address) -> None:
-        if not any(isinstance(a, ExchangeState) and a.to == to for a in self._actions):
+        if not any(isinstance(a, RequestExchange) and a.to == to for a in self._actions):
             self._actions.append(
-                ExchangeState(
+                RequestExchange(
                     to, self.full_state(joining=self.local if self.view is None else None)
                 )
             )
 
     def _sync(self, now: float) -> None:
         self._call_at(now + self.timing.sync_interval * self.rng.uniform(0.8, 1.2), self._sync)
-        for member in self._random_members(lambda k: k.state == ALIVE, 1):
+        for member in self._random_members(lambda m: m.state == ALIVE, 1):
             self._request_exchange(member.peer.address)
 
     def _reconnect(self, now: float) -> None:
@@ -923,7 +923,7 @@
             now + self.timing.reconnect_interval * self.rng.uniform(0.5, 1.5), self._reconnect
         )
         addresses = [p.address for p in self.unreachable.values()]
-        addresses += [k.peer.address for k in self.others.values() if k.state == FAILED]
+        addresses += [m.peer.address for m in self.others.values() if m.state == FAILED]
         if addresses:
             self._request_exchange(self.rng.choice(addresses))
 
@@ -989,7 +989,7 @@
         return 0, ""
 
     def receive_exchange_answer(self, now: float, to: Address, state: FullState) -> list[Action]:
-        """Processes the answer to an `ExchangeState`."""
+        """Processes the answer to a `RequestExchange`."""
         if state.refusal:
             self.refusal = state.refusal
         elif state.generation and self.view is None:
@@ -1034,7 +1034,7 @@
             self._apply_decision(now, change)
             return
         alive = len(self._alive_names())
-        suspect = sum(1 for k in self.others.values() if k.state == SUSPECT)
+        suspect = sum(1 for m in self.others.values() if m.state == SUSPECT)
         oldest_fresh_at = (
             now
             - self.timing.answer_timeout_periods
@@ -1074,16 +1074,16 @@
         rows = [
             {
                 "name": n,
-                "address": f"{k.peer.host}:{k.peer.port}",
-                "zone": k.peer.zone,
-                "state": k.state,
-                "incarnation": k.incarnation,
-                "since_s": round(now - k.since, 1),
-                "why": k.reason,
+                "address": f"{m.peer.host}:{m.peer.port}",
+                "zone": m.peer.zone,
+                "state": m.state,
+                "incarnation": m.incarnation,
+                "since_s": round(now - m.since, 1),
+                "why": m.reason,
                 "observers": list(observers.get(n, ())),
-                "trip_ms": round(k.round_trip * 1000, 2),
+                "trip_ms": round(m.round_trip * 1000, 2),
             }
-            for n, k in sorted(self.others.items())
+            for n, m in sorted(self.others.items())
         ]
         rows += [
             {"name": n, "address": f"{p.host}:{p.port}", "zone": p.zone, "state": "lost"}
--- a/cairndale/gossip/shell.py
+++ b/cairndale/gossip/shell.py
@@ -19,10 +19,10 @@
 from cairndale.gossip.core import (
     Action,
     Core,
-    ExchangeState,
     MembershipChanged,
     Persist,
     PersistentState,
+    RequestExchange,
     Send,
     Timing,
     summarize_names,
@@ -172,7 +172,7 @@
                 case Send(to, packet):
                     if self._transport is not None:
                         self._transport.sendto(self._codec.encode(packet), to)
-                case ExchangeState():
+                case RequestExchange():
                     if len(self._tasks) < MAX_OUTGOING_EXCHANGES + MAX_INCOMING_EXCHANGES:
                         self._spawn(self._exchange(action))
                 case Persist(stored):
@@ -230,7 +230,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _exchange(self, action: ExchangeState) -> None:
+    async def _exchange(self, action: RequestExchange) -> None:
         try:
             answer = await self._exchange_over_tcp(action)
         except (OSError, InvalidMessage, asyncio.IncompleteReadError) as error:
@@ -239,7 +239,7 @@
             return
         self._carry_out(self.core.receive_exchange_answer(self._loop.time(), action.to, answer))
 
-    async def _exchange_over_tcp(self, action: ExchangeState) -> FullState:
+    async def _exchange_over_tcp(self, action: RequestExchange) -> FullState:
         async with asyncio.timeout(CONNECT_TIMEOUT):
             reader, writer = await asyncio.open_connection(*action.to, limit=MAX_STATE_BYTES)
         try:
--- a/cairndale/lab/members.py
+++ b/cairndale/lab/members.py
@@ -12,10 +12,10 @@
 from cairndale.gossip.core import (
     Action,
     Core,
-    ExchangeState,
     MembershipChanged,
     Persist,
     PersistentState,
+    RequestExchange,
     Send,
     Timing,
 )
@@ -158,7 +158,7 @@
                     node.sent += 1
                     node.bytes += len(data)
                     self._datagram(node, to, data)
-                case ExchangeState(to, _):
+                case RequestExchange(to, _):
                     self._exchange(node, to, action)
                 case Persist(stored):
                     node.disk = stored
@@ -190,7 +190,7 @@
         packet = Codec("lab", b"key").decode(data, source[0])
         self._carry_out(node, node.core.receive(self.now, source, packet))
 
-    def _exchange(self, node: Node, to: Address, ask: ExchangeState) -> None:
+    def _exchange(self, node: Node, to: Address, ask: RequestExchange) -> None:
         """Over TCP: both ways must be open, and the other one there."""
         core, target = node.core, self._by.get(to)
 
