--- a/cairndale/gossip/__init__.py
+++ b/cairndale/gossip/__init__.py
@@ -1,1 +1,2 @@
-"""Membership: which ingresses there are, who has failed, and which side may act for the fleet."""
+"""Membership protocol: which ingresses belong to the fleet, which of them have failed, and which
+side of a network partition may act for the fleet."""
--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -24,6 +24,7 @@
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 Positive = Annotated[float, Meta(gt=0)]
+MIN_KEY_BYTES = 16
 CALL_TIMEOUT = 2.0  # s, for an operator's request to be received completely
 
 
@@ -102,8 +103,8 @@
                 key = Path(options.key_file).read_bytes().strip()
             except OSError as error:
                 errors.append(f"key_file: {error.strerror}")
-            if not errors and len(key) < 16:
-                errors.append(f"key_file: {len(key)} bytes, expected 16 or more")
+            if not errors and len(key) < MIN_KEY_BYTES:
+                errors.append(f"key_file: {len(key)} bytes, expected {MIN_KEY_BYTES} or more")
         if (
             not options.key_file
             and "listen" in addresses
--- a/cairndale/gossip/core.py
+++ b/cairndale/gossip/core.py
@@ -53,6 +53,11 @@
 HEADER_RESERVE_BYTES = 400  # of a datagram, not available for gossip updates
 MAX_QUEUED_UPDATES = 4096  # beyond this, the update with the most transmissions is dropped
 MAX_UNREACHABLE = 1024  # removed members that are remembered, to reconnect to
+INDIRECT_PROBE_EXPIRY_PERIODS = 4  # probe periods that a helper waits for the ack of its ping
+PROBE_DEADLINE_FRACTION = 0.95  # of a probe period, after which a probe without an ack has failed
+MAX_PROPOSER_RANK = 10  # limits the delay of proposals by members late in the view's order
+# Probe periods for which a member with alerts between the watermarks delays the next view change.
+MAX_UNSTABLE_PERIODS = 10
 
 
 class Timing(Struct, frozen=True):
@@ -373,7 +378,7 @@
 
     def _start_probe(self, now: float) -> None:
         self._call_at(now + self.timing.probe_period * self._health_multiplier(), self._start_probe)
-        for seq in [s for s, h in self._indirect_probes.items() if now > h[2]]:
+        for seq in [s for s, request in self._indirect_probes.items() if now > request[2]]:
             del self._indirect_probes[seq]
         member = self._next_target()
         if member is None or self.view is None:
@@ -392,7 +397,7 @@
             lambda at: self._probe_indirectly(at, seq),
         )
         self._call_at(
-            now + self.timing.probe_period * self._health_multiplier() * 0.95,
+            now + self.timing.probe_period * self._health_multiplier() * PROBE_DEADLINE_FRACTION,
             lambda at: self._finish_probe(at, seq),
         )
 
@@ -483,7 +488,7 @@
                     self._indirect_probes[helper_seq] = (
                         member.peer.name,
                         body.seq,
-                        now + 4 * self.timing.probe_period,
+                        now + INDIRECT_PROBE_EXPIRY_PERIODS * self.timing.probe_period,
                     )
                     self._send(target.peer.address, self._ping(helper_seq))
                     self._call_at(
@@ -689,7 +694,7 @@
         alive = [
             p.name for p in self.view.members if p.name == self.local.name or self._is_alive(p.name)
         ]
-        rank = min(alive.index(self.local.name), 10)
+        rank = min(alive.index(self.local.name), MAX_PROPOSER_RANK)
         self._propose_after(
             now, self.timing.gossip_interval * (1 + rank * 2) * self.rng.uniform(0.8, 1.2)
         )
@@ -725,9 +730,9 @@
         if unstable:
             if self._unstable_since is None:
                 self._unstable_since = now
-            if now - self._unstable_since < 10 * self.timing.probe_period:
+            if now - self._unstable_since < MAX_UNSTABLE_PERIODS * self.timing.probe_period:
                 return None
-            # the number of alerts has not settled for 10 periods: those members are removed too
+            # Their alerts have stayed between the watermarks: remove those members too.
             failed |= {n for n in unstable if not self._is_alive(n)}
         else:
             self._unstable_since = None
--- a/cairndale/gossip/wire.py
+++ b/cairndale/gossip/wire.py
@@ -188,9 +188,8 @@
     joining: Peer | None = msgspec.field(name="joins", default=None)
     # for the joining member to take: higher than all earlier ones of its name; 0: it keeps its own
     generation: int = msgspec.field(name="seat", default=0)
-    refusal: str = msgspec.field(
-        name="refused", default=""
-    )  # why the joining member is not admitted
+    # why the joining member is not admitted; empty: it is not refused
+    refusal: str = msgspec.field(name="refused", default="")
     version: int = VERSION
 
 
@@ -231,6 +230,7 @@
     received: int = 0  # bit map of packet numbers: bit n stands for `highest - n`
 
     def accepts(self, boot_epoch: int, packet_number: int) -> bool:
+        """Returns whether the packet is new, and records it."""
         if boot_epoch < self.boot_epoch:
             return False
         if boot_epoch > self.boot_epoch:
