--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -25,7 +25,7 @@
 
 Positive = Annotated[float, Meta(gt=0)]
 MIN_KEY_BYTES = 16
-CALL_TIMEOUT = 2.0  # s, for an operator's request to be received completely
+REQUEST_TIMEOUT = 2.0  # s, for an operator's request to be received completely
 
 
 class Options(Struct, forbid_unknown_fields=True):
@@ -139,7 +139,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT, self.garbage, 408)
+        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT, self.garbage, 408)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer:
--- a/cairndale/gossip/cuts.py
+++ b/cairndale/gossip/cuts.py
@@ -37,12 +37,12 @@
     the same mapping."""
     names = [p.name for p in view.members]
     rings = min(MAX_OBSERVERS, len(names) - 1)
-    found: dict[str, dict[str, None]] = {name: {} for name in names}
+    observers_by_member: dict[str, dict[str, None]] = {name: {} for name in names}
     for ring in range(max(0, rings)):
         order = sorted(names, key=lambda n: sha256(f"{ring} {n}".encode()).digest())
         for number, name in enumerate(order):
-            found[name][order[number - 1]] = None
-    return {name: tuple(own) for name, own in found.items()}
+            observers_by_member[name][order[number - 1]] = None
+    return {name: tuple(member_observers) for name, member_observers in observers_by_member.items()}
 
 
 @dataclass(slots=True)
@@ -61,29 +61,33 @@
         """Records an alert. Returns whether it comes from an observer of the subject and is new."""
         if observer not in self.observers_by_subject.get(subject, ()):
             return False
-        own = self._alerts.setdefault(subject, {})
-        if own.get(observer, -1) >= incarnation:
+        by_observer = self._alerts.setdefault(subject, {})
+        if by_observer.get(observer, -1) >= incarnation:
             return False
-        own[observer] = incarnation
+        by_observer[observer] = incarnation
         return True
 
     def clear(self, subject: str, incarnation: int) -> None:
         """Drops the alerts about earlier incarnations: the subject has refuted them."""
-        own = self._alerts.get(subject, {})
-        for observer in [o for o, i in own.items() if i < incarnation]:
-            del own[observer]
+        by_observer = self._alerts.get(subject, {})
+        for observer in [o for o, i in by_observer.items() if i < incarnation]:
+            del by_observer[observer]
 
     def report_counts(self) -> dict[str, tuple[int, int]]:
         """Maps each subject to its number of alerts and of observers. An observer that has itself
         failed, or may have, cannot report: it is counted as if it had sent an alert."""
-        likely_failed = {s for s, own in self._alerts.items() if len(own) >= self._low_watermark(s)}
+        likely_failed = {
+            s
+            for s, by_observer in self._alerts.items()
+            if len(by_observer) >= self._low_watermark(s)
+        }
         return {
             subject: (
-                len(own.keys() | (likely_failed & set(self.observers_by_subject[subject]))),
+                len(by_observer.keys() | (likely_failed & set(self.observers_by_subject[subject]))),
                 len(self.observers_by_subject[subject]),
             )
-            for subject, own in self._alerts.items()
-            if own
+            for subject, by_observer in self._alerts.items()
+            if by_observer
         }
 
     def _low_watermark(self, subject: str) -> int:
