--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -20,7 +20,7 @@
 from cairndale.gossip.core import Timing
 from cairndale.gossip.shell import Config, Member, MemberError
 from cairndale.gossip.wire import NAME, Address
-from cairndale.ingress.cli.checked import about, sound
+from cairndale.ingress.cli.checked import about, convert
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 Positive = Annotated[float, Meta(gt=0)]
@@ -79,7 +79,7 @@
     """And where operators call. Raises MemberError with every error at once."""
     errors: list[str] = []
     try:
-        found = sound(tomllib.loads(path.read_text()), Options, "", errors)
+        found = convert(tomllib.loads(path.read_text()), Options, "", errors)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise MemberError(f"{path}: {error}") from None
     places: dict[str, Address] = {}
--- a/cairndale/ingress/cli/__init__.py
+++ b/cairndale/ingress/cli/__init__.py
@@ -1,2 +1,3 @@
-"""The front door: one command line, a configuration for people. `run` on the platform imports none
-of it."""
+"""The `ironledge` command line and the configuration file that people write.
+
+The program that the platform starts (`python -m cairndale.ingress`) imports none of it."""
--- a/cairndale/ingress/cli/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -1,7 +1,8 @@
-"""`ironledge`: run, check, configuration, operators' calls, the list service, the lab.
+"""The command `ironledge`: runs an ingress, checks and converts configurations, sends operators'
+calls, and starts the list service and the lab.
 
-Exit status: 0 done, 1 something failed or an answer was no, 2 a bad configuration or bad arguments,
-130 Ctrl-C."""
+Exit status: 0 done, 1 a call or command failed or was rejected, 2 an invalid configuration or
+invalid arguments, 130 interrupted by Ctrl-C."""
 
 from __future__ import annotations
 
@@ -17,26 +18,31 @@
 
 import click
 
-from cairndale.ingress.cli import read as reading
-from cairndale.ingress.cli.model import Config, written
-from cairndale.ingress.cli.schema import FIRST, reference, schema
+from cairndale.ingress.cli import read as config_reader
+from cairndale.ingress.cli.model import Config, to_builtins
+from cairndale.ingress.cli.schema import EXAMPLE_CONFIG, json_schema, reference_page
 
-BAD, FAILED, STOPPED = 2, 1, 130
-CALL_TIMEOUT = 2.0  # s; an operators' call is answered within one
+EXIT_USAGE, EXIT_FAILED, EXIT_INTERRUPTED = 2, 1, 130
+CALL_TIMEOUT_S = 2.0  # ingresses answer operators' calls within 1 s
 
-Sets = tuple[str, ...]
+Arguments = tuple[str, ...]
 
 
 def _version() -> str:
     try:
         return version("cairndale")
     except PackageNotFoundError:
-        return "of a checkout"
+        return "unknown (not installed)"
 
 
-def configured(command: Callable[..., None]) -> Callable[..., None]:
+def config_options(command: Callable[..., None]) -> Callable[..., None]:
+    """Adds the options `--config` and `--set` to a command."""
     command = click.option(
-        "--set", "sets", multiple=True, metavar="KEY=VALUE", help="before file and environment"
+        "--set",
+        "overrides",
+        multiple=True,
+        metavar="KEY=VALUE",
+        help="overrides the file and the environment",
     )(command)
     return click.option(
         "-c",
@@ -45,155 +51,167 @@
         default="ironledge.toml",
         show_default=True,
         type=click.Path(),
-        help="TOML or JSON",
+        help="configuration file, TOML or JSON",
     )(command)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(_version(), prog_name="ironledge")
 def main() -> None:
-    """An ingress that holds customers' quotas over a fleet of gateways."""
+    """An ingress that enforces customers' quotas across a fleet of ingresses."""
 
 
 @main.command()
-@configured
-def run(path: str, sets: Sets) -> None:
-    """Runs one ingress until SIGTERM; SIGHUP reads the configuration anew."""
+@config_options
+def run(path: str, overrides: Arguments) -> None:
+    """Runs one ingress until SIGTERM; SIGHUP reloads the configuration."""
     import uvloop
 
     from cairndale.ingress.__main__ import Parts, serve
-    from cairndale.ingress.net.config import Config as Running
+    from cairndale.ingress.net.config import Config as ProcessConfig
     from cairndale.ingress.net.config import ConfigError, config_from
 
-    found = reading.read(path, sets)
+    loaded = config_reader.load(path, overrides)
 
-    def again(before: Running) -> Running:
+    def reload(before: ProcessConfig) -> ProcessConfig:
         try:
-            return config_from(reading.platform(reading.read(path, sets).config), before)
-        except reading.ConfigErrors as error:
+            return config_from(
+                config_reader.to_platform(config_reader.load(path, overrides).config), before
+            )
+        except config_reader.ConfigErrors as error:
             raise ConfigError("; ".join(error.errors)) from None
 
     from cairndale.ingress.observability import logs
 
-    c = found.config
-    writer = logs.begin(
+    config = loaded.config
+    writer = logs.start_logging(
         logs.Options(
-            c.log.form,
-            c.log.level,
-            tuple(c.log.levels.items()),
-            c.log.file,
-            c.log.access,
-            c.log.customers,
-            c.log.queue,
+            config.log.form,
+            config.log.level,
+            tuple(config.log.levels.items()),
+            config.log.file,
+            config.log.access,
+            config.log.customers,
+            config.log.queue,
         ),
-        c.name,
+        config.name,
     )
 
-    def look_on(parts: Parts) -> None:
+    def attach_observers(parts: Parts) -> None:
         observers: list[Any] = []
-        if c.metrics.on:
+        if config.metrics.on:
             from cairndale.ingress.observability.metrics import Metrics
 
             metrics = Metrics(parts.engine, parts.sockets, lambda: parts.gateway.accounts.values())
             metrics.pools = parts.backends.figures
-            if running.discovery:
+            if process_config.discovery:
                 metrics.list_age = parts.discovery.age
             metrics.start()
             parts.ops.metrics = metrics.scrape
             observers.append(metrics)
-        if c.log.access:
-            observers.append(logs.Access(writer, parts.engine))
+        if config.log.access:
+            observers.append(logs.AccessLog(writer, parts.engine))
         if observers:
-            parts.engine.observer = observers[0] if len(observers) == 1 else logs.Both(*observers)
+            parts.engine.observer = (
+                observers[0] if len(observers) == 1 else logs.ObserverGroup(*observers)
+            )
 
     try:
-        running = config_from(reading.platform(c))
-        uvloop.run(serve(running, again, look_on))
+        process_config = config_from(config_reader.to_platform(config))
+        uvloop.run(serve(process_config, reload, attach_observers))
     except (ConfigError, OSError) as error:
-        _stop(f"ironledge: {error}", BAD if isinstance(error, ConfigError) else FAILED)
+        _exit_with_message(
+            f"ironledge: {error}", EXIT_USAGE if isinstance(error, ConfigError) else EXIT_FAILED
+        )
     finally:
         writer.stop()
 
 
 @main.command()
-@configured
-def check(path: str, sets: Sets) -> None:
-    """Checks a configuration without applying it, and says all that is wrong with it."""
-    found = reading.read(path, sets)
-    c = found.config
+@config_options
+def check(path: str, overrides: Arguments) -> None:
+    """Checks a configuration without applying it, and prints every error."""
+    loaded = config_reader.load(path, overrides)
+    config = loaded.config
     click.echo(
-        f"{path}: sound; {len(c.server)} servers, {len(c.class_)} classes, {len(c.plan)} plans, "
-        f"{'a shared counter' if c.counter else 'quotas of this process'}"
+        f"{path}: valid; {len(config.server)} servers, {len(config.class_)} classes, "
+        f"{len(config.plan)} plans, {'shared counter' if config.counter else 'no shared counter'}"
     )
 
 
 @main.group()
 def config() -> None:
-    """Writes, shows, compares and converts configurations."""
+    """Creates, shows, compares and converts configurations."""
 
 
 @config.command()
 @click.argument("path", default="ironledge.toml", type=click.Path(dir_okay=False))
-@click.option("--force", is_flag=True, help="write over what is there")
+@click.option("--force", is_flag=True, help="overwrite an existing file")
 def init(path: str, force: bool) -> None:
-    """Writes a commented file that works before two plain HTTP servers."""
+    """Writes a commented example configuration for two plain HTTP servers."""
     try:
         with Path(path).open("w" if force else "x") as file:
-            file.write(FIRST)
+            file.write(EXAMPLE_CONFIG)
     except FileExistsError:
-        _stop(f"{path}: is there already; --force writes over it", FAILED)
+        _exit_with_message(f"{path}: already exists; use --force to overwrite it", EXIT_FAILED)
     except OSError as error:
-        _stop(f"{path}: {error.strerror}", FAILED)
+        _exit_with_message(f"{path}: {error.strerror}", EXIT_FAILED)
     click.echo(path)
 
 
 @config.command()
-@configured
+@config_options
 @click.option("--json", "as_json", is_flag=True)
-def show(path: str, sets: Sets, as_json: bool) -> None:
-    """Every value that holds, and where it comes from."""
-    found = reading.read(path, sets)
+def show(path: str, overrides: Arguments, as_json: bool) -> None:
+    """Shows every value in effect, and where it comes from."""
+    loaded = config_reader.load(path, overrides)
     if as_json:
-        click.echo(json.dumps(written(found.config), indent=1))
+        click.echo(json.dumps(to_builtins(loaded.config), indent=1))
         return
-    for key, value in reading.flat(found.config):
-        plain = key.partition("[")[0]
-        origin = found.origins.get(key) or found.origins.get(plain, "default")
+    for key, value in config_reader.flatten(loaded.config):
+        table = key.partition("[")[0]
+        origin = loaded.origins.get(key) or loaded.origins.get(table, "default")
         click.echo(f"{key:28} {json.dumps(value):32} {origin}")
 
 
 @config.command("schema")
 def show_schema() -> None:
-    """The JSON Schema, for editors."""
-    click.echo(json.dumps(schema(), indent=1))
+    """Prints the JSON Schema of the configuration, for editors."""
+    click.echo(json.dumps(json_schema(), indent=1))
 
 
 @config.command("reference")
 def show_reference() -> None:
-    """The reference page (docs/configuration-reference.md)."""
-    click.echo(reference(), nl=False)
+    """Prints the reference page (docs/configuration-reference.md)."""
+    click.echo(reference_page(), nl=False)
 
 
 @config.command()
 @click.argument("source", type=click.Path())
 @click.option(
     "--to",
-    "form",
+    "output_format",
     type=click.Choice(["toml", "json", "platform"]),
     default="toml",
     show_default=True,
 )
-def convert(source: str, form: str) -> None:
-    """Another form of a configuration: the platform's JSON as TOML, TOML as JSON, either as the
-    platform's."""
+def convert(source: str, output_format: str) -> None:
+    """Converts a configuration to TOML, to JSON or to the platform format.
+
+    The source may be in any of the three formats."""
     import tomli_w
 
-    found = _either(source)
-    if form == "toml":
-        click.echo(tomli_w.dumps(written(found)), nl=False)
+    source_config = _load_any_format(source)
+    if output_format == "toml":
+        click.echo(tomli_w.dumps(to_builtins(source_config)), nl=False)
     else:
         click.echo(
-            json.dumps(written(found) if form == "json" else reading.platform(found), indent=1)
+            json.dumps(
+                to_builtins(source_config)
+                if output_format == "json"
+                else config_reader.to_platform(source_config),
+                indent=1,
+            )
         )
 
 
@@ -201,52 +219,55 @@
 @click.argument("before", type=click.Path())
 @click.argument("after", type=click.Path())
 def diff(before: str, after: str) -> None:
-    """What differs between two configurations; status 1 if anything does."""
-    found = reading.differences(_either(before), _either(after))
-    for key, old, new in found:
+    """Shows the differences between two configurations; exit status 1 if there are any."""
+    differences = config_reader.differences(_load_any_format(before), _load_any_format(after))
+    for key, old, new in differences:
         click.echo(f"{key}: {json.dumps(old)} -> {json.dumps(new)}")
-    sys.exit(FAILED if found else 0)
+    sys.exit(EXIT_FAILED if differences else 0)
 
 
-def _either(source: str) -> Config:
+def _load_any_format(source: str) -> Config:
+    """Loads a configuration in the platform format or in that of `ironledge.toml`."""
     path = Path(source)
-    raw = reading.raw_of(path, reading.text_of(path))
-    return reading.from_platform(raw) if "settings" in raw else reading.read(source, env={}).config
-
-
-# Operators' calls.
+    raw = config_reader.parse_text(path, config_reader.read_text(path))
+    return (
+        config_reader.from_platform(raw)
+        if "settings" in raw
+        else config_reader.load(source, env={}).config
+    )
 
 
 @main.group()
 def ops() -> None:
-    """Calls running ingresses at their operators' addresses, several at once."""
+    """Calls running ingresses at their operators' addresses, several in parallel."""
 
 
 def _call(address: str, method: str, path: str) -> dict[str, Any]:
+    """Sends one call; the result as printed by `--json`."""
     host, _, port = address.rpartition(":")
     try:
-        connection = HTTPConnection(host, int(port), timeout=CALL_TIMEOUT)
+        connection = HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
         try:
             connection.request(method, path)
-            answer = connection.getresponse()
-            text = answer.read(1 << 22).decode(errors="replace").strip()
+            response = connection.getresponse()
+            text = response.read(1 << 22).decode(errors="replace").strip()
         finally:
             connection.close()
     except (OSError, HTTPException, ValueError) as error:
-        return {"address": address, "ok": False, "answer": f"not reached: {error}"}
+        return {"address": address, "ok": False, "answer": f"unreachable: {error}"}
     try:
-        said: Any = json.loads(text)
+        answer: Any = json.loads(text)
     except ValueError:
-        said = text
+        answer = text
     return {
         "address": address,
-        "ok": 200 <= answer.status < 300,
-        "status": answer.status,
-        "answer": said,
+        "ok": 200 <= response.status < 300,
+        "status": response.status,
+        "answer": answer,
     }
 
 
-def _asked(
+def _call_all(
     addresses: tuple[str, ...], method: str, path: str, as_json: bool
 ) -> list[dict[str, Any]]:
     with ThreadPoolExecutor(max_workers=min(32, len(addresses))) as pool:
@@ -266,38 +287,47 @@
     Console(width=None if sys.stdout.isatty() else 160).print(table)
 
 
-def _end(rows: list[dict[str, Any]]) -> None:
-    sys.exit(0 if all(row["ok"] for row in rows) else FAILED)
+def _exit_by_results(rows: list[dict[str, Any]]) -> None:
+    sys.exit(0 if all(row["ok"] for row in rows) else EXIT_FAILED)
+
 
+def _add_call_command(name: str, method: str, path: str, help_: str) -> None:
+    """Adds a command that sends one call to each address and tabulates the answers."""
 
-def _called(name: str, method: str, path: str, help_: str) -> None:
     @ops.command(name, help=help_)
     @click.argument("addresses", nargs=-1, required=True)
-    @click.option("--json", "as_json", is_flag=True, help="for programs")
+    @click.option("--json", "as_json", is_flag=True, help="print JSON, for programs")
     def command(addresses: tuple[str, ...], as_json: bool) -> None:
-        rows = _asked(addresses, method, path, as_json)
+        rows = _call_all(addresses, method, path, as_json)
         if not as_json:
-            shown = [[r["address"], "yes" if r["ok"] else "no", _short(r["answer"])] for r in rows]
+            shown = [
+                [r["address"], "yes" if r["ok"] else "no", _summary(r["answer"])] for r in rows
+            ]
             _table(["ingress", name, ""], shown)
-        _end(rows)
+        _exit_by_results(rows)
 
 
-def _short(answer: Any) -> str:
+def _summary(answer: Any) -> str:
     if isinstance(answer, dict):
         return ", ".join(f"{k} {v}" for k, v in answer.items() if v not in (None, []))
     return str(answer)
 
 
-_called("status", "GET", "/status", "Whether each can serve.")
-_called("discovery", "GET", "/discovery", "What each watches, and how old its list is.")
+_add_call_command("status", "GET", "/status", "Shows whether each ingress can serve.")
+_add_call_command(
+    "discovery",
+    "GET",
+    "/discovery",
+    "Shows what each ingress watches, and the age of its server list.",
+)
 
 
 @ops.command()
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="for programs")
+@click.option("--json", "as_json", is_flag=True, help="print JSON, for programs")
 def pools(addresses: tuple[str, ...], as_json: bool) -> None:
-    """Connections to the servers, a line for each ingress and server."""
-    rows = _asked(addresses, "GET", "/pools", as_json)
+    """Shows the connections to the servers, one line per ingress and server."""
+    rows = _call_all(addresses, "GET", "/pools", as_json)
     if not as_json:
         keys = [
             "name",
@@ -312,34 +342,41 @@
             "bound",
             "why",
         ]
-        lines = [
+        server_rows = [
             [r["address"], *(s.get(k) for k in keys)] for r in rows if r["ok"] for s in r["answer"]
         ]
         _table(
-            ["ingress", *keys], lines + [[r["address"], r["answer"]] for r in rows if not r["ok"]]
+            ["ingress", *keys],
+            server_rows + [[r["address"], r["answer"]] for r in rows if not r["ok"]],
         )
-    _end(rows)
+    _exit_by_results(rows)
 
 
-_called("config", "GET", "/config", "The settings that run, and their hash.")
+_add_call_command("config", "GET", "/config", "Shows the settings in effect, and their hash.")
 
 
 @ops.command()
 @click.argument("address")
-@click.option("--every", default=1.0, show_default=True, type=click.FloatRange(0.1, 60), help="s")
-@click.option("--count", default=0, help="looks; 0: until Ctrl-C")
+@click.option(
+    "--every",
+    default=1.0,
+    show_default=True,
+    type=click.FloatRange(0.1, 60),
+    help="refresh interval in seconds",
+)
+@click.option("--count", default=0, help="number of refreshes; 0: until Ctrl-C")
 def top(address: str, every: float, count: int) -> None:
-    """The oldest open requests, live."""
+    """Shows the oldest open requests, refreshed continuously."""
     from rich.console import Console
     from rich.live import Live
     from rich.table import Table
 
-    def look() -> Table:
-        said = _call(address, "GET", "/debug/requests")
+    def render() -> Table:
+        result = _call(address, "GET", "/debug/requests")
         table = Table(
             "id", "class", "age, ms", "left, ms", "phase", "attempts", "servers", title=address
         )
-        for r in said["answer"] if said["ok"] else []:
+        for r in result["answer"] if result["ok"] else []:
             row = (
                 r["id"],
                 r["class"],
@@ -350,85 +387,86 @@
                 " ".join(r["servers"]),
             )
             table.add_row(*(str(v) for v in row))
-        table.caption = "" if said["ok"] else str(said["answer"])
+        table.caption = "" if result["ok"] else str(result["answer"])
         return table
 
-    with Live(look(), console=Console(), auto_refresh=False) as screen:
-        looks = 1
-        while not count or looks < count:
+    with Live(render(), console=Console(), auto_refresh=False) as screen:
+        refreshes = 1
+        while not count or refreshes < count:
             time.sleep(every)
-            screen.update(look(), refresh=True)
-            looks += 1
+            screen.update(render(), refresh=True)
+            refreshes += 1
 
 
 @ops.command()
 @click.argument("server")
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="for programs")
+@click.option("--json", "as_json", is_flag=True, help="print JSON, for programs")
 def drain(server: str, addresses: tuple[str, ...], as_json: bool) -> None:
-    """Drains a server at the list service (its `writes` address): it gets nothing new anywhere."""
+    """Drains a server at the list service (its `writes` address).
+
+    No ingress sends it new requests from then on."""
     from urllib.parse import quote
 
-    rows = _asked(addresses, "POST", f"/servers/{quote(server, safe='')}/drain", as_json)
+    rows = _call_all(addresses, "POST", f"/servers/{quote(server, safe='')}/drain", as_json)
     if not as_json:
         _table(
             ["list service", "drain", ""],
-            [[r["address"], "yes" if r["ok"] else "no", _short(r["answer"])] for r in rows],
+            [[r["address"], "yes" if r["ok"] else "no", _summary(r["answer"])] for r in rows],
         )
-    _end(rows)
+    _exit_by_results(rows)
 
 
 @ops.command()
-@click.argument("what", type=click.Choice(["enter", "exit"]))
+@click.argument("action", type=click.Choice(["enter", "exit"]))
 @click.argument("server")
 @click.argument("addresses", nargs=-1, required=True)
-@click.option("--json", "as_json", is_flag=True, help="for programs")
-def maintenance(what: str, server: str, addresses: tuple[str, ...], as_json: bool) -> None:
-    """Takes a server out at each ingress, or puts it back."""
+@click.option("--json", "as_json", is_flag=True, help="print JSON, for programs")
+def maintenance(action: str, server: str, addresses: tuple[str, ...], as_json: bool) -> None:
+    """Puts a server into maintenance at each ingress, or ends its maintenance."""
     from urllib.parse import quote
 
-    rows = _asked(addresses, "POST", f"/maintenance/{what}?who={quote(server, safe='')}", as_json)
+    rows = _call_all(
+        addresses, "POST", f"/maintenance/{action}?who={quote(server, safe='')}", as_json
+    )
     if not as_json:
         _table(
-            ["ingress", what, ""],
+            ["ingress", action, ""],
             [[r["address"], "yes" if r["ok"] else "no", r["answer"]] for r in rows],
         )
-    _end(rows)
-
-
-# The other programs.
+    _exit_by_results(rows)
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
-def directory(args: Sets) -> None:
-    """The list service (see docs/directory.md)."""
-    _other("cairndale.discovery", args)
+def directory(args: Arguments) -> None:
+    """Runs the list service (see docs/directory.md)."""
+    _exec_module("cairndale.discovery", args)
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
-def lab(args: Sets) -> None:
-    """The lab: emulator, experiments, reports (see docs/lab.md)."""
-    _other("cairndale.lab", args)
+def lab(args: Arguments) -> None:
+    """Runs the lab: emulator, experiments, reports (see docs/lab.md)."""
+    _exec_module("cairndale.lab", args)
 
 
 @main.command(context_settings={"ignore_unknown_options": True, "help_option_names": []})
 @click.argument("args", nargs=-1, type=click.UNPROCESSED)
-def demo(args: Sets) -> None:
-    """Real ingresses amid stand-ins for half a minute."""
-    _other("cairndale.lab", ("demo", *args))
+def demo(args: Arguments) -> None:
+    """Runs real ingresses with stand-ins for servers, counter and discovery for half a minute."""
+    _exec_module("cairndale.lab", ("demo", *args))
 
 
-def _other(module: str, args: Sets) -> None:
+def _exec_module(module: str, args: Arguments) -> None:
     import os
     from importlib.util import find_spec
 
     if module == "cairndale.lab" and not all(map(find_spec, ("numpy", "matplotlib", "hdrh"))):
-        _stop(
-            "the lab's libraries are not there: pip install 'cairndale[lab]', or ./demo "
+        _exit_with_message(
+            "the lab's libraries are not installed: run pip install 'cairndale[lab]', or ./demo "
             "in a checkout",
-            FAILED,
+            EXIT_FAILED,
         )
 
     os.execv(sys.executable, [sys.executable, "-m", module, *args])
@@ -437,31 +475,32 @@
 @main.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh"]))
 def completion(shell: str) -> None:
-    """A script that completes commands: `eval "$(ironledge completion bash)"`."""
+    """Prints a shell completion script, for `eval "$(ironledge completion bash)"`."""
     from click.shell_completion import get_completion_class
 
-    found = get_completion_class(shell)
-    assert found
-    click.echo(found(main, {}, "ironledge", "_IRONLEDGE_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class
+    click.echo(completion_class(main, {}, "ironledge", "_IRONLEDGE_COMPLETE").source())
 
 
-def _stop(message: str, status: int) -> None:
+def _exit_with_message(message: str, status: int) -> None:
     click.echo(message, err=True)
     sys.exit(status)
 
 
 def entry() -> None:
+    """Runs the command line; ends the process with its exit status."""
     try:
         main.main(prog_name="ironledge", standalone_mode=False)
-    except reading.ConfigErrors as error:
-        _stop(str(error), BAD)
+    except config_reader.ConfigErrors as error:
+        _exit_with_message(str(error), EXIT_USAGE)
     except click.exceptions.NoArgsIsHelpError as error:
-        _stop(error.format_message(), BAD)
+        _exit_with_message(error.format_message(), EXIT_USAGE)
     except click.ClickException as error:
         error.show()
-        sys.exit(BAD)
+        sys.exit(EXIT_USAGE)
     except (click.Abort, KeyboardInterrupt):
-        _stop("stopped", STOPPED)
+        _exit_with_message("interrupted", EXIT_INTERRUPTED)
 
 
 if __name__ == "__main__":
--- a/cairndale/ingress/cli/checked.py
+++ b/cairndale/ingress/cli/checked.py
@@ -1,5 +1,5 @@
-"""Reading a file into msgspec structs with every error at once: key, what was found, what is
-allowed."""
+"""Conversion of file contents to msgspec structs with every error reported at once: the key, the
+value found and what is allowed."""
 
 from __future__ import annotations
 
@@ -12,80 +12,98 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct
 
-Hook = Callable[[type, Any], Any]
+DecodeHook = Callable[[type, Any], Any]
 
 
 def about(text: str) -> Meta:
-    """What a key is for."""
+    """The annotation that describes a key to users."""
     return Meta(description=text)
 
 
-def at(where: str, key: str) -> str:
-    return f"{where}.{key}" if where else key
+def join_key(parent: str, key: str) -> str:
+    """The dotted path of a key in the table `parent`; empty: the top level."""
+    return f"{parent}.{key}" if parent else key
 
 
-def plain(kind: Any) -> Any:
-    """`X | None` as X."""
+def without_none(kind: Any) -> Any:
+    """`X` for `X | None`; any other type as it is."""
     if get_origin(kind) in (UnionType, Union):
         return next(k for k in get_args(kind) if k is not type(None))
     return kind
 
 
-def struct_of(kind: Any) -> type[Struct] | None:
+def struct_type(kind: Any) -> type[Struct] | None:
+    """The struct that a type is, possibly annotated; None for any other type."""
     kind = get_args(kind)[0] if get_origin(kind) is Annotated else kind
     return kind if isinstance(kind, type) and issubclass(kind, Struct) else None
 
 
-def list_of(kind: Any) -> type[Struct] | None:
+def list_item_struct(kind: Any) -> type[Struct] | None:
+    """The struct of a list's items; None for other types, and for lists of other items."""
     kind = get_args(kind)[0] if get_origin(kind) is Annotated else kind
-    return struct_of(get_args(kind)[0]) if get_origin(kind) is list else None
+    return struct_type(get_args(kind)[0]) if get_origin(kind) is list else None
 
 
-def sound(value: Any, kind: Any, where: str, errors: list[str], hook: Hook | None = None) -> Any:
-    """`value` as `kind`, or UNSET; all that is wrong goes to `errors` as `key: reason`, not the
-    first alone."""
-    if (struct := struct_of(plain(kind))) is not None:
+def convert(
+    value: Any, kind: Any, path: str, errors: list[str], hook: DecodeHook | None = None
+) -> Any:
+    """Converts decoded TOML or JSON to a type, and collects every error.
+
+    Args:
+        value: decoded TOML or JSON.
+        kind: the type to convert to.
+        path: the dotted path of `value`; empty: the top level.
+        errors: each error is appended as `key: reason`.
+        hook: decodes types that msgspec does not know.
+
+    Returns:
+        The converted value, or UNSET after an error.
+    """
+    if (struct := struct_type(without_none(kind))) is not None:
         if not isinstance(value, dict):
-            errors.append(f"{where}: found {value!r}, a table is wanted")
+            errors.append(f"{path}: found {value!r}: expected a table")
             return UNSET
         fields = {f.encode_name: f for f in msgspec.structs.fields(struct)}
         for key in sorted(value.keys() - fields.keys()):
-            near = difflib.get_close_matches(key.lower(), fields, 1)
+            similar = difflib.get_close_matches(key.lower(), fields, 1)
             errors.append(
-                f"{at(where, key)}: not known" + (f"; {near[0]!r} is meant?" if near else "")
+                f"{join_key(path, key)}: unknown key"
+                + (f"; did you mean {similar[0]!r}?" if similar else "")
             )
-        made: dict[str, Any] = {}
+        converted: dict[str, Any] = {}
         for key, field in fields.items():
             if key in value:
-                made[field.name] = sound(value[key], field.type, at(where, key), errors, hook)
+                converted[field.name] = convert(
+                    value[key], field.type, join_key(path, key), errors, hook
+                )
             elif field.required:
-                errors.append(f"{at(where, key)}: is missing")
-        whole = all(f.name in made for f in fields.values() if f.required)
-        return struct(**made) if whole and UNSET not in made.values() else UNSET
-    if list_of(kind) is not None:
+                errors.append(f"{join_key(path, key)}: is missing")
+        complete = all(f.name in converted for f in fields.values() if f.required)
+        return struct(**converted) if complete and UNSET not in converted.values() else UNSET
+    if list_item_struct(kind) is not None:
         if not isinstance(value, list):
-            errors.append(f"{where}: found {value!r}, a list of tables is wanted")
+            errors.append(f"{path}: found {value!r}: expected a list of tables")
             return UNSET
-        inner = get_args(get_args(kind)[0] if get_origin(kind) is Annotated else kind)[0]
-        rows = [sound(v, inner, f"{where}[{n}]", errors, hook) for n, v in enumerate(value)]
+        item_type = get_args(get_args(kind)[0] if get_origin(kind) is Annotated else kind)[0]
+        rows = [convert(v, item_type, f"{path}[{n}]", errors, hook) for n, v in enumerate(value)]
         return UNSET if UNSET in rows else rows
     try:
         return msgspec.convert(value, kind, dec_hook=hook)
     except msgspec.ValidationError as error:
         reason = str(error).partition(" - at ")[0]
         reason = reason.replace("Expected", "expected", 1).replace("Invalid", "invalid", 1)
-        errors.append(f"{where}: found {value!r}: {reason}")
+        errors.append(f"{path}: found {value!r}: {reason}")
         return UNSET
 
 
-def described(kind: type[Struct], where: str = "") -> Iterator[tuple[str, Any, Any, str]]:
+def described_keys(kind: type[Struct], path: str = "") -> Iterator[tuple[str, Any, Any, str]]:
     """Key, type, default (NODEFAULT: none) and description of every key that has a description."""
     for field in msgspec.structs.fields(kind):
-        key, hint = at(where, field.encode_name), field.type
-        if struct := struct_of(plain(hint)):
-            yield from described(struct, key)
-        elif struct := list_of(hint):
-            yield from described(struct, f"{key}[]")
+        key, hint = join_key(path, field.encode_name), field.type
+        if struct := struct_type(without_none(hint)):
+            yield from described_keys(struct, key)
+        elif struct := list_item_struct(hint):
+            yield from described_keys(struct, f"{key}[]")
         else:
             metas = [m for m in getattr(hint, "__metadata__", ()) if isinstance(m, Meta)]
             texts = [m.description for m in metas if m.description]
@@ -96,28 +114,31 @@
                 yield key, hint, default, texts[-1]
 
 
-def line_of(text: str, path: str) -> int:
-    """The line of a TOML text on which a key stands, from 1; 0 where that cannot be told."""
-    wanted = re.findall(r"[^.\[\]]+|\[\d+\]", path)
-    names = [w for w in wanted if not w.startswith("[")]
-    numbers = [int(w[1:-1]) for w in wanted if w.startswith("[")]
+def line_of_key(text: str, path: str) -> int:
+    """The line of a TOML text on which a key is set, or else that of the closest enclosing key or
+    table; from 1, and 0 if none is found."""
+    parts = re.findall(r"[^.\[\]]+|\[\d+\]", path)
+    names = [part for part in parts if not part.startswith("[")]
+    indexes = [int(part[1:-1]) for part in parts if part.startswith("[")]
     table: list[str] = []
-    counts: dict[str, int] = {}
-    best = 0
+    entry_indexes: dict[str, int] = {}  # of each array of tables: the index of its current entry
+    closest = 0
     for number, line in enumerate(text.splitlines(), 1):
         if match := re.match(r"\s*\[\[?\s*([^\]]+?)\s*\]\]?\s*(#.*)?$", line):
             table = [part.strip().strip("\"'") for part in match[1].split(".")]
             if line.lstrip().startswith("[["):
                 name = ".".join(table)
-                counts[name] = counts.get(name, -1) + 1
-            if table == names and (not numbers or counts.get(".".join(table), 0) == numbers[0]):
-                best = best or number
+                entry_indexes[name] = entry_indexes.get(name, -1) + 1
+            if table == names and (
+                not indexes or entry_indexes.get(".".join(table), 0) == indexes[0]
+            ):
+                closest = closest or number
             continue
         if match := re.match(r"\s*([A-Za-z0-9_\"'-]+)\s*=", line):
-            here = [*table, match[1].strip("\"'")]
-            right = not numbers or counts.get(".".join(table), 0) == numbers[0]
-            if right and here == names[: len(here)]:
-                if here == names:
+            key = [*table, match[1].strip("\"'")]
+            same_entry = not indexes or entry_indexes.get(".".join(table), 0) == indexes[0]
+            if same_entry and key == names[: len(key)]:
+                if key == names:
                     return number
-                best = number
-    return best
+                closest = number
+    return closest
--- a/cairndale/ingress/cli/read.py
+++ b/cairndale/ingress/cli/read.py
@@ -1,5 +1,7 @@
-"""`ironledge.toml` (or the same as JSON) into the model, and the model into what the ingress runs
-on."""
+"""Reads `ironledge.toml` (or the same as JSON) into the model, and converts between the model and
+the platform format.
+
+The platform format is the JSON that `cairndale/ingress/net/config.py` reads."""
 
 from __future__ import annotations
 
@@ -14,16 +16,23 @@
 import msgspec
 from msgspec import Struct, UnsetType
 
-from cairndale.ingress.cli.checked import at, line_of, list_of, plain, sound, struct_of
-from cairndale.ingress.cli.model import Config, Duration, Size, hook, written
+from cairndale.ingress.cli.checked import (
+    convert,
+    join_key,
+    line_of_key,
+    list_item_struct,
+    struct_type,
+    without_none,
+)
+from cairndale.ingress.cli.model import Config, Duration, Size, decode_hook, to_builtins
 from cairndale.ingress.net.requests import FieldError, read_timeout
 
-MOST = 4 << 20  # bytes of a configuration
-PREFIX = "IRONLEDGE_"
+MAX_FILE_BYTES = 4 << 20
+ENV_PREFIX = "IRONLEDGE_"
 
 
 class ConfigErrors(Exception):
-    """All that is wrong: `FILE:LINE: KEY: REASON` a line."""
+    """All errors of a configuration, one line each: `FILE:LINE: KEY: REASON`."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("\n".join(errors))
@@ -31,104 +40,117 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Read:
+class LoadedConfig:
+    """A valid configuration, and where its values come from."""
+
     config: Config
-    origins: dict[str, str]  # key: where its value comes from, if not from the defaults
+    origins: dict[str, str]  # key: the source of its value, if it is not the default
     path: str
 
 
-def text_of(path: Path) -> str:
-    """The file's text. Raises ConfigErrors for a folder, a pipe, another encoding, too large a
-    file."""
+def read_text(path: Path) -> str:
+    """The file's text. Raises ConfigErrors for a missing file, a directory, a pipe, an encoding
+    other than UTF-8, or a file that is too large."""
     try:
         if path.exists() and not path.is_file():
-            raise ConfigErrors([f"{path}: is no regular file"])
+            raise ConfigErrors([f"{path}: not a regular file"])
         data = path.read_bytes()
     except OSError as error:
         raise ConfigErrors([f"{path}: {error.strerror}"]) from None
-    if len(data) > MOST:
-        raise ConfigErrors([f"{path}: {len(data)} bytes; {MOST} at the most"])
+    if len(data) > MAX_FILE_BYTES:
+        raise ConfigErrors(
+            [f"{path}: {len(data)} bytes exceed the limit of {MAX_FILE_BYTES} bytes"]
+        )
     try:
-        return data.decode("utf-8-sig")  # a byte-order mark is no part of it
+        return data.decode("utf-8-sig")  # skips a byte-order mark
     except UnicodeDecodeError as error:
         raise ConfigErrors([f"{path}: not UTF-8 at byte {error.start}"]) from None
 
 
-def raw_of(path: Path, text: str) -> dict[str, Any]:
+def parse_text(path: Path, text: str) -> dict[str, Any]:
+    """Parses TOML, or JSON if the path ends in `.json`. Raises ConfigErrors."""
     try:
         as_json = path.suffix == ".json"
-        raw = json.loads(text, parse_constant=_no_constant) if as_json else tomllib.loads(text)
+        raw = json.loads(text, parse_constant=_reject_constant) if as_json else tomllib.loads(text)
     except (ValueError, RecursionError) as error:
         raise ConfigErrors([f"{path}: {error}"]) from None
     if not isinstance(raw, dict):
-        raise ConfigErrors([f"{path}: a table is wanted at the top"])
+        raise ConfigErrors([f"{path}: expected a table at the top level"])
     return raw
 
 
-def _no_constant(text: str) -> Any:
-    raise ValueError(f"{text} is no number here")
+def _reject_constant(text: str) -> Any:
+    raise ValueError(f"{text} is not a valid number")
 
 
-def read(path: str, set_: tuple[str, ...] = (), env: Mapping[str, str] | None = None) -> Read:
-    """The file, then the environment (`IRONLEDGE_LIMITS__SOCKETS=512`), then `set_`
-    (`limits.sockets=512`); the later wins. Raises ConfigErrors with every error at once."""
+def load(
+    path: str, overrides: tuple[str, ...] = (), env: Mapping[str, str] | None = None
+) -> LoadedConfig:
+    """Reads the file, then the environment (`IRONLEDGE_LIMITS__SOCKETS=512`), then `overrides`
+    (`limits.sockets=512`); the latest value of a key wins. Raises ConfigErrors with every error."""
     file = Path(path)
-    text = text_of(file)
-    raw = raw_of(file, text)
+    text = read_text(file)
+    raw = parse_text(file, text)
     errors: list[str] = []
-    origins = dict.fromkeys(_leaves(raw), str(path))
-    given = os.environ if env is None else env
-    for name, value in sorted(given.items()):
-        if name.startswith(PREFIX):
-            key = name.removeprefix(PREFIX).lower().replace("__", ".")
+    origins = dict.fromkeys(_leaf_keys(raw), str(path))
+    environment = os.environ if env is None else env
+    for name, value in sorted(environment.items()):
+        if name.startswith(ENV_PREFIX):
+            key = name.removeprefix(ENV_PREFIX).lower().replace("__", ".")
             _override(raw, key, value, name, errors, origins)
-    for entry in set_:
-        key, equals, value = entry.partition("=")
+    for override in overrides:
+        key, equals, value = override.partition("=")
         if not equals:
-            errors.append(f"--set {entry}: KEY=VALUE is wanted")
+            errors.append(f"--set {override}: expected KEY=VALUE")
         else:
-            _override(raw, key, value, f"--set {entry}", errors, origins)
-    found: Config | UnsetType = sound(raw, Config, "", errors, hook)
-    if isinstance(found, Config):
-        errors += _crossed(found)
-    if errors or not isinstance(found, Config):
-        raise ConfigErrors([_placed(e, file, text) for e in errors])
-    return Read(found, origins, str(path))
+            _override(raw, key, value, f"--set {override}", errors, origins)
+    config: Config | UnsetType = convert(raw, Config, "", errors, decode_hook)
+    if isinstance(config, Config):
+        errors += _cross_key_errors(config)
+    if errors or not isinstance(config, Config):
+        raise ConfigErrors([_with_location(e, file, text) for e in errors])
+    return LoadedConfig(config, origins, str(path))
 
 
-def _placed(error: str, file: Path, text: str) -> str:
-    if error.startswith(("--set", PREFIX)):
+def _with_location(error: str, file: Path, text: str) -> str:
+    if error.startswith(("--set", ENV_PREFIX)):
         return error
-    line = line_of(text, error.partition(":")[0]) if file.suffix != ".json" else 0
+    line = line_of_key(text, error.partition(":")[0]) if file.suffix != ".json" else 0
     return f"{file}:{line}: {error}" if line else f"{file}: {error}"
 
 
-def _leaves(raw: dict[str, Any], where: str = "") -> Iterator[str]:
+def _leaf_keys(raw: dict[str, Any], parent: str = "") -> Iterator[str]:
     for key, value in raw.items():
         if isinstance(value, dict):
-            yield from _leaves(value, at(where, key))
+            yield from _leaf_keys(value, join_key(parent, key))
         else:
-            yield at(where, key)
+            yield join_key(parent, key)
 
 
 def _override(
-    raw: dict[str, Any], key: str, text: str, by: str, errors: list[str], origins: dict[str, str]
+    raw: dict[str, Any],
+    key: str,
+    text: str,
+    origin: str,
+    errors: list[str],
+    origins: dict[str, str],
 ) -> None:
+    """Sets one key of `raw` from text; the conversion to the model checks the value."""
     kind: Any = Config
     *parents, last = key.split(".")
     table: Any = raw
     for part in parents:
         field = _field(kind, part)
-        kind = plain(field.type) if field else None
-        if kind is None or struct_of(kind) is None:
-            errors.append(f"{by}: {key}: only single keys of tables can be set so")
+        kind = without_none(field.type) if field else None
+        if kind is None or struct_type(kind) is None:
+            errors.append(f"{origin}: {key}: only single keys of tables can be set this way")
             return
         table = table.setdefault(part, {})
         if not isinstance(table, dict):
-            return  # the file itself is wrong there, and is told so
+            return  # the file has no table there, which `convert` reports
     field = _field(kind, last)
-    if field is None or list_of(field.type) or struct_of(plain(field.type)):
-        errors.append(f"{by}: {key}: not known as a single key")
+    if field is None or list_item_struct(field.type) or struct_type(without_none(field.type)):
+        errors.append(f"{origin}: {key}: not a known single key")
         return
     value: Any = text
     if text in ("true", "false"):
@@ -140,11 +162,11 @@
                 break
             except ValueError:
                 continue
-    table[last], origins[key] = value, by
+    table[last], origins[key] = value, origin
 
 
 def _field(kind: Any, key: str) -> Any:
-    struct = struct_of(kind)
+    struct = struct_type(kind)
     return (
         next((f for f in msgspec.structs.fields(struct) if f.encode_name == key), None)
         if struct
@@ -152,89 +174,106 @@
     )
 
 
-def _crossed(c: Config) -> Iterator[str]:
-    """What no single key shows."""
-    for what, names in (
-        ("server", [s.name for s in c.server]),
-        ("class", [k.name for k in c.class_]),
-        ("plan", [p.name for p in c.plan]),
+def _cross_key_errors(config: Config) -> Iterator[str]:
+    """Errors that concern several keys."""
+    for table, names in (
+        ("server", [s.name for s in config.server]),
+        ("class", [k.name for k in config.class_]),
+        ("plan", [p.name for p in config.plan]),
     ):
-        folded: dict[str, int] = {}
+        first_by_name: dict[str, int] = {}  # names are compared without case
         for number, name in enumerate(names):
-            if name.lower() in folded:
+            if name.lower() in first_by_name:
                 yield (
-                    f"{what}[{number}].name: {name!r} stands for "
-                    f"{what}[{folded[name.lower()]}] as well"
+                    f"{table}[{number}].name: {name!r} is already the name of "
+                    f"{table}[{first_by_name[name.lower()]}]"
                 )
-            folded.setdefault(name.lower(), number)
-    paths: dict[str, int] = {}
-    for number, kind in enumerate(c.class_):
-        if kind.path in paths:
-            yield f"class[{number}].path: {kind.path!r} is class[{paths[kind.path]}]'s as well"
-        paths.setdefault(kind.path, number)
-        if not 0 < kind.aim <= kind.deadline:
-            aim, deadline = written(kind.aim), written(kind.deadline)
-            yield f"class[{number}].aim: {aim} is not over 0 and within the deadline, {deadline}"
-    if not c.class_:
-        yield "class: at least one is wanted"
-    plans = {p.name for p in c.plan}
+            first_by_name.setdefault(name.lower(), number)
+    first_by_path: dict[str, int] = {}
+    for number, request_class in enumerate(config.class_):
+        if request_class.path in first_by_path:
+            yield (
+                f"class[{number}].path: {request_class.path!r} is already the path of "
+                f"class[{first_by_path[request_class.path]}]"
+            )
+        first_by_path.setdefault(request_class.path, number)
+        if not 0 < request_class.aim <= request_class.deadline:
+            aim, deadline = to_builtins(request_class.aim), to_builtins(request_class.deadline)
+            yield (
+                f"class[{number}].aim: {aim} must be greater than 0 "
+                f"and at most the deadline, {deadline}"
+            )
+    if not config.class_:
+        yield "class: at least one is required"
+    plans = {p.name for p in config.plan}
     if not plans:
-        yield "plan: at least one is wanted"
-    for number, plan in enumerate(c.plan):
+        yield "plan: at least one is required"
+    for number, plan in enumerate(config.plan):
         if plan.rate and plan.burst < 1:
-            yield f"plan[{number}].burst: found {plan.burst:g}; with a rate no request fits under 1"
+            yield (
+                f"plan[{number}].burst: found {plan.burst:g}; "
+                "a plan with a rate needs a burst of at least 1, or no request fits"
+            )
         if bool(plan.ceiling_rate) != bool(plan.ceiling_burst):
-            yield f"plan[{number}].ceiling_rate: a ceiling has both a rate and a burst"
+            yield (
+                f"plan[{number}].ceiling_rate: ceiling_rate and ceiling_burst must be set together"
+            )
         elif plan.ceiling_rate and (
             plan.ceiling_rate < plan.rate or plan.ceiling_burst < plan.burst
         ):
-            yield f"plan[{number}].ceiling_rate: the ceiling lies under the quota"
-    for customer, name in c.customers.items():
+            yield f"plan[{number}].ceiling_rate: the hard rate limit is below the quota"
+    for customer, name in config.customers.items():
         if name not in plans:
-            yield f"customers.{customer}: no plan {name!r}; there are {', '.join(sorted(plans))}"
-    way, _, constant = c.request.plan.partition(":")
-    if way == "constant" and constant not in plans:
-        yield f"request.plan: no plan {constant!r}; there are {', '.join(sorted(plans))}"
-    way, _, constant = c.request.timeout.partition(":")
-    if way == "constant":
+            yield (
+                f"customers.{customer}: unknown plan {name!r}; "
+                f"known plans: {', '.join(sorted(plans))}"
+            )
+    source_kind, _, constant = config.request.plan.partition(":")
+    if source_kind == "constant" and constant not in plans:
+        yield f"request.plan: unknown plan {constant!r}; known plans: {', '.join(sorted(plans))}"
+    source_kind, _, constant = config.request.timeout.partition(":")
+    if source_kind == "constant":
         try:
             read_timeout(constant.encode())
         except FieldError as error:
             yield f"request.timeout: {error}"
-    way, _, constant = c.request.units.partition(":")
-    if way == "constant" and not _number(constant):
-        yield f"request.units: found {constant!r}; a number over 0 is wanted"
-    if not c.server and c.discovery is None:
-        yield "server: none, and no discovery either"
-    for number, server in enumerate(c.server):
-        if server.zone and server.zone not in c.fleet.zones:
+    source_kind, _, constant = config.request.units.partition(":")
+    if source_kind == "constant" and not _is_positive_number(constant):
+        yield f"request.units: found {constant!r}: expected a number greater than 0"
+    if not config.server and config.discovery is None:
+        yield "server: no servers are listed, and discovery is not configured"
+    for number, server in enumerate(config.server):
+        if server.zone and server.zone not in config.fleet.zones:
             yield f"server[{number}].zone: {server.zone!r} is not in fleet.zones"
-    if c.fleet.zone and c.fleet.zone not in c.fleet.zones:
-        yield f"fleet.zone: {c.fleet.zone!r} is not in fleet.zones"
-    if c.fleet.number >= c.fleet.gateways:
-        yield f"fleet.number: {c.fleet.number} of {c.fleet.gateways}, counted from 0"
-    if c.metrics.on and c.ops is None:
-        yield "metrics.on: there is no operators' address (ops) to ask at"
-    if c.ops is not None and c.ops == c.listen and not c.ops.endswith(":0"):
-        yield "ops: is the clients' address"
-
-
-def _number(text: str) -> bool:
+    if config.fleet.zone and config.fleet.zone not in config.fleet.zones:
+        yield f"fleet.zone: {config.fleet.zone!r} is not in fleet.zones"
+    if config.fleet.number >= config.fleet.gateways:
+        yield (
+            f"fleet.number: {config.fleet.number} is not less than "
+            f"fleet.gateways, {config.fleet.gateways}"
+        )
+    if config.metrics.on and config.ops is None:
+        yield "metrics.on: requires the operators' address (ops)"
+    if config.ops is not None and config.ops == config.listen and not config.ops.endswith(":0"):
+        yield "ops: must differ from the clients' address (listen)"
+
+
+def _is_positive_number(text: str) -> bool:
     try:
         return 0 < float(text) < 1e9
     except ValueError:
         return False
 
 
-def platform(c: Config) -> dict[str, Any]:
-    """The configuration as net/config.py takes it: the platform's form, and `request` beside it."""
-    zone = c.fleet.zone or c.fleet.zones[0]
+def to_platform(config: Config) -> dict[str, Any]:
+    """The configuration in the platform format, extended by `request`."""
+    zone = config.fleet.zone or config.fleet.zones[0]
     settings = {
-        "me": c.fleet.number,
-        "fleet_size": c.fleet.gateways,
-        "my_zone": c.fleet.zones.index(zone),
+        "me": config.fleet.number,
+        "fleet_size": config.fleet.gateways,
+        "my_zone": config.fleet.zones.index(zone),
         "period": 0,
-        "failure_domains": c.fleet.zones,
+        "failure_domains": config.fleet.zones,
         "flavors": ["server"],
         "services": [
             {
@@ -243,7 +282,7 @@
                 "deadline": int(k.deadline),
                 "semantics": {"safe": "retryable", "unsafe": "fragile"}[k.repeat],
             }
-            for k in c.class_
+            for k in config.class_
         ],
         "contracts": [
             {
@@ -255,17 +294,17 @@
                 "never_over_depth": p.ceiling_burst,
                 "tolerance": 0.0,
             }
-            for p in c.plan
+            for p in config.plan
         ],
         "ceilings": {
-            "max_attempts": c.limits.max_attempts,
-            "may_duplicate": c.limits.second_copies,
-            "cancel": c.limits.cancel,
-            "retry_after": c.limits.retry_after,
-            "max_open": c.limits.max_open,
-            "max_retry_after": int(c.limits.max_retry_after),
-            "connect_timeout": int(c.limits.connect_timeout),
-            "conn_idle": int(c.limits.idle),
+            "max_attempts": config.limits.max_attempts,
+            "may_duplicate": config.limits.second_copies,
+            "cancel": config.limits.cancel,
+            "retry_after": config.limits.retry_after,
+            "max_open": config.limits.max_open,
+            "max_retry_after": int(config.limits.max_retry_after),
+            "connect_timeout": int(config.limits.connect_timeout),
+            "conn_idle": int(config.limits.idle),
         },
         "safety": {
             "answer_slack": 16_000,
@@ -277,24 +316,24 @@
         },
         "telemetry": {"fields": [], "via": "off"},
         "domain": {
-            "may_count": c.counter is not None,
-            "count_wait": int(c.counter.timeout) if c.counter else 0,
+            "may_count": config.counter is not None,
+            "count_wait": int(config.counter.timeout) if config.counter else 0,
         },
     }
-    made: dict[str, Any] = {
-        "name": c.name,
-        "listen": str(c.listen),
-        "discovery": str(c.discovery.address) if c.discovery else None,
+    platform: dict[str, Any] = {
+        "name": config.name,
+        "listen": str(config.listen),
+        "discovery": str(config.discovery.address) if config.discovery else None,
         "seed": os.urandom(8).hex(),
-        "ops": str(c.ops) if c.ops else None,
-        "counter": str(c.counter.address) if c.counter else None,
-        "limits": {"memory_mb": c.limits.memory / 1e6, "sockets": c.limits.sockets},
+        "ops": str(config.ops) if config.ops else None,
+        "counter": str(config.counter.address) if config.counter else None,
+        "limits": {"memory_mb": config.limits.memory / 1e6, "sockets": config.limits.sockets},
         "pool": {
-            "age_s": c.pool.age / 1e6,
-            "requests": c.pool.requests,
-            "queue": c.pool.queue,
-            "warm": c.pool.warm,
-            "server_share": c.pool.server_share,
+            "age_s": config.pool.age / 1e6,
+            "requests": config.pool.requests,
+            "queue": config.pool.queue,
+            "warm": config.pool.warm,
+            "server_share": config.pool.server_share,
         },
         "known": {
             "index": 1,
@@ -304,38 +343,39 @@
                     "name": s.name,
                     "address": str(s.address),
                     "status": "up",
-                    "zone": s.zone or c.fleet.zones[0],
+                    "zone": s.zone or config.fleet.zones[0],
                     "type": "server",
                     "weight": s.weight,
                 }
-                for s in c.server
+                for s in config.server
             ],
         },
         "settings": settings,
         "request": {
-            "customer": str(c.request.customer),
-            "plan": str(c.request.plan),
-            "timeout": str(c.request.timeout),
-            "units": str(c.request.units),
-            "customers": c.customers,
-            "paths": {k.path: k.name for k in c.class_},
+            "customer": str(config.request.customer),
+            "plan": str(config.request.plan),
+            "timeout": str(config.request.timeout),
+            "units": str(config.request.units),
+            "customers": config.customers,
+            "paths": {k.path: k.name for k in config.class_},
         },
     }
-    if c.discovery:
-        made["directory"] = {
-            "addresses": [str(a) for a in c.discovery.more],
-            "shrink": c.discovery.shrink,
-            "hold_s": c.discovery.hold / 1e6,
+    if config.discovery:
+        platform["directory"] = {
+            "addresses": [str(a) for a in config.discovery.more],
+            "shrink": config.discovery.shrink,
+            "hold_s": config.discovery.hold / 1e6,
         }
-    return made
+    return platform
 
 
 def from_platform(raw: dict[str, Any]) -> Config:
-    """The platform's JSON as the model, as that has a place for it. Raises ConfigErrors."""
+    """The model of a configuration in the platform format. Drops what the model has no key for.
+    Raises ConfigErrors."""
     try:
         settings, limits = raw["settings"], raw.get("limits", {})
         ceilings, zones = settings["ceilings"], settings.get("failure_domains") or ["here"]
-        found: dict[str, Any] = {
+        values: dict[str, Any] = {
             "listen": raw["listen"],
             "name": raw.get("name", "ironledge"),
             "fleet": {
@@ -345,16 +385,16 @@
                 "zone": zones[settings.get("my_zone", 0)],
             },
             "limits": {
-                "memory": written(Size(int(limits.get("memory_mb", 64) * 1e6))),
+                "memory": to_builtins(Size(int(limits.get("memory_mb", 64) * 1e6))),
                 "sockets": max(64, limits.get("sockets", 1024)),
                 "max_open": ceilings.get("max_open", 0),
                 "max_attempts": ceilings.get("max_attempts", 1),
                 "second_copies": ceilings.get("may_duplicate", False),
                 "cancel": ceilings.get("cancel", False),
                 "retry_after": ceilings.get("retry_after", False),
-                "connect_timeout": written(Duration(ceilings.get("connect_timeout", 250_000))),
-                "idle": written(Duration(ceilings.get("conn_idle", 15_000_000))),
-                "max_retry_after": written(Duration(ceilings.get("max_retry_after", 0))),
+                "connect_timeout": to_builtins(Duration(ceilings.get("connect_timeout", 250_000))),
+                "idle": to_builtins(Duration(ceilings.get("conn_idle", 15_000_000))),
+                "max_retry_after": to_builtins(Duration(ceilings.get("max_retry_after", 0))),
             },
             "server": [
                 {
@@ -370,8 +410,8 @@
                 {
                     "name": k["name"],
                     "path": f"/{k['name']}",
-                    "aim": written(Duration(k["on_time"])),
-                    "deadline": written(Duration(k["deadline"])),
+                    "aim": to_builtins(Duration(k["on_time"])),
+                    "deadline": to_builtins(Duration(k["deadline"])),
                     "repeat": "safe" if k["semantics"] == "retryable" else "unsafe",
                 }
                 for k in settings["services"]
@@ -395,37 +435,44 @@
             },
         }
         if raw.get("ops"):
-            found["ops"] = raw["ops"]
+            values["ops"] = raw["ops"]
         if raw.get("discovery"):
-            found["discovery"] = {"address": raw["discovery"]}
+            values["discovery"] = {"address": raw["discovery"]}
         if raw.get("counter"):
-            wait = settings.get("domain", {}).get("count_wait", 30_000)
-            found["counter"] = {"address": raw["counter"], "timeout": written(Duration(wait))}
+            timeout = settings.get("domain", {}).get("count_wait", 30_000)
+            values["counter"] = {
+                "address": raw["counter"],
+                "timeout": to_builtins(Duration(timeout)),
+            }
     except (KeyError, IndexError, TypeError, AttributeError) as error:
-        raise ConfigErrors([f"not the platform's form: {error!r}"]) from None
+        raise ConfigErrors([f"not in the platform format: {error!r}"]) from None
     errors: list[str] = []
-    made: Config | UnsetType = sound(found, Config, "", errors, hook)
-    if isinstance(made, Config):
-        errors += _crossed(made)
-    if errors or not isinstance(made, Config):
+    config: Config | UnsetType = convert(values, Config, "", errors, decode_hook)
+    if isinstance(config, Config):
+        errors += _cross_key_errors(config)
+    if errors or not isinstance(config, Config):
         raise ConfigErrors(errors)
-    return made
+    return config
 
 
-def flat(value: Any, where: str = "") -> Iterator[tuple[str, Any]]:
-    """Every key of a model with its value as it is written."""
+def flatten(value: Any, path: str = "") -> Iterator[tuple[str, Any]]:
+    """Every key of a model that is set, by its dotted path, with its value as written in a file."""
     if isinstance(value, Struct):
         for field in msgspec.structs.fields(value):
-            yield from flat(getattr(value, field.name), at(where, field.encode_name))
+            yield from flatten(getattr(value, field.name), join_key(path, field.encode_name))
     elif isinstance(value, list) and value and isinstance(value[0], Struct):
         for number, entry in enumerate(value):
-            yield from flat(entry, f"{where}[{number}]")
+            yield from flatten(entry, f"{path}[{number}]")
     elif value is not None:
-        yield where, written(value)
-
-
-def differences(a: Config, b: Config) -> list[tuple[str, Any, Any]]:
-    """Keys whose values differ; None: it is not there."""
-    before, after = dict(flat(a)), dict(flat(b))
-    keys = [*before, *(k for k in after if k not in before)]
-    return [(k, before.get(k), after.get(k)) for k in keys if before.get(k) != after.get(k)]
+        yield path, to_builtins(value)
+
+
+def differences(old: Config, new: Config) -> list[tuple[str, Any, Any]]:
+    """Keys whose values differ, with both values; None: the key is not set."""
+    old_values, new_values = dict(flatten(old)), dict(flatten(new))
+    keys = [*old_values, *(k for k in new_values if k not in old_values)]
+    return [
+        (k, old_values.get(k), new_values.get(k))
+        for k in keys
+        if old_values.get(k) != new_values.get(k)
+    ]
--- a/cairndale/ingress/observability/__init__.py
+++ b/cairndale/ingress/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics and structured logs, loaded only where the configuration wants them."""
+"""Metrics and structured logs, loaded only if the configuration enables them."""
--- a/cairndale/ingress/observability/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -1,9 +1,9 @@
-"""Structured logs: each record an event with a stable name and fields, as key=value for people or
-as JSON.
+"""Structured logs: each record is an event with a stable name and fields, written as key=value
+pairs or as JSON.
 
-Records go through a bounded queue to a thread that formats and writes; a full queue drops and
-counts, and never holds the loop. What stands in for a message is escaped, so that no line can be
-forged."""
+Records go through a bounded queue to a thread that formats and writes them. If the queue is full,
+records are dropped and counted, so that the event loop never blocks. Messages are escaped, so that
+no peer can forge a line."""
 
 from __future__ import annotations
 
@@ -25,45 +25,48 @@
 from cairndale.ingress.policy.interface import Outcome
 
 ROOT_LOGGER = "cairndale.ingress"
-FORMER_ROOT = "ironledge"
-REPEAT = 1.0  # s in which the same event is gathered
-FLOOD = 20  # lines of one event in that time from which on all of it is gathered
-FLUSH = 0.2  # s between looks for gathered events
-END = 2.0  # s for what is queued to be written at the end
+FORMER_ROOT_LOGGER = "ironledge"
+COALESCE_WINDOW_S = 1.0  # repeated records within this time are written as one
+# Written lines of one event per window, beyond which its records are coalesced whatever their text.
+MAX_LINES_PER_WINDOW = 20
+FLUSH_INTERVAL_S = 0.2  # between checks for coalesced records that are due
+STOP_TIMEOUT_S = 2.0  # for writing the queued records at the end
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """`[log]` of the configuration."""
+    """The table `[log]` of the configuration."""
 
     form: str = "text"  # or json
     level: str = "info"
-    levels: tuple[tuple[str, str], ...] = ()  # by part, as ("net.discovery", "warning")
+    levels: tuple[tuple[str, str], ...] = ()  # of single parts, as ("net.discovery", "warning")
     file: str = ""  # standard error if empty
-    access: float = 0.0  # share of the requests that get a line
-    customers: bool = False  # in clear; otherwise hashed
-    queue: int = 10_000  # records
+    access: float = 0.0  # share of the requests that get a line in the access log
+    customers: bool = False  # in clear text; otherwise hashed
+    queue: int = 10_000  # capacity in records
 
 
-def stable(template: str) -> str:
-    """A name for an event, from what its message is made of: `maintenance_is` for `maintenance: %s
-    is %s`."""
+def event_name(template: str) -> str:
+    """The stable name of an event, made of the first words of its message template:
+    `maintenance_is` for `maintenance: %s is %s`."""
     words = re.findall(r"[A-Za-z]+", re.sub(r"%[-+ #0-9.]*[a-zA-Z]|'[^']*'", " ", template))
     return "_".join(w.lower() for w in words[:6]) or "event"
 
 
 class Writer:
-    """The thread behind the queue."""
+    """The log queue, and the thread that writes its records."""
 
     def __init__(self, options: Options, instance: str) -> None:
         self.options, self.instance = options, instance
         self.queue: queue.Queue[dict[str, Any] | None] = queue.Queue(max(1, options.queue))
         self.dropped = 0
-        self._reopen = threading.Event()
+        self._reopen_requested = threading.Event()
         self._out: IO[str] = sys.stderr
-        self._last: dict[tuple[str, str], tuple[float, int, dict[str, Any]]] = {}
-        # lines of an event since when; events are the program's
-        self._pace: dict[str, tuple[float, int]] = {}
+        # By event and message: start of the window, records coalesced since, and the last of them.
+        self._windows: dict[tuple[str, str], tuple[float, int, dict[str, Any]]] = {}
+        # By event: start of the window and lines written since. Its size is bounded, because event
+        # names come from the program's own message templates.
+        self._line_counts: dict[str, tuple[float, int]] = {}
         self._render: Any = structlog.processors.JSONRenderer()
         if options.form != "json":
             order = ["time", "level", "event"]
@@ -71,112 +74,122 @@
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
 
     def start(self) -> None:
+        """Opens the file and starts the thread. Raises OSError."""
         self._open()
         self._thread.start()
 
     def reopen(self) -> None:
-        """SIGUSR1: the file has been moved away."""
-        self._reopen.set()
+        """Opens the file again before the next record: after log rotation (SIGUSR1)."""
+        self._reopen_requested.set()
 
     def put(self, entry: dict[str, Any]) -> None:
+        """Queues a record, or drops and counts it if the queue is full. Never blocks."""
         try:
             self.queue.put_nowait(entry)
         except queue.Full:
             self.dropped += 1
 
     def stop(self) -> None:
+        """Waits for the queued records to be written, for a limited time."""
         try:
-            self.queue.put(None, timeout=END)
+            self.queue.put(None, timeout=STOP_TIMEOUT_S)
         except queue.Full:
             return
-        self._thread.join(END)
+        self._thread.join(STOP_TIMEOUT_S)
 
     def _open(self) -> None:
         if self.options.file:
-            made = os.open(self.options.file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o640)
+            descriptor = os.open(self.options.file, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o640)
             self._out = os.fdopen(
-                made, "a", buffering=1, encoding="utf-8", errors="backslashreplace"
+                descriptor, "a", buffering=1, encoding="utf-8", errors="backslashreplace"
             )
 
     def _run(self) -> None:
-        told = 0
+        reported_drops = 0
         while True:
             try:
-                entry = self.queue.get(timeout=FLUSH)
+                entry = self.queue.get(timeout=FLUSH_INTERVAL_S)
             except queue.Empty:
                 entry = {}
-            if self._reopen.is_set() and self.options.file:
-                self._reopen.clear()
+            if self._reopen_requested.is_set() and self.options.file:
+                self._reopen_requested.clear()
                 self._out.close()
                 self._open()
             if entry:
-                self._gather(entry)
+                self._coalesce(entry)
             self._flush(time.monotonic(), everything=entry is None)
-            if self.dropped > told:
+            if self.dropped > reported_drops:
                 self._write(
-                    {"level": "warning", "event": "log_dropped", "dropped": self.dropped - told}
+                    {
+                        "level": "warning",
+                        "event": "log_dropped",
+                        "dropped": self.dropped - reported_drops,
+                    }
                 )
-                told = self.dropped
+                reported_drops = self.dropped
             if entry is None:
                 return
 
-    def _gather(self, entry: dict[str, Any]) -> None:
-        """The first of an event is written at once; those like it within a second as one, with a
-        number."""
+    def _coalesce(self, entry: dict[str, Any]) -> None:
+        """Writes the first record of an event at once. Further ones with the same message within
+        the window are written as one, with their number."""
         event, now = entry["event"], time.monotonic()
-        if event == "request":  # the access log is sampled, never gathered
+        if event == "request":  # the access log is sampled instead
             self._write(entry)
             return
-        since, lines = self._pace.get(event, (now, 0))
-        since, lines = (since, lines) if now - since < REPEAT else (now, 0)
-        key = (event, entry.get("message", ""))  # alike to the letter; of a flood, whatever it says
-        key = key if key in self._last or lines < FLOOD else (event, "")
-        if key in self._last:
-            began, count, _ = self._last[key]
-            self._last[key] = (began, count + 1, entry)
+        window_start, lines = self._line_counts.get(event, (now, 0))
+        window_start, lines = (
+            (window_start, lines) if now - window_start < COALESCE_WINDOW_S else (now, 0)
+        )
+        key = (event, entry.get("message", ""))
+        key = key if key in self._windows or lines < MAX_LINES_PER_WINDOW else (event, "")
+        if key in self._windows:
+            first_at, count, _ = self._windows[key]
+            self._windows[key] = (first_at, count + 1, entry)
         else:
-            self._last[key] = (now, 0, entry)
+            self._windows[key] = (now, 0, entry)
             self._write(entry)
             lines += 1
-        self._pace[event] = (since, lines)
+        self._line_counts[event] = (window_start, lines)
 
     def _flush(self, now: float, everything: bool) -> None:
-        for key, (since, count, entry) in list(self._last.items()):
-            if everything or now - since >= REPEAT:
-                del self._last[key]
+        for key, (first_at, count, entry) in list(self._windows.items()):
+            if everything or now - first_at >= COALESCE_WINDOW_S:
+                del self._windows[key]
                 if count:
                     self._write(entry | {"repeated": count})
 
     def _write(self, entry: dict[str, Any]) -> None:
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(entry.pop("at", time.time())))
-        made = {"time": f"{stamp}Z", **entry, "instance": self.instance}
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(entry.pop("at", time.time())))
+        record = {"time": f"{timestamp}Z", **entry, "instance": self.instance}
         try:
-            text = self._render(None, "", {k: _plain(v) for k, v in made.items()})
+            text = self._render(None, "", {k: _escaped(v) for k, v in record.items()})
             self._out.write((text if isinstance(text, str) else text.decode()) + "\n")
-        except (OSError, ValueError):  # a full disk, a closed pipe: the ingress goes on without
+        except (OSError, ValueError):  # full disk or closed pipe: must not stop the ingress
             self.dropped += 1
 
 
-def _plain(value: Any) -> Any:
-    """Text without line ends or control characters."""
+def _escaped(value: Any) -> Any:
+    """The value; of text, line ends and control characters are escaped."""
     if isinstance(value, str):
         return value.encode("unicode_escape").decode() if not value.isprintable() else value
     return value
 
 
 class Handler(logging.Handler):
-    """Where the program's records go: an event's name from its template, its text, its level and
-    part."""
+    """Turns the program's log records into events for the writer: with the name from the message
+    template, the text, the level and the part of the program."""
 
     def __init__(self, writer: Writer) -> None:
         super().__init__()
         self._writer = writer
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Queues a record."""
         entry: dict[str, Any] = {
             "at": record.created,
             "level": record.levelname.lower(),
-            "event": stable(str(record.msg)),
+            "event": event_name(str(record.msg)),
             "logger": record.name.removeprefix(f"{ROOT_LOGGER}."),
             "message": record.getMessage(),
         }
@@ -185,21 +198,23 @@
         self._writer.put(entry)
 
 
-class Access:
-    """The engine's observer for the access log: a sampled line a request."""
+class AccessLog:
+    """An observer of the engine that writes the access log: one line per sampled request."""
 
-    def __init__(self, writer: Writer, names: Any) -> None:
-        self._writer, self._engine, self._due = writer, names, 0.0
+    def __init__(self, writer: Writer, engine: Any) -> None:
+        # `_due`: lines due, as the sampling share summed over the requests
+        self._writer, self._engine, self._due = writer, engine, 0.0
 
     def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+        """Writes a line for every sampled request that is over; `us` is its duration."""
         self._due += self._writer.options.access
         if self._due < 1:
             return
         self._due -= 1
         settings = self._engine.settings
-        who = f"{wanted.customer:x}"
+        customer = f"{wanted.customer:x}"
         if not self._writer.options.customers:
-            who = blake2b(who.encode(), digest_size=6).hexdigest()
+            customer = blake2b(customer.encode(), digest_size=6).hexdigest()
         self._writer.put(
             {
                 "at": time.time(),
@@ -208,47 +223,56 @@
                 "id": wanted.id.decode("latin-1"),
                 "class": settings.classes[wanted.cls].name,
                 "plan": settings.plans[wanted.plan].name,
-                "customer": who,
+                "customer": customer,
                 "outcome": outcome,
                 "ms": round(us / 1000, 3),
                 "attempts": attempts,
             }
         )
 
-    def attempt(self, backend: int, outcome: Outcome, us: int) -> None: ...
-    def counted(self, outcome: Outcome, us: int) -> None: ...
+    def attempt(self, backend: int, outcome: Outcome, us: int) -> None:
+        """Attempts are not logged."""
+        ...
+
+    def counted(self, outcome: Outcome, us: int) -> None:
+        """Calls to the counter are not logged."""
+        ...
 
 
-class Both:
-    """Several observers as one."""
+class ObserverGroup:
+    """Several observers of the engine as one."""
 
     def __init__(self, *observers: Any) -> None:
         self._observers = observers
 
     def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+        """See `Observer` in the engine."""
         for observer in self._observers:
             observer.request(wanted, outcome, us, attempts)
 
     def attempt(self, backend: int, outcome: Outcome, us: int) -> None:
+        """See `Observer` in the engine."""
         for observer in self._observers:
             observer.attempt(backend, outcome, us)
 
     def counted(self, outcome: Outcome, us: int) -> None:
+        """See `Observer` in the engine."""
         for observer in self._observers:
             observer.counted(outcome, us)
 
 
 def logger_name(part: str) -> str:
-    """The logger of a part of the ingress, as `[log] levels` names it: `net.discovery`.
+    """The logger of a part of the ingress, which `[log] levels` names as `net.discovery`.
 
-    Settings files of before the packages moved may give the whole name, under the root it had then.
+    Settings files from before the packages were renamed may give the full name, under the former
+    root.
     """
-    relative = "" if part == FORMER_ROOT else part.removeprefix(f"{FORMER_ROOT}.")
+    relative = "" if part == FORMER_ROOT_LOGGER else part.removeprefix(f"{FORMER_ROOT_LOGGER}.")
     return f"{ROOT_LOGGER}.{relative}" if relative else ROOT_LOGGER
 
 
-def begin(options: Options, instance: str) -> Writer:
-    """Takes all of the program's logging over. The caller stops the writer at the end."""
+def start_logging(options: Options, instance: str) -> Writer:
+    """Sends all of the program's log records to a new writer, which the caller stops at the end."""
     writer = Writer(options, instance)
     writer.start()
     root = logging.getLogger()
--- a/cairndale/lab/scenario.py
+++ b/cairndale/lab/scenario.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct, UnsetType
 
-from cairndale.ingress.cli.checked import about, at, described, sound
+from cairndale.ingress.cli.checked import about, convert, described_keys, join_key
 
 S = TypeVar("S", bound=Struct)
 SHIPPED = Path(__file__).parent / "scenarios"
@@ -336,7 +336,7 @@
 
 def _ranges(struct: Struct, where: str = "") -> Iterator[tuple[str, list[float]]]:
     for field in msgspec.structs.fields(struct):
-        value, key = getattr(struct, field.name), at(where, field.encode_name)
+        value, key = getattr(struct, field.name), join_key(where, field.encode_name)
         if isinstance(value, Struct):
             yield from _ranges(value, key)
         elif isinstance(value, list) and value and isinstance(value[0], Struct):
@@ -389,7 +389,7 @@
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError([f"{where}: {error}"]) from None
     errors: list[str] = []
-    found: S | UnsetType = sound(raw, kind, "", errors)
+    found: S | UnsetType = convert(raw, kind, "", errors)
     if isinstance(found, kind):
         errors += crossed(found)
     if errors or not isinstance(found, kind):
@@ -429,5 +429,5 @@
 
 def parameters(kind: type[Struct] = Scenario) -> Iterator[tuple[str, str, str]]:
     """Key, default, and what its description says, for every parameter that has one."""
-    for key, _, default, text in described(kind):
+    for key, _, default, text in described_keys(kind):
         yield key, "-" if default is msgspec.NODEFAULT else str(default), text
--- a/tests/ingress/cli/test_cli.py
+++ b/tests/ingress/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The front door: the configuration for people, the command line against real processes, logs and
+"""The `ironledge` command line: configuration files, commands against real processes, logs and
 metrics."""
 
 from __future__ import annotations
@@ -27,20 +27,28 @@
 from hypothesis import strategies as st
 from msgspec import UNSET
 
-from cairndale.ingress.cli import read as reading
-from cairndale.ingress.cli.checked import sound
-from cairndale.ingress.cli.model import SIZES, TIMES, Config, Duration, Size, hook, written
-from cairndale.ingress.cli.schema import FIRST, reference, schema
+from cairndale.ingress.cli import read as config_reader
+from cairndale.ingress.cli.checked import convert
+from cairndale.ingress.cli.model import (
+    SIZE_UNITS_BYTES,
+    TIME_UNITS_US,
+    Config,
+    Duration,
+    Size,
+    decode_hook,
+    to_builtins,
+)
+from cairndale.ingress.cli.schema import EXAMPLE_CONFIG, json_schema, reference_page
 from cairndale.ingress.net.config import config_from
 from cairndale.ingress.net.requests import FieldError, read_timeout
-from cairndale.ingress.observability.logs import Handler, Options, Writer, stable
+from cairndale.ingress.observability.logs import Handler, Options, Writer, event_name
 from tests.testing.ingress import RAW
 
 ROOT = Path(__file__).parents[3]
 HOST = "127.0.0.1"
 
 
-def front(*args: str, cwd: Path = ROOT, **env: str) -> subprocess.CompletedProcess[str]:
+def run_command(*args: str, cwd: Path = ROOT, **env: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "cairndale.ingress.cli", *args]
     around = {k: v for k, v in os.environ.items() if not k.startswith("IRONLEDGE_")}
     around |= {"PYTHONPATH": str(ROOT)} | env
@@ -50,12 +58,19 @@
 # The configuration.
 
 
-@given(st.integers(1, 2**40), st.sampled_from(sorted(TIMES)), st.sampled_from(sorted(SIZES)))
+@given(
+    st.integers(1, 2**40),
+    st.sampled_from(sorted(TIME_UNITS_US)),
+    st.sampled_from(sorted(SIZE_UNITS_BYTES)),
+)
 def test_quantities_come_back_as_they_were(number: int, time_unit: str, size_unit: str) -> None:
-    for kind, unit, table in ((Duration, time_unit, TIMES), (Size, size_unit, SIZES)):
+    for kind, unit, table in (
+        (Duration, time_unit, TIME_UNITS_US),
+        (Size, size_unit, SIZE_UNITS_BYTES),
+    ):
         if number * table[unit] <= 2**53:
-            value = hook(kind, f"{number}{unit}")
-            assert value == number * table[unit] and hook(kind, written(value)) == value
+            value = decode_hook(kind, f"{number}{unit}")
+            assert value == number * table[unit] and decode_hook(kind, to_builtins(value)) == value
 
 
 NAMES = st.from_regex(r"[a-z][a-z0-9-]{0,8}", fullmatch=True)
@@ -84,14 +99,16 @@
         "request": {"plan": f"constant:{plans[0]['name']}"},
     }
     errors: list[str] = []
-    made = sound(raw, Config, "", errors, hook)
+    made = convert(raw, Config, "", errors, decode_hook)
     assert not errors and isinstance(made, Config)
     for again in (
-        tomllib.loads(tomli_w.dumps(written(made))),
-        json.loads(json.dumps(written(made))),
+        tomllib.loads(tomli_w.dumps(to_builtins(made))),
+        json.loads(json.dumps(to_builtins(made))),
     ):
-        assert reading.differences(made, sound(again, Config, "", errors, hook)) == []
-    platform = json.loads(json.dumps(reading.platform(made)))
+        assert (
+            config_reader.differences(made, convert(again, Config, "", errors, decode_hook)) == []
+        )
+    platform = json.loads(json.dumps(config_reader.to_platform(made)))
     running = config_from(platform)
     assert [p.name for p in running.settings.plans] == [p["name"] for p in plans]
     assert (
@@ -99,7 +116,7 @@
         and running.sockets == sockets
         and running.conn_idle == idle * 1000
     )
-    back = reading.from_platform(platform)
+    back = config_reader.from_platform(platform)
     assert (back.plan, back.limits.idle) == (made.plan, made.limits.idle)
     assert (back.fleet.gateways, back.fleet.zones) == (gateways, made.fleet.zones)
 
@@ -113,38 +130,47 @@
         "counter": "127.0.0.1:3",
     }
     raw |= {"seed": "1", "limits": {}, "settings": RAW, "known": known}
-    made = reading.from_platform(raw)
+    made = config_reader.from_platform(raw)
     assert [c.name for c in made.class_] == ["read", "order"] and made.class_[0].repeat == "safe"
     assert made.plan[0].rate == 5.0 and made.counter and made.counter.timeout == 30_000
 
 
 BROKEN = [
-    ("lisen = 'x'", "1: lisen: not known; 'listen' is meant?"),
-    ("listen = 'here'", "1: listen: found 'here': HOST:PORT is wanted"),
-    ("[limits]\nmemory = '3 bags'", "2: limits.memory: found '3 bags': a number with a unit"),
+    ("lisen = 'x'", "1: lisen: unknown key; did you mean 'listen'?"),
+    ("listen = 'here'", "1: listen: found 'here': expected HOST:PORT"),
+    (
+        "[limits]\nmemory = '3 bags'",
+        "2: limits.memory: found '3 bags': expected a number with a unit",
+    ),
     ("[limits]\nidle = 15", "2: limits.idle: found 15"),
     ("[limits]\nsockets = 3", "2: limits.sockets: found 3: expected `int` >= 64"),
     ("[limits]\nmax_attempts = 2.5", "limits.max_attempts: found 2.5"),
-    ("[fleet]\nnumber = 3", "2: fleet.number: 3 of 1"),
+    ("[fleet]\nnumber = 3", "2: fleet.number: 3 is not less than fleet.gateways, 1"),
     ("[fleet]\nzone = 'attic'", "2: fleet.zone: 'attic' is not in fleet.zones"),
-    ("[[class]]\nname = 'a'\naim = '20s'", "3: class[0].aim: 20s is not over 0"),
-    ("[[class]]\nname = 'a'\n[[class]]\nname = 'A'\npath = '/b'", "4: class[1].name: 'A' stands"),
-    ("[[class]]\nname = 'a'\n[[class]]\nname = 'b'", "class[1].path: '/' is class[0]'s as well"),
+    ("[[class]]\nname = 'a'\naim = '20s'", "3: class[0].aim: 20s must be greater than 0"),
+    (
+        "[[class]]\nname = 'a'\n[[class]]\nname = 'A'\npath = '/b'",
+        "4: class[1].name: 'A' is already the name",
+    ),
+    (
+        "[[class]]\nname = 'a'\n[[class]]\nname = 'b'",
+        "class[1].path: '/' is already the path of class[0]",
+    ),
     ("[[plan]]\nname = 'p'\nrate = -1\nburst = 1", "3: plan[0].rate: found -1"),
     ("[[plan]]\nname = 'p'\nrate = 5\nburst = 0.5", "4: plan[0].burst"),
     (
         "[[plan]]\nname = 'default'\nrate = 5\nburst = 9\nceiling_rate = 9",
-        "5: plan[0].ceiling_rate: a ceil",
+        "5: plan[0].ceiling_rate: ceiling_rate and ceiling_burst",
     ),
-    ("[customers]\nanna = 'gold'", "2: customers.anna: no plan 'gold'"),
-    ("[request]\nplan = 'constant:gold'", "2: request.plan: no plan 'gold'"),
+    ("[customers]\nanna = 'gold'", "2: customers.anna: unknown plan 'gold'"),
+    ("[request]\nplan = 'constant:gold'", "2: request.plan: unknown plan 'gold'"),
     ("[request]\ntimeout = 'constant:soon'", "2: request.timeout: found 'soon'"),
     ("[request]\nunits = 'constant:many'", "2: request.units: found 'many'"),
-    ("[request]\ncustomer = 'body'", "2: request.customer: found 'body': header:NAME"),
+    ("[request]\ncustomer = 'body'", "2: request.customer: found 'body': expected header:NAME"),
     ("[discovery]\nadress = 'x'", "discovery.address: is missing"),
-    ("server = []", "server: none, and no discovery"),
-    ("ops = '127.0.0.1:8080'", "1: ops: is the clients' address"),
-    ("[metrics]\non = true", "2: metrics.on: there is no operators' address"),
+    ("server = []", "server: no servers are listed, and discovery"),
+    ("ops = '127.0.0.1:8080'", "1: ops: must differ from the clients' address"),
+    ("[metrics]\non = true", "2: metrics.on: requires the operators' address"),
     ("[log]\nform = 'xml'", "2: log.form: found 'xml'"),
     ("[pool]\nserver_share = nan", "2: pool.server_share"),
     ("x = [1", "bad.toml"),
@@ -158,8 +184,8 @@
     path = tmp_path / "bad.toml"
     server = "" if "server" in text else "\n[[server]]\nname = 'a'\naddress = '127.0.0.1:9'\n"
     path.write_text(text + server)
-    with pytest.raises(reading.ConfigErrors) as error:
-        reading.read(str(path), env={})
+    with pytest.raises(config_reader.ConfigErrors) as error:
+        config_reader.load(str(path), env={})
     assert any(wanted in e and e.startswith(str(path)) for e in error.value.errors), (
         error.value.errors
     )
@@ -173,30 +199,30 @@
     (tmp_path / "nan.json").write_text('{"pool": {"server_share": NaN}}')
     (tmp_path / "list.json").write_text("[]")
     for name, wanted in (
-        ("", "no regular file"),
-        ("pipe.toml", "no regular file"),
+        ("", "not a regular file"),
+        ("pipe.toml", "not a regular file"),
         ("none.toml", "No such file"),
         ("latin.toml", "not UTF-8 at byte 8"),
-        ("nan.json", "NaN is no number"),
-        ("list.json", "a table is wanted"),
+        ("nan.json", "NaN is not a valid number"),
+        ("list.json", "expected a table"),
     ):
-        with pytest.raises(reading.ConfigErrors, match=wanted):
-            reading.read(str(tmp_path / name), env={})
-    (tmp_path / "bom.toml").write_bytes(b"\xef\xbb\xbf" + FIRST.encode())
-    assert reading.read(str(tmp_path / "bom.toml"), env={}).config.ops == "127.0.0.1:8081"
+        with pytest.raises(config_reader.ConfigErrors, match=wanted):
+            config_reader.load(str(tmp_path / name), env={})
+    (tmp_path / "bom.toml").write_bytes(b"\xef\xbb\xbf" + EXAMPLE_CONFIG.encode())
+    assert config_reader.load(str(tmp_path / "bom.toml"), env={}).config.ops == "127.0.0.1:8081"
 
 
 def test_the_command_line_goes_before_the_environment_and_that_before_the_file(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "a.toml"
-    path.write_text(FIRST)
+    path.write_text(EXAMPLE_CONFIG)
     env = {
         "IRONLEDGE_LIMITS__SOCKETS": "512",
         "IRONLEDGE_LIMITS__IDLE": "9s",
         "IRONLEDGE_NAME": "edge",
     }
-    found = reading.read(str(path), ("limits.sockets=256",), env)
+    found = config_reader.load(str(path), ("limits.sockets=256",), env)
     assert (found.config.limits.sockets, found.config.limits.idle, found.config.name) == (
         256,
         9_000_000,
@@ -206,8 +232,8 @@
     assert found.origins["limits.idle"] == "IRONLEDGE_LIMITS__IDLE" and found.origins[
         "listen"
     ] == str(path)
-    with pytest.raises(reading.ConfigErrors) as error:
-        reading.read(
+    with pytest.raises(config_reader.ConfigErrors) as error:
+        config_reader.load(
             str(path),
             ("server=x", "limits.sockets", "nothing.here=1"),
             {"IRONLEDGE_LIMITS__COLOUR": "1"},
@@ -216,14 +242,17 @@
 
 
 def test_the_page_the_schema_and_the_model_are_of_one_piece() -> None:
-    assert (ROOT / "docs/configuration-reference.md").read_text() == reference()
-    made = schema()
-    assert set(made["properties"]) == {
+    assert (ROOT / "docs/configuration-reference.md").read_text() == reference_page()
+    schema = json_schema()
+    assert set(schema["properties"]) == {
         f.encode_name for f in __import__("msgspec").structs.fields(Config)
     }
-    assert made["properties"]["server"]["items"]["required"] == ["name", "address"]
+    assert schema["properties"]["server"]["items"]["required"] == ["name", "address"]
     errors: list[str] = []
-    assert sound(tomllib.loads(FIRST), Config, "", errors, hook) is not UNSET and not errors
+    assert (
+        convert(tomllib.loads(EXAMPLE_CONFIG), Config, "", errors, decode_hook) is not UNSET
+        and not errors
+    )
 
 
 @pytest.mark.parametrize(
@@ -240,24 +269,28 @@
 
 
 def test_commands_say_what_they_do_and_bad_ones_end_with_2(tmp_path: Path) -> None:
-    helped = front("--help")
+    helped = run_command("--help")
     for command in ("run", "check", "config", "ops", "directory", "lab", "demo", "completion"):
         assert command in helped.stdout
     assert (
-        "_ironledge_completion" in front("completion", "bash").stdout
-        and "#compdef" in front("completion", "zsh").stdout
+        "_ironledge_completion" in run_command("completion", "bash").stdout
+        and "#compdef" in run_command("completion", "zsh").stdout
     )
-    assert front("config", "init", "a.toml", cwd=tmp_path).returncode == 0
-    assert front("config", "init", "a.toml", cwd=tmp_path).returncode == 1  # not written over
-    assert "sound; 2 servers" in front("check", "-c", "a.toml", cwd=tmp_path).stdout
-    shown = front("config", "show", "-c", "a.toml", cwd=tmp_path, IRONLEDGE_NAME="edge").stdout
+    assert run_command("config", "init", "a.toml", cwd=tmp_path).returncode == 0
+    assert run_command("config", "init", "a.toml", cwd=tmp_path).returncode == 1  # not written over
+    assert "valid; 2 servers" in run_command("check", "-c", "a.toml", cwd=tmp_path).stdout
+    shown = run_command(
+        "config", "show", "-c", "a.toml", cwd=tmp_path, IRONLEDGE_NAME="edge"
+    ).stdout
     assert re.search(r'^name +"edge" +IRONLEDGE_NAME$', shown, re.M)
-    made = front("config", "convert", "a.toml", "--to", "platform", cwd=tmp_path).stdout
+    made = run_command("config", "convert", "a.toml", "--to", "platform", cwd=tmp_path).stdout
     (tmp_path / "p.json").write_text(made)
-    (tmp_path / "b.toml").write_text(front("config", "convert", "p.json", cwd=tmp_path).stdout)
-    assert front("check", "-c", "b.toml", cwd=tmp_path).returncode == 0
-    (tmp_path / "c.toml").write_text(FIRST.replace("rate = 5 ", "rate = 6 "))
-    differs = front("config", "diff", "a.toml", "c.toml", cwd=tmp_path)
+    (tmp_path / "b.toml").write_text(
+        run_command("config", "convert", "p.json", cwd=tmp_path).stdout
+    )
+    assert run_command("check", "-c", "b.toml", cwd=tmp_path).returncode == 0
+    (tmp_path / "c.toml").write_text(EXAMPLE_CONFIG.replace("rate = 5 ", "rate = 6 "))
+    differs = run_command("config", "diff", "a.toml", "c.toml", cwd=tmp_path)
     assert (differs.returncode, differs.stdout) == (1, "plan[0].rate: 5.0 -> 6.0\n")
     for args in (
         ("check", "-c", "none.toml"),
@@ -265,7 +298,7 @@
         ("ops", "status"),
         ("config", "convert", "a.toml", "--to", "x"),
     ):
-        assert front(*args, cwd=tmp_path).returncode == 2
+        assert run_command(*args, cwd=tmp_path).returncode == 2
 
 
 class Echo(BaseHTTPRequestHandler):
@@ -295,16 +328,16 @@
     def log_message(self, *args: Any) -> None: ...
 
 
-class Standing:
+class RunningIngress:
     """An ingress of its own before two plain servers."""
 
     def __init__(self, folder: Path, more: str = "") -> None:
         self.servers = [ThreadingHTTPServer((HOST, 0), Echo) for _ in range(2)]
         for server in self.servers:
             threading.Thread(target=server.serve_forever, daemon=True).start()
-        self.holders = [held() for _ in range(2)]
+        self.holders = [reserve_port() for _ in range(2)]
         self.port, self.ops = (h.getsockname()[1] for h in self.holders)
-        text = FIRST.replace("127.0.0.1:8080", f"{HOST}:{self.port}").replace(
+        text = EXAMPLE_CONFIG.replace("127.0.0.1:8080", f"{HOST}:{self.port}").replace(
             "127.0.0.1:8081", f"{HOST}:{self.ops}"
         )
         for number, server in enumerate(self.servers, 1):
@@ -353,7 +386,7 @@
         return code
 
 
-def held() -> socket.socket:
+def reserve_port() -> socket.socket:
     made = socket.socket()
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -362,17 +395,17 @@
 
 
 @pytest.fixture
-def standing(tmp_path: Path) -> Iterator[Standing]:
-    made = Standing(tmp_path, '\n[metrics]\non = true\n[log]\nform = "json"\naccess = 1\n')
+def ingress(tmp_path: Path) -> Iterator[RunningIngress]:
+    made = RunningIngress(tmp_path, '\n[metrics]\non = true\n[log]\nform = "json"\naccess = 1\n')
     yield made
     if made.process.poll() is None:
         made.end()
 
 
 def test_an_ingress_on_its_own_holds_quotas_before_plain_servers_and_passes_on_what_they_say(
-    standing: Standing, tmp_path: Path
+    ingress: RunningIngress, tmp_path: Path
 ) -> None:
-    status, headers, body = standing.ask(
+    status, headers, body = ingress.ask(
         "/a?b=c", X_Api_Key="anna", Accept="x/y", Connection="close"
     )
     said = json.loads(body)
@@ -384,32 +417,32 @@
     assert said["fields"]["Accept"] == "x/y" and said["fields"]["X-Api-Key"] == "anna"
     assert len(said["fields"]["Request-Id"]) == 16 and "Connection" not in said["fields"]
     assert (
-        standing.ask("/none", X_Api_Key="anna")[0] == 404
-        and standing.ask("/void", X_Api_Key="anna")[0] == 204
+        ingress.ask("/none", X_Api_Key="anna")[0] == 404
+        and ingress.ask("/void", X_Api_Key="anna")[0] == 204
     )
-    put = standing.ask("/p", method="PUT", data=b"x" * 100_000, X_Api_Key="anna")
+    put = ingress.ask("/p", method="PUT", data=b"x" * 100_000, X_Api_Key="anna")
     assert put[0] == 200 and json.loads(put[2])["method"] == "PUT"
-    assert [standing.ask("/q", X_Api_Key="bob")[0] for _ in range(12)] == [200] * 10 + [429] * 2
-    assert standing.ask("/q", X_Api_Key="anna")[0] == 200  # a customer of another plan
-    assert standing.ask("/q", method="BREW")[0] in (400, 405)
+    assert [ingress.ask("/q", X_Api_Key="bob")[0] for _ in range(12)] == [200] * 10 + [429] * 2
+    assert ingress.ask("/q", X_Api_Key="anna")[0] == 200  # a customer of another plan
+    assert ingress.ask("/q", method="BREW")[0] in (400, 405)
     # Its operators.
-    ops = f"{HOST}:{standing.ops}"
-    rows = json.loads(front("ops", "status", ops, f"{HOST}:1", "--json").stdout)
+    ops = f"{HOST}:{ingress.ops}"
+    rows = json.loads(run_command("ops", "status", ops, f"{HOST}:1", "--json").stdout)
     assert [r["ok"] for r in rows] == [True, False]
-    assert front("ops", "maintenance", "enter", "one", ops).returncode == 0
-    assert front("ops", "maintenance", "enter", "nobody", ops).returncode == 1
-    assert json.loads(standing.ask("/fly", port=standing.ops)[2]) == {"error": "no such call"}
-    pools = json.loads(front("ops", "pools", ops, "--json").stdout)[0]["answer"]
+    assert run_command("ops", "maintenance", "enter", "one", ops).returncode == 0
+    assert run_command("ops", "maintenance", "enter", "nobody", ops).returncode == 1
+    assert json.loads(ingress.ask("/fly", port=ingress.ops)[2]) == {"error": "no such call"}
+    pools = json.loads(run_command("ops", "pools", ops, "--json").stdout)[0]["answer"]
     assert {p["name"] for p in pools} == {"one", "two"} and sum(p["asked"] for p in pools) >= 14
     assert (
-        json.loads(front("ops", "config", ops, "--json").stdout)[0]["answer"]["settings"][
+        json.loads(run_command("ops", "config", ops, "--json").stdout)[0]["answer"]["settings"][
             "fleet_size"
         ]
         == 1
     )
-    assert "open" not in front("ops", "top", ops, "--count", "1").stderr
+    assert "open" not in run_command("ops", "top", ops, "--count", "1").stderr
     # Every metric that the dashboard and the alerts name is in a scrape, and no customer is.
-    scrape = standing.ask("/metrics", port=standing.ops)[2].decode()
+    scrape = ingress.ask("/metrics", port=ingress.ops)[2].decode()
     outcomes = dict(
         re.findall(
             r'requests_total\{class_="all",outcome="(\w+)",plan="default"\} ([\d.]+)', scrape
@@ -425,15 +458,15 @@
         )
     assert "anna" not in scrape and "bob" not in scrape
     # SIGHUP: a broken file changes nothing, a sound one holds at once.
-    good = standing.path.read_text()
-    standing.path.write_text(good.replace("burst = 10 ", "burst = 'x' "))
-    standing.process.send_signal(signal.SIGHUP)
+    good = ingress.path.read_text()
+    ingress.path.write_text(good.replace("burst = 10 ", "burst = 'x' "))
+    ingress.process.send_signal(signal.SIGHUP)
     until(lambda: "the_configuration_stays_as_it_was" in (tmp_path / "log.txt").read_text())
-    assert standing.ask("/q", X_Api_Key="bob")[0] == 429
-    standing.path.write_text(good.replace("rate = 0.01 ", "rate = 0 "))
-    standing.process.send_signal(signal.SIGHUP)
-    until(lambda: standing.ask("/q", X_Api_Key="bob")[0] == 200)
-    assert standing.end() == 0
+    assert ingress.ask("/q", X_Api_Key="bob")[0] == 429
+    ingress.path.write_text(good.replace("rate = 0.01 ", "rate = 0 "))
+    ingress.process.send_signal(signal.SIGHUP)
+    until(lambda: ingress.ask("/q", X_Api_Key="bob")[0] == 200)
+    assert ingress.end() == 0
     lines = [json.loads(line) for line in (tmp_path / "log.txt").read_text().splitlines()]
     access = [line for line in lines if line["event"] == "request"]
     assert {line["outcome"] for line in access} >= {"served", "refused"} and all(
@@ -487,7 +520,7 @@
             "again_and_again",
             "again_and_again",
         ]
-    assert stable("maintenance: %s is %s") == "maintenance_is" and stable("%s") == "event"
+    assert event_name("maintenance: %s is %s") == "maintenance_is" and event_name("%s") == "event"
 
 
 def test_a_reader_that_is_stuck_costs_records_and_nobody_waits(tmp_path: Path) -> None:
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -262,8 +262,8 @@
     ran = lab("experiment", str(path), "--out", str(tmp_path / "out"))
     assert ran.returncode == 2 and not (tmp_path / "out").exists()
     for key in (
-        "colour: not known",
-        "'traffic' is meant",
+        "colour: unknown key",
+        "did you mean 'traffic'",
         "fleet.servers",
         "server.cores",
         "trouble[1].kind",
--- a/tests/measurements/measure_ingress.py
+++ b/tests/measurements/measure_ingress.py
@@ -21,9 +21,9 @@
 from pathlib import Path
 from typing import Any
 
-from cairndale.ingress.cli.schema import FIRST
+from cairndale.ingress.cli.schema import EXAMPLE_CONFIG
 from cairndale.ingress.observability.logs import Options, Writer
-from tests.ingress.cli.test_cli import held
+from tests.ingress.cli.test_cli import reserve_port
 from tests.testing.ingress import HOST, OK, RAW, PeerServer, answers
 
 ROOT = Path(__file__).parents[2]
@@ -33,7 +33,7 @@
 def started(checkout: Path) -> tuple[float, float, int]:
     """s of processor time until `/up` says yes, s of the clock, kB held."""
     folder = Path(tempfile.mkdtemp())
-    holder = held()
+    holder = reserve_port()
     port = holder.getsockname()[1]
     known = {"index": 1, "snapshot": True, "endpoints": []}
     config: dict[str, Any] = {
@@ -70,9 +70,9 @@
 async def spent(more: str) -> float:
     """us of processor time for a request."""
     folder = Path(tempfile.mkdtemp())
-    server, holders = await PeerServer(answers(OK)).start(), [held(), held()]
+    server, holders = await PeerServer(answers(OK)).start(), [reserve_port(), reserve_port()]
     port, ops = (h.getsockname()[1] for h in holders)
-    text = FIRST.replace("127.0.0.1:8080", f"{HOST}:{port}").replace(
+    text = EXAMPLE_CONFIG.replace("127.0.0.1:8080", f"{HOST}:{port}").replace(
         "127.0.0.1:8081", f"{HOST}:{ops}"
     )
     for number in (1, 2):
