--- a/cairndale/cli/__main__.py
+++ b/cairndale/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m cairndale.cli`: what an operator asks and orders, at any control node.
+"""`python -m cairndale.cli`: operators' queries and orders, sent to any control node.
 
 Exit codes: 0 done, 1 rejected, 2 wrong usage or unreadable input, 3 no control node answered
 clearly (see `ExitCode`).
@@ -29,7 +29,7 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name; its exit code."""
+    """Run the command that the arguments name, and return its exit code."""
     application = Application("cairndale", "1")
     for command in COMMANDS:
         application.add(command())
--- a/cairndale/cli/command.py
+++ b/cairndale/cli/command.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, options, calls to the control API, reading a JSON file."""
+"""Common parts of the commands: exit codes, options, calls to the control API, JSON input."""
 
 from __future__ import annotations
 
@@ -13,11 +13,9 @@
 from cairndale.cli.control_client import ApiAnswer, UnclearAnswerError, request
 from cairndale.settings import parse_address
 
-AT = option(
-    "at", "a", "address of a control node; may be given several times", flag=False, multiple=True
-)
-JSON = option("json", None, "for programs: the answer as it came", flag=True)
-YES = option("yes", "y", "do not ask", flag=True)
+AT = option("at", "a", "address of a control node; may be repeated", flag=False, multiple=True)
+JSON = option("json", None, "print the API's answer as JSON, for programs", flag=True)
+YES = option("yes", "y", "do not ask for confirmation", flag=True)
 
 
 class ExitCode(IntEnum):
@@ -26,11 +24,11 @@
     DONE = 0
     REJECTED = 1
     USAGE = 2  # or input that cannot be read
-    UNCLEAR = 3  # what was ordered may yet come into force
+    UNCLEAR = 3  # no clear answer: the order may still take effect
 
 
 class CommandError(Exception):
-    """A command cannot go on. The lines were not printed yet."""
+    """A command has failed. The caller prints the lines and exits with the code."""
 
     def __init__(self, code: ExitCode, *lines: str) -> None:
         super().__init__(*lines)
@@ -38,10 +36,10 @@
 
 
 class ApiCommand(Command):
-    """A command that may call the control API; `run_command` is what it does."""
+    """A command that may call the control API. Subclasses implement `run_command`."""
 
     def handle(self) -> int:
-        """Run the command; its exit code. The lines of a `CommandError` go to standard error."""
+        """Run the command and return its exit code. Prints a `CommandError` to standard error."""
         try:
             return self.run_command()
         except CommandError as error:
@@ -50,14 +48,14 @@
             return error.code
 
     def run_command(self) -> ExitCode:
-        """What the command does. Raises CommandError."""
+        """Execute the command. Raises CommandError."""
         raise NotImplementedError
 
     def call_api(self, method: str, call: str, body: bytes = b"") -> Any:
-        """The decoded JSON of a successful call at the addresses of `--at`.
+        """Send a call to the addresses of `--at`, and return the decoded JSON of its answer.
 
         Raises:
-            CommandError: `--at` is missing or wrong, no clear answer came, or the call was
+            CommandError: `--at` is missing or invalid, there was no clear answer, or the call was
                 rejected.
         """
         try:
@@ -67,28 +65,28 @@
         if not addresses:
             raise CommandError(
                 ExitCode.USAGE,
-                "--at ADDRESS is missing: where a control ingress listens, as 10.1.0.11:8200",
+                "--at ADDRESS is missing: the address of a control ingress, such as 10.1.0.11:8200",
             )
         try:
             answer = request(addresses, method, call, body)
         except UnclearAnswerError as error:
             raise CommandError(
                 ExitCode.UNCLEAR,
-                f"no clear answer: {error}; what was ordered may yet come into force",
+                f"no clear answer: {error}; the order may still take effect",
             ) from error
         if answer.status >= 300:
             raise CommandError(ExitCode.REJECTED, *_error_lines(answer))
         return answer.value
 
     def load_object(self) -> dict[str, Any]:
-        """The JSON object in the file that is the argument `file`. Raises CommandError."""
+        """Read the JSON object in the file that the argument `file` names. Raises CommandError."""
         name = self.argument("file")
         try:
             value = json.loads(Path(name).read_text())
         except (OSError, ValueError) as error:
             raise CommandError(ExitCode.USAGE, f"{name}: {error}") from error
         if not isinstance(value, dict):
-            raise CommandError(ExitCode.USAGE, f"{name}: is no JSON object")
+            raise CommandError(ExitCode.USAGE, f"{name}: not a JSON object")
         return value
 
 
--- a/cairndale/cli/config_apply.py
+++ b/cairndale/cli/config_apply.py
@@ -13,15 +13,15 @@
 
 
 class ConfigApplyCommand(ApiCommand):
-    """Puts a file's configuration, or its changes, in force."""
+    """Puts a configuration, or changes to it, in force."""
 
     name = "config apply"
-    description = "Puts a file's configuration, or its changes, on top of the version in force."
+    description = "Applies a file with a configuration, or with changes to the version in force."
     arguments: ClassVar[list[Argument]] = [argument("file")]
     options: ClassVar[list[Option]] = [AT, YES]
 
     def run_command(self) -> ExitCode:
-        """Ask for confirmation, and apply the whole content or the changes in the file."""
+        """Ask for confirmation, and apply the full content or the changes in the file."""
         body = self.load_object()
         call = "Config.Update" if "upsert" in body or "remove" in body else "Config.Replace"
         self.line(f"{call}: gen {body.get('gen')} on top of {body.get('parent')}")
--- a/cairndale/cli/config_check.py
+++ b/cairndale/cli/config_check.py
@@ -15,7 +15,7 @@
     """Validates a configuration in a file, without a call to any node."""
 
     name = "config check"
-    description = "Whether a file holds a sound configuration; every error at once. Asks nobody."
+    description = "Validates a configuration in a file and prints every error. Contacts no node."
     arguments: ClassVar[list[Argument]] = [argument("file")]
 
     def run_command(self) -> ExitCode:
@@ -24,5 +24,5 @@
         errors = change_errors(body, True, -1) + content_errors(body)
         for line in errors:
             self.line_error(line)
-        self.line(f"{len(errors)} errors" if errors else "sound")
+        self.line(f"{len(errors)} errors" if errors else "valid")
         return ExitCode.REJECTED if errors else ExitCode.DONE
--- a/cairndale/cli/config_read.py
+++ b/cairndale/cli/config_read.py
@@ -14,10 +14,10 @@
     """Prints the configuration in force."""
 
     name = "config read"
-    description = "The configuration in force, as JSON."
+    description = "Prints the configuration in force, as JSON."
     options: ClassVar[list[Option]] = [AT]
 
     def run_command(self) -> ExitCode:
-        """Print it as indented JSON."""
+        """Print the configuration as indented JSON."""
         self.line(json.dumps(self.call_api("GET", "Config.Read"), indent=2))
         return ExitCode.DONE
--- a/cairndale/cli/control_client.py
+++ b/cairndale/cli/control_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the control API, which tries one control node after the other."""
+"""HTTP client of the control API, which tries one control node after another."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 TIMEOUT_S = 20.0  # for a clear answer, over all attempts
 ATTEMPT_TIMEOUT_S = 3.0
 MIN_PAUSE_S, MAX_PAUSE_S = 0.1, 2.0  # between rounds over all addresses
-# Statuses besides 5xx that say nothing of the call itself.
+# Statuses besides 5xx that do not tell whether the call was accepted or rejected.
 UNCLEAR_STATUSES = (408, 429)
 
 
 class UnclearAnswerError(Exception):
-    """No control node has answered clearly; what was ordered may yet come into force.
+    """No control node has answered clearly; the order may still take effect.
 
-    The text says what the last attempt brought.
+    The text describes the result of the last attempt.
     """
 
 
@@ -34,15 +34,15 @@
 
 
 def request(addresses: list[Address], method: str, call: str, body: bytes = b"") -> ApiAnswer:
-    """The first clear answer of any of these control nodes.
+    """Return the first clear answer of any of these control nodes.
 
-    After a failure or a 5xx the same call goes to the next: it may run more than once, which the
-    API's calls allow.
+    After a failure or a 5xx status the same call is sent to the next node. It may therefore be
+    executed more than once, which the API's calls allow.
 
     Args:
-        addresses: of control nodes, tried in random order.
-        method: of HTTP.
-        call: the path after `/-/`.
+        addresses: addresses of control nodes, tried in random order.
+        method: HTTP method.
+        call: path after `/-/`.
         body: JSON, or empty.
 
     Raises:
@@ -65,12 +65,12 @@
     connection = http.client.HTTPConnection(host, port, timeout=ATTEMPT_TIMEOUT_S)
     try:
         connection.request(method, f"/-/{call}", body, {"Content-Type": "application/json"})
-        answer = connection.getresponse()
-        text = answer.read()
-        if answer.status < 500 and answer.status not in UNCLEAR_STATUSES:
-            return ApiAnswer(answer.status, json.loads(text))
+        response = connection.getresponse()
+        text = response.read()
+        if response.status < 500 and response.status not in UNCLEAR_STATUSES:
+            return ApiAnswer(response.status, json.loads(text))
     except (OSError, ValueError, http.client.HTTPException) as error:
         raise UnclearAnswerError(f"{host}:{port}: {error}") from error
     finally:
         connection.close()
-    raise UnclearAnswerError(f"{host}:{port} answers {answer.status}")
+    raise UnclearAnswerError(f"{host}:{port}: status {response.status}")
--- a/cairndale/cli/evacuation.py
+++ b/cairndale/cli/evacuation.py
@@ -12,7 +12,7 @@
 
 
 class _ZoneCommand(ApiCommand):
-    """Gives one order about a zone, after a confirmation."""
+    """Sends one order about a zone, after a confirmation."""
 
     arguments: ClassVar[list[Argument]] = [argument("zone")]
     options: ClassVar[list[Option]] = [AT, YES]
@@ -20,14 +20,14 @@
     confirmation: ClassVar[str]
 
     def run_command(self) -> ExitCode:
-        """Print which orders evacuate the zone from now on."""
+        """Send the order, and print the orders that now evacuate the zone."""
         zone = self.argument("zone")
         if not self.option("yes") and not self.confirm(self.confirmation.format(zone), False):
             return ExitCode.REJECTED
         orders = self.call_api("POST", f"{self.api_call}/{zone}")["orders"]
         self.line("done")
         if orders:
-            self.line(f"orders that evacuate {zone}, each of which is to be taken back: {orders}")
+            self.line(f"orders that evacuate {zone}, each to be ended with take-back: {orders}")
         return ExitCode.DONE
 
 
@@ -35,15 +35,15 @@
     """Begins to evacuate a zone."""
 
     name = "evacuate"
-    description = "Nothing more is sent to a zone's servers."
+    description = "Evacuates a zone: no further requests are sent to its servers."
     api_call = "Drain.Begin"
-    confirmation = "Send nothing more to the servers in {}?"
+    confirmation = "Stop sending requests to the servers in {}?"
 
 
 class TakeBackCommand(_ZoneCommand):
     """Takes back an order that evacuates a zone."""
 
     name = "take-back"
-    description = "Ends an evacuation."
+    description = "Takes back an order that evacuates a zone."
     api_call = "Drain.Finish"
-    confirmation = "Send to the servers in {} again?"
+    confirmation = "Resume sending requests to the servers in {}?"
--- a/cairndale/cli/state.py
+++ b/cairndale/cli/state.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Disk:
-    """A control node's disk: its id, what it holds, and the state with all entries applied."""
+    """A control node's disk: its id and contents, and the state with all entries applied."""
 
     id: str
     persisted: PersistedState
@@ -28,20 +28,20 @@
 
 
 class StateCommand(ApiCommand):
-    """Shows what a control node's disk holds. Reads only, also while the node runs."""
+    """Shows the contents of a control node's disk. Reads only, and works while the node runs."""
 
     name = "state"
-    description = "What a control node's disk holds, and what is wrong with it. Changes nothing."
+    description = "Shows the contents of a control node's disk, or its damage. Changes nothing."
     arguments: ClassVar[list[Argument]] = [argument("folder", "the node's stateDir")]
     options: ClassVar[list[Option]] = [
-        option("config", None, "only the configuration in force", flag=True)
+        option("config", None, "print only the configuration in force", flag=True)
     ]
 
     def run_command(self) -> ExitCode:
         """Print members, log and state, or the configuration alone."""
         folder = Path(self.argument("folder"))
         if not (folder / "promptbook").is_dir():
-            raise CommandError(ExitCode.USAGE, f"{folder}: holds no promptbook")
+            raise CommandError(ExitCode.USAGE, f"{folder}: contains no directory `promptbook`")
         disk = _load(folder)
         if self.option("config"):
             self.line(json.dumps(disk.state.content, indent=2))
@@ -56,7 +56,7 @@
         for entry in persisted.entries:
             members = entry.members or members
         voted_for = persisted.voted_for or "nobody"
-        self.line(f"disk {disk.id}; term {persisted.term}, promised to {voted_for}")
+        self.line(f"disk {disk.id}; term {persisted.term}, voted for {voted_for}")
         for role, learner in (("voters", False), ("learners", True)):
             shown = [f"{m.address} ({m.disk_id})" for m in members if m.learner is learner]
             self.line(f"{role}: {', '.join(shown) or 'none'}")
@@ -65,19 +65,21 @@
         state = disk.state
         snapshot, entries = disk.persisted.snapshot, disk.persisted.entries
         last = entries[-1].index if entries else snapshot.index
-        self.line(f"snapshot at {snapshot.index}, {len(entries)} entries after it, to {last}")
-        evacuated = list(state.evacuated)
         self.line(
-            f"with all of them: gen {state.gen}, version {state.version}, evacuated {evacuated}"
+            f"snapshot at index {snapshot.index}, {len(entries)} entries after it, "
+            f"up to index {last}"
         )
+        evacuated = list(state.evacuated)
         self.line(
-            "an entry at the end may not be decided yet: a majority of the voters has to hold it"
+            f"with all entries applied: gen {state.gen}, version {state.version}, "
+            f"evacuated {evacuated}"
         )
+        self.line("the last entries may not be committed yet: that takes a majority of the voters")
 
 
 def _load(folder: Path) -> _Disk:
-    """Raises CommandError: the disk cannot be read, or what it holds is damaged."""
-    # Only this command needs them: the others start without lmdb.
+    """Raises CommandError: the disk cannot be read, or its contents are damaged."""
+    # Imported here, so that the other commands start without lmdb.
     from cairndale.configuration.serialization import FormatError
     from cairndale.configuration.state import State
     from cairndale.control.applier import Applier
--- a/cairndale/cli/status.py
+++ b/cairndale/cli/status.py
@@ -11,14 +11,14 @@
 
 
 class StatusCommand(ApiCommand):
-    """Shows leader, control nodes, ingresses, servers and the version in force."""
+    """Shows the leader, control nodes, ingresses, servers and the version in force."""
 
     name = "status"
-    description = "The leader, control nodes, ingresses, servers, the version in force."
+    description = "Shows the leader, control nodes, ingresses, servers and the version in force."
     options: ClassVar[list[Option]] = [AT, JSON]
 
     def run_command(self) -> ExitCode:
-        """Print lines and two tables, or the answer as it came."""
+        """Print lines and two tables, or the answer as JSON."""
         status = self.call_api("GET", "Fleet.Show")
         if self.option("json"):
             self.line(json.dumps(status))
@@ -31,7 +31,7 @@
 
     def _show_configuration(self, status: dict[str, Any]) -> None:
         self.line(
-            f"gen {status['gen']} (version {status['version']}), term {status['term']} held at "
+            f"gen {status['gen']} (version {status['version']}), term {status['term']}, leader "
             f"{status['leader']}"
         )
 
@@ -57,11 +57,11 @@
 
     def _show_servers(self, servers: list[dict[str, Any]]) -> None:
         self._show_table(
-            ["server", "service", "zone", "state", "last heard"],
+            ["server", "service", "zone", "state", "last heartbeat"],
             [[s["id"], s["service"], s["zone"], s["state"], f"{s['silent']} s"] for s in servers],
         )
 
     def _show_table(self, headers: Any, rows: list[list[Any]]) -> None:
-        """Typed loosely: cleo's own annotations say one cell where it takes a row."""
+        """Print a table. Typed loosely, because cleo annotates a row as a single cell."""
         cells: Any = [[str(cell) for cell in row] for row in rows]
         self.render_table(headers, cells)
--- a/cairndale/ingress/cli/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -64,7 +64,7 @@
 @main.command()
 @config_options
 def run(path: str, overrides: Arguments) -> None:
-    """Runs one ingress until SIGTERM; SIGHUP reloads the configuration."""
+    """Runs one ingress until SIGTERM. SIGHUP reloads the configuration."""
     import uvloop
 
     from cairndale.ingress.__main__ import Parts, serve
@@ -130,7 +130,7 @@
 @main.command()
 @config_options
 def check(path: str, overrides: Arguments) -> None:
-    """Checks a configuration without applying it, and prints every error."""
+    """Checks a configuration and prints every error. It is not applied."""
     loaded = config_reader.load(path, overrides)
     config = loaded.config
     click.echo(
@@ -148,7 +148,7 @@
 @click.argument("path", default="ironledge.toml", type=click.Path(dir_okay=False))
 @click.option("--force", is_flag=True, help="overwrite an existing file")
 def init(path: str, force: bool) -> None:
-    """Writes a commented example configuration for two plain HTTP servers."""
+    """Writes a commented example. It works with two plain HTTP servers."""
     try:
         with Path(path).open("w" if force else "x") as file:
             file.write(EXAMPLE_CONFIG)
@@ -219,7 +219,7 @@
 @click.argument("before", type=click.Path())
 @click.argument("after", type=click.Path())
 def diff(before: str, after: str) -> None:
-    """Shows the differences between two configurations; exit status 1 if there are any."""
+    """Shows how two configurations differ. The exit status is 1 if they do."""
     differences = config_reader.differences(_load_any_format(before), _load_any_format(after))
     for key, old, new in differences:
         click.echo(f"{key}: {json.dumps(old)} -> {json.dumps(new)}")
@@ -239,7 +239,7 @@
 
 @main.group()
 def ops() -> None:
-    """Calls running ingresses at their operators' addresses, several in parallel."""
+    """Calls ingresses at their operators' addresses. Several are called in parallel."""
 
 
 def _call(address: str, method: str, path: str) -> dict[str, Any]:
@@ -475,7 +475,7 @@
 @main.command()
 @click.argument("shell", type=click.Choice(["bash", "zsh"]))
 def completion(shell: str) -> None:
-    """Prints a shell completion script, for `eval "$(ironledge completion bash)"`."""
+    """Prints a completion script. Load it with `eval "$(ironledge completion bash)"`."""
     from click.shell_completion import get_completion_class
 
     completion_class = get_completion_class(shell)
--- a/tests/ingress/cli/test_cli.py
+++ b/tests/ingress/cli/test_cli.py
@@ -50,9 +50,11 @@
 
 def run_command(*args: str, cwd: Path = ROOT, **env: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "cairndale.ingress.cli", *args]
-    around = {k: v for k, v in os.environ.items() if not k.startswith("IRONLEDGE_")}
-    around |= {"PYTHONPATH": str(ROOT)} | env
-    return subprocess.run(command, cwd=cwd, env=around, capture_output=True, text=True, timeout=60)
+    environment = {k: v for k, v in os.environ.items() if not k.startswith("IRONLEDGE_")}
+    environment |= {"PYTHONPATH": str(ROOT)} | env
+    return subprocess.run(
+        command, cwd=cwd, env=environment, capture_output=True, text=True, timeout=60
+    )
 
 
 # The configuration.
@@ -63,14 +65,16 @@
     st.sampled_from(sorted(TIME_UNITS_US)),
     st.sampled_from(sorted(SIZE_UNITS_BYTES)),
 )
-def test_quantities_come_back_as_they_were(number: int, time_unit: str, size_unit: str) -> None:
-    for kind, unit, table in (
+def test_quantities_round_trip(number: int, time_unit: str, size_unit: str) -> None:
+    for kind, unit, factors in (
         (Duration, time_unit, TIME_UNITS_US),
         (Size, size_unit, SIZE_UNITS_BYTES),
     ):
-        if number * table[unit] <= 2**53:
+        if number * factors[unit] <= 2**53:
             value = decode_hook(kind, f"{number}{unit}")
-            assert value == number * table[unit] and decode_hook(kind, to_builtins(value)) == value
+            assert (
+                value == number * factors[unit] and decode_hook(kind, to_builtins(value)) == value
+            )
 
 
 NAMES = st.from_regex(r"[a-z][a-z0-9-]{0,8}", fullmatch=True)
@@ -86,11 +90,10 @@
     idle=st.integers(1, 10**6),
 )
 @settings(max_examples=60, deadline=None)
-def test_a_configuration_is_the_same_in_every_form(
+def test_configuration_round_trips_through_every_format(
     plans: list[dict[str, Any]], gateways: int, sockets: int, idle: int
 ) -> None:
-    """TOML, JSON and the platform's form, there and back; and the ingress takes what is made of
-    it."""
+    """Converts to TOML, JSON and the platform format and back; the ingress accepts the last."""
     raw = {
         "server": [{"name": "a", "address": "127.0.0.1:9"}],
         "plan": plans,
@@ -99,29 +102,30 @@
         "request": {"plan": f"constant:{plans[0]['name']}"},
     }
     errors: list[str] = []
-    made = convert(raw, Config, "", errors, decode_hook)
-    assert not errors and isinstance(made, Config)
-    for again in (
-        tomllib.loads(tomli_w.dumps(to_builtins(made))),
-        json.loads(json.dumps(to_builtins(made))),
+    config = convert(raw, Config, "", errors, decode_hook)
+    assert not errors and isinstance(config, Config)
+    for decoded in (
+        tomllib.loads(tomli_w.dumps(to_builtins(config))),
+        json.loads(json.dumps(to_builtins(config))),
     ):
         assert (
-            config_reader.differences(made, convert(again, Config, "", errors, decode_hook)) == []
+            config_reader.differences(config, convert(decoded, Config, "", errors, decode_hook))
+            == []
         )
-    platform = json.loads(json.dumps(config_reader.to_platform(made)))
-    running = config_from(platform)
-    assert [p.name for p in running.settings.plans] == [p["name"] for p in plans]
+    platform_json = json.loads(json.dumps(config_reader.to_platform(config)))
+    process_config = config_from(platform_json)
+    assert [p.name for p in process_config.settings.plans] == [p["name"] for p in plans]
     assert (
-        running.discovery is None
-        and running.sockets == sockets
-        and running.conn_idle == idle * 1000
+        process_config.discovery is None
+        and process_config.sockets == sockets
+        and process_config.conn_idle == idle * 1000
     )
-    back = config_reader.from_platform(platform)
-    assert (back.plan, back.limits.idle) == (made.plan, made.limits.idle)
-    assert (back.fleet.gateways, back.fleet.zones) == (gateways, made.fleet.zones)
+    converted = config_reader.from_platform(platform_json)
+    assert (converted.plan, converted.limits.idle) == (config.plan, config.limits.idle)
+    assert (converted.fleet.gateways, converted.fleet.zones) == (gateways, config.fleet.zones)
 
 
-def test_the_platforms_own_file_has_a_form_for_people() -> None:
+def test_platform_format_converts_to_the_model() -> None:
     known = {"index": 1, "snapshot": True, "endpoints": []}
     raw = {
         "name": "n0",
@@ -130,12 +134,13 @@
         "counter": "127.0.0.1:3",
     }
     raw |= {"seed": "1", "limits": {}, "settings": RAW, "known": known}
-    made = config_reader.from_platform(raw)
-    assert [c.name for c in made.class_] == ["read", "order"] and made.class_[0].repeat == "safe"
-    assert made.plan[0].rate == 5.0 and made.counter and made.counter.timeout == 30_000
+    model = config_reader.from_platform(raw)
+    assert [c.name for c in model.class_] == ["read", "order"] and model.class_[0].repeat == "safe"
+    assert model.plan[0].rate == 5.0 and model.counter and model.counter.timeout == 30_000
 
 
-BROKEN = [
+# Texts of invalid files, each with a part of the error that is expected.
+INVALID_FILES = [
     ("lisen = 'x'", "1: lisen: unknown key; did you mean 'listen'?"),
     ("listen = 'here'", "1: listen: found 'here': expected HOST:PORT"),
     (
@@ -177,28 +182,28 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "wanted"), BROKEN)
-def test_what_is_wrong_is_said_with_file_line_key_and_what_is_allowed(
-    tmp_path: Path, text: str, wanted: str
+@pytest.mark.parametrize(("text", "expected"), INVALID_FILES)
+def test_errors_name_file_line_key_and_allowed_values(
+    tmp_path: Path, text: str, expected: str
 ) -> None:
     path = tmp_path / "bad.toml"
     server = "" if "server" in text else "\n[[server]]\nname = 'a'\naddress = '127.0.0.1:9'\n"
     path.write_text(text + server)
     with pytest.raises(config_reader.ConfigErrors) as error:
         config_reader.load(str(path), env={})
-    assert any(wanted in e and e.startswith(str(path)) for e in error.value.errors), (
+    assert any(expected in e and e.startswith(str(path)) for e in error.value.errors), (
         error.value.errors
     )
 
 
-def test_files_that_are_none_are_said_to_be_so_and_a_byte_order_mark_is_not_minded(
+def test_unreadable_files_are_reported_and_a_byte_order_mark_is_skipped(
     tmp_path: Path,
 ) -> None:
     os.mkfifo(tmp_path / "pipe.toml")
     (tmp_path / "latin.toml").write_bytes(b"name = '\xe4'")
     (tmp_path / "nan.json").write_text('{"pool": {"server_share": NaN}}')
     (tmp_path / "list.json").write_text("[]")
-    for name, wanted in (
+    for name, expected in (
         ("", "not a regular file"),
         ("pipe.toml", "not a regular file"),
         ("none.toml", "No such file"),
@@ -206,13 +211,13 @@
         ("nan.json", "NaN is not a valid number"),
         ("list.json", "expected a table"),
     ):
-        with pytest.raises(config_reader.ConfigErrors, match=wanted):
+        with pytest.raises(config_reader.ConfigErrors, match=expected):
             config_reader.load(str(tmp_path / name), env={})
     (tmp_path / "bom.toml").write_bytes(b"\xef\xbb\xbf" + EXAMPLE_CONFIG.encode())
     assert config_reader.load(str(tmp_path / "bom.toml"), env={}).config.ops == "127.0.0.1:8081"
 
 
-def test_the_command_line_goes_before_the_environment_and_that_before_the_file(
+def test_command_line_overrides_environment_which_overrides_file(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "a.toml"
@@ -222,14 +227,14 @@
         "IRONLEDGE_LIMITS__IDLE": "9s",
         "IRONLEDGE_NAME": "edge",
     }
-    found = config_reader.load(str(path), ("limits.sockets=256",), env)
-    assert (found.config.limits.sockets, found.config.limits.idle, found.config.name) == (
+    loaded = config_reader.load(str(path), ("limits.sockets=256",), env)
+    assert (loaded.config.limits.sockets, loaded.config.limits.idle, loaded.config.name) == (
         256,
         9_000_000,
         "edge",
     )
-    assert found.origins["limits.sockets"] == "--set limits.sockets=256"
-    assert found.origins["limits.idle"] == "IRONLEDGE_LIMITS__IDLE" and found.origins[
+    assert loaded.origins["limits.sockets"] == "--set limits.sockets=256"
+    assert loaded.origins["limits.idle"] == "IRONLEDGE_LIMITS__IDLE" and loaded.origins[
         "listen"
     ] == str(path)
     with pytest.raises(config_reader.ConfigErrors) as error:
@@ -241,7 +246,7 @@
     assert len(error.value.errors) == 4
 
 
-def test_the_page_the_schema_and_the_model_are_of_one_piece() -> None:
+def test_reference_page_and_schema_match_the_model() -> None:
     assert (ROOT / "docs/configuration-reference.md").read_text() == reference_page()
     schema = json_schema()
     assert set(schema["properties"]) == {
@@ -258,40 +263,44 @@
 @pytest.mark.parametrize(
     ("text", "us"), [(b"500m", 500_000), (b"20u", 20), (b"1.5s", 1_500_000), (b"7ms", 7000)]
 )
-def test_times_of_the_platform_and_of_people_are_read(text: bytes, us: int) -> None:
+def test_timeouts_accept_units_of_the_platform_and_of_the_file(text: bytes, us: int) -> None:
     assert read_timeout(text) == us
-    for bad in (b"", b"5", b"-1s", b"0s", b"1h"):
+    for invalid in (b"", b"5", b"-1s", b"0s", b"1h"):
         with pytest.raises(FieldError):
-            read_timeout(bad)
+            read_timeout(invalid)
 
 
 # The command line.
 
 
-def test_commands_say_what_they_do_and_bad_ones_end_with_2(tmp_path: Path) -> None:
-    helped = run_command("--help")
+def test_commands_print_results_and_usage_errors_exit_with_2(tmp_path: Path) -> None:
+    help_result = run_command("--help")
     for command in ("run", "check", "config", "ops", "directory", "lab", "demo", "completion"):
-        assert command in helped.stdout
+        assert command in help_result.stdout
     assert (
         "_ironledge_completion" in run_command("completion", "bash").stdout
         and "#compdef" in run_command("completion", "zsh").stdout
     )
     assert run_command("config", "init", "a.toml", cwd=tmp_path).returncode == 0
-    assert run_command("config", "init", "a.toml", cwd=tmp_path).returncode == 1  # not written over
+    assert (
+        run_command("config", "init", "a.toml", cwd=tmp_path).returncode == 1
+    )  # does not overwrite
     assert "valid; 2 servers" in run_command("check", "-c", "a.toml", cwd=tmp_path).stdout
     shown = run_command(
         "config", "show", "-c", "a.toml", cwd=tmp_path, IRONLEDGE_NAME="edge"
     ).stdout
     assert re.search(r'^name +"edge" +IRONLEDGE_NAME$', shown, re.M)
-    made = run_command("config", "convert", "a.toml", "--to", "platform", cwd=tmp_path).stdout
-    (tmp_path / "p.json").write_text(made)
+    platform_json = run_command(
+        "config", "convert", "a.toml", "--to", "platform", cwd=tmp_path
+    ).stdout
+    (tmp_path / "p.json").write_text(platform_json)
     (tmp_path / "b.toml").write_text(
         run_command("config", "convert", "p.json", cwd=tmp_path).stdout
     )
     assert run_command("check", "-c", "b.toml", cwd=tmp_path).returncode == 0
     (tmp_path / "c.toml").write_text(EXAMPLE_CONFIG.replace("rate = 5 ", "rate = 6 "))
-    differs = run_command("config", "diff", "a.toml", "c.toml", cwd=tmp_path)
-    assert (differs.returncode, differs.stdout) == (1, "plan[0].rate: 5.0 -> 6.0\n")
+    diff = run_command("config", "diff", "a.toml", "c.toml", cwd=tmp_path)
+    assert (diff.returncode, diff.stdout) == (1, "plan[0].rate: 5.0 -> 6.0\n")
     for args in (
         ("check", "-c", "none.toml"),
         ("fly",),
@@ -301,8 +310,8 @@
         assert run_command(*args, cwd=tmp_path).returncode == 2
 
 
-class Echo(BaseHTTPRequestHandler):
-    """A plain server: says what it was asked, and with which fields."""
+class EchoHandler(BaseHTTPRequestHandler):
+    """A plain server that answers with the request's path, method and header fields."""
 
     protocol_version = "HTTP/1.1"
 
@@ -329,14 +338,14 @@
 
 
 class RunningIngress:
-    """An ingress of its own before two plain servers."""
+    """A process that runs a single ingress in front of two plain servers."""
 
-    def __init__(self, folder: Path, more: str = "") -> None:
-        self.servers = [ThreadingHTTPServer((HOST, 0), Echo) for _ in range(2)]
+    def __init__(self, folder: Path, extra_config: str = "") -> None:
+        self.servers = [ThreadingHTTPServer((HOST, 0), EchoHandler) for _ in range(2)]
         for server in self.servers:
             threading.Thread(target=server.serve_forever, daemon=True).start()
-        self.holders = [reserve_port() for _ in range(2)]
-        self.port, self.ops = (h.getsockname()[1] for h in self.holders)
+        self.reserved_sockets = [reserve_port() for _ in range(2)]
+        self.port, self.ops = (s.getsockname()[1] for s in self.reserved_sockets)
         text = EXAMPLE_CONFIG.replace("127.0.0.1:8080", f"{HOST}:{self.port}").replace(
             "127.0.0.1:8081", f"{HOST}:{self.ops}"
         )
@@ -345,16 +354,16 @@
                 f'127.0.0.1:900{number}"\n\n', f'{HOST}:{server.server_address[1]}"\n\n'
             )
         self.path = folder / "ironledge.toml"
-        self.path.write_text(text.replace("rate = 5 ", "rate = 0.01 ") + more)
+        self.path.write_text(text.replace("rate = 5 ", "rate = 0.01 ") + extra_config)
         self.log = (folder / "log.txt").open("w")
         env = os.environ | {"TMPDIR": str(folder), "PYTHONPATH": str(ROOT)}
         command = [sys.executable, "-m", "cairndale.ingress.cli", "run", "-c", str(self.path)]
         self.process = subprocess.Popen(command, cwd=ROOT, env=env, stderr=self.log)
-        end = time.monotonic() + 60
-        while time.monotonic() < end and self.ask("/up", port=self.port)[0] != 200:
+        deadline = time.monotonic() + 60
+        while time.monotonic() < deadline and self.fetch("/up", port=self.port)[0] != 200:
             time.sleep(0.02)
 
-    def ask(
+    def fetch(
         self,
         path: str,
         port: int = 0,
@@ -362,76 +371,77 @@
         data: bytes | None = None,
         **headers: str,
     ) -> Any:
-        fields = {k.replace("_", "-"): v for k, v in headers.items()}
+        header_fields = {k.replace("_", "-"): v for k, v in headers.items()}
         request = urllib.request.Request(
-            f"http://{HOST}:{port or self.port}{path}", data, fields, method=method
+            f"http://{HOST}:{port or self.port}{path}", data, header_fields, method=method
         )
         try:
-            with urllib.request.urlopen(request, timeout=30) as answer:
-                return answer.status, answer.headers, answer.read()
+            with urllib.request.urlopen(request, timeout=30) as response:
+                return response.status, response.headers, response.read()
         except urllib.error.HTTPError as error:
             return error.code, error.headers, error.read()
         except OSError:
             return 0, {}, b""
 
-    def end(self) -> int:
+    def stop(self) -> int:
         self.process.send_signal(signal.SIGTERM)
-        code = self.process.wait(30)
+        exit_status = self.process.wait(30)
         self.log.close()
         for server in self.servers:
             server.shutdown()
             server.server_close()
-        for holder in self.holders:
-            holder.close()
-        return code
+        for reserved in self.reserved_sockets:
+            reserved.close()
+        return exit_status
 
 
 def reserve_port() -> socket.socket:
-    made = socket.socket()
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    made.bind((HOST, 0))
-    return made
+    """A bound socket that keeps a free port from others; the ingress shares it by SO_REUSEPORT."""
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reserved.bind((HOST, 0))
+    return reserved
 
 
 @pytest.fixture
 def ingress(tmp_path: Path) -> Iterator[RunningIngress]:
-    made = RunningIngress(tmp_path, '\n[metrics]\non = true\n[log]\nform = "json"\naccess = 1\n')
-    yield made
-    if made.process.poll() is None:
-        made.end()
+    running = RunningIngress(tmp_path, '\n[metrics]\non = true\n[log]\nform = "json"\naccess = 1\n')
+    yield running
+    if running.process.poll() is None:
+        running.stop()
 
 
-def test_an_ingress_on_its_own_holds_quotas_before_plain_servers_and_passes_on_what_they_say(
+def test_single_ingress_enforces_quotas_and_forwards_answers_of_plain_servers(
     ingress: RunningIngress, tmp_path: Path
 ) -> None:
-    status, headers, body = ingress.ask(
+    status, headers, body = ingress.fetch(
         "/a?b=c", X_Api_Key="anna", Accept="x/y", Connection="close"
     )
-    said = json.loads(body)
+    echoed = json.loads(body)
     assert (
         status == 200
-        and said["path"] == "/a?b=c"
+        and echoed["path"] == "/a?b=c"
         and headers.get_all("Set-Cookie") == ["a=1", "b=2"]
     )
-    assert said["fields"]["Accept"] == "x/y" and said["fields"]["X-Api-Key"] == "anna"
-    assert len(said["fields"]["Request-Id"]) == 16 and "Connection" not in said["fields"]
+    assert echoed["fields"]["Accept"] == "x/y" and echoed["fields"]["X-Api-Key"] == "anna"
+    assert len(echoed["fields"]["Request-Id"]) == 16 and "Connection" not in echoed["fields"]
     assert (
-        ingress.ask("/none", X_Api_Key="anna")[0] == 404
-        and ingress.ask("/void", X_Api_Key="anna")[0] == 204
+        ingress.fetch("/none", X_Api_Key="anna")[0] == 404
+        and ingress.fetch("/void", X_Api_Key="anna")[0] == 204
     )
-    put = ingress.ask("/p", method="PUT", data=b"x" * 100_000, X_Api_Key="anna")
-    assert put[0] == 200 and json.loads(put[2])["method"] == "PUT"
-    assert [ingress.ask("/q", X_Api_Key="bob")[0] for _ in range(12)] == [200] * 10 + [429] * 2
-    assert ingress.ask("/q", X_Api_Key="anna")[0] == 200  # a customer of another plan
-    assert ingress.ask("/q", method="BREW")[0] in (400, 405)
-    # Its operators.
+    put_response = ingress.fetch("/p", method="PUT", data=b"x" * 100_000, X_Api_Key="anna")
+    assert put_response[0] == 200 and json.loads(put_response[2])["method"] == "PUT"
+    assert [ingress.fetch("/q", X_Api_Key="bob")[0] for _ in range(12)] == [200] * 10 + [429] * 2
+    assert ingress.fetch("/q", X_Api_Key="anna")[0] == 200  # a customer on another plan
+    assert ingress.fetch("/q", method="BREW")[0] in (400, 405)
+    # Operators' calls.
     ops = f"{HOST}:{ingress.ops}"
     rows = json.loads(run_command("ops", "status", ops, f"{HOST}:1", "--json").stdout)
     assert [r["ok"] for r in rows] == [True, False]
     assert run_command("ops", "maintenance", "enter", "one", ops).returncode == 0
     assert run_command("ops", "maintenance", "enter", "nobody", ops).returncode == 1
-    assert json.loads(ingress.ask("/fly", port=ingress.ops)[2]) == {"error": "no such call"}
+    assert json.loads(ingress.fetch("/fly", port=ingress.ops)[2]) == {"error": "no such call"}
     pools = json.loads(run_command("ops", "pools", ops, "--json").stdout)[0]["answer"]
     assert {p["name"] for p in pools} == {"one", "two"} and sum(p["asked"] for p in pools) >= 14
     assert (
@@ -441,32 +451,34 @@
         == 1
     )
     assert "open" not in run_command("ops", "top", ops, "--count", "1").stderr
-    # Every metric that the dashboard and the alerts name is in a scrape, and no customer is.
-    scrape = ingress.ask("/metrics", port=ingress.ops)[2].decode()
+    # A scrape contains every metric that the dashboard and the alerts use, and no customer.
+    scrape = ingress.fetch("/metrics", port=ingress.ops)[2].decode()
     outcomes = dict(
         re.findall(
             r'requests_total\{class_="all",outcome="(\w+)",plan="default"\} ([\d.]+)', scrape
         )
     )
     assert outcomes == {"served": "10.0", "refused": "2.0"}
-    known = set(re.findall(r"^(?:# (?:TYPE|HELP) )?(ironledge_\w+)", scrape, re.M))
+    scraped = set(re.findall(r"^(?:# (?:TYPE|HELP) )?(ironledge_\w+)", scrape, re.M))
     for name in ("dashboard.json", "alerts.yaml"):
         text = (ROOT / "deploy/observability" / name).read_text()
-        named = {re.sub(r"_(bucket|sum|count)$", "", n) for n in re.findall(r"ironledge_\w+", text)}
-        assert named - {"ironledge_"} <= known | {re.sub(r"_total$", "", k) for k in known}, (
-            named - known
-        )
+        referenced = {
+            re.sub(r"_(bucket|sum|count)$", "", n) for n in re.findall(r"ironledge_\w+", text)
+        }
+        assert referenced - {"ironledge_"} <= scraped | {
+            re.sub(r"_total$", "", k) for k in scraped
+        }, referenced - scraped
     assert "anna" not in scrape and "bob" not in scrape
-    # SIGHUP: a broken file changes nothing, a sound one holds at once.
-    good = ingress.path.read_text()
-    ingress.path.write_text(good.replace("burst = 10 ", "burst = 'x' "))
+    # SIGHUP: an invalid file changes nothing, a valid one takes effect at once.
+    valid_config = ingress.path.read_text()
+    ingress.path.write_text(valid_config.replace("burst = 10 ", "burst = 'x' "))
     ingress.process.send_signal(signal.SIGHUP)
     until(lambda: "the_configuration_stays_as_it_was" in (tmp_path / "log.txt").read_text())
-    assert ingress.ask("/q", X_Api_Key="bob")[0] == 429
-    ingress.path.write_text(good.replace("rate = 0.01 ", "rate = 0 "))
+    assert ingress.fetch("/q", X_Api_Key="bob")[0] == 429
+    ingress.path.write_text(valid_config.replace("rate = 0.01 ", "rate = 0 "))
     ingress.process.send_signal(signal.SIGHUP)
-    until(lambda: ingress.ask("/q", X_Api_Key="bob")[0] == 200)
-    assert ingress.end() == 0
+    until(lambda: ingress.fetch("/q", X_Api_Key="bob")[0] == 200)
+    assert ingress.stop() == 0
     lines = [json.loads(line) for line in (tmp_path / "log.txt").read_text().splitlines()]
     access = [line for line in lines if line["event"] == "request"]
     assert {line["outcome"] for line in access} >= {"served", "refused"} and all(
@@ -478,17 +490,17 @@
     }
 
 
-def until(holds: Any) -> None:
-    end = time.monotonic() + 30
-    while not holds():
-        assert time.monotonic() < end
+def until(condition: Any) -> None:
+    deadline = time.monotonic() + 30
+    while not condition():
+        assert time.monotonic() < deadline
         time.sleep(0.02)
 
 
 # Logs.
 
 
-def written_by(options: Options, act: Any, tmp_path: Path) -> list[str]:
+def log_lines(options: Options, act: Any, tmp_path: Path) -> list[str]:
     writer = Writer(options, "n0")
     writer.start()
     act(writer)
@@ -497,7 +509,7 @@
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
-def test_no_line_can_be_forged_and_repeats_are_gathered(tmp_path: Path, form: str) -> None:
+def test_log_lines_cannot_be_forged_and_repeats_are_coalesced(tmp_path: Path, form: str) -> None:
     log = logging.Logger("cairndale.ingress.net.x")
 
     def act(writer: Writer) -> None:
@@ -505,10 +517,10 @@
         log.warning("backend %s: garbage", 'a\nlevel=error event=forged "\x1b[31m')
         for _ in range(41):
             log.info("again and again")
-        for number in range(500):  # a flood, each line another
+        for number in range(500):  # a flood of records, each with another message
             log.info("backend %d is odd", number)
 
-    lines = written_by(Options(form=form, file=str(tmp_path / "log")), act, tmp_path)
+    lines = log_lines(Options(form=form, file=str(tmp_path / "log")), act, tmp_path)
     odd = [line for line in lines if "backend_is_odd" in line]
     lines = [line for line in lines if line not in odd]
     assert len(lines) == 3 and "\x1b" not in "".join(lines) and 20 <= len(odd) <= 25
@@ -523,20 +535,20 @@
     assert event_name("maintenance: %s is %s") == "maintenance_is" and event_name("%s") == "event"
 
 
-def test_a_reader_that_is_stuck_costs_records_and_nobody_waits(tmp_path: Path) -> None:
+def test_stuck_log_reader_costs_records_and_blocks_nobody(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "log")
-    reader = os.open(tmp_path / "log", os.O_RDONLY | os.O_NONBLOCK)  # and never reads
+    reader = os.open(tmp_path / "log", os.O_RDONLY | os.O_NONBLOCK)  # never reads
     writer = Writer(Options(file=str(tmp_path / "log"), queue=100), "n0")
     writer.start()
     for number in range(20_000):
         writer.put({"level": "info", "event": "request", "number": number, "text": "x" * 100})
     assert writer.dropped > 10_000 and writer.queue.qsize() <= 100
-    os.close(reader)  # a closed pipe is no reason to end either
+    os.close(reader)  # a closed pipe does not stop the writer either
     until(lambda: writer.queue.qsize() == 0)
     writer.stop()
 
 
-def test_a_log_that_was_moved_away_is_opened_anew(tmp_path: Path) -> None:
+def test_log_reopens_after_rotation(tmp_path: Path) -> None:
     def act(writer: Writer) -> None:
         writer.put({"level": "info", "event": "first"})
         until(lambda: "first" in (tmp_path / "log").read_text())
@@ -545,5 +557,5 @@
         until(lambda: (tmp_path / "log").exists())
         writer.put({"level": "info", "event": "second"})
 
-    lines = written_by(Options(file=str(tmp_path / "log")), act, tmp_path)
+    lines = log_lines(Options(file=str(tmp_path / "log")), act, tmp_path)
     assert len(lines) == 1 and "second" in lines[0] and "first" in (tmp_path / "old").read_text()
