--- a/cairndale/ingress/cli/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -78,7 +78,7 @@
             return config_from(
                 config_reader.to_platform(config_reader.load(path, overrides).config), before
             )
-        except config_reader.ConfigErrors as error:
+        except config_reader.InvalidConfigError as error:
             raise ConfigError("; ".join(error.errors)) from None
 
     from cairndale.ingress.observability import logs
@@ -492,7 +492,7 @@
     """Runs the command line; ends the process with its exit status."""
     try:
         main.main(prog_name="ironledge", standalone_mode=False)
-    except config_reader.ConfigErrors as error:
+    except config_reader.InvalidConfigError as error:
         _exit_with_message(str(error), EXIT_USAGE)
     except click.exceptions.NoArgsIsHelpError as error:
         _exit_with_message(error.format_message(), EXIT_USAGE)
--- a/cairndale/ingress/cli/checked.py
+++ b/cairndale/ingress/cli/checked.py
@@ -117,9 +117,9 @@
 def line_of_key(text: str, path: str) -> int:
     """The line of a TOML text on which a key is set, or else that of the closest enclosing key or
     table; from 1, and 0 if none is found."""
-    parts = re.findall(r"[^.\[\]]+|\[\d+\]", path)
-    names = [part for part in parts if not part.startswith("[")]
-    indexes = [int(part[1:-1]) for part in parts if part.startswith("[")]
+    tokens = re.findall(r"[^.\[\]]+|\[\d+\]", path)
+    names = [token for token in tokens if not token.startswith("[")]
+    indexes = [int(token[1:-1]) for token in tokens if token.startswith("[")]
     table: list[str] = []
     entry_indexes: dict[str, int] = {}  # of each array of tables: the index of its current entry
     closest = 0
--- a/cairndale/ingress/cli/read.py
+++ b/cairndale/ingress/cli/read.py
@@ -31,7 +31,7 @@
 ENV_PREFIX = "IRONLEDGE_"
 
 
-class ConfigErrors(Exception):
+class InvalidConfigError(Exception):
     """All errors of a configuration, one line each: `FILE:LINE: KEY: REASON`."""
 
     def __init__(self, errors: list[str]) -> None:
@@ -49,33 +49,35 @@
 
 
 def read_text(path: Path) -> str:
-    """The file's text. Raises ConfigErrors for a missing file, a directory, a pipe, an encoding
-    other than UTF-8, or a file that is too large."""
+    """The file's text.
+
+    Raises InvalidConfigError for a missing file, a directory, a pipe, an encoding other than UTF-8,
+    or a file that is too large."""
     try:
         if path.exists() and not path.is_file():
-            raise ConfigErrors([f"{path}: not a regular file"])
+            raise InvalidConfigError([f"{path}: not a regular file"])
         data = path.read_bytes()
     except OSError as error:
-        raise ConfigErrors([f"{path}: {error.strerror}"]) from None
+        raise InvalidConfigError([f"{path}: {error.strerror}"]) from None
     if len(data) > MAX_FILE_BYTES:
-        raise ConfigErrors(
+        raise InvalidConfigError(
             [f"{path}: {len(data)} bytes exceed the limit of {MAX_FILE_BYTES} bytes"]
         )
     try:
         return data.decode("utf-8-sig")  # skips a byte-order mark
     except UnicodeDecodeError as error:
-        raise ConfigErrors([f"{path}: not UTF-8 at byte {error.start}"]) from None
+        raise InvalidConfigError([f"{path}: not UTF-8 at byte {error.start}"]) from None
 
 
 def parse_text(path: Path, text: str) -> dict[str, Any]:
-    """Parses TOML, or JSON if the path ends in `.json`. Raises ConfigErrors."""
+    """Parses TOML, or JSON if the path ends in `.json`. Raises InvalidConfigError."""
     try:
         as_json = path.suffix == ".json"
         raw = json.loads(text, parse_constant=_reject_constant) if as_json else tomllib.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ConfigErrors([f"{path}: {error}"]) from None
+        raise InvalidConfigError([f"{path}: {error}"]) from None
     if not isinstance(raw, dict):
-        raise ConfigErrors([f"{path}: expected a table at the top level"])
+        raise InvalidConfigError([f"{path}: expected a table at the top level"])
     return raw
 
 
@@ -87,7 +89,9 @@
     path: str, overrides: tuple[str, ...] = (), env: Mapping[str, str] | None = None
 ) -> LoadedConfig:
     """Reads the file, then the environment (`IRONLEDGE_LIMITS__SOCKETS=512`), then `overrides`
-    (`limits.sockets=512`); the latest value of a key wins. Raises ConfigErrors with every error."""
+    (`limits.sockets=512`); the latest value of a key wins.
+
+    Raises InvalidConfigError with every error."""
     file = Path(path)
     text = read_text(file)
     raw = parse_text(file, text)
@@ -108,7 +112,7 @@
     if isinstance(config, Config):
         errors += _cross_key_errors(config)
     if errors or not isinstance(config, Config):
-        raise ConfigErrors([_with_location(e, file, text) for e in errors])
+        raise InvalidConfigError([_with_location(e, file, text) for e in errors])
     return LoadedConfig(config, origins, str(path))
 
 
@@ -371,7 +375,7 @@
 
 def from_platform(raw: dict[str, Any]) -> Config:
     """The model of a configuration in the platform format. Drops what the model has no key for.
-    Raises ConfigErrors."""
+    Raises InvalidConfigError."""
     try:
         settings, limits = raw["settings"], raw.get("limits", {})
         ceilings, zones = settings["ceilings"], settings.get("failure_domains") or ["here"]
@@ -445,13 +449,13 @@
                 "timeout": to_builtins(Duration(timeout)),
             }
     except (KeyError, IndexError, TypeError, AttributeError) as error:
-        raise ConfigErrors([f"not in the platform format: {error!r}"]) from None
+        raise InvalidConfigError([f"not in the platform format: {error!r}"]) from None
     errors: list[str] = []
     config: Config | UnsetType = convert(values, Config, "", errors, decode_hook)
     if isinstance(config, Config):
         errors += _cross_key_errors(config)
     if errors or not isinstance(config, Config):
-        raise ConfigErrors(errors)
+        raise InvalidConfigError(errors)
     return config
 
 
--- a/tests/ingress/cli/test_cli.py
+++ b/tests/ingress/cli/test_cli.py
@@ -189,7 +189,7 @@
     path = tmp_path / "bad.toml"
     server = "" if "server" in text else "\n[[server]]\nname = 'a'\naddress = '127.0.0.1:9'\n"
     path.write_text(text + server)
-    with pytest.raises(config_reader.ConfigErrors) as error:
+    with pytest.raises(config_reader.InvalidConfigError) as error:
         config_reader.load(str(path), env={})
     assert any(expected in e and e.startswith(str(path)) for e in error.value.errors), (
         error.value.errors
@@ -211,7 +211,7 @@
         ("nan.json", "NaN is not a valid number"),
         ("list.json", "expected a table"),
     ):
-        with pytest.raises(config_reader.ConfigErrors, match=expected):
+        with pytest.raises(config_reader.InvalidConfigError, match=expected):
             config_reader.load(str(tmp_path / name), env={})
     (tmp_path / "bom.toml").write_bytes(b"\xef\xbb\xbf" + EXAMPLE_CONFIG.encode())
     assert config_reader.load(str(tmp_path / "bom.toml"), env={}).config.ops == "127.0.0.1:8081"
@@ -237,7 +237,7 @@
     assert loaded.origins["limits.idle"] == "IRONLEDGE_LIMITS__IDLE" and loaded.origins[
         "listen"
     ] == str(path)
-    with pytest.raises(config_reader.ConfigErrors) as error:
+    with pytest.raises(config_reader.InvalidConfigError) as error:
         config_reader.load(
             str(path),
             ("server=x", "limits.sockets", "nothing.here=1"),
