--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -20,7 +20,7 @@
 from cairndale.gossip.core import Timing
 from cairndale.gossip.shell import Config, Member, MemberError
 from cairndale.gossip.wire import MAX_NAME_LENGTH, Address
-from cairndale.ingress.cli.checked import about, sound
+from cairndale.ingress.cli.checked import about, convert
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 
 Positive = Annotated[float, Meta(gt=0)]
@@ -85,7 +85,7 @@
     MemberError with all errors at once."""
     errors: list[str] = []
     try:
-        options = sound(tomllib.loads(path.read_text()), Options, "", errors)
+        options = convert(tomllib.loads(path.read_text()), Options, "", errors)
     except (OSError, tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise MemberError(f"{path}: {error}") from None
     addresses: dict[str, Address] = {}
