--- a/cairndale/discovery/__main__.py
+++ b/cairndale/discovery/__main__.py
@@ -17,13 +17,13 @@
 
 from cairndale.discovery.leases import Leases
 from cairndale.discovery.replica import Replica
-from cairndale.discovery.service import CALLERS, Service
-from cairndale.discovery.store import Store, Unusable
+from cairndale.discovery.service import MAX_CONNECTIONS, Service
+from cairndale.discovery.store import DataFolderError, Store
 
 Address = tuple[str, int]
 # descriptors that are neither callers nor watches: the loop's, the disk's, the leader's
-OTHERS = 64
-KEYS = {
+RESERVED_DESCRIPTORS = 64
+CONFIG_KEYS = {
     "data",
     "reads",
     "writes",
@@ -62,12 +62,12 @@
     return host, int(port)
 
 
-def _number(raw: dict[str, Any], key: str, default: float, least: float, most: float) -> Any:
+def _number(raw: dict[str, Any], key: str, default: float, minimum: float, maximum: float) -> Any:
     """Whole, if the default is."""
     value = raw.get(key, default)
-    sound = isinstance(value, int) or (isinstance(default, float) and isinstance(value, float))
-    if not sound or isinstance(value, bool) or not least <= value <= most:
-        raise ConfigError(f"{key}: {value!r} is not a number from {least} to {most}")
+    valid = isinstance(value, int) or (isinstance(default, float) and isinstance(value, float))
+    if not valid or isinstance(value, bool) or not minimum <= value <= maximum:
+        raise ConfigError(f"{key}: {value!r} is not a number from {minimum} to {maximum}")
     return value
 
 
@@ -80,15 +80,21 @@
         raise ConfigError(f"{path}: {error}") from None
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not an object")
-    if unknown := sorted(raw.keys() - KEYS):
+    if unknown := sorted(raw.keys() - CONFIG_KEYS):
         raise ConfigError(f"{unknown[0]}: not known here")
     if not isinstance(raw.get("data"), str) or not raw["data"]:
         raise ConfigError("data: the folder is missing")
-    terms = raw.get("lease_ms", [1000, 60_000])
-    if not (isinstance(terms, list) and len(terms) == 2 and all(type(t) is int for t in terms)):
-        raise ConfigError(f"lease_ms: {terms!r} is not [least, most]")
-    if not 100 <= terms[0] <= terms[1] <= 86_400_000:
-        raise ConfigError(f"lease_ms: {terms!r} is not between 100 and 86400000, the least first")
+    lease_ms_range = raw.get("lease_ms", [1000, 60_000])
+    if not (
+        isinstance(lease_ms_range, list)
+        and len(lease_ms_range) == 2
+        and all(type(t) is int for t in lease_ms_range)
+    ):
+        raise ConfigError(f"lease_ms: {lease_ms_range!r} is not [least, most]")
+    if not 100 <= lease_ms_range[0] <= lease_ms_range[1] <= 86_400_000:
+        raise ConfigError(
+            f"lease_ms: {lease_ms_range!r} is not between 100 and 86400000, the least first"
+        )
     return Config(
         data=Path(raw["data"]),
         reads=_address(raw, "reads"),
@@ -96,7 +102,7 @@
         follow=_address(raw, "follow") if raw.get("follow") is not None else None,
         history=_number(raw, "history", 1024, 1, 100_000),
         watches=_number(raw, "watches", 1024, 1, 100_000),
-        lease_ms=(terms[0], terms[1]),
+        lease_ms=(lease_ms_range[0], lease_ms_range[1]),
         hold_share=_number(raw, "hold_share", 0.3, 0, 1),
         hold_window_s=_number(raw, "hold_window_s", 30.0, 1, 3600),
     )
@@ -104,17 +110,17 @@
 
 async def serve(config: Config) -> None:
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    allow_descriptors(config.watches + CALLERS + OTHERS)
+    ensure_descriptor_limit(config.watches + MAX_CONNECTIONS + RESERVED_DESCRIPTORS)
     store = Store(config.data, config.history)
     try:
-        if store.cut:
-            log.warning("log: %d bytes of a broken last record were cut off", store.cut)
-        leases = Leases(share=config.hold_share, window=config.hold_window_s)
+        if store.truncated_bytes:
+            log.warning("log: %d bytes of a broken last record were cut off", store.truncated_bytes)
+        leases = Leases(max_expired_ratio=config.hold_share, window_s=config.hold_window_s)
         service = Service(store, leases, config.lease_ms, config.watches)
-        replica = take_role(service, store, config.follow)
+        replica = restore_role(service, store, config.follow)
         reads, writes = await service.listen(config.reads, config.writes)
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
         service.start()
         replica.start()
         log.info(
@@ -128,32 +134,34 @@
         store.close()
 
 
-def allow_descriptors(wanted: int) -> None:
+def ensure_descriptor_limit(required: int) -> None:
     """Readers must not be able to take those that the disk needs: there are enough for all, or no
     start."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if hard != resource.RLIM_INFINITY and hard < wanted:
-        raise ConfigError(f"watches: {wanted} descriptors would be needed, and {hard} are allowed")
-    if soft != resource.RLIM_INFINITY and soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+    if hard != resource.RLIM_INFINITY and hard < required:
+        raise ConfigError(
+            f"watches: {required} descriptors would be needed, and {hard} are allowed"
+        )
+    if soft != resource.RLIM_INFINITY and soft < required:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
 
 
-def take_role(service: Service, store: Store, follow: Address | None) -> Replica:
+def restore_role(service: Service, store: Store, follow: Address | None) -> Replica:
     """What the folder remembers goes before the configuration: promotions and depositions were
     explicit."""
-    kept, epoch = store.role, store.state.epoch
-    if kept.get("leads") == epoch:
+    saved_role, epoch = store.role, store.state.epoch
+    if saved_role.get("leads") == epoch:
         if follow:
             log.warning("follow: not followed, as this one was promoted and leads epoch %d", epoch)
-        return Replica(service, None, str(kept.get("deposes") or ""))
+        return Replica(service, None, str(saved_role.get("deposes") or ""))
     if follow:
-        store.keep_role(follows="{}:{}".format(*follow))
-    elif "follows" in kept or "leads" in kept:
+        store.save_role(follows="{}:{}".format(*follow))
+    elif "follows" in saved_role or "leads" in saved_role:
         raise ConfigError(
             "follow: missing, and the data folder is that of a follower never promoted"
         )
-    elif kept.get("deposed", 0) > epoch:
-        service.role, service.leader_at = "deposed", str(kept.get("leader", ""))
+    elif saved_role.get("deposed", 0) > epoch:
+        service.role, service.leader_at = "deposed", str(saved_role.get("leader", ""))
     return Replica(service, follow)
 
 
@@ -165,7 +173,7 @@
     parser.add_argument("config", help="the configuration file, JSON; see docs/directory.md")
     try:
         uvloop.run(serve(read_config(parser.parse_args().config)))
-    except (ConfigError, Unusable, OSError) as error:
+    except (ConfigError, DataFolderError, OSError) as error:
         print(f"cairndale.discovery: {error}", file=sys.stderr)
         return 1
     return 0
--- a/cairndale/discovery/leases.py
+++ b/cairndale/discovery/leases.py
@@ -10,73 +10,83 @@
 
 from dataclasses import dataclass, field
 
-GRACE = 1 / 3  # of a lease's term, from running out to being acted on
+GRACE_FRACTION = 1 / 3  # of a lease's term, from running out to being acted on
 
 
 @dataclass(slots=True)
 class Lease:
-    term: float
-    ends: float
+    ttl: float
+    expires_at: float
 
-    def due(self) -> float:
-        return self.ends + self.term * GRACE
+    def removal_due_at(self) -> float:
+        return self.expires_at + self.ttl * GRACE_FRACTION
 
 
 @dataclass(slots=True)
 class Leases:
-    share: float = 0.3  # of all leases that may run out within a window; more of them are held back
-    window: float = 30.0  # s
-    least: int = 3  # fewer than that are never held back
-    gap: float = 2.0  # s between two looks, beyond which this process itself was stopped
-    held_since: float | None = None  # while running out is held back
+    max_expired_ratio: float = (
+        0.3  # of all leases that may run out within a window; more of them are held back
+    )
+    window_s: float = 30.0  # s
+    min_expired: int = 3  # fewer than that are never held back
+    max_check_gap_s: float = (
+        2.0  # s between two looks, beyond which this process itself was stopped
+    )
+    suspended_since: float | None = None  # while running out is held back
     _leases: dict[str, Lease] = field(default_factory=dict)
-    _gone: list[float] = field(default_factory=list)  # when leases ran out, within the last window
-    _looked: float | None = None
+    _removed_at: list[float] = field(
+        default_factory=list
+    )  # when leases ran out, within the last window
+    _last_check_at: float | None = None
 
-    def grant(self, name: str, term: float, now: float) -> None:
-        self._leases[name] = Lease(term, now + term)
+    def grant(self, name: str, ttl: float, now: float) -> None:
+        self._leases[name] = Lease(ttl, now + ttl)
 
     def renew(self, name: str, now: float) -> float | None:
         """The term it holds again, or None if there is no such lease."""
         if lease := self._leases.get(name):
-            lease.ends = now + lease.term
-            return lease.term
+            lease.expires_at = now + lease.ttl
+            return lease.ttl
         return None
 
-    def drop(self, name: str) -> None:
+    def revoke(self, name: str) -> None:
         self._leases.pop(name, None)
 
-    def begin(self, terms: dict[str, float], now: float) -> None:
+    def restart(self, ttls: dict[str, float], now: float) -> None:
         """At a start or a promotion: what was renewed before is not known, so each gets a full
         term."""
-        self._leases = {name: Lease(term, now + term) for name, term in terms.items()}
-        self._gone, self._looked, self.held_since = [], now, None
+        self._leases = {name: Lease(ttl, now + ttl) for name, ttl in ttls.items()}
+        self._removed_at, self._last_check_at, self.suspended_since = [], now, None
 
     def overdue(self, now: float) -> list[str]:
-        return [name for name, lease in self._leases.items() if lease.ends <= now]
+        return [name for name, lease in self._leases.items() if lease.expires_at <= now]
 
-    def left(self, name: str, now: float) -> float | None:
+    def remaining(self, name: str, now: float) -> float | None:
         lease = self._leases.get(name)
-        return lease.ends - now if lease else None
+        return lease.expires_at - now if lease else None
 
-    def run_out(self, now: float) -> list[str]:
+    def take_expired(self, now: float) -> list[str]:
         """Those to be taken off the list now; they have no lease any longer."""
-        if self._looked is not None and now - self._looked > self.gap:
-            stopped = now - self._looked  # nobody could renew meanwhile
+        if self._last_check_at is not None and now - self._last_check_at > self.max_check_gap_s:
+            pause = now - self._last_check_at  # nobody could renew meanwhile
             for lease in self._leases.values():
-                lease.ends += stopped
-        self._looked = now
-        self._gone = [at for at in self._gone if at > now - self.window]
-        due = [name for name, lease in self._leases.items() if lease.due() <= now]
+                lease.expires_at += pause
+        self._last_check_at = now
+        self._removed_at = [
+            removed_at for removed_at in self._removed_at if removed_at > now - self.window_s
+        ]
+        due = [name for name, lease in self._leases.items() if lease.removal_due_at() <= now]
         if not due:
-            self.held_since = None
+            self.suspended_since = None
             return []
-        lost = len(self.overdue(now)) + len(self._gone)
-        if lost >= self.least and lost > self.share * (len(self._leases) + len(self._gone)):
-            self.held_since = now if self.held_since is None else self.held_since
+        expired_count = len(self.overdue(now)) + len(self._removed_at)
+        if expired_count >= self.min_expired and expired_count > self.max_expired_ratio * (
+            len(self._leases) + len(self._removed_at)
+        ):
+            self.suspended_since = now if self.suspended_since is None else self.suspended_since
             return []
-        self.held_since = None
+        self.suspended_since = None
         for name in due:
             del self._leases[name]
-            self._gone.append(now)
+            self._removed_at.append(now)
         return due
--- a/cairndale/discovery/lines.py
+++ b/cairndale/discovery/lines.py
@@ -13,7 +13,7 @@
 from cairndale.discovery.state import Server, State
 
 # ms of a replica's silence from its leader, from which on extended readers are told
-AGE_TOLD = 4000
+AGE_REPORT_THRESHOLD_MS = 4000
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,88 +24,94 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class WatchUpdate:
     """Lines, each with its newline, and the version and epoch that a reader holds after them."""
 
     lines: bytes
     index: int
     epoch: int
-    whole: bool
+    is_full: bool
 
 
-def _line(what: dict[str, Any]) -> bytes:
-    return json.dumps(what, separators=(",", ":")).encode() + b"\n"
+def _encode_line(fields: dict[str, Any]) -> bytes:
+    return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
-def _removed(name: str, version: int, extended: bool) -> dict[str, Any]:
-    gone = Server(name, ":0", status="removed", version=version)
-    return gone.listed(extended)
+def _removal_entry(name: str, version: int, extended: bool) -> dict[str, Any]:
+    removal_entries = Server(name, ":0", status="removed", version=version)
+    return removal_entries.listing_entry(extended)
 
 
-def _marks(state: State, reader: Reader) -> dict[str, Any]:
+def _lineage_fields(state: State, reader: Reader) -> dict[str, Any]:
     return {} if reader.kind == "plain" else {"epoch": state.epoch, "lineage": state.lineage}
 
 
-def whole(state: State, reader: Reader, writes_at: str = "") -> Told:
+def encode_full_list(state: State, reader: Reader, writes_at: str = "") -> WatchUpdate:
     extended = reader.kind != "plain"
-    what: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "index": state.index,
         "snapshot": True,
-        "endpoints": [s.listed(extended) for s in state.servers.values()],
-    } | _marks(state, reader)
+        "endpoints": [s.listing_entry(extended) for s in state.servers.values()],
+    } | _lineage_fields(state, reader)
     if extended:
-        what["gone"] = list(state.gone.items())
+        fields["gone"] = list(state.removed_versions.items())
     if reader.kind == "follow":
-        what |= {"state": state.dump(), "writes_at": writes_at}
-    return Told(_line(what), state.index, state.epoch, True)
+        fields |= {"state": state.dump(), "writes_at": writes_at}
+    return WatchUpdate(_encode_line(fields), state.index, state.epoch, True)
 
 
-def since(state: State, reader: Reader, index: int, writes_at: str = "") -> Told:
+def encode_changes(state: State, reader: Reader, index: int, writes_at: str = "") -> WatchUpdate:
     """What has changed after a version, or the whole list where that cannot be told. A follower
     hears with it where writes go."""
-    another = reader.lineage is not None and reader.lineage != state.lineage
-    if another or not state.knows(index, reader.epoch):
-        return whole(state, reader, writes_at)
-    extended, marks = reader.kind != "plain", _marks(state, reader)
-    servers, removed, back = state.changes(index)
-    newer = (
+    other_lineage = reader.lineage is not None and reader.lineage != state.lineage
+    if other_lineage or not state.has_changes_since(index, reader.epoch):
+        return encode_full_list(state, reader, writes_at)
+    extended, lineage_fields = reader.kind != "plain", _lineage_fields(state, reader)
+    servers, removed, reregistered = state.changes_since(index)
+    must_send = (
         index < state.index if reader.kind == "follow" else extended and reader.epoch != state.epoch
     )
-    if not (servers or removed or newer):
-        return Told(b"", state.index, state.epoch, False)
-    gone = [_removed(n, state.gone[n], extended) for n in removed]
+    if not (servers or removed or must_send):
+        return WatchUpdate(b"", state.index, state.epoch, False)
+    removal_entries = [_removal_entry(n, state.removed_versions[n], extended) for n in removed]
     lines = b""
-    if back and reader.kind != "follow":  # removed and set again: neither half may be missed
-        again = [_removed(n, state.gone[n], extended) for n in back]
-        lines = _line({"index": index, "snapshot": False, "endpoints": again} | marks)
-    what: dict[str, Any] = {
+    if (
+        reregistered and reader.kind != "follow"
+    ):  # removed and set again: neither half may be missed
+        removals_first = [
+            _removal_entry(n, state.removed_versions[n], extended) for n in reregistered
+        ]
+        lines = _encode_line(
+            {"index": index, "snapshot": False, "endpoints": removals_first} | lineage_fields
+        )
+    fields: dict[str, Any] = {
         "index": state.index,
         "snapshot": False,
-        "endpoints": gone + [s.listed(extended) for s in servers],
-    } | marks
+        "endpoints": removal_entries + [s.listing_entry(extended) for s in servers],
+    } | lineage_fields
     if reader.kind == "follow":
-        what["writes_at"] = writes_at
-        what["record"] = {
+        fields["writes_at"] = writes_at
+        fields["record"] = {
             "i": state.index,
             "e": state.epoch,
             "set": [asdict(s) for s in servers],
-            "gone": [(n, state.gone[n]) for n in removed + back],
+            "gone": [(n, state.removed_versions[n]) for n in removed + reregistered],
             "writes": [w for w in state.writes.values() if w[3] > index],
-            "spans": state.spans,
+            "spans": state.past_epochs,
         }
-    return Told(lines + _line(what), state.index, state.epoch, False)
+    return WatchUpdate(lines + _encode_line(fields), state.index, state.epoch, False)
 
 
-def beat(state: State, reader: Reader, age_ms: int, writes_at: str = "") -> bytes:
+def encode_heartbeat(state: State, reader: Reader, age_ms: int, writes_at: str = "") -> bytes:
     """While nothing changes: an empty line, but for those that understand more."""
-    if reader.kind == "plain" or (reader.kind == "extended" and age_ms < AGE_TOLD):
+    if reader.kind == "plain" or (reader.kind == "extended" and age_ms < AGE_REPORT_THRESHOLD_MS):
         return b"\n"
-    what: dict[str, Any] = {
+    fields: dict[str, Any] = {
         "index": state.index,
         "snapshot": False,
         "endpoints": [],
         "age_ms": age_ms,
     }
     if reader.kind == "follow":
-        what["writes_at"] = writes_at
-    return _line(what | _marks(state, reader))
+        fields["writes_at"] = writes_at
+    return _encode_line(fields | _lineage_fields(state, reader))
--- a/cairndale/discovery/state.py
+++ b/cairndale/discovery/state.py
@@ -14,27 +14,29 @@
 from hashlib import sha256
 from typing import Any
 
-Span = tuple[int, int, int]  # an epoch: its number, its first version, its last
+EpochSpan = tuple[int, int, int]  # an epoch: its number, its first version, its last
 # a call: its id, its digest, the version answered, the one it is in
-Write = tuple[str, str, int, int]
+CompletedWrite = tuple[str, str, int, int]
 
-LEAP = 1 << 32  # versions that a promotion passes over: more than a deposed leader can give
+PROMOTION_VERSION_GAP = (
+    1 << 32
+)  # versions that a promotion passes over: more than a deposed leader can give
 MAX_SERVERS = 10_000
 MAX_SPANS = 64
-NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-HOST = re.compile(r"[A-Za-z0-9._:\[\]-]{1,255}")
-WORD = re.compile(r"[\x21-\x7e]{0,64}")
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+HOST_PATTERN = re.compile(r"[A-Za-z0-9._:\[\]-]{1,255}")
+LABEL_PATTERN = re.compile(r"[\x21-\x7e]{0,64}")
 
 
-class Refused(Exception):
+class RejectedError(Exception):
     """A call that changes nothing, with the status that tells why and what the answer holds."""
 
-    def __init__(self, status: int, error: str, **more: Any) -> None:
+    def __init__(self, status: int, error: str, **details: Any) -> None:
         super().__init__(error)
-        self.status, self.answer = status, {"error": error, **more}
+        self.status, self.answer = status, {"error": error, **details}
 
 
-class Broken(Exception):
+class InvalidDataError(Exception):
     """Data that no service wrote like this."""
 
 
@@ -51,7 +53,7 @@
     lease_ms: int = 0
     version: int = 0
 
-    def listed(self, extended: bool) -> dict[str, Any]:
+    def listing_entry(self, extended: bool) -> dict[str, Any]:
         """As discovery names it; `extended` readers also get what older ones would ignore."""
         raw = asdict(self)
         del raw["lease_ms"]
@@ -60,47 +62,53 @@
         return raw
 
 
-def _whole(value: Any, least: int, most: int) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+def _is_integer_in(value: Any, minimum: int, maximum: int) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
-def _address(value: Any) -> bool:
+def _is_address(value: Any) -> bool:
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    sound = HOST.fullmatch(host) and port.isascii() and port.isdecimal() and len(port) <= 5
-    return bool(sound) and 0 < int(port) < 65536
+    valid = HOST_PATTERN.fullmatch(host) and port.isascii() and port.isdecimal() and len(port) <= 5
+    return bool(valid) and 0 < int(port) < 65536
 
 
-def server_from(name: str, body: Mapping[str, Any], leases: tuple[int, int]) -> Server:
+def parse_registration(
+    name: str, body: Mapping[str, Any], lease_ms_range: tuple[int, int]
+) -> Server:
     """A registration, checked as a whole: `body` as it came, `leases` the terms allowed."""
-    if not NAME.fullmatch(name):
-        raise Refused(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
-    wrong = sorted(
+    if not NAME_PATTERN.fullmatch(name):
+        raise RejectedError(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
+    unknown = sorted(
         body.keys() - {"address", "zone", "type", "group", "weight", "since_ms", "lease_ms"}
     )
-    if wrong:
-        raise Refused(400, f"{wrong[0]}: not known here")
+    if unknown:
+        raise RejectedError(400, f"{unknown[0]}: not known here")
     weight = body.get("weight", 1.0)
     checks = {
-        "address": _address(body.get("address")),
+        "address": _is_address(body.get("address")),
         "zone": isinstance(body.get("zone", ""), str)
-        and bool(WORD.fullmatch(body.get("zone", ""))),
+        and bool(LABEL_PATTERN.fullmatch(body.get("zone", ""))),
         "type": isinstance(body.get("type", ""), str)
-        and bool(WORD.fullmatch(body.get("type", ""))),
-        "group": _whole(body.get("group", 0), 0, 1 << 31),
+        and bool(LABEL_PATTERN.fullmatch(body.get("type", ""))),
+        "group": _is_integer_in(body.get("group", 0), 0, 1 << 31),
         "weight": isinstance(weight, int | float)
         and not isinstance(weight, bool)
         and 0 < weight <= 1e6,
-        "since_ms": _whole(body.get("since_ms", 0), 0, 1 << 53),
-        "lease_ms": _whole(body.get("lease_ms"), *leases),
+        "since_ms": _is_integer_in(body.get("since_ms", 0), 0, 1 << 53),
+        "lease_ms": _is_integer_in(body.get("lease_ms"), *lease_ms_range),
     }
-    if bad := [key for key, sound in checks.items() if not sound]:
-        allowed = f" (from {leases[0]} to {leases[1]})" if bad[0] == "lease_ms" else ""
-        raise Refused(400, f"{bad[0]}: missing or not sound{allowed}")
+    if invalid := [key for key, valid in checks.items() if not valid]:
+        allowed = (
+            f" (from {lease_ms_range[0]} to {lease_ms_range[1]})"
+            if invalid[0] == "lease_ms"
+            else ""
+        )
+        raise RejectedError(400, f"{invalid[0]}: missing or not sound{allowed}")
     return Server(**{**body, "name": name, "weight": float(weight)})
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
+class WriteRequest:
     """A write. `id` makes it idempotent; `expected` is the version the server must have (0:
     none)."""
 
@@ -112,8 +120,8 @@
 
     def digest(self) -> str:
         fields = asdict(self.server) if self.server else {}
-        told = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
-        return sha256(told.encode()).hexdigest()[:16]
+        canonical = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
+        return sha256(canonical.encode()).hexdigest()[:16]
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,10 +133,12 @@
     epoch: int
     servers: tuple[Server, ...] = ()
     removed: tuple[tuple[str, int], ...] = ()  # with the version that did so
-    writes: tuple[Write, ...] = ()
-    spans: tuple[Span, ...] | None = None  # the epochs past, where this record is of a new one
+    writes: tuple[CompletedWrite, ...] = ()
+    past_epochs: tuple[EpochSpan, ...] | None = (
+        None  # the epochs past, where this record is of a new one
+    )
 
-    def raw(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         raw: dict[str, Any] = {"i": self.index, "e": self.epoch}
         if self.servers:
             raw["set"] = [asdict(s) for s in self.servers]
@@ -136,12 +146,12 @@
             raw["gone"] = self.removed
         if self.writes:
             raw["writes"] = self.writes
-        if self.spans is not None:
-            raw["spans"] = self.spans
+        if self.past_epochs is not None:
+            raw["spans"] = self.past_epochs
         return raw
 
 
-def record_from(raw: Any) -> Record:
+def decode_record(raw: Any) -> Record:
     try:
         return Record(
             int(raw["i"]),
@@ -155,7 +165,7 @@
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]) if "spans" in raw else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Broken(f"a record that cannot be read: {error!r}") from None
+        raise InvalidDataError(f"a record that cannot be read: {error!r}") from None
 
 
 @dataclass(slots=True)
@@ -163,111 +173,120 @@
     lineage: str  # one for each data folder ever begun: versions of two cannot be compared
     epoch: int = 1
     index: int = 0
-    floor: int = 0  # what has changed since an older version is no longer known
-    history: int = 1024  # removals and writes that are remembered
+    compacted_index: int = 0  # what has changed since an older version is no longer known
+    history_limit: int = 1024  # removals and writes that are remembered
     servers: dict[str, Server] = field(default_factory=dict)
     # name: the version that removed it
-    gone: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    writes: OrderedDict[str, Write] = field(default_factory=OrderedDict)  # by id
-    spans: tuple[Span, ...] = ()  # the epochs past
+    removed_versions: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    writes: OrderedDict[str, CompletedWrite] = field(default_factory=OrderedDict)  # by id
+    past_epochs: tuple[EpochSpan, ...] = ()  # the epochs past
 
     def copy(self) -> State:
         return replace(
-            self, servers=dict(self.servers), gone=self.gone.copy(), writes=self.writes.copy()
+            self,
+            servers=dict(self.servers),
+            removed_versions=self.removed_versions.copy(),
+            writes=self.writes.copy(),
         )
 
     @property
-    def begun(self) -> int:
+    def epoch_start(self) -> int:
         """The first version of this epoch."""
-        return self.spans[-1][2] + LEAP if self.spans else 0
+        return self.past_epochs[-1][2] + PROMOTION_VERSION_GAP if self.past_epochs else 0
 
     # Writes.
 
-    def decide(self, call: Call) -> tuple[Record | None, int]:
+    def decide(self, request: WriteRequest) -> tuple[Record | None, int]:
         """The record that carries the call out (None: nothing changes) and the version to answer
         with."""
-        if call.id and (done := self.writes.get(call.id)):
-            if done[1] != call.digest():
-                raise Refused(409, "this id stands for another call")
-            return None, done[2]
-        held = self.servers.get(call.name)
-        version = held.version if held else 0
-        if call.expected is not None and call.expected != version:
-            raise Refused(409, "conflict: another version is held", version=version)
-        if call.kind == "register":
-            assert call.server
-            changed: Server | None = self._register(held, call.server)
-        elif held is None:
-            raise Refused(404, "no such server")
+        if request.id and (completed := self.writes.get(request.id)):
+            if completed[1] != request.digest():
+                raise RejectedError(409, "this id stands for another call")
+            return None, completed[2]
+        current = self.servers.get(request.name)
+        version = current.version if current else 0
+        if request.expected is not None and request.expected != version:
+            raise RejectedError(409, "conflict: another version is held", version=version)
+        if request.kind == "register":
+            assert request.server
+            changed: Server | None = self._register(current, request.server)
+        elif current is None:
+            raise RejectedError(404, "no such server")
         else:
-            changed = replace(held, status="draining") if call.kind == "drain" else None
+            changed = replace(current, status="draining") if request.kind == "drain" else None
         index = self.index + 1
-        same = changed is not None and changed == held
-        if same and not call.id:
+        unchanged = changed is not None and changed == current
+        if unchanged and not request.id:
             return None, version
-        answered = version if same else index
-        writes = ((call.id, call.digest(), answered, index),) if call.id else ()
-        if same:
-            return Record(index, self.epoch, writes=writes), answered
+        answered_version = version if unchanged else index
+        writes = ((request.id, request.digest(), answered_version, index),) if request.id else ()
+        if unchanged:
+            return Record(index, self.epoch, writes=writes), answered_version
         if changed:
             return Record(
                 index, self.epoch, (replace(changed, version=index),), writes=writes
-            ), answered
-        return Record(index, self.epoch, removed=((call.name, index),), writes=writes), answered
+            ), answered_version
+        return Record(
+            index, self.epoch, removed=((request.name, index),), writes=writes
+        ), answered_version
 
-    def _register(self, held: Server | None, wanted: Server) -> Server:
-        if held is None:
+    def _register(self, current: Server | None, requested: Server) -> Server:
+        if current is None:
             if len(self.servers) >= MAX_SERVERS:
-                raise Refused(503, "the list is full")
-            return wanted
-        if wanted.since_ms < held.since_ms:
-            raise Refused(409, "an older start than the one held", version=held.version)
-        again = wanted.since_ms == held.since_ms and wanted.address == held.address
+                raise RejectedError(503, "the list is full")
+            return requested
+        if requested.since_ms < current.since_ms:
+            raise RejectedError(409, "an older start than the one held", version=current.version)
+        same_instance = (
+            requested.since_ms == current.since_ms and requested.address == current.address
+        )
         # Who drains goes on draining until it has started anew: a drain that was told holds.
-        return replace(wanted, status=held.status if again else "up", version=held.version)
+        return replace(
+            requested, status=current.status if same_instance else "up", version=current.version
+        )
 
-    def promoted(self) -> Record:
-        spans = (*self.spans, (self.epoch, self.begun, self.index))[-MAX_SPANS:]
-        return Record(self.index + LEAP, self.epoch + 1, spans=spans)
+    def promotion_record(self) -> Record:
+        past_epochs = (*self.past_epochs, (self.epoch, self.epoch_start, self.index))[-MAX_SPANS:]
+        return Record(self.index + PROMOTION_VERSION_GAP, self.epoch + 1, past_epochs=past_epochs)
 
     def apply(self, record: Record) -> None:
         if record.index <= self.index or record.epoch < self.epoch:
-            raise Broken(
+            raise InvalidDataError(
                 f"version {record.index} of epoch {record.epoch} after {self.index} of {self.epoch}"
             )
-        if record.epoch > self.epoch and record.spans is None:
-            raise Broken(f"epoch {record.epoch} with no beginning")
-        if record.spans is not None:
-            self.epoch, self.spans = record.epoch, record.spans
+        if record.epoch > self.epoch and record.past_epochs is None:
+            raise InvalidDataError(f"epoch {record.epoch} with no beginning")
+        if record.past_epochs is not None:
+            self.epoch, self.past_epochs = record.epoch, record.past_epochs
         self.index = record.index
         for name, version in record.removed:  # before what is set: a name may have come back
             self.servers.pop(name, None)
-            self.gone[name] = version
-            self.gone.move_to_end(name)
+            self.removed_versions[name] = version
+            self.removed_versions.move_to_end(name)
         for server in record.servers:
             self.servers[server.name] = server
         for write in record.writes:
             self.writes[write[0]] = write
-        while len(self.gone) > self.history:
-            _, self.floor = self.gone.popitem(last=False)
-        while len(self.writes) > self.history:
+        while len(self.removed_versions) > self.history_limit:
+            _, self.compacted_index = self.removed_versions.popitem(last=False)
+        while len(self.writes) > self.history_limit:
             self.writes.popitem(last=False)
 
     # Reads.
 
-    def knows(self, since: int, epoch: int | None) -> bool:
+    def has_changes_since(self, since: int, epoch: int | None) -> bool:
         """Whether what has changed since that version can be told."""
-        if not (self.floor <= since <= self.index) or since == 0:
+        if not (self.compacted_index <= since <= self.index) or since == 0:
             return False
-        for number, _, last in self.spans:
+        for number, _, last in self.past_epochs:
             if since <= last:
                 return epoch is None or epoch == number
-        return since >= self.begun and (epoch is None or epoch == self.epoch)
+        return since >= self.epoch_start and (epoch is None or epoch == self.epoch)
 
-    def changes(self, since: int) -> tuple[list[Server], list[str], list[str]]:
+    def changes_since(self, since: int) -> tuple[list[Server], list[str], list[str]]:
         """Servers set since, names removed since, and names that were removed and have come back
         since."""
-        names = [name for name, version in self.gone.items() if version > since]
+        names = [name for name, version in self.removed_versions.items() if version > since]
         servers = sorted(
             (s for s in self.servers.values() if s.version > since), key=lambda s: s.version
         )
@@ -284,15 +303,15 @@
             "lineage": self.lineage,
             "epoch": self.epoch,
             "index": self.index,
-            "floor": self.floor,
+            "floor": self.compacted_index,
             "servers": [asdict(s) for s in self.servers.values()],
-            "gone": list(self.gone.items()),
-            "spans": self.spans,
+            "gone": list(self.removed_versions.items()),
+            "spans": self.past_epochs,
             "writes": list(self.writes.values()),
         }
 
 
-def state_from(raw: Any, history: int) -> State:
+def decode_state(raw: Any, history_limit: int) -> State:
     try:
         pairs: Iterable[Any] = raw["gone"]
         state = State(
@@ -300,7 +319,7 @@
             int(raw["epoch"]),
             int(raw["index"]),
             int(raw["floor"]),
-            history,
+            history_limit,
             {s["name"]: Server(**s) for s in raw["servers"]},
             OrderedDict((str(n), int(v)) for n, v in pairs),
             OrderedDict(
@@ -309,7 +328,7 @@
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Broken(f"a list that cannot be read: {error!r}") from None
-    while len(state.gone) > history:  # kept by a service with a longer one
-        _, state.floor = state.gone.popitem(last=False)
+        raise InvalidDataError(f"a list that cannot be read: {error!r}") from None
+    while len(state.removed_versions) > history_limit:  # kept by a service with a longer one
+        _, state.compacted_index = state.removed_versions.popitem(last=False)
     return state
--- a/cairndale/lab/faults/plants.py
+++ b/cairndale/lab/faults/plants.py
@@ -14,10 +14,10 @@
 
     append = Store.append
 
-    def early(self: Store, records: Sequence[Any], after: Any) -> None:
+    def early(self: Store, records: Sequence[Any], new_state: Any) -> None:
         disk.unsynced = True
         try:
-            append(self, records, after)
+            append(self, records, new_state)
         finally:
             disk.unsynced = False
 
@@ -28,13 +28,13 @@
     """A follower says yes to writes on its own."""
     from cairndale.discovery.service import Service
 
-    lead = Service.must_lead
+    lead = Service.require_leader
 
     def always(self: Service) -> None:
         if self.role != "follower":
             lead(self)
 
-    Service.must_lead = always  # type: ignore[method-assign]
+    Service.require_leader = always  # type: ignore[method-assign]
 
 
 def unfenced_owner(disk: Any) -> None:
@@ -49,9 +49,9 @@
 
 def young_reads(disk: Any) -> None:
     """A follower says of its list that it is fresh, however long it has not heard its leader."""
-    from cairndale.discovery.replica import Following
+    from cairndale.discovery.replica import ReplicationProgress
 
-    Following.age = lambda self, held, now: 0.0  # type: ignore[method-assign]
+    ReplicationProgress.age = lambda self, state, now: 0.0  # type: ignore[method-assign]
 
 
 def forgotten_ids(disk: Any) -> None:
@@ -60,9 +60,9 @@
 
     decide = State.decide
 
-    def again(self: State, call: Any) -> Any:
-        self.writes.pop(call.id, None)
-        return decide(self, call)
+    def again(self: State, request: Any) -> Any:
+        self.writes.pop(request.id, None)
+        return decide(self, request)
 
     State.decide = again  # type: ignore[method-assign]
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from tests import known_red
-from tests.testing.discovery import HELD, STARTED
+from tests.testing.discovery import RESERVED_SOCKETS, STARTED_PROCESSES
 
 
 def pytest_configure(config: pytest.Config) -> None:
@@ -29,10 +29,10 @@
 @pytest.fixture(autouse=True)
 def no_program_outlives_its_test() -> Iterator[None]:
     yield
-    while HELD:
-        HELD.pop().close()
-    while STARTED:
-        program = STARTED.pop()
+    while RESERVED_SOCKETS:
+        RESERVED_SOCKETS.pop().close()
+    while STARTED_PROCESSES:
+        program = STARTED_PROCESSES.pop()
         if program.poll() is None:
             program.kill()
             program.wait()
--- a/tests/discovery/test_service.py
+++ b/tests/discovery/test_service.py
@@ -23,25 +23,33 @@
 from cairndale.discovery import service as service_module
 from cairndale.discovery.leases import Leases
 from cairndale.discovery.service import Service
-from cairndale.discovery.state import LEAP, Broken, Refused, State
+from cairndale.discovery.state import PROMOTION_VERSION_GAP, InvalidDataError, RejectedError, State
 from cairndale.discovery.store import Store
-from tests.testing.discovery import HOST, ROOT, Program, Watching, call, names, register
+from tests.testing.discovery import (
+    HOST,
+    ROOT,
+    DiscoveryProcess,
+    WatchClient,
+    call,
+    register,
+    statuses_by_name,
+)
 
 
 @pytest_asyncio.fixture
-async def program(tmp_path: Path) -> AsyncIterator[Program]:
-    program = await Program(tmp_path / "one").start()
+async def program(tmp_path: Path) -> AsyncIterator[DiscoveryProcess]:
+    program = await DiscoveryProcess(tmp_path / "one").start()
     yield program
-    await program.end()
+    await program.stop()
 
 
-async def listed(port: int) -> Any:
+async def fetch_list(port: int) -> Any:
     status, answer = await call(port, "GET", "/discovery/hosts")
     assert status == 200
     return answer
 
 
-async def test_the_list_and_a_watch_as_the_protocol_has_them(program: Program) -> None:
+async def test_the_list_and_a_watch_as_the_protocol_has_them(program: DiscoveryProcess) -> None:
     assert await program.register("s-1", 7001, zone="a", type="m2", group=3, since_ms=5) == 1
     one = {
         "name": "s-1",
@@ -53,8 +61,8 @@
         "weight": 1.0,
         "since_ms": 5,
     }
-    assert await listed(program.reads) == {"index": 1, "snapshot": True, "endpoints": [one]}
-    async with Watching(program.reads, "from=1") as watch:
+    assert await fetch_list(program.reads) == {"index": 1, "snapshot": True, "endpoints": [one]}
+    async with WatchClient(program.reads, "from=1") as watch:
         # nothing has changed: a beat, at once and every 2 s
         assert await watch.line(empty=True) == ""
         assert await watch.line(empty=True) == ""
@@ -67,15 +75,15 @@
         assert await watch.line() == line
         await program.call("DELETE", "/servers/s-1")
         line = await watch.line()
-        assert line["index"] == 3 and names(line) == {"s-1": "removed"}
+        assert line["index"] == 3 and statuses_by_name(line) == {"s-1": "removed"}
 
 
 async def test_a_server_that_comes_back_elsewhere_or_anew_is_told_as_it_is_now(
-    program: Program,
+    program: DiscoveryProcess,
 ) -> None:
     await program.register("a", 7001, since_ms=5)
     await program.call("POST", "/servers/a/drain")
-    async with Watching(program.reads, "from=2") as watch:
+    async with WatchClient(program.reads, "from=2") as watch:
         # the same one: it goes on draining
         assert await program.register("a", 7001, since_ms=5) == 2
         for version, port, since in ((3, 7002, 5), (4, 7002, 9)):
@@ -88,7 +96,7 @@
     assert status == 409 and answer["version"] == 4  # from before the last start
 
 
-async def test_writes_are_idempotent_and_conditional(program: Program) -> None:
+async def test_writes_are_idempotent_and_conditional(program: DiscoveryProcess) -> None:
     body = {"address": f"{HOST}:1", "lease_ms": 5000}
     for _ in range(2):
         status, answer = await program.call("PUT", "/servers/a", body, {"Request-Id": "x"})
@@ -138,19 +146,19 @@
 ]
 
 
-async def test_bad_calls_change_nothing_and_are_one_line_each(program: Program) -> None:
+async def test_bad_calls_change_nothing_and_are_one_line_each(program: DiscoveryProcess) -> None:
     for method, path, body, headers, wanted in BAD_CALLS:
-        before = program.said().count("\n")
+        before = program.log_text().count("\n")
         status, _ = await program.call(method, path, body, headers)
         assert status == wanted, (method, path, body, headers)
-        assert program.said().count("\n") == before + 1, program.said()
+        assert program.log_text().count("\n") == before + 1, program.log_text()
     for query in ("from=-1", "from=x", "from=1&from=2", "watch=2", f"from={'9' * 19}", "epoch=one"):
         status, _ = await call(program.reads, "GET", f"/discovery/hosts?{query}")
         assert status == 400, query
     assert (await call(program.reads, "POST", "/discovery/hosts"))[0] == 405
     assert (await call(program.reads, "GET", "/servers"))[0] == 404
-    assert "Traceback" not in program.said()
-    assert await listed(program.reads) == {"index": 0, "snapshot": True, "endpoints": []}
+    assert "Traceback" not in program.log_text()
+    assert await fetch_list(program.reads) == {"index": 0, "snapshot": True, "endpoints": []}
 
 
 @pytest.mark.parametrize("which", ["reads", "writes"])
@@ -159,17 +167,19 @@
     [b"", b"PUT /serv", b"PUT /servers/a HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{"],
 )
 async def test_half_a_call_and_silence_is_closed(
-    program: Program, which: str, start: bytes
+    program: DiscoveryProcess, which: str, start: bytes
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, getattr(program, which))
     writer.write(start)
     async with asyncio.timeout(60):
         answer = await reader.read()
-    assert answer.startswith(b"HTTP/1.1 408 ") and program.said().count("408 not understood") == 1
+    assert (
+        answer.startswith(b"HTTP/1.1 408 ") and program.log_text().count("408 not understood") == 1
+    )
     writer.close()
 
 
-async def test_calls_on_one_connection_are_answered_in_turn(program: Program) -> None:
+async def test_calls_on_one_connection_are_answered_in_turn(program: DiscoveryProcess) -> None:
     reader, writer = await asyncio.open_connection(HOST, program.writes)
     body = json.dumps(GOOD).encode()
     put = b"PUT /servers/%b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%b"
@@ -183,7 +193,7 @@
 
 
 async def test_a_kill_in_the_middle_of_writes_keeps_all_that_was_answered(tmp_path: Path) -> None:
-    program = await Program(tmp_path).start()
+    program = await DiscoveryProcess(tmp_path).start()
     answered: dict[str, int] = {}
 
     async def write(start: int) -> None:
@@ -193,57 +203,57 @@
     writers = [asyncio.create_task(write(n)) for n in range(8)]
     while len(answered) < 40:
         await asyncio.sleep(0)
-    await program.end(signal.SIGKILL)
+    await program.stop(signal.SIGKILL)
     await asyncio.gather(*writers, return_exceptions=True)
     with (tmp_path / "data/log").open("ab") as log:
         log.write(b"\xc5\xd1torn")
     await program.start()
-    assert "6 bytes of a broken last record were cut off" in program.said()
+    assert "6 bytes of a broken last record were cut off" in program.log_text()
     shown = {s["name"]: s["version"] for s in (await program.call("GET", "/servers"))[1]["servers"]}
     assert answered.items() <= shown.items()
     versions = sorted(shown.values())
     assert versions == sorted(set(versions))
     assert await program.register("after", 1) > max(versions)
-    assert await program.end(signal.SIGTERM) == 0
+    assert await program.stop(signal.SIGTERM) == 0
 
 
-def run_to_its_end(folder: Path, config: str | bytes) -> tuple[int, str]:
+def run_until_exit(folder: Path, config: str | bytes) -> tuple[int, str]:
     folder.mkdir(exist_ok=True)
     path = folder / "bad.json"
     path.write_bytes(config if isinstance(config, bytes) else config.encode())
     command = [sys.executable, "-m", "cairndale.discovery", str(path)]
-    done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    return done.returncode, done.stderr
+    process = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
+    return process.returncode, process.stderr
 
 
 async def test_what_cannot_be_started_says_why_in_one_line(tmp_path: Path) -> None:
-    program = await Program(tmp_path / "one").start()
+    program = await DiscoveryProcess(tmp_path / "one").start()
     for name in "abc":
         await program.register(name, 1)
     base = {"data": str(tmp_path / "one/data"), "reads": f"{HOST}:0", "writes": f"{HOST}:0"}
 
-    def refused(config: Any, *words: str) -> None:
-        code, said = run_to_its_end(
+    def assert_start_fails(config: Any, *words: str) -> None:
+        code, stderr = run_until_exit(
             tmp_path, config if isinstance(config, bytes) else json.dumps(config)
         )
-        assert code == 1 and said.count("\n") == 1 and said.startswith("cairndale.discovery: "), (
-            said
-        )
-        assert all(word in said for word in words), said
-
-    refused(base, "another process uses this data folder")
-    taken = {"data": str(tmp_path / "new"), "reads": f"{HOST}:{program.reads}"}
-    refused(base | taken, "address already in use")
-    await program.end()
+        assert (
+            code == 1 and stderr.count("\n") == 1 and stderr.startswith("cairndale.discovery: ")
+        ), stderr
+        assert all(word in stderr for word in words), stderr
+
+    assert_start_fails(base, "another process uses this data folder")
+    in_use = {"data": str(tmp_path / "new"), "reads": f"{HOST}:{program.reads}"}
+    assert_start_fails(base | in_use, "address already in use")
+    await program.stop()
     log = bytearray((tmp_path / "one/data/log").read_bytes())
     log[12] ^= 1
     (tmp_path / "one/data/log").write_bytes(log)
-    refused(base, "data/log: damaged at offset 0")
+    assert_start_fails(base, "data/log: damaged at offset 0")
     (tmp_path / "file").write_text("")
-    refused(base | {"data": str(tmp_path / "file/below")}, "file")
-    refused(b"{", "Expecting")
-    refused(b"[" * 100_000, "recursion")
-    refused([], "not an object")
+    assert_start_fails(base | {"data": str(tmp_path / "file/below")}, "file")
+    assert_start_fails(b"{", "Expecting")
+    assert_start_fails(b"[" * 100_000, "recursion")
+    assert_start_fails([], "not an object")
     for bad, word in (
         ({"reads": "x"}, "reads"),
         ({"follow": 5}, "follow"),
@@ -255,13 +265,13 @@
         ({"watches": True}, "watches"),
         ({"hold_window_s": "x"}, "hold_window_s"),
     ):
-        refused(base | bad, word)  # type: ignore[operator]
+        assert_start_fails(base | bad, word)  # type: ignore[operator]
 
 
 async def test_a_full_disk_refuses_writes_and_reads_go_on(tmp_path: Path) -> None:
     """A limit on the size of files stands in for the disk: it is lifted again while the process
     runs."""
-    program = await Program(tmp_path / "one").start()
+    program = await DiscoveryProcess(tmp_path / "one").start()
     await program.register("a", 1)
     assert program.process
     size = (tmp_path / "one/data/log").stat().st_size
@@ -270,33 +280,33 @@
     for _ in range(2):
         status, answer = await program.call("PUT", "/servers/b", GOOD)
         assert status == 507 and "not kept" in answer["error"]
-        assert names(await listed(program.reads)) == {"a": "up"}
+        assert statuses_by_name(await fetch_list(program.reads)) == {"a": "up"}
         assert (await program.call("POST", "/servers/a/renew"))[0] == 200
     resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (unlimited, unlimited))
     assert await program.register("b", 1) == 2
-    await program.end(signal.SIGKILL)
+    await program.stop(signal.SIGKILL)
     await program.start()
-    assert names(await listed(program.reads)) == {"a": "up", "b": "up"}
-    await program.end()
+    assert statuses_by_name(await fetch_list(program.reads)) == {"a": "up", "b": "up"}
+    await program.stop()
 
 
 async def test_sigterm_ends_open_watches_in_order(tmp_path: Path) -> None:
-    program = await Program(tmp_path).start()
+    program = await DiscoveryProcess(tmp_path).start()
     await program.register("a", 1)
-    async with Watching(program.reads, "from=1") as watch:
-        ended = asyncio.create_task(program.end(signal.SIGTERM))
+    async with WatchClient(program.reads, "from=1") as watch:
+        ended = asyncio.create_task(program.stop(signal.SIGTERM))
         assert await watch.line() is None  # the last chunk, not a reset
         assert await ended == 0
-    assert "Traceback" not in program.said()
+    assert "Traceback" not in program.log_text()
 
 
 async def test_a_lease_that_is_not_renewed_ends_and_many_at_once_do_not(tmp_path: Path) -> None:
-    program = await Program(tmp_path, more={"lease_ms": [100, 60_000]}).start()
+    program = await DiscoveryProcess(tmp_path, extra_config={"lease_ms": [100, 60_000]}).start()
     for number in range(7):
         await program.register(f"s-{number}", 1)
     await program.register("gone", 1, lease_ms=100)
     async with asyncio.timeout(60):
-        while "gone" in names(await listed(program.reads)):
+        while "gone" in statuses_by_name(await fetch_list(program.reads)):
             await asyncio.sleep(0.05)
     await asyncio.gather(
         *(program.register(f"s-{number}", 1, lease_ms=2000) for number in range(4))
@@ -305,82 +315,93 @@
         while (status := await program.status())["leases"]["held_back_s"] is None:
             await asyncio.sleep(0.05)
     assert (
-        status["leases"]["overdue"] == 4 and "4 overdue at once, none is acted on" in program.said()
+        status["leases"]["overdue"] == 4
+        and "4 overdue at once, none is acted on" in program.log_text()
     )
-    assert len(names(await listed(program.reads))) == 7
+    assert len(statuses_by_name(await fetch_list(program.reads))) == 7
     assert (await program.call("DELETE", "/servers/s-0"))[0] == 200  # a deliberate removal passes
-    assert len(names(await listed(program.reads))) == 6
-    await program.end()
+    assert len(statuses_by_name(await fetch_list(program.reads))) == 6
+    await program.stop()
 
 
 async def test_a_follower_serves_lags_openly_and_leads_when_told(tmp_path: Path) -> None:
-    leader = await Program(tmp_path / "one").start()
+    leader = await DiscoveryProcess(tmp_path / "one").start()
     await leader.register("a", 1)
-    follower = Program(tmp_path / "two", more={"follow": f"{HOST}:{leader.reads}"})
+    follower = DiscoveryProcess(tmp_path / "two", extra_config={"follow": f"{HOST}:{leader.reads}"})
     await follower.start()
-    await follower.until(index=1)
-    assert await listed(follower.reads) == await listed(leader.reads)
+    await follower.wait_for_status(index=1)
+    assert await fetch_list(follower.reads) == await fetch_list(leader.reads)
     status, answer = await follower.call("PUT", "/servers/b", GOOD)
     assert status == 503 and answer["error"] == "this is a follower"
     assert answer["leader"] == f"{HOST}:{leader.writes}"
     await leader.register("b", 2)
     await leader.call("PUT", "/servers/c", GOOD, {"Request-Id": "once"})
-    held = await follower.until(index=3)
+    held = await follower.wait_for_status(index=3)
     assert held["follows"]["versions_behind"] == 0 and held["follows"]["behind_for_s"] is None
-    leader.tell(signal.SIGSTOP)
+    leader.send_signal(signal.SIGSTOP)
     async with asyncio.timeout(60):
         while (status_ := await follower.status())["follows"]["behind_for_s"] is None:
             await asyncio.sleep(0.1)
     assert status_["follows"]["heard_s_ago"] >= 6
-    async with Watching(follower.reads, "from=3&epoch=1&lineage=" + status_["lineage"]) as watch:
+    async with WatchClient(follower.reads, "from=3&epoch=1&lineage=" + status_["lineage"]) as watch:
         assert (await watch.line())["age_ms"] >= 6000
         status, answer = await follower.call("POST", "/promote")
-        assert (status, answer["epoch"], answer["index"]) == (200, 2, 3 + LEAP)
+        assert (status, answer["epoch"], answer["index"]) == (200, 2, 3 + PROMOTION_VERSION_GAP)
         line = await watch.line()
-        assert (line["epoch"], line["index"], line["endpoints"]) == (2, 3 + LEAP, [])
+        assert (line["epoch"], line["index"], line["endpoints"]) == (
+            2,
+            3 + PROMOTION_VERSION_GAP,
+            [],
+        )
     assert (await follower.call("POST", "/promote"))[0] == 409
     # A call that the old leader took, asked again of the new one.
     status, answer = await follower.call("PUT", "/servers/c", GOOD, {"Request-Id": "once"})
     assert (status, answer["version"]) == (200, 3)
-    assert await follower.register("d", 4) == 4 + LEAP
-    leader.tell(signal.SIGCONT)
-    await leader.until(role="deposed")
+    assert await follower.register("d", 4) == 4 + PROMOTION_VERSION_GAP
+    leader.send_signal(signal.SIGCONT)
+    await leader.wait_for_status(role="deposed")
     status, answer = await leader.call("PUT", "/servers/e", GOOD)
     assert status == 409 and answer["leader"] == f"{HOST}:{follower.writes}"
     # Who can go elsewhere is sent there.
     assert (await call(leader.reads, "GET", "/discovery/hosts?lineage=x"))[0] == 503
-    assert len(names(await listed(leader.reads))) == 3  # for others an old list is better than none
+    assert (
+        len(statuses_by_name(await fetch_list(leader.reads))) == 3
+    )  # for others an old list is better than none
     # Both remember what they are; the old leader comes back as a follower and drops what only it
     # had.
-    assert await leader.end(signal.SIGTERM) == 0 and await follower.end(signal.SIGKILL) < 0
+    assert await leader.stop(signal.SIGTERM) == 0 and await follower.stop(signal.SIGKILL) < 0
     await follower.start()
     assert (await follower.status())["role"] == "leader"
     await leader.start()
     assert (await leader.status())["role"] == "deposed"
-    await leader.end()
-    leader.more = {"follow": f"{HOST}:{follower.reads}"}
+    await leader.stop()
+    leader.extra_config = {"follow": f"{HOST}:{follower.reads}"}
     await leader.start()
-    await leader.until(role="follower", epoch=2, index=4 + LEAP)
-    assert await listed(leader.reads) == await listed(follower.reads)
-    await leader.end()
-    await follower.end()
+    await leader.wait_for_status(role="follower", epoch=2, index=4 + PROMOTION_VERSION_GAP)
+    assert await fetch_list(leader.reads) == await fetch_list(follower.reads)
+    await leader.stop()
+    await follower.stop()
 
 
 async def test_a_follower_is_never_taken_for_a_leader_by_a_missing_line(tmp_path: Path) -> None:
-    leader = await Program(tmp_path / "one").start()
+    leader = await DiscoveryProcess(tmp_path / "one").start()
     await leader.register("a", 1)
-    follower = await Program(tmp_path / "two", more={"follow": f"{HOST}:{leader.reads}"}).start()
-    await follower.until(index=1)
-    await follower.end()
+    follower = await DiscoveryProcess(
+        tmp_path / "two", extra_config={"follow": f"{HOST}:{leader.reads}"}
+    ).start()
+    await follower.wait_for_status(index=1)
+    await follower.stop()
     config = {"data": str(tmp_path / "two/data"), "reads": f"{HOST}:0", "writes": f"{HOST}:0"}
-    code, said = run_to_its_end(tmp_path, json.dumps(config))
-    assert code == 1 and "follow: missing" in said
+    code, stderr = run_until_exit(tmp_path, json.dumps(config))
+    assert code == 1 and "follow: missing" in stderr
     # Nor does one that has never heard its leader give an empty list.
-    await leader.end()
-    fresh = await Program(tmp_path / "three", more={"follow": f"{HOST}:{leader.reads}"}).start()
+    await leader.stop()
+    fresh = await DiscoveryProcess(
+        tmp_path / "three", extra_config={"follow": f"{HOST}:{leader.reads}"}
+    ).start()
     assert (await call(fresh.reads, "GET", "/discovery/hosts"))[0] == 503
     assert (await fresh.call("POST", "/promote"))[0] == 409
-    await fresh.end()
+    await fresh.stop()
 
 
 async def test_watches_that_are_not_read_are_bounded_and_delay_nobody(
@@ -388,25 +409,28 @@
 ) -> None:
     """In this process, so that what waits for each can be seen: 60 watches that never read, 20 that
     do."""
-    monkeypatch.setattr(service_module, "COALESCE", 0.0)
-    monkeypatch.setattr(service_module, "STALLED", 3600.0)  # however slow this machine is
+    monkeypatch.setattr(service_module, "COALESCE_DELAY", 0.0)
+    monkeypatch.setattr(service_module, "STALL_TIMEOUT", 3600.0)  # however slow this machine is
     service = Service(Store(tmp_path / "data"), Leases(), (1000, 60_000), 200)
     reads, writes = await service.listen((HOST, 0), (HOST, 0))
     service.start()
-    deaf = []
+    unread_sockets = []
     for _ in range(60):
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, (HOST, reads))
         sock.sendall(b"GET /discovery/hosts?watch=1&from=0 HTTP/1.1\r\nHost: x\r\n\r\n")
-        deaf.append(sock)
-    healthy = [await Watching(reads, "from=0").__aenter__() for _ in range(20)]
-    rounds, zones = 60, ["x" * 60, "y" * 60]
-    for turn in range(rounds):
+        unread_sockets.append(sock)
+    healthy = [await WatchClient(reads, "from=0").__aenter__() for _ in range(20)]
+    round_count, zones = 60, ["x" * 60, "y" * 60]
+    for round_number in range(round_count):
         calls = [
             call(
-                writes, "PUT", f"/servers/s-{n}", GOOD | {"zone": zones[turn % 2], "type": "z" * 60}
+                writes,
+                "PUT",
+                f"/servers/s-{n}",
+                GOOD | {"zone": zones[round_number % 2], "type": "z" * 60},
             )
             for n in range(40)
         ]
@@ -417,18 +441,18 @@
             assert line["index"] == service.state.index
     stalled = [w for w in service.watches if w.stalled_since is not None]
     assert len(stalled) == 60 and service.status()["versions_behind"] == 0
-    one = len(service.told(stalled[0].reader, 0).lines)  # the whole list
-    most = max(w.caller.transport.get_write_buffer_size() for w in service.watches)
-    assert most <= service_module.BUFFER + one + 64
+    one = len(service.update_for(stalled[0].reader, 0).lines)  # the whole list
+    most = max(w.connection.transport.get_write_buffer_size() for w in service.watches)
+    assert most <= service_module.WATCH_BUFFER_BYTES + one + 64
     # One that reads again gets what it missed as one line, then is like the others.
-    sock, told = deaf[0], b""
+    sock, received = unread_sockets[0], b""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
     async with asyncio.timeout(60):
-        while f'"index":{service.state.index},'.encode() not in told:
-            told += (part := await asyncio.get_running_loop().sock_recv(sock, 1 << 16))
+        while f'"index":{service.state.index},'.encode() not in received:
+            received += (part := await asyncio.get_running_loop().sock_recv(sock, 1 << 16))
             assert part  # not closed
     # The others are closed once they have not read for long enough.
-    monkeypatch.setattr(service_module, "STALLED", 0.0)
+    monkeypatch.setattr(service_module, "STALL_TIMEOUT", 0.0)
     async with asyncio.timeout(60):
         while service.counts.stalled < 59:
             await asyncio.sleep(0.1)
@@ -437,28 +461,32 @@
     assert len(service.watches) == 21
     for watch in healthy:
         watch.writer.transport.abort()
-    for sock in deaf:
+    for sock in unread_sockets:
         sock.close()
     await service.stop()
     assert not service.connections and not service.watches
     service.store.close()
 
 
-async def test_many_changes_are_told_together_and_no_removal_is_skipped(program: Program) -> None:
+async def test_many_changes_are_told_together_and_no_removal_is_skipped(
+    program: DiscoveryProcess,
+) -> None:
     for number in range(50):
         await program.register(f"s-{number}", 1)
-    async with Watching(program.reads, "from=50") as watch:
+    async with WatchClient(program.reads, "from=50") as watch:
         calls = [program.call("DELETE", f"/servers/s-{n}") for n in range(0, 50, 2)]
         calls += [
             program.call("PUT", f"/servers/s-{n}", GOOD | {"since_ms": 9}) for n in range(1, 50, 2)
         ]
         assert all(status == 200 for status, _ in await asyncio.gather(*calls))
-        told: dict[str, str] = {}
+        received: dict[str, str] = {}
         lines = 0
-        while len(told) < 50:
-            told |= names(await watch.line())
+        while len(received) < 50:
+            received |= statuses_by_name(await watch.line())
             lines += 1
-    assert all(told[f"s-{n}"] == ("up" if n % 2 else "removed") for n in range(50)) and lines < 50
+    assert (
+        all(received[f"s-{n}"] == ("up" if n % 2 else "removed") for n in range(50)) and lines < 50
+    )
 
 
 async def test_a_disk_that_hangs_is_told_in_time_and_reads_go_on(
@@ -467,18 +495,18 @@
     service = Service(Store(tmp_path / "data"), Leases(), (1000, 60_000), 1)
     reads, writes = await service.listen((HOST, 0), (HOST, 0))
     service.start()
-    hung, real = threading.Event(), os.fsync
+    disk_released, real_fsync = threading.Event(), os.fsync
 
     def fsync(descriptor: int) -> None:
-        hung.wait(30)
-        real(descriptor)
+        disk_released.wait(30)
+        real_fsync(descriptor)
 
     monkeypatch.setattr(service_module, "WRITE_TIMEOUT", 0.1)
     monkeypatch.setattr(os, "fsync", fsync)
     status, answer = await call(writes, "PUT", "/servers/a", GOOD, {"Request-Id": "x"})
     assert status == 503 and "may be yet" in answer["error"]
-    assert (await listed(reads))["index"] == 0
-    hung.set()
+    assert (await fetch_list(reads))["index"] == 0
+    disk_released.set()
     monkeypatch.setattr(service_module, "WRITE_TIMEOUT", 10.0)
     status, answer = await call(writes, "PUT", "/servers/a", GOOD, {"Request-Id": "x"})
     assert (status, answer["version"]) == (200, 1)
@@ -493,26 +521,26 @@
     service = Service(Store(tmp_path / "data"), Leases(), (1000, 60_000), 1)
     service.start()
     assert await service.write(register("a", 1)) == 1
-    hung, real, broken = threading.Event(), os.fsync, False
+    disk_released, real_fsync, broken = threading.Event(), os.fsync, False
 
     def fsync(descriptor: int) -> None:
-        assert hung.wait(30)
+        assert disk_released.wait(30)
         if broken:
             raise OSError(5, "no")
-        real(descriptor)
+        real_fsync(descriptor)
 
     monkeypatch.setattr(os, "fsync", fsync)
     for fails, statuses in ((True, [503, 503]), (False, [200, 409])):
         broken = fails
-        hung.clear()
+        disk_released.clear()
         calls = [register("a", 2), register("a", 9, expected=1)]
         writes = [asyncio.create_task(service.write(c)) for c in calls]
         for _ in range(20):
             await asyncio.sleep(0.001)
         assert not any(w.done() for w in writes) and service.state.index == 1
-        hung.set()
-        said = await asyncio.gather(*writes, return_exceptions=True)
-        assert [s.status if isinstance(s, Refused) else 200 for s in said] == statuses
+        disk_released.set()
+        results = await asyncio.gather(*writes, return_exceptions=True)
+        assert [s.status if isinstance(s, RejectedError) else 200 for s in results] == statuses
     await service.stop()
     service.store.close()
 
@@ -521,17 +549,17 @@
     """It could be the whole list of the epoch before."""
     service = Service(Store(tmp_path / "data"), Leases(), (1000, 60_000), 1)
     service.role = "follower"
-    async with service._turn:
-        copies = asyncio.create_task(service.copy([], State("other")))
+    async with service._store_lock:
+        copies = asyncio.create_task(service.replicate([], State("other")))
         await asyncio.sleep(0)
         service.role = "leader"
-    with pytest.raises(Broken, match="promoted meanwhile"):
+    with pytest.raises(InvalidDataError, match="promoted meanwhile"):
         await copies
     assert service.state.lineage != "other"
     service.store.close()
 
 
-async def test_a_watch_of_http_1_0_is_refused(program: Program) -> None:
+async def test_a_watch_of_http_1_0_is_refused(program: DiscoveryProcess) -> None:
     reader, writer = await asyncio.open_connection(HOST, program.reads)
     writer.write(b"GET /discovery/hosts?watch=1&from=0 HTTP/1.0\r\n\r\n")
     async with asyncio.timeout(60):
@@ -539,8 +567,8 @@
     writer.close()
 
 
-async def test_noise_is_refused_and_calls_go_on(program: Program) -> None:
-    dice, taken = random.Random(7), 0
+async def test_noise_is_refused_and_calls_go_on(program: DiscoveryProcess) -> None:
+    generator, finished = random.Random(7), 0
     pieces = [
         b"GET ",
         b"PUT ",
@@ -553,18 +581,18 @@
     pieces += [b"{}", b"9", b"\xff\x00"]
 
     async def noise(port: int) -> None:
-        nonlocal taken
+        nonlocal finished
         reader, writer = await asyncio.open_connection(HOST, port)
-        writer.write(b"".join(dice.choices(pieces, k=dice.randint(1, 12))))
+        writer.write(b"".join(generator.choices(pieces, k=generator.randint(1, 12))))
         writer.write_eof()
         async with asyncio.timeout(60):
             await reader.read(1 << 16)
         writer.transport.abort()
-        taken += 1
+        finished += 1
 
     for _ in range(20):
         await asyncio.gather(*(noise(port) for port in (program.reads, program.writes) * 10))
-    assert taken == 400 and "Traceback" not in program.said()
+    assert finished == 400 and "Traceback" not in program.log_text()
     assert await program.register("a", 1) == (await program.status())["index"]
 
 
@@ -577,17 +605,19 @@
     }
     (tmp_path / "c.json").write_text(json.dumps(config))
     command = f"ulimit -n 1024; exec {sys.executable} -m cairndale.discovery {tmp_path / 'c.json'}"
-    done = subprocess.run(
+    process = subprocess.run(
         ["bash", "-c", command], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert done.returncode == 1 and "100576 descriptors would be needed, and 1024" in done.stderr
+    assert (
+        process.returncode == 1 and "100576 descriptors would be needed, and 1024" in process.stderr
+    )
 
 
 async def test_too_many_watches_are_turned_away(tmp_path: Path) -> None:
-    program = await Program(tmp_path, more={"watches": 2}).start()
-    async with Watching(program.reads, "from=0"), Watching(program.reads, "from=0"):
+    program = await DiscoveryProcess(tmp_path, extra_config={"watches": 2}).start()
+    async with WatchClient(program.reads, "from=0"), WatchClient(program.reads, "from=0"):
         assert (await call(program.reads, "GET", "/discovery/hosts?watch=1&from=0"))[0] == 503
-    await program.end()
+    await program.stop()
 
 
 def test_no_part_reads_the_systems_clock() -> None:
@@ -600,8 +630,10 @@
 
 def test_it_imports_of_the_data_plane_only_http() -> None:
     for path in (ROOT / "cairndale/discovery").glob("*.py"):
-        taken = [line for line in path.read_text().splitlines() if "cairndale.ingress.net" in line]
-        assert all(line.startswith("from cairndale.ingress.net.http import") for line in taken), (
+        imports = [
+            line for line in path.read_text().splitlines() if "cairndale.ingress.net" in line
+        ]
+        assert all(line.startswith("from cairndale.ingress.net.http import") for line in imports), (
             path,
-            taken,
+            imports,
         )
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -576,14 +576,14 @@
 # The list service's files.
 
 
-def registered(name: str, since_ms: int, zone: str = "") -> directory_state.Call:
+def registered(name: str, since_ms: int, zone: str = "") -> directory_state.WriteRequest:
     server = directory_state.Server(
         name, f"{name}.example:9000", zone, "big", 3, "up", 1.5, since_ms, 20_000
     )
-    return directory_state.Call("register", name, server, id=f"register-{name}-{since_ms}")
+    return directory_state.WriteRequest("register", name, server, id=f"register-{name}-{since_ms}")
 
 
-def write_calls(store: DirectoryStore, *calls: directory_state.Call) -> None:
+def write_calls(store: DirectoryStore, *calls: directory_state.WriteRequest) -> None:
     """As the service does: the records of some calls, synced together."""
     work, records = store.state.copy(), []
     for call in calls:
@@ -598,12 +598,14 @@
     """A snapshot with a promotion before it, and a log of two syncs after it."""
     store.reset(directory_state.State("0123456789abcdef"))
     write_calls(store, registered("a", 100, "north"), registered("b", 200), registered("c", 300))
-    write_calls(store, directory_state.Call("remove", "c", id="remove-c"))
+    write_calls(store, directory_state.WriteRequest("remove", "c", id="remove-c"))
     after = store.state.copy()
-    promoted = after.promoted()
+    promoted = after.promotion_record()
     after.apply(promoted)
     store.append([promoted], after)
     store.compact(store.state)
-    write_calls(store, registered("d", 400), directory_state.Call("drain", "a", id="drain-a"))
-    write_calls(store, directory_state.Call("remove", "b", expected=2))
-    store.keep_role(leads=2, deposes="")
+    write_calls(
+        store, registered("d", 400), directory_state.WriteRequest("drain", "a", id="drain-a")
+    )
+    write_calls(store, directory_state.WriteRequest("remove", "b", expected=2))
+    store.save_role(leads=2, deposes="")
--- a/tests/golden/test_golden_bytes.py
+++ b/tests/golden/test_golden_bytes.py
@@ -430,21 +430,25 @@
 def test_the_list_service_reads_its_files_as_before(tmp_path: Path) -> None:
     store = DirectoryStore(copied("directory", tmp_path))
     store.close()
-    first = directory_state.LEAP + 4  # of the second epoch
-    assert (store.cut, store.replayed, store.role) == (0, 3, {"leads": 2, "deposes": ""})
+    first = directory_state.PROMOTION_VERSION_GAP + 4  # of the second epoch
+    assert (store.truncated_bytes, store.replayed, store.role) == (
+        0,
+        3,
+        {"leads": 2, "deposes": ""},
+    )
     state = store.state
-    assert (state.lineage, state.epoch, state.index, state.floor) == (
+    assert (state.lineage, state.epoch, state.index, state.compacted_index) == (
         "0123456789abcdef",
         2,
         first + 3,
         0,
     )
-    assert state.spans == ((1, 0, 4),)
+    assert state.past_epochs == ((1, 0, 4),)
     assert state.servers == {
         "a": directory_server("a", 100, first + 2, zone="north", status="draining"),
         "d": directory_server("d", 400, first + 1),
     }
-    assert list(state.gone.items()) == [("c", 4), ("b", first + 3)]
+    assert list(state.removed_versions.items()) == [("c", 4), ("b", first + 3)]
     versions = {id: (version, at) for id, _, version, at in state.writes.values()}
     assert versions == {
         "register-a-100": (1, 1),
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -15,8 +15,8 @@
 
 from cairndale.discovery import lines
 from cairndale.discovery.lines import Reader
-from cairndale.discovery.state import Call, State
-from cairndale.discovery.state import Refused as WriteRefused
+from cairndale.discovery.state import RejectedError as WriteRefused
+from cairndale.discovery.state import State, WriteRequest
 from cairndale.ingress.net import discovery as discovery_module
 from cairndale.ingress.net.config import ConfigError, _directory
 from cairndale.ingress.net.discovery import (
@@ -66,7 +66,7 @@
 
 WRITES = st.one_of(
     st.builds(register, st.sampled_from("abc"), st.integers(1, 2), st.integers(0, 1)),
-    st.builds(Call, st.sampled_from(["drain", "remove"]), st.sampled_from("abc")),
+    st.builds(WriteRequest, st.sampled_from(["drain", "remove"]), st.sampled_from("abc")),
 )
 STEPS = st.lists(
     st.one_of(
@@ -98,12 +98,12 @@
                 if number != self.leader and state.lineage == self.states[self.leader].lineage:
                     epoch = max(s.epoch for s in self.states if s.lineage == state.lineage)
                     while state.epoch <= epoch:
-                        state.apply(state.promoted())
+                        state.apply(state.promotion_record())
                     self.leader = number
             case ("wipe", number):
                 self.wiped += 1
                 self.states[number] = State(f"l{self.wiped}")
-            case Call():
+            case WriteRequest():
                 state = self.states[self.leader]
                 try:
                     record, _ = state.decide(step)
@@ -125,7 +125,9 @@
             replicas.do(step)
             continue
         reader = Reader("extended", held.epoch, held.lineage or "")
-        told = lines.since(replicas.states[step[1]], reader, held.index if held.lineage else 0)
+        told = lines.encode_changes(
+            replicas.states[step[1]], reader, held.index if held.lineage else 0
+        )
         for raw in told.lines.splitlines():
             before, lineage = (held.epoch, held.index), held.lineage
             try:
--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -32,7 +32,7 @@
 from cairndale.lab.faults.relay import HELD, Front, Relays, UdpFront
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.scenario import ScenarioError
-from tests.testing.discovery import ROOT, STARTED
+from tests.testing.discovery import ROOT, STARTED_PROCESSES
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 
@@ -680,7 +680,7 @@
     (tmp_path / "small.toml").write_text(SMALL.replace("length_s = 4", "length_s = 50"))
     command = [sys.executable, "-m", "cairndale.lab", "faults", "run", str(tmp_path / "small.toml")]
     tool = subprocess.Popen([*command, "--out", str(tmp_path / "out")], cwd=ROOT, text=True)
-    STARTED.append(tool)
+    STARTED_PROCESSES.append(tool)
 
     def children() -> list[int]:
         found = []
--- a/tests/measurements/measure_discovery.py
+++ b/tests/measurements/measure_discovery.py
@@ -28,7 +28,7 @@
 from cairndale.discovery.store import Store
 from cairndale.ingress.net import discovery as discovery_module
 from cairndale.ingress.net.discovery import Addresses, Directory, Discovery, Held, Listing
-from tests.testing.discovery import HOST, Program
+from tests.testing.discovery import HOST, DiscoveryProcess
 
 FLEET, SERVERS, SPELL, DOWN, POLL = 200, 200, 10.0, 5.0, 2.0
 
@@ -89,17 +89,17 @@
     return ended
 
 
-async def fill(program: Program, count: int) -> None:
+async def fill(program: DiscoveryProcess, count: int) -> None:
     for start in range(0, count, 50):
         numbers = range(start, min(count, start + 50))
         await asyncio.gather(*(program.register(f"s-{n}", 1000 + n) for n in numbers))
 
 
-async def steady(program: Program) -> None:
+async def steady(program: DiscoveryProcess) -> None:
     await asyncio.sleep(SPELL)
 
 
-async def roll(program: Program) -> None:
+async def roll(program: DiscoveryProcess) -> None:
     """Half of the servers, one after another: drained, removed, registered as started anew."""
     for number in range(SERVERS // 2):
         await program.call("POST", f"/servers/s-{number}/drain")
@@ -109,20 +109,20 @@
     await asyncio.sleep(POLL)
 
 
-async def restart(program: Program) -> None:
-    await program.end(signal.SIGKILL)
+async def restart(program: DiscoveryProcess) -> None:
+    await program.stop(signal.SIGKILL)
     await asyncio.sleep(DOWN)
     await program.start()
     await asyncio.sleep(SPELL)
 
 
 async def spell(
-    kind: str, what: Callable[[Program], Awaitable[None]], folder: Path
+    kind: str, what: Callable[[DiscoveryProcess], Awaitable[None]], folder: Path
 ) -> dict[str, int]:
     """The counts of one way to watch over one spell."""
     global tries
     random.seed(1)
-    program = await Program(folder).start()
+    program = await DiscoveryProcess(folder).start()
     await fill(program, SERVERS)
     clients = [(Poller if kind == "polling" else Client)(program.reads, n) for n in range(FLEET)]
     await asyncio.sleep(2 * POLL)  # all have their first list
@@ -135,7 +135,7 @@
     made = tries + Poller.tries
     for client in clients:
         client.stop()
-    await program.end()
+    await program.stop()
     counts = {
         k: after[k] - before[k] for k in ("lists", "watches", "connections", "bytes_told", "wholes")
     }
@@ -167,7 +167,7 @@
             )
 
 
-def memory(program: Program) -> int:
+def memory(program: DiscoveryProcess) -> int:
     """kB that the service has in use now."""
     assert program.process
     text = Path(f"/proc/{program.process.pid}/status").read_text()
@@ -175,7 +175,7 @@
 
 
 @asynccontextmanager
-async def watches(program: Program, count: int, deaf: bool) -> Any:
+async def watches(program: DiscoveryProcess, count: int, deaf: bool) -> Any:
     """That many watches that read, or that never do."""
     socks, tasks = [], []
     loop = asyncio.get_running_loop()
@@ -203,7 +203,7 @@
             sock.close()
 
 
-async def rounds(program: Program, count: int) -> Counter[int]:
+async def rounds(program: DiscoveryProcess, count: int) -> Counter[int]:
     """Changes ten servers at once, and so on; how many versions the slowest watch that reads then
     lacks."""
     seen: Counter[int] = Counter()
@@ -224,7 +224,7 @@
     print(f"\n| {head} | {last} |")
     print("| --- | --- | --- | --- | --- | --- |")
     for deaf in (0, 200):
-        program = await Program(folder / f"slow {deaf}").start()
+        program = await DiscoveryProcess(folder / f"slow {deaf}").start()
         await fill(program, SERVERS)
         async with watches(program, FLEET, deaf=False):
             await rounds(program, 50)
@@ -239,14 +239,14 @@
                 ]
                 shown = ", ".join(map(str, counts))
                 print(f"| {FLEET} | {deaf} | {stalled} | 200 | {shown} | {each:.0f} |", flush=True)
-        await program.end()
-    program = await Program(folder / "many").start()
+        await program.stop()
+    program = await DiscoveryProcess(folder / "many").start()
     await fill(program, SERVERS)
     before = memory(program)
     async with watches(program, 1000, deaf=False):
         await rounds(program, 20)
         print(f"\n1,000 watches that read: {(memory(program) - before) / 1000:.1f} kB each")
-    await program.end()
+    await program.stop()
 
 
 def replay(folder: Path) -> None:
@@ -255,7 +255,7 @@
     )
     print("| --- | --- | --- | --- | --- |")
     first = 0.0
-    with mock.patch("cairndale.discovery.store.COMPACT", 1 << 40):
+    with mock.patch("cairndale.discovery.store.COMPACT_MIN_BYTES", 1 << 40):
         for count in (1000, 10_000, 50_000):
             store = Store(folder / f"log {count}")
             work, records = store.state.copy(), []
--- a/tests/testing/discovery.py
+++ b/tests/testing/discovery.py
@@ -13,27 +13,27 @@
 from pathlib import Path
 from typing import Any
 
-from cairndale.discovery.state import Call, Server
+from cairndale.discovery.state import Server, WriteRequest
 
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
-HELD: list[socket.socket] = []  # closed after each test, and ...
-STARTED: list[subprocess.Popen[str]] = []  # ... ended, by `conftest.py`
+RESERVED_SOCKETS: list[socket.socket] = []  # closed after each test, and ...
+STARTED_PROCESSES: list[subprocess.Popen[str]] = []  # ... ended, by `conftest.py`
 
 
 def register(
     name: str, port: int = 1, since: int = 0, id: str = "", expected: int | None = None
-) -> Call:
+) -> WriteRequest:
     server = Server(name, f"{HOST}:{port}", since_ms=since, lease_ms=60_000)
-    return Call("register", name, server, id, expected)
+    return WriteRequest("register", name, server, id, expected)
 
 
 @dataclass
-class Program:
+class DiscoveryProcess:
     """`python -m cairndale.discovery` on a data folder; the ports are kept over a restart."""
 
     folder: Path
-    more: dict[str, Any] = field(default_factory=dict)
+    extra_config: dict[str, Any] = field(default_factory=dict)
     process: subprocess.Popen[str] | None = None
     reads: int = field(init=False)
     writes: int = field(init=False)
@@ -41,43 +41,43 @@
     def __post_init__(self) -> None:
         """The system chooses the ports; they are held, not listened to: none is lost over a
         restart."""
-        holders = [socket.socket() for _ in range(2)]
-        for holder in holders:
-            holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            holder.bind((HOST, 0))
-        HELD.extend(holders)
-        self.reads, self.writes = (holder.getsockname()[1] for holder in holders)
-
-    async def start(self) -> Program:
+        reserved_sockets = [socket.socket() for _ in range(2)]
+        for reserved in reserved_sockets:
+            reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            reserved.bind((HOST, 0))
+        RESERVED_SOCKETS.extend(reserved_sockets)
+        self.reads, self.writes = (reserved.getsockname()[1] for reserved in reserved_sockets)
+
+    async def start(self) -> DiscoveryProcess:
         config = {"data": str(self.folder / "data")}
         config |= {"reads": f"{HOST}:{self.reads}", "writes": f"{HOST}:{self.writes}"}
         self.folder.mkdir(exist_ok=True)
         path = self.folder / "config.json"
-        path.write_text(json.dumps(config | self.more))
+        path.write_text(json.dumps(config | self.extra_config))
         self.log = (self.folder / "log.txt").open("a")
-        at = len(self.said())
+        log_offset = len(self.log_text())
         command = [sys.executable, "-m", "cairndale.discovery", str(path)]
         self.process = subprocess.Popen(command, cwd=ROOT, stderr=self.log, text=True)
-        STARTED.append(self.process)
+        STARTED_PROCESSES.append(self.process)
         async with asyncio.timeout(60):
-            while "reads on" not in (said := self.said()[at:]):
+            while "reads on" not in (log_text := self.log_text()[log_offset:]):
                 code = self.process.poll()
-                assert code is None, f"ended with {code}: {self.said()[at:]}"
+                assert code is None, f"ended with {code}: {self.log_text()[log_offset:]}"
                 await asyncio.sleep(0.01)
-        assert f"reads on {HOST}:{self.reads}, writes on {HOST}:{self.writes}" in said
+        assert f"reads on {HOST}:{self.reads}, writes on {HOST}:{self.writes}" in log_text
         return self
 
-    def said(self) -> str:
+    def log_text(self) -> str:
         return (self.folder / "log.txt").read_text()
 
-    def tell(self, number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         assert self.process
-        os.kill(self.process.pid, number)
+        os.kill(self.process.pid, signal_number)
 
-    async def end(self, number: int = signal.SIGKILL) -> int:
+    async def stop(self, signal_number: int = signal.SIGKILL) -> int:
         assert self.process
         if self.process.poll() is None:
-            self.tell(number)
+            self.send_signal(signal_number)
         code = await asyncio.to_thread(self.process.wait, 30)
         self.log.close()
         return code
@@ -87,8 +87,8 @@
     ) -> tuple[int, Any]:
         return await call(self.writes, method, path, body, headers)
 
-    async def register(self, name: str, port: int, **more: Any) -> int:
-        body = {"address": f"{HOST}:{port}", "lease_ms": 60_000} | more
+    async def register(self, name: str, port: int, **details: Any) -> int:
+        body = {"address": f"{HOST}:{port}", "lease_ms": 60_000} | details
         status, answer = await self.call("PUT", f"/servers/{name}", body)
         assert status == 200, answer
         return int(answer["version"])
@@ -98,12 +98,12 @@
         assert status == 200 and isinstance(answer, dict)
         return answer
 
-    async def until(self, **wanted: Any) -> dict[str, Any]:
+    async def wait_for_status(self, **expected: Any) -> dict[str, Any]:
         """Its status, once it is as wanted."""
         async with asyncio.timeout(60):
             while True:
                 status = await self.status()
-                if all(status[key] == value for key, value in wanted.items()):
+                if all(status[key] == value for key, value in expected.items()):
                     return status
                 await asyncio.sleep(0.02)
 
@@ -123,17 +123,17 @@
             answer = await reader.read()
         finally:
             writer.close()
-    head_, _, answered = answer.partition(b"\r\n\r\n")
-    return int(head_.split()[1]), json.loads(answered)
+    head_, _, response_body = answer.partition(b"\r\n\r\n")
+    return int(head_.split()[1]), json.loads(response_body)
 
 
-class Watching:
+class WatchClient:
     """A watch, line by line; empty ones are left out unless asked for."""
 
     def __init__(self, port: int, query: str) -> None:
         self.port, self.query = port, query
 
-    async def __aenter__(self) -> Watching:
+    async def __aenter__(self) -> WatchClient:
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port, limit=1 << 24)
         self.writer.write(
             f"GET /discovery/hosts?watch=1&{self.query} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
@@ -157,5 +157,5 @@
                     return json.loads(data) if data.strip() else ""
 
 
-def names(line: Any) -> dict[str, str]:
+def statuses_by_name(line: Any) -> dict[str, str]:
     return {e["name"]: e["status"] for e in line["endpoints"]}
