--- a/cairndale/discovery/__init__.py
+++ b/cairndale/discovery/__init__.py
@@ -1,2 +1,2 @@
-"""The list service: versions of the server list, kept durably, served to watches, followed by
-replicas."""
+"""The list service: a versioned registry of servers with leases, watches, followers and a
+write-ahead log."""
--- a/cairndale/discovery/__main__.py
+++ b/cairndale/discovery/__main__.py
@@ -1,4 +1,5 @@
-"""The list service: reads its configuration, takes its data folder, serves until SIGTERM."""
+"""The list service's program: reads the configuration, opens the data folder, serves until
+SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -21,7 +22,7 @@
 from cairndale.discovery.store import DataFolderError, Store
 
 Address = tuple[str, int]
-# descriptors that are neither callers nor watches: the loop's, the disk's, the leader's
+# descriptors beside client connections and watches: event loop, files, connection to the leader
 RESERVED_DESCRIPTORS = 64
 CONFIG_KEYS = {
     "data",
@@ -39,11 +40,13 @@
 
 
 class ConfigError(Exception):
-    pass
+    """The configuration cannot be used; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The settings of one process, as the configuration file has them."""
+
     data: Path
     reads: Address
     writes: Address
@@ -63,7 +66,7 @@
 
 
 def _number(raw: dict[str, Any], key: str, default: float, minimum: float, maximum: float) -> Any:
-    """Whole, if the default is."""
+    """Returns a number within the bounds: an integer, if the default is one."""
     value = raw.get(key, default)
     valid = isinstance(value, int) or (isinstance(default, float) and isinstance(value, float))
     if not valid or isinstance(value, bool) or not minimum <= value <= maximum:
@@ -72,6 +75,7 @@
 
 
 def read_config(path: str) -> Config:
+    """Reads and checks the configuration file."""
     try:
         raw = json.loads(Path(path).read_bytes())
     except OSError as error:
@@ -81,19 +85,19 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: not an object")
     if unknown := sorted(raw.keys() - CONFIG_KEYS):
-        raise ConfigError(f"{unknown[0]}: not known here")
+        raise ConfigError(f"{unknown[0]}: unknown key")
     if not isinstance(raw.get("data"), str) or not raw["data"]:
-        raise ConfigError("data: the folder is missing")
+        raise ConfigError("data: no folder given")
     lease_ms_range = raw.get("lease_ms", [1000, 60_000])
     if not (
         isinstance(lease_ms_range, list)
         and len(lease_ms_range) == 2
         and all(type(t) is int for t in lease_ms_range)
     ):
-        raise ConfigError(f"lease_ms: {lease_ms_range!r} is not [least, most]")
+        raise ConfigError(f"lease_ms: {lease_ms_range!r} is not [minimum, maximum]")
     if not 100 <= lease_ms_range[0] <= lease_ms_range[1] <= 86_400_000:
         raise ConfigError(
-            f"lease_ms: {lease_ms_range!r} is not between 100 and 86400000, the least first"
+            f"lease_ms: {lease_ms_range!r} must be within 100 to 86400000, minimum first"
         )
     return Config(
         data=Path(raw["data"]),
@@ -109,12 +113,15 @@
 
 
 async def serve(config: Config) -> None:
+    """Runs the service until SIGTERM or SIGINT."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     ensure_descriptor_limit(config.watches + MAX_CONNECTIONS + RESERVED_DESCRIPTORS)
     store = Store(config.data, config.history)
     try:
         if store.truncated_bytes:
-            log.warning("log: %d bytes of a broken last record were cut off", store.truncated_bytes)
+            log.warning(
+                "log: truncated %d bytes of an incomplete last record", store.truncated_bytes
+            )
         leases = Leases(max_expired_ratio=config.hold_share, window_s=config.hold_window_s)
         service = Service(store, leases, config.lease_ms, config.watches)
         replica = restore_role(service, store, config.follow)
@@ -135,30 +142,31 @@
 
 
 def ensure_descriptor_limit(required: int) -> None:
-    """Readers must not be able to take those that the disk needs: there are enough for all, or no
-    start."""
+    """Raises the limit on descriptors to `required`, or fails the start.
+
+    Otherwise readers could use up the descriptors that the store needs."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and hard < required:
         raise ConfigError(
-            f"watches: {required} descriptors would be needed, and {hard} are allowed"
+            f"watches: {required} descriptors are needed, but the hard limit is {hard}"
         )
     if soft != resource.RLIM_INFINITY and soft < required:
         resource.setrlimit(resource.RLIMIT_NOFILE, (required, hard))
 
 
 def restore_role(service: Service, store: Store, follow: Address | None) -> Replica:
-    """What the folder remembers goes before the configuration: promotions and depositions were
-    explicit."""
+    """Sets the role. The role stored in the data folder takes precedence over the configuration:
+    promotions and depositions were explicit."""
     saved_role, epoch = store.role, store.state.epoch
     if saved_role.get("leads") == epoch:
         if follow:
-            log.warning("follow: not followed, as this one was promoted and leads epoch %d", epoch)
+            log.warning("follow: ignored, this replica was promoted and leads epoch %d", epoch)
         return Replica(service, None, str(saved_role.get("deposes") or ""))
     if follow:
         store.save_role(follows="{}:{}".format(*follow))
     elif "follows" in saved_role or "leads" in saved_role:
         raise ConfigError(
-            "follow: missing, and the data folder is that of a follower never promoted"
+            "follow: missing, but the data folder belongs to a follower that was never promoted"
         )
     elif saved_role.get("deposed", 0) > epoch:
         service.role, service.leader_at = "deposed", str(saved_role.get("leader", ""))
@@ -166,6 +174,7 @@
 
 
 def main() -> int:
+    """Runs the program; returns its exit status."""
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s"
     )
--- a/cairndale/discovery/lines.py
+++ b/cairndale/discovery/lines.py
@@ -1,8 +1,8 @@
-"""What a watch is told: the lines for a reader that holds some version. Pure.
+"""Encodes the lines of a list or a watch, for a reader at a given version. Free of I/O.
 
-Three kinds of reader: `plain`, as PROTOCOL has it; `extended`, which names the lineage it holds and
-gets versions, epoch and removals that a snapshot could not otherwise show; `follow`, a replica,
-which gets all."""
+There are three kinds of reader. A `plain` reader gets what PROTOCOL defines. An `extended` reader
+names the lineage of its list, and also gets server versions, the epoch, and the removals that a
+snapshot would not show. A `follow` reader is a replica and gets the complete state."""
 
 from __future__ import annotations
 
@@ -12,12 +12,14 @@
 
 from cairndale.discovery.state import Server, State
 
-# ms of a replica's silence from its leader, from which on extended readers are told
+# Extended readers are sent the age of a replica's list once it is at least this old.
 AGE_REPORT_THRESHOLD_MS = 4000
 
 
 @dataclass(frozen=True, slots=True)
 class Reader:
+    """What a reader understands (`plain`, `extended` or `follow`), and the list that it has."""
+
     kind: str = "plain"
     epoch: int | None = None
     lineage: str | None = None
@@ -25,7 +27,8 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchUpdate:
-    """Lines, each with its newline, and the version and epoch that a reader holds after them."""
+    """Encoded lines, each with its newline, and the version and epoch that a reader is at after
+    them."""
 
     lines: bytes
     index: int
@@ -47,6 +50,7 @@
 
 
 def encode_full_list(state: State, reader: Reader, writes_at: str = "") -> WatchUpdate:
+    """Returns the complete list as a snapshot line."""
     extended = reader.kind != "plain"
     fields: dict[str, Any] = {
         "index": state.index,
@@ -61,8 +65,9 @@
 
 
 def encode_changes(state: State, reader: Reader, index: int, writes_at: str = "") -> WatchUpdate:
-    """What has changed after a version, or the whole list where that cannot be told. A follower
-    hears with it where writes go."""
+    """Returns the changes after version `index`, or the full list if those are not known.
+
+    A follower also gets `writes_at`, the address that takes writes."""
     other_lineage = reader.lineage is not None and reader.lineage != state.lineage
     if other_lineage or not state.has_changes_since(index, reader.epoch):
         return encode_full_list(state, reader, writes_at)
@@ -75,9 +80,8 @@
         return WatchUpdate(b"", state.index, state.epoch, False)
     removal_entries = [_removal_entry(n, state.removed_versions[n], extended) for n in removed]
     lines = b""
-    if (
-        reregistered and reader.kind != "follow"
-    ):  # removed and set again: neither half may be missed
+    # A server that was removed and registered again is sent as both, the removal first.
+    if reregistered and reader.kind != "follow":
         removals_first = [
             _removal_entry(n, state.removed_versions[n], extended) for n in reregistered
         ]
@@ -103,7 +107,9 @@
 
 
 def encode_heartbeat(state: State, reader: Reader, age_ms: int, writes_at: str = "") -> bytes:
-    """While nothing changes: an empty line, but for those that understand more."""
+    """Returns the line sent while nothing changes: an empty one, or one with the list's age.
+
+    Followers always get the age; extended readers get it once the list is old."""
     if reader.kind == "plain" or (reader.kind == "extended" and age_ms < AGE_REPORT_THRESHOLD_MS):
         return b"\n"
     fields: dict[str, Any] = {
--- a/cairndale/discovery/replica.py
+++ b/cairndale/discovery/replica.py
@@ -1,10 +1,12 @@
-"""A follower: watches its leader, keeps what it is told as its own list, and can be promoted.
+"""A follower of the list service: watches its leader, commits the changes that it receives, and can
+be promoted.
 
-How old its list may be it tells from questions of its own: a line may be long on its way, or wait
-here for the disk, but the version that the leader names when it is asked is, once it is held here,
-no older than the question.
+The age of the follower's list is derived from queries of its own. A line of the watch may be
+delayed in the network, or wait for the follower's disk, so its arrival says nothing about its age.
+The version that the leader answers to a query was current when the query was sent, so once the
+follower has committed that version, its list is no older than the query.
 
-`Following` decides, from lines, answers and `now`; `Replica` is its connections.
+`ReplicationProgress` is free of I/O; `Replica` owns the connections.
 """
 
 from __future__ import annotations
@@ -24,15 +26,14 @@
 from cairndale.discovery.service import Service
 from cairndale.discovery.state import InvalidDataError, Record, State, decode_record, decode_state
 
-LEADER_TIMEOUT = 6.0  # s with no line: three beats
-RETRY_BACKOFF = (0.1, 2.0)  # s between tries: the first, the longest
-CONNECT_TIMEOUT = 1.0
-RESPONSE_TIMEOUT = 2.0
-VERSION_POLL_INTERVAL = 1.0  # s between questions for the leader's version
-MAX_PENDING_VERSIONS = 16  # answers whose versions are not held yet; of more the oldest is dropped
-UNCONFIRMED_AGE = (
-    10.0  # s of age at the least of a list whose leader was not heard: readers go elsewhere
-)
+LEADER_TIMEOUT = 6.0  # s without a line: three heartbeat intervals
+RETRY_BACKOFF = (0.1, 2.0)  # s between attempts: the first, the longest
+CONNECT_TIMEOUT = 1.0  # s
+RESPONSE_TIMEOUT = 2.0  # s
+VERSION_POLL_INTERVAL = 1.0  # s
+MAX_PENDING_VERSIONS = 16  # leader versions not committed here yet; beyond, the oldest is dropped
+# s: minimum age of a list that no query has confirmed yet. It makes readers go elsewhere.
+UNCONFIRMED_AGE = 10.0
 MAX_RESPONSE_BYTES = 64 * 1024
 MAX_LINE_BYTES = 64 * 1024 * 1024
 
@@ -41,35 +42,33 @@
 
 @dataclass(slots=True)
 class ReplicationProgress:
-    """What is known of the leader, and what a line of its means for the list held here."""
+    """What the follower knows of its leader, and how old its own list may be."""
 
-    last_received_at: float | None = None  # when the leader was last heard
+    last_received_at: float | None = None  # when the last line came from the leader
     leader_index: int = 0
     leader_age: float = 0.0  # the leader may itself be a follower
     writes_at: str = ""
     behind_since: float | None = None
     started_at: float = 0.0
-    current_as_of: float | None = None  # the list here is at least as the leader's at that time
-    leader_supports_version_query: bool = (
-        True  # the leader answers questions: it is no older program
-    )
-    # versions named, and sure of when
+    current_as_of: float | None = None  # the list is no older than the leader's at this time
+    leader_supports_version_query: bool = True  # False: the leader is an older release
+    # versions answered by the leader, each with the time at which it was current
     _pending_versions: deque[tuple[int, float]] = field(default_factory=deque)
 
     def record_leader_version(
         self, state: State, index: int, epoch: int, lineage: str, current_as_of: float
     ) -> None:
-        """The leader's answer: that version is as new as `sure_at`, when it was asked less its own
-        age."""
+        """Notes the leader's answer to a query: its list is at this version, and was current at
+        `current_as_of`, the time of the query less the age of the leader's list."""
         if (epoch, lineage) != (state.epoch, state.lineage):
-            return  # the watch brings that list first
+            return  # the watch has to bring that list first
         self._pending_versions.append((index, current_as_of))
         if len(self._pending_versions) > MAX_PENDING_VERSIONS:
             self._pending_versions.popleft()
 
     def age(self, state: State, now: float) -> float:
-        """s that the list here may be behind the leader's; of what an earlier process kept, it is a
-        guess."""
+        """Returns the seconds that the list may be behind the leader's. Until a query has confirmed
+        the list that was on disk at the start, this is an estimate."""
         while self._pending_versions and self._pending_versions[0][0] <= state.index:
             current_as_of = self._pending_versions.popleft()[1]
             self.current_as_of = (
@@ -86,28 +85,30 @@
         )
 
     def receive(self, state: State, line: Any, now: float) -> State | Record | None:
-        """A list to take as a whole, a record to add, or nothing; Broken if it must not be
-        followed."""
+        """Decodes a line of the watch.
+
+        Returns a full state to take over, a record to apply, or None. Raises InvalidDataError if
+        the list must not be followed."""
         try:
             index, epoch, lineage = int(line["index"]), int(line["epoch"]), str(line["lineage"])
             if lineage != state.lineage and state.index > 0:
                 raise InvalidDataError(
-                    f"another list, {lineage}: an empty data folder could follow it"
+                    f"another lineage, {lineage}: only an empty data folder can follow it"
                 )
             if epoch < state.epoch and lineage == state.lineage:
-                raise InvalidDataError(f"epoch {epoch} is past: {state.epoch} is held")
+                raise InvalidDataError(f"epoch {epoch} is older than the local epoch {state.epoch}")
             received: State | Record | None = None
             if "state" in line:
                 received = decode_state(line["state"], state.history_limit)
             elif "record" in line:
                 received = decode_record(line["record"])
             elif index > state.index:
-                raise InvalidDataError(f"version {index} with no record")
+                raise InvalidDataError(f"version {index} without a record")
             self.leader_age = float(line.get("age_ms", 0)) / 1000
             self.writes_at = str(line.get("writes_at", self.writes_at))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise InvalidDataError(f"a line that cannot be read: {error!r}") from None
-        # another leader: what the one before vouched for says nothing of its list
+            raise InvalidDataError(f"malformed line: {error!r}") from None
+        # With another leader, answers of the one before say nothing about its list.
         if epoch != state.epoch:
             self._pending_versions.clear()
             self.current_as_of, self.started_at = None, now
@@ -116,8 +117,8 @@
 
 
 class Replica:
-    """What a process does about its leader: follows one, or tells one that it leads no longer, or
-    neither."""
+    """The connections of a replica to other replicas: a follower's to its leader, or a promoted
+    replica's to the leader that it deposed."""
 
     def __init__(
         self, service: Service, leader: tuple[str, int] | None, deposed_leader: str = ""
@@ -133,15 +134,17 @@
             service.extra_status = self.status
 
     def start(self) -> None:
+        """Starts following the leader, or notifying the deposed one."""
         if self.leader:
-            for loop in (self._follow_loop, self._poll_version_loop):
-                self._tasks.append(self._loop.create_task(loop(*self.leader)))
+            for run in (self._follow_loop, self._poll_version_loop):
+                self._tasks.append(self._loop.create_task(run(*self.leader)))
         elif self._deposed_leader:
             self._tasks.append(
                 self._loop.create_task(self._notify_deposed_leader(self._deposed_leader))
             )
 
     async def stop(self) -> None:
+        """Stops all tasks."""
         tasks, self._tasks = self._tasks, []
         for task in tasks:
             task.cancel()
@@ -149,12 +152,13 @@
             await asyncio.wait(tasks)
 
     def age(self) -> float:
-        """s that the list here may be behind the leader's."""
+        """Returns the seconds that the list may be behind the leader's; 0 on a leader."""
         if self.service.role != "follower":
             return 0.0
         return self.progress.age(self.service.state, self._loop.time())
 
     def status(self) -> dict[str, Any]:
+        """Returns a follower's part of the status."""
         if self.service.role != "follower":
             return {}
         now, progress = self._loop.time(), self.progress
@@ -173,6 +177,7 @@
         return {"follows": report}
 
     async def promote(self) -> None:
+        """Makes this follower the leader, and deposes the leader that it followed."""
         deposed_leader = self.progress.writes_at
         await self.service.become_leader(deposed_leader)
         self.service.leader_at = ""
@@ -181,10 +186,10 @@
         self.start()
 
     async def _notify_deposed_leader(self, deposed_leader: str) -> None:
-        """The leader before must learn of the epoch, however long it takes for it to come back."""
-        state, wait = self.service.state, RETRY_BACKOFF[0]
-        report = {"lineage": state.lineage, "epoch": state.epoch, "leader": self.service.writes_at}
-        body = json.dumps(report).encode()
+        """Notifies the former leader of the new epoch, retrying until it is reachable."""
+        state, delay = self.service.state, RETRY_BACKOFF[0]
+        notice = {"lineage": state.lineage, "epoch": state.epoch, "leader": self.service.writes_at}
+        body = json.dumps(notice).encode()
         host, _, port = deposed_leader.rpartition(":")
         request = (
             b"POST /depose HTTP/1.1\r\nHost: %b\r\nConnection: close\r\nContent-Length: "
@@ -195,40 +200,40 @@
                 response = await _request(
                     host, int(port), request % (deposed_leader.encode(), len(body), body)
                 )
-                # deposed, or of another list or epoch by now
+                # 409: the former leader is at a later epoch or of another lineage by now.
                 if response.split()[1:2] in ([b"200"], [b"409"]):
-                    said = response.partition(b"\r\n")[0].decode("latin-1")
-                    log.info("the leader before, at %s, was told: %s", deposed_leader, said)
+                    status_line = response.partition(b"\r\n")[0].decode("latin-1")
+                    log.info("former leader at %s notified: %s", deposed_leader, status_line)
                     return
-            except (OSError, ValueError):  # TimeoutError is one of the first
+            except (OSError, ValueError):  # TimeoutError is an OSError
                 pass
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-            wait = min(2 * wait, RETRY_BACKOFF[1])
+            await asyncio.sleep(delay * random.uniform(0.5, 1.0))
+            delay = min(2 * delay, RETRY_BACKOFF[1])
 
     async def _follow_loop(self, host: str, port: int) -> None:
-        wait, said = RETRY_BACKOFF[0], ""
+        delay, logged_reason = RETRY_BACKOFF[0], ""
         while True:
             before = self.progress.last_received_at
             try:
                 await self._follow_once(host, port)
-                reason = "its watch ended"
+                reason = "watch ended"
             except (
                 OSError,
                 httptools.HttpParserError,
                 httptools.HttpParserUpgrade,
                 ValueError,
             ) as error:
-                reason = str(error) or "silent"
+                reason = str(error) or "timed out"
             except InvalidDataError as error:
                 reason = str(error)
             self.progress.behind_since = self.progress.behind_since or self._loop.time()
-            if reason != said:  # once, however often it is tried
+            if reason != logged_reason:  # one line for repeated failures
                 log.warning("leader at %s:%d: %s", host, port, reason)
-                said = reason
+                logged_reason = reason
             if self.progress.last_received_at != before:
-                wait, said = RETRY_BACKOFF[0], ""
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))
-            wait = min(2 * wait, RETRY_BACKOFF[1])
+                delay, logged_reason = RETRY_BACKOFF[0], ""
+            await asyncio.sleep(delay * random.uniform(0.5, 1.0))
+            delay = min(2 * delay, RETRY_BACKOFF[1])
 
     async def _poll_version_loop(self, host: str, port: int) -> None:
         request = (
@@ -241,9 +246,13 @@
                 status = head.split()[1]
                 self.progress.leader_supports_version_query = status != b"404"
                 if status == b"200":
-                    said = json.loads(body)
-                    leader_version = int(said["index"]), int(said["epoch"]), str(said["lineage"])
-                    current_as_of = requested_at - float(said["age_ms"]) / 1000
+                    answer = json.loads(body)
+                    leader_version = (
+                        int(answer["index"]),
+                        int(answer["epoch"]),
+                        str(answer["lineage"]),
+                    )
+                    current_as_of = requested_at - float(answer["age_ms"]) / 1000
                     self.progress.record_leader_version(
                         self.service.state, *leader_version, current_as_of
                     )
@@ -265,7 +274,9 @@
                     return
                 response.parser.feed_data(data)
                 if response.parser.get_status_code() != 200:
-                    raise ValueError(f"not a watch: {response.parser.get_status_code()}")
+                    raise ValueError(
+                        f"watch rejected with status {response.parser.get_status_code()}"
+                    )
                 received, response.lines = response.lines, []
                 for line in received:
                     await self._apply_line(line)
@@ -281,22 +292,24 @@
         if isinstance(new, State):
             if state.epoch < new.epoch and state.index > 0:
                 log.warning(
-                    "epoch %d in place of %d: what only it held is dropped", new.epoch, state.epoch
+                    "epoch %d replaces %d: writes that only the local epoch had are dropped",
+                    new.epoch,
+                    state.epoch,
                 )
-            await self._store([], new)
+            await self._commit([], new)
         elif isinstance(new, Record):
-            await self._store([new], None)
+            await self._commit([new], None)
         progress.behind_since = None
 
-    async def _store(self, records: list[Record], full_state: State | None) -> None:
+    async def _commit(self, records: list[Record], full_state: State | None) -> None:
         try:
             await self.service.replicate(records, full_state)
         except OSError as error:
-            raise ValueError(f"not kept: {error.strerror}") from None
+            raise ValueError(f"not committed: {error.strerror}") from None
 
 
 async def _request(host: str, port: int, request: bytes) -> bytes:
-    """The whole answer, of one that is asked to close."""
+    """Sends a request that asks for the connection to be closed; returns the complete response."""
     async with asyncio.timeout(RESPONSE_TIMEOUT):
         reader, writer = await asyncio.open_connection(host, port)
         try:
@@ -312,7 +325,7 @@
 
 
 class WatchResponse:
-    """What has come of the watch, in lines."""
+    """Parses the response to a watch into lines."""
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -321,10 +334,12 @@
         self._partial_line = b""
 
     def on_body(self, part: bytes) -> None:
+        """Called by the parser: splits the data received into lines."""
         *lines, self._partial_line = (self._partial_line + part).split(b"\n")
         self.lines += lines
         if len(self._partial_line) > MAX_LINE_BYTES:
-            raise ValueError("too long a line")
+            raise ValueError(f"line longer than {MAX_LINE_BYTES} bytes")
 
     def on_message_complete(self) -> None:
+        """Called by the parser at the end of the response."""
         self.complete = True
--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -1,5 +1,5 @@
-"""HTTP for readers, servers and operators, watches, and the one writer that all changes go
-through."""
+"""The HTTP interface of the list service, its watches, and the single writer that commits all
+changes."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 from cairndale.discovery.store import Store
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 
-HEARTBEAT_INTERVAL = 2.0  # s between empty lines
-REQUEST_TIMEOUT = 2.0  # s for a call to come whole, from connecting or from its first byte
-LINGER_TIMEOUT = 1.0  # s that a connection with more to say is read on after its last answer
-IDLE_TIMEOUT = 30.0  # s that a connection is kept between calls
-COALESCE_DELAY = 0.01  # s that changes are gathered before watches are told
-WRITE_TIMEOUT = 5.0  # s that a write waits for the disk before it is told so
-MAX_PENDING_WRITES = 1024  # writes that wait for the disk; further ones are turned away
-MAX_BATCH_WRITES = 256  # of them that one sync covers
-MAX_CONNECTIONS = 512  # connections that are no watches
-MAX_CACHED_UPDATES = 16  # lines for readers that stand alike, kept until the next change
-WATCH_BUFFER_BYTES = 64 * 1024  # bytes unread by a watch beyond which nothing more is written to it
-STALL_TIMEOUT = 20.0  # s that a watch may leave them unread
-LEASE_CHECK_INTERVAL = 0.5  # s between looks at leases
-SHUTDOWN_TIMEOUT = 2.0  # s at the end for watches to be closed in order
+HEARTBEAT_INTERVAL = 2.0  # s
+REQUEST_TIMEOUT = 2.0  # s to receive a complete request, from connecting or from its first byte
+LINGER_TIMEOUT = 1.0  # s that input is still read and dropped after the last answer
+IDLE_TIMEOUT = 30.0  # s that a connection is kept between requests
+COALESCE_DELAY = 0.01  # s that changes are collected before watches are notified
+WRITE_TIMEOUT = 5.0  # s that a write waits for the disk before it is answered with an error
+MAX_PENDING_WRITES = 1024  # writes waiting for the disk; further ones are rejected
+MAX_BATCH_WRITES = 256  # writes committed by one sync
+MAX_CONNECTIONS = 512  # without watches
+MAX_CACHED_UPDATES = 16  # shared by readers at the same version, until the next change
+WATCH_BUFFER_BYTES = 64 * 1024  # unread by a watch, beyond which writing to it is paused
+STALL_TIMEOUT = 20.0  # s that writing to a connection may be paused
+LEASE_CHECK_INTERVAL = 0.5  # s
+SHUTDOWN_TIMEOUT = 2.0  # s for running requests, and then for connections to close
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EFBIG)
 MAX_REQUEST_ID_LENGTH = 128
 MAX_VERSION_DIGITS = 18
@@ -57,24 +57,27 @@
 
 
 def chunk(data: bytes) -> bytes:
+    """Returns the data as one chunk of a chunked HTTP body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
 @dataclass(slots=True)
 class Counts:
-    """Since the start, for `GET /status`."""
+    """Counters since the start, for `GET /status`."""
 
     lists: int = 0
     watches: int = 0
     connections: int = 0
     bytes_told: int = 0
-    wholes: int = 0  # watches and lists answered with the whole list
+    wholes: int = 0  # full lists sent, on watches or as answers
     writes: int = 0
     refused: int = 0
-    stalled: int = 0  # watches closed as they were not read
+    stalled: int = 0  # watches closed because they were not read
 
 
 class Service:
+    """One replica of the list service: serves reads and watches, commits writes while it leads."""
+
     def __init__(
         self, store: Store, leases: Leases, ttls: tuple[int, int], max_watches: int
     ) -> None:
@@ -86,34 +89,34 @@
         )
         self.counts = Counts()
         self.role = "leader"
-        self.leader_at = ""  # where writes go, as a follower or a deposed leader knows it
-        self.writes_at = ""  # where they come here
+        self.leader_at = ""  # address for writes, as known to a follower or a deposed leader
+        self.writes_at = ""  # this replica's own address for writes
         self.watches: dict[Watch, None] = {}
         self.connections: dict[ApiConnection, None] = {}
-        self.list_age: Callable[[], float] = lambda: (
-            0.0
-        )  # s since the leader was heard: a follower's
+        # s that the list may be behind the leader's; set by a follower
+        self.list_age: Callable[[], float] = lambda: 0.0
         self.extra_status: Callable[[], dict[str, Any]] = dict
         self.promote: Callable[[], Any] | None = None
         self._loop = asyncio.get_running_loop()
         self._pending: deque[tuple[WriteRequest, asyncio.Future[int]]] = deque()
         self._writes_pending = asyncio.Event()
-        self._store_lock = asyncio.Lock()  # of whoever writes to the store
+        self._store_lock = asyncio.Lock()  # held by the task that writes to the store
         self._notify_timer: asyncio.TimerHandle | None = None
         self._tasks: list[asyncio.Task[None]] = []
-        self._update_cache: dict[
-            tuple[Reader, int], WatchUpdate
-        ] = {}  # lines made for this state, by who asks
+        # updates encoded for the current state, by reader and the version that it is at
+        self._update_cache: dict[tuple[Reader, int], WatchUpdate] = {}
         self._listeners: list[asyncio.Server] = []
         self._removals_suspended = False
 
     @property
     def state(self) -> State:
+        """The committed state."""
         return self.store.state
 
-    # Starting and ending.
+    # Start and shutdown.
 
     async def listen(self, reads: tuple[str, int], writes: tuple[str, int]) -> tuple[int, int]:
+        """Listens on the two addresses; returns their ports."""
         ports: list[int] = []
         for protocol_class, address in ((ReadConnection, reads), (WriteConnection, writes)):
             server = await self._loop.create_server(
@@ -125,14 +128,15 @@
         return ports[0], ports[1]
 
     def start(self) -> None:
+        """Starts the tasks for writes, heartbeats and leases."""
         if self.role == "leader":
             self.restart_leases()
         for run in (self._write_loop, self._heartbeat_loop, self._lease_loop):
             self._tasks.append(self._loop.create_task(run()))
 
     async def stop(self) -> None:
-        """Takes nothing new, finishes the writes taken, and ends watches in order: readers go
-        elsewhere."""
+        """Accepts no new connections, completes the running batch of writes, and ends watches with
+        a final chunk, so that readers reconnect elsewhere."""
         for server in self._listeners:
             server.close()
         async with self._store_lock:
@@ -159,13 +163,15 @@
             connection.transport.abort()
 
     def restart_leases(self) -> None:
+        """Gives every server's lease a full TTL."""
         ttls = {s.name: s.lease_ms / 1000 for s in self.state.servers.values()}
         self.leases.restart(ttls, self._loop.time())
 
     # Writes.
 
     async def write(self, request: WriteRequest) -> int:
-        """The version that holds it, once it is on disk; Refused if it changes nothing."""
+        """Returns the version to answer with, once the write is on disk. Raises RejectedError if it
+        is not carried out."""
         self.require_leader()
         if len(self._pending) >= MAX_PENDING_WRITES:
             raise RejectedError(503, "too many writes at once")
@@ -176,9 +182,10 @@
             async with asyncio.timeout(WRITE_TIMEOUT):
                 return await future
         except TimeoutError:
-            raise RejectedError(503, "not kept in time; it may be yet") from None
+            raise RejectedError(503, "not committed in time; it may still be") from None
 
     def require_leader(self) -> None:
+        """Raises RejectedError, with the leader's address, unless this replica leads."""
         if self.role != "leader":
             status = 409 if self.role == "deposed" else 503
             raise RejectedError(
@@ -194,16 +201,16 @@
                     try:
                         await self._write_batch()
                     except Exception:
-                        # those who wait are told when their time is over; others go on
-                        log.exception("while writing")
+                        # the requests of this batch time out; later ones go on
+                        log.exception("committing a batch of writes failed")
 
     async def _write_batch(self) -> None:
         new_state, records = self.state.copy(), list[Record]()
-        # A refusal may rest on what is written here: it waits for the disk as a yes does.
+        # A rejection may be based on a write of this batch, so it waits for the sync as well.
         answers: list[tuple[WriteRequest, asyncio.Future[int], int | RejectedError]] = []
         while self._pending and len(answers) < MAX_BATCH_WRITES:
             request, future = self._pending.popleft()
-            if future.done():  # whoever asked has gone, and nothing was begun
+            if future.done():  # its client timed out or disconnected
                 continue
             try:
                 self.require_leader()
@@ -220,9 +227,9 @@
             try:
                 await self._run_store_operation(self.store.append, records, new_state)
             except OSError as error:
-                store_error = RejectedError(503, f"not kept: {error.strerror}")
+                store_error = RejectedError(503, f"not committed: {error.strerror}")
                 if error.errno in DISK_FULL_ERRNOS:
-                    store_error = RejectedError(507, "not kept: the disk is full")
+                    store_error = RejectedError(507, "not committed: the disk is full")
         for request, future, answer in answers:
             rejection = store_error or (answer if isinstance(answer, RejectedError) else None)
             if rejection is None:
@@ -237,8 +244,8 @@
             self.schedule_notification()
 
     async def _run_store_operation(self, operation: Callable[..., None], *args: Any) -> None:
-        """In a thread, and waited for even if whoever asked is cancelled: the store has one
-        user."""
+        """Runs a store operation in a thread, and waits for it even if cancelled: the store takes
+        one operation at a time."""
         task = self._loop.run_in_executor(None, operation, *args)
         try:
             await asyncio.shield(task)
@@ -254,6 +261,7 @@
             self.leases.revoke(request.name)
 
     def renew(self, name: str) -> int:
+        """Renews a server's lease; returns the server's version."""
         self.require_leader()
         server = self.state.servers.get(name)
         if server is None or self.leases.renew(name, self._loop.time()) is None:
@@ -261,7 +269,7 @@
         return server.version
 
     async def replicate(self, records: Sequence[Record], full_state: State | None = None) -> None:
-        """A follower's: what its leader has told."""
+        """Commits what a follower received from its leader: records, or a full state."""
         async with self._store_lock:
             if self.role != "follower":
                 raise InvalidDataError("promoted meanwhile")
@@ -275,35 +283,35 @@
         self.schedule_notification()
 
     async def become_leader(self, deposed_leader: str) -> None:
-        """From now on writes are taken here, in an epoch of its own."""
+        """Promotes this replica: it takes writes from now on, in a new epoch."""
         async with self._store_lock:
             if self.role == "leader":
                 raise RejectedError(409, "this is the leader already", epoch=self.state.epoch)
             if not self.has_list():
-                raise RejectedError(409, "nothing to lead: the leader was never heard")
+                raise RejectedError(409, "nothing to lead: no list was ever received from a leader")
             record, new_state = self.state.promotion_record(), self.state.copy()
             new_state.apply(record)
             try:
-                # The role first: should this process end in between, it leads an epoch that never
-                # began.
+                # The role is stored first. After a crash between the two writes, the role names an
+                # epoch that never started, and the replica does not lead.
                 await self._run_store_operation(
                     lambda: self.store.save_role(leads=record.epoch, deposes=deposed_leader)
                 )
                 await self._run_store_operation(self.store.append, [record], new_state)
             except OSError as error:
-                raise RejectedError(503, f"not kept: {error.strerror}") from None
+                raise RejectedError(503, f"not committed: {error.strerror}") from None
             self.role = "leader"
             self.restart_leases()
         log.info("promoted: leads epoch %d from version %d", self.state.epoch, self.state.index)
         self.schedule_notification()
 
     async def depose(self, lineage: str, epoch: int, leader: str) -> None:
-        """Another process leads a later epoch of this list: nothing is written here any longer."""
+        """Ends leadership: another replica leads a later epoch, so no more writes are taken."""
         async with self._store_lock:
             if lineage != self.state.lineage:
-                raise RejectedError(409, "another list", lineage=self.state.lineage)
+                raise RejectedError(409, "another lineage", lineage=self.state.lineage)
             if epoch <= self.state.epoch:
-                raise RejectedError(409, "no later epoch", epoch=self.state.epoch)
+                raise RejectedError(409, "not a later epoch", epoch=self.state.epoch)
             if self.role == "follower":
                 return
             try:
@@ -311,11 +319,11 @@
                     lambda: self.store.save_role(deposed=epoch, leader=leader)
                 )
             except OSError as error:
-                raise RejectedError(503, f"not kept: {error.strerror}") from None
+                raise RejectedError(503, f"not committed: {error.strerror}") from None
             self.role, self.leader_at = "deposed", leader
-        log.warning("deposed: %s leads epoch %d; writes are refused from now on", leader, epoch)
+        log.warning("deposed: %s leads epoch %d; writes are rejected from now on", leader, epoch)
         for watch in [w for w in self.watches if w.reader.kind != "plain"]:
-            watch.close()  # they know to go elsewhere
+            watch.close()  # these readers reconnect elsewhere
 
     # Leases.
 
@@ -329,9 +337,9 @@
                 self._removals_suspended = suspended
                 overdue_count = len(self.leases.overdue(self._loop.time()))
                 outcome = (
-                    f"{overdue_count} overdue at once, none is acted on"
+                    f"{overdue_count} expired at once, removals suspended"
                     if suspended
-                    else "acted on again"
+                    else "removals resumed"
                 )
                 log.warning("leases: %s", outcome)
 
@@ -342,9 +350,9 @@
                 return
             try:
                 await self.write(WriteRequest("remove", name, expected=server.version))
-                log.info("leases: %s has not renewed and is off the list", name)
+                log.info("leases: %s did not renew and was removed", name)
             except RejectedError as error:
-                log.warning("leases: %s stays on the list: %s", name, error)
+                log.warning("leases: %s not removed: %s", name, error)
                 if self.state.servers.get(name):
                     self.leases.grant(name, server.lease_ms / 1000, self._loop.time())
 
@@ -353,14 +361,17 @@
     # Watches.
 
     def has_list(self) -> bool:
-        """A follower that has never heard its leader has no list to give."""
+        """Returns whether there is a list to serve: a follower has none before its leader's first
+        one."""
         return self.role == "leader" or self.state.index > 0
 
     def can_serve(self, reader: Reader) -> bool:
-        """A deposed leader's list stands still: who understands epochs is sent elsewhere."""
+        """Returns whether this reader is served here. A deposed leader's list is out of date, so
+        readers that understand epochs have to go elsewhere."""
         return self.has_list() and not (self.role == "deposed" and reader.kind != "plain")
 
     def update_for(self, reader: Reader, index: int) -> WatchUpdate:
+        """Returns the update for a reader at version `index`, encoded once for equal readers."""
         if (cached := self._update_cache.get((reader, index))) is None:
             if len(self._update_cache) >= MAX_CACHED_UPDATES:
                 self._update_cache.clear()
@@ -370,6 +381,7 @@
         return cached
 
     def schedule_notification(self) -> None:
+        """Notifies watches of a change soon, together with changes that follow meanwhile."""
         self._update_cache.clear()
         if self._notify_timer is None:
             self._notify_timer = self._loop.call_later(COALESCE_DELAY, self._notify_watches)
@@ -392,6 +404,7 @@
                     watch.send_heartbeat()
 
     def status(self) -> dict[str, Any]:
+        """Returns the answer to `GET /status`."""
         now, state, store, suspended = (
             self._loop.time(),
             self.state,
@@ -424,6 +437,7 @@
         } | self.extra_status()
 
     def servers(self) -> dict[str, Any]:
+        """Returns the answer to `GET /servers`: each server with its lease."""
         now, entries = self._loop.time(), []
         for server in self.state.servers.values():
             remaining = self.leases.remaining(server.name, now)
@@ -436,8 +450,8 @@
 
 
 class Watch:
-    """One reader that is told of changes. What it has not read is bounded: while it is over that,
-    nothing is written, and once it has been read, all that changed meanwhile comes as one line."""
+    """One reader's watch. Its unread data is bounded: above the bound writing pauses, and once the
+    data has been read, all changes made meanwhile are sent as one update."""
 
     def __init__(
         self, service: Service, connection: ReadConnection, reader: Reader, index: int
@@ -447,16 +461,19 @@
         self.peer = connection.peer()
 
     def start(self) -> None:
+        """Sends the head of the answer and the first update or heartbeat."""
         transport = self.connection.transport
         transport.set_write_buffer_limits(WATCH_BUFFER_BYTES)
         transport.get_extra_info("socket").setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, WATCH_BUFFER_BYTES
         )
         self._write(WATCH_RESPONSE_HEAD)
-        if not self.notify() or self.reader.kind == "follow":  # a beat tells it where writes go
+        # A follower always gets a heartbeat: it names the address for writes.
+        if not self.notify() or self.reader.kind == "follow":
             self.send_heartbeat()
 
     def notify(self) -> bool:
+        """Sends the changes since the last update; returns whether there were any."""
         if self.stalled_since is not None:
             return False
         update = self.service.update_for(self.reader, self.index)
@@ -471,6 +488,7 @@
         return bool(update.lines)
 
     def send_heartbeat(self) -> None:
+        """Sends a heartbeat, unless writing is paused."""
         if self.stalled_since is None:
             age = int(self.service.list_age() * 1000)
             self._write(
@@ -482,6 +500,7 @@
             )
 
     def set_write_paused(self, full: bool) -> None:
+        """Pauses writing while the transport's buffer is full, and catches up afterwards."""
         if full:
             self.stalled_since = self.service._loop.time()
         else:
@@ -489,6 +508,7 @@
             self.notify()
 
     def close(self) -> None:
+        """Ends the watch with the final chunk."""
         if self.stalled_since is None:
             self._write(b"0\r\n\r\n")
         self.connection.transport.close()
@@ -499,8 +519,7 @@
 
 
 class ApiConnection(HttpConnection):
-    """One connection: one call at a time, each with its answer, and no more read than is
-    answered."""
+    """One HTTP connection. It handles one request at a time, and reads no further while it does."""
 
     def __init__(self, service: Service) -> None:
         super().__init__(httptools.HttpRequestParser)
@@ -509,15 +528,16 @@
         self._requests: deque[Message] = deque()
         self._timeout_timer: asyncio.TimerHandle | None = None
         self._closing = self._write_paused = self._any_request_received = False
-        self._pending_error_status = (
-            0  # the status owed for what came behind the calls that are being answered
-        )
+        # HTTP status for malformed input, sent after the answers to the requests before it
+        self._pending_error_status = 0
 
     def peer(self) -> str:
+        """Returns the client's address, for the log."""
         name = self.transport.get_extra_info("peername")
         return f"{name[0]}:{name[1]}" if name else "?"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Starts the timeout of the first request; rejects a connection above the limit."""
         super().connection_made(transport)
         self.service.connections[self] = None
         self.service.counts.connections += 1
@@ -526,6 +546,7 @@
             self.reject(RejectedError(503, "too many connections"), close=True)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancels the timer and the running request."""
         self.service.connections.pop(self, None)
         self._closing = True
         if self._timeout_timer:
@@ -547,18 +568,22 @@
             self.transport.close()
 
     def began(self) -> None:
+        """Starts the timeout for the rest of a request."""
         self._set_timeout(REQUEST_TIMEOUT)
 
     def received(self, message: Message) -> None:
+        """Queues a complete request."""
         self._any_request_received = True
         if not self._closing:
             self._requests.append(message)
             self._process_next()
 
     def pause_writing(self) -> None:
+        """Handles no further request until the client reads its answers."""
         self._write_paused = True
 
     def resume_writing(self) -> None:
+        """Handles requests again."""
         self._write_paused = False
         self._process_next()
 
@@ -592,29 +617,34 @@
         except RejectedError as error:
             self.reject(error, close)
         except Exception:
-            # whoever asked is owed an answer, and the next one is none the worse for it
-            log.exception("call of %s", self.peer())
-            self.reject(RejectedError(500, "failed here"), close=True)
+            # The client gets an answer, and other connections are not affected.
+            log.exception("request of %s", self.peer())
+            self.reject(RejectedError(500, "internal error"), close=True)
         finally:
             self.task = None
         self._process_next()
 
     async def handle(self, message: Message) -> dict[str, Any] | None:
+        """Returns the answer to a request, or None if the answer was sent already."""
         raise NotImplementedError
 
     def garbage(self, status: int) -> None:
+        """Rejects malformed input, after the answers to the requests before it."""
         self._pending_error_status = status
         self._process_next()
 
     def reject(self, error: RejectedError, close: bool = False) -> None:
+        """Answers with an error, and logs it."""
         self.service.counts.refused += 1
-        log.warning("call of %s: %d %s", self.peer(), error.status, error)
+        log.warning("request of %s: %d %s", self.peer(), error.status, error)
         self.reply(error.status, error.answer, close)
 
     def reply(self, status: int, answer: dict[str, Any], close: bool) -> None:
+        """Answers with JSON."""
         self.send(status, json.dumps(answer).encode() + b"\n", close)
 
     def send(self, status: int, body: bytes, close: bool) -> None:
+        """Sends an answer, and closes the connection if asked to."""
         if self._closing or self.transport.is_closing():
             return
         self.transport.write(
@@ -623,7 +653,8 @@
         if not close:
             return
         self._closing = True
-        # what still comes is dropped: closed at once, the answer would be lost
+        # If input is still arriving, an immediate close would reset the connection and lose the
+        # answer, so the input is read and dropped for a while.
         if self._lost_framing:
             self.transport.write_eof()
             self.transport.resume_reading()
@@ -633,14 +664,17 @@
 
 
 class ReadConnection(ApiConnection):
+    """A connection of readers: lists, watches, and the version."""
+
     _watch: Watch | None = None
 
     async def handle(self, message: Message) -> dict[str, Any] | None:
+        """Answers a read, or starts a watch."""
         path, _, query = message.target.decode("latin-1").partition("?")
         if path not in ("/discovery/hosts", "/discovery/version"):
-            raise RejectedError(404, "no such call")
+            raise RejectedError(404, "no such resource")
         if message.method != b"GET":
-            raise RejectedError(405, "only GET is known here")
+            raise RejectedError(405, "only GET is supported")
         parameters = parse_qs(query, keep_blank_values=True)
         if any(len(values) > 1 for values in parameters.values()):
             raise RejectedError(400, "a parameter given twice")
@@ -648,39 +682,38 @@
         if path == "/discovery/version":
             return self._version()
         if arguments.get("watch", "0") not in ("0", "1"):
-            raise RejectedError(400, "watch: 0 or 1")
+            raise RejectedError(400, "watch: must be 0 or 1")
         index, reader = _number(arguments, "from") or 0, Reader(epoch=_number(arguments, "epoch"))
         if "lineage" in arguments:
             reader = replace(reader, kind="extended", lineage=arguments["lineage"][:64])
         if arguments.get("follow") == "1":
             reader = replace(reader, kind="follow")
         if not self.service.can_serve(reader):
-            raise RejectedError(503, "nothing to tell here", leader=self.service.leader_at)
+            raise RejectedError(503, "no current list here", leader=self.service.leader_at)
         if arguments.get("watch") != "1":
             self.service.counts.lists += 1
             self.service.counts.wholes += 1
-            update = lines.encode_full_list(self.service.state, reader).lines
-            self.service.counts.bytes_told += len(update)
-            self.send(200, update, close=not message.keep_alive)
+            body = lines.encode_full_list(self.service.state, reader).lines
+            self.service.counts.bytes_told += len(body)
+            self.send(200, body, close=not message.keep_alive)
             return None
         if message.minor == 0:
-            raise RejectedError(400, "a watch is HTTP/1.1: it has no end that could be announced")
+            raise RejectedError(400, "a watch needs HTTP/1.1: it has no known length")
         if len(self.service.watches) >= self.service.max_watches:
             raise RejectedError(503, "too many watches")
         self.service.counts.watches += 1
-        self._closing = True  # nothing more is asked on this connection
+        self._closing = True  # no more requests on this connection
         self._watch = Watch(self.service, self, reader, index)
         self.service.watches[self._watch] = None
         self._watch.start()
-        self.transport.resume_reading()  # only its end is of interest
+        self.transport.resume_reading()  # to see the client close it
         return None
 
     def _version(self) -> dict[str, Any]:
-        """What is held here: a list of that version is no older than the call, but for `age_ms`
-        more."""
+        """Returns the version of the list here, which was current `age_ms` before this request."""
         service, state = self.service, self.service.state
         if not service.can_serve(Reader(kind="follow")):
-            raise RejectedError(503, "nothing to tell here", leader=service.leader_at)
+            raise RejectedError(503, "no current list here", leader=service.leader_at)
         return {
             "index": state.index,
             "epoch": state.epoch,
@@ -689,21 +722,25 @@
         }
 
     def data_received(self, data: bytes) -> None:
+        """Feeds the parser, but ignores what a client sends on a watch."""
         if self._watch is None:
             super().data_received(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Ends the watch, too."""
         super().connection_lost(exc)
         if self._watch:
             self.service.watches.pop(self._watch, None)
 
     def pause_writing(self) -> None:
+        """Pauses the watch, or the handling of requests."""
         if self._watch:
             self._watch.set_write_paused(True)
         else:
             super().pause_writing()
 
     def resume_writing(self) -> None:
+        """Resumes the watch, or the handling of requests."""
         if self._watch:
             self._watch.set_write_paused(False)
         else:
@@ -715,14 +752,15 @@
     if value is None:
         return None
     if not (value.isascii() and value.isdecimal() and len(value) <= MAX_VERSION_DIGITS):
-        raise RejectedError(400, f"{name}: no version")
+        raise RejectedError(400, f"{name}: not a version")
     return int(value)
 
 
 class WriteConnection(ApiConnection):
-    """For servers and operators; `PUT /servers/NAME` and so on."""
+    """A connection of servers and operators: registration, leases, drains, promotion, status."""
 
     async def handle(self, message: Message) -> dict[str, Any] | None:
+        """Answers a request of a server or an operator."""
         path, _, _ = message.target.decode("latin-1").partition("?")
         parts, method, service = (
             path.strip("/").split("/"),
@@ -745,7 +783,7 @@
                 return await self._write(message, "remove", unquote(name))
             case "POST", ["promote"]:
                 if service.promote is None:
-                    raise RejectedError(409, "this is no follower", epoch=service.state.epoch)
+                    raise RejectedError(409, "not a follower", epoch=service.state.epoch)
                 await service.promote()
                 return self._version(service.state.index)
             case "POST", ["depose"]:
@@ -756,14 +794,14 @@
                     and isinstance(leader, str)
                     and len(leader) <= MAX_REQUEST_ID_LENGTH
                 ):
-                    raise RejectedError(400, "epoch and leader are wanted")
+                    raise RejectedError(400, "epoch and leader are required")
                 await service.depose(str(body.get("lineage")), epoch, leader)
                 return {"deposed_by": epoch}
             case _, ["status" | "servers" | "promote" | "depose"] | ["servers", _]:
-                raise RejectedError(405, "not with this method")
+                raise RejectedError(405, "method not allowed")
             case _, ["servers", _, "renew" | "drain"]:
-                raise RejectedError(405, "not with this method")
-        raise RejectedError(404, "no such call")
+                raise RejectedError(405, "method not allowed")
+        raise RejectedError(404, "no such resource")
 
     def _version(self, version: int) -> dict[str, Any]:
         return {
@@ -790,7 +828,7 @@
 
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     if len(body := dict(pairs)) < len(pairs):
-        raise ValueError("a key given twice")
+        raise ValueError("duplicate key")
     return body
 
 
@@ -798,7 +836,7 @@
     try:
         body = json.loads(message.body, object_pairs_hook=_reject_duplicate_keys)
     except (ValueError, RecursionError):
-        raise RejectedError(400, "the body is no sound JSON") from None
+        raise RejectedError(400, "the body is not valid JSON") from None
     if not isinstance(body, dict):
-        raise RejectedError(400, "the body is no JSON object")
+        raise RejectedError(400, "the body is not a JSON object")
     return body
--- a/cairndale/discovery/state.py
+++ b/cairndale/discovery/state.py
@@ -1,9 +1,9 @@
-"""What the list service knows: every server with the version of its last change. Pure: calls in,
-records out.
+"""The state of the list service: each server with the version of its last change. Free of I/O:
+takes write requests, returns records.
 
-A record holds all that one version changed, so that a state is its records applied in order.
-Versions grow by one and are never used again; a promotion raises the epoch and leaps over what a
-deposed leader may give."""
+A record holds everything that one version changed; applying all records in order gives the state.
+Each write increments the version, and no version is used twice. A promotion starts a new epoch and
+skips the versions that the deposed leader may still assign."""
 
 from __future__ import annotations
 
@@ -14,13 +14,12 @@
 from hashlib import sha256
 from typing import Any
 
-EpochSpan = tuple[int, int, int]  # an epoch: its number, its first version, its last
-# a call: its id, its digest, the version answered, the one it is in
+EpochSpan = tuple[int, int, int]  # number of an epoch, its first version, its last version
+# id of a request, its digest, the version answered, the version of the record that holds it
 CompletedWrite = tuple[str, str, int, int]
 
-PROMOTION_VERSION_GAP = (
-    1 << 32
-)  # versions that a promotion passes over: more than a deposed leader can give
+# versions that a promotion skips: more than a deposed leader can assign
+PROMOTION_VERSION_GAP = 1 << 32
 MAX_SERVERS = 10_000
 MAX_SPANS = 64
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
@@ -29,7 +28,7 @@
 
 
 class RejectedError(Exception):
-    """A call that changes nothing, with the status that tells why and what the answer holds."""
+    """A rejected request, with its HTTP status and the fields of the answer."""
 
     def __init__(self, status: int, error: str, **details: Any) -> None:
         super().__init__(error)
@@ -37,11 +36,13 @@
 
 
 class InvalidDataError(Exception):
-    """Data that no service wrote like this."""
+    """Data, from disk or from a leader, that is malformed or inconsistent with the state."""
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
+    """One registered server."""
+
     name: str
     address: str
     zone: str = ""
@@ -54,7 +55,7 @@
     version: int = 0
 
     def listing_entry(self, extended: bool) -> dict[str, Any]:
-        """As discovery names it; `extended` readers also get what older ones would ignore."""
+        """Returns the server's entry in a list; `extended` readers also get its version."""
         raw = asdict(self)
         del raw["lease_ms"]
         if not extended:
@@ -75,14 +76,14 @@
 def parse_registration(
     name: str, body: Mapping[str, Any], lease_ms_range: tuple[int, int]
 ) -> Server:
-    """A registration, checked as a whole: `body` as it came, `leases` the terms allowed."""
+    """Checks the body of a registration; `lease_ms_range` bounds the lease's TTL."""
     if not NAME_PATTERN.fullmatch(name):
         raise RejectedError(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
     unknown = sorted(
         body.keys() - {"address", "zone", "type", "group", "weight", "since_ms", "lease_ms"}
     )
     if unknown:
-        raise RejectedError(400, f"{unknown[0]}: not known here")
+        raise RejectedError(400, f"{unknown[0]}: unknown key")
     weight = body.get("weight", 1.0)
     checks = {
         "address": _is_address(body.get("address")),
@@ -103,14 +104,14 @@
             if invalid[0] == "lease_ms"
             else ""
         )
-        raise RejectedError(400, f"{invalid[0]}: missing or not sound{allowed}")
+        raise RejectedError(400, f"{invalid[0]}: missing or invalid{allowed}")
     return Server(**{**body, "name": name, "weight": float(weight)})
 
 
 @dataclass(frozen=True, slots=True)
 class WriteRequest:
-    """A write. `id` makes it idempotent; `expected` is the version the server must have (0:
-    none)."""
+    """A write. `id` makes it idempotent; `expected` is the version that the server must be at
+    (0: not registered)."""
 
     kind: str  # register, drain, remove
     name: str
@@ -119,6 +120,7 @@
     expected: int | None = None
 
     def digest(self) -> str:
+        """Returns a hash that tells requests apart which reuse an id."""
         fields = asdict(self.server) if self.server else {}
         canonical = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
         return sha256(canonical.encode()).hexdigest()[:16]
@@ -126,19 +128,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One version: what it set and removed, which call asked for it, and the epoch it begins, if
-    any."""
+    """The changes of one version, the requests behind it, and the epoch that it starts, if any."""
 
     index: int
     epoch: int
     servers: tuple[Server, ...] = ()
-    removed: tuple[tuple[str, int], ...] = ()  # with the version that did so
+    removed: tuple[tuple[str, int], ...] = ()  # names, each with the version of its removal
     writes: tuple[CompletedWrite, ...] = ()
-    past_epochs: tuple[EpochSpan, ...] | None = (
-        None  # the epochs past, where this record is of a new one
-    )
+    past_epochs: tuple[EpochSpan, ...] | None = None  # set if this record starts an epoch
 
     def to_dict(self) -> dict[str, Any]:
+        """Returns the record as it is written to the log and sent to followers."""
         raw: dict[str, Any] = {"i": self.index, "e": self.epoch}
         if self.servers:
             raw["set"] = [asdict(s) for s in self.servers]
@@ -152,6 +152,7 @@
 
 
 def decode_record(raw: Any) -> Record:
+    """Decodes what `Record.to_dict` returned; raises InvalidDataError if it is malformed."""
     try:
         return Record(
             int(raw["i"]),
@@ -165,23 +166,27 @@
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]) if "spans" in raw else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise InvalidDataError(f"a record that cannot be read: {error!r}") from None
+        raise InvalidDataError(f"malformed record: {error!r}") from None
 
 
 @dataclass(slots=True)
 class State:
-    lineage: str  # one for each data folder ever begun: versions of two cannot be compared
+    """The registered servers, and what readers and repeated requests need of the past."""
+
+    # Drawn for each new data folder. Versions of different lineages cannot be compared.
+    lineage: str
     epoch: int = 1
     index: int = 0
-    compacted_index: int = 0  # what has changed since an older version is no longer known
-    history_limit: int = 1024  # removals and writes that are remembered
+    compacted_index: int = 0  # changes after an older version than this are not known
+    history_limit: int = 1024  # removals and requests that are kept
     servers: dict[str, Server] = field(default_factory=dict)
-    # name: the version that removed it
+    # by name: the version of the removal
     removed_versions: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    writes: OrderedDict[str, CompletedWrite] = field(default_factory=OrderedDict)  # by id
-    past_epochs: tuple[EpochSpan, ...] = ()  # the epochs past
+    writes: OrderedDict[str, CompletedWrite] = field(default_factory=OrderedDict)  # by request id
+    past_epochs: tuple[EpochSpan, ...] = ()
 
     def copy(self) -> State:
+        """Returns a copy that can be changed without changing this state."""
         return replace(
             self,
             servers=dict(self.servers),
@@ -191,22 +196,22 @@
 
     @property
     def epoch_start(self) -> int:
-        """The first version of this epoch."""
+        """The first version of the current epoch."""
         return self.past_epochs[-1][2] + PROMOTION_VERSION_GAP if self.past_epochs else 0
 
     # Writes.
 
     def decide(self, request: WriteRequest) -> tuple[Record | None, int]:
-        """The record that carries the call out (None: nothing changes) and the version to answer
-        with."""
+        """Returns the record that carries out the request (None: nothing changes) and the version
+        to answer with."""
         if request.id and (completed := self.writes.get(request.id)):
             if completed[1] != request.digest():
-                raise RejectedError(409, "this id stands for another call")
+                raise RejectedError(409, "request id already used for another request")
             return None, completed[2]
         current = self.servers.get(request.name)
         version = current.version if current else 0
         if request.expected is not None and request.expected != version:
-            raise RejectedError(409, "conflict: another version is held", version=version)
+            raise RejectedError(409, "conflict: the server is at another version", version=version)
         if request.kind == "register":
             assert request.server
             changed: Server | None = self._register(current, request.server)
@@ -236,30 +241,34 @@
                 raise RejectedError(503, "the list is full")
             return requested
         if requested.since_ms < current.since_ms:
-            raise RejectedError(409, "an older start than the one held", version=current.version)
+            raise RejectedError(
+                409, "since_ms is older than the registered start", version=current.version
+            )
         same_instance = (
             requested.since_ms == current.since_ms and requested.address == current.address
         )
-        # Who drains goes on draining until it has started anew: a drain that was told holds.
+        # Registering again does not end a drain that readers know of; a restart does.
         return replace(
             requested, status=current.status if same_instance else "up", version=current.version
         )
 
     def promotion_record(self) -> Record:
+        """Returns the record that starts the next epoch."""
         past_epochs = (*self.past_epochs, (self.epoch, self.epoch_start, self.index))[-MAX_SPANS:]
         return Record(self.index + PROMOTION_VERSION_GAP, self.epoch + 1, past_epochs=past_epochs)
 
     def apply(self, record: Record) -> None:
+        """Applies a record that is newer than the state."""
         if record.index <= self.index or record.epoch < self.epoch:
             raise InvalidDataError(
                 f"version {record.index} of epoch {record.epoch} after {self.index} of {self.epoch}"
             )
         if record.epoch > self.epoch and record.past_epochs is None:
-            raise InvalidDataError(f"epoch {record.epoch} with no beginning")
+            raise InvalidDataError(f"epoch {record.epoch} without the spans of past epochs")
         if record.past_epochs is not None:
             self.epoch, self.past_epochs = record.epoch, record.past_epochs
         self.index = record.index
-        for name, version in record.removed:  # before what is set: a name may have come back
+        for name, version in record.removed:  # before the sets: a server may be registered again
             self.servers.pop(name, None)
             self.removed_versions[name] = version
             self.removed_versions.move_to_end(name)
@@ -275,7 +284,7 @@
     # Reads.
 
     def has_changes_since(self, since: int, epoch: int | None) -> bool:
-        """Whether what has changed since that version can be told."""
+        """Returns whether all changes after that version are known."""
         if not (self.compacted_index <= since <= self.index) or since == 0:
             return False
         for number, _, last in self.past_epochs:
@@ -284,8 +293,8 @@
         return since >= self.epoch_start and (epoch is None or epoch == self.epoch)
 
     def changes_since(self, since: int) -> tuple[list[Server], list[str], list[str]]:
-        """Servers set since, names removed since, and names that were removed and have come back
-        since."""
+        """Returns the servers set after that version, the names removed, and the names removed and
+        registered again."""
         names = [name for name, version in self.removed_versions.items() if version > since]
         servers = sorted(
             (s for s in self.servers.values() if s.version > since), key=lambda s: s.version
@@ -296,9 +305,10 @@
             [n for n in names if n in self.servers],
         )
 
-    # As a whole: for the snapshot, and for followers.
+    # The complete state, for the snapshot and for followers.
 
     def dump(self) -> dict[str, Any]:
+        """Returns the state as it is written to the snapshot and sent to followers."""
         return {
             "lineage": self.lineage,
             "epoch": self.epoch,
@@ -312,6 +322,7 @@
 
 
 def decode_state(raw: Any, history_limit: int) -> State:
+    """Decodes what `State.dump` returned; raises InvalidDataError if it is malformed."""
     try:
         pairs: Iterable[Any] = raw["gone"]
         state = State(
@@ -328,7 +339,7 @@
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise InvalidDataError(f"a list that cannot be read: {error!r}") from None
-    while len(state.removed_versions) > history_limit:  # kept by a service with a longer one
+        raise InvalidDataError(f"malformed state: {error!r}") from None
+    while len(state.removed_versions) > history_limit:  # written with a larger limit
         _, state.compacted_index = state.removed_versions.popitem(last=False)
     return state
--- a/cairndale/discovery/store.py
+++ b/cairndale/discovery/store.py
@@ -1,12 +1,12 @@
-"""The list on disk: a snapshot, and a log of what came after it. A version exists once its frame is
-synced.
+"""The state on disk: a snapshot, and a write-ahead log of the records after it. A version is
+committed once its frame is synced.
 
-    log frame: two bytes of mark, length, CRC-32 of length and payload, payload
-    payload: JSON of the lineage, the version before, and the records synced together
+    log frame: two magic bytes, length, CRC-32 of length and payload, payload
+    payload: JSON of the lineage, the previous version, and the records synced together
 
-All records of one sync are one frame, so that whatever a crash leaves of it, no sound frame follows
-a broken one. A broken frame at the end is what a crash leaves; one with a sound frame after it is
-damage."""
+All records of one sync are in one frame, so a crash never leaves a valid frame after an incomplete
+one. An incomplete frame at the end is the result of a crash and is truncated; an invalid frame with
+a valid one after it is corruption."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 from cairndale.discovery.state import InvalidDataError, Record, State, decode_record, decode_state
 from cairndale.durable import replace_file, sync_folder, write_all
 
-# never within a payload, which is ASCII: where a frame begins can be found again
+# Payloads are ASCII and never contain these bytes, so the start of a frame can be found by search.
 MAGIC = b"\xc5\xd1"
 FRAME_HEADER = struct.Struct(">2sII")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-COMPACT_MIN_BYTES = 4 * 1024 * 1024  # bytes of log that a snapshot is made after, at the least ...
-COMPACT_RATIO = 4  # ... and so many times the last snapshot's
+COMPACT_MIN_BYTES = 4 * 1024 * 1024  # The log is compacted once it is larger than this ...
+COMPACT_RATIO = 4  # ... and than the last snapshot times this.
 
 
 class DataFolderError(Exception):
-    """The data folder cannot be used: what is wrong, with file and offset."""
+    """The data folder cannot be used; the message names the file and the offset."""
 
 
 def _frame(payload: bytes) -> bytes:
@@ -44,7 +44,7 @@
 
 
 def _read_frame(data: bytes, offset: int) -> bytes | None:
-    """The payload of the frame there, or None if none is whole."""
+    """Returns the payload of the frame at that offset, or None if it is not valid."""
     if len(data) - offset < FRAME_HEADER.size:
         return None
     magic, length, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -60,8 +60,8 @@
 
 
 class Store:
-    """One data folder, open in one process. All calls are made from one thread at a time, and may
-    block."""
+    """The data folder of one process, which locks it. Methods may block, and must not be called
+    from two threads at once."""
 
     def __init__(self, folder: Path, history: int = 1024) -> None:
         self._folder, self._history = folder, history
@@ -71,10 +71,10 @@
             folder / "role",
         )
         self._log_descriptor = -1
-        self._log_end_known = True  # that the log ends where it should
+        self._log_end_known = True  # False: the log may hold data of a failed write
         self._snapshot_size = self.log_size = 0
-        self.truncated_bytes = 0  # bytes of a broken last frame that were cut off at the start
-        self.replayed = 0  # records that the log held
+        self.truncated_bytes = 0  # bytes of an incomplete last frame, truncated at the start
+        self.replayed = 0  # records applied from the log at the start
         try:
             folder.mkdir(parents=True, exist_ok=True)
             self._lock_descriptor = os.open(folder / "lock", os.O_RDWR | os.O_CREAT, 0o644)
@@ -94,6 +94,7 @@
             raise
 
     def close(self) -> None:
+        """Closes the log and releases the lock on the folder."""
         for descriptor in (self._log_descriptor, self._lock_descriptor):
             if descriptor >= 0:
                 os.close(descriptor)
@@ -102,14 +103,14 @@
     # Reading.
 
     def _load(self) -> State:
-        # a new folder: the log is made first, so that neither is ever alone
+        # In a new folder the log is created before the snapshot, so a snapshot always has a log.
         if not self._snapshot_path.exists():
             if self._log_path.exists() and self._log_path.stat().st_size:
-                raise DataFolderError(f"{self._snapshot_path}: missing, though there is a log")
+                raise DataFolderError(f"{self._snapshot_path}: missing, but there is a log")
             replace_file(self._log_path, b"")
             self._write_snapshot(State(secrets.token_hex(8)))
         elif not self._log_path.exists():
-            raise DataFolderError(f"{self._log_path}: missing, though there is a snapshot")
+            raise DataFolderError(f"{self._log_path}: missing, but there is a snapshot")
         state = self._load_snapshot(self._snapshot_path.read_bytes())
         data = self._log_path.read_bytes()
         self._log_descriptor = os.open(self._log_path, os.O_WRONLY)
@@ -134,23 +135,23 @@
             raise DataFolderError(f"{self._snapshot_path}: {error}") from None
 
     def _replay(self, state: State, data: bytes) -> int:
-        """Applies the log; where it ends."""
+        """Applies the log's records; returns the offset where its valid frames end."""
         offset = 0
         while offset < len(data):
             payload = _read_frame(data, offset)
             if payload is None:
                 if self._has_valid_frame_after(data, offset):
                     raise DataFolderError(
-                        f"{self._log_path}: damaged at offset {offset}, with sound records after it"
+                        f"{self._log_path}: damaged at offset {offset}, with valid records after it"
                     )
                 return offset
             try:
                 lineage, previous_index, records = json.loads(payload)
-                if lineage == state.lineage:  # else it was replaced as a whole, and the log not yet
+                if lineage == state.lineage:  # else the log predates a `reset`
                     if previous_index > state.index:
                         raise InvalidDataError(f"versions after {state.index} are missing")
                     for record in map(decode_record, records):
-                        if record.index > state.index:  # else the snapshot holds it already
+                        if record.index > state.index:  # else it is in the snapshot
                             state.apply(record)
                             self.replayed += 1
             except (InvalidDataError, ValueError, TypeError) as error:
@@ -181,14 +182,14 @@
     # Writing.
 
     def append(self, records: Sequence[Record], new_state: State) -> None:
-        """Returns once they are on disk; `after` is the state with them. On OSError none of them
-        counts."""
+        """Returns once the records are synced; `new_state` includes them. On OSError none of them
+        is committed."""
         payload = [self.state.lineage, self.state.index, [r.to_dict() for r in records]]
         frame = _frame(json.dumps(payload, separators=(",", ":")).encode())
         if self._log_end_known and self.log_size > max(
             COMPACT_MIN_BYTES, COMPACT_RATIO * self._snapshot_size
         ):
-            with contextlib.suppress(OSError):  # no room for a snapshot: the log may have some yet
+            with contextlib.suppress(OSError):  # no space for a snapshot: the log may still fit
                 self.compact(self.state)
         if not self._log_end_known:
             self.compact(self.state)
@@ -196,7 +197,7 @@
             write_all(self._log_descriptor, frame)
             os.fsync(self._log_descriptor)
         except OSError:
-            # What a failed sync leaves on disk is unknown: the next write begins with a new log.
+            # What a failed sync leaves on disk is unknown, so the next write starts a new log.
             self._log_end_known = False
             with contextlib.suppress(OSError):
                 os.ftruncate(self._log_descriptor, self.log_size)
@@ -206,15 +207,17 @@
         self.state = new_state
 
     def reset(self, state: State) -> None:
-        """Another list in place of this one: a follower's, as its leader has told it."""
+        """Replaces the state: a follower received a full state from its leader."""
         self.compact(state)
 
     def compact(self, state: State) -> None:
-        """The whole list as the snapshot, then an empty log. Between the two, the log holds what is
-        old."""
+        """Writes a snapshot, then an empty log.
+
+        A crash between the two leaves a log that replay ignores: its records are in the snapshot
+        already, or of another lineage."""
         self._write_snapshot(state)
         self.state = state
-        self._log_end_known = False  # until the log that is written to is the one that will be read
+        self._log_end_known = False  # until the open log is the new one
         replace_file(self._log_path, b"")
         descriptor = os.open(self._log_path, os.O_WRONLY)
         os.close(self._log_descriptor)
@@ -226,6 +229,6 @@
         self._snapshot_size = len(data)
 
     def save_role(self, **role: Any) -> None:
-        """What this process is, for when it starts again."""
+        """Stores the process's role for its next start."""
         replace_file(self._role_path, json.dumps(role).encode())
         self.role = role
--- a/tests/discovery/test_service.py
+++ b/tests/discovery/test_service.py
@@ -208,7 +208,7 @@
     with (tmp_path / "data/log").open("ab") as log:
         log.write(b"\xc5\xd1torn")
     await program.start()
-    assert "6 bytes of a broken last record were cut off" in program.log_text()
+    assert "truncated 6 bytes of an incomplete last record" in program.log_text()
     shown = {s["name"]: s["version"] for s in (await program.call("GET", "/servers"))[1]["servers"]}
     assert answered.items() <= shown.items()
     versions = sorted(shown.values())
@@ -279,7 +279,7 @@
     resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (size + 10, unlimited))
     for _ in range(2):
         status, answer = await program.call("PUT", "/servers/b", GOOD)
-        assert status == 507 and "not kept" in answer["error"]
+        assert status == 507 and "not committed" in answer["error"]
         assert statuses_by_name(await fetch_list(program.reads)) == {"a": "up"}
         assert (await program.call("POST", "/servers/a/renew"))[0] == 200
     resource.prlimit(program.process.pid, resource.RLIMIT_FSIZE, (unlimited, unlimited))
@@ -316,7 +316,7 @@
             await asyncio.sleep(0.05)
     assert (
         status["leases"]["overdue"] == 4
-        and "4 overdue at once, none is acted on" in program.log_text()
+        and "4 expired at once, removals suspended" in program.log_text()
     )
     assert len(statuses_by_name(await fetch_list(program.reads))) == 7
     assert (await program.call("DELETE", "/servers/s-0"))[0] == 200  # a deliberate removal passes
@@ -504,7 +504,7 @@
     monkeypatch.setattr(service_module, "WRITE_TIMEOUT", 0.1)
     monkeypatch.setattr(os, "fsync", fsync)
     status, answer = await call(writes, "PUT", "/servers/a", GOOD, {"Request-Id": "x"})
-    assert status == 503 and "may be yet" in answer["error"]
+    assert status == 503 and "may still be" in answer["error"]
     assert (await fetch_list(reads))["index"] == 0
     disk_released.set()
     monkeypatch.setattr(service_module, "WRITE_TIMEOUT", 10.0)
@@ -609,7 +609,8 @@
         ["bash", "-c", command], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
     assert (
-        process.returncode == 1 and "100576 descriptors would be needed, and 1024" in process.stderr
+        process.returncode == 1
+        and "100576 descriptors are needed, but the hard limit is 1024" in process.stderr
     )
 
 
--- a/tests/discovery/test_store.py
+++ b/tests/discovery/test_store.py
@@ -207,7 +207,7 @@
                 store.close()
             else:
                 with pytest.raises(
-                    DataFolderError, match=rf"log: damaged at offset {starts[which]}, with sound"
+                    DataFolderError, match=rf"log: damaged at offset {starts[which]}, with valid"
                 ):
                     Store(tmp_path / "data")
 
