--- a/cairndale/discovery/lines.py
+++ b/cairndale/discovery/lines.py
@@ -41,8 +41,8 @@
 
 
 def _removal_entry(name: str, version: int, extended: bool) -> dict[str, Any]:
-    removal_entries = Server(name, ":0", status="removed", version=version)
-    return removal_entries.listing_entry(extended)
+    removed_server = Server(name, ":0", status="removed", version=version)
+    return removed_server.listing_entry(extended)
 
 
 def _lineage_fields(state: State, reader: Reader) -> dict[str, Any]:
@@ -69,7 +69,7 @@
 
     A follower also gets `writes_at`, the address that takes writes."""
     other_lineage = reader.lineage is not None and reader.lineage != state.lineage
-    if other_lineage or not state.has_changes_since(index, reader.epoch):
+    if other_lineage or not state.knows_changes_since(index, reader.epoch):
         return encode_full_list(state, reader, writes_at)
     extended, lineage_fields = reader.kind != "plain", _lineage_fields(state, reader)
     servers, removed, reregistered = state.changes_since(index)
--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -79,12 +79,12 @@
     """One replica of the list service: serves reads and watches, commits writes while it leads."""
 
     def __init__(
-        self, store: Store, leases: Leases, ttls: tuple[int, int], max_watches: int
+        self, store: Store, leases: Leases, lease_ms_range: tuple[int, int], max_watches: int
     ) -> None:
         self.store, self.leases, self.lease_ms_range, self.max_watches = (
             store,
             leases,
-            ttls,
+            lease_ms_range,
             max_watches,
         )
         self.counts = Counts()
@@ -182,7 +182,7 @@
             async with asyncio.timeout(WRITE_TIMEOUT):
                 return await future
         except TimeoutError:
-            raise RejectedError(503, "not committed in time; it may still be") from None
+            raise RejectedError(503, "not committed in time; it may be committed later") from None
 
     def require_leader(self) -> None:
         """Raises RejectedError, with the leader's address, unless this replica leads."""
@@ -344,7 +344,7 @@
                 log.warning("leases: %s", outcome)
 
     async def _remove_expired(self, names: Sequence[str]) -> None:
-        async def one(name: str) -> None:
+        async def remove(name: str) -> None:
             server = self.state.servers.get(name)
             if server is None:
                 return
@@ -356,13 +356,13 @@
                 if self.state.servers.get(name):
                     self.leases.grant(name, server.lease_ms / 1000, self._loop.time())
 
-        await asyncio.gather(*map(one, names))
+        await asyncio.gather(*map(remove, names))
 
     # Watches.
 
     def has_list(self) -> bool:
-        """Returns whether there is a list to serve: a follower has none before its leader's first
-        one."""
+        """Returns whether there is a list to serve. A new follower has none until it receives its
+        leader's."""
         return self.role == "leader" or self.state.index > 0
 
     def can_serve(self, reader: Reader) -> bool:
@@ -405,7 +405,7 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the answer to `GET /status`."""
-        now, state, store, suspended = (
+        now, state, store, suspended_since = (
             self._loop.time(),
             self.state,
             self.store,
@@ -426,7 +426,7 @@
             "versions_behind": state.index - slowest,
             "leases": {
                 "overdue": len(self.leases.overdue(now)),
-                "held_back_s": None if suspended is None else round(now - suspended, 1),
+                "held_back_s": None if suspended_since is None else round(now - suspended_since, 1),
             },
             "log": {
                 "bytes": store.log_size,
@@ -499,9 +499,9 @@
                 )
             )
 
-    def set_write_paused(self, full: bool) -> None:
+    def set_write_paused(self, paused: bool) -> None:
         """Pauses writing while the transport's buffer is full, and catches up afterwards."""
-        if full:
+        if paused:
             self.stalled_since = self.service._loop.time()
         else:
             self.stalled_since = None
@@ -533,8 +533,8 @@
 
     def peer(self) -> str:
         """Returns the client's address, for the log."""
-        name = self.transport.get_extra_info("peername")
-        return f"{name[0]}:{name[1]}" if name else "?"
+        address = self.transport.get_extra_info("peername")
+        return f"{address[0]}:{address[1]}" if address else "?"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Starts the timeout of the first request; rejects a connection above the limit."""
@@ -600,7 +600,10 @@
                 self._respond(self._requests.popleft())
             )
         elif self._pending_error_status:
-            self.reject(RejectedError(self._pending_error_status, "not understood"), close=True)
+            self.reject(
+                RejectedError(self._pending_error_status, "invalid or incomplete request"),
+                close=True,
+            )
         else:
             self.transport.resume_reading()
             self._set_timeout(REQUEST_TIMEOUT if self._begun else IDLE_TIMEOUT)
@@ -710,7 +713,7 @@
         return None
 
     def _version(self) -> dict[str, Any]:
-        """Returns the version of the list here, which was current `age_ms` before this request."""
+        """Returns the version of the list here, and its maximum age, `age_ms`."""
         service, state = self.service, self.service.state
         if not service.can_serve(Reader(kind="follow")):
             raise RejectedError(503, "no current list here", leader=service.leader_at)
--- a/cairndale/discovery/state.py
+++ b/cairndale/discovery/state.py
@@ -21,7 +21,7 @@
 # versions that a promotion skips: more than a deposed leader can assign
 PROMOTION_VERSION_GAP = 1 << 32
 MAX_SERVERS = 10_000
-MAX_SPANS = 64
+MAX_PAST_EPOCHS = 64
 NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
 HOST_PATTERN = re.compile(r"[A-Za-z0-9._:\[\]-]{1,255}")
 LABEL_PATTERN = re.compile(r"[\x21-\x7e]{0,64}")
@@ -56,11 +56,11 @@
 
     def listing_entry(self, extended: bool) -> dict[str, Any]:
         """Returns the server's entry in a list; `extended` readers also get its version."""
-        raw = asdict(self)
-        del raw["lease_ms"]
+        entry = asdict(self)
+        del entry["lease_ms"]
         if not extended:
-            del raw["version"]
-        return raw
+            del entry["version"]
+        return entry
 
 
 def _is_integer_in(value: Any, minimum: int, maximum: int) -> bool:
@@ -120,7 +120,7 @@
     expected: int | None = None
 
     def digest(self) -> str:
-        """Returns a hash that tells requests apart which reuse an id."""
+        """Returns a hash of the request, to detect an id that is reused for another request."""
         fields = asdict(self.server) if self.server else {}
         canonical = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
         return sha256(canonical.encode()).hexdigest()[:16]
@@ -160,8 +160,8 @@
             tuple(Server(**s) for s in raw.get("set", ())),
             tuple((str(n), int(v)) for n, v in raw.get("gone", ())),
             tuple(
-                (str(id), str(digest), int(v), int(at))
-                for id, digest, v, at in raw.get("writes", ())
+                (str(id), str(digest), int(version), int(index))
+                for id, digest, version, index in raw.get("writes", ())
             ),
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]) if "spans" in raw else None,
         )
@@ -254,7 +254,9 @@
 
     def promotion_record(self) -> Record:
         """Returns the record that starts the next epoch."""
-        past_epochs = (*self.past_epochs, (self.epoch, self.epoch_start, self.index))[-MAX_SPANS:]
+        past_epochs = (*self.past_epochs, (self.epoch, self.epoch_start, self.index))[
+            -MAX_PAST_EPOCHS:
+        ]
         return Record(self.index + PROMOTION_VERSION_GAP, self.epoch + 1, past_epochs=past_epochs)
 
     def apply(self, record: Record) -> None:
@@ -283,8 +285,8 @@
 
     # Reads.
 
-    def has_changes_since(self, since: int, epoch: int | None) -> bool:
-        """Returns whether all changes after that version are known."""
+    def knows_changes_since(self, since: int, epoch: int | None) -> bool:
+        """Returns whether all changes after version `since` of that epoch are known."""
         if not (self.compacted_index <= since <= self.index) or since == 0:
             return False
         for number, _, last in self.past_epochs:
@@ -293,8 +295,8 @@
         return since >= self.epoch_start and (epoch is None or epoch == self.epoch)
 
     def changes_since(self, since: int) -> tuple[list[Server], list[str], list[str]]:
-        """Returns the servers set after that version, the names removed, and the names removed and
-        registered again."""
+        """Returns what changed after version `since`: the servers set, the names removed, and the
+        names removed and registered again."""
         names = [name for name, version in self.removed_versions.items() if version > since]
         servers = sorted(
             (s for s in self.servers.values() if s.version > since), key=lambda s: s.version
--- a/cairndale/discovery/store.py
+++ b/cairndale/discovery/store.py
@@ -63,8 +63,8 @@
     """The data folder of one process, which locks it. Methods may block, and must not be called
     from two threads at once."""
 
-    def __init__(self, folder: Path, history: int = 1024) -> None:
-        self._folder, self._history = folder, history
+    def __init__(self, folder: Path, history_limit: int = 1024) -> None:
+        self._folder, self._history_limit = folder, history_limit
         self._snapshot_path, self._log_path, self._role_path = (
             folder / "snapshot",
             folder / "log",
@@ -130,7 +130,7 @@
         if payload is None or FRAME_HEADER.size + len(payload) != len(data):
             raise DataFolderError(f"{self._snapshot_path}: damaged at offset 0")
         try:
-            return decode_state(json.loads(payload), self._history)
+            return decode_state(json.loads(payload), self._history_limit)
         except (InvalidDataError, ValueError) as error:
             raise DataFolderError(f"{self._snapshot_path}: {error}") from None
 
--- a/tests/discovery/test_end_to_end.py
+++ b/tests/discovery/test_end_to_end.py
@@ -1,5 +1,4 @@
-"""End to end: real requests through a real ingress whose servers come from a list service that
-fails."""
+"""End to end: requests through a real ingress that gets its servers from a failing list service."""
 
 from __future__ import annotations
 
@@ -18,12 +17,11 @@
 from tests.testing.discovery import HOST, ROOT, STARTED_PROCESSES, DiscoveryProcess, call
 from tests.testing.ingress import OK, RAW, Peer, PeerServer, answers, read_answer, request
 
-DRAIN_GRACE = 0.25  # s after the news of a drain
+DRAIN_GRACE = 0.25  # s after the ingress has received a drain
 
 
 class Ingress:
-    """An ingress process that watches two addresses of the list service, and a load of requests on
-    it."""
+    """An ingress process that watches the given ports of list services, and a load of requests."""
 
     def __init__(self, folder: Path, *addresses: int) -> None:
         self.folder, self.addresses = folder, [f"{HOST}:{port}" for port in addresses]
@@ -33,7 +31,8 @@
         self._load: list[asyncio.Task[None]] = []
 
     async def start(self, fresh_folder: bool = True) -> None:
-        """Or beside one that runs already in the folder, to take over from it."""
+        """Starts a process. With `fresh_folder=False` it takes over from one that runs in the
+        folder."""
         self.folder.mkdir(exist_ok=not fresh_folder)
         first, *more_addresses = self.addresses
         config = {
@@ -60,8 +59,8 @@
                 await asyncio.sleep(0.01)
         lines = self.log_text().splitlines()
         self.port, self.ops = (
-            int(next(line for line in lines if what in line).rpartition(":")[2])
-            for what in ("listening on", "operators' calls on")
+            int(next(line for line in lines if label in line).rpartition(":")[2])
+            for label in ("listening on", "operators' calls on")
         )
 
     def log_text(self) -> str:
@@ -87,7 +86,8 @@
             try:
                 writer.write(request_bytes)
                 answer = await read_answer(reader)
-            except (OSError, asyncio.IncompleteReadError):  # closed between requests: once more
+            # The connection was closed between requests: retry once.
+            except (OSError, asyncio.IncompleteReadError):
                 self.retried += 1
                 writer.close()
                 try:
@@ -101,7 +101,7 @@
             await asyncio.sleep(0.005)
 
     async def wait_for_answers(self, count: int = 40) -> None:
-        """That many more requests have been answered."""
+        """Waits until this many more requests have been answered."""
         until = self.outcomes.total() + count
         async with asyncio.timeout(60):
             while self.outcomes.total() < until and not self.failures:
@@ -117,13 +117,13 @@
         assert "Traceback" not in self.log_text()
 
 
-async def test_no_request_is_lost_and_no_drained_server_works_while_the_service_fails(
+async def test_no_request_fails_and_drained_servers_get_none_while_the_service_fails(
     tmp_path: Path,
 ) -> None:
     request_counts: Counter[int] = Counter()
     servers: list[PeerServer] = []
 
-    def counting(number: int) -> Any:
+    def counting_peer(number: int) -> Any:
         answer = answers(OK)
 
         def count_requests(peer: Peer) -> None:
@@ -133,7 +133,7 @@
         return count_requests
 
     for number in range(5):
-        servers.append(await PeerServer(counting(number)).start())
+        servers.append(await PeerServer(counting_peer(number)).start())
     leader = await DiscoveryProcess(tmp_path / "one").start()
     follower = await DiscoveryProcess(
         tmp_path / "two", extra_config={"follow": f"{HOST}:{leader.reads}"}
@@ -146,7 +146,7 @@
     await ingress.wait_for_status(servers=4, at=f"{HOST}:{leader.reads}")
     ingress.start_load()
     await ingress.wait_for_answers()
-    drained: dict[int, int] = {}  # a server, and how many requests it had had in time
+    drained: dict[int, int] = {}  # by server: its requests until the drain took effect
 
     async def drain(program: DiscoveryProcess, number: int) -> None:
         status, answer = await program.call("POST", f"/servers/s-{number}/drain")
@@ -156,8 +156,8 @@
         drained[number] = request_counts[number]
 
     await drain(leader, 0)
-    # Killed: the next address is watched, from the version held. It comes back, and what it is told
-    # goes on.
+    # The leader is killed: the ingress watches the next address from the version that it has. The
+    # leader is started again, and replication goes on.
     await leader.stop(signal.SIGKILL)
     await ingress.wait_for_status(at=f"{HOST}:{follower.reads}")
     await ingress.wait_for_answers()
@@ -165,8 +165,8 @@
     await leader.wait_for_status(index=5)
     await follower.wait_for_status(index=5)
     await drain(leader, 1)
-    # Stopped, and failed over while the ingress watches the follower; the drain is told by the new
-    # leader.
+    # The leader is stopped and the follower promoted while the ingress watches the follower; the
+    # drain comes from the new leader.
     leader.send_signal(signal.SIGSTOP)
     assert (await follower.call("POST", "/promote"))[0] == 200
     await drain(follower, 2)
@@ -178,8 +178,8 @@
     before = request_counts[4]
     await ingress.wait_for_answers(80)
     assert request_counts[4] > before
-    # Both gone: the last list is worked with. Back with nothing, at the same address: no list is
-    # made empty.
+    # Both are killed: the ingress works with its last list. A service that comes back empty at the
+    # same address does not empty that list.
     await leader.stop(signal.SIGKILL)
     await follower.stop(signal.SIGKILL)
     await ingress.wait_for_answers()
@@ -189,7 +189,7 @@
     status = await ingress.wait_for_status(index=0)
     assert status["servers"] == 5 and len(status["kept"]) == 5
     await ingress.wait_for_answers()
-    # The wiped service hears of a server that drained under the one before: it goes on draining.
+    # A server that was draining before registers with the wiped service: it stays draining.
     await follower.register("s-2", servers[2].port)
     await ingress.wait_for_status(index=1)
     await ingress.wait_for_answers()
@@ -203,11 +203,11 @@
         server.stop()
 
 
-async def test_a_drain_that_only_the_lost_leader_had_holds_over_failover_and_upgrade(
+async def test_a_drain_known_only_to_the_failed_leader_survives_failover_and_upgrade(
     tmp_path: Path,
 ) -> None:
-    """The follower is behind at the failover; the ingress, which was told, is replaced by a new
-    process."""
+    """The follower lags at the failover. The ingress has received the drain, and is replaced by a
+    new process."""
     servers = [await PeerServer(answers(OK)).start() for _ in range(3)]
     leader = await DiscoveryProcess(tmp_path / "one").start()
     follower = await DiscoveryProcess(
@@ -234,23 +234,26 @@
     assert (await follower.call("POST", "/promote"))[0] == 200
     await ingress.wait_for_status(epoch=2)
     await ingress.wait_for_answers()
-    after = Ingress(tmp_path / "ingress", leader.reads, follower.reads)
-    await after.start(fresh_folder=False)
-    assert "nothing taken over" not in after.log_text()
-    await after.wait_for_status(epoch=2, servers=2)
+    successor = Ingress(tmp_path / "ingress", leader.reads, follower.reads)
+    await successor.start(fresh_folder=False)
+    assert "nothing taken over" not in successor.log_text()
+    await successor.wait_for_status(epoch=2, servers=2)
     await ingress.stop()
-    after.start_load()
-    await after.wait_for_answers()
-    await after.stop()
+    successor.start_load()
+    await successor.wait_for_answers()
+    await successor.stop()
     assert [len(server.peers) for server in servers[:2]] == peer_counts[:2]
-    for one in (ingress, after):
-        assert one.failures == [] and one.outcomes.keys() == {b"200"}, (one.failures, one.outcomes)
+    for process in (ingress, successor):
+        assert process.failures == [] and process.outcomes.keys() == {b"200"}, (
+            process.failures,
+            process.outcomes,
+        )
     await follower.stop()
     for server in servers:
         server.stop()
 
 
-async def test_a_stopped_leader_is_left_for_the_follower(tmp_path: Path) -> None:
+async def test_an_ingress_switches_from_a_stopped_leader_to_the_follower(tmp_path: Path) -> None:
     server = await PeerServer(answers(OK)).start()
     leader = await DiscoveryProcess(tmp_path / "one").start()
     follower = await DiscoveryProcess(
@@ -274,8 +277,8 @@
     server.stop()
 
 
-async def test_an_unchanged_ingress_works_with_the_service(tmp_path: Path) -> None:
-    """Without `directory`: one address, and no more than PROTOCOL has."""
+async def test_an_ingress_without_directory_settings_works_with_the_service(tmp_path: Path) -> None:
+    """The ingress has one address, and uses no more than PROTOCOL defines."""
     servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
     service = await DiscoveryProcess(tmp_path / "one").start()
     ingress = Ingress(tmp_path / "ingress", service.reads)
--- a/tests/discovery/test_leases.py
+++ b/tests/discovery/test_leases.py
@@ -1,5 +1,4 @@
-"""Leases with a clock of the test's own: terms, restarts, faults that stop many renewals at
-once."""
+"""Leases under a simulated clock: TTLs, restarts, faults that stop many renewals at once."""
 
 from __future__ import annotations
 
@@ -20,7 +19,7 @@
 
 
 def run(leases: Leases, start: float, end: float, renewing: set[str]) -> dict[str, float]:
-    """Looks twice a second, renews every third of a term; when each went."""
+    """Checks twice a second and renews every third of the TTL; returns when each was removed."""
     removed: dict[str, float] = {}
     for tick in range(int(start * 2), int(end * 2)):
         now = tick / 2
@@ -31,7 +30,7 @@
     return removed
 
 
-def test_a_lease_that_is_not_renewed_is_acted_on_a_third_of_a_term_after_its_end() -> None:
+def test_a_server_is_removed_a_third_of_the_ttl_after_its_lease_expired() -> None:
     leases = granted_leases(10)
     removed = run(leases, 0, 40, {f"s{n}" for n in range(1, 10)})
     assert (
@@ -41,7 +40,7 @@
     )
 
 
-def test_many_at_once_are_held_back_until_they_renew() -> None:
+def test_removals_are_suspended_while_many_leases_have_expired() -> None:
     leases = granted_leases(10)
     renewing_names = {f"s{n}" for n in range(6)}
     assert run(leases, 0, 100, renewing_names) == {} and leases.suspended_since is not None
@@ -50,16 +49,15 @@
     assert run(leases, 100, 140, everyone) == {} and leases.suspended_since is None
 
 
-def test_of_those_held_back_the_few_that_stay_away_go_in_the_end() -> None:
+def test_the_few_that_do_not_renew_after_a_suspension_are_removed() -> None:
     leases = granted_leases(10)
     run(leases, 0, 50, set())
     removed = run(leases, 50, 100, {f"s{n}" for n in range(8)})
     assert removed.keys() == {"s8", "s9"}
 
 
-def test_one_by_one_counts_together() -> None:
-    """Renewals that stop for a whole fleet end leases spread over a third of a term, not at
-    once."""
+def test_expiries_spread_over_time_are_counted_together() -> None:
+    """If renewals stop for all servers, their leases expire over a third of the TTL."""
     leases = Leases()
     leases.restart({}, 0.0)
     for number in range(30):
@@ -67,25 +65,25 @@
     assert run(leases, 3, 60, set()) == {}
 
 
-def test_two_of_three_are_too_few_to_be_a_fault_of_the_service() -> None:
+def test_fewer_expired_leases_than_the_minimum_are_removed() -> None:
     leases = granted_leases(3)
     assert run(leases, 0, 40, {"s0"}).keys() == {"s1", "s2"}
 
 
-def test_a_deliberate_removal_passes_while_others_are_held_back() -> None:
+def test_a_lease_can_be_revoked_while_removals_are_suspended() -> None:
     leases = granted_leases(10)
     run(leases, 0, 50, set())
     leases.revoke("s3")
     assert leases.renew("s3", 50) is None and len(leases.overdue(50)) == 9
 
 
-def test_a_restart_gives_every_lease_a_full_term() -> None:
+def test_a_restart_gives_every_lease_a_full_ttl() -> None:
     leases = Leases()
     leases.restart({f"s{n}": TTL for n in range(5)}, 1000.0)
     assert run(leases, 1000, 1000 + TTL, set()) == {} and leases.remaining("s0", 1000 + TTL) == 0
 
 
-def test_the_time_that_this_process_was_stopped_is_nobodys_fault() -> None:
+def test_leases_are_extended_by_the_time_that_the_process_was_stopped() -> None:
     leases = granted_leases(1)
     assert run(leases, 0, 5, {"s0"}) == {}
     assert leases.take_expired(300.0) == [] and (leases.remaining("s0", 300.0) or 0) > 0
@@ -94,7 +92,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 19), st.floats(0, 4)), max_size=120), st.integers(1, 20))
-def test_never_are_more_taken_off_within_a_window_than_the_share(
+def test_no_more_servers_are_removed_within_a_window_than_the_ratio_allows(
     renewals: list[tuple[int, float]], size: int
 ) -> None:
     leases, now = granted_leases(size), 0.0
--- a/tests/discovery/test_lines.py
+++ b/tests/discovery/test_lines.py
@@ -1,5 +1,4 @@
-"""What watches are told: whatever a reader of any kind missed, its list is the service's after one
-line."""
+"""Lines of watches: whatever a reader missed, one update makes its list the service's."""
 
 from __future__ import annotations
 
@@ -33,7 +32,7 @@
 
 
 class SimulatedReader:
-    """A reader as PROTOCOL has it: it knows nothing of versions of servers."""
+    """A reader that keeps a list as PROTOCOL defines, without the versions of servers."""
 
     def __init__(self, kind: str) -> None:
         self.reader, self.index, self.entries = Reader(kind), 0, dict[str, dict[str, Any]]()
@@ -58,20 +57,20 @@
 
 @FIXED
 @given(st.lists(STEPS, max_size=40), st.integers(1, 3))
-def test_readers_of_all_kinds_end_with_the_list(steps: list[Any], history: int) -> None:
-    state = State("l", history_limit=history)
+def test_readers_of_all_kinds_converge_to_the_list(steps: list[Any], history_limit: int) -> None:
+    state = State("l", history_limit=history_limit)
     readers = [SimulatedReader(kind) for kind in ("plain", "plain", "extended", "extended")]
     for step in [*steps, "tell 0", "tell 1", "tell 2", "tell 3"]:
         if not (isinstance(step, str) and step.startswith("tell")):
             apply_step(state, step)
             continue
-        held = readers[int(step[-1])]
-        extended = held.reader.kind == "extended"
-        update = lines.encode_changes(state, held.reader, held.index)
-        held.receive(update.lines)
+        client = readers[int(step[-1])]
+        extended = client.reader.kind == "extended"
+        update = lines.encode_changes(state, client.reader, client.index)
+        client.receive(update.lines)
         assert update.index == state.index
-        assert held.entries == {s.name: s.listing_entry(extended) for s in state.servers.values()}
-        held.index = max(held.index, update.index) if update.lines else held.index
+        assert client.entries == {s.name: s.listing_entry(extended) for s in state.servers.values()}
+        client.index = max(client.index, update.index) if update.lines else client.index
 
 
 @FIXED
@@ -93,19 +92,19 @@
             assert copy.dump() == state.dump()
 
 
-def test_a_server_that_went_and_came_back_is_told_as_both() -> None:
+def test_a_server_removed_and_registered_again_is_sent_as_both() -> None:
     state = State("l")
     for step in (register("a"), register("b"), WriteRequest("remove", "a"), register("a", since=9)):
         apply_step(state, step)
-    held = SimulatedReader("plain")
-    held.index, held.entries = 2, {"a": {}, "b": {}}
-    update = lines.encode_changes(state, held.reader, 2)
+    client = SimulatedReader("plain")
+    client.index, client.entries = 2, {"a": {}, "b": {}}
+    update = lines.encode_changes(state, client.reader, 2)
     first, second = (json.loads(line) for line in update.lines.splitlines())
     assert statuses_by_name(first) == {"a": "removed"} and first["index"] == 2
     assert statuses_by_name(second) == {"a": "up"} and second["index"] == 4
 
 
-def test_what_cannot_be_told_as_a_change_is_told_whole() -> None:
+def test_readers_whose_changes_are_not_known_get_the_full_list() -> None:
     state = State("l")
     for name in "abc":
         apply_step(state, register(name))
@@ -122,7 +121,7 @@
         assert not lines.encode_changes(state, reader, index).is_full, (reader, index)
 
 
-def test_plain_readers_get_what_the_protocol_names_and_no_more() -> None:
+def test_plain_readers_get_only_the_fields_of_the_protocol() -> None:
     state = State("l")
     apply_step(state, register("a"))
     line = json.loads(lines.encode_full_list(state, Reader()).lines)
@@ -141,48 +140,45 @@
     assert json.loads(lines.encode_heartbeat(state, Reader("extended"), 60_000))["age_ms"] == 60_000
 
 
-def test_a_follower_does_not_go_back_nor_over_to_another_list() -> None:
-    state, copy = State("l"), State("l")
+def test_a_follower_rejects_older_epochs_other_lineages_and_missing_records() -> None:
+    state, promoted_state = State("l"), State("l")
     apply_step(state, register("a"))
-    apply_step(copy, register("a"))
-    apply_step(copy, "promote")
-    for held, line in (
-        (copy, {"index": 9, "epoch": 1, "lineage": "l"}),
+    apply_step(promoted_state, register("a"))
+    apply_step(promoted_state, "promote")
+    for local_state, line in (
+        (promoted_state, {"index": 9, "epoch": 1, "lineage": "l"}),
         (state, {"index": 9, "epoch": 1, "lineage": "other"}),
-        (state, {"index": 9, "epoch": 1, "lineage": "l"}),  # a newer version, but no record
+        (state, {"index": 9, "epoch": 1, "lineage": "l"}),  # newer version without a record
         (state, {"index": 9}),
         (state, []),
     ):
         progress = ReplicationProgress()
         try:
-            progress.receive(held, line, 1.0)
+            progress.receive(local_state, line, 1.0)
         except InvalidDataError:
             assert progress.last_received_at is None
         else:
             raise AssertionError(line)
 
 
-def test_a_follower_vouches_for_its_list_from_when_it_asked_and_only_once_it_holds_the_answer() -> (
-    None
-):
-    held, progress = State("l", index=4), ReplicationProgress(started_at=10.0)
-    assert progress.age(held, 11.0) == replica.UNCONFIRMED_AGE + 1  # it has asked nothing yet
-    progress.record_leader_version(held, 4, 1, "l", 12.0)
-    assert progress.age(held, 12.5) == 0.5
-    # a beat, however long on its way
-    progress.receive(held, {"index": 4, "epoch": 1, "lineage": "l"}, 13.0)
-    assert progress.age(held, 13.0) == 1.0
-    progress.record_leader_version(held, 6, 1, "l", 14.0)  # not held yet
-    progress.record_leader_version(held, 9, 2, "l", 14.5)  # of a term that is not held either
-    progress.record_leader_version(held, 4, 1, "other", 14.5)
-    assert progress.age(held, 15.0) == 3.0
-    held.index = 6
-    assert progress.age(held, 15.0) == 1.0
+def test_the_age_counts_from_the_last_query_whose_version_is_committed() -> None:
+    state, progress = State("l", index=4), ReplicationProgress(started_at=10.0)
+    assert progress.age(state, 11.0) == replica.UNCONFIRMED_AGE + 1  # no query yet
+    progress.record_leader_version(state, 4, 1, "l", 12.0)
+    assert progress.age(state, 12.5) == 0.5
+    # A heartbeat says nothing about the age: it may have been delayed.
+    progress.receive(state, {"index": 4, "epoch": 1, "lineage": "l"}, 13.0)
+    assert progress.age(state, 13.0) == 1.0
+    progress.record_leader_version(state, 6, 1, "l", 14.0)  # not committed yet
+    progress.record_leader_version(state, 9, 2, "l", 14.5)  # of an epoch not received yet
+    progress.record_leader_version(state, 4, 1, "other", 14.5)
+    assert progress.age(state, 15.0) == 3.0
+    state.index = 6
+    assert progress.age(state, 15.0) == 1.0
     promoted = {"i": 7, "e": 2, "spans": []}
-    progress.receive(held, {"index": 7, "epoch": 2, "lineage": "l", "record": promoted}, 16.0)
-    # another leader: nothing is vouched for
-    assert progress.age(held, 17.0) == replica.UNCONFIRMED_AGE + 1
-    progress.leader_supports_version_query = (
-        False  # a leader of before this: from when it was heard, as then
-    )
-    assert progress.age(held, 17.0) == 1.0
+    progress.receive(state, {"index": 7, "epoch": 2, "lineage": "l", "record": promoted}, 16.0)
+    # another leader: nothing is confirmed
+    assert progress.age(state, 17.0) == replica.UNCONFIRMED_AGE + 1
+    # An older leader does not answer queries: the age counts from the last line.
+    progress.leader_supports_version_query = False
+    assert progress.age(state, 17.0) == 1.0
--- a/tests/testing/discovery.py
+++ b/tests/testing/discovery.py
@@ -1,4 +1,4 @@
-"""What the tests of the list service share: the real program as a process, and calls on it."""
+"""Shared by tests of the list service: the real program as a process, and clients for it."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 ROOT = Path(__file__).parents[2]
 HOST = "127.0.0.1"
-RESERVED_SOCKETS: list[socket.socket] = []  # closed after each test, and ...
-STARTED_PROCESSES: list[subprocess.Popen[str]] = []  # ... ended, by `conftest.py`
+RESERVED_SOCKETS: list[socket.socket] = []  # closed after each test by `conftest.py`
+STARTED_PROCESSES: list[subprocess.Popen[str]] = []  # killed after each test by `conftest.py`
 
 
 def register(
@@ -30,7 +30,7 @@
 
 @dataclass
 class DiscoveryProcess:
-    """`python -m cairndale.discovery` on a data folder; the ports are kept over a restart."""
+    """`python -m cairndale.discovery` on a data folder; it keeps its ports over a restart."""
 
     folder: Path
     extra_config: dict[str, Any] = field(default_factory=dict)
@@ -39,8 +39,8 @@
     writes: int = field(init=False)
 
     def __post_init__(self) -> None:
-        """The system chooses the ports; they are held, not listened to: none is lost over a
-        restart."""
+        """Lets the system choose the ports, and binds them without listening, so that no other
+        process gets them during a restart."""
         reserved_sockets = [socket.socket() for _ in range(2)]
         for reserved in reserved_sockets:
             reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -99,7 +99,7 @@
         return answer
 
     async def wait_for_status(self, **expected: Any) -> dict[str, Any]:
-        """Its status, once it is as wanted."""
+        """Returns the status once it has the expected values."""
         async with asyncio.timeout(60):
             while True:
                 status = await self.status()
@@ -128,7 +128,7 @@
 
 
 class WatchClient:
-    """A watch, line by line; empty ones are left out unless asked for."""
+    """A client of a watch, which reads it line by line."""
 
     def __init__(self, port: int, query: str) -> None:
         self.port, self.query = port, query
@@ -146,7 +146,7 @@
         self.writer.transport.abort()
 
     async def line(self, empty: bool = False) -> Any:
-        """The next line, or None at the end."""
+        """Returns the next line, or None at the end; skips empty lines unless `empty` is set."""
         async with asyncio.timeout(60):
             while True:
                 size = int(await self.reader.readline(), 16)
