--- a/cairndale/discovery/__main__.py
+++ b/cairndale/discovery/__main__.py
@@ -169,7 +169,7 @@
             "follow: missing, but the data folder belongs to a follower that was never promoted"
         )
     elif saved_role.get("deposed", 0) > epoch:
-        service.role, service.leader_at = "deposed", str(saved_role.get("leader", ""))
+        service.role, service.leader_address = "deposed", str(saved_role.get("leader", ""))
     return Replica(service, follow)
 
 
--- a/cairndale/discovery/replica.py
+++ b/cairndale/discovery/replica.py
@@ -180,7 +180,7 @@
         """Makes this follower the leader, and deposes the leader that it followed."""
         deposed_leader = self.progress.writes_at
         await self.service.become_leader(deposed_leader)
-        self.service.leader_at = ""
+        self.service.leader_address = ""
         await self.stop()
         self.leader, self._deposed_leader = None, deposed_leader
         self.start()
@@ -288,7 +288,7 @@
             return
         state, progress = self.service.state, self.progress
         new = progress.receive(state, json.loads(line), self._loop.time())
-        self.service.leader_at = progress.writes_at
+        self.service.leader_address = progress.writes_at
         if isinstance(new, State):
             if state.epoch < new.epoch and state.index > 0:
                 log.warning(
--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -89,7 +89,7 @@
         )
         self.counts = Counts()
         self.role = "leader"
-        self.leader_at = ""  # address for writes, as known to a follower or a deposed leader
+        self.leader_address = ""  # address for writes, as known to a follower or a deposed leader
         self.writes_at = ""  # this replica's own address for writes
         self.watches: dict[Watch, None] = {}
         self.connections: dict[ApiConnection, None] = {}
@@ -189,7 +189,7 @@
         if self.role != "leader":
             status = 409 if self.role == "deposed" else 503
             raise RejectedError(
-                status, f"this is a {self.role}", epoch=self.state.epoch, leader=self.leader_at
+                status, f"this is a {self.role}", epoch=self.state.epoch, leader=self.leader_address
             )
 
     async def _write_loop(self) -> None:
@@ -320,7 +320,7 @@
                 )
             except OSError as error:
                 raise RejectedError(503, f"not committed: {error.strerror}") from None
-            self.role, self.leader_at = "deposed", leader
+            self.role, self.leader_address = "deposed", leader
         log.warning("deposed: %s leads epoch %d; writes are rejected from now on", leader, epoch)
         for watch in [w for w in self.watches if w.reader.kind != "plain"]:
             watch.close()  # these readers reconnect elsewhere
@@ -420,7 +420,7 @@
             "epoch": state.epoch,
             "index": state.index,
             "servers": len(state.servers),
-            "leader": self.leader_at or None,
+            "leader": self.leader_address or None,
             "watches": len(self.watches),
             "watches_stalled": sum(1 for w in self.watches if w.stalled_since is not None),
             "versions_behind": state.index - slowest,
@@ -692,7 +692,7 @@
         if arguments.get("follow") == "1":
             reader = replace(reader, kind="follow")
         if not self.service.can_serve(reader):
-            raise RejectedError(503, "no current list here", leader=self.service.leader_at)
+            raise RejectedError(503, "no current list here", leader=self.service.leader_address)
         if arguments.get("watch") != "1":
             self.service.counts.lists += 1
             self.service.counts.wholes += 1
@@ -716,7 +716,7 @@
         """Returns the version of the list here, and its maximum age, `age_ms`."""
         service, state = self.service, self.service.state
         if not service.can_serve(Reader(kind="follow")):
-            raise RejectedError(503, "no current list here", leader=service.leader_at)
+            raise RejectedError(503, "no current list here", leader=service.leader_address)
         return {
             "index": state.index,
             "epoch": state.epoch,
