--- a/cairndale/discovery/state.py
+++ b/cairndale/discovery/state.py
@@ -1,9 +1,9 @@
-"""What the list service knows: every server with the version of its last change. Pure: calls in,
-records out.
+"""The state of the list service: each server with the version of its last change. Free of I/O:
+takes write requests, returns records.
 
-A record holds all that one version changed, so that a state is its records applied in order.
-Versions grow by one and are never used again; a promotion raises the epoch and leaps over what a
-deposed leader may give."""
+A record holds everything that one version changed; applying all records in order gives the state.
+Each write increments the version, and no version is used twice. A promotion starts a new epoch and
+skips the versions that the deposed leader may still assign."""
 
 from __future__ import annotations
 
@@ -14,32 +14,35 @@
 from hashlib import sha256
 from typing import Any
 
-Span = tuple[int, int, int]  # an epoch: its number, its first version, its last
-# a call: its id, its digest, the version answered, the one it is in
-Write = tuple[str, str, int, int]
+EpochSpan = tuple[int, int, int]  # number of an epoch, its first version, its last version
+# id of a request, its digest, the version answered, the version of the record that holds it
+CompletedWrite = tuple[str, str, int, int]
 
-LEAP = 1 << 32  # versions that a promotion passes over: more than a deposed leader can give
+# versions that a promotion skips: more than a deposed leader can assign
+PROMOTION_VERSION_GAP = 1 << 32
 MAX_SERVERS = 10_000
-MAX_SPANS = 64
-NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
-HOST = re.compile(r"[A-Za-z0-9._:\[\]-]{1,255}")
-WORD = re.compile(r"[\x21-\x7e]{0,64}")
+MAX_PAST_EPOCHS = 64
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
+HOST_PATTERN = re.compile(r"[A-Za-z0-9._:\[\]-]{1,255}")
+LABEL_PATTERN = re.compile(r"[\x21-\x7e]{0,64}")
 
 
-class Refused(Exception):
-    """A call that changes nothing, with the status that tells why and what the answer holds."""
+class RejectedError(Exception):
+    """A rejected request, with its HTTP status and the fields of the answer."""
 
-    def __init__(self, status: int, error: str, **more: Any) -> None:
+    def __init__(self, status: int, error: str, **details: Any) -> None:
         super().__init__(error)
-        self.status, self.answer = status, {"error": error, **more}
+        self.status, self.answer = status, {"error": error, **details}
 
 
-class Broken(Exception):
-    """Data that no service wrote like this."""
+class InvalidDataError(Exception):
+    """Data, from disk or from a leader, that is malformed or inconsistent with the state."""
 
 
 @dataclass(frozen=True, slots=True)
 class Server:
+    """One registered server."""
+
     name: str
     address: str
     zone: str = ""
@@ -51,58 +54,64 @@
     lease_ms: int = 0
     version: int = 0
 
-    def listed(self, extended: bool) -> dict[str, Any]:
-        """As discovery names it; `extended` readers also get what older ones would ignore."""
-        raw = asdict(self)
-        del raw["lease_ms"]
+    def listing_entry(self, extended: bool) -> dict[str, Any]:
+        """Returns the server's entry in a list; `extended` readers also get its version."""
+        entry = asdict(self)
+        del entry["lease_ms"]
         if not extended:
-            del raw["version"]
-        return raw
+            del entry["version"]
+        return entry
 
 
-def _whole(value: Any, least: int, most: int) -> bool:
-    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+def _is_integer_in(value: Any, minimum: int, maximum: int) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
-def _address(value: Any) -> bool:
+def _is_address(value: Any) -> bool:
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    sound = HOST.fullmatch(host) and port.isascii() and port.isdecimal() and len(port) <= 5
-    return bool(sound) and 0 < int(port) < 65536
+    valid = HOST_PATTERN.fullmatch(host) and port.isascii() and port.isdecimal() and len(port) <= 5
+    return bool(valid) and 0 < int(port) < 65536
 
 
-def server_from(name: str, body: Mapping[str, Any], leases: tuple[int, int]) -> Server:
-    """A registration, checked as a whole: `body` as it came, `leases` the terms allowed."""
-    if not NAME.fullmatch(name):
-        raise Refused(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
-    wrong = sorted(
+def parse_registration(
+    name: str, body: Mapping[str, Any], lease_ms_range: tuple[int, int]
+) -> Server:
+    """Checks the body of a registration; `lease_ms_range` bounds the lease's TTL."""
+    if not NAME_PATTERN.fullmatch(name):
+        raise RejectedError(400, "name: 1 to 64 of letters, digits, '.', '_' and '-'")
+    unknown = sorted(
         body.keys() - {"address", "zone", "type", "group", "weight", "since_ms", "lease_ms"}
     )
-    if wrong:
-        raise Refused(400, f"{wrong[0]}: not known here")
+    if unknown:
+        raise RejectedError(400, f"{unknown[0]}: unknown key")
     weight = body.get("weight", 1.0)
     checks = {
-        "address": _address(body.get("address")),
+        "address": _is_address(body.get("address")),
         "zone": isinstance(body.get("zone", ""), str)
-        and bool(WORD.fullmatch(body.get("zone", ""))),
+        and bool(LABEL_PATTERN.fullmatch(body.get("zone", ""))),
         "type": isinstance(body.get("type", ""), str)
-        and bool(WORD.fullmatch(body.get("type", ""))),
-        "group": _whole(body.get("group", 0), 0, 1 << 31),
+        and bool(LABEL_PATTERN.fullmatch(body.get("type", ""))),
+        "group": _is_integer_in(body.get("group", 0), 0, 1 << 31),
         "weight": isinstance(weight, int | float)
         and not isinstance(weight, bool)
         and 0 < weight <= 1e6,
-        "since_ms": _whole(body.get("since_ms", 0), 0, 1 << 53),
-        "lease_ms": _whole(body.get("lease_ms"), *leases),
+        "since_ms": _is_integer_in(body.get("since_ms", 0), 0, 1 << 53),
+        "lease_ms": _is_integer_in(body.get("lease_ms"), *lease_ms_range),
     }
-    if bad := [key for key, sound in checks.items() if not sound]:
-        allowed = f" (from {leases[0]} to {leases[1]})" if bad[0] == "lease_ms" else ""
-        raise Refused(400, f"{bad[0]}: missing or not sound{allowed}")
+    if invalid := [key for key, valid in checks.items() if not valid]:
+        allowed = (
+            f" (from {lease_ms_range[0]} to {lease_ms_range[1]})"
+            if invalid[0] == "lease_ms"
+            else ""
+        )
+        raise RejectedError(400, f"{invalid[0]}: missing or invalid{allowed}")
     return Server(**{**body, "name": name, "weight": float(weight)})
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A write. `id` makes it idempotent; `expected` is the version the server must have (0:
-    none)."""
+class WriteRequest:
+    """A write. `id` makes it idempotent; `expected` is the version that the server must be at
+    (0: not registered)."""
 
     kind: str  # register, drain, remove
     name: str
@@ -111,24 +120,25 @@
     expected: int | None = None
 
     def digest(self) -> str:
+        """Returns a hash of the request, to detect an id that is reused for another request."""
         fields = asdict(self.server) if self.server else {}
-        told = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
-        return sha256(told.encode()).hexdigest()[:16]
+        canonical = f"{self.kind} {self.name} {self.expected} {sorted(fields.items())}"
+        return sha256(canonical.encode()).hexdigest()[:16]
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """One version: what it set and removed, which call asked for it, and the epoch it begins, if
-    any."""
+    """The changes of one version, the requests behind it, and the epoch that it starts, if any."""
 
     index: int
     epoch: int
     servers: tuple[Server, ...] = ()
-    removed: tuple[tuple[str, int], ...] = ()  # with the version that did so
-    writes: tuple[Write, ...] = ()
-    spans: tuple[Span, ...] | None = None  # the epochs past, where this record is of a new one
+    removed: tuple[tuple[str, int], ...] = ()  # names, each with the version of its removal
+    writes: tuple[CompletedWrite, ...] = ()
+    past_epochs: tuple[EpochSpan, ...] | None = None  # set if this record starts an epoch
 
-    def raw(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
+        """Returns the record as it is written to the log and sent to followers."""
         raw: dict[str, Any] = {"i": self.index, "e": self.epoch}
         if self.servers:
             raw["set"] = [asdict(s) for s in self.servers]
@@ -136,12 +146,13 @@
             raw["gone"] = self.removed
         if self.writes:
             raw["writes"] = self.writes
-        if self.spans is not None:
-            raw["spans"] = self.spans
+        if self.past_epochs is not None:
+            raw["spans"] = self.past_epochs
         return raw
 
 
-def record_from(raw: Any) -> Record:
+def decode_record(raw: Any) -> Record:
+    """Decodes what `Record.to_dict` returned; raises InvalidDataError if it is malformed."""
     try:
         return Record(
             int(raw["i"]),
@@ -149,125 +160,144 @@
             tuple(Server(**s) for s in raw.get("set", ())),
             tuple((str(n), int(v)) for n, v in raw.get("gone", ())),
             tuple(
-                (str(id), str(digest), int(v), int(at))
-                for id, digest, v, at in raw.get("writes", ())
+                (str(id), str(digest), int(version), int(index))
+                for id, digest, version, index in raw.get("writes", ())
             ),
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]) if "spans" in raw else None,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Broken(f"a record that cannot be read: {error!r}") from None
+        raise InvalidDataError(f"malformed record: {error!r}") from None
 
 
 @dataclass(slots=True)
 class State:
-    lineage: str  # one for each data folder ever begun: versions of two cannot be compared
+    """The registered servers, and what readers and repeated requests need of the past."""
+
+    # Drawn for each new data folder. Versions of different lineages cannot be compared.
+    lineage: str
     epoch: int = 1
     index: int = 0
-    floor: int = 0  # what has changed since an older version is no longer known
-    history: int = 1024  # removals and writes that are remembered
+    compacted_index: int = 0  # changes after an older version than this are not known
+    history_limit: int = 1024  # removals and requests that are kept
     servers: dict[str, Server] = field(default_factory=dict)
-    # name: the version that removed it
-    gone: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    writes: OrderedDict[str, Write] = field(default_factory=OrderedDict)  # by id
-    spans: tuple[Span, ...] = ()  # the epochs past
+    # by name: the version of the removal
+    removed_versions: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    writes: OrderedDict[str, CompletedWrite] = field(default_factory=OrderedDict)  # by request id
+    past_epochs: tuple[EpochSpan, ...] = ()
 
     def copy(self) -> State:
+        """Returns a copy that can be changed without changing this state."""
         return replace(
-            self, servers=dict(self.servers), gone=self.gone.copy(), writes=self.writes.copy()
+            self,
+            servers=dict(self.servers),
+            removed_versions=self.removed_versions.copy(),
+            writes=self.writes.copy(),
         )
 
     @property
-    def begun(self) -> int:
-        """The first version of this epoch."""
-        return self.spans[-1][2] + LEAP if self.spans else 0
+    def epoch_start(self) -> int:
+        """The first version of the current epoch."""
+        return self.past_epochs[-1][2] + PROMOTION_VERSION_GAP if self.past_epochs else 0
 
     # Writes.
 
-    def decide(self, call: Call) -> tuple[Record | None, int]:
-        """The record that carries the call out (None: nothing changes) and the version to answer
-        with."""
-        if call.id and (done := self.writes.get(call.id)):
-            if done[1] != call.digest():
-                raise Refused(409, "this id stands for another call")
-            return None, done[2]
-        held = self.servers.get(call.name)
-        version = held.version if held else 0
-        if call.expected is not None and call.expected != version:
-            raise Refused(409, "conflict: another version is held", version=version)
-        if call.kind == "register":
-            assert call.server
-            changed: Server | None = self._register(held, call.server)
-        elif held is None:
-            raise Refused(404, "no such server")
+    def decide(self, request: WriteRequest) -> tuple[Record | None, int]:
+        """Returns the record that carries out the request (None: nothing changes) and the version
+        to answer with."""
+        if request.id and (completed := self.writes.get(request.id)):
+            if completed[1] != request.digest():
+                raise RejectedError(409, "request id already used for another request")
+            return None, completed[2]
+        current = self.servers.get(request.name)
+        version = current.version if current else 0
+        if request.expected is not None and request.expected != version:
+            raise RejectedError(409, "conflict: the server is at another version", version=version)
+        if request.kind == "register":
+            assert request.server
+            changed: Server | None = self._register(current, request.server)
+        elif current is None:
+            raise RejectedError(404, "no such server")
         else:
-            changed = replace(held, status="draining") if call.kind == "drain" else None
+            changed = replace(current, status="draining") if request.kind == "drain" else None
         index = self.index + 1
-        same = changed is not None and changed == held
-        if same and not call.id:
+        unchanged = changed is not None and changed == current
+        if unchanged and not request.id:
             return None, version
-        answered = version if same else index
-        writes = ((call.id, call.digest(), answered, index),) if call.id else ()
-        if same:
-            return Record(index, self.epoch, writes=writes), answered
+        answered_version = version if unchanged else index
+        writes = ((request.id, request.digest(), answered_version, index),) if request.id else ()
+        if unchanged:
+            return Record(index, self.epoch, writes=writes), answered_version
         if changed:
             return Record(
                 index, self.epoch, (replace(changed, version=index),), writes=writes
-            ), answered
-        return Record(index, self.epoch, removed=((call.name, index),), writes=writes), answered
+            ), answered_version
+        return Record(
+            index, self.epoch, removed=((request.name, index),), writes=writes
+        ), answered_version
 
-    def _register(self, held: Server | None, wanted: Server) -> Server:
-        if held is None:
+    def _register(self, current: Server | None, requested: Server) -> Server:
+        if current is None:
             if len(self.servers) >= MAX_SERVERS:
-                raise Refused(503, "the list is full")
-            return wanted
-        if wanted.since_ms < held.since_ms:
-            raise Refused(409, "an older start than the one held", version=held.version)
-        again = wanted.since_ms == held.since_ms and wanted.address == held.address
-        # Who drains goes on draining until it has started anew: a drain that was told holds.
-        return replace(wanted, status=held.status if again else "up", version=held.version)
-
-    def promoted(self) -> Record:
-        spans = (*self.spans, (self.epoch, self.begun, self.index))[-MAX_SPANS:]
-        return Record(self.index + LEAP, self.epoch + 1, spans=spans)
+                raise RejectedError(503, "the list is full")
+            return requested
+        if requested.since_ms < current.since_ms:
+            raise RejectedError(
+                409, "since_ms is older than the registered start", version=current.version
+            )
+        same_instance = (
+            requested.since_ms == current.since_ms and requested.address == current.address
+        )
+        # Registering again does not end a drain that readers know of; a restart does.
+        return replace(
+            requested, status=current.status if same_instance else "up", version=current.version
+        )
+
+    def promotion_record(self) -> Record:
+        """Returns the record that starts the next epoch."""
+        past_epochs = (*self.past_epochs, (self.epoch, self.epoch_start, self.index))[
+            -MAX_PAST_EPOCHS:
+        ]
+        return Record(self.index + PROMOTION_VERSION_GAP, self.epoch + 1, past_epochs=past_epochs)
 
     def apply(self, record: Record) -> None:
+        """Applies a record that is newer than the state."""
         if record.index <= self.index or record.epoch < self.epoch:
-            raise Broken(
+            raise InvalidDataError(
                 f"version {record.index} of epoch {record.epoch} after {self.index} of {self.epoch}"
             )
-        if record.epoch > self.epoch and record.spans is None:
-            raise Broken(f"epoch {record.epoch} with no beginning")
-        if record.spans is not None:
-            self.epoch, self.spans = record.epoch, record.spans
+        if record.epoch > self.epoch and record.past_epochs is None:
+            raise InvalidDataError(f"epoch {record.epoch} without the spans of past epochs")
+        if record.past_epochs is not None:
+            self.epoch, self.past_epochs = record.epoch, record.past_epochs
         self.index = record.index
-        for name, version in record.removed:  # before what is set: a name may have come back
+        for name, version in record.removed:  # before the sets: a server may be registered again
             self.servers.pop(name, None)
-            self.gone[name] = version
-            self.gone.move_to_end(name)
+            self.removed_versions[name] = version
+            self.removed_versions.move_to_end(name)
         for server in record.servers:
             self.servers[server.name] = server
         for write in record.writes:
             self.writes[write[0]] = write
-        while len(self.gone) > self.history:
-            _, self.floor = self.gone.popitem(last=False)
-        while len(self.writes) > self.history:
+        while len(self.removed_versions) > self.history_limit:
+            _, self.compacted_index = self.removed_versions.popitem(last=False)
+        while len(self.writes) > self.history_limit:
             self.writes.popitem(last=False)
 
     # Reads.
 
-    def knows(self, since: int, epoch: int | None) -> bool:
-        """Whether what has changed since that version can be told."""
-        if not (self.floor <= since <= self.index) or since == 0:
+    def knows_changes_since(self, since: int, epoch: int | None) -> bool:
+        """Returns whether all changes after version `since` of that epoch are known."""
+        if not (self.compacted_index <= since <= self.index) or since == 0:
             return False
-        for number, _, last in self.spans:
+        for number, _, last in self.past_epochs:
             if since <= last:
                 return epoch is None or epoch == number
-        return since >= self.begun and (epoch is None or epoch == self.epoch)
+        return since >= self.epoch_start and (epoch is None or epoch == self.epoch)
 
-    def changes(self, since: int) -> tuple[list[Server], list[str], list[str]]:
-        """Servers set since, names removed since, and names that were removed and have come back
-        since."""
-        names = [name for name, version in self.gone.items() if version > since]
+    def changes_since(self, since: int) -> tuple[list[Server], list[str], list[str]]:
+        """Returns what changed after version `since`: the servers set, the names removed, and the
+        names removed and registered again."""
+        names = [name for name, version in self.removed_versions.items() if version > since]
         servers = sorted(
             (s for s in self.servers.values() if s.version > since), key=lambda s: s.version
         )
@@ -277,22 +307,24 @@
             [n for n in names if n in self.servers],
         )
 
-    # As a whole: for the snapshot, and for followers.
+    # The complete state, for the snapshot and for followers.
 
     def dump(self) -> dict[str, Any]:
+        """Returns the state as it is written to the snapshot and sent to followers."""
         return {
             "lineage": self.lineage,
             "epoch": self.epoch,
             "index": self.index,
-            "floor": self.floor,
+            "floor": self.compacted_index,
             "servers": [asdict(s) for s in self.servers.values()],
-            "gone": list(self.gone.items()),
-            "spans": self.spans,
+            "gone": list(self.removed_versions.items()),
+            "spans": self.past_epochs,
             "writes": list(self.writes.values()),
         }
 
 
-def state_from(raw: Any, history: int) -> State:
+def decode_state(raw: Any, history_limit: int) -> State:
+    """Decodes what `State.dump` returned; raises InvalidDataError if it is malformed."""
     try:
         pairs: Iterable[Any] = raw["gone"]
         state = State(
@@ -300,7 +332,7 @@
             int(raw["epoch"]),
             int(raw["index"]),
             int(raw["floor"]),
-            history,
+            history_limit,
             {s["name"]: Server(**s) for s in raw["servers"]},
             OrderedDict((str(n), int(v)) for n, v in pairs),
             OrderedDict(
@@ -309,7 +341,7 @@
             tuple((int(a), int(b), int(c)) for a, b, c in raw["spans"]),
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Broken(f"a list that cannot be read: {error!r}") from None
-    while len(state.gone) > history:  # kept by a service with a longer one
-        _, state.floor = state.gone.popitem(last=False)
+        raise InvalidDataError(f"malformed state: {error!r}") from None
+    while len(state.removed_versions) > history_limit:  # written with a larger limit
+        _, state.compacted_index = state.removed_versions.popitem(last=False)
     return state
