--- a/cairndale/chaos/mutations.py
+++ b/cairndale/chaos/mutations.py
@@ -75,13 +75,13 @@
 def sent_twice() -> None:
     """A connection that broke under a request is taken for one that never carried it."""
     from cairndale.ingress.net.backends import Exchange
-    from cairndale.ingress.net.engine import Answer
+    from cairndale.ingress.net.engine import AttemptResult
     from cairndale.ingress.policy.interface import Outcome
 
     def lost(self: Exchange) -> None:
-        self.end(Answer(Outcome.CONNECT_FAILED))
+        self.end(AttemptResult(Outcome.CONNECT_FAILED))
 
-    Exchange.lost = lost  # type: ignore[method-assign]
+    Exchange.fail = lost  # type: ignore[method-assign]
 
 
 def going_back() -> None:
--- a/cairndale/chaos/standins.py
+++ b/cairndale/chaos/standins.py
@@ -14,7 +14,7 @@
 import httptools
 
 from cairndale.http_api.server import BufferedConnection
-from cairndale.ingress.net.http import Message, plain
+from cairndale.ingress.net.http import Message, encode_response
 
 BEAT_WAIT = 1.0  # s for the answer to a beat; then the next ingress is called
 
@@ -160,10 +160,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.open.discard(self)
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         self.transport.abort()
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         server, headers = self.server, message.headers
         id = headers.get(b"x-request-id", b"")
         echo = b"X-Request-Id: %b\r\n" % id
@@ -177,10 +177,12 @@
             server.ledger.arrived.append(came)
         if target not in ("", server.id):
             server.ledger.turned_away += 1
-            self.transport.write(plain(421, b"", echo))
+            self.transport.write(encode_response(421, b"", echo))
         elif server.how == "full" or not id:
             server.ledger.turned_away += 1
-            self.transport.write(plain(503 if id else 400, b"", echo + b"X-Not-Run: 1\r\n"))
+            self.transport.write(
+                encode_response(503 if id else 400, b"", echo + b"X-Not-Run: 1\r\n")
+            )
         else:
             loop = asyncio.get_running_loop()
             line = Ran(
@@ -209,7 +211,7 @@
                 + b"0\r\n\r\n"
             )
         else:
-            data = plain(200, text, seal)
+            data = encode_response(200, text, seal)
         if server.how == "cut":
             self.transport.write(data[:-3])
             self.transport.close()
--- a/cairndale/dataplane/config_applier.py
+++ b/cairndale/dataplane/config_applier.py
@@ -13,7 +13,7 @@
 from cairndale.dataplane.numbering import Numbering
 from cairndale.events import Event, log_event
 from cairndale.ingress.net.clients import Listener
-from cairndale.ingress.net.http import MAX_BODY, MAX_HEAD
+from cairndale.ingress.net.http import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from cairndale.ingress.policy import interface as it
 from cairndale.quota.quota_counter import max_saved_units
 from cairndale.rpc import protocol_pb2 as pb
@@ -86,10 +86,10 @@
     def _set_limits(self, limits: dict[str, Any]) -> None:
         """Set the listener's timeouts and size limits, effective from the next request on."""
         listener = self._listener
-        listener.idle_for = parse_duration(limits.get("idleTimeout", DEFAULT_IDLE_TIMEOUT))
-        listener.head_for = parse_duration(limits.get("headerTimeout", DEFAULT_HEADER_TIMEOUT))
-        listener.max_head = max(MAX_HEAD, limits.get("maxHeaderBytes", 0))
-        listener.max_body = max(MAX_BODY, limits.get("maxBodyBytes", 0))
+        listener.idle_timeout = parse_duration(limits.get("idleTimeout", DEFAULT_IDLE_TIMEOUT))
+        listener.head_timeout = parse_duration(limits.get("headerTimeout", DEFAULT_HEADER_TIMEOUT))
+        listener.max_head = max(MAX_HEAD_BYTES, limits.get("maxHeaderBytes", 0))
+        listener.max_body = max(MAX_BODY_BYTES, limits.get("maxBodyBytes", 0))
 
     def _plan(self, tenant: Tenant) -> it.Plan:
         rate, burst = tenant.rate_per_s, tenant.burst
--- a/cairndale/dataplane/endpoint_list.py
+++ b/cairndale/dataplane/endpoint_list.py
@@ -7,13 +7,13 @@
 from cairndale.dataplane.config_client import ConfigClient, KnownEndpoint
 from cairndale.dataplane.numbering import Numbering
 from cairndale.events import Event, log_event
-from cairndale.ingress.net.discovery import Entry, Listing
+from cairndale.ingress.net.discovery import EndpointEntry, EndpointUpdate
 from cairndale.ingress.net.engine import Engine
 from cairndale.ingress.policy import interface as it
 from cairndale.settings import Settings
 
 
-class ListedEndpoint(Entry):
+class ListedEndpoint(EndpointEntry):
     """A discovery entry with the fields that the leader announces beyond the base class's."""
 
     __slots__ = ("capacity", "service", "warmup_until_us")
@@ -45,7 +45,7 @@
 
         An endpoint with an invalid address is logged and treated as removed.
         """
-        known, entries = self._config.endpoints, list[Entry]()
+        known, entries = self._config.endpoints, list[EndpointEntry]()
         for id in known if changed is None else changed:
             try:
                 if id in known:
@@ -53,10 +53,10 @@
                     continue
             except ValueError as error:
                 log_event(Event.FAILED, "server %s: %s", id, error)
-            if self._engine.knows(id):
+            if self._engine.is_known(id):
                 entries.append(ListedEndpoint({"name": id, "status": "removed"}))
         version = self._config.cursor.endpoints_version
-        self._engine.listed(Listing.of(version, entries, changed is None))
+        self._engine.update_endpoints(EndpointUpdate.of(version, entries, changed is None))
 
     def _entry(self, known: KnownEndpoint) -> ListedEndpoint:
         endpoint = known.endpoint
@@ -69,7 +69,7 @@
         }
         return ListedEndpoint(raw, endpoint.service, endpoint.capacity, known.warmup_until_us)
 
-    def describe(self, entry: Entry, number: int) -> it.ListedBackend:
+    def describe(self, entry: EndpointEntry, number: int) -> it.ListedBackend:
         """Return an entry in the policy's form; `number`: the engine's number of the endpoint.
 
         Raises TypeError for an entry that this list did not create.
--- a/cairndale/dataplane/engine.py
+++ b/cairndale/dataplane/engine.py
@@ -75,7 +75,7 @@
             and fleet_size == before.fleet_size
         ):
             return
-        self.settings, self.names.gateways = settings, fleet_size
+        self.settings, self.names.fleet_size = settings, fleet_size
         self._post(it.SettingsChanged(settings))
 
     def plan_number_of(self, name: str) -> int:
--- a/cairndale/dataplane/ingress_engine.py
+++ b/cairndale/dataplane/ingress_engine.py
@@ -15,10 +15,10 @@
 from cairndale.dataplane.quota_client import LEASE_ATTEMPT_TIMEOUT_S
 from cairndale.dataplane.upstream_protocol import classify_answer
 from cairndale.ingress.net.backends import Backends
-from cairndale.ingress.net.bodies import Memory
+from cairndale.ingress.net.bodies import BodyMemory
 from cairndale.ingress.net.clients import Listener
-from cairndale.ingress.net.engine import Clock, Names
-from cairndale.ingress.net.requests import Reader
+from cairndale.ingress.net.engine import Clock, NameTable
+from cairndale.ingress.net.requests import RequestReader
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
 from cairndale.quota.quota_counter import QUOTA_GRANT_LIFETIME_S
@@ -102,23 +102,29 @@
         self._sockets = Sockets(settings.max_open_files - RESERVED_DESCRIPTORS)
         self.backends = _backends(self._sockets)
         self.engine = ReconfigurableEngine(
-            self.policy, first, Names(first, {}), asyncio.get_running_loop(), clock.now
+            self.policy, first, NameTable(first, {}), asyncio.get_running_loop(), clock.now
         )
-        self.engine.refusals, self.engine.ends_passing = (429, 503), True
-        self.engine.servers = self.backends
+        self.engine.rejection_statuses, self.engine.aborts_streams_at_deadline = (429, 503), True
+        self.engine.upstreams = self.backends
         self.policy.plan_number = self.engine.plan_number_of
-        self._memory = Memory(settings.memory_mb * TRAFFIC_MEMORY_FRACTION)
+        self._memory = BodyMemory(settings.memory_mb * TRAFFIC_MEMORY_FRACTION)
 
-    def make_listener(self, reader: Reader) -> Listener:
+    def make_listener(self, reader: RequestReader) -> Listener:
         """Return the engine's listener, which does not listen yet; `reader` reads its requests."""
         listener = Listener(self.engine, self._sockets, self._memory, self._clock.now, reader)
-        listener.up = b""  # readiness is served at an address of its own
+        listener.health_path = b""  # readiness is served at an address of its own
         return listener
 
 
 def _backends(sockets: Sockets) -> Backends:
     backends = Backends(sockets, KEEPALIVE_US, CONNECT_TIMEOUT_US)
-    backends.relays, backends.judge, backends.strict = True, classify_answer, True
-    backends.stalled = float("inf")  # only the request's deadline limits the wait for a response
+    backends.relays_responses, backends.classifier, backends.written_at_first_byte = (
+        True,
+        classify_answer,
+        True,
+    )
+    backends.stream_stall_timeout = float(
+        "inf"
+    )  # only the request's deadline limits the wait for a response
     backends.unacked_ms = UNACKED_TIMEOUT_MS
     return backends
--- a/cairndale/dataplane/node.py
+++ b/cairndale/dataplane/node.py
@@ -58,7 +58,7 @@
         )
         self.listener = self.ingress.make_listener(self.router)
         endpoints = EndpointList(self.config_client, engine, self.numbering, settings)
-        engine.describe = endpoints.describe
+        engine.describe_endpoint = endpoints.describe
         self.quota_client = QuotaClient(
             leader_client=self.leader_client,
             contact=contact,
@@ -68,7 +68,7 @@
             selector=selector,
             now_us=now_us,
         )
-        engine.lessor = engine.dealer = self.quota_client
+        engine.lease_client = engine.budget_client = self.quota_client
         self.applier = ConfigApplier(
             config=self.config_client,
             listener=self.listener,
--- a/cairndale/dataplane/quota_client.py
+++ b/cairndale/dataplane/quota_client.py
@@ -16,7 +16,7 @@
 from cairndale.dataplane.leader_contact import LeaderContact
 from cairndale.dataplane.numbering import Numbering
 from cairndale.errors import CallError, CallTimeoutError, UnreachableError
-from cairndale.ingress.net.engine import Answered, Engine
+from cairndale.ingress.net.engine import CounterCallback, Engine
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.quota.budget_counter import RETRY
@@ -33,7 +33,7 @@
 
 
 class QuotaClient:
-    """The engine's `Lessor` (leases of quota) and `Dealer` (grants of shared budgets).
+    """The engine's `LeaseClient` (leases of quota) and `BudgetClient` (grants of shared budgets).
 
     No units are used from a call without response. The leader may have granted them all the same;
     they expire.
@@ -56,14 +56,16 @@
         self._now_us = now_us
         self.calls: set[asyncio.Task[None]] = set()  # in flight
 
-    def deal(self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]) -> None:
+    def acquire(self, units: tuple[it.BudgetUnit, ...], on_granted: Callable[[int], None]) -> None:
         """Request a grant of one of each unit, or of none.
 
         `on_granted` is called with the expiry of the grant (us on the engine's clock), or with 0.
         """
         self._start(self._request_grant(units, on_granted))
 
-    def lease(self, customer: int, amount: float, spent_units: float, answered: Answered) -> None:
+    def lease(
+        self, customer: int, amount: float, spent_units: float, answered: CounterCallback
+    ) -> None:
         """Lease `amount` units of the tenant numbered `customer`, and report units already spent.
 
         `answered` is called with OK and the units left in the tenant's token bucket (negative by
@@ -101,10 +103,10 @@
         """Return the service for a retry unit, the endpoint for a slow-start unit."""
         if kind == RETRY:
             return self._numbering.service_name(number)
-        return self._engine.name_of(number)
+        return self._engine.backend_name(number)
 
     async def _request_lease(
-        self, tenant: str, amount: float, spent_units: float, answered: Answered
+        self, tenant: str, amount: float, spent_units: float, answered: CounterCallback
     ) -> None:
         """Request a lease, once more if the bucket was empty but refills by a unit in the pause.
 
--- a/cairndale/dataplane/request_router.py
+++ b/cairndale/dataplane/request_router.py
@@ -15,7 +15,7 @@
 from cairndale.dataplane.numbering import Numbering
 from cairndale.dataplane.serving_state import ServingState
 from cairndale.dataplane.upstream_protocol import request_head
-from cairndale.ingress.net.engine import Names, Wanted
+from cairndale.ingress.net.engine import ClientRequest, NameTable
 from cairndale.ingress.net.http import Message
 from cairndale.ingress.net.requests import BadRequest
 from cairndale.ingress.policy import interface as it
@@ -96,8 +96,8 @@
         return route, tenant
 
     def __call__(
-        self, message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
-    ) -> Wanted:
+        self, message: Message, names: NameTable, classes: Sequence[it.RequestClass], began: int
+    ) -> ClientRequest:
         """Return the request in the engine's form; `began`: when its first byte was received, us.
 
         Raises BadRequest with the status for the client: 400, 401, 404, or 503 with the time after
@@ -122,7 +122,7 @@
         upstream = UpstreamRequest(
             self, host, target, authorization, route, tenant, service, generation, head, body
         )
-        return Wanted(
+        return ClientRequest(
             request_id,
             cls,
             names.plans[tenant.name.encode() if tenant else b""],
--- a/cairndale/dataplane/shutdown.py
+++ b/cairndale/dataplane/shutdown.py
@@ -27,7 +27,7 @@
     aborted before the grace period ends.
     """
     serving.begin_drain(grace)
-    listener.begin_stop()
+    listener.start_draining()
     notice = asyncio.get_running_loop().create_task(watch.announce_drain())
     try:
         await asyncio.sleep(max(0.0, grace - ACCEPT_MARGIN_S))
@@ -42,11 +42,11 @@
 async def _finish_requests(engine: Engine, ends_at: float) -> None:
     """Wait until no request is open; abort those left at `ends_at` (s on the loop's clock)."""
     idle = asyncio.Event()
-    engine.idle = idle.set
-    if not engine.open:
+    engine.on_idle = idle.set
+    if not engine.open_count:
         return
     try:
         async with asyncio.timeout_at(ends_at):
             await idle.wait()
     except TimeoutError:
-        engine.give_up()
+        engine.fail_all()
--- a/cairndale/dataplane/upstream_protocol.py
+++ b/cairndale/dataplane/upstream_protocol.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from collections.abc import Set as AbstractSet
 
-from cairndale.ingress.net.engine import Answer
+from cairndale.ingress.net.engine import AttemptResult
 from cairndale.ingress.net.http import HOP_BY_HOP, Message
 from cairndale.ingress.policy.interface import Outcome
 
@@ -65,7 +65,7 @@
     return sent.partition(b"\r\nX-Request-Id: ")[2].partition(b"\r\n")[0]
 
 
-def classify_answer(message: Message, sent: bytes) -> Answer:
+def classify_answer(message: Message, sent: bytes) -> AttemptResult:
     """Return the outcome of a sent request, derived from the endpoint's response.
 
     MOOT: the response belongs to another request. FULL: the response carries the request's id and
@@ -76,13 +76,17 @@
     """
     headers, status = message.headers, message.status
     if headers.get(REQUEST_ID) != request_id_of(sent):
-        return Answer(Outcome.MOOT) if REQUEST_ID in headers else Answer(Outcome.ERROR)
+        return (
+            AttemptResult(Outcome.MOOT) if REQUEST_ID in headers else AttemptResult(Outcome.ERROR)
+        )
     if status == 421 or NOT_RUN in headers:
-        return Answer(Outcome.FULL)
+        return AttemptResult(Outcome.FULL)
     per_hop = _connection_options(headers)
     fields = b"".join(
         b"%b: %b\r\n" % (n, v)
         for n, v in message.fields
         if n.lower() not in NOT_FOR_CLIENTS and n.lower() not in per_hop
     )
-    return Answer(Outcome.OK, message.body, length=message.length, status=status, fields=fields)
+    return AttemptResult(
+        Outcome.OK, message.body, length=message.length, status=status, fields=fields
+    )
--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -23,7 +23,7 @@
 from cairndale.discovery.lines import Reader, Told
 from cairndale.discovery.state import Broken, Call, Record, Refused, State, server_from
 from cairndale.discovery.store import Store
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 
 BEAT = 2.0  # s between empty lines
 PATIENCE = 2.0  # s for a call to come whole, from connecting or from its first byte
@@ -490,15 +490,15 @@
     def _impatient(self) -> None:
         if self._pressed or self._done:
             self.transport.abort()
-        elif self._begun or not self._called:
-            self.garbage(408)
+        elif self._message_begun or not self._called:
+            self.message_invalid(408)
         else:
             self.transport.close()
 
-    def began(self) -> None:
+    def message_began(self) -> None:
         self._wait(PATIENCE)
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         self._called = True
         if not self._done:
             self._calls.append(message)
@@ -525,7 +525,7 @@
             self.refuse(Refused(self._bad, "not understood"), close=True)
         else:
             self.transport.resume_reading()
-            self._wait(PATIENCE if self._begun else IDLE)
+            self._wait(PATIENCE if self._message_begun else IDLE)
 
     async def _answer(self, message: Message) -> None:
         close = not message.keep_alive
@@ -549,7 +549,7 @@
     async def call(self, message: Message) -> dict[str, Any] | None:
         raise NotImplementedError
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         self._bad = status
         self._next()
 
@@ -565,13 +565,13 @@
         if self._done or self.transport.is_closing():
             return
         self.transport.write(
-            plain(status, body, b"Content-Type: application/json\r\n", close=close)
+            encode_response(status, body, b"Content-Type: application/json\r\n", close=close)
         )
         if not close:
             return
         self._done = True
         # what still comes is dropped: closed at once, the answer would be lost
-        if self._lost_framing:
+        if self._framing_lost:
             self.transport.write_eof()
             self.transport.resume_reading()
             self._wait(LINGER)
@@ -610,7 +610,7 @@
             self.service.counts.bytes_told += len(told)
             self.send(200, told, close=not message.keep_alive)
             return None
-        if message.minor == 0:
+        if message.minor_version == 0:
             raise Refused(400, "a watch is HTTP/1.1: it has no end that could be announced")
         if len(self.service.watches) >= self.service.max_watchers:
             raise Refused(503, "too many watches")
--- a/cairndale/gossip/__main__.py
+++ b/cairndale/gossip/__main__.py
@@ -21,7 +21,7 @@
 from cairndale.gossip.shell import Config, Member, MemberError
 from cairndale.gossip.wire import NAME, Address
 from cairndale.ingress.cli.checked import about, sound
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 
 Positive = Annotated[float, Meta(gt=0)]
 PATIENCE = 2.0  # s for an operator's call to come whole
@@ -132,13 +132,13 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self.garbage, 408)
+        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self.message_invalid, 408)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer:
             self._timer.cancel()
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         path, _, query = message.target.decode("latin-1").partition("?")
         match message.method, path:
             case b"GET", "/members":
@@ -154,12 +154,14 @@
             case _:
                 self._answer(404, {"error": "no such call"})
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         self._answer(status, {"error": "not understood"})
 
     def _answer(self, status: int, what: object) -> None:
         if not self.transport.is_closing():
-            self.transport.write(plain(status, json.dumps(what).encode() + b"\n", close=True))
+            self.transport.write(
+                encode_response(status, json.dumps(what).encode() + b"\n", close=True)
+            )
             self.transport.close()
 
 
--- a/cairndale/http_api/server.py
+++ b/cairndale/http_api/server.py
@@ -13,7 +13,7 @@
 
 import httptools
 
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 from cairndale.rpc.framing import detect_dead_peer
 from cairndale.settings import Address
 
@@ -85,7 +85,7 @@
 
 
 class BufferedConnection(HttpConnection):
-    """Collects the body of each request before `received` is called.
+    """Collects the body of each request before `message_received` is called.
 
     A body over `MAX_BODY_BYTES` is answered by `garbage(413)`.
     """
@@ -93,23 +93,23 @@
     _chunks: list[bytes]
     _body_bytes = 0
 
-    def opened(self, message: Message) -> None:
+    def body_began(self, message: Message) -> None:
         """Called when the head of a request is complete."""
         self._chunks, self._body_bytes = [], 0
 
-    def part(self, message: Message, data: bytes) -> None:
+    def body_part_received(self, message: Message, data: bytes) -> None:
         """Called with each received part of the body."""
         self._body_bytes += len(data)
         if self._body_bytes > MAX_BODY_BYTES:
-            self._lost_framing = True
-            self.garbage(413)
+            self._framing_lost = True
+            self.message_invalid(413)
         else:
             self._chunks.append(data)
 
-    def ended(self, message: Message) -> None:
+    def body_ended(self, message: Message) -> None:
         """Called when the body is complete."""
         message.body, self._chunks = b"".join(self._chunks), []
-        self.received(message)
+        self.message_received(message)
 
 
 class ApiConnection(BufferedConnection):
@@ -144,13 +144,13 @@
         loop = asyncio.get_running_loop()
         self._timer = loop.call_later(IDLE_TIMEOUT_S, self.transport.abort)
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         """Answer an invalid request, and close the connection."""
         if not self.transport.is_closing():
-            _, body = error_response(status, self.wrong or "not understood")
+            _, body = error_response(status, self.parse_error or "not understood")
             self._write(status, body, False)
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """Start to process a request; abort the connection if the last one is still unanswered."""
         if self._busy:
             self.transport.abort()
@@ -190,7 +190,7 @@
 
     def _write(self, status: int, body: bytes, keep: bool) -> None:
         self.transport.write(
-            plain(status, body, b"Content-Type: application/json\r\n", close=not keep)
+            encode_response(status, body, b"Content-Type: application/json\r\n", close=not keep)
         )
         if keep:
             self._restart_idle_timer()
--- a/cairndale/ingress/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -19,32 +19,32 @@
 import uvloop
 
 from cairndale.ingress.net.backends import Backends
-from cairndale.ingress.net.bodies import Memory
+from cairndale.ingress.net.bodies import BodyMemory
 from cairndale.ingress.net.clients import Listener
 from cairndale.ingress.net.config import Config, ConfigError, read_config
-from cairndale.ingress.net.counter import Counter
-from cairndale.ingress.net.discovery import Discovery, Held
-from cairndale.ingress.net.engine import Clock, Engine, Names
-from cairndale.ingress.net.handover import Claim, Offer
+from cairndale.ingress.net.counter import QuotaCounterClient
+from cairndale.ingress.net.discovery import Discovery, EndpointTable
+from cairndale.ingress.net.engine import Clock, Engine, NameTable
+from cairndale.ingress.net.handover import HandoverClaim, HandoverOffer
 from cairndale.ingress.net.ops import Maintenance, Ops
 from cairndale.ingress.net.requests import read_request
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import RequestPolicy
 
-ACCEPTS_ON = 0.55  # s after SIGTERM: new connections go on coming for 0.4 s
-LONGEST_STOP = 3.0  # s: the longest deadline that the platform waits for, and ...
-STOP_MARGIN = 0.4  # ... what it waits beyond that, less a margin
-LOOK = 0.05  # s between looks whether all is finished
-COUNTER_WAIT = 0.5  # s for the counter to be there before another process is relieved
-OFFERED = "ironledge.sock"  # in $TMPDIR, as is ...
-KEPT = "ironledge-maintenance.json"  # in $TMPDIR
-NOWHERE = ("127.0.0.1", 0)  # where no discovery is watched
+ACCEPT_AFTER_STOP_S = 0.55  # s after SIGTERM: new connections go on coming for 0.4 s
+MAX_DEADLINE_S = 3.0  # s: the longest deadline that the platform waits for, and ...
+STOP_MARGIN_S = 0.4  # ... what it waits beyond that, less a margin
+POLL_INTERVAL_S = 0.05  # s between looks whether all is finished
+COUNTER_WAIT_S = 0.5  # s for the counter to be there before another process is relieved
+HANDOVER_SOCKET = "ironledge.sock"  # in $TMPDIR, as is ...
+MAINTENANCE_FILE = "ironledge-maintenance.json"  # in $TMPDIR
+NO_ADDRESS = ("127.0.0.1", 0)  # where no discovery is watched
 
 log = logging.getLogger("cairndale.ingress")
 
 
-Again = Callable[[Config], Config]  # reads the configuration anew, or raises ConfigError
+ConfigReader = Callable[[Config], Config]  # reads the configuration anew, or raises ConfigError
 
 
 def _from_file(before: Config) -> Config:
@@ -52,11 +52,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class IngressParts:
     """What somebody who looks on may look at."""
 
     engine: Engine
-    gateway: RequestPolicy
+    policy: RequestPolicy
     sockets: Sockets
     backends: Backends
     discovery: Discovery
@@ -64,33 +64,39 @@
 
 
 async def serve(
-    config: Config, again: Again = _from_file, look_on: Callable[[Parts], None] | None = None
+    config: Config,
+    again: ConfigReader = _from_file,
+    look_on: Callable[[IngressParts], None] | None = None,
 ) -> None:
     loop, clock = asyncio.get_running_loop(), Clock()
     sockets = Sockets(config.sockets, config.pool.server_share)
-    names = Names(config.settings, config.raw)
+    names = NameTable(config.settings, config.raw)
     gateway = RequestPolicy(config.settings, config.seed)
     engine = Engine(gateway, config.settings, names, loop, clock.now)
     limits = config.settings.limits
     fleet = config.settings.fleet_size
     backends = Backends(sockets, config.conn_idle, limits.connect_timeout, config.pool, fleet)
-    engine.servers = backends
-    counter = Counter(config.counter, config.settings.counter.timeout) if config.counter else None
+    engine.upstreams = backends
+    counter = (
+        QuotaCounterClient(config.counter, config.settings.counter.timeout)
+        if config.counter
+        else None
+    )
     if counter:
         engine.counter = counter
         counter.start()
-    settings, held = config.settings, Held(config.directory) if config.directory else None
+    settings, held = config.settings, EndpointTable(config.directory) if config.directory else None
     discovery = Discovery(
-        config.discovery or NOWHERE,
+        config.discovery or NO_ADDRESS,
         config.known.index,
-        engine.listed,
+        engine.update_endpoints,
         settings.fleet_size,
         held,
         settings.ingress_index,
     )
     reader = config.request.reader() if config.request else None
-    listener = Listener(engine, sockets, Memory(config.memory_mb), clock.now, reader)
-    backends.relays = listener.relays
+    listener = Listener(engine, sockets, BodyMemory(config.memory_mb), clock.now, reader)
+    backends.relays_responses = listener.relays_responses
     temporary = Path(os.environ.get("TMPDIR") or gettempdir())
 
     def reload() -> None:
@@ -100,24 +106,26 @@
         except ConfigError as error:
             log.warning("the configuration stays as it was: %s", error)
             return
-        log.info("new settings; discovery at %s", _shown(config.discovery))
-        engine.retune(config.settings, config.raw)
+        log.info("new settings; discovery at %s", _format_address(config.discovery))
+        engine.update_settings(config.settings, config.raw)
         fleet_size = config.settings.fleet_size
-        sockets.server_share = config.pool.server_share
-        sockets.tune(config.sockets)
-        backends.tune(
+        sockets.upstream_share = config.pool.server_share
+        sockets.update_limit(config.sockets)
+        backends.update_limits(
             config.conn_idle, config.settings.limits.connect_timeout, config.pool, fleet_size
         )
         if config.discovery:
-            discovery.retune(config.discovery, fleet_size, config.directory, engine.entries())
+            discovery.update_config(
+                config.discovery, fleet_size, config.directory, engine.entries()
+            )
         else:
-            engine.listed(config.known)
-        listener.read = config.request.reader() if config.request else read_request
+            engine.update_endpoints(config.known)
+        listener.request_reader = config.request.reader() if config.request else read_request
         if counter and config.counter:
-            counter.tune(config.settings.counter.timeout)
-            counter.move(config.counter)
+            counter.update_timeout(config.settings.counter.timeout)
+            counter.update_address(config.counter)
 
-    maintenance = Maintenance(engine, temporary / KEPT)
+    maintenance = Maintenance(engine, temporary / MAINTENANCE_FILE)
 
     def serving() -> bool:
         return listener.accepting() and engine.can_serve()
@@ -128,28 +136,28 @@
         text = json.dumps(config.raw, sort_keys=True)
         return {"hash": hashlib.sha256(text.encode()).hexdigest()[:16], "settings": config.raw}
 
-    ops = Ops(engine, maintenance, serving, discovery.status, backends.figures, running)
+    ops = Ops(engine, maintenance, serving, discovery.status, backends.pool_reports, running)
     if look_on:
-        look_on(Parts(engine, gateway, sockets, backends, discovery, ops))
+        look_on(IngressParts(engine, gateway, sockets, backends, discovery, ops))
     # before clients: /status says no till then
     ops_port = await ops.listen(*config.ops) if config.ops else 0
-    claim, index = await Claim.find(temporary / OFFERED), None
+    claim, index = await HandoverClaim.find(temporary / HANDOVER_SOCKET), None
     if claim:
         if counter:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(counter.up.wait(), COUNTER_WAIT)
-        index = await claim.take(engine, gateway, sockets, discovery)
+                await asyncio.wait_for(counter.connected.wait(), COUNTER_WAIT_S)
+        index = await claim.take_over(engine, gateway, sockets, discovery)
     if index is None:
-        maintenance.recall()
+        maintenance.restore()
         if held:
-            held.begin(config.known)
-        engine.listed(config.known, it.ListKind.CACHED)
+            held.load(config.known)
+        engine.update_endpoints(config.known, it.ListKind.CACHED)
     gc.collect()
     gc.freeze()
     if config.discovery:
         discovery.start(index)
     else:
-        discovery.word.set()
+        discovery.first_attempt_done.set()
     loop.add_signal_handler(signal.SIGHUP, reload)
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -157,26 +165,35 @@
     # the configuration's list may be old: what drains must be known before clients come
     if index is None:
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(discovery.word.wait(), settings.safety.drain_grace / 1e6)
+            await asyncio.wait_for(
+                discovery.first_attempt_done.wait(), settings.safety.drain_grace / 1e6
+            )
     if claim:
         port = await listener.listen_on(claim.listening)
-        claim.serving(engine, sockets, maintenance)
+        claim.confirm_serving(engine, sockets, maintenance)
     else:
         port = await listener.listen(*config.listen)
     log.info("listening on %s:%d", config.listen[0], port)
     if config.ops:
         log.info("operators' calls on %s:%d", config.ops[0], ops_port)
     passed = asyncio.Event()
-    offer = Offer(
-        temporary / OFFERED, engine, gateway, listener, sockets, discovery, maintenance, passed.set
+    offer = HandoverOffer(
+        temporary / HANDOVER_SOCKET,
+        engine,
+        gateway,
+        listener,
+        sockets,
+        discovery,
+        maintenance,
+        passed.set,
     )
     offer.open()
     ends = [loop.create_task(event.wait()) for event in (stop, passed)]
     await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
     if passed.is_set():
-        await _leave(engine, listener, stop)
+        await _drain_after_handover(engine, listener, stop)
     else:
-        await _finish(engine, listener, ACCEPTS_ON)
+        await _shut_down(engine, listener, ACCEPT_AFTER_STOP_S)
     for task in ends:
         task.cancel()
     await offer.stop()
@@ -189,36 +206,36 @@
     backends.stop()
 
 
-def _shown(address: tuple[str, int] | None) -> str:
+def _format_address(address: tuple[str, int] | None) -> str:
     return f"{address[0]}:{address[1]}" if address else "no address"
 
 
-async def _leave(engine: Engine, listener: Listener, stop: asyncio.Event) -> None:
+async def _drain_after_handover(engine: Engine, listener: Listener, stop: asyncio.Event) -> None:
     """Another process has taken over: what is here is finished, until SIGTERM with no hurry."""
-    listener.retire()
-    while not stop.is_set() and (engine.open or listener.connections):
+    listener.stop_accepting()
+    while not stop.is_set() and (engine.open_count or listener.connections):
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(stop.wait(), LOOK)
-    if engine.open or listener.connections:
-        await _finish(engine, listener, 0.0)
+            await asyncio.wait_for(stop.wait(), POLL_INTERVAL_S)
+    if engine.open_count or listener.connections:
+        await _shut_down(engine, listener, 0.0)
 
 
-async def _finish(engine: Engine, listener: Listener, accepts_on: float) -> None:
+async def _shut_down(engine: Engine, listener: Listener, accepts_on: float) -> None:
     """Accepts for the stated while, finishes what was taken, and ends before it is killed."""
     loop = asyncio.get_running_loop()
-    longest = min(LONGEST_STOP, max(c.deadline for c in engine.settings.classes) / 1e6)
-    end = loop.time() + longest + STOP_MARGIN
-    listener.begin_stop()
+    longest = min(MAX_DEADLINE_S, max(c.deadline for c in engine.settings.classes) / 1e6)
+    end = loop.time() + longest + STOP_MARGIN_S
+    listener.start_draining()
     await asyncio.sleep(accepts_on)
     listener.stop_listening()
     done = asyncio.Event()
-    engine.idle = done.set
-    if engine.open:
+    engine.on_idle = done.set
+    if engine.open_count:
         try:
             async with asyncio.timeout_at(end):
                 await done.wait()
         except TimeoutError:
-            engine.give_up()
+            engine.fail_all()
     # the last answers are still being written
     while listener.connections and loop.time() < end + 0.1:
         await asyncio.sleep(0.005)
--- a/cairndale/ingress/cli/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -61,7 +61,7 @@
     """Runs one ingress until SIGTERM; SIGHUP reads the configuration anew."""
     import uvloop
 
-    from cairndale.ingress.__main__ import Parts, serve
+    from cairndale.ingress.__main__ import IngressParts, serve
     from cairndale.ingress.net.config import Config as Running
     from cairndale.ingress.net.config import ConfigError, config_from
 
@@ -89,13 +89,13 @@
         c.name,
     )
 
-    def look_on(parts: Parts) -> None:
+    def look_on(parts: IngressParts) -> None:
         observers: list[Any] = []
         if c.metrics.on:
             from cairndale.ingress.observability.metrics import Metrics
 
-            metrics = Metrics(parts.engine, parts.sockets, lambda: parts.gateway.accounts.values())
-            metrics.pools = parts.backends.figures
+            metrics = Metrics(parts.engine, parts.sockets, lambda: parts.policy.accounts.values())
+            metrics.pools = parts.backends.pool_reports
             if running.discovery:
                 metrics.list_age = parts.discovery.age
             metrics.start()
--- a/cairndale/ingress/net/bodies.py
+++ b/cairndale/ingress/net/bodies.py
@@ -6,26 +6,33 @@
 from collections.abc import Callable
 from typing import Protocol
 
-PART = 0.15  # of the memory limit, for what bodies hold in buffers
-KERNEL = 64 * 1024  # bytes that wait in a socket, asked for; the kernel takes twice that
-LEAST, MOST = 8 * 1024, 128 * 1024  # bytes that one body may hold before its sender is paused
+MEMORY_FRACTION = 0.15  # of the memory limit, for what bodies hold in buffers
+SOCKET_BUFFER_BYTES = (
+    64 * 1024
+)  # bytes that wait in a socket, asked for; the kernel takes twice that
+MIN_BUFFER_BYTES, MAX_BUFFER_BYTES = (
+    8 * 1024,
+    128 * 1024,
+)  # bytes that one body may hold before its sender is paused
 
 
-class Memory:
+class BodyMemory:
     """One budget: the more bodies are under way, the less each may hold."""
 
     def __init__(self, limit_mb: float) -> None:
-        self._budget, self.bodies = int(limit_mb * 1e6 * PART), 0
+        self._budget, self.active_bodies = int(limit_mb * 1e6 * MEMORY_FRACTION), 0
 
-    def share(self) -> int:
-        return min(MOST, max(LEAST, self._budget // max(1, self.bodies)))
+    def buffer_limit(self) -> int:
+        return min(
+            MAX_BUFFER_BYTES, max(MIN_BUFFER_BYTES, self._budget // max(1, self.active_bodies))
+        )
 
 
-class Taker(Protocol):
+class BodyWriter(Protocol):
     """An attempt that the body is written to."""
 
-    def more(self, data: bytes) -> None: ...
-    def all_written(self) -> None: ...
+    def write_body(self, data: bytes) -> None: ...
+    def body_written(self) -> None: ...
 
 
 class Upload:
@@ -33,65 +40,67 @@
     share: the client is paused by `hold`. Once an attempt has had some of it, no other can have it
     whole."""
 
-    def __init__(self, length: int | None, memory: Memory, hold: Callable[[bool], None]) -> None:
-        self.length, self.whole, self.spent = length, False, False
-        self.came: Callable[[], None] = lambda: None  # called once it has come whole
-        self._memory, self._hold = memory, hold
-        self._parts: list[bytes] = []
-        self._kept = 0
-        self._taker: Taker | None = None
-        self._unwanted = False
+    def __init__(
+        self, length: int | None, memory: BodyMemory, hold: Callable[[bool], None]
+    ) -> None:
+        self.length, self.complete, self.consumed = length, False, False
+        self.on_complete: Callable[[], None] = lambda: None  # called once it has come whole
+        self._memory, self._pause_client = memory, hold
+        self._buffered: list[bytes] = []
+        self._buffered_bytes = 0
+        self._writer: BodyWriter | None = None
+        self._discarded = False
 
-    def share(self) -> int:
-        return self._memory.share()
+    def buffer_limit(self) -> int:
+        return self._memory.buffer_limit()
 
     def feed(self, data: bytes) -> None:
-        if self._unwanted:
+        if self._discarded:
             return
-        if self._taker:
-            self._write(self._taker, data)
+        if self._writer:
+            self._write(self._writer, data)
             return
-        self._parts.append(data)
-        self._kept += len(data)
-        if self._kept >= self._memory.share():
-            self._hold(True)
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes >= self._memory.buffer_limit():
+            self._pause_client(True)
 
     def finish(self) -> None:
-        self.whole = True
-        if self._taker:
-            self._end(self._taker)
-        if not self._unwanted:
-            self.came()
-
-    def attach(self, taker: Taker) -> None:
-        parts, self._parts, self._kept, self._taker = self._parts, [], 0, taker
+        self.complete = True
+        if self._writer:
+            self._write_end(self._writer)
+        if not self._discarded:
+            self.on_complete()
+
+    def attach(self, taker: BodyWriter) -> None:
+        parts, self._buffered, self._buffered_bytes, self._writer = self._buffered, [], 0, taker
         for part in parts:
             self._write(taker, part)
-        if self.whole:
-            self._end(taker)
-        self._hold(False)
+        if self.complete:
+            self._write_end(taker)
+        self._pause_client(False)
 
     def pause(self, paused: bool) -> None:
         """The attempt's connection takes no more for now, or does again."""
-        if not self.whole:
-            self._hold(paused)
+        if not self.complete:
+            self._pause_client(paused)
 
     def detach(self) -> None:
-        self._taker = None
+        self._writer = None
 
     def discard(self) -> None:
         """The request is over: what still comes is read and dropped, so that the client hears its
         answer."""
-        self._unwanted, self._taker = True, None
-        self._parts.clear()
-        if not self.whole:
-            self._hold(False)
+        self._discarded, self._writer = True, None
+        self._buffered.clear()
+        if not self.complete:
+            self._pause_client(False)
 
-    def _write(self, taker: Taker, data: bytes) -> None:
-        self.spent = True
-        taker.more(data if self.length is not None else b"%x\r\n%b\r\n" % (len(data), data))
+    def _write(self, taker: BodyWriter, data: bytes) -> None:
+        self.consumed = True
+        taker.write_body(data if self.length is not None else b"%x\r\n%b\r\n" % (len(data), data))
 
-    def _end(self, taker: Taker) -> None:
+    def _write_end(self, taker: BodyWriter) -> None:
         if self.length is None:
-            taker.more(b"0\r\n\r\n")
-        taker.all_written()
+            taker.write_body(b"0\r\n\r\n")
+        taker.body_written()
--- a/cairndale/ingress/net/config.py
+++ b/cairndale/ingress/net/config.py
@@ -9,9 +9,14 @@
 from pathlib import Path
 from typing import Any
 
-from cairndale.ingress.net.discovery import HOLD, SHRINK, Directory, Listing
-from cairndale.ingress.net.pool import Options
-from cairndale.ingress.net.requests import Fields
+from cairndale.ingress.net.discovery import (
+    DEFAULT_HOLD_S,
+    DEFAULT_SHRINK,
+    DirectoryConfig,
+    EndpointUpdate,
+)
+from cairndale.ingress.net.pool import PoolOptions
+from cairndale.ingress.net.requests import RequestFields
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import check_settings
 from cairndale.ingress.wire import WireError, settings_from_json
@@ -28,15 +33,15 @@
 class Config:
     listen: Address
     discovery: Address | None  # None: `known` is all there is
-    request: Fields | None  # None: the platform's protocol
-    directory: Directory | None
-    pool: Options
+    request: RequestFields | None  # None: the platform's protocol
+    directory: DirectoryConfig | None
+    pool: PoolOptions
     counter: Address | None
     ops: Address | None
     seed: int
     sockets: int
     memory_mb: float
-    known: Listing
+    known: EndpointUpdate
     settings: it.Settings
     raw: dict[str, Any]  # the settings as they came
     conn_idle: int
@@ -49,7 +54,7 @@
     return host, int(port)
 
 
-def _directory(raw: Any) -> Directory | None:
+def _directory(raw: Any) -> DirectoryConfig | None:
     """Where the list service is, beside `discovery`; absent: the platform's discovery is all there
     is."""
     if raw is None:
@@ -61,16 +66,19 @@
     addresses = raw.get("addresses")
     if not isinstance(addresses, list) or len(addresses) > MAX_ADDRESSES:
         raise ConfigError(f"directory.addresses: not a list of {MAX_ADDRESSES} at the most")
-    numbers = {"shrink": raw.get("shrink", SHRINK), "hold_s": raw.get("hold_s", HOLD)}
+    numbers = {
+        "shrink": raw.get("shrink", DEFAULT_SHRINK),
+        "hold_s": raw.get("hold_s", DEFAULT_HOLD_S),
+    }
     for key, most in (("shrink", 1), ("hold_s", 86_400)):
         value = numbers[key]
         if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= most:
             raise ConfigError(f"directory.{key}: {value!r} is not a number from 0 to {most}")
     found = tuple(_address(a, f"directory.addresses[{n}]") for n, a in enumerate(addresses))
-    return Directory(found, float(numbers["shrink"]), float(numbers["hold_s"]))
+    return DirectoryConfig(found, float(numbers["shrink"]), float(numbers["hold_s"]))
 
 
-POOL = {  # key of `pool`: field, least, most, whole
+POOL_KEYS = {  # key of `pool`: field, least, most, whole
     "age_s": ("age", 1, 86_400, False),
     "requests": ("requests", 1, 10**9, True),
     "queue": ("queue", 0, 4096, True),
@@ -79,24 +87,24 @@
 }
 
 
-def _pool(raw: Any) -> Options:
+def _pool(raw: Any) -> PoolOptions:
     """Connections to the backends; what is not said keeps its default."""
     if not isinstance(raw, dict):
         raise ConfigError("pool: not an object")
-    if unknown := sorted(raw.keys() - POOL.keys()):
+    if unknown := sorted(raw.keys() - POOL_KEYS.keys()):
         raise ConfigError(f"pool.{unknown[0]}: not known here")
     found: dict[str, Any] = {}
     for key, value in raw.items():
-        field, least, most, whole = POOL[key]
+        field, least, most, whole = POOL_KEYS[key]
         sound = isinstance(value, int if whole else int | float) and not isinstance(value, bool)
         if not sound or not least <= value <= most:
             kind = "a whole number" if whole else "a number"
             raise ConfigError(f"pool.{key}: {value!r} is not {kind} from {least} to {most}")
         found[field] = value
-    return Options(**found)
+    return PoolOptions(**found)
 
 
-def _request(raw: Any) -> Fields:
+def _request(raw: Any) -> RequestFields:
     """Where things are found in a request, in place of the platform's protocol."""
     if not isinstance(raw, dict):
         raise ConfigError("request: not an object")
@@ -111,12 +119,12 @@
         if not isinstance(value, dict) or not all(isinstance(v, str) for v in value.values()):
             raise ConfigError(f"request.{key}: not an object of names")
     longest = sorted(paths, key=len, reverse=True)
-    return Fields(
+    return RequestFields(
         **found, customers=customers, paths=tuple((p.encode(), paths[p].encode()) for p in longest)
     )
 
 
-def _lacks(before: Any, now: Any, where: str) -> str:
+def _missing_key(before: Any, now: Any, where: str) -> str:
     """The first key that settings had and have no longer: a cut-off file may be sound JSON, and a
     default in a missing key's place would be a rule that nobody set. Named things may come and
     go."""
@@ -126,7 +134,7 @@
         for key, value in before.items():
             if key not in now:
                 return f"{where}.{key}"
-            if found := _lacks(value, now[key], f"{where}.{key}"):
+            if found := _missing_key(value, now[key], f"{where}.{key}"):
                 return found
     elif isinstance(before, list) and before and all(isinstance(b, dict) for b in before):
         if not isinstance(now, list):
@@ -154,7 +162,7 @@
     env = os.environ if before is None else {}
     try:
         raw = top["settings"]
-        if before and (lost := _lacks(before.raw, raw, "settings")):
+        if before and (lost := _missing_key(before.raw, raw, "settings")):
             raise ConfigError(f"{lost} is missing")
         if before and before.counter and not top.get("counter"):
             raise ConfigError("counter is missing")
@@ -176,7 +184,7 @@
             seed=int(str(top["seed"]), 16),
             sockets=int(top.get("limits", {}).get("sockets", 1024)),
             memory_mb=float(top.get("limits", {}).get("memory_mb", 64)),
-            known=Listing(known),
+            known=EndpointUpdate(known),
             settings=settings,
             raw=raw,
             conn_idle=int(raw["ceilings"].get("conn_idle", 15_000_000)),
--- a/cairndale/ingress/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -25,12 +25,14 @@
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.engine import RequestPolicy
 
-VERSION = 1  # of what is handed over: of another kind of process, nothing is taken
-CALL_TIMEOUT = 1.0  # s for the old process to answer; it has nothing else to wait for
-TAKE_TIMEOUT = 5.0  # s for the new one to be ready to take over
-TELL = 0.05  # s between what the old one tells
-OLD_SPARE = 8  # descriptors that the old one may open beyond what it holds, for its last attempts
-LINE = 1 << 26
+FORMAT_VERSION = 1  # of what is handed over: of another kind of process, nothing is taken
+CONNECT_TIMEOUT_S = 1.0  # s for the old process to answer; it has nothing else to wait for
+TAKE_TIMEOUT_S = 5.0  # s for the new one to be ready to take over
+LOAD_INTERVAL_S = 0.05  # s between what the old one tells
+SPARE_DESCRIPTORS = (
+    8  # descriptors that the old one may open beyond what it holds, for its last attempts
+)
+MAX_LINE_BYTES = 1 << 26
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +41,7 @@
     pass
 
 
-async def _line(reader: asyncio.StreamReader, timeout: float) -> Any:
+async def _read_json(reader: asyncio.StreamReader, timeout: float) -> Any:
     """One line of JSON, whole and in time."""
     try:
         async with asyncio.timeout(timeout):
@@ -51,20 +53,20 @@
         raise HandoverError(str(error) or "no answer in time") from None
 
 
-class Talk:
+class HandoverChannel:
     """What both sides have: one JSON value a line."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def say(self, what: Any) -> None:
+    def send(self, what: Any) -> None:
         self.writer.write(json.dumps(what).encode() + b"\n")
 
-    def maintained(self, name: str, out: bool) -> None:
-        self.say({"maintenance": [name, out]})
+    def send_maintenance(self, name: str, out: bool) -> None:
+        self.send({"maintenance": [name, out]})
 
 
-class Offer:
+class HandoverOffer:
     """The old process's side: waits for the one that replaces it, and tells `passed` once that one
     serves."""
 
@@ -80,9 +82,9 @@
         passed: Callable[[], None],
     ) -> None:
         self._path, self._listener, self._sockets = path, listener, sockets
-        self._engine, self._gateway = engine, gateway
-        self._discovery, self._maintenance, self._passed = discovery, maintenance, passed
-        self._handed = False
+        self._engine, self._policy = engine, gateway
+        self._discovery, self._maintenance, self._on_handed_over = discovery, maintenance, passed
+        self._handed_over = False
         self._sock: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -103,7 +105,7 @@
             log.warning("no other process can take over: %s", error)
             return
         self._sock = sock
-        self._task = asyncio.get_running_loop().create_task(self._wait())
+        self._task = asyncio.get_running_loop().create_task(self._accept_successors())
 
     async def stop(self) -> None:
         if self._task:
@@ -111,120 +113,124 @@
             await asyncio.wait([self._task])
         if self._sock:
             self._sock.close()
-            if not self._handed:  # else the file there is the new process's
+            if not self._handed_over:  # else the file there is the new process's
                 self._path.unlink(missing_ok=True)
 
-    async def _wait(self) -> None:
+    async def _accept_successors(self) -> None:
         loop = asyncio.get_running_loop()
-        while self._sock and not self._handed:
+        while self._sock and not self._handed_over:
             try:
                 conn, _ = await loop.sock_accept(self._sock)
             except OSError as error:
                 log.warning("hand-over: %s", error)
-                await asyncio.sleep(CALL_TIMEOUT)
+                await asyncio.sleep(CONNECT_TIMEOUT_S)
                 continue
             with contextlib.closing(conn):
-                await self._meet(conn)
+                await self._serve_successor(conn)
 
-    async def _meet(self, conn: socket.socket) -> None:
+    async def _serve_successor(self, conn: socket.socket) -> None:
         listening = self._listener.socket
         if listening is None or self._listener.stopping:
             return
         try:
             socket.send_fds(conn, [b"\n"], [listening.fileno()])
-            reader, writer = await asyncio.open_unix_connection(sock=conn, limit=LINE)
+            reader, writer = await asyncio.open_unix_connection(sock=conn, limit=MAX_LINE_BYTES)
         except OSError as error:
             log.warning("hand-over: %s", error)
             return
-        talk = Talk(reader, writer)
+        talk = HandoverChannel(reader, writer)
         try:
-            if await _line(reader, TAKE_TIMEOUT) != "take":
+            if await _read_json(reader, TAKE_TIMEOUT_S) != "take":
                 raise HandoverError("not understood")
-            await self._pass_on(talk)
-            self._handed = True
+            await self._transfer(talk)
+            self._handed_over = True
             log.info("handed over")
-            self._passed()
-            await self._accompany(talk)
+            self._on_handed_over()
+            await self._share_updates(talk)
         except (HandoverError, OSError) as error:
             log.warning("hand-over: %s", error)
         finally:
             writer.close()
 
-    async def _pass_on(self, talk: Talk) -> None:
+    async def _transfer(self, talk: HandoverChannel) -> None:
         """All or nothing: if the new process does not get as serving, this one goes on."""
-        self._listener.step_aside(True)
-        state = self._engine.hand_over() | {"module": handover_state.hand_over(self._gateway)}
-        kept = self._sockets.cap
-        self._sockets.cap = min(kept, self._sockets.open + OLD_SPARE)
+        self._listener.suspend(True)
+        state = self._engine.dump_state() | {"module": handover_state.hand_over(self._policy)}
+        kept = self._sockets.capacity
+        self._sockets.capacity = min(kept, self._sockets.open_count + SPARE_DESCRIPTORS)
         try:
-            held = self._discovery.held.dump() if self._discovery.held else None
+            held = self._discovery.table.dump() if self._discovery.table else None
             told = {
-                "version": VERSION,
+                "version": FORMAT_VERSION,
                 "index": self._discovery.index,
                 "held": held,
                 "ingress": state,
             }
-            talk.say(told | self._told())
-            if await _line(talk.reader, TAKE_TIMEOUT) != "serving":
+            talk.send(told | self._load())
+            if await _read_json(talk.reader, TAKE_TIMEOUT_S) != "serving":
                 raise HandoverError("not understood")
         except HandoverError:
-            self._sockets.cap = kept
-            handover_state.take_back(self._gateway, state["module"])
-            self._listener.step_aside(False)
+            self._sockets.capacity = kept
+            handover_state.take_back(self._policy, state["module"])
+            self._listener.suspend(False)
             raise
 
-    def _told(self) -> dict[str, Any]:
-        return {"sockets": self._sockets.open, "busy": self._engine.busy()}
+    def _load(self) -> dict[str, Any]:
+        return {"sockets": self._sockets.open_count, "busy": self._engine.in_flight_counts()}
 
-    async def _accompany(self, talk: Talk) -> None:
-        self._maintenance.changed = talk.maintained
-        hears = asyncio.get_running_loop().create_task(_hear_maintenance(talk.reader, self._engine))
+    async def _share_updates(self, talk: HandoverChannel) -> None:
+        self._maintenance.on_change = talk.send_maintenance
+        hears = asyncio.get_running_loop().create_task(
+            _receive_maintenance(talk.reader, self._engine)
+        )
         try:
             while not hears.done():
-                talk.say(self._told())
-                await asyncio.wait([hears], timeout=TELL)
+                talk.send(self._load())
+                await asyncio.wait([hears], timeout=LOAD_INTERVAL_S)
         finally:
             hears.cancel()
 
 
-async def _hear_maintenance(reader: asyncio.StreamReader, engine: Engine) -> None:
+async def _receive_maintenance(reader: asyncio.StreamReader, engine: Engine) -> None:
     with contextlib.suppress(OSError, ValueError):
         while (line := await reader.readline()).endswith(b"\n"):
-            engine.maintain(*json.loads(line)["maintenance"])
+            engine.set_maintenance(*json.loads(line)["maintenance"])
 
 
-class Claim:
+class HandoverClaim:
     """The new process's side."""
 
     def __init__(self, conn: socket.socket, listening: socket.socket) -> None:
         self.listening, self._conn = listening, conn
-        self._talk: Talk | None = None
+        self._channel: HandoverChannel | None = None
         self._task: asyncio.Task[None] | None = None
 
     @staticmethod
-    async def find(path: Path) -> Claim | None:
+    async def find(path: Path) -> HandoverClaim | None:
         """The old process, if there is one that answers."""
-        return await asyncio.to_thread(_call, path)
+        return await asyncio.to_thread(_connect, path)
 
-    async def take(
+    async def take_over(
         self, engine: Engine, gateway: RequestPolicy, sockets: Sockets, discovery: Discovery
     ) -> int | None:
         """Takes all over; the version of the list that came with it, or None if nothing did."""
         try:
-            reader, writer = await asyncio.open_unix_connection(sock=self._conn, limit=LINE)
-            self._talk = Talk(reader, writer)
-            self._talk.say("take")
-            told = await _line(reader, TAKE_TIMEOUT)
-            if told["version"] != VERSION:
+            reader, writer = await asyncio.open_unix_connection(
+                sock=self._conn, limit=MAX_LINE_BYTES
+            )
+            self._channel = HandoverChannel(reader, writer)
+            self._channel.send("take")
+            told = await _read_json(reader, TAKE_TIMEOUT_S)
+            if told["version"] != FORMAT_VERSION:
                 raise HandoverError(f"version {told['version']}")
             index = int(told["index"])
             state = told["ingress"]
-            if discovery.held:
-                discovery.held.take_over(told.get("held"), state["entries"])
-            classes, plans = engine.take_over(state, index)
+            if discovery.table:
+                discovery.table.restore(told.get("held"), state["entries"])
+            classes, plans = engine.restore_state(state, index)
             handover_state.take_over(gateway, engine.now(), state["module"], classes, plans)
-            sockets.elsewhere = int(told["sockets"])
-            engine.told_busy(told["busy"])
+            sockets.predecessor_count = int(told["sockets"])
+            engine.set_predecessor_load(told["busy"])
         except (
             HandoverError,
             OSError,
@@ -235,50 +241,52 @@
         ) as error:
             log.warning("nothing taken over: %r", error)
             self.stop()
-            self._talk = None
+            self._channel = None
             return None
         return index
 
-    def serving(self, engine: Engine, sockets: Sockets, maintenance: Maintenance) -> None:
-        if self._talk:
-            self._talk.say("serving")
-            maintenance.changed = self._talk.maintained
+    def confirm_serving(self, engine: Engine, sockets: Sockets, maintenance: Maintenance) -> None:
+        if self._channel:
+            self._channel.send("serving")
+            maintenance.on_change = self._channel.send_maintenance
             self._task = asyncio.get_running_loop().create_task(
-                self._hear(engine, sockets, maintenance)
+                self._receive_updates(engine, sockets, maintenance)
             )
 
-    async def _hear(self, engine: Engine, sockets: Sockets, maintenance: Maintenance) -> None:
-        assert self._talk
+    async def _receive_updates(
+        self, engine: Engine, sockets: Sockets, maintenance: Maintenance
+    ) -> None:
+        assert self._channel
         try:
-            while (line := await self._talk.reader.readline()).endswith(b"\n"):
+            while (line := await self._channel.reader.readline()).endswith(b"\n"):
                 told = json.loads(line)
                 if "maintenance" in told:
-                    engine.maintain(*told["maintenance"])
+                    engine.set_maintenance(*told["maintenance"])
                 else:
-                    sockets.elsewhere = told["sockets"]
-                    engine.told_busy(told["busy"])
+                    sockets.predecessor_count = told["sockets"]
+                    engine.set_predecessor_load(told["busy"])
         except OSError:
             pass
         finally:  # it has ended: all there is of the ingress is here
-            maintenance.changed = lambda name, out: None
-            sockets.elsewhere = 0
-            engine.told_busy({"attempts": [], "customers": []})
+            maintenance.on_change = lambda name, out: None
+            sockets.predecessor_count = 0
+            engine.set_predecessor_load({"attempts": [], "customers": []})
             self.stop()
 
     def stop(self) -> None:
         if self._task and self._task is not asyncio.current_task():
             self._task.cancel()
-        if self._talk:
-            self._talk.writer.close()
+        if self._channel:
+            self._channel.writer.close()
 
 
-def _call(path: Path) -> Claim | None:
+def _connect(path: Path) -> HandoverClaim | None:
     try:
         conn = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError:  # refused, as the offer is then: that one is logged
         return None
     try:
-        conn.settimeout(CALL_TIMEOUT)
+        conn.settimeout(CONNECT_TIMEOUT_S)
         conn.connect(str(path))
         _, descriptors, _, _ = socket.recv_fds(conn, 1, 1)
         listening = socket.socket(fileno=descriptors[0])
@@ -289,4 +297,4 @@
         return None
     conn.setblocking(False)
     listening.setblocking(False)
-    return Claim(conn, listening)
+    return HandoverClaim(conn, listening)
--- a/cairndale/ingress/net/http.py
+++ b/cairndale/ingress/net/http.py
@@ -12,11 +12,13 @@
 
 from cairndale.ingress.net.bodies import Upload
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024 * 1024
-HOLD = 64 * 1024  # a body up to here is collected, and can be sent again or asked for again
-READ = 64 * 1024  # bytes read at once
-REASONS = {
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_BUFFERED_BODY_BYTES = (
+    64 * 1024
+)  # a body up to here is collected, and can be sent again or asked for again
+READ_BUFFER_BYTES = 64 * 1024  # bytes read at once
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -46,26 +48,28 @@
     b"proxy-authorization",
     b"content-length",
 }
-BODILESS = (204, 304)  # their answers have no body, and no length of one
+BODYLESS_STATUSES = (204, 304)  # their answers have no body, and no length of one
 
 
-def reason(status: int) -> bytes:
-    if status not in REASONS:  # only where answers are relayed; the table of all costs every start
+def reason_phrase(status: int) -> bytes:
+    if (
+        status not in REASON_PHRASES
+    ):  # only where answers are relayed; the table of all costs every start
         from http import HTTPStatus
 
-        REASONS[status] = (
+        REASON_PHRASES[status] = (
             HTTPStatus(status).phrase.encode() if status in set(HTTPStatus) else b"Other"
         )
-    return REASONS[status]
+    return REASON_PHRASES[status]
 
 
-def plain(status: int, body: bytes, headers: bytes = b"", close: bool = False) -> bytes:
+def encode_response(status: int, body: bytes, headers: bytes = b"", close: bool = False) -> bytes:
     """A whole answer of known length."""
     end = b"Connection: close\r\n" if close else b""
-    if status in BODILESS:
-        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason(status), headers, end)
+    if status in BODYLESS_STATUSES:
+        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason_phrase(status), headers, end)
     head = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n"
-    return head % (status, reason(status), headers, end, len(body)) + body
+    return head % (status, reason_phrase(status), headers, end, len(body)) + body
 
 
 class Message:
@@ -76,12 +80,12 @@
         "body",
         "fields",
         "headers",
-        "in_parts",
         "keep_alive",
         "length",
         "method",
-        "minor",
+        "minor_version",
         "status",
+        "streamed",
         "target",
         "upload",
     )
@@ -90,13 +94,13 @@
         self.method = b""
         self.target = b""
         self.status = 0
-        self.minor = 1  # of HTTP/1's version
+        self.minor_version = 1  # of HTTP/1's version
         self.headers: dict[bytes, bytes] = {}
         self.fields: list[tuple[bytes, bytes]] = []  # as they came, where they go on
         # announced; None: chunked, or until the end of the connection
         self.length: int | None = None
         self.body = b""
-        self.in_parts = False
+        self.streamed = False
         self.upload: Upload | None = None
         self.keep_alive = True
 
@@ -108,75 +112,75 @@
 
     transport: asyncio.Transport
     keep_fields = False
-    max_head, max_body = MAX_HEAD, MAX_BODY  # bytes that are taken
+    max_head, max_body = MAX_HEAD_BYTES, MAX_BODY_BYTES  # bytes that are taken
     # one for all: what has come is copied out before the next read
-    _read = memoryview(bytearray(READ))
+    _read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     def __init__(self, parser: type[Any]) -> None:
         self._parser = parser(self)
         self._message = Message()
         self._hooks: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._parts: list[bytes] = []
-        self._fed = 0  # bytes since the message began, while its head is open
+        self._head_bytes = 0  # bytes since the message began, while its head is open
         self._size = 0  # of the head's fields, then of the body
         self._in_head = True
-        self._begun = False  # some of the next message has come
-        self._too_large = 0  # the status that says so
-        self._lost_framing = False
-        self.wrong = ""  # what the parser found wrong
+        self._message_begun = False  # some of the next message has come
+        self._error_status = 0  # the status that says so
+        self._framing_lost = False
+        self.parse_error = ""  # what the parser found wrong
 
     # For the two sides to fill in.
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """A message whose body was collected."""
         raise NotImplementedError
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         """What came is not HTTP, or too large: nothing after it can be read."""
         raise NotImplementedError
 
-    def began(self) -> None:
+    def message_began(self) -> None:
         """The first byte of a message has come."""
 
-    def headed(self, message: Message) -> None:
+    def head_received(self, message: Message) -> None:
         """Its head has come; the body has not."""
 
-    def opened(self, message: Message) -> None:
+    def body_began(self, message: Message) -> None:
         """The body is a large one: `part` and `ended` follow in place of `received`."""
-        self._lost_framing = True
-        self.garbage(413)
+        self._framing_lost = True
+        self.message_invalid(413)
 
-    def part(self, message: Message, data: bytes) -> None:
+    def body_part_received(self, message: Message, data: bytes) -> None:
         """Some of a large body."""
 
-    def ended(self, message: Message) -> None:
+    def body_ended(self, message: Message) -> None:
         """A large body is whole."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._read
+        return self._read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(bytes(self._read[:nbytes]))
+        self.data_received(bytes(self._read_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        if self._lost_framing:
+        if self._framing_lost:
             return
         if self._in_head:
-            self._fed += len(data)
+            self._head_bytes += len(data)
         bad = 0
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            bad, self.wrong = self._too_large or 400, str(error.__context__ or error)
-        if self._in_head and self._fed > self.max_head:  # a head that never ends
+            bad, self.parse_error = self._error_status or 400, str(error.__context__ or error)
+        if self._in_head and self._head_bytes > self.max_head:  # a head that never ends
             bad = bad or 431
-        self._lost_framing = bad > 0
+        self._framing_lost = bad > 0
         self._run_hooks()
         if bad:
-            self.garbage(bad)
+            self.message_invalid(bad)
 
     def _run_hooks(self) -> None:
         """What is still to be called is seen by those before it: more was read than they are
@@ -185,7 +189,7 @@
             hook, args = self._hooks.popleft()
             hook(*args)
 
-    def ended_by_close(self) -> None:
+    def connection_ended(self) -> None:
         """At the sender's orderly end: a body with neither length nor chunks is whole now."""
         message = self._message
         if (
@@ -197,19 +201,19 @@
             self.on_message_complete()
             self._run_hooks()
 
-    def in_parts(self) -> None:
+    def stream_body(self) -> None:
         """From here on the body is handed on as it comes, with what was collected first."""
         message, parts = self._message, self._parts
-        message.in_parts, self._parts = True, []
-        self._hooks.append((self.opened, (message,)))
-        self._hooks += [(self.part, (message, part)) for part in parts]
+        message.streamed, self._parts = True, []
+        self._hooks.append((self.body_began, (message,)))
+        self._hooks += [(self.body_part_received, (message, part)) for part in parts]
 
     # httptools' callbacks. It wraps what they raise, so limits are noted in `_too_large`.
 
     def on_message_begin(self) -> None:
         self._message, self._parts, self._size, self._in_head = Message(), [], 0, True
-        self._begun = True
-        self.began()
+        self._message_begun = True
+        self.message_began()
 
     def on_url(self, part: bytes) -> None:
         self._message.target += part
@@ -219,8 +223,8 @@
         self._size += len(name) + len(value) + 4
         # a trailer: read, and no more than a head's worth, but of no use here
         if not self._in_head:
-            self._fed += len(name) + len(value) + 4
-            self._limit(self._fed, self.max_head, 431)
+            self._head_bytes += len(name) + len(value) + 4
+            self._limit(self._head_bytes, self.max_head, 431)
             return
         value = value.strip(b" 	")
         if self.keep_fields:
@@ -231,7 +235,7 @@
         self._limit(self._size, self.max_head, 431)
 
     def on_headers_complete(self) -> None:
-        message, self._in_head, self._fed, self._size = self._message, False, 0, 0
+        message, self._in_head, self._head_bytes, self._size = self._message, False, 0, 0
         length, coding = (
             message.headers.get(b"content-length"),
             message.headers.get(b"transfer-encoding"),
@@ -239,37 +243,44 @@
         if (length is not None and (coding is not None or not length.isdigit())) or (
             coding is not None and coding.strip().lower() != b"chunked"
         ):
-            self._too_large = 400  # each reader could take another end for the right one
+            self._error_status = 400  # each reader could take another end for the right one
             raise ValueError(f"contradictory framing: length {length!r}, coding {coding!r}")
         message.length = int(length) if length is not None else None
-        message.minor = 0 if self._parser.get_http_version() == "1.0" else 1
+        message.minor_version = 0 if self._parser.get_http_version() == "1.0" else 1
         message.keep_alive = self._parser.should_keep_alive()
         if isinstance(self._parser, httptools.HttpRequestParser):
             message.method = self._parser.get_method()
         else:
             message.status = self._parser.get_status_code()
         self._limit(message.length or 0, self.max_body, 413)
-        self._hooks.append((self.headed, (message,)))
-        if (message.length or 0) > HOLD:
-            self.in_parts()
+        self._hooks.append((self.head_received, (message,)))
+        if (message.length or 0) > MAX_BUFFERED_BODY_BYTES:
+            self.stream_body()
 
     def on_body(self, part: bytes) -> None:
         message = self._message
         self._size += len(part)
         self._limit(self._size, self.max_body, 413)
-        if message.in_parts:
-            self._hooks.append((self.part, (message, part)))
+        if message.streamed:
+            self._hooks.append((self.body_part_received, (message, part)))
             return
         self._parts.append(part)
-        if self._size > HOLD:
-            self.in_parts()
+        if self._size > MAX_BUFFERED_BODY_BYTES:
+            self.stream_body()
 
     def on_message_complete(self) -> None:
-        message, self._in_head, self._fed, self._begun = self._message, True, 0, False
+        message, self._in_head, self._head_bytes, self._message_begun = (
+            self._message,
+            True,
+            0,
+            False,
+        )
         message.body, self._parts = b"".join(self._parts), []
-        self._hooks.append((self.ended if message.in_parts else self.received, (message,)))
+        self._hooks.append(
+            (self.body_ended if message.streamed else self.message_received, (message,))
+        )
 
     def _limit(self, size: int, most: int, status: int) -> None:
         if size > most:
-            self._too_large = status
+            self._error_status = status
             raise ValueError("too large")
--- a/cairndale/ingress/net/ops.py
+++ b/cairndale/ingress/net/ops.py
@@ -14,13 +14,13 @@
 import httptools
 
 from cairndale.ingress.net.engine import Engine
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 
-CALLERS = 8  # at once: of more, the one that has waited longest without a whole call gives way
-PATIENCE = 2.0  # s for a call to come whole
-MAX_ID = 256
-MOST_SHOWN = 200  # requests and tasks that a look inside tells of
-CALLS = {
+MAX_CALLERS = 8  # at once: of more, the one that has waited longest without a whole call gives way
+CALL_TIMEOUT_S = 2.0  # s for a call to come whole
+MAX_NAME_LENGTH = 256
+MAX_ITEMS_SHOWN = 200  # requests and tasks that a look inside tells of
+CALL_METHODS = {
     "/status": b"GET",
     "/discovery": b"GET",
     "/pools": b"GET",
@@ -41,11 +41,11 @@
     them."""
 
     def __init__(self, engine: Engine, path: Path) -> None:
-        self._engine, self._path, self._turn = engine, path, asyncio.Lock()
+        self._engine, self._path, self._lock = engine, path, asyncio.Lock()
         # told after each change made here
-        self.changed: Callable[[str, bool], None] = lambda name, out: None
+        self.on_change: Callable[[str, bool], None] = lambda name, out: None
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         try:
             names = json.loads(self._path.read_bytes())
             if not (isinstance(names, list) and all(isinstance(n, str) for n in names)):
@@ -55,19 +55,23 @@
         except (OSError, ValueError) as error:
             log.warning("maintenance: %s: %s", self._path.name, error)
             return
-        self._engine.recall(names)
+        self._engine.restore_maintenance(names)
 
     async def change(self, name: str, out: bool) -> None:
         """Kept on file before it is acted on: once the operator hears yes, it outlives this
         process."""
-        async with self._turn:
-            names = self._engine.maintained | {name} if out else self._engine.maintained - {name}
-            await asyncio.to_thread(self._keep, sorted(names))
-            self._engine.maintain(name, out)
-        self.changed(name, out)
+        async with self._lock:
+            names = (
+                self._engine.in_maintenance | {name}
+                if out
+                else self._engine.in_maintenance - {name}
+            )
+            await asyncio.to_thread(self._save, sorted(names))
+            self._engine.set_maintenance(name, out)
+        self.on_change(name, out)
         log.info("maintenance: %s is %s", name, "out" if out else "back")
 
-    def _keep(self, names: list[str]) -> None:
+    def _save(self, names: list[str]) -> None:
         made = self._path.with_suffix(f".{os.getpid()}")
         made.write_text(json.dumps(names))
         made.replace(self._path)
@@ -84,13 +88,13 @@
         running: Callable[[], dict[str, Any]] = dict,
     ) -> None:
         self._engine, self._maintenance, self._serving = engine, maintenance, serving
-        self._shown: dict[str, Callable[[], Any]] = {
+        self._reports: dict[str, Callable[[], Any]] = {
             "/discovery": discovery,
             "/pools": pools,
             "/config": running,
             "/debug/servers": pools,
-            "/debug/requests": lambda: engine.open_requests(MOST_SHOWN),
-            "/debug/tasks": _tasks,
+            "/debug/requests": lambda: engine.open_requests(MAX_ITEMS_SHOWN),
+            "/debug/tasks": _task_names,
         }
         self.metrics: Callable[[], bytes] | None = None
         self.callers: dict[Caller, None] = {}  # the longest waiting first
@@ -109,52 +113,54 @@
         for caller in list(self.callers):
             caller.transport.abort()
 
-    def came(self, caller: Caller) -> None:
+    def caller_connected(self, caller: Caller) -> None:
         self.callers[caller] = None
-        if len(self.callers) > CALLERS:
+        if len(self.callers) > MAX_CALLERS:
             next(iter(self.callers)).transport.abort()
 
-    def call(self, caller: Caller, message: Message) -> None:
+    def handle_call(self, caller: Caller, message: Message) -> None:
         path, _, query = message.target.decode("latin-1").partition("?")
-        wanted = CALLS.get(path)
+        wanted = CALL_METHODS.get(path)
         names = parse_qs(query).get("who", [])
         if wanted is None:
-            caller.refuse(404, "no such call")
+            caller.reject(404, "no such call")
         elif message.method != wanted:
-            caller.refuse(405, f"only {wanted.decode()} is known here")
+            caller.reject(405, f"only {wanted.decode()} is known here")
         elif path == "/status":
             yes = self._serving()
-            caller.answer(200 if yes else 503, "serving" if yes else "not serving")
+            caller.respond(200 if yes else 503, "serving" if yes else "not serving")
         elif path == "/metrics":
             if self.metrics:
-                caller.answer(200, self.metrics().decode())
+                caller.respond(200, self.metrics().decode())
             else:
-                caller.refuse(404, "metrics are off")
-        elif path in self._shown:
-            caller.answer(200, json.dumps(self._shown[path]()))
-        elif len(names) != 1 or len(names[0]) > MAX_ID:
-            caller.refuse(400, "who=ID is missing")
-        elif not self._engine.knows(names[0]):
-            caller.refuse(404, "no such profile server")
+                caller.reject(404, "metrics are off")
+        elif path in self._reports:
+            caller.respond(200, json.dumps(self._reports[path]()))
+        elif len(names) != 1 or len(names[0]) > MAX_NAME_LENGTH:
+            caller.reject(400, "who=ID is missing")
+        elif not self._engine.is_known(names[0]):
+            caller.reject(404, "no such profile server")
         else:
             out = path == "/maintenance/enter"
-            task = asyncio.get_running_loop().create_task(self._change(caller, names[0], out))
+            task = asyncio.get_running_loop().create_task(
+                self._change_maintenance(caller, names[0], out)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _change(self, caller: Caller, name: str, out: bool) -> None:
+    async def _change_maintenance(self, caller: Caller, name: str, out: bool) -> None:
         try:
             await self._maintenance.change(name, out)
         except OSError as error:
             log.warning("maintenance: %s stays as it was: %s", name, error)
-            caller.refuse(500, "could not be kept; nothing has changed")
+            caller.reject(500, "could not be kept; nothing has changed")
             return
-        caller.answer(200, "out" if out else "back")
+        caller.respond(200, "out" if out else "back")
 
 
-def _tasks() -> list[str]:
+def _task_names() -> list[str]:
     names = [getattr(t.get_coro(), "__qualname__", "?") for t in asyncio.all_tasks()]
-    return sorted(names)[:MOST_SHOWN]
+    return sorted(names)[:MAX_ITEMS_SHOWN]
 
 
 class Caller(HttpConnection):
@@ -162,35 +168,37 @@
 
     def __init__(self, ops: Ops) -> None:
         super().__init__(httptools.HttpRequestParser)
-        self._ops, self._heard = ops, False
+        self._ops, self._answered = ops, False
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._timer = asyncio.get_running_loop().call_later(PATIENCE, self.garbage, 408)
-        self._ops.came(self)
+        self._timer = asyncio.get_running_loop().call_later(
+            CALL_TIMEOUT_S, self.message_invalid, 408
+        )
+        self._ops.caller_connected(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self._timer:
             self._timer.cancel()
         self._ops.callers.pop(self, None)
 
-    def received(self, message: Message) -> None:
-        if not self._heard:
-            self._heard = True
+    def message_received(self, message: Message) -> None:
+        if not self._answered:
+            self._answered = True
             # a whole call is owed its answer, and never gives way
             self._ops.callers.pop(self, None)
-            self._ops.call(self, message)
+            self._ops.handle_call(self, message)
 
-    def garbage(self, status: int) -> None:
-        if not self._heard:
-            self._heard = True
-            self.refuse(status, "not understood")
+    def message_invalid(self, status: int) -> None:
+        if not self._answered:
+            self._answered = True
+            self.reject(status, "not understood")
 
-    def refuse(self, status: int, reason: str) -> None:
-        self.answer(status, json.dumps({"error": reason}))
+    def reject(self, status: int, reason: str) -> None:
+        self.respond(status, json.dumps({"error": reason}))
 
-    def answer(self, status: int, text: str) -> None:
+    def respond(self, status: int, text: str) -> None:
         if not self.transport.is_closing():
-            self.transport.write(plain(status, text.encode() + b"\n", close=True))
+            self.transport.write(encode_response(status, text.encode() + b"\n", close=True))
             self.transport.close()
--- a/cairndale/ingress/net/pool.py
+++ b/cairndale/ingress/net/pool.py
@@ -15,16 +15,22 @@
 from enum import Enum
 from typing import Any
 
-LEAST = 2  # connections that a backend's pool may have, however few descriptors there are
-BACK_OFF = 0.7  # of what is in use that the bound falls to when the backend refuses another one
-GROW_EVERY = 1.0  # s of use at the bound, without a refusal, for which it grows by one
-NEED_FADES = 30.0  # s in which the memory of how many were used at once falls to a third
-JITTER = 0.2  # of age and of requests a link, either way: a fleet's links do not turn over in step
-WAIT_PART = 0.25  # of an attempt's own time that it may wait for a link; then it goes elsewhere
+MIN_CONNECTIONS = 2  # connections that a backend's pool may have, however few descriptors there are
+REFUSED_BOUND_FACTOR = (
+    0.7  # of what is in use that the bound falls to when the backend refuses another one
+)
+GROWTH_INTERVAL_S = 1.0  # s of use at the bound, without a refusal, for which it grows by one
+DEMAND_DECAY_S = 30.0  # s in which the memory of how many were used at once falls to a third
+LIFETIME_JITTER = (
+    0.2  # of age and of requests a link, either way: a fleet's links do not turn over in step
+)
+MAX_WAIT_FRACTION = (
+    0.25  # of an attempt's own time that it may wait for a link; then it goes elsewhere
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class PoolOptions:
     """What the configuration's `pool` may set; the defaults hold where it says nothing."""
 
     age: float = 600.0  # s of a link's life
@@ -35,7 +41,7 @@
     server_share: float = 0.3
 
 
-class Why(Enum):
+class BoundReason(Enum):
     """What a pool's bound follows from."""
 
     DESCRIPTORS = "descriptors"  # the backends' share, over the backends in use
@@ -43,88 +49,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class StartDial:
     """A connection is to be made; `dialled` or `failed` tells how that went."""
 
     dial: int
 
 
 @dataclass(frozen=True, slots=True)
-class HandOut:
+class AssignConnection:
     waiter: Any
-    link: Any
+    connection: Any
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class RejectAttempt:
     """This attempt gets no link here: it was never sent. `failed`: the backend is to blame, not the
     bound."""
 
     waiter: Any
-    failed: bool
+    backend_failed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    link: Any
+class CloseConnection:
+    connection: Any
 
 
 @dataclass(frozen=True, slots=True)
-class GiveUp:
+class CancelDial:
     """A dial that nobody wants any longer: what it is to lead to is out or gone."""
 
     dial: int
 
 
-Action = Open | HandOut | Refuse | Close | GiveUp
+Action = StartDial | AssignConnection | RejectAttempt | CloseConnection | CancelDial
 
 
 @dataclass(slots=True)
-class _Link:
+class _ConnectionState:
     idle_since: float
-    dies: float  # of age
-    left: int  # exchanges
-    used: int = 0
+    expires_at: float  # of age
+    exchanges_left: int  # exchanges
+    exchanges: int = 0
 
 
 @dataclass(slots=True)
-class Counts:
+class PoolCounters:
     """Since the beginning; for operators."""
 
-    asked: int = 0
+    requested: int = 0
     reused: int = 0  # handed a link that had been used before
     dials: int = 0
-    failed: int = 0  # dials
-    caught: int = 0  # stale links found out before anything was written
-    missed: int = 0  # reset under a request though they had been taken for sound
-    refused: int = 0  # attempts that got no link
+    dials_failed: int = 0  # dials
+    stale_detected: int = 0  # stale links found out before anything was written
+    stale_missed: int = 0  # reset under a request though they had been taken for sound
+    rejected: int = 0  # attempts that got no link
 
 
 @dataclass(slots=True)
-class Pool:
+class ConnectionPool:
     """Most recently used first, so that surplus links age out; one exchange a link.
 
     Every attempt that finds no idle link waits; a dial is begun for it while the bound allows, and
     it gets whichever comes first, a freed link or a finished dial. A dial that its attempt no
     longer needs stays."""
 
-    options: Options
-    idle_for: float  # s that an idle link is taken for sound: the settings' idle time less a margin
+    options: PoolOptions
+    idle_timeout: (
+        float  # s that an idle link is taken for sound: the settings' idle time less a margin
+    )
     rng: random.Random
-    top: float = 4096.0  # the bound that the descriptors give
+    descriptor_bound: float = 4096.0  # the bound that the descriptors give
     ready: bool = True
-    learned: float = math.inf  # the bound that refusals have taught
-    need: float = 0.0  # links used at once, of late
-    counts: Counts = field(default_factory=Counts)
+    learned_bound: float = math.inf  # the bound that refusals have taught
+    demand: float = 0.0  # links used at once, of late
+    counters: PoolCounters = field(default_factory=PoolCounters)
     idle: list[Any] = field(default_factory=list)  # the most recently used last
     busy: set[Any] = field(default_factory=set)
     dials: set[int] = field(default_factory=set)
-    waiting: deque[tuple[Any, float]] = field(default_factory=deque)  # and until when
+    waiters: deque[tuple[Any, float]] = field(default_factory=deque)  # and until when
     distrusted: bool = False  # a failure: idle links may lead nowhere, a fresh one has to show
-    _links: dict[Any, _Link] = field(default_factory=dict)
-    _dial: int = 0
+    _states: dict[Any, _ConnectionState] = field(default_factory=dict)
+    _last_dial: int = 0
     _grown_at: float = 0.0
-    _need_at: float = 0.0
+    _demand_at: float = 0.0
 
     # Sizes.
 
@@ -132,184 +140,192 @@
         return len(self.idle) + len(self.busy) + len(self.dials)
 
     def bound(self) -> int:
-        return max(LEAST, int(min(self.top, self.learned)))
+        return max(MIN_CONNECTIONS, int(min(self.descriptor_bound, self.learned_bound)))
 
-    def why(self) -> Why:
-        return Why.REFUSED if self.learned < self.top else Why.DESCRIPTORS
+    def bound_reason(self) -> BoundReason:
+        return (
+            BoundReason.REFUSED
+            if self.learned_bound < self.descriptor_bound
+            else BoundReason.DESCRIPTORS
+        )
 
-    def _used(self, now: float) -> None:
-        self.need = max(self.expected(now), float(len(self.busy) + len(self.waiting)))
-        self._need_at = now
+    def _record_demand(self, now: float) -> None:
+        self.demand = max(self.expected_demand(now), float(len(self.busy) + len(self.waiters)))
+        self._demand_at = now
 
-    def expected(self, now: float) -> float:
+    def expected_demand(self, now: float) -> float:
         """Links that the traffic of late has used at once."""
-        return self.need * math.exp((self._need_at - now) / NEED_FADES)
+        return self.demand * math.exp((self._demand_at - now) / DEMAND_DECAY_S)
 
     # Attempts.
 
-    def ask(
+    def request_connection(
         self, now: float, waiter: Any, patience: float, sound: Callable[[Any], bool]
     ) -> list[Action]:
         """`patience`: s that the attempt has in all. `sound` looks whether an idle link still
         stands."""
         actions: list[Action] = []
-        self.counts.asked += 1
+        self.counters.requested += 1
         if not self.ready:
-            self.counts.refused += 1
-            return [Refuse(waiter, True)]
-        link = None if self.distrusted else self._take(now, actions, sound)
+            self.counters.rejected += 1
+            return [RejectAttempt(waiter, True)]
+        link = None if self.distrusted else self._take_idle(now, actions, sound)
         if link is not None:
             self._hand_out(now, waiter, link, actions)
             return actions
-        if len(self.waiting) >= self.options.queue:
-            self.counts.refused += 1
-            actions.append(Refuse(waiter, False))
+        if len(self.waiters) >= self.options.queue:
+            self.counters.rejected += 1
+            actions.append(RejectAttempt(waiter, False))
             return actions
-        self.waiting.append((waiter, now + patience * WAIT_PART))
-        self._used(now)
+        self.waiters.append((waiter, now + patience * MAX_WAIT_FRACTION))
+        self._record_demand(now)
         self._dial_for_waiting(now, actions)
         return actions
 
-    def _take(self, now: float, actions: list[Action], sound: Callable[[Any], bool]) -> Any | None:
+    def _take_idle(
+        self, now: float, actions: list[Action], sound: Callable[[Any], bool]
+    ) -> Any | None:
         while self.idle:
             link = self.idle.pop()
-            state = self._links[link]
-            if state.idle_since <= now - self.idle_for or state.dies <= now:
-                self._forget(link, actions)
+            state = self._states[link]
+            if state.idle_since <= now - self.idle_timeout or state.expires_at <= now:
+                self._close(link, actions)
             elif not sound(link):
-                self.counts.caught += 1
-                self._forget(link, actions)
+                self.counters.stale_detected += 1
+                self._close(link, actions)
             else:
                 return link
         return None
 
-    def _forget(self, link: Any, actions: list[Action]) -> None:
-        del self._links[link]
-        actions.append(Close(link))
+    def _close(self, link: Any, actions: list[Action]) -> None:
+        del self._states[link]
+        actions.append(CloseConnection(link))
 
     def _hand_out(self, now: float, waiter: Any, link: Any, actions: list[Action]) -> None:
-        state = self._links[link]
-        self.counts.reused += state.used > 0
-        state.used, state.left = state.used + 1, state.left - 1
+        state = self._states[link]
+        self.counters.reused += state.exchanges > 0
+        state.exchanges, state.exchanges_left = state.exchanges + 1, state.exchanges_left - 1
         self.busy.add(link)
-        self._used(now)
-        actions.append(HandOut(waiter, link))
+        self._record_demand(now)
+        actions.append(AssignConnection(waiter, link))
 
     def _dial_for_waiting(self, now: float, actions: list[Action]) -> None:
         """A dial for each that waits, within the bound. With none busy there is always room for
         one."""
-        while len(self.dials) < len(self.waiting) and (
-            self.open() < self.bound() or self._displace(actions)
+        while len(self.dials) < len(self.waiters) and (
+            self.open() < self.bound() or self._close_oldest_idle(actions)
         ):
-            self._open(actions)
+            self._start_dial(actions)
 
-    def _displace(self, actions: list[Action]) -> bool:
+    def _close_oldest_idle(self, actions: list[Action]) -> bool:
         """A distrusted idle link gives its place to a dial."""
         if not self.idle:
             return False
-        self._forget(self.idle.pop(0), actions)
+        self._close(self.idle.pop(0), actions)
         return True
 
-    def _open(self, actions: list[Action]) -> None:
-        self._dial += 1
-        self.counts.dials += 1
-        self.dials.add(self._dial)
-        actions.append(Open(self._dial))
+    def _start_dial(self, actions: list[Action]) -> None:
+        self._last_dial += 1
+        self.counters.dials += 1
+        self.dials.add(self._last_dial)
+        actions.append(StartDial(self._last_dial))
 
     def cancel(self, waiter: Any) -> None:
         """It waits no longer. Its dial goes on, and what comes of it is kept."""
-        self.waiting = deque(entry for entry in self.waiting if entry[0] is not waiter)
+        self.waiters = deque(entry for entry in self.waiters if entry[0] is not waiter)
 
     # Links.
 
-    def dialled(self, now: float, dial: int, link: Any) -> list[Action]:
+    def dial_succeeded(self, now: float, dial: int, link: Any) -> list[Action]:
         """A dial has come up. The backend answers: idle links are trusted again."""
         self.dials.discard(dial)
         if not self.ready:
-            return [Close(link)]
-        vary = 1 + self.rng.uniform(-JITTER, JITTER)
+            return [CloseConnection(link)]
+        vary = 1 + self.rng.uniform(-LIFETIME_JITTER, LIFETIME_JITTER)
         left = max(1, int(self.options.requests * vary))
-        self._links[link] = _Link(now, now + self.options.age * vary, left)
+        self._states[link] = _ConnectionState(now, now + self.options.age * vary, left)
         self.distrusted = False
         actions: list[Action] = []
-        self._offer(now, link, actions)
+        self._assign_or_keep(now, link, actions)
         return actions
 
-    def failed(self, now: float, dial: int, refused: bool) -> list[Action]:
+    def dial_failed(self, now: float, dial: int, refused: bool) -> list[Action]:
         """A dial has not come up. `refused`: the backend, or this process, had no place for it."""
         self.dials.discard(dial)
-        self.counts.failed += 1
+        self.counters.dials_failed += 1
         actions: list[Action] = []
         if refused and self.busy:  # it serves others, so it is there: there are too many
-            self.learned = max(float(LEAST), (len(self.busy) + len(self.idle)) * BACK_OFF)
+            self.learned_bound = max(
+                float(MIN_CONNECTIONS), (len(self.busy) + len(self.idle)) * REFUSED_BOUND_FACTOR
+            )
             self._grown_at = now
         else:
-            self.distrust(actions)
-        if self.waiting:
-            self.counts.refused += 1
-            actions.append(Refuse(self.waiting.popleft()[0], True))
+            self.close_all_idle(actions)
+        if self.waiters:
+            self.counters.rejected += 1
+            actions.append(RejectAttempt(self.waiters.popleft()[0], True))
         self._dial_for_waiting(now, actions)
         return actions
 
-    def freed(self, now: float, link: Any, reusable: bool) -> list[Action]:
+    def release(self, now: float, link: Any, reusable: bool) -> list[Action]:
         """An exchange is over. Its link goes to who waits, rests, or is closed."""
         self.busy.discard(link)
-        state = self._links[link]
+        state = self._states[link]
         state.idle_since = now
         actions: list[Action] = []
-        worn = state.left <= 0 or state.dies <= now or self.open() >= self.bound()
+        worn = state.exchanges_left <= 0 or state.expires_at <= now or self.open() >= self.bound()
         if worn or not (reusable and self.ready):
-            self._forget(link, actions)
+            self._close(link, actions)
         else:
-            self._offer(now, link, actions)
-        self._grow(now)
+            self._assign_or_keep(now, link, actions)
+        self._grow_bound(now)
         self._dial_for_waiting(now, actions)
         return actions
 
-    def _offer(self, now: float, link: Any, actions: list[Action]) -> None:
-        if self.waiting:
-            self._hand_out(now, self.waiting.popleft()[0], link, actions)
+    def _assign_or_keep(self, now: float, link: Any, actions: list[Action]) -> None:
+        if self.waiters:
+            self._hand_out(now, self.waiters.popleft()[0], link, actions)
         else:
             self.idle.append(link)
 
-    def _grow(self, now: float) -> None:
+    def _grow_bound(self, now: float) -> None:
         """Additive: after a while at the bound without another refusal there may be room for one
         more."""
         if (
-            self.learned < self.top
+            self.learned_bound < self.descriptor_bound
             and self.open() >= self.bound() - 1
-            and now - self._grown_at >= GROW_EVERY
+            and now - self._grown_at >= GROWTH_INTERVAL_S
         ):
-            self.learned, self._grown_at = self.learned + 1, now
-            if self.learned >= self.top:
-                self.learned = math.inf
+            self.learned_bound, self._grown_at = self.learned_bound + 1, now
+            if self.learned_bound >= self.descriptor_bound:
+                self.learned_bound = math.inf
 
-    def lost(self, now: float, link: Any, under_request: bool) -> list[Action]:
+    def connection_lost(self, now: float, link: Any, under_request: bool) -> list[Action]:
         """A link has ended by itself. `under_request`: with a request out and nothing of an
         answer."""
         actions: list[Action] = []
-        state = self._links.pop(link, None)
+        state = self._states.pop(link, None)
         if state is None:
             return actions
         if link in self.busy:
             self.busy.discard(link)
-            self.counts.missed += under_request and state.used > 1
+            self.counters.stale_missed += under_request and state.exchanges > 1
         else:
             self.idle.remove(link)
-            self.counts.caught += 1
+            self.counters.stale_detected += 1
         if under_request:
-            self.distrust(actions)
+            self.close_all_idle(actions)
         self._dial_for_waiting(now, actions)
         return actions
 
-    def distrust(self, actions: list[Action]) -> None:
+    def close_all_idle(self, actions: list[Action]) -> None:
         """The backend has failed without a word: the other idle links may lead to what is no longer
         there."""
         for link in self.idle:
-            self._forget(link, actions)
+            self._close(link, actions)
         self.idle.clear()
 
-    def doubt(self) -> None:
+    def distrust_idle(self) -> None:
         """It has said nothing for long: idle links are not used until a fresh one has come up."""
         self.distrusted = self.distrusted or bool(self.idle)
 
@@ -319,59 +335,59 @@
         """Each second or so. `gap`: the process or the machine has stood still, and every link is
         old."""
         actions: list[Action] = []
-        oldest = now - self.idle_for
+        oldest = now - self.idle_timeout
         kept = []
         for link in self.idle:
-            state = self._links[link]
-            if gap or state.idle_since <= oldest or state.dies <= now:
-                self._forget(link, actions)
+            state = self._states[link]
+            if gap or state.idle_since <= oldest or state.expires_at <= now:
+                self._close(link, actions)
             else:
                 kept.append(link)
         self.idle[:] = kept
         actions += self.shrink(self.bound())
-        while self.waiting and self.waiting[0][1] <= now:
-            self.counts.refused += 1
-            actions.append(Refuse(self.waiting.popleft()[0], False))
+        while self.waiters and self.waiters[0][1] <= now:
+            self.counters.rejected += 1
+            actions.append(RejectAttempt(self.waiters.popleft()[0], False))
         self._dial_for_waiting(now, actions)
         return actions
 
-    def next_at(self) -> float:
+    def next_wait_expiry(self) -> float:
         """When the first that waits has waited long enough; inf: nobody waits."""
-        return self.waiting[0][1] if self.waiting else math.inf
+        return self.waiters[0][1] if self.waiters else math.inf
 
-    def withdraw(self, ready: bool) -> list[Action]:
+    def drain(self, ready: bool) -> list[Action]:
         """Drained, out, moved or gone: nothing more is written there. Busy links end their
         exchange."""
         self.ready = ready
-        actions: list[Action] = [GiveUp(dial) for dial in sorted(self.dials)]
+        actions: list[Action] = [CancelDial(dial) for dial in sorted(self.dials)]
         self.dials.clear()
-        self.distrust(actions)
-        while self.waiting:
-            self.counts.refused += 1
-            actions.append(Refuse(self.waiting.popleft()[0], True))
-        self.learned, self.distrusted = math.inf, False
+        self.close_all_idle(actions)
+        while self.waiters:
+            self.counters.rejected += 1
+            actions.append(RejectAttempt(self.waiters.popleft()[0], True))
+        self.learned_bound, self.distrusted = math.inf, False
         return actions
 
     def shrink(self, to: int) -> list[Action]:
         """Idle links beyond `to` in all are closed, the least recently used first."""
         actions: list[Action] = []
         while self.idle and self.open() > to:
-            self._forget(self.idle.pop(0), actions)
+            self._close(self.idle.pop(0), actions)
         return actions
 
     def close_idle(self, count: int) -> list[Action]:
         """Room is needed elsewhere, or they are not wanted: the least recently used go."""
         actions: list[Action] = []
         for link in self.idle[:count]:
-            self._forget(link, actions)
+            self._close(link, actions)
         del self.idle[:count]
         return actions
 
-    def warm(self, now: float) -> list[Action]:
+    def preconnect(self, now: float) -> list[Action]:
         """One link ahead of its request, where the traffic of late would use it; requests come
         first."""
-        wanted = min(float(self.options.warm), math.ceil(self.expected(now)), self.bound())
+        wanted = min(float(self.options.warm), math.ceil(self.expected_demand(now)), self.bound())
         actions: list[Action] = []
-        if self.ready and not self.waiting and self.open() < wanted:
-            self._open(actions)
+        if self.ready and not self.waiters and self.open() < wanted:
+            self._start_dial(actions)
         return actions
--- a/cairndale/ingress/net/requests.py
+++ b/cairndale/ingress/net/requests.py
@@ -14,21 +14,21 @@
 from os import urandom
 from urllib.parse import parse_qs
 
-from cairndale.ingress.net.engine import Names, Wanted
+from cairndale.ingress.net.engine import ClientRequest, NameTable
 from cairndale.ingress.net.http import HOP_BY_HOP, Message
 from cairndale.ingress.policy import interface as it
 
-ID = re.compile(rb"[!-~]{1,128}")
-CUSTOMER = re.compile(rb"(?:^|[;,])\s*customer=([0-9a-fA-F]{16})\s*(?=[;,]|$)")
+REQUEST_ID = re.compile(rb"[!-~]{1,128}")
+CUSTOMER_COOKIE = re.compile(rb"(?:^|[;,])\s*customer=([0-9a-fA-F]{16})\s*(?=[;,]|$)")
 TIMEOUT = re.compile(rb"([0-9]{1,12})([mu])")
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 MAX_CUSTOMER = 1 << 33
 ANONYMOUS = b"anonymous"  # the customer of all requests that name none
 METHODS = {b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"}
-SECONDS = re.compile(rb"([0-9]{1,6}(?:\.[0-9]{1,6})?)(ms|us|m|u|s)")
-PER = {b"ms": 1000, b"m": 1000, b"us": 1, b"u": 1, b"s": 1_000_000}
+DURATION = re.compile(rb"([0-9]{1,6}(?:\.[0-9]{1,6})?)(ms|us|m|u|s)")
+UNIT_US = {b"ms": 1000, b"m": 1000, b"us": 1, b"u": 1, b"s": 1_000_000}
 
-Reader = Callable[[Message, Names, Sequence[it.RequestClass], int], "Wanted"]
+RequestReader = Callable[[Message, NameTable, Sequence[it.RequestClass], int], "ClientRequest"]
 
 
 class FieldError(Exception):
@@ -42,8 +42,8 @@
 
 
 def read_request(
-    message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
-) -> Wanted:
+    message: Message, names: NameTable, classes: Sequence[it.RequestClass], began: int
+) -> ClientRequest:
     """The client's request, or BadRequest: a plain 4xx tells the client what is wrong with it."""
     headers = message.headers
     if message.method not in (b"GET", b"POST"):
@@ -56,9 +56,9 @@
     if plan is None:
         raise BadRequest(400, "X-Plan is missing or unknown")
     id = headers.get(b"request-id", b"")
-    if not ID.fullmatch(id):
+    if not REQUEST_ID.fullmatch(id):
         raise BadRequest(400, "Request-Id is missing or invalid")
-    cookie = CUSTOMER.search(headers.get(b"cookie", b""))
+    cookie = CUSTOMER_COOKIE.search(headers.get(b"cookie", b""))
     customer = int(cookie[1], 16) if cookie else MAX_CUSTOMER
     if customer >= MAX_CUSTOMER:
         raise BadRequest(400, "cookie customer is missing or invalid")
@@ -70,7 +70,7 @@
     retry = headers.get(b"client-retry") == b"1"
     head = _head(message, id)
     quota, body = (units, spread, first), (message.body, message.upload)
-    return Wanted(id, cls, plan, customer, *quota, timeout, began, retry, head, *body)
+    return ClientRequest(id, cls, plan, customer, *quota, timeout, began, retry, head, *body)
 
 
 def _quota(text: bytes) -> tuple[float, int, int]:
@@ -114,8 +114,8 @@
 def read_timeout(text: bytes) -> int:
     """us: `500m` and `500000u` as the platform has them, `500ms` and `5s` as people do. Raises
     FieldError."""
-    match = SECONDS.fullmatch(text)
-    if match is None or not (found := round(float(match[1]) * PER[match[2]])):
+    match = DURATION.fullmatch(text)
+    if match is None or not (found := round(float(match[1]) * UNIT_US[match[2]])):
         raise FieldError(
             f"found {text.decode('latin-1')!r}; a time over 0 is wanted, as 500ms or 5s"
         )
@@ -123,7 +123,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fields:
+class RequestFields:
     """Where things are found: (way, name) pairs, the way one of header, cookie, query, constant."""
 
     customer: tuple[str, str]
@@ -133,7 +133,7 @@
     customers: dict[str, str]  # plan by customer
     paths: tuple[tuple[bytes, bytes], ...]  # a path's beginning and its class, the longest first
 
-    def reader(self) -> Reader:
+    def reader(self) -> RequestReader:
         return self._read
 
     @staticmethod
@@ -145,8 +145,8 @@
         return int.from_bytes(blake2b(who, digest_size=8).digest()) % MAX_CUSTOMER
 
     def _read(
-        self, message: Message, names: Names, classes: Sequence[it.RequestClass], began: int
-    ) -> Wanted:
+        self, message: Message, names: NameTable, classes: Sequence[it.RequestClass], began: int
+    ) -> ClientRequest:
         """The client's request, or BadRequest. A customer is its name's hash, alike everywhere."""
         if message.method not in METHODS:
             raise BadRequest(405, "this method is not known here")
@@ -170,10 +170,10 @@
         if not NUMBER.fullmatch(units) or not 0 < float(units) < math.inf:
             raise BadRequest(400, "the units are no number over 0")
         id = message.headers.get(b"request-id", b"")
-        id = id if ID.fullmatch(id) else urandom(8).hex().encode()
+        id = id if REQUEST_ID.fullmatch(id) else urandom(8).hex().encode()
         customer = self.number(who)
-        spread = max(1, names.gateways)
-        return Wanted(
+        spread = max(1, names.fleet_size)
+        return ClientRequest(
             id,
             cls,
             plan,
--- a/cairndale/ingress/observability/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -21,7 +21,7 @@
 
 import structlog
 
-from cairndale.ingress.net.engine import Wanted
+from cairndale.ingress.net.engine import ClientRequest
 from cairndale.ingress.policy.interface import Outcome
 
 ROOT_LOGGER = "cairndale.ingress"
@@ -191,7 +191,7 @@
     def __init__(self, writer: Writer, names: Any) -> None:
         self._writer, self._engine, self._due = writer, names, 0.0
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         self._due += self._writer.options.access
         if self._due < 1:
             return
@@ -216,7 +216,7 @@
         )
 
     def attempt(self, backend: int, outcome: Outcome, us: int) -> None: ...
-    def counted(self, outcome: Outcome, us: int) -> None: ...
+    def counter_called(self, outcome: Outcome, us: int) -> None: ...
 
 
 class Both:
@@ -225,7 +225,7 @@
     def __init__(self, *observers: Any) -> None:
         self._observers = observers
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         for observer in self._observers:
             observer.request(wanted, outcome, us, attempts)
 
@@ -233,9 +233,9 @@
         for observer in self._observers:
             observer.attempt(backend, outcome, us)
 
-    def counted(self, outcome: Outcome, us: int) -> None:
+    def counter_called(self, outcome: Outcome, us: int) -> None:
         for observer in self._observers:
-            observer.counted(outcome, us)
+            observer.counter_called(outcome, us)
 
 
 def logger_name(part: str) -> str:
--- a/cairndale/ingress/observability/metrics.py
+++ b/cairndale/ingress/observability/metrics.py
@@ -14,7 +14,7 @@
 from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-from cairndale.ingress.net.engine import Engine, Wanted
+from cairndale.ingress.net.engine import ClientRequest, Engine
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.interface import Outcome
 
@@ -97,7 +97,7 @@
 
     # The engine tells.
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         settings = self._engine.settings
         name = settings.classes[wanted.cls].name
         self._requests.labels(name, settings.plans[wanted.plan].name, outcome).inc()
@@ -108,7 +108,7 @@
         self._attempts.labels(outcome.value).inc()
         self._attempt_time.labels(outcome.value).observe(us / 1e6)
 
-    def counted(self, outcome: Outcome, us: int) -> None:
+    def counter_called(self, outcome: Outcome, us: int) -> None:
         self._calls.labels(outcome.value).inc()
         self._call_time.observe(us / 1e6)
 
@@ -123,15 +123,19 @@
     def seen(self) -> Iterator[GaugeMetricFamily]:
         """What is counted only when somebody asks."""
         engine, sockets = self._engine, self._sockets
-        yield GaugeMetricFamily("ironledge_open_requests", "Requests under way", value=engine.open)
+        yield GaugeMetricFamily(
+            "ironledge_open_requests", "Requests under way", value=engine.open_count
+        )
         held = GaugeMetricFamily(
             "ironledge_connections", "Descriptors held for connections", labels=["side"]
         )
-        held.add_metric(["servers"], sockets.servers)
-        held.add_metric(["clients"], max(0, sockets.open - sockets.servers))
+        held.add_metric(["servers"], sockets.upstream_count)
+        held.add_metric(["clients"], max(0, sockets.open_count - sockets.upstream_count))
         yield held
         yield GaugeMetricFamily(
-            "ironledge_connections_limit", "Up to here connections are opened", value=sockets.cap
+            "ironledge_connections_limit",
+            "Up to here connections are opened",
+            value=sockets.capacity,
         )
         pools = self.pools()
         states = GaugeMetricFamily(
--- a/cairndale/lab/faults/standins.py
+++ b/cairndale/lab/faults/standins.py
@@ -18,7 +18,7 @@
 import httptools
 import uvloop
 
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 from cairndale.lab.live.ports import HOST
 
 WORK = (0.001, 0.03)  # s that a request takes: from, to
@@ -31,10 +31,10 @@
         super().__init__(httptools.HttpRequestParser)
         self._out, self._rng = out, rng
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         id = message.headers.get(b"request-id", b"")
         if not id:
-            self.transport.write(plain(404, b""))
+            self.transport.write(encode_response(404, b""))
             return
         asyncio.get_running_loop().call_later(self._rng.uniform(*WORK), self._work, id)
 
@@ -45,9 +45,9 @@
         if self._rng.random() < FAILING:
             self.transport.abort()
         else:
-            self.transport.write(plain(200, b"done " + id))
+            self.transport.write(encode_response(200, b"done " + id))
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         self.transport.abort()
 
 
--- a/tests/configuration/test_delta.py
+++ b/tests/configuration/test_delta.py
@@ -367,14 +367,14 @@
     return (
         {
             node.numbering.service_name(service): {
-                node.ingress.engine.name_of(b.info.id): replace(b.info, id=0, key=0, service=0)
+                node.ingress.engine.backend_name(b.info.id): replace(b.info, id=0, key=0, service=0)
                 for b in backends
             }
             for service, backends in node.ingress.selector.ready_by_service.items()
         },
-        {node.ingress.engine.name_of(number) for number in node.ingress.selector.backends},
-        {node.ingress.engine.name_of(number) for number in node.ingress.backends._pools},
-        {entry.name: entry.raw() for entry in node.ingress.engine.entries()},
+        {node.ingress.engine.backend_name(number) for number in node.ingress.selector.backends},
+        {node.ingress.engine.backend_name(number) for number in node.ingress.backends._pools},
+        {entry.name: entry.to_raw() for entry in node.ingress.engine.entries()},
     )
 
 
@@ -475,7 +475,7 @@
     message.headers = {b"host": b"a.example", b"authorization": b"Token k1", b"x-request-id": b"1"}
     engine = node.ingress.engine
     routed_request = node.router(message, engine.names, engine.settings.classes, node.clock.now())
-    assert routed_request.dress and b"X-Tenant: t1" in (routed_request.dress("i", 1000) or b"")
+    assert routed_request.build and b"X-Tenant: t1" in (routed_request.build("i", 1000) or b"")
     upsert = {
         "routes": [route("r2")],
         "tenants": [{"name": "t1"} | changed_fields] if changed_fields else [],
@@ -485,5 +485,5 @@
     watch_response = respond(state, node.config_client, node.serving.now(), 3)
     assert watch_response.HasField("delta")
     node.applier.apply(watch_response, NODE, node.serving.now())
-    assert (routed_request.dress("i", 1000) is not None) == is_forwarded
+    assert (routed_request.build("i", 1000) is not None) == is_forwarded
     node.ingress.backends.stop()
--- a/tests/dataplane/test_node.py
+++ b/tests/dataplane/test_node.py
@@ -138,13 +138,13 @@
     units = ((RETRY, node.numbering.service_number("s1")), (WARMUP, 1))
     began = node.clock.now()
     for _ in range(3):
-        node.quota_client.deal(units, granted.append)
+        node.quota_client.acquire(units, granted.append)
         await asyncio.gather(*node.quota_client.calls)
     assert [list(request.budgets) for request in requests] == [["further/s1", "starts/i"]] * 3
     assert began < granted[0] <= node.clock.now() + 300_000 and granted[1:] == [0, 0]
     assert node.ingress.selector.is_denied(units[0], began + 150_000)
     node.config_client.last_response_at = float("-inf")  # isolated: no grant is requested
-    node.quota_client.deal(units, granted.append)
+    node.quota_client.acquire(units, granted.append)
     await asyncio.gather(*node.quota_client.calls)
     assert len(requests) == 3 and granted[3] == 0
     node.ingress.backends.stop()
@@ -195,7 +195,7 @@
         pb.Endpoint(id="i", service="s1", address=address, zone="z", capacity=2, state="ready")
     )
     node.applier.apply(response, node.describe(), node.serving.now())
-    lessor = node.ingress.engine.lessor = Mock()
+    lessor = node.ingress.engine.lease_client = Mock()
     lessor.lease = lambda customer, amount, spent, answered: answered(Outcome.OK, 0.0, 50.0)
     return node, await node.listener.listen(HOST, 0)
 
@@ -210,10 +210,10 @@
     node, port = await serving_node(server)
     _, client = await asyncio.open_connection(HOST, port)
     client.write(request_bytes())
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     client.close()
-    await server.until(lambda: len(server.closed) == 1)
-    assert node.ingress.engine.open == 0
+    await server.wait_until(lambda: len(server.closed) == 1)
+    assert node.ingress.engine.open_count == 0
     node.listener.stop_listening()
     node.ingress.backends.stop()
     server.stop()
@@ -226,7 +226,7 @@
     reader, client = await asyncio.open_connection(HOST, port)
     client.write(request_bytes(b"X-Long: %b\r\n" % (b"x" * 40_000)))
     if max_header_bytes:
-        await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+        await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     else:
         assert (await asyncio.wait_for(reader.readline(), 10)).split()[1] == b"431"
     client.close()
--- a/tests/dataplane/test_request.py
+++ b/tests/dataplane/test_request.py
@@ -13,14 +13,21 @@
 
 from cairndale.dataplane.endpoint_selection import EndpointSelector, Placement
 from cairndale.errors import Verdict
-from cairndale.ingress.net.discovery import Entry, Listing
-from cairndale.ingress.net.engine import Answer, Data, Engine, Flow, Names, Wanted
+from cairndale.ingress.net.discovery import EndpointEntry, EndpointUpdate
+from cairndale.ingress.net.engine import (
+    AttemptContext,
+    AttemptResult,
+    ClientRequest,
+    Engine,
+    NameTable,
+    RequestData,
+)
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.admission import NEVER_RAN
 from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome, Repeat
 from cairndale.quota.budget_counter import EVEN_RETRY_FRACTION, RETRY, WARMUP
-from tests.testing.ingress import Wheel
+from tests.testing.ingress import ManualClock
 
 SECOND = 1_000_000
 CLASSES = (
@@ -72,8 +79,8 @@
 
     request: int
     backend: int
-    data: Data
-    ended: Callable[[Answer], None]
+    data: RequestData
+    ended: Callable[[AttemptResult], None]
     over: bool = False
     written: bool = False
     seen: bool = False
@@ -102,7 +109,7 @@
     retry_tokens: float = 0.0  # retries allowed by the requests made so far
 
 
-class World(Wheel):
+class World(ManualClock):
     """Simulated servers, counter and clock; the first server is in slow start."""
 
     def __init__(
@@ -117,10 +124,16 @@
         assert isinstance(selector, EndpointSelector)
         selector.placement = Placement(0, 0, 20, {0: 20}, 0.2, 60.0)
         self.selector = selector
-        self.engine = Engine(self.policy, SETTINGS, Names(SETTINGS, {}), self, lambda: self.time)
-        self.engine.servers, self.engine.lessor, self.engine.refusals = self, self, (429, 503)
-        self.engine.dealer = self
-        self.engine.describe = lambda entry, number: it.ListedBackend(
+        self.engine = Engine(
+            self.policy, SETTINGS, NameTable(SETTINGS, {}), self, lambda: self.time
+        )
+        self.engine.upstreams, self.engine.lease_client, self.engine.rejection_statuses = (
+            self,
+            self,
+            (429, 503),
+        )
+        self.engine.budget_client = self
+        self.engine.describe_endpoint = lambda entry, number: it.ListedBackend(
             number,
             it.BackendState.READY,
             0,
@@ -133,15 +146,15 @@
             warmup_until=3600 * SECOND if cold and number == 1 else 0,
         )
         up = [
-            Entry({"name": f"s{n}", "address": "127.0.0.1:1", "status": "up"})
+            EndpointEntry({"name": f"s{n}", "address": "127.0.0.1:1", "status": "up"})
             for n in range(servers)
         ]
-        self.engine.listed(Listing.of(1, up, True))
+        self.engine.update_endpoints(EndpointUpdate.of(1, up, True))
 
-    def know(self, entry: Entry, backend: int) -> None: ...
-    def settle(self, gone: Iterable[int]) -> None: ...
-    def hold(self, backend: int, out: bool) -> None: ...
-    def probe(self, backend: int, ended: Callable[[Answer], None]) -> None: ...
+    def update_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
+    def apply_updates(self, gone: Iterable[int]) -> None: ...
+    def set_maintenance(self, backend: int, out: bool) -> None: ...
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
     def close_idle(self, backend: int) -> None: ...
 
     def lease(self, customer: int, amount: float, spent: float, answered: Any) -> None:
@@ -149,7 +162,7 @@
         self.model.leased += [self.time + SETTINGS.counter.lease_expiry] * int(granted)
         answered(Outcome.OK, 0.0, 5.0 - amount)
 
-    def deal(self, units: tuple[it.BudgetUnit, ...], granted: Callable[[int], None]) -> None:
+    def acquire(self, units: tuple[it.BudgetUnit, ...], granted: Callable[[int], None]) -> None:
         self.deals.append((units, granted))
 
     def answer_grant(self, index: int, is_granted: bool) -> None:
@@ -162,7 +175,11 @@
             granted((self.time + GRANT_LIFE_US) * is_granted)
 
     def send(
-        self, backend: int, data: Data, ended: Callable[[Answer], None], flow: Flow | None = None
+        self,
+        backend: int,
+        data: RequestData,
+        ended: Callable[[AttemptResult], None],
+        flow: AttemptContext | None = None,
     ) -> Attempt:
         self.sent.append(Attempt(0, backend, data, ended))
         return self.sent[-1]
@@ -172,7 +189,7 @@
         assert not isinstance(sent.data, bytes)
         if (data := sent.data()) is None:
             sent.over = True
-            sent.ended(Answer(Outcome.MOOT))
+            sent.ended(AttemptResult(Outcome.MOOT))
             return
         sent.written, sent.request, model = True, int(data), self.model
         again = model.arrivals[sent.request] > 0
@@ -192,7 +209,7 @@
         number, model = self.request_count, self.model
         model.answers[number], model.arrivals[number], model.runs[number] = [], 0, 0
         model.quota[number] = quota
-        wanted = Wanted(
+        wanted = ClientRequest(
             b"%d" % number,
             cls,
             int(quota),
@@ -206,9 +223,9 @@
             b"",
             b"",
             service=1,
-            dress=lambda server, left: b"%d" % number,
+            build=lambda server, left: b"%d" % number,
         )
-        assert self.engine.arrived(wanted, Client(number, self))
+        assert self.engine.request_arrived(wanted, Client(number, self))
 
     def end(self, index: int, how: str) -> None:
         in_flight = [s for s in self.sent if not s.over]
@@ -228,7 +245,7 @@
             sent.seen = True
         if outcome is not None:
             sent.over = True
-            sent.ended(Answer(outcome))
+            sent.ended(AttemptResult(outcome))
 
 
 def use(units: list[int], now: int) -> None:
@@ -246,20 +263,20 @@
     def _record(self, what: str) -> None:
         self.world.model.answers[self.number].append(what)
 
-    def serve(self, answer: Answer) -> None:
+    def send_response(self, answer: AttemptResult) -> None:
         self._record("served")
 
-    def refuse(self, retry_after: int, status: int = 429) -> None:
+    def reject(self, retry_after: int, status: int = 429) -> None:
         self._record(f"{status}")
         self.world.model.retry_after_by_request[self.number] = retry_after
 
     def fail(self, timed_out: bool) -> None:
         self._record("504" if timed_out else "502")
 
-    def begin(self, answer: Answer, source: Any) -> None: ...
-    def more(self, data: bytes) -> None: ...
-    def finish(self) -> None: ...
-    def break_off(self) -> None: ...
+    def begin_stream(self, answer: AttemptResult, source: Any) -> None: ...
+    def write_body(self, data: bytes) -> None: ...
+    def end_stream(self) -> None: ...
+    def abort_stream(self) -> None: ...
 
 
 STEPS = st.one_of(
@@ -284,13 +301,13 @@
         elif what == "freeze":  # the timers that became due run only after the next step
             world.time += number * 1000
         else:
-            world.pass_time(number * 1000)
+            world.advance(number * 1000)
         in_flight: dict[int, int] = {}
         for sent in world.sent:
             if sent.written:
                 in_flight[sent.request] = in_flight.get(sent.request, 0) + (not sent.over)
         assert all(n <= 1 for n in in_flight.values()), "two attempts in flight at once"
-    world.pass_time(10 * SECOND)
+    world.advance(10 * SECOND)
     model = world.model
     for number, cls in classes.items():
         client_answers = model.answers[number]
@@ -301,7 +318,7 @@
         if client_answers[0] in ("429", "503"):
             assert model.runs[number] == 0, "rejected request has run"
             assert model.quota[number] or model.retry_after_by_request[number] > 0, "no Retry-After"
-    assert not world.engine._requests and world.engine.open == 0
+    assert not world.engine._requests and world.engine.open_count == 0
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -386,6 +403,6 @@
         grants += len(world.deals)
         world.answer_grant(0, False)
         world.end(0, "answered")
-        world.pass_time(400_000)
+        world.advance(400_000)
     assert 60 < retries <= 400 * 0.2 + EVEN_RETRY_FRACTION * 60 / 20
     assert grants == 400 - retries
--- a/tests/discovery/test_end_to_end.py
+++ b/tests/discovery/test_end_to_end.py
@@ -16,7 +16,7 @@
 
 from cairndale.discovery.state import LEAP
 from tests.testing.discovery import HOST, ROOT, STARTED, Program, call
-from tests.testing.ingress import OK, RAW, Peer, PeerServer, answers, read_answer, request
+from tests.testing.ingress import OK, RAW, Peer, PeerServer, read_answer, reply_with, request
 
 GRACE = 0.25  # s after the news of a drain
 
@@ -124,7 +124,7 @@
     servers: list[PeerServer] = []
 
     def counting(number: int) -> Any:
-        answer = answers(OK)
+        answer = reply_with(OK)
 
         def heard(peer: Peer) -> None:
             got[number] += peer.data.count(b"\r\n\r\n")
@@ -206,7 +206,7 @@
 ) -> None:
     """The follower is behind at the failover; the ingress, which was told, is replaced by a new
     process."""
-    servers = [await PeerServer(answers(OK)).start() for _ in range(3)]
+    servers = [await PeerServer(reply_with(OK)).start() for _ in range(3)]
     leader = await Program(tmp_path / "one").start()
     follower = await Program(tmp_path / "two", more={"follow": f"{HOST}:{leader.reads}"}).start()
     for number, server in enumerate(servers):
@@ -222,7 +222,7 @@
     assert (await leader.call("DELETE", "/servers/s-1"))[0] == 200
     await ingress.until(index=5)
     for server in servers[:2]:
-        await server.until(lambda server=server: len(server.closed) == len(server.peers))  # type: ignore[misc]
+        await server.wait_until(lambda server=server: len(server.closed) == len(server.peers))  # type: ignore[misc]
     met = [len(server.peers) for server in servers]
     await leader.end(signal.SIGKILL)
     await follower.start()
@@ -247,7 +247,7 @@
 
 
 async def test_a_stopped_leader_is_left_for_the_follower(tmp_path: Path) -> None:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(reply_with(OK)).start()
     leader = await Program(tmp_path / "one").start()
     follower = await Program(tmp_path / "two", more={"follow": f"{HOST}:{leader.reads}"}).start()
     await leader.register("s-0", server.port)
@@ -270,7 +270,7 @@
 
 async def test_an_unchanged_ingress_works_with_the_service(tmp_path: Path) -> None:
     """Without `directory`: one address, and no more than PROTOCOL has."""
-    servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
+    servers = [await PeerServer(reply_with(OK)).start() for _ in range(2)]
     service = await Program(tmp_path / "one").start()
     ingress = Ingress(tmp_path / "ingress", service.reads)
     await ingress.start()
@@ -284,7 +284,7 @@
     await ingress.until(index=2)
     await service.call("DELETE", "/servers/s-0")
     await ingress.until(index=3)
-    await servers[0].until(lambda: len(servers[0].closed) == len(servers[0].peers) > 0)
+    await servers[0].wait_until(lambda: len(servers[0].closed) == len(servers[0].peers) > 0)
     await ingress.more()
     assert len(servers[0].closed) == len(servers[0].peers) and servers[1].peers
     await ingress.end()
--- a/tests/golden/inputs.py
+++ b/tests/golden/inputs.py
@@ -19,9 +19,9 @@
 from cairndale.configuration.state import State
 from cairndale.discovery import state as directory_state
 from cairndale.discovery.store import Store as DirectoryStore
-from cairndale.ingress.net.discovery import Directory, Held, Listing
-from cairndale.ingress.net.engine import Answer, Engine, Names, Wanted
-from cairndale.ingress.net.handover import Offer, Talk
+from cairndale.ingress.net.discovery import DirectoryConfig, EndpointTable, EndpointUpdate
+from cairndale.ingress.net.engine import AttemptResult, ClientRequest, Engine, NameTable
+from cairndale.ingress.net.handover import HandoverChannel, HandoverOffer
 from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome
 from cairndale.ingress.wire import settings_from_json
@@ -424,7 +424,7 @@
     }
 
 
-def listing(index: int, lineage: str, *servers: dict[str, Any]) -> Listing:
+def listing(index: int, lineage: str, *servers: dict[str, Any]) -> EndpointUpdate:
     raw = {
         "index": index,
         "snapshot": True,
@@ -433,10 +433,10 @@
         "lineage": lineage,
         "gone": [["s-0", 9]],
     }
-    return Listing(raw)
+    return EndpointUpdate(raw)
 
 
-def listings() -> list[Listing]:
+def listings() -> list[EndpointUpdate]:
     """Of a first list service, of another one, and of that one once it lacks most servers."""
     servers = [listed_server(1), listed_server(2, "draining"), listed_server(3, since_ms=1000)]
     return [
@@ -452,14 +452,14 @@
     def __init__(self, clock: SimpleNamespace) -> None:
         self.clock = clock
 
-    def know(self, entry: Any, backend: int) -> None: ...
-    def settle(self, gone: Any) -> None: ...
-    def hold(self, backend: int, out: bool) -> None: ...
+    def update_endpoint(self, entry: Any, backend: int) -> None: ...
+    def apply_updates(self, gone: Any) -> None: ...
+    def set_maintenance(self, backend: int, out: bool) -> None: ...
 
     def send(self, backend: int, data: Any, ended: Any, flow: Any = None) -> Any:
-        if not flow.id.startswith(b"open"):
+        if not flow.request_id.startswith(b"open"):
             self.clock.time += 3000 * backend
-            ended(Answer(Outcome.OK, load=b"pending=%d" % backend))
+            ended(AttemptResult(Outcome.OK, load=b"pending=%d" % backend))
         return SimpleNamespace(abort=lambda: True, pause=lambda paused: None)
 
 
@@ -484,18 +484,18 @@
         loop: Any = SimpleNamespace(call_later=lambda delay, callback, *args: timer)
         self.clock = SimpleNamespace(time=1000 * SECOND)
         self.gateway = RequestPolicy(settings, seed=1)
-        names = Names(settings, INGRESS_SETTINGS)
+        names = NameTable(settings, INGRESS_SETTINGS)
         self.engine = Engine(self.gateway, settings, names, loop, lambda: self.clock.time)
-        self.engine.servers, self.engine.counter = Servers(self.clock), Counter(self.clock)
-        self.held = Held(Directory(()))
+        self.engine.upstreams, self.engine.counter = Servers(self.clock), Counter(self.clock)
+        self.held = EndpointTable(DirectoryConfig(()))
 
     def request(self, id: bytes, customer: int, plan: int, units: float = 1.0) -> None:
         client: Any = SimpleNamespace(
-            serve=lambda answer: None,
-            refuse=lambda retry_after, status: None,
-            more=lambda data: None,
+            send_response=lambda answer: None,
+            reject=lambda retry_after, status: None,
+            write_body=lambda data: None,
         )
-        wanted = Wanted(
+        wanted = ClientRequest(
             id,
             0,
             plan,
@@ -509,7 +509,7 @@
             b"GET / HTTP/1.1\r\n",
             b"",
         )
-        assert self.engine.arrived(wanted, client)
+        assert self.engine.request_arrived(wanted, client)
 
 
 def set_by_hand(ingress: Ingress) -> None:
@@ -534,16 +534,16 @@
     """Some seconds of requests, within quotas and beyond them; two requests are still open."""
     ingress = Ingress()
     for told in listings():
-        if change := ingress.held.offer(told, 1000.0 + told.index):
-            ingress.engine.listed(change)
-    ingress.engine.maintain("s-3", True)
-    ingress.engine.maintain("s-4", True)
+        if change := ingress.held.apply_update(told, 1000.0 + told.index):
+            ingress.engine.update_endpoints(change)
+    ingress.engine.set_maintenance("s-3", True)
+    ingress.engine.set_maintenance("s-4", True)
     for number in range(40):
         ingress.clock.time += 150_000
         ingress.request(b"a%d" % number, 7, 0)
         ingress.request(b"b%d" % number, 8, 1, 2.0)
         ingress.request(b"c%d" % number, 9, 0, 0.25)
-    ingress.engine.maintain("s-3", False)
+    ingress.engine.set_maintenance("s-3", False)
     ingress.request(b"open-1", 7, 0)
     ingress.request(b"open-2", 9, 0, 0.25)
     set_by_hand(ingress)
@@ -556,12 +556,12 @@
     reader = asyncio.StreamReader()
     reader.feed_data(b'"serving"\n')
     writer: Any = SimpleNamespace(write=written.extend)
-    talk = Talk(reader, writer)
-    listener: Any = SimpleNamespace(step_aside=lambda aside: None)
-    sockets: Any = SimpleNamespace(cap=100, open=17)
-    discovery: Any = SimpleNamespace(held=ingress.held, index=ingress.held.index)
+    talk = HandoverChannel(reader, writer)
+    listener: Any = SimpleNamespace(suspend=lambda suspended: None)
+    sockets: Any = SimpleNamespace(capacity=100, open_count=17)
+    discovery: Any = SimpleNamespace(table=ingress.held, index=ingress.held.index)
     rest: Any = None
-    offer = Offer(
+    offer = HandoverOffer(
         Path("unused"),
         ingress.engine,
         ingress.gateway,
@@ -571,9 +571,9 @@
         rest,
         lambda: None,
     )
-    await offer._pass_on(talk)
-    talk.say(offer._told())
-    talk.maintained("s-1", True)
+    await offer._transfer(talk)
+    talk.send(offer._load())
+    talk.send_maintenance("s-1", True)
     return bytes(written)
 
 
--- a/tests/golden/test_golden_bytes.py
+++ b/tests/golden/test_golden_bytes.py
@@ -27,7 +27,7 @@
 from cairndale.discovery import state as directory_state
 from cairndale.discovery.store import Store as DirectoryStore
 from cairndale.ingress import handover_state
-from cairndale.ingress.net.handover import Claim
+from cairndale.ingress.net.handover import HandoverClaim
 from cairndale.ingress.policy.account import TenantAccount
 from cairndale.raft import codec, fragments
 from cairndale.raft.messages import Entry, Member, PersistedState, Snapshot, state_digest
@@ -337,37 +337,37 @@
 
 async def taken_over(
     ingress: inputs.Ingress, sockets: Any
-) -> tuple[Claim, socket.socket, int | None]:
+) -> tuple[HandoverClaim, socket.socket, int | None]:
     """By a new process, from what the old one of eb69f91 said."""
     here, there = socket.socketpair()
     here.setblocking(False)
     there.setblocking(False)
     await asyncio.get_running_loop().sock_sendall(there, HANDOVER)
     unused: Any = None
-    claim = Claim(here, unused)
-    discovery: Any = SimpleNamespace(held=ingress.held)
-    index = await claim.take(ingress.engine, ingress.gateway, sockets, discovery)
+    claim = HandoverClaim(here, unused)
+    discovery: Any = SimpleNamespace(table=ingress.held)
+    index = await claim.take_over(ingress.engine, ingress.gateway, sockets, discovery)
     return claim, there, index
 
 
 async def test_an_ingress_is_taken_over_as_before() -> None:
     told = json.loads(HANDOVER.splitlines()[0])
     state, module = told["ingress"], told["ingress"]["module"]
-    ingress, sockets = inputs.Ingress(), SimpleNamespace(elsewhere=0)
+    ingress, sockets = inputs.Ingress(), SimpleNamespace(predecessor_count=0)
     claim, there, index = await taken_over(ingress, sockets)
     maintenance: Any = SimpleNamespace()
-    claim.serving(ingress.engine, sockets, maintenance)  # type: ignore[arg-type]
+    claim.confirm_serving(ingress.engine, sockets, maintenance)  # type: ignore[arg-type]
     async with asyncio.timeout(5):
-        while "s-1" not in ingress.engine.maintained:
+        while "s-1" not in ingress.engine.in_maintenance:
             await asyncio.sleep(0.01)
         said = await asyncio.get_running_loop().sock_recv(there, 100)
     claim.stop()
     there.close()
     assert said == b'"take"\n"serving"\n'
-    assert index == 14 and sockets.elsewhere == 17
+    assert index == 14 and sockets.predecessor_count == 17
     assert json.loads(json.dumps(ingress.held.dump())) == told["held"]
     named = {key: value for key, value in state.items() if key not in ("module", "maintained")}
-    again = ingress.engine.hand_over()
+    again = ingress.engine.dump_state()
     assert {key: again[key] for key in named} == named
     assert again["maintained"] == ["s-1", "s-4"]
     assert (
--- a/tests/ingress/net/test_answers.py
+++ b/tests/ingress/net/test_answers.py
@@ -10,16 +10,16 @@
 import pytest_asyncio
 
 from cairndale.dataplane.upstream_protocol import classify_answer
-from cairndale.ingress.net.engine import Answer, Flow
-from cairndale.ingress.net.http import HOLD
+from cairndale.ingress.net.engine import AttemptContext, AttemptResult
+from cairndale.ingress.net.http import MAX_BUFFERED_BODY_BYTES
 from cairndale.ingress.policy.interface import Outcome
-from tests.testing.ingress import ASKED, OK, Fleet, Peer, PeerServer, answers
+from tests.testing.ingress import OK, REQUEST, Peer, PeerServer, SingleBackend, reply_with
 
 
 @pytest_asyncio.fixture
-async def fleet() -> AsyncIterator[Fleet]:
-    server = await PeerServer(answers(OK)).start()
-    fleet = Fleet(server)
+async def fleet() -> AsyncIterator[SingleBackend]:
+    server = await PeerServer(reply_with(OK)).start()
+    fleet = SingleBackend(server)
     yield fleet
     fleet.backends.stop()
     server.stop()
@@ -33,15 +33,15 @@
 class Spoken:
     """Asks; what an answer calls goes on at once, as the module's next attempt does."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: SingleBackend) -> None:
         self.fleet, self.got = fleet, asyncio.Queue[bytes]()
 
     def ask(self, then: Callable[[], object] = lambda: None) -> None:
-        def ended(answer: Answer) -> None:
+        def ended(answer: AttemptResult) -> None:
             self.got.put_nowait(answer.body)
             then()
 
-        self.fleet.backends.send(1, ASKED, ended)
+        self.fleet.backends.send(1, REQUEST, ended)
 
     async def answer(self) -> bytes:
         async with asyncio.timeout(10):
@@ -50,14 +50,14 @@
 
 @pytest.mark.parametrize("surplus", [SURPLUS, b"HTTP/1.1 103 Early\r\n\r\n" + SURPLUS])
 async def test_an_answer_read_behind_another_is_never_the_next_requests(
-    fleet: Fleet, surplus: bytes
+    fleet: SingleBackend, surplus: bytes
 ) -> None:
     """The next one is asked the moment the first is answered, by which time both have been read."""
     spoken = Spoken(fleet)
-    fleet.server.heard = answers(OK + surplus)
+    fleet.server.on_data = reply_with(OK + surplus)
 
     def again() -> None:
-        fleet.server.heard = answers(OWN)
+        fleet.server.on_data = reply_with(OWN)
         spoken.ask()
 
     spoken.ask(then=again)
@@ -66,30 +66,34 @@
 
 
 @pytest.mark.parametrize("read", [True, False])
-async def test_who_waits_for_a_link_gets_none_that_has_said_more(fleet: Fleet, read: bool) -> None:
+async def test_who_waits_for_a_link_gets_none_that_has_said_more(
+    fleet: SingleBackend, read: bool
+) -> None:
     """`read`: along with the answer before; else it is still in the socket."""
-    fleet.server.heard = lambda peer: None
+    fleet.server.on_data = lambda peer: None
     spoken, held = Spoken(fleet), fleet.backends._pools[1]
     spoken.ask()
-    await fleet.server.until(
+    await fleet.server.wait_until(
         lambda: bool(fleet.server.peers) and b"\r\n\r\n" in fleet.server.peers[0].data
     )
     (link,), (peer,) = held.busy, fleet.server.peers
     spoken.ask()
-    assert len(held.pool.waiting) == 1
-    fleet.server.heard = answers(OWN)
+    assert len(held.pool.waiters) == 1
+    fleet.server.on_data = reply_with(OWN)
     if not read:
         os.write(peer.transport.get_extra_info("socket").fileno(), SURPLUS)
     link.data_received(OK + SURPLUS * read)
     assert [await spoken.answer(), await spoken.answer()] == [b"warm", b"own"]
 
 
-async def test_what_comes_on_an_idle_link_ends_it_though_it_is_only_a_part(fleet: Fleet) -> None:
+async def test_what_comes_on_an_idle_link_ends_it_though_it_is_only_a_part(
+    fleet: SingleBackend,
+) -> None:
     """It is no longer in the socket then, where a look would find it, but in the parser."""
-    fleet.backends.tune(600_000_000, 250_000)  # nothing else ends it
+    fleet.backends.update_limits(600_000_000, 250_000)  # nothing else ends it
     assert await fleet.outcome() is Outcome.OK
     fleet.server.peers[0].transport.write(SURPLUS[:20])
-    await fleet.server.until(lambda: len(fleet.server.closed) == 1)
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
     assert fleet.backends._pools[1].idle == []
     assert await fleet.outcome() is Outcome.OK and len(fleet.server.peers) == 2
 
@@ -102,12 +106,12 @@
     return head % (status, id, more, len(body)) + body
 
 
-async def attempt(fleet: Fleet, id: bytes) -> tuple[Outcome, bytes]:
+async def attempt(fleet: SingleBackend, id: bytes) -> tuple[Outcome, bytes]:
     """An attempt as the system's data plane makes it: the answer, whole or in parts."""
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     parts: list[bytes] = []
     data = b"GET /a HTTP/1.1\r\nX-Request-Id: %b\r\n\r\n" % id
-    flow = Flow(None, lambda answer: True, parts.append, id=id)
+    flow = AttemptContext(None, lambda answer: True, parts.append, request_id=id)
     fleet.backends.send(1, data, done.set_result, flow)
     async with asyncio.timeout(10):
         answer = await done
@@ -115,22 +119,26 @@
 
 
 @pytest.fixture
-def relaying(fleet: Fleet) -> Fleet:
-    fleet.backends.relays, fleet.backends.judge, fleet.backends.strict = True, classify_answer, True
+def relaying(fleet: SingleBackend) -> SingleBackend:
+    (
+        fleet.backends.relays_responses,
+        fleet.backends.classifier,
+        fleet.backends.written_at_first_byte,
+    ) = True, classify_answer, True
     return fleet
 
 
 @pytest.mark.parametrize("id", [b"X-Request-Id: first\r\n", b""])
 async def test_a_refusal_read_behind_an_answer_is_not_the_next_requests(
-    relaying: Fleet, id: bytes
+    relaying: SingleBackend, id: bytes
 ) -> None:
     """It would say that the next one never ran, whose one attempt is on its way to run."""
     refusal = b"HTTP/1.1 503 Full\r\n%bX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n" % id
-    relaying.server.heard = answers(sealed(b"200 OK", b"first", b"1") + refusal)
-    second: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    relaying.server.on_data = reply_with(sealed(b"200 OK", b"first", b"1") + refusal)
+    second: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
-    def again(answer: Answer) -> None:
-        relaying.server.heard = answers(sealed(b"200 OK", b"second", b"2"))
+    def again(answer: AttemptResult) -> None:
+        relaying.server.on_data = reply_with(sealed(b"200 OK", b"second", b"2"))
         relaying.backends.send(
             1, b"GET /a HTTP/1.1\r\nX-Request-Id: second\r\n\r\n", second.set_result
         )
@@ -142,7 +150,7 @@
 
 
 async def test_a_late_second_refusal_does_not_count_for_the_same_requests_next_attempt(
-    relaying: Fleet,
+    relaying: SingleBackend,
 ) -> None:
     """Its id is right. Taken for this attempt's it says that it never ran: a third one would run it
     again."""
@@ -150,25 +158,27 @@
         sealed(b"503 Full", b"same", b"", b"X-Not-Run: 1\r\n"),
         sealed(b"200 OK", b"same", b"ran"),
     )
-    relaying.server.heard = answers(full)
+    relaying.server.on_data = reply_with(full)
     assert await attempt(relaying, b"same") == (Outcome.FULL, b"")
     (old,) = relaying.server.peers
 
     def heard(peer: Peer) -> None:
-        answers(full if peer is old else served)(peer)
+        reply_with(full if peer is old else served)(peer)
 
-    relaying.server.heard = heard
+    relaying.server.on_data = heard
     assert await attempt(relaying, b"same") == (Outcome.OK, b"ran")
-    relaying.server.heard = answers(sealed(b"200 OK", b"other", b"ran"))
+    relaying.server.on_data = reply_with(sealed(b"200 OK", b"other", b"ran"))
     assert await attempt(relaying, b"other") == (Outcome.OK, b"ran")
     assert len(relaying.server.peers) == 2
 
 
-@pytest.mark.parametrize("size", [9, HOLD + 1])
-async def test_another_requests_answer_passes_by_however_large(relaying: Fleet, size: int) -> None:
+@pytest.mark.parametrize("size", [9, MAX_BUFFERED_BODY_BYTES + 1])
+async def test_another_requests_answer_passes_by_however_large(
+    relaying: SingleBackend, size: int
+) -> None:
     own = sealed(b"200 OK", b"new", b"own")
-    relaying.server.heard = answers(sealed(b"200 OK", b"old", b"o" * size) + own)
+    relaying.server.on_data = reply_with(sealed(b"200 OK", b"old", b"o" * size) + own)
     assert await attempt(relaying, b"new") == (Outcome.OK, b"own")
-    relaying.server.heard = answers(sealed(b"200 OK", b"next", b"own"))
+    relaying.server.on_data = reply_with(sealed(b"200 OK", b"next", b"own"))
     assert await attempt(relaying, b"next") == (Outcome.OK, b"own")
     assert len(relaying.server.peers) == 2
--- a/tests/ingress/net/test_backends.py
+++ b/tests/ingress/net/test_backends.py
@@ -10,17 +10,17 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.ingress.net.backends import Server
-from cairndale.ingress.net.discovery import Entry
-from cairndale.ingress.net.engine import Answer, Flow
+from cairndale.ingress.net.backends import BackendPool
+from cairndale.ingress.net.discovery import EndpointEntry
+from cairndale.ingress.net.engine import AttemptContext, AttemptResult
 from cairndale.ingress.policy.interface import Outcome
-from tests.testing.ingress import ASKED, HOST, OK, Fleet, PeerServer, answers
+from tests.testing.ingress import HOST, OK, REQUEST, PeerServer, SingleBackend, reply_with
 
 
 @pytest_asyncio.fixture
-async def fleet() -> AsyncIterator[Fleet]:
-    server = await PeerServer(answers(OK)).start()
-    fleet = Fleet(server)
+async def fleet() -> AsyncIterator[SingleBackend]:
+    server = await PeerServer(reply_with(OK)).start()
+    fleet = SingleBackend(server)
     yield fleet
     fleet.backends.stop()
     server.stop()
@@ -44,8 +44,8 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 70000000\r\n\r\n", Outcome.RESET),
     ],
 )
-async def test_outcomes_of_answers(fleet: Fleet, reply: bytes, outcome: Outcome) -> None:
-    fleet.server.heard = answers(reply)
+async def test_outcomes_of_answers(fleet: SingleBackend, reply: bytes, outcome: Outcome) -> None:
+    fleet.server.on_data = reply_with(reply)
     assert await fleet.outcome() is outcome
 
 
@@ -58,21 +58,21 @@
     ],
 )
 async def test_outcomes_of_a_connection_that_ends(
-    fleet: Fleet, reply: bytes, outcome: Outcome
+    fleet: SingleBackend, reply: bytes, outcome: Outcome
 ) -> None:
     def heard(peer: object) -> None:
         fleet.server.peers[0].transport.write(reply)
         fleet.server.peers[0].transport.close()
 
-    fleet.server.heard = heard
+    fleet.server.on_data = heard
     assert await fleet.outcome() is outcome
 
 
 async def test_a_connection_that_came_up_while_this_process_stood_still_counts(
-    fleet: Fleet,
+    fleet: SingleBackend,
 ) -> None:
     """Its time is over by the time anybody looks, which says nothing of the backend."""
-    fleet.backends.tune(10_000_000, 0)
+    fleet.backends.update_limits(10_000_000, 0)
     assert await fleet.outcome() is Outcome.OK
     # one that does not come up is given up as ever
     with socket.create_server((HOST, 0), backlog=0) as full:
@@ -81,31 +81,32 @@
         for sock in held:
             sock.setblocking(False)
             sock.connect_ex((HOST, port))
-        fleet.list(port=port)
+        fleet.update_list(port=port)
         assert await fleet.outcome() is Outcome.CONNECT_FAILED
         for sock in held:
             sock.close()
 
 
-async def test_an_address_may_be_a_name(fleet: Fleet) -> None:
-    fleet.backends.know(
-        Entry({"name": "s-2", "address": f"localhost:{fleet.server.port}", "status": "up"}), 2
+async def test_an_address_may_be_a_name(fleet: SingleBackend) -> None:
+    fleet.backends.update_endpoint(
+        EndpointEntry({"name": "s-2", "address": f"localhost:{fleet.server.port}", "status": "up"}),
+        2,
     )
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-    fleet.backends.send(2, ASKED, done.set_result)
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
+    fleet.backends.send(2, REQUEST, done.set_result)
     async with asyncio.timeout(10):
         assert (await done).outcome is Outcome.OK
 
 
-async def test_a_refused_connection_never_ran(fleet: Fleet) -> None:
+async def test_a_refused_connection_never_ran(fleet: SingleBackend) -> None:
     with socket.create_server((HOST, 0)) as closing:
         port = closing.getsockname()[1]
-    fleet.list(port=port)
+    fleet.update_list(port=port)
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.open_count == 0
 
 
-async def test_a_connection_that_never_comes_up_never_ran(fleet: Fleet) -> None:
+async def test_a_connection_that_never_comes_up_never_ran(fleet: SingleBackend) -> None:
     with socket.socket() as full:  # a line of one, filled: further connections hang
         full.bind((HOST, 0))
         full.listen(0)
@@ -113,38 +114,42 @@
         for filler in fillers:
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        fleet.list(port=full.getsockname()[1])
+        fleet.update_list(port=full.getsockname()[1])
         assert await fleet.outcome() is Outcome.CONNECT_FAILED
         for filler in fillers:
             filler.close()
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.open_count == 0
 
 
-async def test_out_of_descriptors_never_ran(fleet: Fleet, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_out_of_descriptors_never_ran(
+    fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def none_left(*_: object) -> None:
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr("cairndale.ingress.net.backends.socket.socket", none_left)
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
-    assert fleet.sockets.open == 0
+    assert fleet.sockets.open_count == 0
 
 
-async def test_connections_are_kept_and_carry_one_request_each(fleet: Fleet) -> None:
+async def test_connections_are_kept_and_carry_one_request_each(fleet: SingleBackend) -> None:
     assert [await fleet.outcome() for _ in range(3)] == [Outcome.OK] * 3
     assert len(fleet.server.peers) == 1
     both = fleet.send(), fleet.send()
     assert [(await b).outcome for b in both] == [Outcome.OK] * 2
     # a dial that was not needed is kept
-    await fleet.server.until(lambda: len(fleet.server.peers) == 2)
-    assert fleet.sockets.open == 2
+    await fleet.server.wait_until(lambda: len(fleet.server.peers) == 2)
+    assert fleet.sockets.open_count == 2
 
 
-async def test_no_request_goes_out_on_a_connection_that_the_backend_has_ended(fleet: Fleet) -> None:
+async def test_no_request_goes_out_on_a_connection_that_the_backend_has_ended(
+    fleet: SingleBackend,
+) -> None:
     """The end may be in the socket before the loop has read it: a look at the socket tells."""
     assert await fleet.outcome() is Outcome.OK
     (link,) = fleet.backends._pools[1].idle
     fleet.server.peers[0].transport.close()
-    while link.stands():  # without going back to the loop's own reading of it
+    while link.is_usable():  # without going back to the loop's own reading of it
         fleet.server.peers[0].transport.get_extra_info("socket")
         await asyncio.sleep(0)
     assert await fleet.outcome() is Outcome.OK
@@ -152,76 +157,82 @@
 
 
 async def test_idle_connections_are_closed_before_the_backend_does() -> None:
-    server = await PeerServer(answers(OK)).start()
-    fleet = Fleet(server, idle_us=0)
+    server = await PeerServer(reply_with(OK)).start()
+    fleet = SingleBackend(server, idle_us=0)
     assert await fleet.outcome() is Outcome.OK
     assert await fleet.outcome() is Outcome.OK
     assert len(server.peers) == 2
-    await server.until(lambda: len(server.closed) == 2)
-    assert fleet.sockets.open == 0
+    await server.wait_until(lambda: len(server.closed) == 2)
+    assert fleet.sockets.open_count == 0
     fleet.backends.stop()
     server.stop()
 
 
-async def test_giving_up_ends_the_connection_before_anything_else_is_sent(fleet: Fleet) -> None:
+async def test_giving_up_ends_the_connection_before_anything_else_is_sent(
+    fleet: SingleBackend,
+) -> None:
     seen: list[int] = []
-    fleet.server.heard = lambda peer: seen.append(len(fleet.server.peers))
+    fleet.server.on_data = lambda peer: seen.append(len(fleet.server.peers))
     fleet.send()
-    await fleet.server.until(lambda: len(seen) == 1)
+    await fleet.server.wait_until(lambda: len(seen) == 1)
     (link,) = fleet.backends._pools[1].busy
     assert fleet.exchange.abort() is True
     with pytest.raises(BrokenPipeError):  # our sending has ended, in the very same step
         link.sock.send(b"x")
-    await fleet.server.until(lambda: len(fleet.server.closed) == 1)
-    assert fleet.sockets.open == 0
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
+    assert fleet.sockets.open_count == 0
 
 
-async def test_an_attempt_given_up_while_connecting_never_ran(fleet: Fleet) -> None:
+async def test_an_attempt_given_up_while_connecting_never_ran(fleet: SingleBackend) -> None:
     fleet.send()
     assert fleet.exchange.abort() is False
 
 
-async def test_a_drain_withdraws_what_is_not_written_and_closes_what_is_idle(fleet: Fleet) -> None:
+async def test_a_drain_withdraws_what_is_not_written_and_closes_what_is_idle(
+    fleet: SingleBackend,
+) -> None:
     assert await fleet.outcome() is Outcome.OK
-    fleet.server.heard = lambda peer: None
+    fleet.server.on_data = lambda peer: None
     written, unwritten = fleet.send(), fleet.send()
-    await fleet.server.until(lambda: b"\r\n\r\n" in fleet.server.peers[0].data)
+    await fleet.server.wait_until(lambda: b"\r\n\r\n" in fleet.server.peers[0].data)
     third = fleet.send()
-    fleet.list(status="draining")
+    fleet.update_list(status="draining")
     assert third.done() and third.result().outcome is Outcome.CONNECT_FAILED
     assert (await fleet.send()).outcome is Outcome.CONNECT_FAILED
     for peer in fleet.server.peers:
         peer.transport.write(OK)
     assert (await written).outcome is Outcome.OK  # a drain finishes what it has
     assert (await unwritten).outcome in (Outcome.OK, Outcome.CONNECT_FAILED)
-    await fleet.server.until(lambda: len(fleet.server.closed) == len(fleet.server.peers))
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == len(fleet.server.peers))
 
 
-async def test_a_name_may_move_to_another_address(fleet: Fleet) -> None:
+async def test_a_name_may_move_to_another_address(fleet: SingleBackend) -> None:
     assert await fleet.outcome() is Outcome.OK
-    other = await PeerServer(answers(OK)).start()
-    fleet.list(port=other.port)
-    await fleet.server.until(lambda: len(fleet.server.closed) == 1)
+    other = await PeerServer(reply_with(OK)).start()
+    fleet.update_list(port=other.port)
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
     assert await fleet.outcome() is Outcome.OK
     assert len(other.peers) == 1 and len(fleet.server.peers) == 1
     other.stop()
 
 
-async def test_probes_are_answered_or_given_up(fleet: Fleet) -> None:
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+async def test_probes_are_answered_or_given_up(fleet: SingleBackend) -> None:
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     fleet.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
-    fleet.server.heard = lambda peer: None
-    silent: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    fleet.server.on_data = lambda peer: None
+    silent: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     fleet.backends.probe(1, silent.set_result)
     assert (await silent).outcome is Outcome.TIMEOUT
 
 
-async def test_a_connection_with_something_nobody_asked_for_is_not_used_again(fleet: Fleet) -> None:
+async def test_a_connection_with_something_nobody_asked_for_is_not_used_again(
+    fleet: SingleBackend,
+) -> None:
     """The start of a second answer behind the first would have garbled the next request's."""
-    fleet.server.heard = answers(OK + b"HTTP/1.1 2")
+    fleet.server.on_data = reply_with(OK + b"HTTP/1.1 2")
     assert await fleet.outcome() is Outcome.OK
-    fleet.server.heard = answers(OK)
+    fleet.server.on_data = reply_with(OK)
     assert await fleet.outcome() is Outcome.OK
     assert len(fleet.server.peers) == 2
 
@@ -229,79 +240,94 @@
 # The pool's mechanisms on sockets; the decisions alone are in test_net_pool.py.
 
 
-async def test_an_attempt_gets_whichever_comes_first_and_its_dial_is_kept(fleet: Fleet) -> None:
-    fleet.server.heard = lambda peer: None
+async def test_an_attempt_gets_whichever_comes_first_and_its_dial_is_kept(
+    fleet: SingleBackend,
+) -> None:
+    fleet.server.on_data = lambda peer: None
     first = fleet.send()
-    await fleet.server.until(
+    await fleet.server.wait_until(
         lambda: bool(fleet.server.peers) and b"\r\n\r\n" in fleet.server.peers[0].data
     )
     second = fleet.send()
     assert fleet.exchange.abort() is False  # its dial goes on without it
-    await fleet.server.until(lambda: len(fleet.server.peers) == 2)
-    fleet.server.heard = answers(OK)
+    await fleet.server.wait_until(lambda: len(fleet.server.peers) == 2)
+    fleet.server.on_data = reply_with(OK)
     assert await fleet.outcome() is Outcome.OK
     assert len(fleet.server.peers) == 2 and not second.done()
     fleet.server.peers[0].transport.write(OK)
     assert (await first).outcome is Outcome.OK
 
 
-async def test_one_reset_under_a_request_closes_the_other_idle_links_too(fleet: Fleet) -> None:
+async def test_one_reset_under_a_request_closes_the_other_idle_links_too(
+    fleet: SingleBackend,
+) -> None:
     """A backend that went away without a word would have failed one request for each of them."""
-    fleet.server.heard = lambda peer: None
+    fleet.server.on_data = lambda peer: None
     some = [fleet.send() for _ in range(3)]
-    await fleet.server.until(lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 3)
+    await fleet.server.wait_until(
+        lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 3
+    )
     for peer in fleet.server.peers:
         peer.data = b""
         peer.transport.write(OK)
     assert [(await s).outcome for s in some] == [Outcome.OK] * 3
-    fleet.server.heard = lambda peer: peer.transport.abort()
+    fleet.server.on_data = lambda peer: peer.transport.abort()
     assert await fleet.outcome() is Outcome.RESET
     (pool,) = (s.pool for s in fleet.backends._pools.values())
-    assert pool.idle == [] and pool.counts.missed == 1
-    fleet.server.heard = answers(OK)
+    assert pool.idle == [] and pool.counters.stale_missed == 1
+    fleet.server.on_data = reply_with(OK)
     assert await fleet.outcome() is Outcome.OK
 
 
 async def test_after_standing_still_no_idle_link_is_trusted(
-    fleet: Fleet, monkeypatch: pytest.MonkeyPatch
+    fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert await fleet.outcome() is Outcome.OK
-    fleet.backends._ticked = (fleet.backends._ticked[0] - 60, fleet.backends._ticked[1] - 60)
-    fleet.backends._tick()
-    await fleet.server.until(lambda: len(fleet.server.closed) == 1)
+    fleet.backends._last_sweep = (
+        fleet.backends._last_sweep[0] - 60,
+        fleet.backends._last_sweep[1] - 60,
+    )
+    fleet.backends._sweep_pools()
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
     assert await fleet.outcome() is Outcome.OK and len(fleet.server.peers) == 2
 
 
-async def test_clients_that_hold_all_descriptors_leave_backends_their_part(fleet: Fleet) -> None:
+async def test_clients_that_hold_all_descriptors_leave_backends_their_part(
+    fleet: SingleBackend,
+) -> None:
     sockets = fleet.sockets
-    sockets.open = sockets.cap  # clients, none of them idle
-    assert not sockets.room() and sockets.room_for_server()
+    sockets.open_count = sockets.capacity  # clients, none of them idle
+    assert not sockets.has_room() and sockets.has_room_for_upstream()
     assert await fleet.outcome() is Outcome.OK
     fleet.backends.close_idle(1)
-    sockets.open, sockets.servers = sockets.cap, sockets.for_servers
-    assert not sockets.room_for_server()
-    sockets.open = sockets.servers = sockets.most_servers
-    assert sockets.room() and not sockets.room_for_server()  # nor do backends take the clients'
+    sockets.open_count, sockets.upstream_count = sockets.capacity, sockets.reserved_for_upstreams
+    assert not sockets.has_room_for_upstream()
+    sockets.open_count = sockets.upstream_count = sockets.max_upstreams
+    assert (
+        sockets.has_room() and not sockets.has_room_for_upstream()
+    )  # nor do backends take the clients'
 
 
 async def test_what_waits_for_a_full_pool_ends_unsent_in_its_own_time_and_says_nothing_of_the_backend(  # noqa: E501
-    fleet: Fleet,
+    fleet: SingleBackend,
 ) -> None:
-    fleet.server.heard = lambda peer: None
+    fleet.server.on_data = lambda peer: None
     held = [fleet.send() for _ in range(2)]
-    await fleet.server.until(lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 2)
+    await fleet.server.wait_until(
+        lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 2
+    )
     (pool,) = (s.pool for s in fleet.backends._pools.values())
-    pool.top = 2.0
-    flow = Flow(None, lambda answer: True, lambda data: None, patience=0.08)
-    done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-    fleet.backends.send(1, ASKED, done.set_result, flow)
+    pool.descriptor_bound = 2.0
+    flow = AttemptContext(None, lambda answer: True, lambda data: None, timeout_s=0.08)
+    done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
+    fleet.backends.send(1, REQUEST, done.set_result, flow)
     async with asyncio.timeout(10):
         assert (await done).outcome is Outcome.MOOT
     assert len(fleet.server.peers) == 2 and not any(h.done() for h in held)
 
 
 async def test_a_dial_that_comes_up_as_its_time_ends_is_counted_once(
-    fleet: Fleet, monkeypatch: pytest.MonkeyPatch
+    fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop = asyncio.get_running_loop()
     made = loop.create_connection
@@ -310,18 +336,18 @@
         await made(*args, **more)
         raise TimeoutError
 
-    monkeypatch.setattr(Server, "now", staticmethod(loop.time))
+    monkeypatch.setattr(BackendPool, "now", staticmethod(loop.time))
     monkeypatch.setattr(
         "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: Late(loop, late)
     )
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
     monkeypatch.undo()
-    await fleet.server.until(lambda: len(fleet.server.closed) == len(fleet.server.peers) == 1)
-    assert (fleet.sockets.open, fleet.sockets.servers) == (0, 0)
+    await fleet.server.wait_until(lambda: len(fleet.server.closed) == len(fleet.server.peers) == 1)
+    assert (fleet.sockets.open_count, fleet.sockets.upstream_count) == (0, 0)
 
 
 async def test_a_link_that_ended_as_it_came_up_is_handed_to_nobody(
-    fleet: Fleet, monkeypatch: pytest.MonkeyPatch
+    fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It would be busy for good. It may be read from before its dial is told that it is up."""
     loop = asyncio.get_running_loop()
@@ -332,12 +358,12 @@
         link.data_received(b"HTTP/1.1 408 Late\r\n\r\n")
         return transport, link
 
-    monkeypatch.setattr(Server, "now", staticmethod(loop.time))
+    monkeypatch.setattr(BackendPool, "now", staticmethod(loop.time))
     monkeypatch.setattr(
         "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: Late(loop, ended)
     )
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
-    assert (fleet.backends._pools[1].pool.open(), fleet.sockets.open) == (0, 0)
+    assert (fleet.backends._pools[1].pool.open(), fleet.sockets.open_count) == (0, 0)
 
 
 class Late:
--- a/tests/ingress/net/test_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -8,7 +8,7 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.ingress.net.bodies import LEAST, MOST, Memory, Upload
+from cairndale.ingress.net.bodies import MAX_BUFFER_BYTES, MIN_BUFFER_BYTES, BodyMemory, Upload
 from cairndale.ingress.policy import interface as it
 from tests.ingress.net.test_clients import listing, look_later
 from tests.testing.ingress import (
@@ -17,9 +17,9 @@
     Ingress,
     Peer,
     PeerServer,
-    Script,
-    answers,
+    ScriptedPolicy,
     read_answer,
+    reply_with,
     request,
     send_first,
 )
@@ -38,9 +38,9 @@
 
 @pytest_asyncio.fixture
 async def ingress(backend: PeerServer) -> AsyncIterator[Ingress]:
-    ingress = Ingress(Script(send_first))
+    ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.listed(listing(backend.port))
+    ingress.engine.update_endpoints(listing(backend.port))
     yield ingress
     ingress.stop()
 
@@ -51,7 +51,7 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port, limit=1 << 24)
     ingress.held = writer  # type: ignore[attr-defined]
     writer.write(data)
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     return reader, backend.peers[0]
 
 
@@ -79,13 +79,13 @@
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
         assert await reader.readexactly(1000) == LARGE[:1000]
-    assert b"Content-Length: 1048576" in head and not ingress.script.of(it.AttemptEnded)
-    assert len(ingress.script.of(it.StreamStarted)) == 1
+    assert b"Content-Length: 1048576" in head and not ingress.script.of_kind(it.AttemptEnded)
+    assert len(ingress.script.of_kind(it.StreamStarted)) == 1
     peer.transport.write(LARGE[1000:])
     assert await reader.readexactly(len(LARGE) - 1000) == LARGE[1000:]
-    (ended,) = await ingress.script.seen(it.AttemptEnded)
-    assert ended.outcome is it.Outcome.OK and ended.final and ingress.engine.open == 0
-    backend.heard = answers(OK)
+    (ended,) = await ingress.script.wait_for(it.AttemptEnded)
+    assert ended.outcome is it.Outcome.OK and ended.final and ingress.engine.open_count == 0
+    backend.on_data = reply_with(OK)
     ingress.held.write(request("next"))  # type: ignore[attr-defined]
     # both stay in use
     assert (await read_answer(reader)).endswith(b"warm") and len(backend.peers) == 1
@@ -106,7 +106,7 @@
         peer.transport.write(data[at : at + cut])
         await asyncio.sleep(0)
     assert await body_of(reader) == body
-    (ended,) = await ingress.script.seen(it.AttemptEnded)
+    (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.OK
 
 
@@ -165,11 +165,11 @@
     async with asyncio.timeout(10):
         await reader.readuntil(b"\r\n\r\n")
     peer.transport.abort()
-    ends = await ingress.script.seen(it.AttemptEnded)
+    ends = await ingress.script.wait_for(it.AttemptEnded)
     assert ends[-1].final and len(backend.peers) == 1
     with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
         await reader.readexactly(len(LARGE))
-    assert ingress.engine.open == 0 and ingress.listener.memory.bodies == 0
+    assert ingress.engine.open_count == 0 and ingress.listener.memory.active_bodies == 0
 
 
 async def test_a_client_that_does_not_read_holds_its_backend_up_and_little_memory(
@@ -178,12 +178,12 @@
     body = LARGE * 16
     reader, writer = await asyncio.open_connection(HOST, ingress.port, limit=1024)
     writer.write(request())
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(HEAD % len(body) + body)
-    while not (links := ingress.backends._pools[1].busy) or next(iter(links)).heard_at < 1e18:
+    while not (links := ingress.backends._pools[1].busy) or next(iter(links)).last_part_at < 1e18:
         await asyncio.sleep(0.001)  # until the backend's connection is paused
     (connection,) = ingress.listener.connections
-    assert connection.transport.get_write_buffer_size() < 4 * MOST
+    assert connection.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
     assert await body_of(reader) == body
     writer.close()
 
@@ -195,10 +195,10 @@
     peer.transport.write(HEAD % len(LARGE) + LARGE[:1000])
     await reader.readuntil(b"\r\n\r\n")
     ingress.held.transport.abort()  # type: ignore[attr-defined]
-    (ended,) = await ingress.script.seen(it.AttemptEnded)
+    (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.CANCELLED and ended.final
-    await backend.until(lambda: len(backend.closed) == 1)
-    assert ingress.engine.open == 0 and ingress.listener.memory.bodies == 0
+    await backend.wait_until(lambda: len(backend.closed) == 1)
+    assert ingress.engine.open_count == 0 and ingress.listener.memory.active_bodies == 0
 
 
 def upload(size: int, **other: str) -> bytes:
@@ -210,18 +210,18 @@
     ingress: Ingress, backend: PeerServer
 ) -> None:
     _, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:500_000])
-    await backend.until(lambda: len(peer.data) > 400_000)
-    assert ingress.script.of(it.RequestArrived)[0].body_streaming and not ingress.script.of(
-        it.BodyCompleted
-    )
+    await backend.wait_until(lambda: len(peer.data) > 400_000)
+    assert ingress.script.of_kind(it.RequestArrived)[
+        0
+    ].body_streaming and not ingress.script.of_kind(it.BodyCompleted)
     ingress.held.write(LARGE[500_000:])  # type: ignore[attr-defined]
-    await backend.until(lambda: peer.data.endswith(LARGE))
+    await backend.wait_until(lambda: peer.data.endswith(LARGE))
     head = peer.data[: -len(LARGE)]
     assert b"Content-Length: 1048576\r\n" in head and head.endswith(b"\r\n\r\n")
-    (came,) = ingress.script.of(it.BodyCompleted)
+    (came,) = ingress.script.of_kind(it.BodyCompleted)
     assert came.time_left == 3_000_000
     peer.transport.write(OK)
-    (ended,) = await ingress.script.seen(it.AttemptEnded)
+    (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.OK and ended.body_consumed
 
 
@@ -232,7 +232,7 @@
         upload(0, content_length="-", Transfer_Encoding="chunked") + b"100000\r\n" + LARGE + b"\r\n"
     )
     reader, peer = await asked(ingress, backend, sent + b"0\r\nX: trailer\r\n\r\n")
-    await backend.until(lambda: peer.data.endswith(b"\r\n0\r\n\r\n"))
+    await backend.wait_until(lambda: peer.data.endswith(b"\r\n0\r\n\r\n"))
     head, _, rest = peer.data.partition(b"\r\n\r\n")
     assert b"Transfer-Encoding: chunked" in head and b"Content-Length" not in head
     body = b""
@@ -247,18 +247,18 @@
 async def test_a_backend_that_takes_none_holds_the_client_up(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: peer.transport.pause_reading()
+    backend.on_data = lambda peer: peer.transport.pause_reading()
     reader, peer = await asked(ingress, backend, upload(16 * len(LARGE)) + LARGE * 16)
     (connection,) = ingress.listener.connections
-    while not connection._holds:
+    while not connection._pause_reasons:
         await asyncio.sleep(0.001)
     (link,) = ingress.backends._pools[1].busy
-    assert link.transport.get_write_buffer_size() < 4 * MOST
+    assert link.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
     look_later(ingress, 60)  # its time does not count while it is held up
     assert not connection.transport.is_closing()
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     peer.transport.resume_reading()
-    await backend.until(lambda: len(peer.data) > 16 * len(LARGE))
+    await backend.wait_until(lambda: len(peer.data) > 16 * len(LARGE))
     peer.transport.write(OK)
     assert (await read_answer(reader)).endswith(b"warm")
 
@@ -272,7 +272,7 @@
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 429 ")
     writer.write(LARGE[1000:] + request("next"))
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 429 ")
-    assert ingress.listener.memory.bodies == 0
+    assert ingress.listener.memory.active_bodies == 0
     writer.close()
 
 
@@ -288,10 +288,10 @@
 
     ingress.script.rule = rule
     reader, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:200_000])
-    await backend.until(lambda: len(peer.data) > 100_000)
+    await backend.wait_until(lambda: len(peer.data) > 100_000)
     peer.transport.abort()
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 502 ")
-    assert [e.outcome for e in ingress.script.of(it.AttemptEnded)][1] is it.Outcome.MOOT
+    assert [e.outcome for e in ingress.script.of_kind(it.AttemptEnded)][1] is it.Outcome.MOOT
     assert len(backend.peers) == 1
 
 
@@ -304,7 +304,7 @@
     async with asyncio.timeout(10):
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
     writer.write(LARGE[:size])
-    await backend.until(
+    await backend.wait_until(
         lambda: bool(backend.peers) and backend.peers[0].data.endswith(LARGE[:size])
     )
     assert b"xpect" not in backend.peers[0].data[:500]
@@ -330,28 +330,28 @@
     data = request(cls="order").replace(b"Content-Length: 0", fields.encode())
     answer = await ingress.ask(data + b"5\r\nhello\r\n0\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 400 ") and b"Connection: close" in answer
-    assert not ingress.script.of(it.RequestArrived)
+    assert not ingress.script.of_kind(it.RequestArrived)
 
 
 async def test_a_slow_body_is_awaited_and_one_that_stops_is_not(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     reader, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:320_000])
-    await backend.until(lambda: len(peer.data) > 320_000)
+    await backend.wait_until(lambda: len(peer.data) > 320_000)
     look_later(ingress, 7)  # 320 kB at 64 kB/s take 5 s
-    assert len(ingress.listener.connections) == 1 and not ingress.script.of(it.ClientGone)
+    assert len(ingress.listener.connections) == 1 and not ingress.script.of_kind(it.ClientGone)
     look_later(ingress, 7)
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
-    await ingress.script.seen(it.ClientGone)
+    await ingress.script.wait_for(it.ClientGone)
 
 
 def test_the_more_bodies_there_are_the_less_each_may_hold() -> None:
-    memory, holds = Memory(64), list[bool]()
-    assert memory.share() == MOST
-    memory.bodies = 10**6
-    assert memory.share() == LEAST
+    memory, holds = BodyMemory(64), list[bool]()
+    assert memory.buffer_limit() == MAX_BUFFER_BYTES
+    memory.active_bodies = 10**6
+    assert memory.buffer_limit() == MIN_BUFFER_BYTES
     body = Upload(None, memory, holds.append)
-    body.feed(b"x" * LEAST)
+    body.feed(b"x" * MIN_BUFFER_BYTES)
     assert holds == [True]
     body.discard()
     assert holds == [True, False]
@@ -361,13 +361,19 @@
     ingress: Ingress, backend: PeerServer
 ) -> None:
     body = LARGE[:60_000]
-    backend.heard = answers(HEAD % len(body) + body)
+    backend.on_data = reply_with(HEAD % len(body) + body)
     _, writer = await asyncio.open_connection(HOST, ingress.port, limit=1024)
     writer.write(b"".join(request(f"r{number}") for number in range(200)))
-    while not (connections := ingress.listener.connections) or not next(iter(connections))._full:
+    while (
+        not (connections := ingress.listener.connections)
+        or not next(iter(connections))._writing_paused
+    ):
         await asyncio.sleep(0.001)
     (connection,) = connections
-    assert connection.transport.get_write_buffer_size() < 4 * MOST and connection._waiting
+    assert (
+        connection.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
+        and connection._pending_requests
+    )
     for _ in range(2):  # the first look finds what is left, the second that it is as much
         look_later(ingress, 10)
     assert connection.transport.is_closing()
--- a/tests/ingress/net/test_clients.py
+++ b/tests/ingress/net/test_clients.py
@@ -8,16 +8,16 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.ingress.net.discovery import Listing
+from cairndale.ingress.net.discovery import EndpointUpdate
 from cairndale.ingress.policy import interface as it
 from tests.testing.ingress import (
     HOST,
     OK,
     Ingress,
     PeerServer,
-    Script,
-    answers,
+    ScriptedPolicy,
     read_answer,
+    reply_with,
     request,
     send_first,
 )
@@ -25,21 +25,21 @@
 
 @pytest_asyncio.fixture
 async def backend() -> AsyncIterator[PeerServer]:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(reply_with(OK)).start()
     yield server
     server.stop()
 
 
 @pytest_asyncio.fixture
 async def ingress(backend: PeerServer) -> AsyncIterator[Ingress]:
-    ingress = Ingress(Script(send_first))
+    ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.listed(listing(backend.port))
+    ingress.engine.update_endpoints(listing(backend.port))
     yield ingress
     ingress.stop()
 
 
-def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> Listing:
+def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> EndpointUpdate:
     entry = {
         "name": "s-1",
         "address": f"{HOST}:{port}",
@@ -47,23 +47,23 @@
         "zone": "hall",
         "type": "big",
     }
-    return Listing({"index": index, "snapshot": whole, "endpoints": [entry]})
+    return EndpointUpdate({"index": index, "snapshot": whole, "endpoints": [entry]})
 
 
 async def test_a_request_is_served_and_told_to_the_module(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     task = asyncio.create_task(
         ingress.ask(request(X_Quota="units=1.5,spread=3,first=2", Client_Retry="1"))
     )
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     sent = backend.peers[0].data
     backend.peers[0].transport.write(OK)
     answer = await task
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\nwarm")
     assert sent.startswith(b"GET /read/x?y=1 HTTP/1.1\r\n") and b"\r\nRequest-Id: a1\r\n" in sent
-    (arrived,) = ingress.script.of(it.RequestArrived)
+    (arrived,) = ingress.script.of_kind(it.RequestArrived)
     assert (arrived.units, arrived.spread, arrived.first_ingress, arrived.is_retry) == (
         1.5,
         3,
@@ -71,7 +71,7 @@
         True,
     )
     assert arrived.customer == 7 and 2_900_000 < arrived.time_left <= 3_000_000
-    (ended,) = ingress.script.of(it.AttemptEnded)
+    (ended,) = ingress.script.of_kind(it.AttemptEnded)
     assert ended.outcome is it.Outcome.OK and ended.final and ended.load == (3.0,)
 
 
@@ -113,13 +113,13 @@
 
 
 async def test_a_live_id_is_not_taken_twice(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
-    await ingress.script.seen(it.RequestArrived)
+    await ingress.script.wait_for(it.RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
     # the end of the second connection is not the first's
-    assert not ingress.script.of(it.ClientGone)
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    assert not ingress.script.of_kind(it.ClientGone)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await first).endswith(b"warm")
 
@@ -135,24 +135,24 @@
 async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     script = ingress.script
     cancel = [it.CancelAttempt(1, 0)]
     script.rule = lambda event: cancel if isinstance(event, it.ClientGone) else send_first(event)
     _, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request())
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     writer.close()
-    (ended,) = await script.seen(it.AttemptEnded)
+    (ended,) = await script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.CANCELLED and ended.final
-    await backend.until(lambda: len(backend.closed) == 1)
+    await backend.wait_until(lambda: len(backend.closed) == 1)
 
 
 async def test_what_the_module_leaves_open_is_failed_before_the_deadline(ingress: Ingress) -> None:
     ingress.script.rule = lambda event: []
     answer = await ingress.ask(request(timeout="150m"))
     assert answer.startswith(b"HTTP/1.1 504 ")
-    await ingress.script.seen(it.ClientGone)
+    await ingress.script.wait_for(it.ClientGone)
 
 
 async def test_a_refusal_carries_the_wait_and_max_open_is_kept_from_the_module(
@@ -161,10 +161,10 @@
     ingress.script.rule = lambda event: [it.Refuse(1, 250_000)]
     answer = await ingress.ask(request())
     assert answer.startswith(b"HTTP/1.1 429 ") and b"Retry-After: 0.250\r\n" in answer
-    ingress.engine.open = 100
+    ingress.engine.open_count = 100
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 429 ")
-    assert len(ingress.script.of(it.RequestArrived)) == 1
-    ingress.engine.open = 0
+    assert len(ingress.script.of_kind(it.RequestArrived)) == 1
+    ingress.engine.open_count = 0
 
 
 async def test_a_module_error_does_not_end_the_process(ingress: Ingress) -> None:
@@ -180,16 +180,16 @@
 async def test_stopping_closes_idle_connections_and_finishes_what_was_taken(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
     taken = asyncio.create_task(ingress.ask(request()))
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
-    ingress.listener.begin_stop()
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    ingress.listener.start_draining()
     async with asyncio.timeout(10):
         assert await idle.read() == b""
-    backend.heard = answers(OK)
+    backend.on_data = reply_with(OK)
     late = await ingress.ask(request("late"))
     backend.peers[0].transport.write(OK)
     for answer in (late, await taken):
@@ -201,10 +201,10 @@
     backend: PeerServer,
 ) -> None:
     # room for three connections, and four at the top
-    ingress = Ingress(Script(send_first), limit=34)
+    ingress = Ingress(ScriptedPolicy(send_first), limit=34)
     await ingress.start()
-    ingress.engine.listed(listing(backend.port))
-    assert (ingress.sockets.cap, ingress.sockets.top) == (3, 7)
+    ingress.engine.update_endpoints(listing(backend.port))
+    assert (ingress.sockets.capacity, ingress.sockets.accept_limit) == (3, 7)
     held = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
     for reader, writer in held:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -220,7 +220,7 @@
         _, writer = await asyncio.open_connection(HOST, ingress.port)
         writer.write(request(f"busy{number}"))
         writers.append(writer)
-    await ingress.script.seen(it.RequestArrived, 4)
+    await ingress.script.wait_for(it.RequestArrived, 4)
     answer = await ingress.ask(request("over"))
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close\r\n" in answer
     for _, writer in [*held, *[(None, w) for w in writers]]:
@@ -250,9 +250,9 @@
 
 
 async def test_at_the_top_clients_wait_in_line_and_lose_nothing(backend: PeerServer) -> None:
-    ingress = Ingress(Script(send_first), limit=30)  # room for none, and three at the top
+    ingress = Ingress(ScriptedPolicy(send_first), limit=30)  # room for none, and three at the top
     await ingress.start()
-    assert (ingress.sockets.cap, ingress.sockets.top) == (0, 3)
+    assert (ingress.sockets.capacity, ingress.sockets.accept_limit) == (0, 3)
     ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(6)]
     while len(ingress.listener.connections) < 3:
         await asyncio.sleep(0)
@@ -278,9 +278,9 @@
     """The listener's next look at its connections, with the clock that much further."""
     now = ingress.listener.now
     ingress.listener.now = lambda: now() + int(seconds * 1e6)
-    if ingress.listener._sweep:
-        ingress.listener._sweep.cancel()
-    ingress.listener._tick()
+    if ingress.listener._sweep_timer:
+        ingress.listener._sweep_timer.cancel()
+    ingress.listener._sweep_connections()
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /read/x HTTP/1.1\r\nHost:"])
@@ -292,7 +292,7 @@
     while not ingress.listener.connections:
         await asyncio.sleep(0)
     (connection,) = ingress.listener.connections
-    while sent and not connection._begun:
+    while sent and not connection._message_begun:
         await asyncio.sleep(0)
     look_later(ingress, 2.5)  # the look after this one may come half a second later
     assert connection.transport.is_closing()
@@ -321,8 +321,8 @@
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request())
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
-    ingress.sockets.cap = ingress.sockets.open  # one idle client and one backend's
-    assert ingress.sockets.room()
+    ingress.sockets.capacity = ingress.sockets.open_count  # one idle client and one backend's
+    assert ingress.sockets.has_room()
     async with asyncio.timeout(10):
         assert await reader.read() == b""
     assert [len(pool.idle) for pool in ingress.backends._pools.values()] == [1]
@@ -336,10 +336,10 @@
     ends[0][1].write(request())
     assert (await read_answer(ends[0][0])).startswith(b"HTTP/1.1 200 ")  # idle
     ends[1][1].write(b"GET /read/x HTTP/1.1\r\nHo")  # half-written; the others are silent
-    while not any(c._begun for c in ingress.listener.connections):
+    while not any(c._message_begun for c in ingress.listener.connections):
         await asyncio.sleep(0)
-    ingress.sockets.cap = ingress.sockets.open
-    assert ingress.sockets.room()  # the idle client
+    ingress.sockets.capacity = ingress.sockets.open_count
+    assert ingress.sockets.has_room()  # the idle client
     async with asyncio.timeout(10):
         assert await ends[0][0].read() == b""
     assert not ingress.listener._evict()  # the rest are young: their requests may be on the way
@@ -352,12 +352,12 @@
 
 
 async def test_a_whole_request_never_gives_way(ingress: Ingress, backend: PeerServer) -> None:
-    backend.heard = lambda peer: None
+    backend.on_data = lambda peer: None
     taken = asyncio.create_task(ingress.ask(request()))
-    await ingress.script.seen(it.RequestArrived)
+    await ingress.script.wait_for(it.RequestArrived)
     now = ingress.listener.now
     ingress.listener.now = lambda: now() + 60_000_000
     assert not ingress.listener._evict()
-    await backend.until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
+    await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
     assert (await taken).startswith(b"HTTP/1.1 200 ")
