--- a/tests/ingress/net/test_counter.py
+++ b/tests/ingress/net/test_counter.py
@@ -13,8 +13,8 @@
 
 from cairndale.ingress.net import counter as counter_module
 from cairndale.ingress.net import discovery as discovery_module
-from cairndale.ingress.net.counter import Counter
-from cairndale.ingress.net.discovery import Discovery, Listing
+from cairndale.ingress.net.counter import QuotaCounterClient
+from cairndale.ingress.net.discovery import Discovery, EndpointUpdate
 from cairndale.ingress.policy.interface import Outcome
 from tests.testing.ingress import HOST, Peer, PeerServer
 
@@ -23,14 +23,14 @@
 
 class Calls:
     def __init__(self, server: PeerServer, timeout_us: int) -> None:
-        self.counter, self.server = Counter((HOST, server.port), timeout_us), server
+        self.counter, self.server = QuotaCounterClient((HOST, server.port), timeout_us), server
         self.answers: list[tuple[str, Outcome, float]] = []
         self.changed = asyncio.Event()
 
     async def connect(self) -> None:
         self.counter.start()
         async with asyncio.timeout(10):
-            while self.counter._line is None:
+            while self.counter._connection is None:
                 await asyncio.sleep(0)
 
     def add(self, label: str, amount: float = 1.0, ttl_us: int = 4_000_000) -> None:
@@ -59,7 +59,7 @@
     def told() -> list[bytes]:
         return [x for p in server.peers for x in p.data.split(b"\r\n") if x.startswith(b"add")]
 
-    await server.until(lambda: len(told()) >= count)
+    await server.wait_until(lambda: len(told()) >= count)
     return told()
 
 
@@ -90,7 +90,7 @@
     calls.add("late")
     await lines(server, 1)
     assert await calls.answered(1) == [("late", Outcome.TIMEOUT, 0.0)]
-    server.heard = lambda peer: peer.transport.write(b"ok 5\r\nok 6\r\n")
+    server.on_data = lambda peer: peer.transport.write(b"ok 5\r\nok 6\r\n")
     calls.add("next")
     assert (await calls.answered(2))[1] == ("next", Outcome.OK, 6.0)
     calls.counter.stop()
@@ -99,9 +99,9 @@
 async def test_an_answer_within_the_slack_that_sockets_give_is_taken(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "SLACK", 10.0)
+    monkeypatch.setattr(counter_module, "TIMEOUT_SLACK_S", 10.0)
     calls = Calls(server, 0)  # given up at once, but for the slack
-    calls.counter.tune(0)
+    calls.counter.update_timeout(0)
     await calls.connect()
     calls.add("a")
     await lines(server, 1)
@@ -121,7 +121,7 @@
     server.peers[0].transport.write(reply)
     # written: it may have been added
     assert await calls.answered(1) == [("a", Outcome.TIMEOUT, 0.0)]
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
@@ -134,13 +134,13 @@
 async def test_after_a_reset_calls_wait_for_the_new_connection(server: PeerServer) -> None:
     calls = Calls(server, LONG)
     await calls.connect()
-    server.heard = lambda peer: peer.transport.write(b"ok 1\r\n")
+    server.on_data = lambda peer: peer.transport.write(b"ok 1\r\n")
     calls.add("a")
     await calls.answered(1)
-    server.heard = lambda peer: None
+    server.on_data = lambda peer: None
     calls.add("lost")
     await lines(server, 2)
-    server.heard = lambda peer: peer.transport.write(b"ok 2\r\n")
+    server.on_data = lambda peer: peer.transport.write(b"ok 2\r\n")
     lost = server.peers[0].transport
     lost.get_extra_info("socket").setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -158,11 +158,11 @@
 async def test_calls_that_wait_for_a_counter_that_has_gone_are_told_so(server: PeerServer) -> None:
     calls = Calls(server, LONG)
     await calls.connect()
-    server.heard = lambda peer: peer.transport.write(b"ok 1\r\n")
+    server.on_data = lambda peer: peer.transport.write(b"ok 1\r\n")
     calls.add("a")
     await calls.answered(1)
     server.stop()
-    line = calls.counter._line
+    line = calls.counter._connection
     assert line
     await line.closed.wait()
     calls.add("held")
@@ -177,7 +177,7 @@
     await calls.connect()
     calls.add("old")
     await lines(server, 1)
-    calls.counter.move((HOST, other.port))
+    calls.counter.update_address((HOST, other.port))
     calls.add("new")
     await lines(other, 1)
     other.peers[0].transport.write(b"ok 2\r\n")
@@ -186,19 +186,19 @@
     assert await calls.answered(2) == [("new", Outcome.OK, 2.0), ("old", Outcome.OK, 1.0)]
     assert len(server.peers) == 1
     calls.counter.stop()
-    await server.until(lambda: len(server.closed) == 1)
+    await server.wait_until(lambda: len(server.closed) == 1)
     other.stop()
 
 
 async def test_an_idle_connection_is_pinged_and_a_silent_one_given_up(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(counter_module, "PING_EVERY", 0.01)
-    monkeypatch.setattr(counter_module, "SILENT", 0.05)
+    monkeypatch.setattr(counter_module, "PING_INTERVAL_S", 0.01)
+    monkeypatch.setattr(counter_module, "ANSWER_TIMEOUT_S", 0.05)
     calls = Calls(server, LONG)
     await calls.connect()
-    await server.until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: bool(server.peers) and b"ping\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
@@ -219,16 +219,16 @@
 
 class Watched:
     def __init__(self, server: PeerServer, fleet_size: int = 1) -> None:
-        self.told: list[Listing] = []
+        self.told: list[EndpointUpdate] = []
         self.changed = asyncio.Event()
         self.discovery = Discovery((HOST, server.port), 41, self._changed, fleet_size)
         self.discovery.start()
 
-    def _changed(self, listing: Listing) -> None:
+    def _changed(self, listing: EndpointUpdate) -> None:
         self.told.append(listing)
         self.changed.set()
 
-    async def heard(self, count: int) -> list[Listing]:
+    async def heard(self, count: int) -> list[EndpointUpdate]:
         async with asyncio.timeout(10):
             while len(self.told) < count:
                 self.changed.clear()
@@ -240,17 +240,17 @@
     server: PeerServer,
 ) -> None:
     watched = Watched(server)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     assert server.peers[0].data.startswith(b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\n")
     both = line(42, False, "a") + b"\n" + line(43, True, "a", "b")
     server.peers[0].transport.write(HEAD + chunk(both[:30]) + chunk(both[30:]))
     told = await watched.heard(2)
-    assert [(x.index, x.whole, [e.name for e in x.entries]) for x in told] == [
+    assert [(x.index, x.full, [e.name for e in x.entries]) for x in told] == [
         (42, False, ["a"]),
         (43, True, ["a", "b"]),
     ]
     server.peers[0].transport.close()
-    await server.until(lambda: len(server.peers) == 2 and b"\r\n\r\n" in server.peers[1].data)
+    await server.wait_until(lambda: len(server.peers) == 2 and b"\r\n\r\n" in server.peers[1].data)
     assert b"from=43 " in server.peers[1].data
     watched.discovery.stop()
 
@@ -270,10 +270,10 @@
         peer.transport.write(busy if crowded else HEAD + chunk(b"\n"))
         peer.transport.close()
 
-    server.heard = answer
+    server.on_data = answer
     monkeypatch.setattr(discovery_module.random, "uniform", uniform)
     watched = Watched(server, fleet_size=40)
-    await server.until(lambda: len(server.peers) > 7)
+    await server.wait_until(lambda: len(server.peers) > 7)
     watched.discovery.stop()
     assert waits[:5] == [(0, 4.0), (0, 8.0), (0, 16.0), (0, 32.0), (0, 32.0)]
     assert waits[5:7] == [(0.5, 1.0), (0, 4.0)]  # heard: soon; turned away again: from the start
@@ -282,9 +282,9 @@
 async def test_a_silent_watch_is_opened_anew(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_module, "SILENT", 0.05)
+    monkeypatch.setattr(discovery_module, "WATCH_TIMEOUT_S", 0.05)
     watched = Watched(server)
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     watched.discovery.stop()
 
 
@@ -295,8 +295,8 @@
     server: PeerServer, bad: bytes
 ) -> None:
     watched = Watched(server)
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.peers[0].transport.write(HEAD + chunk(bad))
-    await server.until(lambda: len(server.peers) == 2)
+    await server.wait_until(lambda: len(server.peers) == 2)
     assert watched.told == []
     watched.discovery.stop()
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -20,13 +20,13 @@
 from cairndale.ingress.net import discovery as discovery_module
 from cairndale.ingress.net.config import ConfigError, _directory
 from cairndale.ingress.net.discovery import (
-    Addresses,
-    Directory,
+    AddressRotation,
+    DirectoryConfig,
     Discovery,
-    Entry,
-    Held,
-    Listing,
-    Refused,
+    EndpointEntry,
+    EndpointTable,
+    EndpointUpdate,
+    UpdateRejected,
 )
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import RequestPolicy
@@ -49,17 +49,17 @@
 
 def listing(
     index: int, *entries: dict[str, Any], whole: bool = True, epoch: int = 1, **more: Any
-) -> Listing:
+) -> EndpointUpdate:
     raw = {"index": index, "snapshot": whole, "endpoints": entries, "epoch": epoch, "lineage": "l"}
-    return Listing(raw | more)
+    return EndpointUpdate(raw | more)
 
 
-def shown(held: Held) -> dict[str, str]:
+def shown(held: EndpointTable) -> dict[str, str]:
     return {name: e.status for name, e in held.entries.items()}
 
 
-def client(hold: float = 60.0) -> Held:
-    return Held(Directory((), hold=hold))
+def client(hold: float = 60.0) -> EndpointTable:
+    return EndpointTable(DirectoryConfig((), hold=hold))
 
 
 # Replicas of one lineage, in any order.
@@ -117,8 +117,8 @@
 @given(STEPS)
 def test_no_version_goes_back_and_no_drain_is_forgotten(steps: list[Any]) -> None:
     replicas, held = Replicas(), client()
-    used: dict[str, Entry] = {}  # what the engine was given
-    drains: dict[str, Entry] = {}  # as the engine was told, until it is told otherwise
+    used: dict[str, EndpointEntry] = {}  # what the engine was given
+    drains: dict[str, EndpointEntry] = {}  # as the engine was told, until it is told otherwise
     versions: dict[str, int] = {}
     for now, step in enumerate(steps):
         if not (isinstance(step, tuple) and step[0] == "tell"):
@@ -129,8 +129,8 @@
         for raw in told.lines.splitlines():
             before, lineage = (held.epoch, held.index), held.lineage
             try:
-                change = held.offer(Listing(json.loads(raw)), float(now))
-            except Refused:
+                change = held.apply_update(EndpointUpdate(json.loads(raw)), float(now))
+            except UpdateRejected:
                 assert (held.epoch, held.index, held.lineage) == (*before, lineage)
                 continue
             if held.lineage == lineage:
@@ -141,7 +141,7 @@
                 continue
             removed = {e.name for e in change.entries if e.status == "removed"}
             given = {e.name: e for e in change.entries if e.status != "removed"}
-            if change.whole:
+            if change.full:
                 removed = used.keys() - given.keys()
             used = {n: e for n, e in (used | given).items() if n not in removed}
             for name in removed:
@@ -151,7 +151,7 @@
                     assert e.version >= versions.get(name, -1)
                     versions[name] = e.version
                 drained = drains.get(name)
-                if drained and drained.same_start(e):
+                if drained and drained.is_same_instance(e):
                     assert e.status == "draining"
                 drains.pop(name, None)
                 if e.status == "draining":
@@ -161,76 +161,80 @@
 
 def test_an_older_version_or_epoch_is_refused_whoever_tells_it() -> None:
     held = client()
-    held.offer(listing(10, entry("a", version=9), entry("b", version=10)), 0.0)
+    held.apply_update(listing(10, entry("a", version=9), entry("b", version=10)), 0.0)
     for old in (
         listing(9, entry("a", version=9)),
         listing(9, entry("a", version=9), whole=False),
         listing(99, entry("a", version=9), epoch=0),
     ):
-        with pytest.raises(Refused):
-            held.offer(old, 1.0)
+        with pytest.raises(UpdateRejected):
+            held.apply_update(old, 1.0)
     assert held.index == 10 and shown(held) == {"a": "up", "b": "up"}
-    held.offer(listing(99, entry("a", version=9), entry("b", version=10), epoch=2), 2.0)
-    with pytest.raises(Refused, match="epoch 1 is past"):
-        held.offer(listing(200, entry("a", version=9)), 3.0)
+    held.apply_update(listing(99, entry("a", version=9), entry("b", version=10), epoch=2), 2.0)
+    with pytest.raises(UpdateRejected, match="epoch 1 is past"):
+        held.apply_update(listing(200, entry("a", version=9)), 3.0)
 
 
 def test_a_drain_and_a_removal_hold_over_a_failover_that_lost_them() -> None:
     held = client()
     known = [entry(n, version=v) for v, n in enumerate("abcd", 1)]
-    held.offer(listing(4, *known), 0.0)
-    held.offer(listing(5, entry("a", "draining", version=5), whole=False), 1.0)
-    held.offer(listing(6, entry("b", "removed", version=6), whole=False), 1.0)
-    held.offer(listing(1000, *known, epoch=2), 2.0)  # a replica that had neither leads
+    held.apply_update(listing(4, *known), 0.0)
+    held.apply_update(listing(5, entry("a", "draining", version=5), whole=False), 1.0)
+    held.apply_update(listing(6, entry("b", "removed", version=6), whole=False), 1.0)
+    held.apply_update(listing(1000, *known, epoch=2), 2.0)  # a replica that had neither leads
     assert shown(held) == {"a": "draining", "c": "up", "d": "up"}
     # same start, changed
-    held.offer(listing(1001, entry("a", version=1001), whole=False, epoch=2), 3.0)
+    held.apply_update(listing(1001, entry("a", version=1001), whole=False, epoch=2), 3.0)
     assert held.entries["a"].status == "draining"
-    held.offer(listing(1002, entry("a", since=5, version=1002), whole=False, epoch=2), 3.0)
-    held.offer(listing(1003, entry("b", version=1003), whole=False, epoch=2), 3.0)  # back since
+    held.apply_update(listing(1002, entry("a", since=5, version=1002), whole=False, epoch=2), 3.0)
+    held.apply_update(
+        listing(1003, entry("b", version=1003), whole=False, epoch=2), 3.0
+    )  # back since
     assert shown(held) == {"a": "up", "b": "up", "c": "up", "d": "up"}
 
 
 def test_what_a_failover_lost_does_not_come_back_as_news() -> None:
     held = client()
-    held.offer(listing(4, entry("a", version=3), entry("b", version=4)), 0.0)
-    held.offer(listing(6, entry("a", port=2, version=6), whole=False), 1.0)  # moved
-    held.offer(listing(7, entry("b", "draining", version=7), whole=False), 1.0)
+    held.apply_update(listing(4, entry("a", version=3), entry("b", version=4)), 0.0)
+    held.apply_update(listing(6, entry("a", port=2, version=6), whole=False), 1.0)  # moved
+    held.apply_update(listing(7, entry("b", "draining", version=7), whole=False), 1.0)
     told = (entry("a", version=3), entry("b", version=4))
     # `b` went once, before what is held
-    held.offer(listing(1000, *told, epoch=2, gone=[["b", 2]]), 2.0)
+    held.apply_update(listing(1000, *told, epoch=2, gone=[["b", 2]]), 2.0)
     assert held.entries["a"].address == (HOST, 2) and shown(held) == {"a": "up", "b": "draining"}
 
 
 def test_versions_of_another_lineage_are_not_compared() -> None:
     held = client()
-    held.offer(listing(90, entry("a", version=80), entry("b", version=90)), 0.0)
-    held.offer(listing(2, entry("a", port=2, version=1), entry("b", version=2), lineage="new"), 1.0)
+    held.apply_update(listing(90, entry("a", version=80), entry("b", version=90)), 0.0)
+    held.apply_update(
+        listing(2, entry("a", port=2, version=1), entry("b", version=2), lineage="new"), 1.0
+    )
     assert held.entries["a"].address == (HOST, 2)
 
 
 def test_a_drain_holds_over_a_new_lineage() -> None:
     held = client()
-    held.offer(listing(4, entry("a", "draining", version=4), entry("b", version=1)), 0.0)
-    held.offer(listing(2, entry("a", version=1), entry("b", version=2), lineage="new"), 1.0)
+    held.apply_update(listing(4, entry("a", "draining", version=4), entry("b", version=1)), 0.0)
+    held.apply_update(listing(2, entry("a", version=1), entry("b", version=2), lineage="new"), 1.0)
     assert (held.lineage, held.index) == ("new", 2) and shown(held) == {"a": "draining", "b": "up"}
-    with pytest.raises(Refused, match="list l was left for new"):
-        held.offer(listing(9, entry("a", version=9)), 2.0)
-    with pytest.raises(Refused, match="of which nothing is held"):
-        held.offer(listing(9, entry("a", version=9), lineage="third", whole=False), 2.0)
-    with pytest.raises(Refused, match="no epoch"):
-        held.offer(Listing({"index": 99, "snapshot": True, "endpoints": []}), 2.0)
+    with pytest.raises(UpdateRejected, match="list l was left for new"):
+        held.apply_update(listing(9, entry("a", version=9)), 2.0)
+    with pytest.raises(UpdateRejected, match="of which nothing is held"):
+        held.apply_update(listing(9, entry("a", version=9), lineage="third", whole=False), 2.0)
+    with pytest.raises(UpdateRejected, match="no epoch"):
+        held.apply_update(EndpointUpdate({"index": 99, "snapshot": True, "endpoints": []}), 2.0)
 
 
 def test_an_empty_list_after_a_restart_ends_nothing_however_long_it_stays() -> None:
     held = client()
-    held.offer(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
-    held.offer(listing(0, lineage="new"), 1.0)
-    assert len(held.entries) == 4 and sorted(held.kept) == list("abcd")
-    assert held.expire(1e6) is None and len(held.entries) == 4
-    held.offer(listing(1, entry("a", version=1), whole=False, lineage="new"), 1e6)
-    assert held.expire(1e6 + 59) is None  # the others have as long again
-    change = held.expire(1e6 + 61)
+    held.apply_update(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
+    held.apply_update(listing(0, lineage="new"), 1.0)
+    assert len(held.entries) == 4 and sorted(held.retained) == list("abcd")
+    assert held.expire_retained(1e6) is None and len(held.entries) == 4
+    held.apply_update(listing(1, entry("a", version=1), whole=False, lineage="new"), 1e6)
+    assert held.expire_retained(1e6 + 59) is None  # the others have as long again
+    change = held.expire_retained(1e6 + 61)
     assert (
         change
         and sorted(e.name for e in change.entries) == list("bcd")
@@ -240,35 +244,37 @@
 
 def test_a_drastically_shorter_list_is_taken_late_and_a_told_removal_at_once() -> None:
     held = client()
-    held.offer(listing(4, *[entry(n, version=1) for n in "abcdef"]), 0.0)
-    held.offer(listing(9, entry("a", version=1), entry("b", version=1), gone=[["c", 8]]), 10.0)
-    assert sorted(shown(held)) == list("abdef") and sorted(held.kept) == list("def")
-    held.offer(listing(10, entry("d", "removed", version=10), whole=False), 11.0)
-    held.offer(listing(11, entry("e", version=11), whole=False), 11.0)
-    assert sorted(held.kept) == ["f"]
-    assert held.expire(69.0) is None
-    assert held.expire(70.0) is not None and sorted(shown(held)) == list("abe")
+    held.apply_update(listing(4, *[entry(n, version=1) for n in "abcdef"]), 0.0)
+    held.apply_update(
+        listing(9, entry("a", version=1), entry("b", version=1), gone=[["c", 8]]), 10.0
+    )
+    assert sorted(shown(held)) == list("abdef") and sorted(held.retained) == list("def")
+    held.apply_update(listing(10, entry("d", "removed", version=10), whole=False), 11.0)
+    held.apply_update(listing(11, entry("e", version=11), whole=False), 11.0)
+    assert sorted(held.retained) == ["f"]
+    assert held.expire_retained(69.0) is None
+    assert held.expire_retained(70.0) is not None and sorted(shown(held)) == list("abe")
 
 
 def test_a_list_that_lacks_a_few_is_taken_as_it_is() -> None:
     held = client()
-    held.offer(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
-    held.offer(listing(9, entry("a", version=1), entry("b", version=1)), 10.0)
-    assert sorted(shown(held)) == list("ab") and not held.kept
+    held.apply_update(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
+    held.apply_update(listing(9, entry("a", version=1), entry("b", version=1)), 10.0)
+    assert sorted(shown(held)) == list("ab") and not held.retained
 
 
 def test_what_is_held_goes_on_in_the_next_process() -> None:
     held, after = client(), client()
-    held.offer(listing(4, entry("a", version=1), entry("b", version=2)), 0.0)
-    held.offer(listing(5, entry("a", "removed", version=5), whole=False), 1.0)
-    held.offer(listing(6), 2.0)
-    after.take_over(json.loads(json.dumps(held.dump())), [])
-    assert after.dump() == held.dump() and after.kept == {"b": 62.0}
-    with pytest.raises(Refused):
-        after.offer(listing(4, entry("a", version=1)), 2.0)
+    held.apply_update(listing(4, entry("a", version=1), entry("b", version=2)), 0.0)
+    held.apply_update(listing(5, entry("a", "removed", version=5), whole=False), 1.0)
+    held.apply_update(listing(6), 2.0)
+    after.restore(json.loads(json.dumps(held.dump())), [])
+    assert after.dump() == held.dump() and after.retained == {"b": 62.0}
+    with pytest.raises(UpdateRejected):
+        after.apply_update(listing(4, entry("a", version=1)), 2.0)
     before = client()
-    before.take_over(None, [entry("a", "draining")])  # one that watched the platform's discovery
-    before.offer(listing(4, entry("a", version=1)), 2.0)
+    before.restore(None, [entry("a", "draining")])  # one that watched the platform's discovery
+    before.apply_update(listing(4, entry("a", version=1)), 2.0)
     assert shown(before) == {"a": "draining"}
 
 
@@ -311,27 +317,29 @@
 
 def test_a_fleet_begins_at_all_addresses_and_goes_round_before_it_backs_off() -> None:
     every = ((HOST, 1), (HOST, 2), (HOST, 3))
-    addresses = Addresses(every, 1)
+    addresses = AddressRotation(every, 1)
     waits = []
     for _ in range(9):
-        waits.append((addresses.current[1], addresses.ended(False, None, lambda low, high: high)))
+        waits.append(
+            (addresses.current[1], addresses.watch_ended(False, None, lambda low, high: high))
+        )
     assert [port for port, _ in waits] == [2, 3, 1] * 3
     assert [round(wait, 2) for _, wait in waits] == [0.1] * 3 + [0.2] * 3 + [0.4] * 3
-    assert addresses.ended(True, False, lambda low, high: high) == 0.1
+    assert addresses.watch_ended(True, False, lambda low, high: high) == 0.1
 
 
 def test_all_turned_away_is_spread_over_the_fleet() -> None:
-    addresses = Addresses(((HOST, 1), (HOST, 2)), fleet_size=200)
-    waits = [addresses.ended(False, True, lambda low, high: high) for _ in range(6)]
+    addresses = AddressRotation(((HOST, 1), (HOST, 2)), fleet_size=200)
+    waits = [addresses.watch_ended(False, True, lambda low, high: high) for _ in range(6)]
     assert waits == [0.1, 20.0, 0.1, 40.0, 0.2, 80.0]
 
 
 def test_a_replica_out_of_touch_is_left_now_and_then() -> None:
-    addresses = Addresses(((HOST, 1), (HOST, 2)))
-    assert not addresses.leaves(9.0, 100.0)
-    left = [now for now in range(100, 2000) if addresses.leaves(now - 90.0, float(now))]
+    addresses = AddressRotation(((HOST, 1), (HOST, 2)))
+    assert not addresses.should_switch(9.0, 100.0)
+    left = [now for now in range(100, 2000) if addresses.should_switch(now - 90.0, float(now))]
     assert left == [100, 130, 190, 310, 550, 1030, 1630]
-    assert not Addresses(((HOST, 1),)).leaves(1e6, 1e6)
+    assert not AddressRotation(((HOST, 1),)).should_switch(1e6, 1e6)
 
 
 # On sockets.
@@ -341,14 +349,14 @@
     """Three addresses of the list service as the test plays them."""
 
     def __init__(self, servers: list[PeerServer], hold: float = 60.0) -> None:
-        self.told: list[Listing] = []
+        self.told: list[EndpointUpdate] = []
         self.servers, self.changed = servers, asyncio.Event()
         first, *more = [(HOST, s.port) for s in servers]
-        self.held = Held(Directory(tuple(more), hold=hold))
+        self.held = EndpointTable(DirectoryConfig(tuple(more), hold=hold))
         self.discovery = Discovery(first, 0, self._changed, held=self.held)
         self.discovery.start()
 
-    def _changed(self, change: Listing) -> None:
+    def _changed(self, change: EndpointUpdate) -> None:
         self.told.append(change)
         self.changed.set()
 
@@ -361,7 +369,7 @@
     async def asked(self, server: int, watch: int = 0) -> bytes:
         """The target of a watch there."""
         peers = self.servers[server].peers
-        await self.servers[server].until(
+        await self.servers[server].wait_until(
             lambda: len(peers) > watch and b"\r\n\r\n" in peers[watch].data
         )
         return bytes(peers[watch].data.split()[1])
@@ -434,7 +442,7 @@
     fleet: Fleet, bad: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # it is not for its silence that it is left
-    monkeypatch.setattr(discovery_module, "SILENT", 60.0)
+    monkeypatch.setattr(discovery_module, "WATCH_TIMEOUT_S", 60.0)
     await fleet.asked(0)
     fleet.say(0, raw(7, A, B))
     await fleet.heard(1)
@@ -448,8 +456,8 @@
 async def test_an_address_that_accepts_and_says_nothing_is_left(
     fleet: Fleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery_module, "FIRST", 0.05)
-    monkeypatch.setattr(discovery_module, "SILENT", 0.05)
+    monkeypatch.setattr(discovery_module, "FIRST_LINE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(discovery_module, "WATCH_TIMEOUT_S", 0.05)
     await fleet.asked(0)
     await fleet.asked(1)
     fleet.say(1, raw(7, A, B))
@@ -488,25 +496,25 @@
     """As SIGHUP has it: what was in use goes on, drains included."""
     fleet.discovery.stop()
     ports = [s.port for s in fleet.servers]
-    told = list[Listing]()
+    told = list[EndpointUpdate]()
     discovery = Discovery((HOST, ports[1]), 41, told.append)
     discovery.start()
     assert b"from=41 " in (await fleet.asked(1)) + b" "
-    in_use = [Entry(entry("a", "draining")), Entry(entry("b"))]
-    directory = Directory(((HOST, ports[2]),))
-    discovery.retune((HOST, ports[1]), 1, directory, in_use)
+    in_use = [EndpointEntry(entry("a", "draining")), EndpointEntry(entry("b"))]
+    directory = DirectoryConfig(((HOST, ports[2]),))
+    discovery.update_config((HOST, ports[1]), 1, directory, in_use)
     assert await fleet.asked(1, 1) == b"/discovery/hosts?watch=1&from=0&epoch=0&lineage="
     fleet.say(1, raw(7, A, B), watch=1)
     async with asyncio.timeout(60):
         while not told:
             await asyncio.sleep(0.01)
     assert {e.name: e.status for e in told[0].entries} == {"a": "draining", "b": "up"}
-    assert discovery.held
-    discovery.held.left.append("once")
-    discovery.retune((HOST, ports[1]), 1, Directory(((HOST, ports[2]),), hold=1.0), [])
+    assert discovery.table
+    discovery.table.left_lineages.append("once")
+    discovery.update_config((HOST, ports[1]), 1, DirectoryConfig(((HOST, ports[2]),), hold=1.0), [])
     # nothing is watched anew for that
-    assert discovery.held.left == [] and discovery.held.index == 7
-    discovery.retune((HOST, ports[2]), 1)
+    assert discovery.table.left_lineages == [] and discovery.table.index == 7
+    discovery.update_config((HOST, ports[2]), 1)
     assert await fleet.asked(2) == b"/discovery/hosts?watch=1&from=7"
     discovery.stop()
 
@@ -514,7 +522,7 @@
 def test_the_clients_part_of_the_configuration_is_checked() -> None:
     assert _directory(None) is None
     made = _directory({"addresses": ["127.0.0.1:1"], "hold_s": 5})
-    assert made == Directory(((HOST, 1),), hold=5.0)
+    assert made == DirectoryConfig(((HOST, 1),), hold=5.0)
     bad: Iterator[Any] = iter(
         [
             [],
@@ -536,10 +544,10 @@
 
 async def test_the_platform_discovery_is_watched_as_ever() -> None:
     """Without a `directory`, whatever comes is taken, older versions and shorter lists as well."""
-    server, told = await PeerServer().start(), list[Listing]()
+    server, told = await PeerServer().start(), list[EndpointUpdate]()
     discovery = Discovery((HOST, server.port), 41, told.append)
     discovery.start()
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     assert b"?watch=1&from=41 HTTP" in server.peers[0].data
     for index, names in ((50, "ab"), (3, "")):
         line = {"index": index, "snapshot": True, "endpoints": [entry(n) for n in names]}
--- a/tests/ingress/net/test_engine.py
+++ b/tests/ingress/net/test_engine.py
@@ -8,18 +8,28 @@
 
 import pytest
 
-from cairndale.ingress.net.discovery import Entry, Listing
-from cairndale.ingress.net.engine import LAST_ATTEMPT, Answer, Engine, Flow, Names, Wanted
+from cairndale.ingress.net.discovery import EndpointEntry, EndpointUpdate
+from cairndale.ingress.net.engine import (
+    ATTEMPT_MARGIN_US,
+    AttemptContext,
+    AttemptResult,
+    ClientRequest,
+    Engine,
+    NameTable,
+)
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.interface import Outcome
-from tests.testing.ingress import RAW, SETTINGS, Script, Wheel
+from tests.testing.ingress import RAW, SETTINGS, ManualClock, ScriptedPolicy
 
 START = 1_000_000_000
 
 
 class Exchange:
     def __init__(
-        self, data: bytes, ended: Callable[[Answer], None], flow: Flow | None = None
+        self,
+        data: bytes,
+        ended: Callable[[AttemptResult], None],
+        flow: AttemptContext | None = None,
     ) -> None:
         self.data, self.ended, self.aborted, self.ran = data, ended, False, True
         self.flow = flow
@@ -29,63 +39,67 @@
         return self.ran
 
 
-class World(Wheel):
+class World(ManualClock):
     """The loop, the backends, the counter and one client, all pretended."""
 
-    def __init__(self, script: Script) -> None:
+    def __init__(self, script: ScriptedPolicy) -> None:
         super().__init__(START)
         self.sent: list[Exchange] = []
         self.settled: list[int] = []
         self.answers: list[Any] = []
         self.script = script
-        self.engine = Engine(script, SETTINGS, Names(SETTINGS, RAW), self, lambda: self.time)
-        self.engine.servers = self
+        self.engine = Engine(script, SETTINGS, NameTable(SETTINGS, RAW), self, lambda: self.time)
+        self.engine.upstreams = self
 
-    def know(self, entry: Entry, backend: int) -> None: ...
+    def update_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
 
-    def hold(self, backend: int, out: bool) -> None: ...
+    def set_maintenance(self, backend: int, out: bool) -> None: ...
 
-    def settle(self, gone: Iterable[int]) -> None:
+    def apply_updates(self, gone: Iterable[int]) -> None:
         self.settled += gone
         for exchange in self.sent:
-            exchange.ended(Answer(Outcome.CONNECT_FAILED))
+            exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
 
     def send(
-        self, backend: int, data: bytes, ended: Callable[[Answer], None], flow: Flow | None = None
+        self,
+        backend: int,
+        data: bytes,
+        ended: Callable[[AttemptResult], None],
+        flow: AttemptContext | None = None,
     ) -> Exchange:
         self.sent.append(Exchange(data, ended, flow))
         return self.sent[-1]
 
-    def probe(self, backend: int, ended: Callable[[Answer], None]) -> None: ...
+    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
 
     def close_idle(self, backend: int) -> None: ...
 
-    def serve(self, answer: Answer) -> None:
+    def send_response(self, answer: AttemptResult) -> None:
         self.answers.append(answer.body)
 
-    def refuse(self, retry_after: int, status: int = 429) -> None:
+    def reject(self, retry_after: int, status: int = 429) -> None:
         self.answers.append(retry_after)
 
     def fail(self, timed_out: bool) -> None:
         self.answers.append("late" if timed_out else "failed")
 
-    def begin(self, answer: Answer, source: Exchange) -> None:
+    def begin_stream(self, answer: AttemptResult, source: Exchange) -> None:
         self.answers.append("begun")
 
-    def more(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         self.answers.append(data)
 
-    def finish(self) -> None:
+    def end_stream(self) -> None:
         self.answers.append("whole")
 
-    def break_off(self) -> None:
+    def abort_stream(self) -> None:
         self.answers.append("broken off")
 
     def ask(self, id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
-        wanted = Wanted(
+        wanted = ClientRequest(
             id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", b""
         )
-        return self.engine.arrived(wanted, self)
+        return self.engine.request_arrived(wanted, self)
 
 
 def sender(*more: it.Action, timeout: int = 0) -> Callable[[it.Event], list[it.Action]]:
@@ -97,44 +111,44 @@
     return rule
 
 
-def ends(script: Script) -> list[tuple[int, Outcome, bool]]:
-    return [(e.attempt, e.outcome, e.final) for e in script.of(it.AttemptEnded)]
+def ends(script: ScriptedPolicy) -> list[tuple[int, Outcome, bool]]:
+    return [(e.attempt, e.outcome, e.final) for e in script.of_kind(it.AttemptEnded)]
 
 
 def test_the_first_200_is_final_and_a_later_outcome_is_not_told_twice() -> None:
-    world = World(Script(sender()))
+    world = World(ScriptedPolicy(sender()))
     world.ask()
     world.time += 7000
-    world.sent[0].ended(Answer(Outcome.OK, b"body", load=b"queue=2"))
-    world.sent[0].ended(Answer(Outcome.RESET))
+    world.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
+    world.sent[0].ended(AttemptResult(Outcome.RESET))
     assert world.answers == [b"body"] and ends(world.script) == [(0, Outcome.OK, True)]
-    (event,) = world.script.of(it.AttemptEnded)
+    (event,) = world.script.of_kind(it.AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
-    assert all(t.cancelled for t in world.timers) and world.engine.open == 0
+    assert all(t.cancelled for t in world.timers) and world.engine.open_count == 0
     assert world.ask()  # the id is free again
 
 
 def test_attempts_beyond_the_limit_at_once_or_after_the_end_are_moot() -> None:
     again = it.SendAttempt(1, 1, 0)
-    world = World(Script(sender(again, it.Fail(1), again)))
+    world = World(ScriptedPolicy(sender(again, it.Fail(1), again)))
     world.ask()
     assert ends(world.script) == [(1, Outcome.MOOT, False), (2, Outcome.MOOT, True)]
     assert len(world.sent) == 1 and world.answers == ["failed"]
-    world.sent[0].ended(Answer(Outcome.OK, b"too late"))
+    world.sent[0].ended(AttemptResult(Outcome.OK, b"too late"))
     assert ends(world.script)[2] == (0, Outcome.OK, True) and world.answers == ["failed"]
 
 
 def test_time_counts_from_the_clients_sending_and_attempts_end_before_the_deadline() -> None:
-    world = World(Script(sender(timeout=5_000_000)))
+    world = World(ScriptedPolicy(sender(timeout=5_000_000)))
     world.ask(timeout=1_000_000, ago=200_000)
-    assert world.script.of(it.RequestArrived)[0].time_left == 800_000
+    assert world.script.of_kind(it.RequestArrived)[0].time_left == 800_000
     assert b"Request-Timeout: 785m\r\n" in world.sent[0].data
-    world.pass_time(800_000 - LAST_ATTEMPT - 1)
+    world.advance(800_000 - ATTEMPT_MARGIN_US - 1)
     assert not world.sent[0].aborted
-    world.pass_time(1)
+    world.advance(1)
     assert world.sent[0].aborted and ends(world.script) == [(0, Outcome.TIMEOUT, False)]
-    world.pass_time(LAST_ATTEMPT)
-    assert world.answers == ["late"] and len(world.script.of(it.ClientGone)) == 1
+    world.advance(ATTEMPT_MARGIN_US)
+    assert world.answers == ["late"] and len(world.script.of_kind(it.ClientGone)) == 1
 
 
 def test_a_request_refused_after_the_counters_answer_leaves_nothing_behind() -> None:
@@ -143,22 +157,22 @@
             return [it.AddToCounter(5, 1.0, 1000)]
         return [it.Refuse(1)] if isinstance(event, it.CountAnswered) else []
 
-    world = World(Script(rule))
+    world = World(ScriptedPolicy(rule))
     world.ask()
     assert world.answers == [0] and not world.engine._requests
     assert world.ask()  # the id is free again
 
 
 def test_an_attempt_never_written_is_not_called_a_time_out() -> None:
-    world = World(Script(sender(timeout=1000)))
+    world = World(ScriptedPolicy(sender(timeout=1000)))
     world.ask()
     world.sent[0].ran = False
-    world.pass_time(1000)
+    world.advance(1000)
     assert ends(world.script) == [(0, Outcome.CONNECT_FAILED, False)]
 
 
 def test_a_request_whose_time_is_over_never_reaches_the_module() -> None:
-    world = World(Script(sender()))
+    world = World(ScriptedPolicy(sender()))
     world.ask(timeout=100_000, ago=100_000)
     assert world.answers == [0] and not world.script.events
 
@@ -174,7 +188,7 @@
             return [it.AddToCounter(5, 1.0, 1000), it.CancelAttempt(1, 0), it.SendAttempt(1, 1, 0)]
         return [it.CancelAttempt(1, 0)] if isinstance(event, it.CountAnswered) else []
 
-    world = World(Script(rule))
+    world = World(ScriptedPolicy(rule))
     world.ask()
     assert [type(e) for e in world.script.events] == [
         it.RequestArrived,
@@ -185,14 +199,18 @@
 
 
 def test_the_module_hears_the_list_before_the_attempts_that_it_withdraws() -> None:
-    world = World(Script(sender()))
+    world = World(ScriptedPolicy(sender()))
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
-    world.engine.listed(Listing({"index": 1, "snapshot": True, "endpoints": names}))
+    world.engine.update_endpoints(
+        EndpointUpdate({"index": 1, "snapshot": True, "endpoints": names})
+    )
     world.ask()
-    world.engine.listed(Listing({"index": 2, "snapshot": True, "endpoints": names[1:]}))
+    world.engine.update_endpoints(
+        EndpointUpdate({"index": 2, "snapshot": True, "endpoints": names[1:]})
+    )
     assert [type(e) for e in world.script.events[-2:]] == [it.BackendsListed, it.AttemptEnded]
     assert world.settled == [1]
-    first, second = world.script.of(it.BackendsListed)
+    first, second = world.script.of_kind(it.BackendsListed)
     assert [b.id for b in first.backends] == [1, 2] and [b.id for b in second.backends] == [2]
     assert first.backends[0].started == 5000 and second.kind is it.ListKind.FULL
     # by name, not by number
@@ -200,16 +218,16 @@
 
 
 def test_a_name_that_is_no_text_ends_nothing() -> None:
-    world = World(Script())
+    world = World(ScriptedPolicy())
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up"} for n in ("a", "\ud800")]
-    world.engine.listed(
-        Listing({"index": 1, "snapshot": True, "endpoints": names}), it.ListKind.CACHED
+    world.engine.update_endpoints(
+        EndpointUpdate({"index": 1, "snapshot": True, "endpoints": names}), it.ListKind.CACHED
     )
-    assert len(world.script.of(it.BackendsListed)[0].backends) == 2
+    assert len(world.script.of_kind(it.BackendsListed)[0].backends) == 2
 
 
 def test_a_class_is_followed_by_name_and_an_open_request_keeps_the_rules_it_began_with() -> None:
-    world = World(Script(sender()))
+    world = World(ScriptedPolicy(sender()))
     world.ask()
     read, order = SETTINGS.classes
     changed = replace(
@@ -217,43 +235,43 @@
         classes=(replace(read, name="fresh"), replace(order, deadline=9_000_000)),
         limits=replace(SETTINGS.limits, max_attempts=1),
     )
-    world.engine.retune(changed, RAW)
-    (told,) = world.script.of(it.SettingsChanged)
+    world.engine.update_settings(changed, RAW)
+    (told,) = world.script.of_kind(it.SettingsChanged)
     assert [c.name for c in told.settings.classes] == ["read", "order", "fresh"]
     assert told.settings.classes[1].deadline == 9_000_000
     # read is dropped, for what is new
     assert world.engine.names.classes == {b"order": 1, b"fresh": 2}
     world.ask(b"b")
-    world.sent[0].ended(Answer(Outcome.ERROR))
+    world.sent[0].ended(AttemptResult(Outcome.ERROR))
     again: list[it.Action] = [it.SendAttempt(n, 1, 0) for n in (1, 2)]
     world.script.rule = lambda event: again if isinstance(event, it.MaintenanceChanged) else []
-    world.engine.recall(["s"])
+    world.engine.restore_maintenance(["s"])
     assert len(world.sent) == 3  # one more for the first request, none for the second
     assert ends(world.script) == [(0, Outcome.ERROR, False), (1, Outcome.MOOT, False)]
 
 
 @pytest.mark.parametrize("text", [b"", b"queue=", b"other=1", b"queue=1e"])
 def test_a_load_report_that_says_nothing_is_none(text: bytes) -> None:
-    assert Names(SETTINGS, RAW).load(text) == ()
+    assert NameTable(SETTINGS, RAW).parse_load(text) == ()
 
 
 @pytest.mark.parametrize("bound", [True, False])
 def test_an_answer_in_parts_is_bound_by_its_deadline_where_that_is_wanted(bound: bool) -> None:
     """A server that goes silent in the middle would else hold its client for good."""
     for whole in (True, False):
-        world = World(Script(sender()))
-        world.engine.ends_passing = bound
+        world = World(ScriptedPolicy(sender()))
+        world.engine.aborts_streams_at_deadline = bound
         world.ask(timeout=1_000_000)
-        world.pass_time(600_000)
+        world.advance(600_000)
         (exchange,) = world.sent
-        assert exchange.flow and exchange.flow.opened(Answer(Outcome.OK))
-        world.pass_time(399_000)
+        assert exchange.flow and exchange.flow.on_head(AttemptResult(Outcome.OK))
+        world.advance(399_000)
         assert world.answers == ["begun"] and not exchange.aborted
         if whole:
-            exchange.ended(Answer(Outcome.OK))
-        world.pass_time(10_000_000)
+            exchange.ended(AttemptResult(Outcome.OK))
+        world.advance(10_000_000)
         told = "whole" if whole else "broken off"
         assert world.answers == ["begun"] + [told] * (bound or whole)
-        assert exchange.aborted == (bound and not whole) and world.engine.open == (
+        assert exchange.aborted == (bound and not whole) and world.engine.open_count == (
             not bound and not whole
         )
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -20,7 +20,7 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import RequestPolicy
 from tests.ingress.test_main import ask, config, listens, start
-from tests.testing.ingress import HOST, OK, PeerServer, answers, request
+from tests.testing.ingress import HOST, OK, PeerServer, reply_with, request
 from tests.testing.policy import (
     SECOND,
     Counter,
@@ -55,14 +55,14 @@
     old = start(written(tmp_path, server))
     port = await asyncio.to_thread(listens, old)
     under_way = asyncio.create_task(ask(port, request("r1", "order", "4000m")))
-    await server.until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
+    await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     silent, silent_writer = await asyncio.open_connection(HOST, port)
     await asyncio.sleep(0)
     new = start(written(tmp_path, server, known={"index": 0, "snapshot": True, "endpoints": []}))
     # the same socket, though the file says any port
     assert await asyncio.to_thread(listens, new) == port
     assert old.stderr and "handed over" in await asyncio.to_thread(old.stderr.readline)
-    server.heard = answers(OK)
+    server.on_data = reply_with(OK)
     for number in range(5):  # the new one has the list only from the old one
         asked = request(f"n{number}", Cookie=f"customer={number:016x}")
         assert (await ask(port, asked)).startswith(b"HTTP/1.1 200 ")
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("found", ["file", "socket", "closes", "no state", "half a state"])
 async def test_half_a_hand_over_starts_as_usual(tmp_path: Path, found: str) -> None:
-    server, listening = await PeerServer(answers(OK)).start(), socket.socket()
+    server, listening = await PeerServer(reply_with(OK)).start(), socket.socket()
     offered = socket.socket(socket.AF_UNIX)
     if found == "file":
         (tmp_path / SOCKET).write_text("stale")
@@ -125,7 +125,7 @@
 
 
 async def test_an_old_process_goes_on_if_the_new_one_never_serves(tmp_path: Path) -> None:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(reply_with(OK)).start()
     old = start(written(tmp_path, server))
     port = await asyncio.to_thread(listens, old)
     assert (await ask(port, request("a"))).startswith(b"HTTP/1.1 200 ")
@@ -147,7 +147,7 @@
 
 async def test_maintenance_called_at_either_process_holds_for_both(tmp_path: Path) -> None:
     """And outlives the upgrade: the new process knows what the old one was told."""
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(reply_with(OK)).start()
     ports = []
     for _ in range(2):
         with socket.create_server((HOST, 0)) as free:
@@ -250,8 +250,10 @@
     names = {name: getattr(socket, name) for name in ("AF_UNIX", "SOCK_STREAM", "SOCK_NONBLOCK")}
     monkeypatch.setattr(handover, "socket", SimpleNamespace(socket=refuse, **names))
     rest: Any = None
-    offer = handover.Offer(tmp_path / SOCKET, rest, rest, rest, rest, rest, rest, lambda: None)
+    offer = handover.HandoverOffer(
+        tmp_path / SOCKET, rest, rest, rest, rest, rest, rest, lambda: None
+    )
     offer.open()
-    assert await handover.Claim.find(tmp_path / SOCKET) is None
+    assert await handover.HandoverClaim.find(tmp_path / SOCKET) is None
     await offer.stop()
     assert len(caplog.records) == 1 and "no other process can take over" in caplog.text
--- a/tests/ingress/net/test_ops.py
+++ b/tests/ingress/net/test_ops.py
@@ -11,17 +11,17 @@
 import pytest
 import pytest_asyncio
 
-from cairndale.ingress.net.discovery import Listing
-from cairndale.ingress.net.ops import CALLERS, Maintenance, Ops
+from cairndale.ingress.net.discovery import EndpointUpdate
+from cairndale.ingress.net.ops import MAX_CALLERS, Maintenance, Ops
 from cairndale.ingress.policy import interface as it
 from tests.testing.ingress import (
     HOST,
     OK,
     Ingress,
     PeerServer,
-    Script,
-    answers,
+    ScriptedPolicy,
     read_answer,
+    reply_with,
     request,
     send_first,
 )
@@ -44,7 +44,7 @@
         return int(answer.split()[1])
 
 
-def listing(port: int, status: str, index: int = 1, name: str = "s-1") -> Listing:
+def listing(port: int, status: str, index: int = 1, name: str = "s-1") -> EndpointUpdate:
     entry = {
         "name": name,
         "address": f"{HOST}:{port}",
@@ -52,15 +52,15 @@
         "zone": "hall",
         "type": "big",
     }
-    return Listing({"index": index, "snapshot": True, "endpoints": [entry]})
+    return EndpointUpdate({"index": index, "snapshot": True, "endpoints": [entry]})
 
 
 @pytest_asyncio.fixture
 async def desk(tmp_path: Path) -> AsyncIterator[Desk]:
-    server = await PeerServer(answers(OK)).start()
-    ingress = Ingress(Script(send_first))
+    server = await PeerServer(reply_with(OK)).start()
+    ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.listed(listing(server.port, "up"))
+    ingress.engine.update_endpoints(listing(server.port, "up"))
     desk = Desk(ingress, tmp_path / "kept.json")
     desk.server = server  # type: ignore[attr-defined]
     desk.port = await desk.ops.listen(HOST, 0)
@@ -91,7 +91,7 @@
     desk: Desk, method: str, call: str, status: int
 ) -> None:
     assert await desk.call(call, method) == status
-    assert not desk.ingress.script.of(it.MaintenanceChanged) and not desk.kept.exists()
+    assert not desk.ingress.script.of_kind(it.MaintenanceChanged) and not desk.kept.exists()
 
 
 async def test_status_is_no_while_the_process_cannot_serve(desk: Desk) -> None:
@@ -106,22 +106,22 @@
         assert await desk.call("/maintenance/enter?who=s-1") == 200
     assert json.loads(desk.kept.read_text()) == ["s-1"] and not engine.can_serve()
     for status in ("draining", "removed", "up"):
-        engine.listed(listing(port, status))
+        engine.update_endpoints(listing(port, status))
     assert (await desk.ingress.ask(request("b"))).startswith(b"HTTP/1.1 502 ")
     assert await desk.call("/maintenance/exit?who=s-1") == 200  # one call back undoes both
     assert (await desk.ingress.ask(request("c"))).startswith(b"HTTP/1.1 200 ")
-    assert [e.in_maintenance for e in script.of(it.MaintenanceChanged)] == [True, True, False]
+    assert [e.in_maintenance for e in script.of_kind(it.MaintenanceChanged)] == [True, True, False]
     assert json.loads(desk.kept.read_text()) == [] and engine.can_serve()
 
 
 async def test_a_new_process_knows_what_was_out_before_the_list_names_it(tmp_path: Path) -> None:
-    kept, script = tmp_path / "kept.json", Script()
+    kept, script = tmp_path / "kept.json", ScriptedPolicy()
     kept.write_text('["s-1"]')
     ingress = Ingress(script)
-    Maintenance(ingress.engine, kept).recall()
-    ingress.engine.listed(listing(1, "up"))
-    (told,) = script.of(it.MaintenanceChanged)
-    (listed,) = script.of(it.BackendsListed)
+    Maintenance(ingress.engine, kept).restore()
+    ingress.engine.update_endpoints(listing(1, "up"))
+    (told,) = script.of_kind(it.MaintenanceChanged)
+    (listed,) = script.of_kind(it.BackendsListed)
     assert (
         told.in_maintenance
         and told.backend == listed.backends[0].id
@@ -135,27 +135,29 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, text: str
 ) -> None:
     (tmp_path / "kept.json").write_text(text)
-    ingress = Ingress(Script())
-    Maintenance(ingress.engine, tmp_path / "kept.json").recall()
-    assert not ingress.engine.maintained and "kept.json" in caplog.text
+    ingress = Ingress(ScriptedPolicy())
+    Maintenance(ingress.engine, tmp_path / "kept.json").restore()
+    assert not ingress.engine.in_maintenance and "kept.json" in caplog.text
     ingress.stop()
 
 
 async def test_what_cannot_be_kept_is_a_no_and_changes_nothing(desk: Desk, tmp_path: Path) -> None:
     desk.maintenance._path = tmp_path / "missing" / "kept.json"
     assert await desk.call("/maintenance/enter?who=s-1") == 500
-    assert not desk.ingress.engine.maintained and not desk.ingress.script.of(it.MaintenanceChanged)
+    assert not desk.ingress.engine.in_maintenance and not desk.ingress.script.of_kind(
+        it.MaintenanceChanged
+    )
 
 
 async def test_silent_and_half_sent_callers_are_bounded_and_hold_up_nobody(desk: Desk) -> None:
-    held = [await asyncio.open_connection(HOST, desk.port) for _ in range(2 * CALLERS)]
-    for _, writer in held[CALLERS:]:
+    held = [await asyncio.open_connection(HOST, desk.port) for _ in range(2 * MAX_CALLERS)]
+    for _, writer in held[MAX_CALLERS:]:
         writer.write(b"POST /maintenance/enter?who=s-1 HTTP/1.1\r\nHo")
     assert await desk.call("/status", "GET") == 200
-    assert len(desk.ops.callers) <= CALLERS
+    assert len(desk.ops.callers) <= MAX_CALLERS
     async with asyncio.timeout(10):
         for number, (reader, writer) in enumerate(held):
-            with_answer = await reader.read() if number < CALLERS else b""
+            with_answer = await reader.read() if number < MAX_CALLERS else b""
             assert with_answer == b""  # the longest waiting have given way
             writer.close()
 
@@ -163,7 +165,7 @@
 async def test_a_caller_that_never_finishes_is_told_so(
     desk: Desk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("cairndale.ingress.net.ops.PATIENCE", 0.01)
+    monkeypatch.setattr("cairndale.ingress.net.ops.CALL_TIMEOUT_S", 0.01)
     reader, writer = await asyncio.open_connection(HOST, desk.port)
     writer.write(b"GET /sta")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
--- a/tests/ingress/net/test_pool.py
+++ b/tests/ingress/net/test_pool.py
@@ -12,16 +12,16 @@
 
 from cairndale.ingress.net.config import ConfigError, _pool
 from cairndale.ingress.net.pool import (
-    LEAST,
+    MIN_CONNECTIONS,
     Action,
-    Close,
-    GiveUp,
-    HandOut,
-    Open,
-    Options,
-    Pool,
-    Refuse,
-    Why,
+    AssignConnection,
+    BoundReason,
+    CancelDial,
+    CloseConnection,
+    ConnectionPool,
+    PoolOptions,
+    RejectAttempt,
+    StartDial,
 )
 
 
@@ -30,8 +30,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.pool = Pool(
-            Options(age=30, requests=5, queue=3, warm=2), 10.0, random.Random(1), top=5.0
+        self.pool = ConnectionPool(
+            PoolOptions(age=30, requests=5, queue=3, warm=2),
+            10.0,
+            random.Random(1),
+            descriptor_bound=5.0,
         )
         self.now, self.count = 0.0, 0
         self.waiting: set[int] = set()  # attempts with no end yet
@@ -43,23 +46,23 @@
     def do(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Open(dial):
+                case StartDial(dial):
                     assert dial not in self.dials
                     self.dials.add(dial)
-                case HandOut(waiter, link):
+                case AssignConnection(waiter, link):
                     assert (
                         waiter in self.waiting and link not in self.held and link not in self.stale
                     )
                     self.waiting.remove(waiter)
                     self.idle.discard(link)
                     self.held[link] = waiter
-                case Refuse(waiter, _):
+                case RejectAttempt(waiter, _):
                     self.waiting.remove(waiter)
-                case Close(link):
+                case CloseConnection(link):
                     assert link not in self.held
                     self.idle.discard(link)
                     self.stale.discard(link)
-                case GiveUp(dial):
+                case CancelDial(dial):
                     self.dials.remove(dial)
         self.idle = {link for link in self.idle if link in self.pool.idle}
 
@@ -67,7 +70,11 @@
     def ask(self, patience: float) -> None:
         self.count += 1
         self.waiting.add(self.count)
-        self.do(self.pool.ask(self.now, self.count, patience, lambda link: link not in self.stale))
+        self.do(
+            self.pool.request_connection(
+                self.now, self.count, patience, lambda link: link not in self.stale
+            )
+        )
 
     @precondition(lambda self: self.dials)
     @rule(good=st.booleans(), refused=st.booleans())
@@ -78,9 +85,9 @@
             self.count += 1
             link = f"link {self.count}"
             self.idle.add(link)
-            self.do(self.pool.dialled(self.now, dial, link))
+            self.do(self.pool.dial_succeeded(self.now, dial, link))
         else:
-            self.do(self.pool.failed(self.now, dial, refused))
+            self.do(self.pool.dial_failed(self.now, dial, refused))
 
     @precondition(lambda self: self.held)
     @rule(data=st.data(), reusable=st.booleans())
@@ -88,7 +95,7 @@
         link = data.draw(st.sampled_from(sorted(self.held)))
         del self.held[link]
         self.idle.add(link)
-        self.do(self.pool.freed(self.now, link, reusable))
+        self.do(self.pool.release(self.now, link, reusable))
 
     @precondition(lambda self: self.held or self.idle)
     @rule(data=st.data(), under=st.booleans())
@@ -98,7 +105,7 @@
         self.held.pop(link, None)
         self.idle.discard(link)
         self.stale.discard(link)
-        self.do(self.pool.lost(self.now, link, under))
+        self.do(self.pool.connection_lost(self.now, link, under))
 
     @precondition(lambda self: self.idle)
     @rule()
@@ -121,27 +128,27 @@
 
     @rule(ready=st.booleans())
     def list_changes(self, ready: bool) -> None:
-        self.do(self.pool.withdraw(ready))
+        self.do(self.pool.drain(ready))
         assert not self.waiting and not self.dials and not self.pool.idle
 
     @rule(top=st.sampled_from([1.0, 3.0, 8.0]))
     def descriptors_change(self, top: float) -> None:
-        self.pool.top = top
+        self.pool.descriptor_bound = top
         self.do(self.pool.tick(self.now))
 
     @rule(count=st.integers(0, 3))
     def room_is_needed_elsewhere(self, count: int) -> None:
-        caught = self.pool.counts.caught
+        caught = self.pool.counters.stale_detected
         self.do(self.pool.close_idle(count))
-        assert self.pool.counts.caught == caught  # nothing was wrong with them
+        assert self.pool.counters.stale_detected == caught  # nothing was wrong with them
 
     @rule()
     def doubted(self) -> None:
-        self.pool.doubt()
+        self.pool.distrust_idle()
 
     @rule()
     def warmed(self) -> None:
-        self.do(self.pool.warm(self.now))
+        self.do(self.pool.preconnect(self.now))
 
     @invariant()
     def books_agree(self) -> None:
@@ -149,123 +156,136 @@
         assert (
             set(pool.idle) == self.idle and pool.busy == set(self.held) and pool.dials == self.dials
         )
-        assert {w for w, _ in pool.waiting} == self.waiting and len(
-            pool.waiting
+        assert {w for w, _ in pool.waiters} == self.waiting and len(
+            pool.waiters
         ) <= pool.options.queue
         assert len(pool.idle) == len(set(pool.idle)) and not pool.busy & set(pool.idle)
-        assert set(pool._links) == set(pool.idle) | pool.busy
+        assert set(pool._states) == set(pool.idle) | pool.busy
 
     @invariant()
     def nobody_is_forgotten(self) -> None:
         pool = self.pool
-        if pool.waiting:
+        if pool.waiters:
             assert pool.dials or pool.busy, "nothing can come"
             assert not pool.idle or pool.distrusted, "a link is free"
 
     @invariant()
     def the_bound_holds_for_what_is_opened(self) -> None:
         pool = self.pool
-        assert pool.bound() >= LEAST
+        assert pool.bound() >= MIN_CONNECTIONS
         assert not pool.dials or pool.open() <= max(8, pool.bound())
 
     def teardown(self) -> None:
-        self.do(self.pool.withdraw(False))
+        self.do(self.pool.drain(False))
         for link in sorted(self.held):
             del self.held[link]
-            self.do(self.pool.freed(self.now, link, True))
-        assert self.pool.open() == 0 and not self.pool._links and not self.pool.waiting
+            self.do(self.pool.release(self.now, link, True))
+        assert self.pool.open() == 0 and not self.pool._states and not self.pool.waiters
 
 
 PoolMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=50, deadline=None)
 TestPool = PoolMachine.TestCase
 
 
-def opened(pool: Pool, count: int, now: float = 0.0) -> list[str]:
+def opened(pool: ConnectionPool, count: int, now: float = 0.0) -> list[str]:
     """So many links, all of them busy."""
     links = []
     for n in range(count):
-        for action in pool.ask(now, f"a{n}", 60.0, lambda link: True):
-            assert isinstance(action, Open)
+        for action in pool.request_connection(now, f"a{n}", 60.0, lambda link: True):
+            assert isinstance(action, StartDial)
             links.append(f"l{n}")
-            assert pool.dialled(now, action.dial, links[-1]) == [HandOut(f"a{n}", links[-1])]
+            assert pool.dial_succeeded(now, action.dial, links[-1]) == [
+                AssignConnection(f"a{n}", links[-1])
+            ]
     return links
 
 
 def test_the_most_recently_used_goes_first_and_the_surplus_ages_out() -> None:
-    pool = Pool(Options(), 10.0, random.Random(1))
+    pool = ConnectionPool(PoolOptions(), 10.0, random.Random(1))
     for n, link in enumerate(opened(pool, 3)):
-        pool.freed(float(n), link, True)
-    assert pool.ask(3.0, "x", 1.0, lambda link: True) == [HandOut("x", "l2")]
-    assert pool.freed(9.0, "l2", True) == []
-    assert pool.tick(11.5) == [Close("l0"), Close("l1")]
-    assert pool.tick(19.5) == [Close("l2")]
+        pool.release(float(n), link, True)
+    assert pool.request_connection(3.0, "x", 1.0, lambda link: True) == [
+        AssignConnection("x", "l2")
+    ]
+    assert pool.release(9.0, "l2", True) == []
+    assert pool.tick(11.5) == [CloseConnection("l0"), CloseConnection("l1")]
+    assert pool.tick(19.5) == [CloseConnection("l2")]
 
 
 def test_the_bound_halves_its_way_down_by_refusals_and_grows_by_one_with_use() -> None:
-    pool = Pool(Options(), 60.0, random.Random(1), top=40.0)
+    pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1), descriptor_bound=40.0)
     links = opened(pool, 10)
-    (dial,) = pool.ask(1.0, "x", 8.0, lambda link: True)
-    assert isinstance(dial, Open)
-    assert pool.failed(1.0, dial.dial, True) == [Refuse("x", True)]
-    assert (pool.bound(), pool.why()) == (7, Why.REFUSED)
+    (dial,) = pool.request_connection(1.0, "x", 8.0, lambda link: True)
+    assert isinstance(dial, StartDial)
+    assert pool.dial_failed(1.0, dial.dial, True) == [RejectAttempt("x", True)]
+    assert (pool.bound(), pool.bound_reason()) == (7, BoundReason.REFUSED)
     # no dial beyond the bound: it waits for a link
-    assert pool.ask(1.5, "y", 8.0, lambda link: True) == []
+    assert pool.request_connection(1.5, "y", 8.0, lambda link: True) == []
     # surplus goes first
-    assert pool.freed(2.0, links[0], True) == [Close(links[0])] and pool.waiting
+    assert pool.release(2.0, links[0], True) == [CloseConnection(links[0])] and pool.waiters
     for n, link in enumerate(links[1:5]):
-        pool.freed(3.0 + n, link, True)
-    assert "y" not in {w for w, _ in pool.waiting} and pool.bound() > 7
-    pool.learned = 39.5
+        pool.release(3.0 + n, link, True)
+    assert "y" not in {w for w, _ in pool.waiters} and pool.bound() > 7
+    pool.learned_bound = 39.5
     for n in range(40):
-        pool._grow(100.0 + n) if pool.open() >= pool.bound() - 1 else None
-    pool.withdraw(True)
-    assert (pool.bound(), pool.why()) == (40, Why.DESCRIPTORS)
+        pool._grow_bound(100.0 + n) if pool.open() >= pool.bound() - 1 else None
+    pool.drain(True)
+    assert (pool.bound(), pool.bound_reason()) == (40, BoundReason.DESCRIPTORS)
 
 
 def test_a_doubted_backend_gets_a_fresh_link_before_idle_ones_are_used_again() -> None:
-    pool = Pool(Options(), 60.0, random.Random(1))
+    pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1))
     for link in opened(pool, 2):
-        pool.freed(1.0, link, True)
-    pool.doubt()
-    (dial,) = pool.ask(2.0, "x", 8.0, lambda link: True)
-    assert isinstance(dial, Open) and pool.dialled(2.1, dial.dial, "l9") == [HandOut("x", "l9")]
+        pool.release(1.0, link, True)
+    pool.distrust_idle()
+    (dial,) = pool.request_connection(2.0, "x", 8.0, lambda link: True)
+    assert isinstance(dial, StartDial) and pool.dial_succeeded(2.1, dial.dial, "l9") == [
+        AssignConnection("x", "l9")
+    ]
     # it answers: trusted again
-    assert pool.ask(2.2, "y", 8.0, lambda link: True) == [HandOut("y", "l1")]
-    pool.doubt()
-    (dial,) = pool.ask(3.0, "z", 8.0, lambda link: True)
-    assert isinstance(dial, Open)
+    assert pool.request_connection(2.2, "y", 8.0, lambda link: True) == [
+        AssignConnection("y", "l1")
+    ]
+    pool.distrust_idle()
+    (dial,) = pool.request_connection(3.0, "z", 8.0, lambda link: True)
+    assert isinstance(dial, StartDial)
     # vanished: none is tried
-    assert pool.failed(3.25, dial.dial, False) == [Close("l0"), Refuse("z", True)]
+    assert pool.dial_failed(3.25, dial.dial, False) == [
+        CloseConnection("l0"),
+        RejectAttempt("z", True),
+    ]
 
 
 def test_what_is_idle_beyond_a_smaller_bound_is_closed_the_oldest_first() -> None:
-    pool = Pool(Options(), 60.0, random.Random(1), top=9.0)
+    pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1), descriptor_bound=9.0)
     for link in opened(pool, 6)[:4]:
-        pool.freed(1.0, link, True)
-    pool.top = 4.0  # SIGHUP has halved the descriptors
-    assert pool.tick(2.0) == [Close("l0"), Close("l1")] and pool.open() == 4
+        pool.release(1.0, link, True)
+    pool.descriptor_bound = 4.0  # SIGHUP has halved the descriptors
+    assert pool.tick(2.0) == [CloseConnection("l0"), CloseConnection("l1")] and pool.open() == 4
 
 
 def test_links_of_a_fleet_do_not_turn_over_in_step() -> None:
     deaths, uses = set(), set()
     for seed in range(50):
-        pool = Pool(Options(age=100, requests=1000), 60.0, random.Random(seed))
+        pool = ConnectionPool(PoolOptions(age=100, requests=1000), 60.0, random.Random(seed))
         opened(pool, 1)
-        deaths.add(round(pool._links["l0"].dies))
-        uses.add(pool._links["l0"].left)
+        deaths.add(round(pool._states["l0"].expires_at))
+        uses.add(pool._states["l0"].exchanges_left)
     assert len(deaths) > 20 and min(deaths) >= 80 and max(deaths) <= 120 and len(uses) > 30
 
 
 def test_links_are_opened_ahead_only_where_traffic_was_and_only_if_that_is_on() -> None:
     for warm, wanted in ((0, 0), (2, 2)):
-        pool = Pool(Options(warm=warm), 60.0, random.Random(1))
-        assert pool.warm(0.0) == []  # nothing is known of its traffic
+        pool = ConnectionPool(PoolOptions(warm=warm), 60.0, random.Random(1))
+        assert pool.preconnect(0.0) == []  # nothing is known of its traffic
         opened(pool, 3)
-        pool.withdraw(True)
+        pool.drain(True)
         for link in sorted(pool.busy):
-            pool.freed(1.0, link, False)
-        assert sum(isinstance(a, Open) for _ in range(5) for a in pool.warm(1.0)) == wanted
-        assert pool.warm(200.0) == []  # long ago
+            pool.release(1.0, link, False)
+        assert (
+            sum(isinstance(a, StartDial) for _ in range(5) for a in pool.preconnect(1.0)) == wanted
+        )
+        assert pool.preconnect(200.0) == []  # long ago
 
 
 @pytest.mark.parametrize(
@@ -283,4 +303,4 @@
 def test_what_makes_no_sense_is_refused_by_its_name(raw: object, wrong: str) -> None:
     with pytest.raises(ConfigError, match=wrong.replace(".", r"\.")):
         _pool(raw)
-    assert _pool({"age_s": 60, "requests": 9}) == Options(age=60, requests=9)
+    assert _pool({"age_s": 60, "requests": 9}) == PoolOptions(age=60, requests=9)
--- a/tests/ingress/test_main.py
+++ b/tests/ingress/test_main.py
@@ -93,11 +93,11 @@
     ran = start(tmp_path / "config.json")
     port = await asyncio.to_thread(listens, ran)
     asks = [asyncio.create_task(ask(port, request(f"r{n}", "order", "4000m"))) for n in range(2)]
-    await server.until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
+    await server.wait_until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
     ran.send_signal(signal.SIGTERM)
     first = server.peers[0].data.partition(b"Request-Id: ")[2][:2]
     late = asyncio.create_task(ask(port, request("late", "order", "4000m")))
-    await server.until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
+    await server.wait_until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
     server.peers[0].transport.write(OK)
     server.peers[2].transport.write(OK)
     answers = {f"r{n}".encode(): await a for n, a in enumerate(asks)} | {b"late": await late}
@@ -123,7 +123,9 @@
     made = config(discovery=f"{HOST}:{discovery.port}", known=known, settings=patient)
     (tmp_path / "config.json").write_text(json.dumps(made))
     ran = start(tmp_path / "config.json")
-    await discovery.until(lambda: bool(discovery.peers) and b"\r\n\r\n" in discovery.peers[0].data)
+    await discovery.wait_until(
+        lambda: bool(discovery.peers) and b"\r\n\r\n" in discovery.peers[0].data
+    )
     assert ran.stderr and select.select([ran.stderr], [], [], 0)[0] == []  # not yet listening
     told = {"index": 2, "snapshot": False, "endpoints": [backend | {"status": "draining"}]}
     line = json.dumps(told).encode() + b"\n"
@@ -196,17 +198,19 @@
     ran = start(path)
     await asyncio.to_thread(listens, ran)
     for server in olds:
-        await server.until(lambda server=server: len(server.peers) == 1)  # type: ignore[misc]
+        await server.wait_until(lambda server=server: len(server.peers) == 1)  # type: ignore[misc]
     if broken is not None:
         path.write_text(broken)
         ran.send_signal(signal.SIGHUP)
         assert ran.stderr and "stays as it was" in await asyncio.to_thread(ran.stderr.readline)
     write(*news)
     ran.send_signal(signal.SIGHUP)
-    await news[0].until(lambda: bool(news[0].peers) and b"watch=1&from=1 " in news[0].peers[0].data)
-    await news[1].until(lambda: len(news[1].peers) == 1)
+    await news[0].wait_until(
+        lambda: bool(news[0].peers) and b"watch=1&from=1 " in news[0].peers[0].data
+    )
+    await news[1].wait_until(lambda: len(news[1].peers) == 1)
     for server in olds:
-        await server.until(lambda server=server: len(server.closed) == 1)  # type: ignore[misc]
+        await server.wait_until(lambda server=server: len(server.closed) == 1)  # type: ignore[misc]
     ran.send_signal(signal.SIGTERM)
     _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
     assert ran.returncode == 0 and "Traceback" not in errors
@@ -225,7 +229,7 @@
         assert ran.stderr and words in await asyncio.to_thread(ran.stderr.readline)
 
     async def asked(server: PeerServer, peer: int) -> bytes:
-        await server.until(
+        await server.wait_until(
             lambda: len(server.peers) > peer and b"\r\n\r\n" in server.peers[peer].data
         )
         return bytes(server.peers[peer].data.split()[1])
--- a/tests/measurements/measure_discovery.py
+++ b/tests/measurements/measure_discovery.py
@@ -27,7 +27,13 @@
 from cairndale.discovery.state import Record, Server
 from cairndale.discovery.store import Store
 from cairndale.ingress.net import discovery as discovery_module
-from cairndale.ingress.net.discovery import Addresses, Directory, Discovery, Held, Listing
+from cairndale.ingress.net.discovery import (
+    AddressRotation,
+    DirectoryConfig,
+    Discovery,
+    EndpointTable,
+    EndpointUpdate,
+)
 from tests.testing.discovery import HOST, Program
 
 FLEET, SERVERS, SPELL, DOWN, POLL = 200, 200, 10.0, 5.0, 2.0
@@ -37,11 +43,11 @@
     """One of the fleet that watches."""
 
     def __init__(self, port: int, me: int) -> None:
-        self.held = Held(Directory(()))
+        self.held = EndpointTable(DirectoryConfig(()))
         self.discovery = Discovery((HOST, port), 0, self._changed, FLEET, self.held, me)
         self.discovery.start()
 
-    def _changed(self, change: Listing) -> None: ...
+    def _changed(self, change: EndpointUpdate) -> None: ...
 
     def stop(self) -> None:
         self.discovery.stop()
@@ -152,10 +158,10 @@
         for kind in ("watch", "polling", "watch, no back-off"):
             if kind == "watch, no back-off" and what is not restart:
                 continue
-            pause = (0.0, 0.0) if kind == "watch, no back-off" else discovery_module.BACK_OFF
+            pause = (0.0, 0.0) if kind == "watch, no back-off" else discovery_module.BACKOFF_S
             patches = (
-                mock.patch.object(discovery_module, "BACK_OFF", pause),
-                mock.patch.object(Addresses, "ended", counted(Addresses.ended)),
+                mock.patch.object(discovery_module, "BACKOFF_S", pause),
+                mock.patch.object(AddressRotation, "ended", counted(AddressRotation.watch_ended)),
             )
             with patches[0], patches[1]:
                 counts = await spell(kind, what, folder / f"{what.__name__} {kind}")
--- a/tests/measurements/measure_ingress.py
+++ b/tests/measurements/measure_ingress.py
@@ -24,7 +24,7 @@
 from cairndale.ingress.cli.schema import FIRST
 from cairndale.ingress.observability.logs import Options, Writer
 from tests.ingress.cli.test_cli import held
-from tests.testing.ingress import HOST, OK, RAW, PeerServer, answers
+from tests.testing.ingress import HOST, OK, RAW, PeerServer, reply_with
 
 ROOT = Path(__file__).parents[2]
 REQUESTS, ROUNDS = 4000, 5
@@ -70,7 +70,7 @@
 async def spent(more: str) -> float:
     """us of processor time for a request."""
     folder = Path(tempfile.mkdtemp())
-    server, holders = await PeerServer(answers(OK)).start(), [held(), held()]
+    server, holders = await PeerServer(reply_with(OK)).start(), [held(), held()]
     port, ops = (h.getsockname()[1] for h in holders)
     text = FIRST.replace("127.0.0.1:8080", f"{HOST}:{port}").replace(
         "127.0.0.1:8081", f"{HOST}:{ops}"
--- a/tests/scale/test_scale_run.py
+++ b/tests/scale/test_scale_run.py
@@ -18,7 +18,7 @@
 from cairndale.chaos.world import ROOT
 from cairndale.configuration.route_table import RouteTable
 from cairndale.http_api.server import Response
-from cairndale.ingress.net.engine import Names, _follow
+from cairndale.ingress.net.engine import NameTable, _merge_by_name
 from cairndale.lookup.selection import LookupResponder
 from cairndale.rpc import protocol_pb2 as pb
 from cairndale.scale import __main__ as scale
@@ -270,9 +270,9 @@
     kept = [by_name.get(entry.name, entry) for entry in before]
     plain = tuple(kept + [entry for entry in now if entry not in kept])
     Compared.count = 0
-    found = _follow(before, now)
+    found = _merge_by_name(before, now)
     settings = SimpleNamespace(classes=(), plans=found, fleet_size=1, load_fields=())
-    names = Names(settings, {}, SimpleNamespace(classes=(), plans=tuple(now)))
+    names = NameTable(settings, {}, SimpleNamespace(classes=(), plans=tuple(now)))
     assert Compared.count < 4 * 400
     assert found == plain
     assert names.plans == {e.name.encode(): n for n, e in enumerate(plain) if e in now}
--- a/tests/testing/ingress.py
+++ b/tests/testing/ingress.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from cairndale.ingress.net.backends import Backends
-from cairndale.ingress.net.bodies import Memory
+from cairndale.ingress.net.bodies import BodyMemory
 from cairndale.ingress.net.clients import Listener
-from cairndale.ingress.net.discovery import Entry
-from cairndale.ingress.net.engine import Answer, Clock, Engine, Names
+from cairndale.ingress.net.discovery import EndpointEntry
+from cairndale.ingress.net.engine import AttemptResult, Clock, Engine, NameTable
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.wire import settings_from_json
@@ -51,13 +51,13 @@
 SETTINGS = settings_from_json(json.dumps(RAW).encode())
 
 
-def entry(name: str, port: int, status: str = "up", since_ms: int = 0) -> Entry:
-    return Entry(
+def entry(name: str, port: int, status: str = "up", since_ms: int = 0) -> EndpointEntry:
+    return EndpointEntry(
         {"name": name, "address": f"{HOST}:{port}", "status": status, "since_ms": since_ms}
     )
 
 
-class Script:
+class ScriptedPolicy:
     """A module that does what the test says: `rule` turns an event into actions; all events are
     kept."""
 
@@ -71,15 +71,15 @@
         self.changed.set()
         return self.rule(event)
 
-    def of(self, kind: type) -> list[Any]:
+    def of_kind(self, kind: type) -> list[Any]:
         return [e for e in self.events if isinstance(e, kind)]
 
-    async def seen(self, kind: type, count: int = 1) -> list[Any]:
+    async def wait_for(self, kind: type, count: int = 1) -> list[Any]:
         async with asyncio.timeout(10):
-            while len(self.of(kind)) < count:
+            while len(self.of_kind(kind)) < count:
                 self.changed.clear()
                 await self.changed.wait()
-        return self.of(kind)
+        return self.of_kind(kind)
 
 
 def send_first(event: it.Event) -> list[it.Action]:
@@ -106,7 +106,7 @@
     def data_received(self, data: bytes) -> None:
         self.data += data
         self.server.changed.set()
-        self.server.heard(self)
+        self.server.on_data(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.closed.append(self)
@@ -115,7 +115,7 @@
 
 class PeerServer:
     def __init__(self, heard: Callable[[Peer], None] = lambda peer: None) -> None:
-        self.heard = heard
+        self.on_data = heard
         self.peers: list[Peer] = []
         self.closed: list[Peer] = []
         self.changed = asyncio.Event()
@@ -127,7 +127,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
             while not holds():
                 self.changed.clear()
@@ -139,7 +139,7 @@
             peer.transport.abort()
 
 
-def answers(reply: bytes) -> Callable[[Peer], None]:
+def reply_with(reply: bytes) -> Callable[[Peer], None]:
     """Answers each whole request (these have no body) on a connection with `reply`."""
 
     def heard(peer: Peer) -> None:
@@ -151,23 +151,23 @@
 
 
 OK = b"HTTP/1.1 200 OK\r\nServer-Load: queue=3\r\nContent-Length: 4\r\n\r\nwarm"
-ASKED = b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n"
+REQUEST = b"GET /read HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class Fleet:
+class SingleBackend:
     """One backend behind the real pools."""
 
     def __init__(self, server: PeerServer, idle_us: int = 10_000_000) -> None:
         self.server, self.sockets = server, Sockets(1024)
         self.backends = Backends(self.sockets, idle_us, 250_000)
-        self.list()
+        self.update_list()
 
-    def list(self, status: str = "up", port: int = 0, since_ms: int = 0) -> None:
-        self.backends.know(entry("s-1", port or self.server.port, status, since_ms), 1)
-        self.backends.settle([1] if status == "removed" else [])
+    def update_list(self, status: str = "up", port: int = 0, since_ms: int = 0) -> None:
+        self.backends.update_endpoint(entry("s-1", port or self.server.port, status, since_ms), 1)
+        self.backends.apply_updates([1] if status == "removed" else [])
 
-    def send(self, data: bytes = ASKED) -> asyncio.Future[Answer]:
-        done: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+    def send(self, data: bytes = REQUEST) -> asyncio.Future[AttemptResult]:
+        done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
         self.exchange = self.backends.send(1, data, done.set_result)
         return done
 
@@ -179,14 +179,14 @@
 class Ingress:
     """All of the ingress but discovery and the counter, with a scripted module."""
 
-    def __init__(self, script: Script, limit: int = 1024) -> None:
+    def __init__(self, script: ScriptedPolicy, limit: int = 1024) -> None:
         clock, self.sockets, self.script = Clock(), Sockets(limit), script
-        names, loop = Names(SETTINGS, RAW), asyncio.get_running_loop()
+        names, loop = NameTable(SETTINGS, RAW), asyncio.get_running_loop()
         self.engine = Engine(script, SETTINGS, names, loop, clock.now)
         limits = SETTINGS.limits
         self.backends = Backends(self.sockets, RAW["ceilings"]["conn_idle"], limits.connect_timeout)
-        self.engine.servers = self.backends
-        self.listener = Listener(self.engine, self.sockets, Memory(64), clock.now)
+        self.engine.upstreams = self.backends
+        self.listener = Listener(self.engine, self.sockets, BodyMemory(64), clock.now)
 
     async def start(self) -> int:
         self.port = await self.listener.listen(HOST, 0)
@@ -239,7 +239,7 @@
         self.cancelled = True
 
 
-class Wheel:
+class ManualClock:
     """A loop whose time passes when it is told to; us."""
 
     def __init__(self, start: int) -> None:
@@ -249,7 +249,7 @@
         self.timers.append(Timer(self.time + round(delay * 1e6), lambda: callback(*args)))
         return self.timers[-1]
 
-    def pass_time(self, us: int) -> None:
+    def advance(self, us: int) -> None:
         end = self.time + us
         while due := [t for t in self.timers if t.at <= end and not t.cancelled]:
             first = min(due, key=lambda t: t.at)
