--- a/cairndale/ingress/net/backends.py
+++ b/cairndale/ingress/net/backends.py
@@ -1,4 +1,8 @@
-"""Connections to the backends, one request on each: attempts, their outcomes, probes."""
+"""Connections to the backends: sends attempts and probes, and reports their outcomes.
+
+Each connection carries one request at a time. `pool.py` decides which connections are opened,
+reused and closed; this module carries its decisions out on sockets.
+"""
 
 from __future__ import annotations
 
@@ -35,52 +39,55 @@
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.interface import Outcome
 
-# of the time after which a backend closes an idle connection: ours is closed by then
+# An idle connection is closed after this fraction of the time after which the backend closes it.
 IDLE_TIMEOUT_FRACTION = 0.75
-SWEEP_INTERVAL_S = 1.0  # s between looks for such connections
-# s beyond that for which the process or the machine has stood still: every link is old then
+SWEEP_INTERVAL_S = 1.0
+# If a sweep is late by more than this, the process or the machine was suspended, and no idle
+# connection is used any more.
 SUSPENSION_S = 2.0
-# links a second opened ahead at a backend by all gateways together: handshakes cost it work
+# Connections that all ingresses together preconnect to a backend: handshakes cost it work.
 PRECONNECT_RATE_PER_S = 5.0
 PROBE_TIMEOUT_S = 0.25
-UNKNOWN_LENGTH_DELAY_S = (
-    0.05  # s that the first part of an answer of unknown length waits for the rest
-)
-STREAM_STALL_TIMEOUT_S = (
-    6.0  # s without another part of an answer, after which the backend is taken for gone
-)
+# The first part of a response of unknown length is buffered this long before it is streamed.
+UNKNOWN_LENGTH_DELAY_S = 0.05
+# A streamed response is aborted if no further part is received for this long.
+STREAM_STALL_TIMEOUT_S = 6.0
 
 ResultCallback = Callable[[AttemptResult], None]
-KEEP_ALIVE_TIMEOUT = re.compile(
-    rb"(?:^|[,;\s])timeout=([0-9]{1,6})"
-)  # of a Keep-Alive field: whole seconds
-ResponseClassifier = Callable[[Message, bytes], AttemptResult]  # an answer, and what was sent
+# The timeout parameter of a Keep-Alive field, in whole seconds.
+KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,;\s])timeout=([0-9]{1,6})")
+# Derives the outcome of an attempt from the response and the request that was sent.
+ResponseClassifier = Callable[[Message, bytes], AttemptResult]
 log = logging.getLogger(__name__)
 
 
 async def _connect_socket(
-    loop: asyncio.AbstractEventLoop, sock: socket.socket, address: tuple[str, int], within: float
+    loop: asyncio.AbstractEventLoop, sock: socket.socket, address: tuple[str, int], timeout: float
 ) -> None:
-    """The connection is begun at once, and is up when this returns; `within` s. One that is up when
-    the time is over counts: it was this process that stood still, not the backend. Raises OSError,
-    TimeoutError."""
+    """Connect `sock` within `timeout` seconds. Raises OSError or TimeoutError.
+
+    A connection that is established when the timeout is noticed counts as a success: then this
+    process was delayed, not the backend.
+    """
     try:
         socket.inet_pton(socket.AF_INET, address[0])
-    except OSError:  # a name: others look it up meanwhile
-        async with asyncio.timeout(within):
-            found = await loop.getaddrinfo(*address, family=socket.AF_INET, type=socket.SOCK_STREAM)
-        address = (str(found[0][4][0]), address[1])
+    except OSError:  # a host name: resolved without blocking the loop
+        async with asyncio.timeout(timeout):
+            resolved = await loop.getaddrinfo(
+                *address, family=socket.AF_INET, type=socket.SOCK_STREAM
+            )
+        address = (str(resolved[0][4][0]), address[1])
     error = sock.connect_ex(address)
     if error == errno.EINPROGRESS:
         writable = asyncio.Event()
         loop.add_writer(sock, writable.set)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 await writable.wait()
         except TimeoutError:
-            look = select.poll()
-            look.register(sock, select.POLLOUT)
-            if not look.poll(0):
+            poll = select.poll()
+            poll.register(sock, select.POLLOUT)
+            if not poll.poll(0):
                 raise
         finally:
             loop.remove_writer(sock)
@@ -90,7 +97,10 @@
 
 
 class Exchange:
-    """An attempt: waits for its connection, then is written, then answered. Ends once."""
+    """An attempt: waits for a connection, is written, and ends once, with a result.
+
+    `written`: the attempt may have run at the backend.
+    """
 
     __slots__ = (
         "_on_result",
@@ -107,38 +117,41 @@
     def __init__(
         self,
         data: RequestData,
-        ended: ResultCallback,
-        flow: AttemptContext | None = None,
-        server: BackendPool | None = None,
+        on_result: ResultCallback,
+        context: AttemptContext | None = None,
+        pool: BackendPool | None = None,
     ) -> None:
-        self.data, self._on_result, self.context, self._pool = data, ended, flow, server
+        self.data, self._on_result, self.context, self._pool = data, on_result, context, pool
         self.connection: UpstreamConnection | None = None
         self.sent_at = math.inf
         self.written = self.finished = False
-        self.fully_sent = False  # its last byte is written, or waits in the connection's buffer
+        self.fully_sent = False  # its last byte is written or buffered
 
-    def end(self, answer: AttemptResult) -> None:
+    def end(self, result: AttemptResult) -> None:
+        """Report the result, unless the attempt has ended already."""
         if not self.finished:
             self.finished = True
-            self._on_result(answer)
+            self._on_result(result)
 
     def fail(self) -> None:
-        """No answer will come: whether it has run depends on whether its last byte was written."""
+        """End without a response; the attempt may have run only if it was written."""
         self.end(AttemptResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
     def fail_unsent(self) -> None:
-        """There was no link for it, which says nothing of the backend."""
+        """End because no connection was available, which is not a fault of the backend."""
         self.end(AttemptResult(Outcome.MOOT))
 
     def write_body(self, data: bytes) -> None:
+        """Write a part of the streamed request body."""
         if self.connection and not self.connection.closed:
             self.connection.transport.write(data)
 
     def body_written(self) -> None:
+        """Note that the last byte of the streamed request body has been written."""
         self.written = self.fully_sent = True
 
     def pause(self, paused: bool) -> None:
-        """The client takes no more of the answer for now, or does again."""
+        """Pause or resume reading the response, while the client's write buffer is full."""
         if self.connection and not self.connection.closed:
             (
                 self.connection.transport.pause_reading
@@ -148,6 +161,7 @@
             self.connection.last_part_at = math.inf if paused else self.connection.pool.now()
 
     def abort(self) -> bool:
+        """Abort the attempt without a result. Return whether it may have run."""
         self.finished = True
         if self.connection is None and self._pool:
             self._pool.attempt_cancelled(self)
@@ -159,34 +173,40 @@
 
 
 class UpstreamConnection(HttpConnection):
-    """One connection to a backend. The socket is ours, so that a send tells how much was written, a
-    look tells whether the connection still stands, and giving up takes effect before anything else
-    is sent."""
+    """One connection to a backend.
+
+    It uses its socket directly beside the transport: a send shows at once how much was written, a
+    peek shows whether the connection is still open, and a shutdown takes effect before anything
+    else is sent.
+    """
 
     def __init__(self, pool: BackendPool, sock: socket.socket) -> None:
         super().__init__(httptools.HttpResponseParser)
         self.pool, self.sock, self.address = pool, sock, pool.address
         self.keep_fields = pool.relays_responses
         self.exchange: Exchange | None = None
-        self.reset_unanswered = False  # it broke under a request of which nothing had been answered
-        self.closed = self.streaming = False  # passing: an answer goes on to the client in parts
-        self.desynchronized = False  # it has brought an answer that belongs to another request
-        self.last_request_id = b""  # id of the request that it answered last
-        self.last_part_at = math.inf  # while it does, when the last part came
+        self.reset_unanswered = False  # closed under a request, before any response byte
+        self.closed = self.streaming = False  # streaming: a response is streamed to the client
+        self.desynchronized = False  # it has received a response to another request
+        self.last_request_id = b""  # of the last request that was answered on it
+        # When the last part of a streamed response was received; inf while reading is paused.
+        self.last_part_at = math.inf
         self._buffer_timer: asyncio.TimerHandle | None = None
 
     def send(self, exchange: Exchange) -> None:
+        """Write an attempt's request, as far as the socket takes it, and buffer the rest."""
         if (
             exchange.context
             and exchange.context.request_id
             and exchange.context.request_id == self.last_request_id
         ):
-            # a second answer to the attempt before, still on its way, would count for this one
+            # A duplicate response to the previous attempt, which carries the same id and may still
+            # be in transit, would be mistaken for the response to this one.
             self.disconnect()
             self.pool.request_connection(exchange)
             return
         data = exchange.data if isinstance(exchange.data, bytes) else exchange.data()
-        if data is None:  # what was true when it was begun holds no longer: not a byte has gone
+        if data is None:  # the attempt is withdrawn before its first byte is written
             self.pool.release(self, True)
             exchange.fail_unsent()
             return
@@ -210,7 +230,7 @@
             upload.attach(exchange)
 
     def is_usable(self) -> bool:
-        """False if the backend has ended it, or said something nobody asked for."""
+        """Return False if the backend has closed the idle connection or sent unexpected data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -220,6 +240,7 @@
         return False
 
     def disconnect(self) -> None:
+        """Close the connection at once."""
         if not self.closed:
             self.closed = True
             with contextlib.suppress(OSError):
@@ -239,15 +260,18 @@
 
     def data_received(self, data: bytes) -> None:
         self.pool.last_received_at = self.pool.now()
-        # nobody has asked: the rest of it would come under the next request
         if self.exchange is None:
+            # Unexpected data: the rest of it would be taken for the next response.
             self.disconnect()
         else:
             super().data_received(data)
 
     def head_received(self, message: Message) -> None:
-        """An answer of unknown length may be short, and can be asked for again until some of it
-        goes on; it is not held for long, as it may be large and slow."""
+        """Buffer the start of a response of unknown length for a short time.
+
+        It may be short, and the request can be retried until a part of the response has been
+        forwarded. It may also be large and slow, so it is not buffered for long.
+        """
         served = self._classify(message).outcome is Outcome.OK
         if message.length is None and served and not message.streamed:
             self._buffer_timer = asyncio.get_running_loop().call_later(
@@ -260,15 +284,15 @@
             self._run_hooks()
 
     def body_began(self, message: Message) -> None:
-        exchange, answer = self.exchange, self._classify(message)
-        if answer.outcome is Outcome.MOOT:  # another request's: it passes by
+        exchange, result = self.exchange, self._classify(message)
+        if result.outcome is Outcome.MOOT:  # a response to another request: ignored
             self.desynchronized = True
-        elif answer.outcome is not Outcome.OK or exchange is None or exchange.context is None:
-            self._finish_early(exchange, answer)
-        elif exchange.context.on_head(answer):
+        elif result.outcome is not Outcome.OK or exchange is None or exchange.context is None:
+            self._finish_early(exchange, result)
+        elif exchange.context.on_head(result):
             self.streaming, self.last_part_at = True, self.pool.now()
-        else:  # nobody waits for it any longer
-            self._finish_early(exchange, answer)
+        else:  # the response is not needed any more
+            self._finish_early(exchange, result)
 
     def body_part_received(self, message: Message, data: bytes) -> None:
         if self.streaming and self.exchange and self.exchange.context:
@@ -281,62 +305,69 @@
             self.streaming = False
             self.message_received(message)
 
-    def _finish_early(self, exchange: Exchange | None, answer: AttemptResult) -> None:
-        """The answer's head has said enough: the rest is not waited for."""
+    def _finish_early(self, exchange: Exchange | None, result: AttemptResult) -> None:
+        """End the attempt at the response's head, without reading the body."""
         self.exchange = None
         self.disconnect()
         if exchange:
-            exchange.end(answer)
+            exchange.end(result)
 
     def is_stalled(self, since: float) -> bool:
+        """Return whether the streamed response has made no progress since `since`."""
         return self.streaming and self.last_part_at < since
 
     def message_received(self, message: Message) -> None:
         exchange = self.exchange
         if self._buffer_timer:
             self._buffer_timer.cancel()
-        answer = self._classify(message)
-        if (100 <= message.status < 200 or answer.outcome is Outcome.MOOT) and exchange:
-            self.desynchronized = self.desynchronized or answer.outcome is Outcome.MOOT
+        result = self._classify(message)
+        if (100 <= message.status < 200 or result.outcome is Outcome.MOOT) and exchange:
+            self.desynchronized = self.desynchronized or result.outcome is Outcome.MOOT
             return
         self.exchange, self.last_request_id = (
             None,
             exchange.context.request_id if exchange and exchange.context else b"",
         )
-        if kept := KEEP_ALIVE_TIMEOUT.search(message.headers.get(b"keep-alive", b"")):
-            self.pool.keep_alive_announced(int(kept[1]))
-        # Answered before it had all been read, or more said than was asked for: a part of a
-        # message, what is none, or whole ones read along with this, which the next request would
-        # get for its answer.
-        unsound = (
+        if keep_alive := KEEP_ALIVE_TIMEOUT.search(message.headers.get(b"keep-alive", b"")):
+            self.pool.keep_alive_announced(int(keep_alive[1]))
+        # The connection cannot be reused if the backend answered before it had read the whole
+        # request, or if it sent more than one response: a part of another message, data that is not
+        # HTTP, or complete messages. The next request would take them for its response.
+        not_reusable = (
             self.transport.get_write_buffer_size() > 0 or self._message_begun or self._framing_lost
         )
-        unsound = (
-            unsound
+        not_reusable = (
+            not_reusable
             or bool(self._hooks)
             or self.desynchronized
             or not (exchange and exchange.fully_sent)
         )
-        self.pool.release(self, message.keep_alive and not unsound)
+        self.pool.release(self, message.keep_alive and not not_reusable)
         if exchange:
-            exchange.end(answer)
+            exchange.end(result)
 
     def _classify(self, message: Message) -> AttemptResult:
-        """200 is served, and where answers are relayed all but those of a server that cannot serve
-        now. MOOT: another request's."""
-        if judge := self.pool.classifier:
-            asked = self.exchange.data if self.exchange else b""
-            answer = judge(message, asked if isinstance(asked, bytes) else b"")
-            if answer.outcome is Outcome.ERROR and message.status >= 200:
-                self.desynchronized = True  # nothing shows whose it is: its own answer may yet come
-            return answer
+        """Return the outcome that a response stands for.
+
+        OK: status 200, or any response of a server that can serve if all responses are relayed.
+        MOOT: the response belongs to another request.
+        """
+        if classify := self.pool.classifier:
+            request = self.exchange.data if self.exchange else b""
+            result = classify(message, request if isinstance(request, bytes) else b"")
+            if result.outcome is Outcome.ERROR and message.status >= 200:
+                # The response cannot be attributed: the expected one may still follow.
+                self.desynchronized = True
+            return result
         headers, status = message.headers, message.status
         load = headers.get(b"server-load", b"")
         if self.keep_fields and status not in (502, 503, 504):
-            named = {n.strip().lower() for n in headers.get(b"connection", b"").split(b",")}
-            left = HOP_BY_HOP | named
+            connection_options = {
+                n.strip().lower() for n in headers.get(b"connection", b"").split(b",")
+            }
+            excluded = HOP_BY_HOP | connection_options
             fields = b"".join(
-                b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left
+                b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in excluded
             )
             return AttemptResult(
                 Outcome.OK, message.body, length=message.length, status=status, fields=fields
@@ -347,10 +378,10 @@
             )
         if status in (503, 504) and headers.get(b"not-started") == b"1":
             return AttemptResult(Outcome.FULL, load=load)
-        return AttemptResult(Outcome.ERROR, load=load)  # nothing says that it never ran
+        return AttemptResult(Outcome.ERROR, load=load)  # it may have run
 
     def message_invalid(self, status: int) -> None:
-        log.warning("backend %s: answer not understood: %s", self.pool.name, self.parse_error)
+        log.warning("backend %s: invalid response: %s", self.pool.name, self.parse_error)
         self._connection_gone()
 
     def eof_received(self) -> None:
@@ -372,7 +403,7 @@
 
 
 class BackendPool:
-    """The connections to one backend: its pool's decisions, carried out on sockets."""
+    """The connections to one backend: carries out the decisions of its `ConnectionPool`."""
 
     __slots__ = (
         "_backends",
@@ -388,18 +419,21 @@
         "up",
     )
 
-    def __init__(self, entry: EndpointEntry, backends: Backends, held: bool) -> None:
+    def __init__(self, entry: EndpointEntry, backends: Backends, in_maintenance: bool) -> None:
         self.name, self.address, self._backends = entry.name, entry.address, backends
         self.up, self.in_maintenance, self.started, self.needs_drain = (
             entry.status == "up",
-            held,
+            in_maintenance,
             entry.since_us,
             False,
         )
         self.pool = ConnectionPool(
-            backends.options, backends.idle_timeout, backends.rng, ready=self.up and not held
+            backends.options,
+            backends.idle_timeout,
+            backends.rng,
+            ready=self.up and not in_maintenance,
         )
-        self.last_received_at = -math.inf  # when anything came from it
+        self.last_received_at = -math.inf  # s on the loop's clock, of any data from it
         self._dial_tasks: dict[int, asyncio.Task[None]] = {}
         self._wait_timer: asyncio.TimerHandle | None = None
 
@@ -413,6 +447,7 @@
 
     @property
     def ready(self) -> bool:
+        """Whether attempts may be sent to the backend."""
         return self.up and not self.in_maintenance
 
     @staticmethod
@@ -432,14 +467,15 @@
         return self._backends.written_at_first_byte
 
     def keep_alive_announced(self, seconds: int) -> None:
-        """The backend says for how long it keeps an idle connection."""
+        """Adapt the idle timeout to the one that the backend announces in Keep-Alive."""
         self.pool.idle_timeout = min(self._backends.idle_timeout, seconds * IDLE_TIMEOUT_FRACTION)
 
     def request_connection(self, exchange: Exchange) -> None:
-        patience = exchange.context.timeout_s if exchange.context else math.inf
+        """Send the attempt on an idle connection, or queue it for one."""
+        timeout = exchange.context.timeout_s if exchange.context else math.inf
         self._execute(
             self.pool.request_connection(
-                self.now(), exchange, patience, UpstreamConnection.is_usable
+                self.now(), exchange, timeout, UpstreamConnection.is_usable
             )
         )
         if self.pool.waiters and self._wait_timer is None:
@@ -454,25 +490,26 @@
             wait = max(0.01, min(1.0, self.pool.next_wait_expiry() - self.now()))
             self._wait_timer = asyncio.get_running_loop().call_later(wait, self._wait_expired)
 
-    def tick(self, gap: bool = False) -> None:
-        self._execute(self.pool.tick(self.now(), gap))
+    def tick(self, suspended: bool = False) -> None:
+        """Close expired idle connections, and reject attempts that have waited too long."""
+        self._execute(self.pool.tick(self.now(), suspended))
 
     def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case AssignConnection(waiter, link):
-                    link.send(waiter)
+                case AssignConnection(waiter, connection):
+                    connection.send(waiter)
                 case RejectAttempt(waiter, failed):
                     (waiter.fail if failed else waiter.fail_unsent)()
                 case StartDial(dial):
                     self._start_dial(dial)
-                case CloseConnection(link):
-                    link.disconnect()
+                case CloseConnection(connection):
+                    connection.disconnect()
                 case CancelDial(dial):
                     if task := self._dial_tasks.pop(dial, None):
                         task.cancel()
 
-    # Connections begin.
+    # Opening connections.
 
     def _start_dial(self, dial: int) -> None:
         sockets = self._backends.sockets
@@ -484,8 +521,8 @@
 
     async def _dial(self, dial: int) -> None:
         sock: socket.socket | None = None
-        link: UpstreamConnection | None = None
-        loop, up, refused = asyncio.get_running_loop(), False, False
+        connection: UpstreamConnection | None = None
+        loop, established, refused = asyncio.get_running_loop(), False, False
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -495,62 +532,70 @@
                     socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._backends.unacked_ms
                 )
             await _connect_socket(loop, sock, self.address, self._backends.connect_timeout)
-            link = made = UpstreamConnection(self, sock)
+            connection = made = UpstreamConnection(self, sock)
             await loop.create_connection(lambda: made, sock=sock)
-            up = True
+            established = True
         except TimeoutError:
             pass
-        except (OSError, ValueError):  # refused, out of descriptors
+        except (OSError, ValueError):  # refused, or out of descriptors
             refused = True
         finally:
             wanted = self._dial_tasks.pop(dial, None) is not None
-            if link is None or not hasattr(link, "transport"):
+            if connection is None or not hasattr(connection, "transport"):
                 self._backends.sockets.upstream_closed()
                 if sock:
                     sock.close()
-            elif not (up and wanted):
-                # it came up just as its time was over: its end is counted once
-                link.disconnect()
-            if up and wanted and link and not link.closed:
-                self._execute(self.pool.dial_succeeded(self.now(), dial, link))
+            elif not (established and wanted):
+                # Established just as the dial was given up; its closing is counted once, by
+                # `connection_closed`.
+                connection.disconnect()
+            if established and wanted and connection and not connection.closed:
+                self._execute(self.pool.dial_succeeded(self.now(), dial, connection))
             elif wanted:
                 self._execute(self.pool.dial_failed(self.now(), dial, refused))
 
     def preconnect(self) -> None:
+        """Open a connection ahead of demand, if the expected traffic needs one."""
         self._execute(self.pool.preconnect(self.now()))
 
     def close_idle(self, count: int) -> None:
+        """Close `count` idle connections, the least recently used first."""
         self._execute(self.pool.close_idle(count))
 
-    # Connections rest and end.
+    # Reusing and closing connections.
 
-    def release(self, link: UpstreamConnection, reusable: bool) -> None:
-        if link.closed:
+    def release(self, connection: UpstreamConnection, reusable: bool) -> None:
+        """Return a connection to the pool after an exchange."""
+        if connection.closed:
             return
-        reusable = reusable and link.address == self.address
-        if reusable and self.pool.waiters:  # it goes on to them as it is, so it is looked at now
-            reusable = link.is_usable()
-        self._execute(self.pool.release(self.now(), link, reusable))
+        reusable = reusable and connection.address == self.address
+        if reusable and self.pool.waiters:  # the pool assigns it at once, without another check
+            reusable = connection.is_usable()
+        self._execute(self.pool.release(self.now(), connection, reusable))
 
-    def connection_closed(self, link: UpstreamConnection, under_request: bool) -> None:
-        """Its socket is closed, by whichever side."""
+    def connection_closed(self, connection: UpstreamConnection, under_request: bool) -> None:
+        """Account for a connection that either side has closed."""
         self._backends.sockets.upstream_closed()
-        self._execute(self.pool.connection_lost(self.now(), link, under_request))
+        self._execute(self.pool.connection_lost(self.now(), connection, under_request))
 
     def attempt_cancelled(self, exchange: Exchange) -> None:
+        """Remove an attempt from the queue for a connection."""
         self.pool.cancel(exchange)
 
     def attempt_unanswered(self, since: float) -> None:
-        """An attempt was given up with no word from this backend since it was written."""
+        """Distrust idle connections if the backend has sent nothing since the time `since`.
+
+        Called when an attempt written at `since` is aborted.
+        """
         if self.last_received_at < since and self.now() - since >= self._backends.connect_timeout:
             self.pool.distrust_idle()
 
     def drain(self) -> None:
-        """Attempts that wait for a connection have not been written, and will not be."""
+        """Close idle connections, and reject attempts that wait for one: none has been written."""
         self._execute(self.pool.drain(self.ready))
 
     def report(self) -> dict[str, Any]:
-        """For operators."""
+        """Return the pool's state and counters, for operators."""
         pool, counts = self.pool, self.pool.counters
         return {
             "name": self.name,
@@ -573,6 +618,8 @@
 
 
 class Backends:
+    """The connection pools of all backends."""
+
     def __init__(
         self,
         sockets: Sockets,
@@ -583,18 +630,17 @@
     ) -> None:
         self.sockets, self.options, self.rng = sockets, options or PoolOptions(), random.Random()
         self._pools: dict[int, BackendPool] = {}
-        self.relays_responses = False  # answers go on whatever their status, with their fields
-        # what an answer says, where that is not the platform's protocol
+        self.relays_responses = False  # forward responses of any status, with all fields
+        # Classifies responses, unless the backends speak the platform's protocol.
         self.classifier: ResponseClassifier | None = None
-        self.written_at_first_byte = (
-            False  # from its first byte on a request counts as written, not from its last
-        )
+        # Whether a request counts as written from its first byte on, rather than from its last.
+        self.written_at_first_byte = False
         self.stream_stall_timeout = STREAM_STALL_TIMEOUT_S
-        # without an acknowledgement, after which a link is given up; 0: the kernel's time
+        # TCP_USER_TIMEOUT of the connections; 0: the kernel's default.
         self.unacked_ms = 0
         self._fleet_size = fleet_size
         self.update_limits(conn_idle_us, connect_timeout_us)
-        self._in_maintenance: set[int] = set()  # out for maintenance, apart from what is listed
+        self._in_maintenance: set[int] = set()  # numbers; independent of the endpoint list
         self._loop = asyncio.get_running_loop()
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._last_sweep = (self._loop.time(), time.time())
@@ -608,65 +654,69 @@
         options: PoolOptions | None = None,
         fleet_size: int = 0,
     ) -> None:
-        """Other figures from now on, for what is open as well."""
+        """Apply new limits, also to open connections."""
         self.idle_timeout, self.connect_timeout = (
             conn_idle_us / 1e6 * IDLE_TIMEOUT_FRACTION,
             connect_timeout_us / 1e6,
         )
         self.options, self._fleet_size = options or self.options, fleet_size or self._fleet_size
-        for server in self._pools.values():
-            server.pool.options, server.pool.idle_timeout = self.options, self.idle_timeout
+        for pool in self._pools.values():
+            pool.pool.options, pool.pool.idle_timeout = self.options, self.idle_timeout
         self._update_bounds()
-        for server in list(self._pools.values()):
-            server.tick()
+        for pool in list(self._pools.values()):
+            pool.tick()
 
     def _update_bounds(self) -> None:
-        """The backends' part of the descriptors, shared out over the backends that are in use."""
+        """Divide the descriptors available for backends among the backends in use."""
         used = sum(1 for s in self._pools.values() if s.pool.open())
-        for server in self._pools.values():
-            server.pool.descriptor_bound = self.sockets.max_upstreams / max(1, used)
+        for pool in self._pools.values():
+            pool.pool.descriptor_bound = self.sockets.max_upstreams / max(1, used)
 
     def stop(self) -> None:
+        """Close all connections."""
         if self._sweep_timer:
             self._sweep_timer.cancel()
-        for server in self._pools.values():
-            server.up = False
-            server.drain()
-            for link in list(server.busy):
-                link.disconnect()
+        for pool in self._pools.values():
+            pool.up = False
+            pool.drain()
+            for connection in list(pool.busy):
+                connection.disconnect()
 
-    # The list.
+    # The endpoint list.
 
     def update_endpoint(self, entry: EndpointEntry, backend: int) -> None:
-        server = self._pools.get(backend)
-        if server is None:
+        """Store an endpoint's new entry; `apply_updates` carries out what follows from it."""
+        pool = self._pools.get(backend)
+        if pool is None:
             if entry.status != "removed":
                 self._pools[backend] = BackendPool(entry, self, backend in self._in_maintenance)
             return
-        server.up = entry.status == "up"
-        server.pool.ready = server.ready
-        # a new start or address: what was connected leads to the one before
+        pool.up = entry.status == "up"
+        pool.pool.ready = pool.ready
+        # After a restart or a move, the connections lead to the previous process.
         if entry.status != "removed":
-            server.needs_drain = server.address != entry.address or server.started != entry.since_us
-            server.address, server.started = entry.address, entry.since_us
-
-    def apply_updates(self, gone: Iterable[int]) -> None:
-        for backend in gone:
-            if server := self._pools.pop(backend, None):
-                server.up = False
-                server.drain()
-        for server in list(self._pools.values()):
-            if server.needs_drain or not server.ready:
-                server.needs_drain = False
-                server.drain()
-
-    def set_maintenance(self, backend: int, out: bool) -> None:
-        (self._in_maintenance.add if out else self._in_maintenance.discard)(backend)
-        if server := self._pools.get(backend):
-            server.in_maintenance = out
-            server.pool.ready = server.ready
-            if out:
-                server.drain()
+            pool.needs_drain = pool.address != entry.address or pool.started != entry.since_us
+            pool.address, pool.started = entry.address, entry.since_us
+
+    def apply_updates(self, removed: Iterable[int]) -> None:
+        """Drain the pools whose entries have changed, and drop those of removed backends."""
+        for backend in removed:
+            if pool := self._pools.pop(backend, None):
+                pool.up = False
+                pool.drain()
+        for pool in list(self._pools.values()):
+            if pool.needs_drain or not pool.ready:
+                pool.needs_drain = False
+                pool.drain()
+
+    def set_maintenance(self, backend: int, in_maintenance: bool) -> None:
+        """Start or end maintenance of a backend: its pool is drained meanwhile."""
+        (self._in_maintenance.add if in_maintenance else self._in_maintenance.discard)(backend)
+        if pool := self._pools.get(backend):
+            pool.in_maintenance = in_maintenance
+            pool.pool.ready = pool.ready
+            if in_maintenance:
+                pool.drain()
 
     # Attempts.
 
@@ -674,67 +724,75 @@
         self,
         backend: int,
         data: RequestData,
-        ended: ResultCallback,
-        flow: AttemptContext | None = None,
+        on_result: ResultCallback,
+        context: AttemptContext | None = None,
     ) -> Exchange:
-        server = self._pools.get(backend)
-        exchange = Exchange(data, ended, flow, server)
-        if server is None or not server.ready:
+        """Send an attempt to a backend; it fails at once if the backend is not ready."""
+        pool = self._pools.get(backend)
+        exchange = Exchange(data, on_result, context, pool)
+        if pool is None or not pool.ready:
             exchange.fail()
         else:
-            server.request_connection(exchange)
+            pool.request_connection(exchange)
         return exchange
 
-    def probe(self, backend: int, ended: ResultCallback) -> None:
-        exchange = self.send(backend, b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", ended)
+    def probe(self, backend: int, on_result: ResultCallback) -> None:
+        """Query the backend's load."""
+        exchange = self.send(
+            backend, b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", on_result
+        )
 
-        def give_up() -> None:
+        def time_out() -> None:
             if not exchange.finished:
                 exchange.abort()
-                ended(AttemptResult(Outcome.TIMEOUT))
+                on_result(AttemptResult(Outcome.TIMEOUT))
 
-        self._loop.call_later(PROBE_TIMEOUT_S, give_up)
+        self._loop.call_later(PROBE_TIMEOUT_S, time_out)
 
     def close_idle(self, backend: int) -> None:
-        if server := self._pools.get(backend):
-            server.close_idle(len(server.idle))
+        """Close the backend's idle connections."""
+        if pool := self._pools.get(backend):
+            pool.close_idle(len(pool.idle))
 
     def pool_reports(self) -> list[dict[str, Any]]:
-        """For operators: every backend that is known, with what its pool does and why."""
-        return [server.report() for server in self._pools.values()]
+        """Return the reports of all pools, for operators."""
+        return [pool.report() for pool in self._pools.values()]
 
     # Idle connections.
 
     def evict(self) -> bool:
-        for server in self._pools.values():
-            if server.idle:
-                server.close_idle(1)
+        """Close one idle connection of any backend; return False if there is none."""
+        for pool in self._pools.values():
+            if pool.idle:
+                pool.close_idle(1)
                 return True
         return False
 
     def _sweep_pools(self) -> None:
         now, wall = self._loop.time(), time.time()
-        gap = (
+        suspended = (
             max(now - self._last_sweep[0], abs(wall - self._last_sweep[1]))
             > SWEEP_INTERVAL_S + SUSPENSION_S
         )
-        if gap:
+        if suspended:
             log.info(
-                "stood still for %.0f s: idle connections are not trusted",
+                "process suspended for %.0f s: closing all idle connections",
                 now - self._last_sweep[0],
             )
         self._last_sweep = (now, wall)
         self._update_bounds()
-        for server in list(self._pools.values()):
-            server.tick(gap)
-            for link in [
-                link for link in server.busy if link.is_stalled(now - self.stream_stall_timeout)
+        for pool in list(self._pools.values()):
+            pool.tick(suspended)
+            for connection in [
+                connection
+                for connection in pool.busy
+                if connection.is_stalled(now - self.stream_stall_timeout)
             ]:
-                log.warning("backend %s: silent in the middle of an answer", server.name)
-                link._connection_gone()
+                log.warning("backend %s: response stalled, connection closed", pool.name)
+                connection._connection_gone()
             if (
                 self.options.warm
                 and self.rng.random() < PRECONNECT_RATE_PER_S * SWEEP_INTERVAL_S / self._fleet_size
             ):
-                server.preconnect()
+                pool.preconnect()
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_pools)
--- a/cairndale/ingress/net/pool.py
+++ b/cairndale/ingress/net/pool.py
@@ -1,9 +1,8 @@
-"""The connections to one backend, as decisions: events and `now` in; open, hand out, refuse, close
-out.
+"""The connection pool of one backend, as pure decisions: events in, actions out.
 
-No socket and no clock is touched here: backends.py carries the actions out. Times are seconds on
-one clock that never goes back. A link and an attempt are whatever the caller makes of them: they
-are only told apart."""
+This module uses no socket and no clock: `backends.py` carries the actions out. Times are seconds on
+one monotonic clock. Connections and waiters (attempts) are opaque, hashable objects of the caller.
+"""
 
 from __future__ import annotations
 
@@ -15,56 +14,59 @@
 from enum import Enum
 from typing import Any
 
-MIN_CONNECTIONS = 2  # connections that a backend's pool may have, however few descriptors there are
-REFUSED_BOUND_FACTOR = (
-    0.7  # of what is in use that the bound falls to when the backend refuses another one
-)
-GROWTH_INTERVAL_S = 1.0  # s of use at the bound, without a refusal, for which it grows by one
-DEMAND_DECAY_S = 30.0  # s in which the memory of how many were used at once falls to a third
-LIFETIME_JITTER = (
-    0.2  # of age and of requests a link, either way: a fleet's links do not turn over in step
-)
-MAX_WAIT_FRACTION = (
-    0.25  # of an attempt's own time that it may wait for a link; then it goes elsewhere
-)
+MIN_CONNECTIONS = 2  # a pool may have these however few descriptors there are
+# When the backend refuses a connection, the bound falls to this fraction of those it has accepted.
+REFUSED_BOUND_FACTOR = 0.7
+GROWTH_INTERVAL_S = 1.0  # at the bound, without a refusal, until the bound grows by one
+DEMAND_DECAY_S = 30.0  # in which the recorded demand decays by the factor e
+# Relative spread of the maximum age and request count of a connection, in both directions, so that
+# the connections of a fleet are not replaced all at once.
+LIFETIME_JITTER = 0.2
+# An attempt may wait for a connection for this fraction of its timeout; then it is rejected here
+# and may go to another backend.
+MAX_WAIT_FRACTION = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class PoolOptions:
-    """What the configuration's `pool` may set; the defaults hold where it says nothing."""
+    """The settings under `pool` in the configuration, with their defaults."""
 
-    age: float = 600.0  # s of a link's life
-    requests: int = 10_000  # exchanges of a link's life
-    queue: int = 64  # attempts that wait for a backend
-    warm: int = 0  # links opened ahead where traffic is expected, a backend; 0: none
-    # of the descriptors that are the backends' for sure, whatever clients hold
+    age: float = 600.0  # maximum age of a connection, s
+    requests: int = 10_000  # maximum number of requests on a connection
+    queue: int = 64  # attempts that may wait for a connection, per backend
+    warm: int = 0  # connections kept ahead of expected traffic, per backend; 0: none
+    # Share of the descriptors reserved for backends, whatever clients use.
     server_share: float = 0.3
 
 
 class BoundReason(Enum):
-    """What a pool's bound follows from."""
+    """What determines the bound of a pool."""
 
-    DESCRIPTORS = "descriptors"  # the backends' share, over the backends in use
-    REFUSED = "refused"  # the backend has refused another one
+    DESCRIPTORS = "descriptors"  # the descriptors for backends, divided among those in use
+    REFUSED = "refused"  # the backend has refused a further connection
 
 
 @dataclass(frozen=True, slots=True)
 class StartDial:
-    """A connection is to be made; `dialled` or `failed` tells how that went."""
+    """Open a connection; the caller reports the end by `dial_succeeded` or `dial_failed`."""
 
     dial: int
 
 
 @dataclass(frozen=True, slots=True)
 class AssignConnection:
+    """Send the waiting attempt on this connection."""
+
     waiter: Any
     connection: Any
 
 
 @dataclass(frozen=True, slots=True)
 class RejectAttempt:
-    """This attempt gets no link here: it was never sent. `failed`: the backend is to blame, not the
-    bound."""
+    """End the waiting attempt, which was never sent.
+
+    `backend_failed`: because the backend could not be reached, not for lack of a free connection.
+    """
 
     waiter: Any
     backend_failed: bool
@@ -72,12 +74,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseConnection:
+    """Close this connection."""
+
     connection: Any
 
 
 @dataclass(frozen=True, slots=True)
 class CancelDial:
-    """A dial that nobody wants any longer: what it is to lead to is out or gone."""
+    """Cancel a dial, as the backend is being drained, has moved or was removed."""
 
     dial: int
 
@@ -88,47 +92,48 @@
 @dataclass(slots=True)
 class _ConnectionState:
     idle_since: float
-    expires_at: float  # of age
-    exchanges_left: int  # exchanges
+    expires_at: float
+    exchanges_left: int
     exchanges: int = 0
 
 
 @dataclass(slots=True)
 class PoolCounters:
-    """Since the beginning; for operators."""
+    """Counters since the pool was created, for operators."""
 
-    requested: int = 0
-    reused: int = 0  # handed a link that had been used before
+    requested: int = 0  # attempts that requested a connection
+    reused: int = 0  # attempts sent on a connection that had been used before
     dials: int = 0
-    dials_failed: int = 0  # dials
-    stale_detected: int = 0  # stale links found out before anything was written
-    stale_missed: int = 0  # reset under a request though they had been taken for sound
-    rejected: int = 0  # attempts that got no link
+    dials_failed: int = 0
+    stale_detected: int = 0  # stale connections found before anything was written on them
+    stale_missed: int = 0  # connections reset under a request after being considered usable
+    rejected: int = 0  # attempts that got no connection
 
 
 @dataclass(slots=True)
 class ConnectionPool:
-    """Most recently used first, so that surplus links age out; one exchange a link.
+    """Connections to one backend, each with one request at a time.
 
-    Every attempt that finds no idle link waits; a dial is begun for it while the bound allows, and
-    it gets whichever comes first, a freed link or a finished dial. A dial that its attempt no
-    longer needs stays."""
+    The most recently used connection is reused first, so that surplus ones reach the idle timeout.
+    An attempt that finds no idle connection waits, and a dial is started for it if the bound
+    allows. It gets whichever comes first, a released connection or a finished dial. A dial that its
+    attempt no longer needs continues, and its connection is kept.
+    """
 
     options: PoolOptions
-    idle_timeout: (
-        float  # s that an idle link is taken for sound: the settings' idle time less a margin
-    )
+    idle_timeout: float  # s, for which an idle connection may be reused
     rng: random.Random
-    descriptor_bound: float = 4096.0  # the bound that the descriptors give
+    descriptor_bound: float = 4096.0  # bound by the available descriptors
     ready: bool = True
-    learned_bound: float = math.inf  # the bound that refusals have taught
-    demand: float = 0.0  # links used at once, of late
+    learned_bound: float = math.inf  # bound learned from refusals
+    demand: float = 0.0  # peak of concurrent attempts, decaying; see expected_demand
     counters: PoolCounters = field(default_factory=PoolCounters)
-    idle: list[Any] = field(default_factory=list)  # the most recently used last
+    idle: list[Any] = field(default_factory=list)  # least recently used first
     busy: set[Any] = field(default_factory=set)
     dials: set[int] = field(default_factory=set)
-    waiters: deque[tuple[Any, float]] = field(default_factory=deque)  # and until when
-    distrusted: bool = False  # a failure: idle links may lead nowhere, a fresh one has to show
+    waiters: deque[tuple[Any, float]] = field(default_factory=deque)  # each with its expiry
+    # Idle connections may be dead: not used until a new connection has been established.
+    distrusted: bool = False
     _states: dict[Any, _ConnectionState] = field(default_factory=dict)
     _last_dial: int = 0
     _grown_at: float = 0.0
@@ -137,12 +142,15 @@
     # Sizes.
 
     def open(self) -> int:
+        """Return the number of connections, including those being dialled."""
         return len(self.idle) + len(self.busy) + len(self.dials)
 
     def bound(self) -> int:
+        """Return the maximum number of connections."""
         return max(MIN_CONNECTIONS, int(min(self.descriptor_bound, self.learned_bound)))
 
     def bound_reason(self) -> BoundReason:
+        """Return what determines the bound at present."""
         return (
             BoundReason.REFUSED
             if self.learned_bound < self.descriptor_bound
@@ -154,71 +162,75 @@
         self._demand_at = now
 
     def expected_demand(self, now: float) -> float:
-        """Links that the traffic of late has used at once."""
+        """Return the number of connections that recent traffic has used concurrently."""
         return self.demand * math.exp((self._demand_at - now) / DEMAND_DECAY_S)
 
     # Attempts.
 
     def request_connection(
-        self, now: float, waiter: Any, patience: float, sound: Callable[[Any], bool]
+        self, now: float, waiter: Any, timeout: float, is_usable: Callable[[Any], bool]
     ) -> list[Action]:
-        """`patience`: s that the attempt has in all. `sound` looks whether an idle link still
-        stands."""
+        """Assign an idle connection to the attempt, or queue it.
+
+        `timeout`: of the whole attempt, s. `is_usable` checks whether an idle connection is open.
+        """
         actions: list[Action] = []
         self.counters.requested += 1
         if not self.ready:
             self.counters.rejected += 1
             return [RejectAttempt(waiter, True)]
-        link = None if self.distrusted else self._take_idle(now, actions, sound)
-        if link is not None:
-            self._hand_out(now, waiter, link, actions)
+        connection = None if self.distrusted else self._take_idle(now, actions, is_usable)
+        if connection is not None:
+            self._assign(now, waiter, connection, actions)
             return actions
         if len(self.waiters) >= self.options.queue:
             self.counters.rejected += 1
             actions.append(RejectAttempt(waiter, False))
             return actions
-        self.waiters.append((waiter, now + patience * MAX_WAIT_FRACTION))
+        self.waiters.append((waiter, now + timeout * MAX_WAIT_FRACTION))
         self._record_demand(now)
         self._dial_for_waiting(now, actions)
         return actions
 
     def _take_idle(
-        self, now: float, actions: list[Action], sound: Callable[[Any], bool]
+        self, now: float, actions: list[Action], is_usable: Callable[[Any], bool]
     ) -> Any | None:
         while self.idle:
-            link = self.idle.pop()
-            state = self._states[link]
+            connection = self.idle.pop()
+            state = self._states[connection]
             if state.idle_since <= now - self.idle_timeout or state.expires_at <= now:
-                self._close(link, actions)
-            elif not sound(link):
+                self._close(connection, actions)
+            elif not is_usable(connection):
                 self.counters.stale_detected += 1
-                self._close(link, actions)
+                self._close(connection, actions)
             else:
-                return link
+                return connection
         return None
 
-    def _close(self, link: Any, actions: list[Action]) -> None:
-        del self._states[link]
-        actions.append(CloseConnection(link))
+    def _close(self, connection: Any, actions: list[Action]) -> None:
+        del self._states[connection]
+        actions.append(CloseConnection(connection))
 
-    def _hand_out(self, now: float, waiter: Any, link: Any, actions: list[Action]) -> None:
-        state = self._states[link]
+    def _assign(self, now: float, waiter: Any, connection: Any, actions: list[Action]) -> None:
+        state = self._states[connection]
         self.counters.reused += state.exchanges > 0
         state.exchanges, state.exchanges_left = state.exchanges + 1, state.exchanges_left - 1
-        self.busy.add(link)
+        self.busy.add(connection)
         self._record_demand(now)
-        actions.append(AssignConnection(waiter, link))
+        actions.append(AssignConnection(waiter, connection))
 
     def _dial_for_waiting(self, now: float, actions: list[Action]) -> None:
-        """A dial for each that waits, within the bound. With none busy there is always room for
-        one."""
+        """Start a dial for each waiting attempt, within the bound.
+
+        Without busy connections at least one dial is always possible.
+        """
         while len(self.dials) < len(self.waiters) and (
             self.open() < self.bound() or self._close_oldest_idle(actions)
         ):
             self._start_dial(actions)
 
     def _close_oldest_idle(self, actions: list[Action]) -> bool:
-        """A distrusted idle link gives its place to a dial."""
+        """Close a distrusted idle connection, to make room for a dial."""
         if not self.idle:
             return False
         self._close(self.idle.pop(0), actions)
@@ -231,30 +243,35 @@
         actions.append(StartDial(self._last_dial))
 
     def cancel(self, waiter: Any) -> None:
-        """It waits no longer. Its dial goes on, and what comes of it is kept."""
+        """Remove an attempt from the queue. Its dial continues, and the connection is kept."""
         self.waiters = deque(entry for entry in self.waiters if entry[0] is not waiter)
 
-    # Links.
+    # Connections.
 
-    def dial_succeeded(self, now: float, dial: int, link: Any) -> list[Action]:
-        """A dial has come up. The backend answers: idle links are trusted again."""
+    def dial_succeeded(self, now: float, dial: int, connection: Any) -> list[Action]:
+        """A connection is established: the backend answers, so trust idle connections again."""
         self.dials.discard(dial)
         if not self.ready:
-            return [CloseConnection(link)]
-        vary = 1 + self.rng.uniform(-LIFETIME_JITTER, LIFETIME_JITTER)
-        left = max(1, int(self.options.requests * vary))
-        self._states[link] = _ConnectionState(now, now + self.options.age * vary, left)
+            return [CloseConnection(connection)]
+        jitter = 1 + self.rng.uniform(-LIFETIME_JITTER, LIFETIME_JITTER)
+        exchanges_left = max(1, int(self.options.requests * jitter))
+        self._states[connection] = _ConnectionState(
+            now, now + self.options.age * jitter, exchanges_left
+        )
         self.distrusted = False
         actions: list[Action] = []
-        self._assign_or_keep(now, link, actions)
+        self._assign_or_keep(now, connection, actions)
         return actions
 
     def dial_failed(self, now: float, dial: int, refused: bool) -> list[Action]:
-        """A dial has not come up. `refused`: the backend, or this process, had no place for it."""
+        """A dial has failed.
+
+        `refused`: the backend refused the connection, or this process has no free descriptor.
+        """
         self.dials.discard(dial)
         self.counters.dials_failed += 1
         actions: list[Action] = []
-        if refused and self.busy:  # it serves others, so it is there: there are too many
+        if refused and self.busy:  # it serves other connections: there are too many
             self.learned_bound = max(
                 float(MIN_CONNECTIONS), (len(self.busy) + len(self.idle)) * REFUSED_BOUND_FACTOR
             )
@@ -267,30 +284,31 @@
         self._dial_for_waiting(now, actions)
         return actions
 
-    def release(self, now: float, link: Any, reusable: bool) -> list[Action]:
-        """An exchange is over. Its link goes to who waits, rests, or is closed."""
-        self.busy.discard(link)
-        state = self._states[link]
+    def release(self, now: float, connection: Any, reusable: bool) -> list[Action]:
+        """After an exchange, assign its connection to a waiting attempt, keep it, or close it."""
+        self.busy.discard(connection)
+        state = self._states[connection]
         state.idle_since = now
         actions: list[Action] = []
-        worn = state.exchanges_left <= 0 or state.expires_at <= now or self.open() >= self.bound()
-        if worn or not (reusable and self.ready):
-            self._close(link, actions)
+        is_expired = (
+            state.exchanges_left <= 0 or state.expires_at <= now or self.open() >= self.bound()
+        )
+        if is_expired or not (reusable and self.ready):
+            self._close(connection, actions)
         else:
-            self._assign_or_keep(now, link, actions)
+            self._assign_or_keep(now, connection, actions)
         self._grow_bound(now)
         self._dial_for_waiting(now, actions)
         return actions
 
-    def _assign_or_keep(self, now: float, link: Any, actions: list[Action]) -> None:
+    def _assign_or_keep(self, now: float, connection: Any, actions: list[Action]) -> None:
         if self.waiters:
-            self._hand_out(now, self.waiters.popleft()[0], link, actions)
+            self._assign(now, self.waiters.popleft()[0], connection, actions)
         else:
-            self.idle.append(link)
+            self.idle.append(connection)
 
     def _grow_bound(self, now: float) -> None:
-        """Additive: after a while at the bound without another refusal there may be room for one
-        more."""
+        """Increase the learned bound by one after an interval at the bound without a refusal."""
         if (
             self.learned_bound < self.descriptor_bound
             and self.open() >= self.bound() - 1
@@ -300,18 +318,20 @@
             if self.learned_bound >= self.descriptor_bound:
                 self.learned_bound = math.inf
 
-    def connection_lost(self, now: float, link: Any, under_request: bool) -> list[Action]:
-        """A link has ended by itself. `under_request`: with a request out and nothing of an
-        answer."""
+    def connection_lost(self, now: float, connection: Any, under_request: bool) -> list[Action]:
+        """A connection was closed, by the backend or on an error.
+
+        `under_request`: while a request was in flight, before any byte of its response.
+        """
         actions: list[Action] = []
-        state = self._states.pop(link, None)
+        state = self._states.pop(connection, None)
         if state is None:
             return actions
-        if link in self.busy:
-            self.busy.discard(link)
+        if connection in self.busy:
+            self.busy.discard(connection)
             self.counters.stale_missed += under_request and state.exchanges > 1
         else:
-            self.idle.remove(link)
+            self.idle.remove(connection)
             self.counters.stale_detected += 1
         if under_request:
             self.close_all_idle(actions)
@@ -319,30 +339,31 @@
         return actions
 
     def close_all_idle(self, actions: list[Action]) -> None:
-        """The backend has failed without a word: the other idle links may lead to what is no longer
-        there."""
-        for link in self.idle:
-            self._close(link, actions)
+        """Close all idle connections: after a failure of the backend they may be dead as well."""
+        for connection in self.idle:
+            self._close(connection, actions)
         self.idle.clear()
 
     def distrust_idle(self) -> None:
-        """It has said nothing for long: idle links are not used until a fresh one has come up."""
+        """Use no idle connection until a new one is established: the backend has been silent."""
         self.distrusted = self.distrusted or bool(self.idle)
 
-    # Time, the list, the configuration.
+    # Time, the endpoint list, the configuration.
 
-    def tick(self, now: float, gap: bool = False) -> list[Action]:
-        """Each second or so. `gap`: the process or the machine has stood still, and every link is
-        old."""
+    def tick(self, now: float, suspended: bool = False) -> list[Action]:
+        """Close expired connections and reject expired waiters; called about once a second.
+
+        `suspended`: the process or the machine was suspended, so all idle connections are closed.
+        """
         actions: list[Action] = []
         oldest = now - self.idle_timeout
         kept = []
-        for link in self.idle:
-            state = self._states[link]
-            if gap or state.idle_since <= oldest or state.expires_at <= now:
-                self._close(link, actions)
+        for connection in self.idle:
+            state = self._states[connection]
+            if suspended or state.idle_since <= oldest or state.expires_at <= now:
+                self._close(connection, actions)
             else:
-                kept.append(link)
+                kept.append(connection)
         self.idle[:] = kept
         actions += self.shrink(self.bound())
         while self.waiters and self.waiters[0][1] <= now:
@@ -352,12 +373,15 @@
         return actions
 
     def next_wait_expiry(self) -> float:
-        """When the first that waits has waited long enough; inf: nobody waits."""
+        """Return when the wait of the first waiting attempt expires; inf if none waits."""
         return self.waiters[0][1] if self.waiters else math.inf
 
     def drain(self, ready: bool) -> list[Action]:
-        """Drained, out, moved or gone: nothing more is written there. Busy links end their
-        exchange."""
+        """Cancel dials, close idle connections and reject waiting attempts.
+
+        Called when the backend is draining, in maintenance, moved, restarted or removed. Busy
+        connections finish their exchange.
+        """
         self.ready = ready
         actions: list[Action] = [CancelDial(dial) for dial in sorted(self.dials)]
         self.dials.clear()
@@ -368,24 +392,26 @@
         self.learned_bound, self.distrusted = math.inf, False
         return actions
 
-    def shrink(self, to: int) -> list[Action]:
-        """Idle links beyond `to` in all are closed, the least recently used first."""
+    def shrink(self, size: int) -> list[Action]:
+        """Close idle connections, least recently used first, until `size` are open in all."""
         actions: list[Action] = []
-        while self.idle and self.open() > to:
+        while self.idle and self.open() > size:
             self._close(self.idle.pop(0), actions)
         return actions
 
     def close_idle(self, count: int) -> list[Action]:
-        """Room is needed elsewhere, or they are not wanted: the least recently used go."""
+        """Close `count` idle connections, the least recently used first."""
         actions: list[Action] = []
-        for link in self.idle[:count]:
-            self._close(link, actions)
+        for connection in self.idle[:count]:
+            self._close(connection, actions)
         del self.idle[:count]
         return actions
 
     def preconnect(self, now: float) -> list[Action]:
-        """One link ahead of its request, where the traffic of late would use it; requests come
-        first."""
+        """Start one dial ahead of demand, if recent traffic would use it.
+
+        Waiting attempts take precedence.
+        """
         wanted = min(float(self.options.warm), math.ceil(self.expected_demand(now)), self.bound())
         actions: list[Action] = []
         if self.ready and not self.waiters and self.open() < wanted:
--- a/cairndale/ingress/net/requests.py
+++ b/cairndale/ingress/net/requests.py
@@ -1,9 +1,9 @@
-"""What a client's request is for: customer, plan, class, time and units, found where the
-configuration says.
+"""Reads a client request's customer, plan, class, deadline and quota units from its HTTP message.
 
-Without `request` in the configuration that is the platform's protocol, to the letter. With it the
-ingress stands before any HTTP/1.1 servers: fields and answers go on as they came, whatever their
-status."""
+Without `request` in the configuration, requests follow the platform's protocol exactly. With it,
+the ingress is a proxy for any HTTP/1.1 servers: it forwards all header fields, and responses of any
+status.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 TIMEOUT = re.compile(rb"([0-9]{1,12})([mu])")
 NUMBER = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 MAX_CUSTOMER = 1 << 33
-ANONYMOUS = b"anonymous"  # the customer of all requests that name none
+ANONYMOUS = b"anonymous"  # the customer of requests that name none
 METHODS = {b"GET", b"POST", b"PUT", b"PATCH", b"DELETE", b"OPTIONS"}
 DURATION = re.compile(rb"([0-9]{1,6}(?:\.[0-9]{1,6})?)(ms|us|m|u|s)")
 UNIT_US = {b"ms": 1000, b"m": 1000, b"us": 1, b"u": 1, b"s": 1_000_000}
@@ -32,26 +32,33 @@
 
 
 class FieldError(Exception):
+    """A field's value is invalid."""
+
     pass
 
 
 class BadRequest(Exception):
-    def __init__(self, status: int, what: str, retry_after: int = 0) -> None:
-        super().__init__(what)
+    """A request is rejected as invalid, with this status and text."""
+
+    def __init__(self, status: int, reason: str, retry_after: int = 0) -> None:
+        super().__init__(reason)
         self.status, self.retry_after = status, retry_after  # us; 0: no advice
 
 
 def read_request(
-    message: Message, names: NameTable, classes: Sequence[it.RequestClass], began: int
+    message: Message, names: NameTable, classes: Sequence[it.RequestClass], began_at: int
 ) -> ClientRequest:
-    """The client's request, or BadRequest: a plain 4xx tells the client what is wrong with it."""
+    """Read a request of the platform's protocol.
+
+    Raises BadRequest, whose text tells the client what is invalid.
+    """
     headers = message.headers
     if message.method not in (b"GET", b"POST"):
-        raise BadRequest(405, "only GET and POST are known here")
+        raise BadRequest(405, "method not allowed: only GET and POST are supported")
     parts = message.target.partition(b"?")[0].split(b"/")
     cls = names.classes.get(parts[1]) if len(parts) > 1 and not parts[0] else None
     if cls is None:
-        raise BadRequest(404, "no such class of requests")
+        raise BadRequest(404, "unknown request class")
     plan = names.plans.get(headers.get(b"x-plan", b""))
     if plan is None:
         raise BadRequest(400, "X-Plan is missing or unknown")
@@ -62,15 +69,17 @@
     customer = int(cookie[1], 16) if cookie else MAX_CUSTOMER
     if customer >= MAX_CUSTOMER:
         raise BadRequest(400, "cookie customer is missing or invalid")
-    wait = TIMEOUT.fullmatch(headers.get(b"request-timeout", b""))
-    if wait is None:
+    timeout_match = TIMEOUT.fullmatch(headers.get(b"request-timeout", b""))
+    if timeout_match is None:
         raise BadRequest(400, "Request-Timeout is missing or invalid")
-    timeout = min(int(wait[1]) * (1000 if wait[2] == b"m" else 1), classes[cls].deadline)
+    timeout = min(
+        int(timeout_match[1]) * (1000 if timeout_match[2] == b"m" else 1), classes[cls].deadline
+    )
     units, spread, first = _quota(headers.get(b"x-quota", b""))
     retry = headers.get(b"client-retry") == b"1"
     head = _head(message, id)
     quota, body = (units, spread, first), (message.body, message.upload)
-    return ClientRequest(id, cls, plan, customer, *quota, timeout, began, retry, head, *body)
+    return ClientRequest(id, cls, plan, customer, *quota, timeout, began_at, retry, head, *body)
 
 
 def _quota(text: bytes) -> tuple[float, int, int]:
@@ -88,7 +97,7 @@
 
 
 def _head(message: Message, id: bytes) -> bytes:
-    """What a backend is told, up to the time left; the target and the id go on unchanged."""
+    """Encode the head for the backend, without the Request-Timeout field and the final CRLF."""
     headers, body = message.headers, message.body
     host = headers.get(b"host", b"backend")
     head = b"%b %b HTTP/1.1\r\nHost: %b\r\nRequest-Id: %b\r\n" % (
@@ -112,66 +121,74 @@
 
 
 def read_timeout(text: bytes) -> int:
-    """us: `500m` and `500000u` as the platform has them, `500ms` and `5s` as people do. Raises
-    FieldError."""
+    """Parse a duration and return it in us. Raises FieldError.
+
+    Accepts the platform's forms, `500m` (ms) and `500000u` (us), and the common `500ms` and `5s`.
+    """
     match = DURATION.fullmatch(text)
-    if match is None or not (found := round(float(match[1]) * UNIT_US[match[2]])):
+    if match is None or not (duration_us := round(float(match[1]) * UNIT_US[match[2]])):
         raise FieldError(
-            f"found {text.decode('latin-1')!r}; a time over 0 is wanted, as 500ms or 5s"
+            f"found {text.decode('latin-1')!r}; expected a duration above 0, such as 500ms or 5s"
         )
-    return found
+    return duration_us
 
 
 @dataclass(frozen=True, slots=True)
 class RequestFields:
-    """Where things are found: (way, name) pairs, the way one of header, cookie, query, constant."""
+    """Where a request's values are found: (source, name) pairs.
+
+    A source is one of: header, cookie, query, constant.
+    """
 
     customer: tuple[str, str]
     plan: tuple[str, str]
     timeout: tuple[str, str]
     units: tuple[str, str]
-    customers: dict[str, str]  # plan by customer
-    paths: tuple[tuple[bytes, bytes], ...]  # a path's beginning and its class, the longest first
+    customers: dict[str, str]  # plans by customer
+    paths: tuple[tuple[bytes, bytes], ...]  # path prefixes and their classes, longest prefix first
 
     def reader(self) -> RequestReader:
+        """Return the function that reads requests by these fields."""
         return self._read
 
     @staticmethod
-    def number(who: bytes) -> int:
-        """A customer's number, alike at every ingress."""
-        # loads OpenSSL: the platform's start, which has no use for it, would pay
+    def number(name: bytes) -> int:
+        """Return a customer's number, derived from its name and so the same at every ingress."""
+        # Imported here as it loads OpenSSL, which the platform's ingress does not need at start.
         from hashlib import blake2b
 
-        return int.from_bytes(blake2b(who, digest_size=8).digest()) % MAX_CUSTOMER
+        return int.from_bytes(blake2b(name, digest_size=8).digest()) % MAX_CUSTOMER
 
     def _read(
-        self, message: Message, names: NameTable, classes: Sequence[it.RequestClass], began: int
+        self, message: Message, names: NameTable, classes: Sequence[it.RequestClass], began_at: int
     ) -> ClientRequest:
-        """The client's request, or BadRequest. A customer is its name's hash, alike everywhere."""
+        """Read a request by the configured fields. Raises BadRequest."""
         if message.method not in METHODS:
-            raise BadRequest(405, "this method is not known here")
+            raise BadRequest(405, "method not allowed")
         path = message.target.partition(b"?")[0]
-        named = next((name for start, name in self.paths if path.startswith(start)), b"")
-        cls = names.classes.get(named)
+        class_name = next((name for start, name in self.paths if path.startswith(start)), b"")
+        cls = names.classes.get(class_name)
         if cls is None:
-            raise BadRequest(404, "no class of requests has this path")
-        who = _find(message, *self.customer) or ANONYMOUS
-        by = self.customers.get(who.decode("latin-1"), "").encode() or _find(message, *self.plan)
-        plan = names.plans.get(by)
+            raise BadRequest(404, "no request class for this path")
+        customer_name = _find(message, *self.customer) or ANONYMOUS
+        plan_name = self.customers.get(customer_name.decode("latin-1"), "").encode() or _find(
+            message, *self.plan
+        )
+        plan = names.plans.get(plan_name)
         if plan is None:
             raise BadRequest(403, "no plan for this customer")
         timeout = classes[cls].deadline
-        if said := _find(message, *self.timeout):
+        if timeout_text := _find(message, *self.timeout):
             try:
-                timeout = min(timeout, read_timeout(said))
+                timeout = min(timeout, read_timeout(timeout_text))
             except FieldError:
-                raise BadRequest(400, "the time-out is no time") from None
+                raise BadRequest(400, "the timeout is not a valid duration") from None
         units = _find(message, *self.units) or b"1"
         if not NUMBER.fullmatch(units) or not 0 < float(units) < math.inf:
-            raise BadRequest(400, "the units are no number over 0")
+            raise BadRequest(400, "the units are not a number above 0")
         id = message.headers.get(b"request-id", b"")
         id = id if REQUEST_ID.fullmatch(id) else urandom(8).hex().encode()
-        customer = self.number(who)
+        customer = self.number(customer_name)
         spread = max(1, names.fleet_size)
         return ClientRequest(
             id,
@@ -182,7 +199,7 @@
             spread,
             0,
             timeout,
-            began,
+            began_at,
             False,
             self._head(message, id),
             message.body,
@@ -190,12 +207,19 @@
         )
 
     def _head(self, message: Message, id: bytes) -> bytes:
-        """All fields but those that belong to one connection, framing and the two that are written
-        anew."""
+        """Encode the head for the backend, without the Request-Timeout field and the final CRLF.
+
+        All fields are forwarded except hop-by-hop and framing fields, Expect, and the fields that
+        the ingress sets itself (Request-Id, Request-Timeout).
+        """
         head = b"%b %b HTTP/1.1\r\nRequest-Id: %b\r\n" % (message.method, message.target, id)
-        named = {n.strip().lower() for n in message.headers.get(b"connection", b"").split(b",")}
-        left = HOP_BY_HOP | named | {b"request-id", b"request-timeout", b"expect"}
-        head += b"".join(b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left)
+        connection_options = {
+            n.strip().lower() for n in message.headers.get(b"connection", b"").split(b",")
+        }
+        excluded = HOP_BY_HOP | connection_options | {b"request-id", b"request-timeout", b"expect"}
+        head += b"".join(
+            b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in excluded
+        )
         if message.upload:
             length = message.upload.length
             framing = b"Transfer-Encoding: chunked\r\n"
@@ -205,13 +229,13 @@
         return head
 
 
-def _find(message: Message, way: str, name: str) -> bytes:
-    """What a request says there; nothing if it says none."""
-    if way == "constant":
+def _find(message: Message, source: str, name: str) -> bytes:
+    """Return the value that a request has in this place; empty if it has none."""
+    if source == "constant":
         return name.encode()
-    if way == "header":
+    if source == "header":
         return message.headers.get(name.lower().encode(), b"")
-    if way == "query":
+    if source == "query":
         query = message.target.partition(b"?")[2].decode("latin-1")
         return parse_qs(query, max_num_fields=100).get(name, [""])[0].encode("latin-1", "replace")
     for part in message.headers.get(b"cookie", b"").split(b";"):
