--- a/cairndale/ingress/net/clients.py
+++ b/cairndale/ingress/net/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: the listener, requests in, answers out, `/up`."""
+"""The downstream side: the listener, client connections, and the health check `/up`."""
 
 from __future__ import annotations
 
@@ -24,21 +24,20 @@
 from cairndale.ingress.net.requests import BadRequest, RequestReader, read_request
 from cairndale.ingress.net.sockets import Sockets, unread_bytes
 
-# s for a head, the first from connecting on: a client may take 2, peers are owed an end in 3
+# For the head of a request; of the first one, from connecting on. A client may take 2 s, and
+# connections of peers that do not finish must be closed within 3 s.
 HEAD_TIMEOUT_S = 2.5
-MIN_BODY_BYTES_PER_S = 32_000  # bytes of body a second, on average: a client may send 64 kB/s
-UNREAD_TIMEOUT_S = 8.0  # s without a byte taken of an answer that comes in parts
-PARTIAL_REQUEST_GRACE_S = (
-    0.5  # s that a connection with no whole request is kept even where room is short
-)
-IDLE_TIMEOUT_S = 2.0  # s that a connection may stand with no open request
-SWEEP_INTERVAL_S = 0.25  # s between looks for connections past any of these
+MIN_BODY_BYTES_PER_S = 32_000  # on average; a client may send as slowly as 64 kB/s
+UNREAD_TIMEOUT_S = 8.0  # a client that reads nothing of its response for this long is disconnected
+PARTIAL_REQUEST_GRACE_S = 0.5  # a connection with a partial request is not evicted before this age
+IDLE_TIMEOUT_S = 2.0  # of a connection without an open request
+SWEEP_INTERVAL_S = 0.25  # between checks of these timeouts
 LISTEN_BACKLOG = 1024
-MAX_PIPELINED_REQUESTS = 8  # requests on one connection that wait for the answer to the one before
+MAX_PIPELINED_REQUESTS = 8  # requests queued on a connection before it is not read any more
 
 
 class Listener:
-    """What all client connections share."""
+    """The listening socket, and the state that all client connections share."""
 
     def __init__(
         self,
@@ -46,22 +45,22 @@
         sockets: Sockets,
         memory: BodyMemory,
         now: Callable[[], int],
-        read: RequestReader | None = None,
+        reader: RequestReader | None = None,
     ) -> None:
         self.engine, self.sockets, self.memory, self.now = engine, sockets, memory, now
-        self.request_reader, self.relays_responses = read or read_request, read is not None
+        self.request_reader, self.relays_responses = reader or read_request, reader is not None
         self.idle_timeout, self.head_timeout = IDLE_TIMEOUT_S, HEAD_TIMEOUT_S
-        # bytes of a request, from the next one on
+        # Size limits in bytes, effective from the next request on.
         self.max_head, self.max_body = (MAX_HEAD_BYTES, MAX_BODY_BYTES)
-        self.health_path = (
-            b"/up"  # says whether it accepts; nothing where that has an address of its own
-        )
+        # The path of the health check; empty if health is served at an address of its own.
+        self.health_path = b"/up"
         self.stopping = False
-        self._suspended = False  # another process accepts, or is about to
-        # The longest idle first, with the clock since when. One that has carried nothing yet is not
-        # among them: its first request is on the way, and a client sends again only once.
+        self._suspended = False  # another process accepts connections, or is about to
+        # Idle connections, longest idle first, with the time since when. A connection without any
+        # request yet is not idle: its first request is in transit, and if it were closed, the
+        # client would use up its only retry.
         self.idle: dict[ClientConnection, int] = {}
-        # the same for those whose request is not whole
+        # The same for connections with an incomplete request.
         self.partial: dict[ClientConnection, int] = {}
         self.connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -72,14 +71,16 @@
         sockets.on_closed = self.resume
 
     async def listen(self, host: str, port: int) -> int:
-        # Shared, so that a new process can listen even where the old one passes nothing on.
-        made = socket.create_server((host, port), backlog=LISTEN_BACKLOG, reuse_port=True)
-        for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):  # for the connections accepted from it
-            made.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
-        made.setblocking(False)
-        return await self.listen_on(made)
+        """Listen on an address. Return the port."""
+        # SO_REUSEPORT, so that a new process can listen even if the old one hands nothing over.
+        listening = socket.create_server((host, port), backlog=LISTEN_BACKLOG, reuse_port=True)
+        for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):  # inherited by accepted connections
+            listening.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
+        listening.setblocking(False)
+        return await self.listen_on(listening)
 
     async def listen_on(self, listening: socket.socket) -> int:
+        """Accept connections from a listening socket. Return its port."""
         self.socket = listening
         await self._accept(listening)
         self._sweep_connections()
@@ -93,48 +94,54 @@
         )
 
     def accepting(self) -> bool:
-        """False before it listens and once it stops; a pause for want of descriptors is neither."""
+        """Return whether it is in service; still True while paused for lack of descriptors."""
         return self.socket is not None and not self.stopping
 
     def pause(self) -> None:
-        """Accepting with no descriptor left would close what comes in, requests and all; in the
-        listener's line it waits for the moments until others are closed."""
+        """Stop accepting for now, for lack of descriptors.
+
+        Accepting without a free descriptor would close new connections along with their requests.
+        In the listen backlog they wait until other connections have been closed.
+        """
         if self._server:
             self._server.close()
             self._server = None
 
     def resume(self) -> None:
-        idle = self._resume_task is None or self._resume_task.done()
+        """Accept again, if descriptors are available and no other process accepts."""
+        not_resuming = self._resume_task is None or self._resume_task.done()
         if (
             self.socket
             and self._server is None
-            and idle
+            and not_resuming
             and not self._suspended
             and not self.sockets.is_exhausted()
         ):
             self._resume_task = asyncio.get_running_loop().create_task(self._accept(self.socket))
 
-    def suspend(self, aside: bool) -> None:
-        """What comes in waits in the listening socket's queue for the process that takes over."""
-        self._suspended = aside
-        (self.pause if aside else self.resume)()
+    def suspend(self, suspended: bool) -> None:
+        """Leave new connections in the listen backlog, for the process that takes over."""
+        self._suspended = suspended
+        (self.pause if suspended else self.resume)()
 
     def stop_accepting(self) -> None:
-        """Another process accepts from here on. What this one has accepted is owed its first
-        request: only those that have carried one are closed."""
+        """Close the listening socket, as another process accepts from now on, and drain.
+
+        Accepted connections without any request so far are kept for their first request.
+        """
         self.start_draining()
         if self.socket:
             self.socket.close()
             self.socket = None
 
     def start_draining(self) -> None:
-        """New connections still come in; each is closed after its answer, and those that are idle
-        now."""
+        """Close idle connections, and the others after their responses; still accept new ones."""
         self.stopping = True
         for connection in list(self.idle):
             connection.close_if_idle()
 
     def stop_listening(self) -> None:
+        """Accept no more connections, and close those without an open request."""
         self.pause()
         if self._resume_task:
             self._resume_task.cancel()
@@ -147,8 +154,11 @@
             connection.close_if_idle()
 
     def _sweep_connections(self) -> None:
-        """A client that never finishes sending, or keeps a connection it does not use, would hold
-        its descriptor for good."""
+        """Close connections that have exceeded a timeout.
+
+        Otherwise clients that never finish a request, or keep unused connections, would occupy
+        descriptors forever.
+        """
         now = self.now()
         for connection in list(self.connections):
             connection.close_if_stuck(now)
@@ -161,8 +171,10 @@
         )
 
     def _evict(self) -> bool:
-        """Room for a request: idle connections go first, then those that have not come to send
-        theirs."""
+        """Close one connection to free its descriptor; return False if there is none to close.
+
+        Idle connections are closed first, then those with an incomplete request.
+        """
         if any(connection.close_if_idle() for connection in list(self.idle)):
             return True
         oldest = self.now() - int(PARTIAL_REQUEST_GRACE_S * 1e6)
@@ -171,7 +183,7 @@
 
 
 class ClientConnection(HttpConnection):
-    """One client connection; answers one request at a time, in order."""
+    """One client connection; processes one request at a time, in order."""
 
     def __init__(self, listener: Listener) -> None:
         super().__init__(httptools.HttpRequestParser)
@@ -180,19 +192,20 @@
         self._over_capacity = False
         self._began_at = 0
         self._pending_requests: deque[tuple[Message, int]] = deque()
-        self._current_id: bytes | None = None  # id of the request that the engine has
-        self._incoming_body: Upload | None = None  # the body that comes in parts now
-        # the body, if it still comes, of the request answered last
+        self._current_id: bytes | None = None  # of the request that the engine processes
+        self._incoming_body: Upload | None = None  # the streamed body being received
+        # The body of the request answered last; it may still be arriving.
         self._last_upload: Upload | None = None
         self._keep_alive = True
         self._minor = 1
-        self._pause_reasons: set[str] = set()  # why nothing is read for now
+        self._pause_reasons: set[str] = set()  # reading is paused while not empty
         self._paused_at = 0
-        self._pending_continues = 0  # requests that wait for a go-ahead before they send a body
-        self._stream_source: Exchange | None = None  # of an answer that comes in parts
+        self._pending_continues = 0  # requests that wait for a 100 (Continue) response
+        self._stream_source: Exchange | None = None  # of the response being streamed
         self._chunked = self._unframed = False
-        self._writing_paused = False  # the client takes nothing for now
-        self._unwritten = (0, 0)  # bytes that wait to be written to it, and since when as many
+        self._writing_paused = False  # the write buffer is full: the client does not read
+        # Size of the write buffer, and since when it has not changed.
+        self._unwritten = (0, 0)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -224,24 +237,23 @@
             self._listener.partial.setdefault(self, self._began_at)
 
     def head_received(self, message: Message) -> None:
-        waits = message.headers.get(b"expect", b"").lower() == b"100-continue"
-        if waits and message.minor_version > 0 and message.length != 0:
+        expects_continue = message.headers.get(b"expect", b"").lower() == b"100-continue"
+        if expects_continue and message.minor_version > 0 and message.length != 0:
             self._pending_continues += 1
             self._send_continue()
 
     def _send_continue(self) -> None:
-        """Between answers only, so that it is not taken for a part of one."""
-        quiet = self._current_id is None and not self._pending_requests
-        if self._pending_continues and quiet and not self.transport.is_closing():
+        """Send 100 (Continue), but only between responses: within one, it would be a part of it."""
+        is_idle = self._current_id is None and not self._pending_requests
+        if self._pending_continues and is_idle and not self.transport.is_closing():
             self._pending_continues = 0
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def message_received(self, message: Message) -> None:
         self._pending_continues = 0
         self._listener.partial.pop(self, None)
-        self._pending_requests.append(
-            (message, self._listener.now())
-        )  # its time counts from its last byte
+        # The request's deadline counts from its last byte.
+        self._pending_requests.append((message, self._listener.now()))
         if self._current_id is None and not self._writing_paused:
             self._start_next()
         elif len(self._pending_requests) > MAX_PIPELINED_REQUESTS:
@@ -275,11 +287,13 @@
             self._incoming_body = None
             self._listener.memory.active_bodies -= 1
 
-    def _set_reading_paused(self, why: str, held: bool) -> None:
-        """What is not read waits in the socket and holds the client up; its time does not count
-        meanwhile."""
+    def _set_reading_paused(self, reason: str, paused: bool) -> None:
+        """Pause reading from the client while there is any reason for it.
+
+        The time of the pause does not count towards the timeouts for receiving the request.
+        """
         before = bool(self._pause_reasons)
-        (self._pause_reasons.add if held else self._pause_reasons.discard)(why)
+        (self._pause_reasons.add if paused else self._pause_reasons.discard)(reason)
         if before == bool(self._pause_reasons) or self.transport.is_closing():
             return
         if self._pause_reasons:
@@ -292,24 +306,25 @@
     def message_invalid(self, status: int) -> None:
         self._pending_requests.clear()
         self._keep_alive = False
-        # else the answer under way comes first
+        # If a response is pending, it is sent first.
         if self._current_id is None and not self.transport.is_closing():
             if self._last_upload and not self._last_upload.complete:
-                # it has its answer: only the rest of its body was still dropped
+                # The request has been answered, and the rest of its body was being discarded.
                 self.transport.close()
             else:
                 self._write_text(status, b"not understood\n")
 
     def close_if_stuck(self, now: int) -> None:
+        """Close the connection if the client sends or reads too slowly."""
         if self._writing_paused:
             self._check_unread_response(now)
-        sent = 0 if self._in_head else self._size
-        due = self._began_at + int(
-            (self._listener.head_timeout + sent / MIN_BODY_BYTES_PER_S) * 1e6
+        received = 0 if self._in_head else self._size
+        deadline = self._began_at + int(
+            (self._listener.head_timeout + received / MIN_BODY_BYTES_PER_S) * 1e6
         )
-        if self._pause_reasons or self in self._listener.idle or now < due:
+        if self._pause_reasons or self in self._listener.idle or now < deadline:
             return
-        # its body has stopped coming
+        # The rest of the body is overdue: abort the request that the engine processes.
         if self._current_id is not None and self._incoming_body and not self._stream_source:
             current, self._current_id, self._last_upload = self._current_id, None, None
             self._engine.client_disconnected(current)
@@ -318,34 +333,40 @@
             self.message_invalid(408)
 
     def _check_unread_response(self, now: int) -> None:
-        left = self.transport.get_write_buffer_size()
-        if left != self._unwritten[0]:
-            self._unwritten = (left, now)
-        elif left and now - self._unwritten[1] > UNREAD_TIMEOUT_S * 1e6:
+        buffered = self.transport.get_write_buffer_size()
+        if buffered != self._unwritten[0]:
+            self._unwritten = (buffered, now)
+        elif buffered and now - self._unwritten[1] > UNREAD_TIMEOUT_S * 1e6:
             self.transport.abort()
 
     def close_if_idle(self) -> bool:
-        """Closes it between requests; not if one waits unread in the socket, which would lose
-        it."""
-        quiet = self._current_id is None and not self._pending_requests and not self._message_begun
-        if not quiet or self.transport.is_closing() or unread_bytes(self.transport):
+        """Close the connection if it is between requests. Return whether it was closed.
+
+        It is not closed if the socket holds unread data, as that would lose a request.
+        """
+        is_idle = (
+            self._current_id is None and not self._pending_requests and not self._message_begun
+        )
+        if not is_idle or self.transport.is_closing() or unread_bytes(self.transport):
             return False
         self._listener.idle.pop(self, None)
         self.transport.close()
         return True
 
     def close_partial(self) -> bool:
-        """Closes it though a request may have begun, as none is whole, nor more of one
-        unread."""
-        whole = self._current_id is not None or self._pending_requests
-        if whole or self.transport.is_closing() or unread_bytes(self.transport):
+        """Close the connection if it has no complete request. Return whether it was closed.
+
+        It is not closed if the socket holds unread data, as that may complete a request.
+        """
+        has_request = self._current_id is not None or self._pending_requests
+        if has_request or self.transport.is_closing() or unread_bytes(self.transport):
             return False
         self._listener.partial.pop(self, None)
         self.message_invalid(408)
         return True
 
     def _start_next(self) -> None:
-        message, began = self._pending_requests.popleft()
+        message, began_at = self._pending_requests.popleft()
         self._set_reading_paused("queue", len(self._pending_requests) > MAX_PIPELINED_REQUESTS)
         self._keep_alive = message.keep_alive and not self._over_capacity
         self._minor, self._last_upload = message.minor_version, message.upload
@@ -359,22 +380,22 @@
             self.reject(0, status=503)
             return
         try:
-            wanted = self._listener.request_reader(
-                message, self._engine.names, self._engine.settings.classes, began
+            request = self._listener.request_reader(
+                message, self._engine.names, self._engine.settings.classes, began_at
             )
         except BadRequest as error:
             self._write(
                 error.status, _retry_after_field(error.retry_after), str(error).encode() + b"\n"
             )
             return
-        self._current_id = wanted.id
-        if not self._engine.request_arrived(wanted, self):
+        self._current_id = request.id
+        if not self._engine.request_arrived(request, self):
             self._write_text(409, b"a request with this Request-Id is under way\n")
 
-    # The engine's answers.
+    # Responses of the engine.
 
-    def send_response(self, answer: AttemptResult) -> None:
-        self._write(answer.status, _response_fields(answer), answer.body)
+    def send_response(self, result: AttemptResult) -> None:
+        self._write(result.status, _response_fields(result), result.body)
 
     def reject(self, retry_after: int, status: int = 429) -> None:
         self._write(status, _retry_after_field(retry_after), b"refused\n")
@@ -395,10 +416,9 @@
         return self._keep_alive and not self._listener.stopping and not self._framing_lost
 
     def _response_sent(self, keep: bool) -> None:
-        """An answer is whole: on to the next request, if there is to be one."""
-        if (
-            self._last_upload and not self._last_upload.complete
-        ):  # the rest of its body is read and dropped
+        """After a complete response, start the next request, or close the connection."""
+        if self._last_upload and not self._last_upload.complete:
+            # Read and discard the rest of the body.
             self._last_upload.discard()
             self._keep_alive = keep
         elif not keep:
@@ -412,7 +432,7 @@
             self._send_continue()
 
     def _discarded_body_ended(self) -> None:
-        """A body has come whole that was dropped as its answer was out already."""
+        """Continue after the body of a request that was answered before its end."""
         if (
             self._current_id is None
             and not self._pending_requests
@@ -428,22 +448,22 @@
         ):
             self._start_next()
 
-    # An answer that comes in parts.
+    # Streamed responses.
 
-    def begin_stream(self, answer: AttemptResult, source: Exchange) -> None:
+    def begin_stream(self, result: AttemptResult, source: Exchange) -> None:
         self._stream_source, memory = source, self._listener.memory
         memory.active_bodies += 1
-        self._chunked = answer.length is None and self._minor > 0
-        self._unframed = answer.length is None and not self._chunked
+        self._chunked = result.length is None and self._minor > 0
+        self._unframed = result.length is None and not self._chunked
         self._keep_alive = self._keep_alive and not self._unframed
         head = b"HTTP/1.1 %d %b\r\n%b" % (
-            answer.status,
-            reason_phrase(answer.status),
-            _response_fields(answer),
+            result.status,
+            reason_phrase(result.status),
+            _response_fields(result),
         )
         head += b"" if self._will_keep_alive() else b"Connection: close\r\n"
-        if answer.length is not None:
-            head += b"Content-Length: %d\r\n" % answer.length
+        if result.length is not None:
+            head += b"Content-Length: %d\r\n" % result.length
         elif self._chunked:
             head += b"Transfer-Encoding: chunked\r\n"
         self.transport.set_write_buffer_limits(memory.buffer_limit())
@@ -461,12 +481,11 @@
         self._response_sent(self._will_keep_alive())
 
     def abort_stream(self) -> None:
-        """The answer cannot be made whole: without its end, or with a reset, the client can
-        tell."""
+        """Abort the response: the client sees it end early or the connection reset."""
         self._end_response_stream()
         self._current_id = None
         sock = self.transport.get_extra_info("socket")
-        if self._unframed and sock:  # an orderly end would be that of its body
+        if self._unframed and sock:  # an orderly close would mark the end of the body
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.transport.abort()
 
@@ -481,8 +500,7 @@
             self._stream_source.pause(True)
 
     def resume_writing(self) -> None:
-        """Answers wait for a client that has not taken those before: what it asks next is not
-        begun."""
+        """Continue once the client has read enough; meanwhile no further request was started."""
         self._writing_paused = False
         if self._stream_source:
             self._stream_source.pause(False)
@@ -493,6 +511,6 @@
     return b"Retry-After: %.3f\r\n" % (retry_after / 1e6) if retry_after else b""
 
 
-def _response_fields(answer: AttemptResult) -> bytes:
-    kind = b"Content-Type: %b\r\n" % answer.content_type if answer.content_type else b""
-    return kind + answer.fields
+def _response_fields(result: AttemptResult) -> bytes:
+    content_type = b"Content-Type: %b\r\n" % result.content_type if result.content_type else b""
+    return content_type + result.fields
--- a/cairndale/ingress/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -1,5 +1,7 @@
-"""The counter's client: calls written one behind another on one connection, answers paired in their
-order."""
+"""The client of the shared quota counter: pipelines calls on one connection.
+
+Answers carry no id: they are matched to the calls by their order.
+"""
 
 from __future__ import annotations
 
@@ -13,13 +15,10 @@
 
 from cairndale.ingress.policy.interface import Outcome
 
-PING_INTERVAL_S = 2.5  # s: the counter closes what has stood idle for some 10 s or less
-# s that every time limit is longer on sockets: a crowded counter answers a little late
-TIMEOUT_SLACK_S = 0.05
-ANSWER_TIMEOUT_S = (
-    2.0  # s without the answer that is due, after which the connection is taken for dead
-)
-BACKOFF_S = (0.05, 1.0)  # s between tries to connect: the first, the longest
+PING_INTERVAL_S = 2.5  # the counter closes connections that are idle for about 10 s or less
+TIMEOUT_SLACK_S = 0.05  # added to the time limit of calls: a busy counter answers a little late
+ANSWER_TIMEOUT_S = 2.0  # a connection with a call unanswered for this long is dead
+BACKOFF_S = (0.05, 1.0)  # between attempts to connect: the first and the longest pause
 CONNECT_TIMEOUT_S = 1.0
 MAX_LINE_BYTES = 256
 MAX_TTL_MS = 60_000
@@ -29,29 +28,32 @@
 
 
 class CounterCall:
+    """A call to the counter; ends once."""
+
     __slots__ = ("callback", "is_ping", "started_at")
 
-    def __init__(self, answered: CounterCallback | None, at: float) -> None:
-        self.callback, self.started_at = answered, at  # None: a ping, or a call that was given up
-        self.is_ping = answered is None
+    def __init__(self, callback: CounterCallback | None, started_at: float) -> None:
+        self.callback, self.started_at = callback, started_at  # callback None: a ping, or ended
+        self.is_ping = callback is None
 
     def end(self, outcome: Outcome, total: float = 0.0) -> None:
-        answered, self.callback = self.callback, None
-        if answered:
-            answered(outcome, total)
+        callback, self.callback = self.callback, None
+        if callback:
+            callback(outcome, total)
 
 
 class QuotaCounterClient:
+    """Keeps a connection to the counter open, and sends calls on it."""
+
     def __init__(self, address: tuple[str, int], timeout_us: int) -> None:
         self.address, self.timeout = address, timeout_us / 1e6 + TIMEOUT_SLACK_S
         self._connection: CounterConnection | None = None
-        self._pending: dict[CounterCall, bytes] | None = (
-            None  # calls while a line that was well is made anew
-        )
-        # at the address before, with calls that may yet be answered
+        # Calls that wait for a connection, while one that worked is being re-established.
+        self._pending: dict[CounterCall, bytes] | None = None
+        # The connection to the previous address, with calls that may still be answered.
         self._previous: CounterConnection | None = None
         self._task: asyncio.Task[None] | None = None
-        self.connected = asyncio.Event()  # set from the first connection on
+        self.connected = asyncio.Event()  # set once the first connection is established
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._keep_connected())
@@ -59,19 +61,22 @@
     def stop(self) -> None:
         if self._task:
             self._task.cancel()
-        for line in (self._connection, self._previous):
-            if line:
-                line.transport.abort()
+        for connection in (self._connection, self._previous):
+            if connection:
+                connection.transport.abort()
 
     def update_timeout(self, timeout_us: int) -> None:
-        """Another time-out, for calls written from now on."""
+        """Apply a new timeout to calls sent from now on."""
         self.timeout = timeout_us / 1e6 + TIMEOUT_SLACK_S
         if self._connection:
             self._connection.timeout = self.timeout
 
     def update_address(self, address: tuple[str, int]) -> None:
-        """The counter is elsewhere from now on: new calls wait for a connection there, and those
-        that are out have their time for an answer."""
+        """Move to another address.
+
+        New calls wait for a connection there. Calls in flight may still be answered within their
+        timeout.
+        """
         if address == self.address:
             return
         self.address, self._pending = address, self._pending or {}
@@ -82,66 +87,68 @@
             self._task.cancel()
             self.start()
 
-    def add(self, name: int, amount: float, ttl_us: int, answered: CounterCallback) -> None:
+    def add(self, name: int, amount: float, ttl_us: int, callback: CounterCallback) -> None:
+        """Add `amount` to the counter `name`, which expires after `ttl_us`."""
         loop, ttl = asyncio.get_running_loop(), min(MAX_TTL_MS, max(1, ttl_us // 1000))
         text = b"add %016x %.6f %d\r\n" % (name, amount, ttl)
-        call, line = CounterCall(answered, loop.time()), self._connection
-        if line and not line.transport.is_closing():
-            line.call(text, call)
-        elif self._pending is not None or (line and line.answered):
-            # it was well until now: the next is soon there
+        call, connection = CounterCall(callback, loop.time()), self._connection
+        if connection and not connection.transport.is_closing():
+            connection.call(text, call)
+        elif self._pending is not None or (connection and connection.answered):
+            # The connection worked until now, so another one will be established soon.
             self._pending = self._pending or {}
             self._pending[call] = text
-            loop.call_at(call.started_at + self.timeout, self._give_up, call)
+            loop.call_at(call.started_at + self.timeout, self._expire_pending, call)
         else:
             call.end(Outcome.CONNECT_FAILED)  # nothing was written
 
-    def _give_up(self, call: CounterCall) -> None:
+    def _expire_pending(self, call: CounterCall) -> None:
         if self._pending and self._pending.pop(call, None):
             call.end(Outcome.CONNECT_FAILED)
 
     def _take_pending(self) -> dict[CounterCall, bytes]:
-        held, self._pending = self._pending or {}, None
-        return held
+        pending, self._pending = self._pending or {}, None
+        return pending
 
     async def _keep_connected(self) -> None:
-        loop, wait = asyncio.get_running_loop(), BACKOFF_S[0]
+        loop, pause = asyncio.get_running_loop(), BACKOFF_S[0]
         while True:
             try:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                    _, line = await loop.create_connection(
+                    _, connection = await loop.create_connection(
                         lambda: CounterConnection(self.timeout), *self.address
                     )
             except OSError:  # TimeoutError is one
                 for call in self._take_pending():
                     call.end(Outcome.CONNECT_FAILED)
             else:
-                self._connection = line
+                self._connection = connection
                 self.connected.set()
                 for call, text in self._take_pending().items():
-                    line.call(text, call)
-                await line.closed.wait()
+                    connection.call(text, call)
+                await connection.closed.wait()
                 self._connection = None
-                if line.answered:  # no back-off
-                    self._pending, wait = self._pending or {}, BACKOFF_S[0]
+                if connection.answered:  # the connection worked: reconnect without backoff
+                    self._pending, pause = self._pending or {}, BACKOFF_S[0]
                     continue
-            await asyncio.sleep(wait * random.uniform(0.5, 1.0))  # a fleet's tries are spread
-            wait = min(2 * wait, BACKOFF_S[1])
+            await asyncio.sleep(pause * random.uniform(0.5, 1.0))  # spreads the attempts of a fleet
+            pause = min(2 * pause, BACKOFF_S[1])
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection. A call that has timed out keeps its place, so that its late answer is dropped
-    and the next is not taken for it."""
+    """One connection to the counter.
+
+    A call that has timed out keeps its place in the queue, so that its late answer is dropped and
+    is not taken for the answer to the next call.
+    """
 
     transport: asyncio.Transport
 
     def __init__(self, timeout: float) -> None:
         self.timeout, self.answered, self.closed = timeout, False, asyncio.Event()
         self._loop = asyncio.get_running_loop()
-        self._calls: deque[CounterCall] = deque()  # written, unanswered
-        self._awaiting_timeout: deque[CounterCall] = (
-            deque()
-        )  # of these, the ones whose time-out is still to come
+        self._calls: deque[CounterCall] = deque()  # in flight
+        self._awaiting_timeout: deque[CounterCall] = deque()  # those whose timeout has not expired
         self._timer: asyncio.TimerHandle | None = None
         self._ping_timer: asyncio.TimerHandle | None = None
         self._partial_line = b""
@@ -153,6 +160,7 @@
         self._check_alive()
 
     def call(self, line: bytes, call: CounterCall) -> None:
+        """Send a call, encoded as `line`."""
         self._last_call_at = self._loop.time()
         self._calls.append(call)
         self.transport.write(line)
@@ -165,7 +173,7 @@
         *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         for line in lines:
             if not self._handle_answer(line.rstrip(b"\r")):
-                log.warning("counter: answer not understood")
+                log.warning("counter: invalid answer, connection closed")
                 self.transport.abort()
                 return
         if len(self._partial_line) > MAX_LINE_BYTES:
@@ -178,7 +186,7 @@
         self.closed.set()
         calls, self._calls = self._calls, deque()
         for call in calls:
-            call.end(Outcome.RESET if exc else Outcome.TIMEOUT)  # written: it may have been added
+            call.end(Outcome.RESET if exc else Outcome.TIMEOUT)  # it may have been added
 
     def _handle_answer(self, line: bytes) -> bool:
         word, _, rest = line.partition(b" ")
@@ -190,7 +198,7 @@
                 return False
         if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
             return False
-        # out of step: nothing can be paired
+        # Answers and calls are out of step and cannot be matched.
         if not self._calls or self._calls[0].is_ping != (word == b"pong"):
             return False
         self.answered = True
@@ -205,14 +213,17 @@
         ):
             self._awaiting_timeout.popleft().end(Outcome.TIMEOUT)
         if self._awaiting_timeout and not self.closed.is_set():
-            left = self._awaiting_timeout[0].started_at + self.timeout - now
-            self._timer = self._loop.call_later(left, self._expire)
+            remaining = self._awaiting_timeout[0].started_at + self.timeout - now
+            self._timer = self._loop.call_later(remaining, self._expire)
 
     def _check_alive(self) -> None:
-        """A dead counter says nothing: only an answer that stays away tells."""
+        """Abort the connection if an answer is overdue, and ping an idle one.
+
+        A missing answer is the only sign that the counter is unreachable.
+        """
         now = self._loop.time()
         if self._calls and now - self._calls[0].started_at > ANSWER_TIMEOUT_S:
-            log.warning("counter: silent for %.0f s, connecting anew", ANSWER_TIMEOUT_S)
+            log.warning("counter: no answer for %.0f s, reconnecting", ANSWER_TIMEOUT_S)
             self.transport.abort()
             return
         if now - self._last_call_at >= PING_INTERVAL_S:
--- a/cairndale/ingress/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -1,9 +1,9 @@
-"""The watch on the list of backends: opened from the version held, and anew when it ends or falls
-silent.
+"""The discovery client: watches the endpoint list from the last known version on.
 
-With a `directory` in the configuration the list comes from one of several addresses of the list
-service, and `Held` decides what of it is taken; without, whatever the platform's discovery says is
-taken as it comes."""
+With a `directory` in the configuration, the list comes from one of several replicas of the list
+service, and `EndpointTable` decides which updates are applied. Without it, every update of the
+platform's discovery is applied as received.
+"""
 
 from __future__ import annotations
 
@@ -21,30 +21,33 @@
 
 from cairndale.ingress.net.http import MAX_HEAD_BYTES
 
-WATCH_TIMEOUT_S = 6.0  # s with no line: three beats
-FIRST_LINE_TIMEOUT_S = 2.0  # s for the first line, where there are other addresses to turn to
-BACKOFF_S = (0.1, 2.0)  # s between tries: the first, the longest
-# s for each gateway of the fleet that tries are spread over once one was turned away ...
+WATCH_TIMEOUT_S = 6.0  # without a line: three heartbeats
+FIRST_LINE_TIMEOUT_S = 2.0  # for the first line, if there are other addresses to try
+BACKOFF_S = (0.1, 2.0)  # between attempts: the first and the longest pause
+# After a rejection, attempts are spread over this time per ingress of the fleet. It is doubled up
+# to MAX_DOUBLINGS times: all ingresses share one list service, which also spends work on calls that
+# their callers have given up.
 REJECTION_SPREAD_S = 0.1
-# ... doubled so many times: the list's service is one for all, and works on calls given up too
 MAX_DOUBLINGS = 3
 CONNECT_TIMEOUT_S = 1.0
 MAX_LINE_BYTES = 8 * 1024 * 1024
-MIN_EXPIRY_CHECK_S = 1.0  # s at the least between looks at servers kept beyond the list
-# s: a list older than that is spoken of, and a replica out of touch for that is left ...
+MIN_EXPIRY_CHECK_S = 1.0  # shortest interval between checks of retained servers
+# An endpoint list older than this is logged, and a replica that has been out of touch with its
+# leader for this long is left for another.
 STALE_LIST_AGE_S = 10.0
-# ... but no sooner than that after the last time, doubled up to the second
+# Shortest interval between two such switches, doubled after each up to the second value.
 REPLICA_SWITCH_INTERVAL_S = (30.0, 600.0)
-# what a whole list may lack at once, and s that more is kept, if not configured
+# Defaults: the share of servers that a full list may lack and be applied at once, and the seconds
+# for which missing servers are retained otherwise.
 DEFAULT_SHRINK, DEFAULT_HOLD_S = (0.5, 60.0)
-MAX_REMOVALS = 4096  # removals that are remembered, so that a replica that lags cannot undo them
-MAX_LEFT_LINEAGES = 16  # lists of other lineages that are remembered as left
+MAX_REMOVALS = 4096  # removals that are remembered, so that a lagging replica cannot undo them
+MAX_LEFT_LINEAGES = 16  # former lineages that are remembered, so that they are not returned to
 
 log = logging.getLogger(__name__)
 
 
 class EndpointEntry:
-    """A backend as discovery names it."""
+    """An endpoint of a backend, as discovery lists it. Raises ValueError if `raw` is invalid."""
 
     __slots__ = (
         "address",
@@ -62,22 +65,22 @@
         self.name, self.status = str(raw["name"]), str(raw["status"])
         if self.status not in ("up", "draining", "removed"):
             raise ValueError(f"status {self.status!r} is unknown")
-        # A removed backend needs no more than its name.
+        # A removed backend needs only its name.
         address = str(raw["address"] if self.status != "removed" else raw.get("address", ":0"))
         host, _, port = address.rpartition(":")
         self.address = (host, int(port))
         if not 0 <= self.address[1] < 65536:
-            raise ValueError(f"address {address!r} has no such port")
+            raise ValueError(f"invalid port in address {address!r}")
         self.zone, self.kind = str(raw.get("zone", "")), str(raw.get("type", ""))
         self.group, self.weight = int(raw.get("group", 0)), float(raw.get("weight", 1.0))
         if not math.isfinite(self.weight):
-            raise ValueError(f"weight {self.weight} is no number")
+            raise ValueError(f"weight {self.weight} is not finite")
         self.since_us = int(raw.get("since_ms", 0)) * 1000
-        # of its last change, where told
+        # Version of its last change, if reported.
         self.version = int(raw["version"]) if "version" in raw else None
 
     def to_raw(self) -> dict[str, Any]:
-        """As discovery would name it."""
+        """Return the entry in the form in which discovery lists it."""
         raw: dict[str, Any] = {
             "name": self.name,
             "address": "{}:{}".format(*self.address),
@@ -91,15 +94,20 @@
         return raw if self.version is None else raw | {"version": self.version}
 
     def is_same_instance(self, other: EndpointEntry) -> bool:
+        """Return whether both entries are of the same start at the same address."""
         return self.address == other.address and self.since_us == other.since_us
 
     def as_draining(self) -> EndpointEntry:
+        """Return a copy with the status `draining`."""
         return EndpointEntry(self.to_raw() | {"status": "draining"})
 
 
 class EndpointUpdate:
-    """The whole list, or the entries that changed. What the list service tells beyond PROTOCOL is
-    None or empty where another tells it."""
+    """A full endpoint list, or the entries that changed.
+
+    Fields that only the list service adds to the protocol are None or empty in updates from others.
+    Raises ValueError if `raw` is invalid.
+    """
 
     __slots__ = ("age", "entries", "epoch", "full", "index", "lineage", "removed")
 
@@ -110,104 +118,116 @@
             self.lineage = str(raw["lineage"]) if "lineage" in raw else None
             self.epoch = int(raw["epoch"]) if self.lineage is not None else 0
             self.removed = {str(name): int(version) for name, version in raw.get("gone", ())}
-            self.age = float(raw.get("age_ms", 0)) / 1000  # s since a replica heard its leader
+            self.age = (
+                float(raw.get("age_ms", 0)) / 1000
+            )  # s since the replica's last contact with its leader
             if not 0 <= self.age < math.inf:
-                raise ValueError(f"age {self.age} is none")
+                raise ValueError(f"age {self.age} s is out of range")
         except (KeyError, TypeError, AttributeError, OverflowError) as error:
-            raise ValueError(f"list of backends: {error!r}") from None
+            raise ValueError(f"invalid endpoint list: {error!r}") from None
 
     @classmethod
-    def of(cls, index: int, entries: Iterable[EndpointEntry], whole: bool) -> EndpointUpdate:
-        made = cls({"index": index, "snapshot": whole, "endpoints": ()})
-        made.entries = list(entries)
-        return made
+    def of(cls, index: int, entries: Iterable[EndpointEntry], full: bool) -> EndpointUpdate:
+        """Return an update of these entries, without the list service's fields."""
+        update = cls({"index": index, "snapshot": full, "endpoints": ()})
+        update.entries = list(entries)
+        return update
 
 
 class UpdateRejected(Exception):
-    """What an address tells is not to be taken: the list stays as it is."""
+    """An update is not applied, and the endpoint list stays as it is."""
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryConfig:
-    """The part of the configuration that names the list service."""
+    """The settings of the list service."""
 
-    addresses: tuple[tuple[str, int], ...]  # beside `discovery`
-    # the share of the servers up that a whole list may lack and be taken at once
+    addresses: tuple[tuple[str, int], ...]  # in addition to `discovery`
+    # Share of the servers up that a full list may lack and be applied at once.
     shrink: float = DEFAULT_SHRINK
-    hold: float = DEFAULT_HOLD_S  # s that those missing beyond it are kept
+    hold: float = DEFAULT_HOLD_S  # s for which missing servers are retained otherwise
 
 
 @dataclass(slots=True)
 class EndpointTable:
-    """The list held, and what a line may change of it. Pure.
+    """The endpoint list, and the rules by which updates are applied to it. Pure.
 
-    Versions grow within a lineage, over its epochs: what is older than what is held is not taken,
-    entry by entry. A drain that was told holds until that server is told to be removed or has a new
-    start or address. A whole list that lacks too many servers, or all, is no news of their end:
-    those missing are kept a while."""
+    Versions increase within a lineage, across its epochs: entries older than the known ones are
+    ignored. A draining server stays so until it is removed, restarted or moved. A full list that
+    lacks too many servers, or all, does not prove that they have ended: the missing ones are
+    retained for a while.
+    """
 
     directory: DirectoryConfig
     index: int = 0
     epoch: int = 0
     lineage: str | None = None
     entries: dict[str, EndpointEntry] = field(default_factory=dict)
-    removed: OrderedDict[str, int] = field(default_factory=OrderedDict)  # removed, with the version
-    left_lineages: list[str] = field(default_factory=list)  # lineages
-    # missing from the last whole list, until when
+    # Names of removed servers, with the version of the removal.
+    removed: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    left_lineages: list[str] = field(default_factory=list)
+    # Servers missing from the last full list, and until when they are retained.
     retained: dict[str, float] = field(default_factory=dict)
 
-    def apply_update(self, told: EndpointUpdate, now: float) -> EndpointUpdate | None:
-        """What changes by it, None if nothing does; Refused if it is not to be taken."""
-        if told.lineage is None and self.lineage is not None:
-            raise UpdateRejected("no epoch: not the list service that was watched")
-        if told.lineage != self.lineage:
-            self._switch_lineage(told)
-        elif told.epoch < self.epoch:
-            raise UpdateRejected(f"epoch {told.epoch} is past, {self.epoch} is held")
-        elif told.index < self.index:
-            raise UpdateRejected(f"version {told.index} is older than {self.index}, which is held")
-        self.index, self.epoch = told.index, told.epoch
-        before, served = self.entries.copy(), self._has_listed_up()
-        if told.full:
-            self._apply_full(told, now)
-        for entry in told.entries:
-            self._apply_entry(entry, told)
-        # the first that came back: the others have as long again
-        if not served and self._has_listed_up():
+    def apply_update(self, update: EndpointUpdate, now: float) -> EndpointUpdate | None:
+        """Apply an update. Return the resulting changes, None if there are none.
+
+        Raises UpdateRejected if the update must not be applied.
+        """
+        if update.lineage is None and self.lineage is not None:
+            raise UpdateRejected("no epoch: the update is not from the list service watched before")
+        if update.lineage != self.lineage:
+            self._switch_lineage(update)
+        elif update.epoch < self.epoch:
+            raise UpdateRejected(f"epoch {update.epoch} is past, {self.epoch} is known")
+        elif update.index < self.index:
+            raise UpdateRejected(
+                f"version {update.index} is older than the known version {self.index}"
+            )
+        self.index, self.epoch = update.index, update.epoch
+        before, had_listed_up = self.entries.copy(), self._has_listed_up()
+        if update.full:
+            self._apply_full(update, now)
+        for entry in update.entries:
+            self._apply_entry(entry, update)
+        # The first server is back: retain the others for the full time from now.
+        if not had_listed_up and self._has_listed_up():
             self.retained = dict.fromkeys(self.retained, now + self.directory.hold)
         while len(self.removed) > MAX_REMOVALS:
             self.removed.popitem(last=False)
-        if told.full:
+        if update.full:
             return EndpointUpdate.of(self.index, self.entries.values(), True)
         return self._diff(before)
 
-    def _switch_lineage(self, told: EndpointUpdate) -> None:
-        """Another lineage: its versions cannot be compared with those held."""
-        if told.lineage in self.left_lineages:
-            raise UpdateRejected(f"list {told.lineage} was left for {self.lineage}")
-        if not told.full:
-            raise UpdateRejected(f"changes of list {told.lineage}, of which nothing is held")
+    def _switch_lineage(self, update: EndpointUpdate) -> None:
+        """Switch to another lineage, whose versions cannot be compared with the known ones."""
+        if update.lineage in self.left_lineages:
+            raise UpdateRejected(f"list {update.lineage} was left for {self.lineage}")
+        if not update.full:
+            raise UpdateRejected(f"changes of the unknown list {update.lineage}")
         if self.lineage is not None:
-            log.warning("discovery: list %s in place of %s", told.lineage, self.lineage)
+            log.warning("discovery: lineage %s replaces %s", update.lineage, self.lineage)
             self.left_lineages = [*self.left_lineages, self.lineage][-MAX_LEFT_LINEAGES:]
-        self.lineage = told.lineage
+        self.lineage = update.lineage
         self.removed.clear()
         for entry in self.entries.values():
             entry.version = None
 
-    def _apply_full(self, told: EndpointUpdate, now: float) -> None:
-        for name, version in told.removed.items():
+    def _apply_full(self, update: EndpointUpdate, now: float) -> None:
+        for name, version in update.removed.items():
             self._remove(name, version)
-        named = {entry.name for entry in told.entries}
-        missing = [name for name in self.entries if name not in named]
+        listed = {entry.name for entry in update.entries}
+        missing = [name for name in self.entries if name not in listed]
         up = [name for name, entry in self.entries.items() if entry.status == "up"]
-        lost = [name for name in up if name not in named]
-        left = any(entry.status == "up" for entry in told.entries)
-        drastic = bool(lost) and (not left or len(lost) > self.directory.shrink * len(up))
+        missing_up = [name for name in up if name not in listed]
+        any_up = any(entry.status == "up" for entry in update.entries)
+        drastic = bool(missing_up) and (
+            not any_up or len(missing_up) > self.directory.shrink * len(up)
+        )
         if drastic and any(name not in self.retained for name in missing):
             log.warning(
-                "discovery: %d of %d servers are missing from the list; kept for %.0f s",
-                len(lost),
+                "discovery: %d of %d servers are missing from the list; retained for %.0f s",
+                len(missing_up),
                 len(up),
                 self.directory.hold,
             )
@@ -217,31 +237,31 @@
             else:
                 del self.entries[name]
 
-    def _apply_entry(self, entry: EndpointEntry, told: EndpointUpdate) -> None:
-        held, version = self.entries.get(entry.name), entry.version
+    def _apply_entry(self, entry: EndpointEntry, update: EndpointUpdate) -> None:
+        known, version = self.entries.get(entry.name), entry.version
         if version is None and self.lineage is None:
-            version = told.index
+            version = update.index
         if entry.status == "removed":
-            self._remove(entry.name, version if version is not None else told.index)
+            self._remove(entry.name, version if version is not None else update.index)
             return
         if version is not None and self.removed.get(entry.name, -1) >= version:
             return
-        if held and version is not None and held.version is not None and held.version > version:
+        if known and version is not None and known.version is not None and known.version > version:
             return
         if (
-            held
-            and held.status == "draining"
+            known
+            and known.status == "draining"
             and entry.status == "up"
-            and entry.is_same_instance(held)
+            and entry.is_same_instance(known)
         ):
             entry = entry.as_draining()
         self.retained.pop(entry.name, None)
         self.entries[entry.name] = entry
 
     def _remove(self, name: str, version: int) -> None:
-        held = self.entries.get(name)
-        if held and held.version is not None and held.version > version:
-            return  # it came back since
+        known = self.entries.get(name)
+        if known and known.version is not None and known.version > version:
+            return  # it has been listed again since
         self.entries.pop(name, None)
         self.retained.pop(name, None)
         if version >= self.removed.get(name, -1):
@@ -249,23 +269,28 @@
             self.removed.move_to_end(name)
 
     def _diff(self, before: dict[str, EndpointEntry]) -> EndpointUpdate | None:
-        lost = [
+        removed = [
             EndpointEntry({"name": name, "status": "removed"})
             for name in before
             if name not in self.entries
         ]
-        others = [entry for name, entry in self.entries.items() if before.get(name) is not entry]
-        return EndpointUpdate.of(self.index, lost + others, False) if lost or others else None
+        changed = [entry for name, entry in self.entries.items() if before.get(name) is not entry]
+        return (
+            EndpointUpdate.of(self.index, removed + changed, False) if removed or changed else None
+        )
 
     def expire_retained(self, now: float) -> EndpointUpdate | None:
-        """Those kept for long enough go, unless no server up would be left."""
-        over = [name for name, until in self.retained.items() if until <= now]
-        if not over or not self._has_listed_up():
+        """Remove retained servers after their time, unless no server up would be left.
+
+        Return the resulting changes, None if there are none.
+        """
+        expired = [name for name, until in self.retained.items() if until <= now]
+        if not expired or not self._has_listed_up():
             return None
         before = self.entries.copy()
-        for name in over:
+        for name in expired:
             del self.retained[name], self.entries[name]
-        log.warning("discovery: %d servers that the list lacks are given up", len(over))
+        log.warning("discovery: removed %d servers missing from the list", len(expired))
         return self._diff(before)
 
     def _has_listed_up(self) -> bool:
@@ -274,12 +299,12 @@
         )
 
     def load(self, known: EndpointUpdate) -> None:
-        """With what an earlier process last held, which may be old."""
+        """Start with the list in the configuration, which may be old."""
         self.index, self.epoch, self.lineage = known.index, known.epoch, known.lineage
         self.entries = {entry.name: entry for entry in known.entries if entry.status != "removed"}
 
     def dump(self) -> dict[str, Any]:
-        """For the process that comes next."""
+        """Return the state for the process that replaces this one."""
         return {
             "index": self.index,
             "epoch": self.epoch,
@@ -287,12 +312,15 @@
             "left": self.left_lineages,
             "gone": list(self.removed.items()),
             "endpoints": [e.to_raw() for e in self.entries.values()],
-            "kept": self.retained,  # the clock is the machine's: the next process reads the same
+            "kept": self.retained,  # times on the machine's clock, which the next process shares
         }
 
     def restore(self, raw: dict[str, Any] | None, entries: list[dict[str, Any]]) -> None:
-        """From an earlier process, which may not have watched the list service: then only its
-        list."""
+        """Restore the state of an earlier process.
+
+        `raw` is None if that process did not watch the list service; then only its `entries` are
+        used.
+        """
         if raw is None:
             self.load(EndpointUpdate({"index": 0, "snapshot": True, "endpoints": entries}))
             return
@@ -307,56 +335,58 @@
 
 @dataclass(slots=True)
 class AddressRotation:
-    """Which address is watched, and how long to wait before the next try. Pure, but for the dice
-    given."""
+    """Chooses the address to watch, and the pause before the next attempt. Pure."""
 
     targets: tuple[tuple[str, int], ...]
     position: int = 0
     fleet_size: int = 1
-    failed_attempts: int = 0  # tries since a line was last heard
-    rejections: int = 0  # of these, at the end
-    switched_at: float = -math.inf  # when a replica was last left as it was out of touch ...
-    switch_interval: float = REPLICA_SWITCH_INTERVAL_S[
-        0
-    ]  # ... and how long after that the next may be
+    failed_attempts: int = 0  # since a line was last received
+    rejections: int = 0  # the latest attempts in a row that were rejected
+    switched_at: float = -math.inf  # when a replica out of touch was last left
+    # Shortest time in s until the next one may be left.
+    switch_interval: float = REPLICA_SWITCH_INTERVAL_S[0]
 
     @property
     def current(self) -> tuple[str, int]:
         return self.targets[self.position]
 
     def watch_ended(
-        self, heard: bool, turned_away: bool | None, uniform: Callable[[float, float], float]
+        self, received_line: bool, rejected: bool | None, uniform: Callable[[float, float], float]
     ) -> float:
-        """The watch is over, or never came to be (`turned_away` is None): the next address, and the
-        seconds until it is tried. A round over all is made without growing waits: others likely do
-        not fail."""
-        if heard:
+        """Move on to the next address after a watch; return the pause before it is tried, in s.
+
+        `received_line`: whether the watch received anything. `rejected`: whether the server
+        rejected it; None if no connection was established. The pause grows only after all addresses
+        have been tried, as the others are likely to work. `uniform` draws a random number from a
+        range.
+        """
+        if received_line:
             self.failed_attempts = 0
-        if turned_away is not None:
-            self.rejections = self.rejections + 1 if turned_away else 0
+        if rejected is not None:
+            self.rejections = self.rejections + 1 if rejected else 0
         count = len(self.targets)
         self.position = (self.position + 1) % count
         if self.rejections and self.rejections % count == 0:
             doubled = min(self.rejections // count - 1, MAX_DOUBLINGS)
             return uniform(0, self.fleet_size * REJECTION_SPREAD_S * (1 << doubled))
-        rounds, self.failed_attempts = (
+        full_rounds, self.failed_attempts = (
             min(self.failed_attempts // count, 16),
             self.failed_attempts + 1,
         )
-        return min(BACKOFF_S[0] * (1 << rounds), BACKOFF_S[1]) * uniform(0.5, 1.0)
+        return min(BACKOFF_S[0] * (1 << full_rounds), BACKOFF_S[1]) * uniform(0.5, 1.0)
 
     def should_switch(self, age: float, now: float) -> bool:
-        """Whether a replica that has been out of touch for `age` is left for another."""
+        """Return whether to leave a replica that has been out of touch for `age` seconds."""
         if (
             len(self.targets) < 2
             or age < STALE_LIST_AGE_S
             or now - self.switched_at < self.switch_interval
         ):
             return False
-        again = now - self.switched_at < REPLICA_SWITCH_INTERVAL_S[1] + self.switch_interval
+        recently = now - self.switched_at < REPLICA_SWITCH_INTERVAL_S[1] + self.switch_interval
         self.switch_interval = (
             min(2 * self.switch_interval, REPLICA_SWITCH_INTERVAL_S[1])
-            if again
+            if recently
             else REPLICA_SWITCH_INTERVAL_S[0]
         )
         self.switched_at = now
@@ -364,16 +394,23 @@
 
 
 class Discovery:
+    """Keeps one watch open, and passes updates of the endpoint list on."""
+
     def __init__(
         self,
         address: tuple[str, int],
         index: int,
-        changed: Callable[[EndpointUpdate], None],
+        on_change: Callable[[EndpointUpdate], None],
         fleet_size: int = 1,
-        held: EndpointTable | None = None,
-        me: int = 0,
+        table: EndpointTable | None = None,
+        ingress_index: int = 0,
     ) -> None:
-        self.index, self.table, self._on_change, self._ingress_index = index, held, changed, me
+        self.index, self.table, self._on_change, self._ingress_index = (
+            index,
+            table,
+            on_change,
+            ingress_index,
+        )
         self.rotation = AddressRotation(())
         self._task: asyncio.Task[None] | None = None
         self._expiry: asyncio.TimerHandle | None = None
@@ -381,19 +418,20 @@
         self._received_at, self._replica_age = self._loop.time(), 0.0
         self._warn_at_age, self._last_rejection = STALE_LIST_AGE_S, ""
         self._source: tuple[str, int] | None = None
-        # set once it has said something, or a first try has come to nothing
+        # Set once a line has been received, or the first attempt has failed.
         self.first_attempt_done = asyncio.Event()
         self._set_addresses(address, fleet_size)
 
     def _set_addresses(self, address: tuple[str, int], fleet_size: int) -> None:
-        more = self.table.directory.addresses if self.table else ()
-        every = tuple(dict.fromkeys((address, *more)))
-        if every != self.rotation.targets:
-            # a fleet begins at all of them alike
-            self.rotation = AddressRotation(every, self._ingress_index % len(every))
+        further = self.table.directory.addresses if self.table else ()
+        targets = tuple(dict.fromkeys((address, *further)))
+        if targets != self.rotation.targets:
+            # The ingresses of a fleet start at different addresses, evenly spread.
+            self.rotation = AddressRotation(targets, self._ingress_index % len(targets))
         self.rotation.fleet_size = fleet_size
 
     def start(self, index: int | None = None) -> None:
+        """Start watching, from version `index` if given."""
         self.index = self.index if index is None else index
         self._task = self._loop.create_task(self._keep_watching())
         self._plan_expiry(self._loop.time())
@@ -411,9 +449,12 @@
         directory: DirectoryConfig | None = None,
         entries: Iterable[EndpointEntry] = (),
     ) -> None:
-        """Discovery is elsewhere from now on: watches there from the version held. `entries` are
-        those in use, for when the list service takes the place of the platform's discovery."""
-        before, watched = self.rotation.targets, self.table is not None
+        """Apply a new configuration; continue from the known version at the new addresses.
+
+        `entries`: the endpoint list in use, which the table starts from if the list service
+        replaces the platform's discovery.
+        """
+        targets_before, had_table = self.rotation.targets, self.table is not None
         if directory is None:
             self.table = None
         elif self.table is None:
@@ -423,71 +464,77 @@
             self.table.directory = directory
             self.table.left_lineages.clear()
         self._set_addresses(address, fleet_size)
-        if self.rotation.targets != before or watched != (self.table is not None):
+        if self.rotation.targets != targets_before or had_table != (self.table is not None):
             self.stop()
             self.start()
 
     def watch_target(self) -> str:
+        """Return the request target of a watch from the known version on."""
         if self.table is None:
             return f"/discovery/hosts?watch=1&from={self.index}"
-        held = self.table
-        # a version of no lineage says nothing to the list service
-        index = held.index if held.lineage else 0
+        table = self.table
+        # A version without a lineage means nothing to the list service.
+        index = table.index if table.lineage else 0
         return (
-            f"/discovery/hosts?watch=1&from={index}&epoch={held.epoch}&lineage={held.lineage or ''}"
+            f"/discovery/hosts?watch=1&from={index}&epoch={table.epoch}"
+            f"&lineage={table.lineage or ''}"
         )
 
     def handle_line(self, line: bytes) -> None:
-        """A line of a watch, an empty one as well. What is not to be taken raises, and the watch
-        ends."""
+        """Process a line of a watch; an empty line is a heartbeat.
+
+        Raises UpdateRejected or ValueError if it cannot be applied; the watch is then closed.
+        """
         now = self._loop.time()
         if not line.strip():
             self._replica_age = 0.0
         else:
-            listing = EndpointUpdate(json.loads(line))
+            update = EndpointUpdate(json.loads(line))
             if self.table is None:
-                self.index = listing.index
-                self._on_change(listing)
+                self.index = update.index
+                self._on_change(update)
             else:
-                self._apply(self.table, listing, now)
+                self._apply(self.table, update, now)
         self._received_at, self._last_rejection = now, ""
         self.first_attempt_done.set()
         if self.table and self._source != self.rotation.current:
             self._source = self.rotation.current
-            log.info("discovery: told by %s:%d", *self._source)
+            log.info("discovery: receiving updates from %s:%d", *self._source)
         self._warn_if_stale()
 
-    def _apply(self, held: EndpointTable, listing: EndpointUpdate, now: float) -> None:
-        change = held.apply_update(listing, now)
-        self.index, self._replica_age = held.index, listing.age
+    def _apply(self, table: EndpointTable, update: EndpointUpdate, now: float) -> None:
+        change = table.apply_update(update, now)
+        self.index, self._replica_age = table.index, update.age
         if change:
             self._on_change(change)
         self._plan_expiry(now)
-        if self.rotation.should_switch(listing.age, now):
-            raise UpdateRejected(f"out of touch with its leader for {listing.age:.0f} s")
+        if self.rotation.should_switch(update.age, now):
+            raise UpdateRejected(f"replica out of touch with its leader for {update.age:.0f} s")
 
     def update_rejected(self, reason: str) -> None:
-        if reason != self._last_rejection:  # once, however often it is tried
+        """Log a rejected update, once for each reason."""
+        if reason != self._last_rejection:
             log.warning("discovery at %s:%d: %s", *self.rotation.current, reason)
             self._last_rejection = reason
 
     def age(self) -> float:
-        """s since the list was last known to be what discovery holds."""
+        """Return the time since the list was last known to be up to date, in s."""
         return self._loop.time() - self._received_at + self._replica_age
 
     def status(self) -> dict[str, Any]:
-        held, (host, port) = self.table, self.rotation.current
+        """Return a report for operators."""
+        table, (host, port) = self.table, self.rotation.current
         status: dict[str, Any] = {
             "at": f"{host}:{port}",
             "index": self.index,
             "age_s": round(self.age(), 1),
         }
-        if held:
+        if table:
             status |= {
-                "lineage": held.lineage,
-                "epoch": held.epoch,
-                "servers": len(held.entries),
-                "kept": sorted(held.retained),
+                "lineage": table.lineage,
+                "epoch": table.epoch,
+                "servers": len(table.entries),
+                "kept": sorted(table.retained),
                 "replica_out_of_touch_s": round(self._replica_age, 1),
                 "refused": self._last_rejection or None,
             }
@@ -498,7 +545,7 @@
         if age < STALE_LIST_AGE_S:
             self._warn_at_age = STALE_LIST_AGE_S
         elif age >= self._warn_at_age:
-            log.warning("discovery: the list is %.0f s old and goes on being used", age)
+            log.warning("discovery: endpoint list is %.0f s old and still in use", age)
             self._warn_at_age = 2 * age
 
     def _plan_expiry(self, now: float) -> None:
@@ -528,15 +575,18 @@
                 finally:
                     transport.abort()
             self.first_attempt_done.set()
-            heard, away = (watch.received_line, watch.rejected) if watch else (False, None)
-            wait = self.rotation.watch_ended(
-                heard, away, random.uniform
-            )  # a fleet's tries are spread
+            received_line, rejected = (
+                (watch.received_line, watch.rejected) if watch else (False, None)
+            )
+            # Random pauses spread the attempts of a fleet.
+            wait = self.rotation.watch_ended(received_line, rejected, random.uniform)
             self._warn_if_stale()
             await asyncio.sleep(wait)
 
 
 class Watch(asyncio.Protocol):
+    """One watch: a request whose response streams updates, one JSON object per line."""
+
     transport: asyncio.Transport
 
     def __init__(self, discovery: Discovery) -> None:
@@ -561,11 +611,11 @@
             self._parser.feed_data(data)
             if self._parser.get_status_code() >= 300:
                 self.rejected = self._parser.get_status_code() >= 500
-                raise ValueError("not a watch")
+                raise ValueError("watch rejected")
             if self._head_bytes >= 0:
                 self._head_bytes += len(data)
             if len(self._partial_line) > MAX_LINE_BYTES or self._head_bytes > MAX_HEAD_BYTES:
-                raise ValueError("too long")
+                raise ValueError("line or response head too long")
             lines, self._lines = self._lines, []
             for line in lines:
                 self._discovery.handle_line(line)
@@ -588,19 +638,21 @@
         self.closed.set()
 
     def _check_timeout(self) -> None:
-        """A cut-off discovery says nothing and the connection stays open: missing beats are the
-        only sign."""
-        patience = (
+        """Abort the watch if heartbeats are missing.
+
+        That is the only sign of an isolated server, as the connection stays open.
+        """
+        timeout = (
             WATCH_TIMEOUT_S
             if self.received_line or len(self._discovery.rotation.targets) < 2
             else FIRST_LINE_TIMEOUT_S
         )
-        left = self._last_received_at + patience - self._loop.time()
-        if left <= 0:
-            log.warning("discovery: silent for %.0f s, watching anew", patience)
+        remaining = self._last_received_at + timeout - self._loop.time()
+        if remaining <= 0:
+            log.warning("discovery: no data for %.0f s, reconnecting", timeout)
             self.transport.abort()
             return
-        self._timer = self._loop.call_later(left, self._check_timeout)
+        self._timer = self._loop.call_later(remaining, self._check_timeout)
 
     def on_headers_complete(self) -> None:
         self._head_bytes = -1
--- a/cairndale/ingress/net/http.py
+++ b/cairndale/ingress/net/http.py
@@ -1,5 +1,4 @@
-"""HTTP/1.1 messages off a connection, within limits: what the client side and the backend side
-share."""
+"""Reads HTTP/1.1 messages from a connection, within size limits; for clients and for backends."""
 
 from __future__ import annotations
 
@@ -14,10 +13,9 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024 * 1024
-MAX_BUFFERED_BODY_BYTES = (
-    64 * 1024
-)  # a body up to here is collected, and can be sent again or asked for again
-READ_BUFFER_BYTES = 64 * 1024  # bytes read at once
+# Bodies up to this size are buffered, so that the request can be retried; larger ones are streamed.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -36,7 +34,7 @@
 }
 
 
-HOP_BY_HOP = {  # RFC 9110, 7.6.1, and what frames a message
+HOP_BY_HOP = {  # RFC 9110, 7.6.1, and the fields that frame a message
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -48,13 +46,13 @@
     b"proxy-authorization",
     b"content-length",
 }
-BODYLESS_STATUSES = (204, 304)  # their answers have no body, and no length of one
+BODYLESS_STATUSES = (204, 304)  # responses without body and without Content-Length
 
 
 def reason_phrase(status: int) -> bytes:
-    if (
-        status not in REASON_PHRASES
-    ):  # only where answers are relayed; the table of all costs every start
+    """Return the reason phrase of a status."""
+    if status not in REASON_PHRASES:
+        # Only for relayed responses: importing the full table would delay every start.
         from http import HTTPStatus
 
         REASON_PHRASES[status] = (
@@ -64,17 +62,16 @@
 
 
 def encode_response(status: int, body: bytes, headers: bytes = b"", close: bool = False) -> bytes:
-    """A whole answer of known length."""
-    end = b"Connection: close\r\n" if close else b""
+    """Encode a complete response."""
+    connection = b"Connection: close\r\n" if close else b""
     if status in BODYLESS_STATUSES:
-        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason_phrase(status), headers, end)
+        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason_phrase(status), headers, connection)
     head = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n"
-    return head % (status, reason_phrase(status), headers, end, len(body)) + body
+    return head % (status, reason_phrase(status), headers, connection, len(body)) + body
 
 
 class Message:
-    """A request (method, target) or an answer (status). Its body is there whole, or comes in
-    parts."""
+    """A request (method, target) or a response (status); its body is complete or streamed."""
 
     __slots__ = (
         "body",
@@ -94,10 +91,10 @@
         self.method = b""
         self.target = b""
         self.status = 0
-        self.minor_version = 1  # of HTTP/1's version
+        self.minor_version = 1  # 0 for HTTP/1.0
         self.headers: dict[bytes, bytes] = {}
-        self.fields: list[tuple[bytes, bytes]] = []  # as they came, where they go on
-        # announced; None: chunked, or until the end of the connection
+        self.fields: list[tuple[bytes, bytes]] = []  # as received, if `keep_fields`
+        # Content-Length; None: chunked, or until the connection is closed.
         self.length: int | None = None
         self.body = b""
         self.streamed = False
@@ -106,14 +103,17 @@
 
 
 class HttpConnection(asyncio.BufferedProtocol):
-    """Reads messages. A small body is collected; a large one is handed on in parts, each as it
-    comes. Hooks are called once the parser has returned, so that an error in handling one is never
-    mistaken for an error in parsing it."""
+    """A connection that reads messages and calls a hook for each event.
+
+    Small bodies are buffered; large ones are passed on in parts as they are received. Hooks are
+    called after the parser has returned, so that an error in a hook is never mistaken for a parse
+    error.
+    """
 
     transport: asyncio.Transport
     keep_fields = False
-    max_head, max_body = MAX_HEAD_BYTES, MAX_BODY_BYTES  # bytes that are taken
-    # one for all: what has come is copied out before the next read
+    max_head, max_body = MAX_HEAD_BYTES, MAX_BODY_BYTES  # larger messages are rejected
+    # Shared by all connections: received data is copied out before the next read.
     _read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     def __init__(self, parser: type[Any]) -> None:
@@ -121,40 +121,43 @@
         self._message = Message()
         self._hooks: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._parts: list[bytes] = []
-        self._head_bytes = 0  # bytes since the message began, while its head is open
-        self._size = 0  # of the head's fields, then of the body
+        self._head_bytes = 0  # received since the message began, within the head
+        self._size = 0  # bytes of the head's fields, then of the body
         self._in_head = True
-        self._message_begun = False  # some of the next message has come
-        self._error_status = 0  # the status that says so
+        self._message_begun = False  # a part of the next message has been received
+        self._error_status = 0  # status for the parse error that a callback raised
         self._framing_lost = False
-        self.parse_error = ""  # what the parser found wrong
+        self.parse_error = ""
 
-    # For the two sides to fill in.
+    # Hooks for subclasses.
 
     def message_received(self, message: Message) -> None:
-        """A message whose body was collected."""
+        """A message with a buffered body is complete."""
         raise NotImplementedError
 
     def message_invalid(self, status: int) -> None:
-        """What came is not HTTP, or too large: nothing after it can be read."""
+        """A message is invalid or too large; nothing after it can be parsed."""
         raise NotImplementedError
 
     def message_began(self) -> None:
-        """The first byte of a message has come."""
+        """The first byte of a message has been received."""
 
     def head_received(self, message: Message) -> None:
-        """Its head has come; the body has not."""
+        """The head of a message is complete; its body is not."""
 
     def body_began(self, message: Message) -> None:
-        """The body is a large one: `part` and `ended` follow in place of `received`."""
+        """A streamed body begins.
+
+        `body_part_received` and `body_ended` follow in place of `message_received`.
+        """
         self._framing_lost = True
         self.message_invalid(413)
 
     def body_part_received(self, message: Message, data: bytes) -> None:
-        """Some of a large body."""
+        """A part of a streamed body has been received."""
 
     def body_ended(self, message: Message) -> None:
-        """A large body is whole."""
+        """A streamed body is complete."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
@@ -170,27 +173,32 @@
             return
         if self._in_head:
             self._head_bytes += len(data)
-        bad = 0
+        error_status = 0
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            bad, self.parse_error = self._error_status or 400, str(error.__context__ or error)
-        if self._in_head and self._head_bytes > self.max_head:  # a head that never ends
-            bad = bad or 431
-        self._framing_lost = bad > 0
+            error_status, self.parse_error = (
+                self._error_status or 400,
+                str(error.__context__ or error),
+            )
+        if self._in_head and self._head_bytes > self.max_head:  # an endless head
+            error_status = error_status or 431
+        self._framing_lost = error_status > 0
         self._run_hooks()
-        if bad:
-            self.message_invalid(bad)
+        if error_status:
+            self.message_invalid(error_status)
 
     def _run_hooks(self) -> None:
-        """What is still to be called is seen by those before it: more was read than they are
-        about."""
+        """Call the pending hooks in order; each sees the later ones in `_hooks`.
+
+        A hook can thus tell that more was received after its own message.
+        """
         while self._hooks:
             hook, args = self._hooks.popleft()
             hook(*args)
 
     def connection_ended(self) -> None:
-        """At the sender's orderly end: a body with neither length nor chunks is whole now."""
+        """Handle the peer's orderly close, which completes a body without length or chunks."""
         message = self._message
         if (
             not self._in_head
@@ -202,13 +210,14 @@
             self._run_hooks()
 
     def stream_body(self) -> None:
-        """From here on the body is handed on as it comes, with what was collected first."""
+        """Stream the rest of the body, after the parts that are buffered already."""
         message, parts = self._message, self._parts
         message.streamed, self._parts = True, []
         self._hooks.append((self.body_began, (message,)))
         self._hooks += [(self.body_part_received, (message, part)) for part in parts]
 
-    # httptools' callbacks. It wraps what they raise, so limits are noted in `_too_large`.
+    # Callbacks of httptools. It wraps the exceptions they raise, so the status of the error is
+    # stored in `_error_status`.
 
     def on_message_begin(self) -> None:
         self._message, self._parts, self._size, self._in_head = Message(), [], 0, True
@@ -221,7 +230,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value) + 4
-        # a trailer: read, and no more than a head's worth, but of no use here
+        # Trailer fields are discarded, and limited to the size of a head.
         if not self._in_head:
             self._head_bytes += len(name) + len(value) + 4
             self._limit(self._head_bytes, self.max_head, 431)
@@ -243,7 +252,8 @@
         if (length is not None and (coding is not None or not length.isdigit())) or (
             coding is not None and coding.strip().lower() != b"chunked"
         ):
-            self._error_status = 400  # each reader could take another end for the right one
+            # Two recipients could disagree on where the message ends (request smuggling).
+            self._error_status = 400
             raise ValueError(f"contradictory framing: length {length!r}, coding {coding!r}")
         message.length = int(length) if length is not None else None
         message.minor_version = 0 if self._parser.get_http_version() == "1.0" else 1
@@ -280,7 +290,7 @@
             (self.body_ended if message.streamed else self.message_received, (message,))
         )
 
-    def _limit(self, size: int, most: int, status: int) -> None:
-        if size > most:
+    def _limit(self, size: int, limit: int, status: int) -> None:
+        if size > limit:
             self._error_status = status
             raise ValueError("too large")
--- a/cairndale/ingress/net/sockets.py
+++ b/cairndale/ingress/net/sockets.py
@@ -1,4 +1,4 @@
-"""Counts the ingress's descriptors, and makes room before they run out."""
+"""Accounts for the ingress's file descriptors, and evicts idle connections before they run out."""
 
 from __future__ import annotations
 
@@ -7,54 +7,58 @@
 import termios
 from collections.abc import Callable
 
-RESERVED_DESCRIPTORS = (
-    24  # descriptors that are not connections: standard streams, the loop's own, the listener
-)
-CAPACITY_FRACTION = 0.8  # of the limit: connections are opened up to here ...
-DOWNSTREAM_SHARE = 0.4  # of these are the clients' for sure, and ...
-UPSTREAM_SHARE = 0.3  # ... this part is for connections to backends, whatever clients hold
-# ... and clients let in up to here, to be told no; then they wait in the listener's line
+# Descriptors that are not connections: standard streams, the loop's own, the listener.
+RESERVED_DESCRIPTORS = 24
+CAPACITY_FRACTION = 0.8  # of the descriptor limit, up to which connections are opened
+DOWNSTREAM_SHARE = 0.4  # of this capacity, which connections to backends may not use
+UPSTREAM_SHARE = 0.3  # of this capacity, reserved for connections to backends
+# Up to this fraction of the descriptor limit, clients are accepted in order to be rejected; beyond
+# it, they wait in the listen backlog.
 ACCEPT_FRACTION = 0.93
 
 
 class Sockets:
+    """Counts open connections against the limits of the process."""
+
     def __init__(self, limit: int, server_share: float = UPSTREAM_SHARE) -> None:
         self.upstream_share = server_share
         self.update_limit(limit)
         self.open_count = 0
-        self.upstream_count = 0  # of these, to backends
-        self.predecessor_count = 0  # held by the process that this one takes over from
-        self.on_closed: Callable[[], None] = lambda: None  # called when one has been closed
+        self.upstream_count = 0  # connections to backends, included in open_count
+        self.predecessor_count = 0  # open in the process that this one replaces
+        self.on_closed: Callable[[], None] = lambda: None  # a descriptor is free again
         self._evictors: list[Callable[[], bool]] = []
 
     def update_limit(self, limit: int) -> None:
+        """Apply a new limit on descriptors."""
         self.capacity, self.accept_limit = (
             int(limit * CAPACITY_FRACTION) - RESERVED_DESCRIPTORS,
             int(limit * ACCEPT_FRACTION) - RESERVED_DESCRIPTORS,
         )
-        self.reserved_for_upstreams = int(
-            self.capacity * self.upstream_share
-        )  # theirs for sure, and ...
-        # ... all they may have
+        self.reserved_for_upstreams = int(self.capacity * self.upstream_share)
         self.max_upstreams = int(self.capacity * max(self.upstream_share, 1 - DOWNSTREAM_SHARE))
 
     def add_evictor(self, evict: Callable[[], bool], first: bool = False) -> None:
-        """`evict` closes one idle connection, or returns False where there is none. Clients' go
-        first: one to a backend costs it work to make anew, and the next request time."""
+        """Register a function that closes one idle connection, or returns False if there is none.
+
+        Client connections are evicted first: a new connection to a backend costs the backend work
+        and the next request time.
+        """
         self._evictors.insert(0 if first else len(self._evictors), evict)
 
     def connection_closed(self) -> None:
+        """Account for a closed client connection."""
         self.open_count -= 1
         self.on_closed()
 
     def has_room(self) -> bool:
-        """True if one more may be opened, if need be for an idle one that is closed."""
+        """Return whether a connection may be opened; evicts an idle one if necessary."""
         return self.open_count + self.predecessor_count < self.capacity or any(
             evict() for evict in self._evictors
         )
 
     def has_room_for_upstream(self) -> bool:
-        """The same for a connection to a backend: it may have its part whatever clients hold."""
+        """Return whether a connection to a backend may be opened; a share is reserved for these."""
         if self.upstream_count >= self.max_upstreams:
             return False
         return self.has_room() or (
@@ -62,19 +66,21 @@
         )
 
     def upstream_opened(self) -> None:
+        """Account for a new connection to a backend."""
         self.open_count += 1
         self.upstream_count += 1
 
     def upstream_closed(self) -> None:
+        """Account for a closed connection to a backend."""
         self.upstream_count -= 1
         self.connection_closed()
 
     def is_exhausted(self) -> bool:
-        """True if not even refusals can be afforded now."""
+        """Return whether no client can be accepted any more, not even to be rejected."""
         return self.open_count + self.predecessor_count >= self.accept_limit
 
 
 def unread_bytes(transport: asyncio.Transport) -> int:
-    """Bytes that have come and that the loop has not read yet."""
+    """Return the number of bytes received by the kernel that the loop has not read yet."""
     descriptor = transport.get_extra_info("socket").fileno()
     return int.from_bytes(fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)), "little")
--- a/tests/discovery/test_end_to_end.py
+++ b/tests/discovery/test_end_to_end.py
@@ -259,7 +259,7 @@
     leader.tell(signal.SIGSTOP)
     await ingress.until(at=f"{HOST}:{follower.reads}")
     await ingress.more()
-    assert f"discovery: told by {HOST}:{leader.reads}" in ingress.said()
+    assert f"discovery: receiving updates from {HOST}:{leader.reads}" in ingress.said()
     await ingress.end()
     assert ingress.lost == [] and ingress.again == 0 and ingress.outcomes.keys() == {b"200"}
     leader.tell(signal.SIGCONT)
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -220,7 +220,7 @@
     assert (held.lineage, held.index) == ("new", 2) and shown(held) == {"a": "draining", "b": "up"}
     with pytest.raises(UpdateRejected, match="list l was left for new"):
         held.apply_update(listing(9, entry("a", version=9)), 2.0)
-    with pytest.raises(UpdateRejected, match="of which nothing is held"):
+    with pytest.raises(UpdateRejected, match="changes of the unknown list"):
         held.apply_update(listing(9, entry("a", version=9), lineage="third", whole=False), 2.0)
     with pytest.raises(UpdateRejected, match="no epoch"):
         held.apply_update(EndpointUpdate({"index": 99, "snapshot": True, "endpoints": []}), 2.0)
@@ -353,7 +353,7 @@
         self.servers, self.changed = servers, asyncio.Event()
         first, *more = [(HOST, s.port) for s in servers]
         self.held = EndpointTable(DirectoryConfig(tuple(more), hold=hold))
-        self.discovery = Discovery(first, 0, self._changed, held=self.held)
+        self.discovery = Discovery(first, 0, self._changed, table=self.held)
         self.discovery.start()
 
     def _changed(self, change: EndpointUpdate) -> None:
