--- a/cairndale/discovery/service.py
+++ b/cairndale/discovery/service.py
@@ -30,7 +30,7 @@
     parse_registration,
 )
 from cairndale.discovery.store import Store
-from cairndale.ingress.net.http import HttpConnection, Message, plain
+from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 
 HEARTBEAT_INTERVAL = 2.0  # s
 REQUEST_TIMEOUT = 2.0  # s to receive a complete request, from connecting or from its first byte
@@ -562,16 +562,16 @@
     def _on_timeout(self) -> None:
         if self._write_paused or self._closing:
             self.transport.abort()
-        elif self._begun or not self._any_request_received:
-            self.garbage(408)
+        elif self._message_begun or not self._any_request_received:
+            self.message_invalid(408)
         else:
             self.transport.close()
 
-    def began(self) -> None:
+    def message_began(self) -> None:
         """Starts the timeout for the rest of a request."""
         self._set_timeout(REQUEST_TIMEOUT)
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         """Queues a complete request."""
         self._any_request_received = True
         if not self._closing:
@@ -606,7 +606,7 @@
             )
         else:
             self.transport.resume_reading()
-            self._set_timeout(REQUEST_TIMEOUT if self._begun else IDLE_TIMEOUT)
+            self._set_timeout(REQUEST_TIMEOUT if self._message_begun else IDLE_TIMEOUT)
 
     async def _respond(self, message: Message) -> None:
         close = not message.keep_alive
@@ -631,7 +631,7 @@
         """Returns the answer to a request, or None if the answer was sent already."""
         raise NotImplementedError
 
-    def garbage(self, status: int) -> None:
+    def message_invalid(self, status: int) -> None:
         """Rejects malformed input, after the answers to the requests before it."""
         self._pending_error_status = status
         self._process_next()
@@ -651,14 +651,14 @@
         if self._closing or self.transport.is_closing():
             return
         self.transport.write(
-            plain(status, body, b"Content-Type: application/json\r\n", close=close)
+            encode_response(status, body, b"Content-Type: application/json\r\n", close=close)
         )
         if not close:
             return
         self._closing = True
         # If input is still arriving, an immediate close would reset the connection and lose the
         # answer, so the input is read and dropped for a while.
-        if self._lost_framing:
+        if self._framing_lost:
             self.transport.write_eof()
             self.transport.resume_reading()
             self._set_timeout(LINGER_TIMEOUT)
@@ -700,7 +700,7 @@
             self.service.counts.bytes_told += len(body)
             self.send(200, body, close=not message.keep_alive)
             return None
-        if message.minor == 0:
+        if message.minor_version == 0:
             raise RejectedError(400, "a watch needs HTTP/1.1: it has no known length")
         if len(self.service.watches) >= self.service.max_watches:
             raise RejectedError(503, "too many watches")
--- a/cairndale/ingress/cli/__main__.py
+++ b/cairndale/ingress/cli/__main__.py
@@ -67,7 +67,7 @@
     """Runs one ingress until SIGTERM. SIGHUP reloads the configuration."""
     import uvloop
 
-    from cairndale.ingress.__main__ import Parts, serve
+    from cairndale.ingress.__main__ import IngressParts, serve
     from cairndale.ingress.net.config import Config as ProcessConfig
     from cairndale.ingress.net.config import ConfigError, config_from
 
@@ -97,13 +97,13 @@
         config.name,
     )
 
-    def attach_observers(parts: Parts) -> None:
+    def attach_observers(parts: IngressParts) -> None:
         observers: list[Any] = []
         if config.metrics.on:
             from cairndale.ingress.observability.metrics import Metrics
 
-            metrics = Metrics(parts.engine, parts.sockets, lambda: parts.gateway.accounts.values())
-            metrics.pools = parts.backends.figures
+            metrics = Metrics(parts.engine, parts.sockets, lambda: parts.policy.accounts.values())
+            metrics.pools = parts.backends.pool_reports
             if process_config.discovery:
                 metrics.list_age = parts.discovery.age
             metrics.start()
--- a/cairndale/ingress/net/backends.py
+++ b/cairndale/ingress/net/backends.py
@@ -1,4 +1,8 @@
-"""Connections to the backends, one request on each: attempts, their outcomes, probes."""
+"""Connections to the backends: sends attempts and probes, and reports their outcomes.
+
+Each connection carries one request at a time. `pool.py` decides which connections are opened,
+reused and closed; this module carries its decisions out on sockets.
+"""
 
 from __future__ import annotations
 
@@ -18,54 +22,72 @@
 
 import httptools
 
-from cairndale.ingress.net.bodies import KERNEL
-from cairndale.ingress.net.discovery import Entry
-from cairndale.ingress.net.engine import Answer, Data, Flow
+from cairndale.ingress.net.bodies import SOCKET_BUFFER_BYTES
+from cairndale.ingress.net.discovery import EndpointEntry
+from cairndale.ingress.net.engine import AttemptContext, AttemptResult, RequestData
 from cairndale.ingress.net.http import HOP_BY_HOP, HttpConnection, Message
-from cairndale.ingress.net.pool import Action, Close, GiveUp, HandOut, Open, Options, Pool, Refuse
+from cairndale.ingress.net.pool import (
+    Action,
+    AssignConnection,
+    CancelDial,
+    CloseConnection,
+    ConnectionPool,
+    PoolOptions,
+    RejectAttempt,
+    StartDial,
+)
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.interface import Outcome
 
-# of the time after which a backend closes an idle connection: ours is closed by then
-IDLE_PART = 0.75
-SWEEP = 1.0  # s between looks for such connections
-# s beyond that for which the process or the machine has stood still: every link is old then
-GAP = 2.0
-# links a second opened ahead at a backend by all gateways together: handshakes cost it work
-WARM_RATE = 5.0
-PROBE_TIMEOUT = 0.25
-HELD = 0.05  # s that the first part of an answer of unknown length waits for the rest
-STALLED = 6.0  # s without another part of an answer, after which the backend is taken for gone
-
-Ended = Callable[[Answer], None]
-KEPT = re.compile(rb"(?:^|[,;\s])timeout=([0-9]{1,6})")  # of a Keep-Alive field: whole seconds
-Judge = Callable[[Message, bytes], Answer]  # an answer, and what was sent
+# An idle connection is closed after this fraction of the time after which the backend closes it.
+IDLE_TIMEOUT_FRACTION = 0.75
+SWEEP_INTERVAL_S = 1.0
+# If a sweep is late by more than this, the process or the machine was suspended, and no idle
+# connection is used any more.
+SUSPENSION_S = 2.0
+# Connections that all ingresses together preconnect to a backend: handshakes cost it work.
+PRECONNECT_RATE_PER_S = 5.0
+PROBE_TIMEOUT_S = 0.25
+# The first part of a response of unknown length is buffered this long before it is streamed.
+UNKNOWN_LENGTH_DELAY_S = 0.05
+# A streamed response is aborted if no further part is received for this long.
+STREAM_STALL_TIMEOUT_S = 6.0
+
+ResultCallback = Callable[[AttemptResult], None]
+# The timeout parameter of a Keep-Alive field, in whole seconds.
+KEEP_ALIVE_TIMEOUT = re.compile(rb"(?:^|[,;\s])timeout=([0-9]{1,6})")
+# Derives the outcome of an attempt from the response and the request that was sent.
+ResponseClassifier = Callable[[Message, bytes], AttemptResult]
 log = logging.getLogger(__name__)
 
 
-async def _come_up(
-    loop: asyncio.AbstractEventLoop, sock: socket.socket, address: tuple[str, int], within: float
+async def _connect_socket(
+    loop: asyncio.AbstractEventLoop, sock: socket.socket, address: tuple[str, int], timeout: float
 ) -> None:
-    """The connection is begun at once, and is up when this returns; `within` s. One that is up when
-    the time is over counts: it was this process that stood still, not the backend. Raises OSError,
-    TimeoutError."""
+    """Connect `sock` within `timeout` seconds. Raises OSError or TimeoutError.
+
+    A connection that is established when the timeout is noticed counts as a success: then this
+    process was delayed, not the backend.
+    """
     try:
         socket.inet_pton(socket.AF_INET, address[0])
-    except OSError:  # a name: others look it up meanwhile
-        async with asyncio.timeout(within):
-            found = await loop.getaddrinfo(*address, family=socket.AF_INET, type=socket.SOCK_STREAM)
-        address = (str(found[0][4][0]), address[1])
+    except OSError:  # a host name: resolved without blocking the loop
+        async with asyncio.timeout(timeout):
+            resolved = await loop.getaddrinfo(
+                *address, family=socket.AF_INET, type=socket.SOCK_STREAM
+            )
+        address = (str(resolved[0][4][0]), address[1])
     error = sock.connect_ex(address)
     if error == errno.EINPROGRESS:
         writable = asyncio.Event()
         loop.add_writer(sock, writable.set)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 await writable.wait()
         except TimeoutError:
-            look = select.poll()
-            look.register(sock, select.POLLOUT)
-            if not look.poll(0):
+            poll = select.poll()
+            poll.register(sock, select.POLLOUT)
+            if not poll.poll(0):
                 raise
         finally:
             loop.remove_writer(sock)
@@ -75,594 +97,702 @@
 
 
 class Exchange:
-    """An attempt: waits for its connection, then is written, then answered. Ends once."""
+    """An attempt: waits for a connection, is written, and ends once, with a result.
 
-    __slots__ = ("_ended", "_server", "data", "flow", "link", "over", "sent_at", "whole", "written")
+    `written`: the attempt may have run at the backend.
+    """
+
+    __slots__ = (
+        "_on_result",
+        "_pool",
+        "connection",
+        "context",
+        "data",
+        "finished",
+        "fully_sent",
+        "sent_at",
+        "written",
+    )
 
     def __init__(
-        self, data: Data, ended: Ended, flow: Flow | None = None, server: Server | None = None
+        self,
+        data: RequestData,
+        on_result: ResultCallback,
+        context: AttemptContext | None = None,
+        pool: BackendPool | None = None,
     ) -> None:
-        self.data, self._ended, self.flow, self._server = data, ended, flow, server
-        self.link: Link | None = None
+        self.data, self._on_result, self.context, self._pool = data, on_result, context, pool
+        self.connection: UpstreamConnection | None = None
         self.sent_at = math.inf
-        self.written = self.over = False
-        self.whole = False  # its last byte is written, or waits in the connection's buffer
+        self.written = self.finished = False
+        self.fully_sent = False  # its last byte is written or buffered
 
-    def end(self, answer: Answer) -> None:
-        if not self.over:
-            self.over = True
-            self._ended(answer)
+    def end(self, result: AttemptResult) -> None:
+        """Report the result, unless the attempt has ended already."""
+        if not self.finished:
+            self.finished = True
+            self._on_result(result)
 
-    def lost(self) -> None:
-        """No answer will come: whether it has run depends on whether its last byte was written."""
-        self.end(Answer(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
+    def fail(self) -> None:
+        """End without a response; the attempt may have run only if it was written."""
+        self.end(AttemptResult(Outcome.RESET if self.written else Outcome.CONNECT_FAILED))
 
-    def unsent(self) -> None:
-        """There was no link for it, which says nothing of the backend."""
-        self.end(Answer(Outcome.MOOT))
+    def fail_unsent(self) -> None:
+        """End because no connection was available, which is not a fault of the backend."""
+        self.end(AttemptResult(Outcome.MOOT))
 
-    def more(self, data: bytes) -> None:
-        if self.link and not self.link.dead:
-            self.link.transport.write(data)
+    def write_body(self, data: bytes) -> None:
+        """Write a part of the streamed request body."""
+        if self.connection and not self.connection.closed:
+            self.connection.transport.write(data)
 
-    def all_written(self) -> None:
-        self.written = self.whole = True
+    def body_written(self) -> None:
+        """Note that the last byte of the streamed request body has been written."""
+        self.written = self.fully_sent = True
 
     def pause(self, paused: bool) -> None:
-        """The client takes no more of the answer for now, or does again."""
-        if self.link and not self.link.dead:
-            (self.link.transport.pause_reading if paused else self.link.transport.resume_reading)()
-            self.link.heard_at = math.inf if paused else self.link.pool.now()
+        """Pause or resume reading the response, while the client's write buffer is full."""
+        if self.connection and not self.connection.closed:
+            (
+                self.connection.transport.pause_reading
+                if paused
+                else self.connection.transport.resume_reading
+            )()
+            self.connection.last_part_at = math.inf if paused else self.connection.pool.now()
 
     def abort(self) -> bool:
-        self.over = True
-        if self.link is None and self._server:
-            self._server.cancelled(self)
-        if self.link:
-            if self._server and not self.link.passing:
-                self._server.silent(self.sent_at)
-            self.link.drop()
+        """Abort the attempt without a result. Return whether it may have run."""
+        self.finished = True
+        if self.connection is None and self._pool:
+            self._pool.attempt_cancelled(self)
+        if self.connection:
+            if self._pool and not self.connection.streaming:
+                self._pool.attempt_unanswered(self.sent_at)
+            self.connection.disconnect()
         return self.written
 
 
-class Link(HttpConnection):
-    """One connection to a backend. The socket is ours, so that a send tells how much was written, a
-    look tells whether the connection still stands, and giving up takes effect before anything else
-    is sent."""
+class UpstreamConnection(HttpConnection):
+    """One connection to a backend.
+
+    It uses its socket directly beside the transport: a send shows at once how much was written, a
+    peek shows whether the connection is still open, and a shutdown takes effect before anything
+    else is sent.
+    """
 
-    def __init__(self, pool: Server, sock: socket.socket) -> None:
+    def __init__(self, pool: BackendPool, sock: socket.socket) -> None:
         super().__init__(httptools.HttpResponseParser)
         self.pool, self.sock, self.address = pool, sock, pool.address
-        self.keep_fields = pool.relays
+        self.keep_fields = pool.relays_responses
         self.exchange: Exchange | None = None
-        self.lost_word = False  # it broke under a request of which nothing had been answered
-        self.dead = self.passing = False  # passing: an answer goes on to the client in parts
-        self.astray = False  # it has brought an answer that belongs to another request
-        self.answered = b""  # id of the request that it answered last
-        self.heard_at = math.inf  # while it does, when the last part came
-        self._hold: asyncio.TimerHandle | None = None
+        self.reset_unanswered = False  # closed under a request, before any response byte
+        self.closed = self.streaming = False  # streaming: a response is streamed to the client
+        self.desynchronized = False  # it has received a response to another request
+        self.last_request_id = b""  # of the last request that was answered on it
+        # When the last part of a streamed response was received; inf while reading is paused.
+        self.last_part_at = math.inf
+        self._buffer_timer: asyncio.TimerHandle | None = None
 
     def send(self, exchange: Exchange) -> None:
-        if exchange.flow and exchange.flow.id and exchange.flow.id == self.answered:
-            # a second answer to the attempt before, still on its way, would count for this one
-            self.drop()
-            self.pool.ask(exchange)
+        """Write an attempt's request, as far as the socket takes it, and buffer the rest."""
+        if (
+            exchange.context
+            and exchange.context.request_id
+            and exchange.context.request_id == self.last_request_id
+        ):
+            # A duplicate response to the previous attempt, which carries the same id and may still
+            # be in transit, would be mistaken for the response to this one.
+            self.disconnect()
+            self.pool.request_connection(exchange)
             return
         data = exchange.data if isinstance(exchange.data, bytes) else exchange.data()
-        if data is None:  # what was true when it was begun holds no longer: not a byte has gone
-            self.pool.rest(self, True)
-            exchange.unsent()
+        if data is None:  # the attempt is withdrawn before its first byte is written
+            self.pool.release(self, True)
+            exchange.fail_unsent()
             return
         exchange.data = data
-        self.exchange, exchange.link, exchange.sent_at = exchange, self, self.pool.now()
+        self.exchange, exchange.connection, exchange.sent_at = exchange, self, self.pool.now()
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self.drop()
-            exchange.lost()
+            self.disconnect()
+            exchange.fail()
             return
-        upload = exchange.flow.upload if exchange.flow else None
-        exchange.whole = upload is None
-        exchange.written = exchange.whole or self.pool.strict
+        upload = exchange.context.upload if exchange.context else None
+        exchange.fully_sent = upload is None
+        exchange.written = exchange.fully_sent or self.pool.written_at_first_byte
         if sent < len(data):  # from here on the last byte may be written at any time
             self.transport.write(data[sent:])
         if upload:
-            self.transport.set_write_buffer_limits(upload.share())
+            self.transport.set_write_buffer_limits(upload.buffer_limit())
             upload.attach(exchange)
 
-    def stands(self) -> bool:
-        """False if the backend has ended it, or said something nobody asked for."""
+    def is_usable(self) -> bool:
+        """Return False if the backend has closed the idle connection or sent unexpected data."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
-            return not self.dead
+            return not self.closed
         except OSError:
             pass
         return False
 
-    def drop(self) -> None:
-        if not self.dead:
-            self.dead = True
+    def disconnect(self) -> None:
+        """Close the connection at once."""
+        if not self.closed:
+            self.closed = True
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
-            self.pool.left(self, self.lost_word)
+            self.pool.connection_closed(self, self.reset_unanswered)
 
     def pause_writing(self) -> None:
-        self._press(True)
+        self._set_upload_paused(True)
 
     def resume_writing(self) -> None:
-        self._press(False)
+        self._set_upload_paused(False)
 
-    def _press(self, paused: bool) -> None:
-        if self.exchange and self.exchange.flow and self.exchange.flow.upload:
-            self.exchange.flow.upload.pause(paused)
+    def _set_upload_paused(self, paused: bool) -> None:
+        if self.exchange and self.exchange.context and self.exchange.context.upload:
+            self.exchange.context.upload.pause(paused)
 
     def data_received(self, data: bytes) -> None:
-        self.pool.heard_at = self.pool.now()
-        # nobody has asked: the rest of it would come under the next request
+        self.pool.last_received_at = self.pool.now()
         if self.exchange is None:
-            self.drop()
+            # Unexpected data: the rest of it would be taken for the next response.
+            self.disconnect()
         else:
             super().data_received(data)
 
-    def headed(self, message: Message) -> None:
-        """An answer of unknown length may be short, and can be asked for again until some of it
-        goes on; it is not held for long, as it may be large and slow."""
-        served = self._answer(message).outcome is Outcome.OK
-        if message.length is None and served and not message.in_parts:
-            self._hold = asyncio.get_running_loop().call_later(HELD, self._held_long, message)
+    def head_received(self, message: Message) -> None:
+        """Buffer the start of a response of unknown length for a short time.
+
+        It may be short, and the request can be retried until a part of the response has been
+        forwarded. It may also be large and slow, so it is not buffered for long.
+        """
+        served = self._classify(message).outcome is Outcome.OK
+        if message.length is None and served and not message.streamed:
+            self._buffer_timer = asyncio.get_running_loop().call_later(
+                UNKNOWN_LENGTH_DELAY_S, self._stream_buffered, message
+            )
 
-    def _held_long(self, message: Message) -> None:
-        if message is self._message and not (self._in_head or message.in_parts or self.dead):
-            self.in_parts()
+    def _stream_buffered(self, message: Message) -> None:
+        if message is self._message and not (self._in_head or message.streamed or self.closed):
+            self.stream_body()
             self._run_hooks()
 
-    def opened(self, message: Message) -> None:
-        exchange, answer = self.exchange, self._answer(message)
-        if answer.outcome is Outcome.MOOT:  # another request's: it passes by
-            self.astray = True
-        elif answer.outcome is not Outcome.OK or exchange is None or exchange.flow is None:
-            self._settle(exchange, answer)
-        elif exchange.flow.opened(answer):
-            self.passing, self.heard_at = True, self.pool.now()
-        else:  # nobody waits for it any longer
-            self._settle(exchange, answer)
-
-    def part(self, message: Message, data: bytes) -> None:
-        if self.passing and self.exchange and self.exchange.flow:
-            if self.heard_at < math.inf:
-                self.heard_at = self.pool.now()
-            self.exchange.flow.part(data)
-
-    def ended(self, message: Message) -> None:
-        if self.passing:
-            self.passing = False
-            self.received(message)
-
-    def _settle(self, exchange: Exchange | None, answer: Answer) -> None:
-        """The answer's head has said enough: the rest is not waited for."""
+    def body_began(self, message: Message) -> None:
+        exchange, result = self.exchange, self._classify(message)
+        if result.outcome is Outcome.MOOT:  # a response to another request: ignored
+            self.desynchronized = True
+        elif result.outcome is not Outcome.OK or exchange is None or exchange.context is None:
+            self._finish_early(exchange, result)
+        elif exchange.context.on_head(result):
+            self.streaming, self.last_part_at = True, self.pool.now()
+        else:  # the response is not needed any more
+            self._finish_early(exchange, result)
+
+    def body_part_received(self, message: Message, data: bytes) -> None:
+        if self.streaming and self.exchange and self.exchange.context:
+            if self.last_part_at < math.inf:
+                self.last_part_at = self.pool.now()
+            self.exchange.context.on_body_part(data)
+
+    def body_ended(self, message: Message) -> None:
+        if self.streaming:
+            self.streaming = False
+            self.message_received(message)
+
+    def _finish_early(self, exchange: Exchange | None, result: AttemptResult) -> None:
+        """End the attempt at the response's head, without reading the body."""
         self.exchange = None
-        self.drop()
+        self.disconnect()
         if exchange:
-            exchange.end(answer)
+            exchange.end(result)
 
-    def stalled(self, since: float) -> bool:
-        return self.passing and self.heard_at < since
+    def is_stalled(self, since: float) -> bool:
+        """Return whether the streamed response has made no progress since `since`."""
+        return self.streaming and self.last_part_at < since
 
-    def received(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         exchange = self.exchange
-        if self._hold:
-            self._hold.cancel()
-        answer = self._answer(message)
-        if (100 <= message.status < 200 or answer.outcome is Outcome.MOOT) and exchange:
-            self.astray = self.astray or answer.outcome is Outcome.MOOT
+        if self._buffer_timer:
+            self._buffer_timer.cancel()
+        result = self._classify(message)
+        if (100 <= message.status < 200 or result.outcome is Outcome.MOOT) and exchange:
+            self.desynchronized = self.desynchronized or result.outcome is Outcome.MOOT
             return
-        self.exchange, self.answered = None, exchange.flow.id if exchange and exchange.flow else b""
-        if kept := KEPT.search(message.headers.get(b"keep-alive", b"")):
-            self.pool.kept(int(kept[1]))
-        # Answered before it had all been read, or more said than was asked for: a part of a
-        # message, what is none, or whole ones read along with this, which the next request would
-        # get for its answer.
-        unsound = self.transport.get_write_buffer_size() > 0 or self._begun or self._lost_framing
-        unsound = unsound or bool(self._hooks) or self.astray or not (exchange and exchange.whole)
-        self.pool.rest(self, message.keep_alive and not unsound)
+        self.exchange, self.last_request_id = (
+            None,
+            exchange.context.request_id if exchange and exchange.context else b"",
+        )
+        if keep_alive := KEEP_ALIVE_TIMEOUT.search(message.headers.get(b"keep-alive", b"")):
+            self.pool.keep_alive_announced(int(keep_alive[1]))
+        # The connection cannot be reused if the backend answered before it had read the whole
+        # request, or if it sent more than one response: a part of another message, data that is not
+        # HTTP, or complete messages. The next request would take them for its response.
+        not_reusable = (
+            self.transport.get_write_buffer_size() > 0 or self._message_begun or self._framing_lost
+        )
+        not_reusable = (
+            not_reusable
+            or bool(self._hooks)
+            or self.desynchronized
+            or not (exchange and exchange.fully_sent)
+        )
+        self.pool.release(self, message.keep_alive and not not_reusable)
         if exchange:
-            exchange.end(answer)
-
-    def _answer(self, message: Message) -> Answer:
-        """200 is served, and where answers are relayed all but those of a server that cannot serve
-        now. MOOT: another request's."""
-        if judge := self.pool.judge:
-            asked = self.exchange.data if self.exchange else b""
-            answer = judge(message, asked if isinstance(asked, bytes) else b"")
-            if answer.outcome is Outcome.ERROR and message.status >= 200:
-                self.astray = True  # nothing shows whose it is: its own answer may yet come
-            return answer
+            exchange.end(result)
+
+    def _classify(self, message: Message) -> AttemptResult:
+        """Return the outcome that a response stands for.
+
+        OK: status 200, or any response of a server that can serve if all responses are relayed.
+        MOOT: the response belongs to another request.
+        """
+        if classify := self.pool.classifier:
+            request = self.exchange.data if self.exchange else b""
+            result = classify(message, request if isinstance(request, bytes) else b"")
+            if result.outcome is Outcome.ERROR and message.status >= 200:
+                # The response cannot be attributed: the expected one may still follow.
+                self.desynchronized = True
+            return result
         headers, status = message.headers, message.status
         load = headers.get(b"server-load", b"")
         if self.keep_fields and status not in (502, 503, 504):
-            named = {n.strip().lower() for n in headers.get(b"connection", b"").split(b",")}
-            left = HOP_BY_HOP | named
+            connection_options = {
+                n.strip().lower() for n in headers.get(b"connection", b"").split(b",")
+            }
+            excluded = HOP_BY_HOP | connection_options
             fields = b"".join(
-                b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in left
+                b"%b: %b\r\n" % (n, v) for n, v in message.fields if n.lower() not in excluded
             )
-            return Answer(
+            return AttemptResult(
                 Outcome.OK, message.body, length=message.length, status=status, fields=fields
             )
         if status == 200:
-            return Answer(
+            return AttemptResult(
                 Outcome.OK, message.body, headers.get(b"content-type", b""), load, message.length
             )
         if status in (503, 504) and headers.get(b"not-started") == b"1":
-            return Answer(Outcome.FULL, load=load)
-        return Answer(Outcome.ERROR, load=load)  # nothing says that it never ran
+            return AttemptResult(Outcome.FULL, load=load)
+        return AttemptResult(Outcome.ERROR, load=load)  # it may have run
 
-    def garbage(self, status: int) -> None:
-        log.warning("backend %s: answer not understood: %s", self.pool.name, self.wrong)
-        self._gone()
+    def message_invalid(self, status: int) -> None:
+        log.warning("backend %s: invalid response: %s", self.pool.name, self.parse_error)
+        self._connection_gone()
 
     def eof_received(self) -> None:
-        self.ended_by_close()
+        self.connection_ended()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._gone()
+        self._connection_gone()
 
-    def _gone(self) -> None:
-        if self._hold:
-            self._hold.cancel()
+    def _connection_gone(self) -> None:
+        if self._buffer_timer:
+            self._buffer_timer.cancel()
         exchange, self.exchange = self.exchange, None
-        self.lost_word = exchange is not None and not self._begun and not self.wrong
-        self.drop()
+        self.reset_unanswered = (
+            exchange is not None and not self._message_begun and not self.parse_error
+        )
+        self.disconnect()
         if exchange:
-            exchange.lost()
+            exchange.fail()
 
 
-class Server:
-    """The connections to one backend: its pool's decisions, carried out on sockets."""
+class BackendPool:
+    """The connections to one backend: carries out the decisions of its `ConnectionPool`."""
 
     __slots__ = (
         "_backends",
-        "_dials",
-        "_timer",
+        "_dial_tasks",
+        "_wait_timer",
         "address",
-        "heard_at",
-        "held",
+        "in_maintenance",
+        "last_received_at",
         "name",
+        "needs_drain",
         "pool",
-        "stale",
         "started",
         "up",
     )
 
-    def __init__(self, entry: Entry, backends: Backends, held: bool) -> None:
+    def __init__(self, entry: EndpointEntry, backends: Backends, in_maintenance: bool) -> None:
         self.name, self.address, self._backends = entry.name, entry.address, backends
-        self.up, self.held, self.started, self.stale = (
+        self.up, self.in_maintenance, self.started, self.needs_drain = (
             entry.status == "up",
-            held,
+            in_maintenance,
             entry.since_us,
             False,
         )
-        self.pool = Pool(
-            backends.options, backends.idle_for, backends.rng, ready=self.up and not held
+        self.pool = ConnectionPool(
+            backends.options,
+            backends.idle_timeout,
+            backends.rng,
+            ready=self.up and not in_maintenance,
         )
-        self.heard_at = -math.inf  # when anything came from it
-        self._dials: dict[int, asyncio.Task[None]] = {}
-        self._timer: asyncio.TimerHandle | None = None
+        self.last_received_at = -math.inf  # s on the loop's clock, of any data from it
+        self._dial_tasks: dict[int, asyncio.Task[None]] = {}
+        self._wait_timer: asyncio.TimerHandle | None = None
 
     @property
-    def idle(self) -> list[Link]:
+    def idle(self) -> list[UpstreamConnection]:
         return self.pool.idle
 
     @property
-    def busy(self) -> set[Link]:
+    def busy(self) -> set[UpstreamConnection]:
         return self.pool.busy
 
     @property
     def ready(self) -> bool:
-        return self.up and not self.held
+        """Whether attempts may be sent to the backend."""
+        return self.up and not self.in_maintenance
 
     @staticmethod
     def now() -> float:
         return asyncio.get_running_loop().time()
 
     @property
-    def relays(self) -> bool:
-        return self._backends.relays
+    def relays_responses(self) -> bool:
+        return self._backends.relays_responses
 
     @property
-    def judge(self) -> Judge | None:
-        return self._backends.judge
+    def classifier(self) -> ResponseClassifier | None:
+        return self._backends.classifier
 
     @property
-    def strict(self) -> bool:
-        return self._backends.strict
-
-    def kept(self, seconds: int) -> None:
-        """The backend says for how long it keeps an idle connection."""
-        self.pool.idle_for = min(self._backends.idle_for, seconds * IDLE_PART)
-
-    def ask(self, exchange: Exchange) -> None:
-        patience = exchange.flow.patience if exchange.flow else math.inf
-        self._do(self.pool.ask(self.now(), exchange, patience, Link.stands))
-        if self.pool.waiting and self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(
-                max(0.01, min(1.0, self.pool.next_at() - self.now())), self._waited
+    def written_at_first_byte(self) -> bool:
+        return self._backends.written_at_first_byte
+
+    def keep_alive_announced(self, seconds: int) -> None:
+        """Adapt the idle timeout to the one that the backend announces in Keep-Alive."""
+        self.pool.idle_timeout = min(self._backends.idle_timeout, seconds * IDLE_TIMEOUT_FRACTION)
+
+    def request_connection(self, exchange: Exchange) -> None:
+        """Send the attempt on an idle connection, or queue it for one."""
+        timeout = exchange.context.timeout_s if exchange.context else math.inf
+        self._execute(
+            self.pool.request_connection(
+                self.now(), exchange, timeout, UpstreamConnection.is_usable
+            )
+        )
+        if self.pool.waiters and self._wait_timer is None:
+            self._wait_timer = asyncio.get_running_loop().call_later(
+                max(0.01, min(1.0, self.pool.next_wait_expiry() - self.now())), self._wait_expired
             )
 
-    def _waited(self) -> None:
-        self._timer = None
+    def _wait_expired(self) -> None:
+        self._wait_timer = None
         self.tick()
-        if self.pool.waiting:
-            wait = max(0.01, min(1.0, self.pool.next_at() - self.now()))
-            self._timer = asyncio.get_running_loop().call_later(wait, self._waited)
+        if self.pool.waiters:
+            wait = max(0.01, min(1.0, self.pool.next_wait_expiry() - self.now()))
+            self._wait_timer = asyncio.get_running_loop().call_later(wait, self._wait_expired)
 
-    def tick(self, gap: bool = False) -> None:
-        self._do(self.pool.tick(self.now(), gap))
+    def tick(self, suspended: bool = False) -> None:
+        """Close expired idle connections, and reject attempts that have waited too long."""
+        self._execute(self.pool.tick(self.now(), suspended))
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case HandOut(waiter, link):
-                    link.send(waiter)
-                case Refuse(waiter, failed):
-                    (waiter.lost if failed else waiter.unsent)()
-                case Open(dial):
-                    self._open(dial)
-                case Close(link):
-                    link.drop()
-                case GiveUp(dial):
-                    if task := self._dials.pop(dial, None):
+                case AssignConnection(waiter, connection):
+                    connection.send(waiter)
+                case RejectAttempt(waiter, failed):
+                    (waiter.fail if failed else waiter.fail_unsent)()
+                case StartDial(dial):
+                    self._start_dial(dial)
+                case CloseConnection(connection):
+                    connection.disconnect()
+                case CancelDial(dial):
+                    if task := self._dial_tasks.pop(dial, None):
                         task.cancel()
 
-    # Connections begin.
+    # Opening connections.
 
-    def _open(self, dial: int) -> None:
+    def _start_dial(self, dial: int) -> None:
         sockets = self._backends.sockets
-        if sockets.room_for_server() or self._backends.evict():
-            sockets.opened_to_server()
-            self._dials[dial] = asyncio.get_running_loop().create_task(self._connect(dial))
+        if sockets.has_room_for_upstream() or self._backends.evict():
+            sockets.upstream_opened()
+            self._dial_tasks[dial] = asyncio.get_running_loop().create_task(self._dial(dial))
         else:
-            self._do(self.pool.failed(self.now(), dial, True))
+            self._execute(self.pool.dial_failed(self.now(), dial, True))
 
-    async def _connect(self, dial: int) -> None:
+    async def _dial(self, dial: int) -> None:
         sock: socket.socket | None = None
-        link: Link | None = None
-        loop, up, refused = asyncio.get_running_loop(), False, False
+        connection: UpstreamConnection | None = None
+        loop, established, refused = asyncio.get_running_loop(), False, False
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, KERNEL)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
             if self._backends.unacked_ms:
                 sock.setsockopt(
                     socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._backends.unacked_ms
                 )
-            await _come_up(loop, sock, self.address, self._backends.connect_timeout)
-            link = made = Link(self, sock)
+            await _connect_socket(loop, sock, self.address, self._backends.connect_timeout)
+            connection = made = UpstreamConnection(self, sock)
             await loop.create_connection(lambda: made, sock=sock)
-            up = True
+            established = True
         except TimeoutError:
             pass
-        except (OSError, ValueError):  # refused, out of descriptors
+        except (OSError, ValueError):  # refused, or out of descriptors
             refused = True
         finally:
-            wanted = self._dials.pop(dial, None) is not None
-            if link is None or not hasattr(link, "transport"):
-                self._backends.sockets.closed_to_server()
+            wanted = self._dial_tasks.pop(dial, None) is not None
+            if connection is None or not hasattr(connection, "transport"):
+                self._backends.sockets.upstream_closed()
                 if sock:
                     sock.close()
-            elif not (up and wanted):
-                # it came up just as its time was over: its end is counted once
-                link.drop()
-            if up and wanted and link and not link.dead:
-                self._do(self.pool.dialled(self.now(), dial, link))
+            elif not (established and wanted):
+                # Established just as the dial was given up; its closing is counted once, by
+                # `connection_closed`.
+                connection.disconnect()
+            if established and wanted and connection and not connection.closed:
+                self._execute(self.pool.dial_succeeded(self.now(), dial, connection))
             elif wanted:
-                self._do(self.pool.failed(self.now(), dial, refused))
+                self._execute(self.pool.dial_failed(self.now(), dial, refused))
 
-    def warm(self) -> None:
-        self._do(self.pool.warm(self.now()))
+    def preconnect(self) -> None:
+        """Open a connection ahead of demand, if the expected traffic needs one."""
+        self._execute(self.pool.preconnect(self.now()))
 
     def close_idle(self, count: int) -> None:
-        self._do(self.pool.close_idle(count))
+        """Close `count` idle connections, the least recently used first."""
+        self._execute(self.pool.close_idle(count))
 
-    # Connections rest and end.
+    # Reusing and closing connections.
 
-    def rest(self, link: Link, reusable: bool) -> None:
-        if link.dead:
+    def release(self, connection: UpstreamConnection, reusable: bool) -> None:
+        """Return a connection to the pool after an exchange."""
+        if connection.closed:
             return
-        reusable = reusable and link.address == self.address
-        if reusable and self.pool.waiting:  # it goes on to them as it is, so it is looked at now
-            reusable = link.stands()
-        self._do(self.pool.freed(self.now(), link, reusable))
-
-    def left(self, link: Link, under_request: bool) -> None:
-        """Its socket is closed, by whichever side."""
-        self._backends.sockets.closed_to_server()
-        self._do(self.pool.lost(self.now(), link, under_request))
-
-    def cancelled(self, exchange: Exchange) -> None:
+        reusable = reusable and connection.address == self.address
+        if reusable and self.pool.waiters:  # the pool assigns it at once, without another check
+            reusable = connection.is_usable()
+        self._execute(self.pool.release(self.now(), connection, reusable))
+
+    def connection_closed(self, connection: UpstreamConnection, under_request: bool) -> None:
+        """Account for a connection that either side has closed."""
+        self._backends.sockets.upstream_closed()
+        self._execute(self.pool.connection_lost(self.now(), connection, under_request))
+
+    def attempt_cancelled(self, exchange: Exchange) -> None:
+        """Remove an attempt from the queue for a connection."""
         self.pool.cancel(exchange)
 
-    def silent(self, since: float) -> None:
-        """An attempt was given up with no word from this backend since it was written."""
-        if self.heard_at < since and self.now() - since >= self._backends.connect_timeout:
-            self.pool.doubt()
+    def attempt_unanswered(self, since: float) -> None:
+        """Distrust idle connections if the backend has sent nothing since the time `since`.
 
-    def withdraw(self) -> None:
-        """Attempts that wait for a connection have not been written, and will not be."""
-        self._do(self.pool.withdraw(self.ready))
+        Called when an attempt written at `since` is aborted.
+        """
+        if self.last_received_at < since and self.now() - since >= self._backends.connect_timeout:
+            self.pool.distrust_idle()
 
-    def figures(self) -> dict[str, Any]:
-        """For operators."""
-        pool, counts = self.pool, self.pool.counts
+    def drain(self) -> None:
+        """Close idle connections, and reject attempts that wait for one: none has been written."""
+        self._execute(self.pool.drain(self.ready))
+
+    def report(self) -> dict[str, Any]:
+        """Return the pool's state and counters, for operators."""
+        pool, counts = self.pool, self.pool.counters
         return {
             "name": self.name,
             "open": pool.open(),
             "idle": len(pool.idle),
             "busy": len(pool.busy),
-            "waiting": len(pool.waiting),
+            "waiting": len(pool.waiters),
             "dialling": len(pool.dials),
             "dials": counts.dials,
-            "dials_failed": counts.failed,
-            "asked": counts.asked,
-            "reuse": round(counts.reused / max(1, counts.asked), 3),
-            "stale_caught": counts.caught,
-            "stale_missed": counts.missed,
-            "refused": counts.refused,
+            "dials_failed": counts.dials_failed,
+            "asked": counts.requested,
+            "reuse": round(counts.reused / max(1, counts.requested), 3),
+            "stale_caught": counts.stale_detected,
+            "stale_missed": counts.stale_missed,
+            "refused": counts.rejected,
             "bound": pool.bound(),
-            "why": pool.why().value,
-            "expected": round(pool.expected(self.now()), 1),
+            "why": pool.bound_reason().value,
+            "expected": round(pool.expected_demand(self.now()), 1),
         }
 
 
 class Backends:
+    """The connection pools of all backends."""
+
     def __init__(
         self,
         sockets: Sockets,
         conn_idle_us: int,
         connect_timeout_us: int,
-        options: Options | None = None,
+        options: PoolOptions | None = None,
         fleet_size: int = 1,
     ) -> None:
-        self.sockets, self.options, self.rng = sockets, options or Options(), random.Random()
-        self._pools: dict[int, Server] = {}
-        self.relays = False  # answers go on whatever their status, with their fields
-        # what an answer says, where that is not the platform's protocol
-        self.judge: Judge | None = None
-        self.strict = False  # from its first byte on a request counts as written, not from its last
-        self.stalled = STALLED
-        # without an acknowledgement, after which a link is given up; 0: the kernel's time
+        self.sockets, self.options, self.rng = sockets, options or PoolOptions(), random.Random()
+        self._pools: dict[int, BackendPool] = {}
+        self.relays_responses = False  # forward responses of any status, with all fields
+        # Classifies responses, unless the backends speak the platform's protocol.
+        self.classifier: ResponseClassifier | None = None
+        # Whether a request counts as written from its first byte on, rather than from its last.
+        self.written_at_first_byte = False
+        self.stream_stall_timeout = STREAM_STALL_TIMEOUT_S
+        # TCP_USER_TIMEOUT of the connections; 0: the kernel's default.
         self.unacked_ms = 0
-        self._fleet = fleet_size
-        self.tune(conn_idle_us, connect_timeout_us)
-        self._held: set[int] = set()  # out for maintenance, apart from what is listed
+        self._fleet_size = fleet_size
+        self.update_limits(conn_idle_us, connect_timeout_us)
+        self._in_maintenance: set[int] = set()  # numbers; independent of the endpoint list
         self._loop = asyncio.get_running_loop()
-        self._sweep: asyncio.TimerHandle | None = None
-        self._ticked = (self._loop.time(), time.time())
-        sockets.on_crowded(self.evict)
-        self._tick()
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        self._last_sweep = (self._loop.time(), time.time())
+        sockets.add_evictor(self.evict)
+        self._sweep_pools()
 
-    def tune(
+    def update_limits(
         self,
         conn_idle_us: int,
         connect_timeout_us: int,
-        options: Options | None = None,
+        options: PoolOptions | None = None,
         fleet_size: int = 0,
     ) -> None:
-        """Other figures from now on, for what is open as well."""
-        self.idle_for, self.connect_timeout = (
-            conn_idle_us / 1e6 * IDLE_PART,
+        """Apply new limits, also to open connections."""
+        self.idle_timeout, self.connect_timeout = (
+            conn_idle_us / 1e6 * IDLE_TIMEOUT_FRACTION,
             connect_timeout_us / 1e6,
         )
-        self.options, self._fleet = options or self.options, fleet_size or self._fleet
-        for server in self._pools.values():
-            server.pool.options, server.pool.idle_for = self.options, self.idle_for
-        self._size()
-        for server in list(self._pools.values()):
-            server.tick()
-
-    def _size(self) -> None:
-        """The backends' part of the descriptors, shared out over the backends that are in use."""
+        self.options, self._fleet_size = options or self.options, fleet_size or self._fleet_size
+        for pool in self._pools.values():
+            pool.pool.options, pool.pool.idle_timeout = self.options, self.idle_timeout
+        self._update_bounds()
+        for pool in list(self._pools.values()):
+            pool.tick()
+
+    def _update_bounds(self) -> None:
+        """Divide the descriptors available for backends among the backends in use."""
         used = sum(1 for s in self._pools.values() if s.pool.open())
-        for server in self._pools.values():
-            server.pool.top = self.sockets.most_servers / max(1, used)
+        for pool in self._pools.values():
+            pool.pool.descriptor_bound = self.sockets.max_upstreams / max(1, used)
 
     def stop(self) -> None:
-        if self._sweep:
-            self._sweep.cancel()
-        for server in self._pools.values():
-            server.up = False
-            server.withdraw()
-            for link in list(server.busy):
-                link.drop()
-
-    # The list.
-
-    def know(self, entry: Entry, backend: int) -> None:
-        server = self._pools.get(backend)
-        if server is None:
+        """Close all connections."""
+        if self._sweep_timer:
+            self._sweep_timer.cancel()
+        for pool in self._pools.values():
+            pool.up = False
+            pool.drain()
+            for connection in list(pool.busy):
+                connection.disconnect()
+
+    # The endpoint list.
+
+    def update_endpoint(self, entry: EndpointEntry, backend: int) -> None:
+        """Store an endpoint's new entry; `apply_updates` carries out what follows from it."""
+        pool = self._pools.get(backend)
+        if pool is None:
             if entry.status != "removed":
-                self._pools[backend] = Server(entry, self, backend in self._held)
+                self._pools[backend] = BackendPool(entry, self, backend in self._in_maintenance)
             return
-        server.up = entry.status == "up"
-        server.pool.ready = server.ready
-        # a new start or address: what was connected leads to the one before
+        pool.up = entry.status == "up"
+        pool.pool.ready = pool.ready
+        # After a restart or a move, the connections lead to the previous process.
         if entry.status != "removed":
-            server.stale = server.address != entry.address or server.started != entry.since_us
-            server.address, server.started = entry.address, entry.since_us
-
-    def settle(self, gone: Iterable[int]) -> None:
-        for backend in gone:
-            if server := self._pools.pop(backend, None):
-                server.up = False
-                server.withdraw()
-        for server in list(self._pools.values()):
-            if server.stale or not server.ready:
-                server.stale = False
-                server.withdraw()
-
-    def hold(self, backend: int, out: bool) -> None:
-        (self._held.add if out else self._held.discard)(backend)
-        if server := self._pools.get(backend):
-            server.held = out
-            server.pool.ready = server.ready
-            if out:
-                server.withdraw()
+            pool.needs_drain = pool.address != entry.address or pool.started != entry.since_us
+            pool.address, pool.started = entry.address, entry.since_us
+
+    def apply_updates(self, removed: Iterable[int]) -> None:
+        """Drain the pools whose entries have changed, and drop those of removed backends."""
+        for backend in removed:
+            if pool := self._pools.pop(backend, None):
+                pool.up = False
+                pool.drain()
+        for pool in list(self._pools.values()):
+            if pool.needs_drain or not pool.ready:
+                pool.needs_drain = False
+                pool.drain()
+
+    def set_maintenance(self, backend: int, in_maintenance: bool) -> None:
+        """Start or end maintenance of a backend: its pool is drained meanwhile."""
+        (self._in_maintenance.add if in_maintenance else self._in_maintenance.discard)(backend)
+        if pool := self._pools.get(backend):
+            pool.in_maintenance = in_maintenance
+            pool.pool.ready = pool.ready
+            if in_maintenance:
+                pool.drain()
 
     # Attempts.
 
-    def send(self, backend: int, data: Data, ended: Ended, flow: Flow | None = None) -> Exchange:
-        server = self._pools.get(backend)
-        exchange = Exchange(data, ended, flow, server)
-        if server is None or not server.ready:
-            exchange.lost()
+    def send(
+        self,
+        backend: int,
+        data: RequestData,
+        on_result: ResultCallback,
+        context: AttemptContext | None = None,
+    ) -> Exchange:
+        """Send an attempt to a backend; it fails at once if the backend is not ready."""
+        pool = self._pools.get(backend)
+        exchange = Exchange(data, on_result, context, pool)
+        if pool is None or not pool.ready:
+            exchange.fail()
         else:
-            server.ask(exchange)
+            pool.request_connection(exchange)
         return exchange
 
-    def probe(self, backend: int, ended: Ended) -> None:
-        exchange = self.send(backend, b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", ended)
+    def probe(self, backend: int, on_result: ResultCallback) -> None:
+        """Query the backend's load."""
+        exchange = self.send(
+            backend, b"GET /metrics/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", on_result
+        )
 
-        def give_up() -> None:
-            if not exchange.over:
+        def time_out() -> None:
+            if not exchange.finished:
                 exchange.abort()
-                ended(Answer(Outcome.TIMEOUT))
+                on_result(AttemptResult(Outcome.TIMEOUT))
 
-        self._loop.call_later(PROBE_TIMEOUT, give_up)
+        self._loop.call_later(PROBE_TIMEOUT_S, time_out)
 
     def close_idle(self, backend: int) -> None:
-        if server := self._pools.get(backend):
-            server.close_idle(len(server.idle))
+        """Close the backend's idle connections."""
+        if pool := self._pools.get(backend):
+            pool.close_idle(len(pool.idle))
 
-    def figures(self) -> list[dict[str, Any]]:
-        """For operators: every backend that is known, with what its pool does and why."""
-        return [server.figures() for server in self._pools.values()]
+    def pool_reports(self) -> list[dict[str, Any]]:
+        """Return the reports of all pools, for operators."""
+        return [pool.report() for pool in self._pools.values()]
 
     # Idle connections.
 
     def evict(self) -> bool:
-        for server in self._pools.values():
-            if server.idle:
-                server.close_idle(1)
+        """Close one idle connection of any backend; return False if there is none."""
+        for pool in self._pools.values():
+            if pool.idle:
+                pool.close_idle(1)
                 return True
         return False
 
-    def _tick(self) -> None:
+    def _sweep_pools(self) -> None:
         now, wall = self._loop.time(), time.time()
-        gap = max(now - self._ticked[0], abs(wall - self._ticked[1])) > SWEEP + GAP
-        if gap:
+        suspended = (
+            max(now - self._last_sweep[0], abs(wall - self._last_sweep[1]))
+            > SWEEP_INTERVAL_S + SUSPENSION_S
+        )
+        if suspended:
             log.info(
-                "stood still for %.0f s: idle connections are not trusted", now - self._ticked[0]
+                "process suspended for %.0f s: closing all idle connections",
+                now - self._last_sweep[0],
             )
-        self._ticked = (now, wall)
-        self._size()
-        for server in list(self._pools.values()):
-            server.tick(gap)
-            for link in [link for link in server.busy if link.stalled(now - self.stalled)]:
-                log.warning("backend %s: silent in the middle of an answer", server.name)
-                link._gone()
-            if self.options.warm and self.rng.random() < WARM_RATE * SWEEP / self._fleet:
-                server.warm()
-        self._sweep = self._loop.call_later(SWEEP, self._tick)
+        self._last_sweep = (now, wall)
+        self._update_bounds()
+        for pool in list(self._pools.values()):
+            pool.tick(suspended)
+            for connection in [
+                connection
+                for connection in pool.busy
+                if connection.is_stalled(now - self.stream_stall_timeout)
+            ]:
+                log.warning("backend %s: response stalled, connection closed", pool.name)
+                connection._connection_gone()
+            if (
+                self.options.warm
+                and self.rng.random() < PRECONNECT_RATE_PER_S * SWEEP_INTERVAL_S / self._fleet_size
+            ):
+                pool.preconnect()
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep_pools)
--- a/cairndale/ingress/net/http.py
+++ b/cairndale/ingress/net/http.py
@@ -1,5 +1,4 @@
-"""HTTP/1.1 messages off a connection, within limits: what the client side and the backend side
-share."""
+"""Reads HTTP/1.1 messages from a connection, within size limits; for clients and for backends."""
 
 from __future__ import annotations
 
@@ -12,11 +11,12 @@
 
 from cairndale.ingress.net.bodies import Upload
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024 * 1024
-HOLD = 64 * 1024  # a body up to here is collected, and can be sent again or asked for again
-READ = 64 * 1024  # bytes read at once
-REASONS = {
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024 * 1024
+# Bodies up to this size are buffered, so that the request can be retried; larger ones are streamed.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+READ_BUFFER_BYTES = 64 * 1024
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -34,7 +34,7 @@
 }
 
 
-HOP_BY_HOP = {  # RFC 9110, 7.6.1, and what frames a message
+HOP_BY_HOP = {  # RFC 9110, 7.6.1, and the fields that frame a message
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -46,42 +46,43 @@
     b"proxy-authorization",
     b"content-length",
 }
-BODILESS = (204, 304)  # their answers have no body, and no length of one
+BODYLESS_STATUSES = (204, 304)  # responses without body and without Content-Length
 
 
-def reason(status: int) -> bytes:
-    if status not in REASONS:  # only where answers are relayed; the table of all costs every start
+def reason_phrase(status: int) -> bytes:
+    """Return the reason phrase of a status."""
+    if status not in REASON_PHRASES:
+        # Only for relayed responses: importing the full table would delay every start.
         from http import HTTPStatus
 
-        REASONS[status] = (
+        REASON_PHRASES[status] = (
             HTTPStatus(status).phrase.encode() if status in set(HTTPStatus) else b"Other"
         )
-    return REASONS[status]
+    return REASON_PHRASES[status]
 
 
-def plain(status: int, body: bytes, headers: bytes = b"", close: bool = False) -> bytes:
-    """A whole answer of known length."""
-    end = b"Connection: close\r\n" if close else b""
-    if status in BODILESS:
-        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason(status), headers, end)
+def encode_response(status: int, body: bytes, headers: bytes = b"", close: bool = False) -> bytes:
+    """Encode a complete response."""
+    connection = b"Connection: close\r\n" if close else b""
+    if status in BODYLESS_STATUSES:
+        return b"HTTP/1.1 %d %b\r\n%b%b\r\n" % (status, reason_phrase(status), headers, connection)
     head = b"HTTP/1.1 %d %b\r\n%b%bContent-Length: %d\r\n\r\n"
-    return head % (status, reason(status), headers, end, len(body)) + body
+    return head % (status, reason_phrase(status), headers, connection, len(body)) + body
 
 
 class Message:
-    """A request (method, target) or an answer (status). Its body is there whole, or comes in
-    parts."""
+    """A request (method, target) or a response (status); its body is complete or streamed."""
 
     __slots__ = (
         "body",
         "fields",
         "headers",
-        "in_parts",
         "keep_alive",
         "length",
         "method",
-        "minor",
+        "minor_version",
         "status",
+        "streamed",
         "target",
         "upload",
     )
@@ -90,103 +91,114 @@
         self.method = b""
         self.target = b""
         self.status = 0
-        self.minor = 1  # of HTTP/1's version
+        self.minor_version = 1  # 0 for HTTP/1.0
         self.headers: dict[bytes, bytes] = {}
-        self.fields: list[tuple[bytes, bytes]] = []  # as they came, where they go on
-        # announced; None: chunked, or until the end of the connection
+        self.fields: list[tuple[bytes, bytes]] = []  # as received, if `keep_fields`
+        # Content-Length; None: chunked, or until the connection is closed.
         self.length: int | None = None
         self.body = b""
-        self.in_parts = False
+        self.streamed = False
         self.upload: Upload | None = None
         self.keep_alive = True
 
 
 class HttpConnection(asyncio.BufferedProtocol):
-    """Reads messages. A small body is collected; a large one is handed on in parts, each as it
-    comes. Hooks are called once the parser has returned, so that an error in handling one is never
-    mistaken for an error in parsing it."""
+    """A connection that reads messages and calls a hook for each event.
+
+    Small bodies are buffered; large ones are passed on in parts as they are received. Hooks are
+    called after the parser has returned, so that an error in a hook is never mistaken for a parse
+    error.
+    """
 
     transport: asyncio.Transport
     keep_fields = False
-    max_head, max_body = MAX_HEAD, MAX_BODY  # bytes that are taken
-    # one for all: what has come is copied out before the next read
-    _read = memoryview(bytearray(READ))
+    max_head, max_body = MAX_HEAD_BYTES, MAX_BODY_BYTES  # larger messages are rejected
+    # Shared by all connections: received data is copied out before the next read.
+    _read_buffer = memoryview(bytearray(READ_BUFFER_BYTES))
 
     def __init__(self, parser: type[Any]) -> None:
         self._parser = parser(self)
         self._message = Message()
         self._hooks: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._parts: list[bytes] = []
-        self._fed = 0  # bytes since the message began, while its head is open
-        self._size = 0  # of the head's fields, then of the body
+        self._head_bytes = 0  # received since the message began, within the head
+        self._size = 0  # bytes of the head's fields, then of the body
         self._in_head = True
-        self._begun = False  # some of the next message has come
-        self._too_large = 0  # the status that says so
-        self._lost_framing = False
-        self.wrong = ""  # what the parser found wrong
+        self._message_begun = False  # a part of the next message has been received
+        self._error_status = 0  # status for the parse error that a callback raised
+        self._framing_lost = False
+        self.parse_error = ""
 
-    # For the two sides to fill in.
+    # Hooks for subclasses.
 
-    def received(self, message: Message) -> None:
-        """A message whose body was collected."""
+    def message_received(self, message: Message) -> None:
+        """A message with a buffered body is complete."""
         raise NotImplementedError
 
-    def garbage(self, status: int) -> None:
-        """What came is not HTTP, or too large: nothing after it can be read."""
+    def message_invalid(self, status: int) -> None:
+        """A message is invalid or too large; nothing after it can be parsed."""
         raise NotImplementedError
 
-    def began(self) -> None:
-        """The first byte of a message has come."""
+    def message_began(self) -> None:
+        """The first byte of a message has been received."""
+
+    def head_received(self, message: Message) -> None:
+        """The head of a message is complete; its body is not."""
 
-    def headed(self, message: Message) -> None:
-        """Its head has come; the body has not."""
+    def body_began(self, message: Message) -> None:
+        """A streamed body begins.
 
-    def opened(self, message: Message) -> None:
-        """The body is a large one: `part` and `ended` follow in place of `received`."""
-        self._lost_framing = True
-        self.garbage(413)
+        `body_part_received` and `body_ended` follow in place of `message_received`.
+        """
+        self._framing_lost = True
+        self.message_invalid(413)
 
-    def part(self, message: Message, data: bytes) -> None:
-        """Some of a large body."""
+    def body_part_received(self, message: Message, data: bytes) -> None:
+        """A part of a streamed body has been received."""
 
-    def ended(self, message: Message) -> None:
-        """A large body is whole."""
+    def body_ended(self, message: Message) -> None:
+        """A streamed body is complete."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self._read
+        return self._read_buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.data_received(bytes(self._read[:nbytes]))
+        self.data_received(bytes(self._read_buffer[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        if self._lost_framing:
+        if self._framing_lost:
             return
         if self._in_head:
-            self._fed += len(data)
-        bad = 0
+            self._head_bytes += len(data)
+        error_status = 0
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            bad, self.wrong = self._too_large or 400, str(error.__context__ or error)
-        if self._in_head and self._fed > self.max_head:  # a head that never ends
-            bad = bad or 431
-        self._lost_framing = bad > 0
+            error_status, self.parse_error = (
+                self._error_status or 400,
+                str(error.__context__ or error),
+            )
+        if self._in_head and self._head_bytes > self.max_head:  # an endless head
+            error_status = error_status or 431
+        self._framing_lost = error_status > 0
         self._run_hooks()
-        if bad:
-            self.garbage(bad)
+        if error_status:
+            self.message_invalid(error_status)
 
     def _run_hooks(self) -> None:
-        """What is still to be called is seen by those before it: more was read than they are
-        about."""
+        """Call the pending hooks in order; each sees the later ones in `_hooks`.
+
+        A hook can thus tell that more was received after its own message.
+        """
         while self._hooks:
             hook, args = self._hooks.popleft()
             hook(*args)
 
-    def ended_by_close(self) -> None:
-        """At the sender's orderly end: a body with neither length nor chunks is whole now."""
+    def connection_ended(self) -> None:
+        """Handle the peer's orderly close, which completes a body without length or chunks."""
         message = self._message
         if (
             not self._in_head
@@ -197,19 +209,20 @@
             self.on_message_complete()
             self._run_hooks()
 
-    def in_parts(self) -> None:
-        """From here on the body is handed on as it comes, with what was collected first."""
+    def stream_body(self) -> None:
+        """Stream the rest of the body, after the parts that are buffered already."""
         message, parts = self._message, self._parts
-        message.in_parts, self._parts = True, []
-        self._hooks.append((self.opened, (message,)))
-        self._hooks += [(self.part, (message, part)) for part in parts]
+        message.streamed, self._parts = True, []
+        self._hooks.append((self.body_began, (message,)))
+        self._hooks += [(self.body_part_received, (message, part)) for part in parts]
 
-    # httptools' callbacks. It wraps what they raise, so limits are noted in `_too_large`.
+    # Callbacks of httptools. It wraps the exceptions they raise, so the status of the error is
+    # stored in `_error_status`.
 
     def on_message_begin(self) -> None:
         self._message, self._parts, self._size, self._in_head = Message(), [], 0, True
-        self._begun = True
-        self.began()
+        self._message_begun = True
+        self.message_began()
 
     def on_url(self, part: bytes) -> None:
         self._message.target += part
@@ -217,10 +230,10 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value) + 4
-        # a trailer: read, and no more than a head's worth, but of no use here
+        # Trailer fields are discarded, and limited to the size of a head.
         if not self._in_head:
-            self._fed += len(name) + len(value) + 4
-            self._limit(self._fed, self.max_head, 431)
+            self._head_bytes += len(name) + len(value) + 4
+            self._limit(self._head_bytes, self.max_head, 431)
             return
         value = value.strip(b" 	")
         if self.keep_fields:
@@ -231,7 +244,7 @@
         self._limit(self._size, self.max_head, 431)
 
     def on_headers_complete(self) -> None:
-        message, self._in_head, self._fed, self._size = self._message, False, 0, 0
+        message, self._in_head, self._head_bytes, self._size = self._message, False, 0, 0
         length, coding = (
             message.headers.get(b"content-length"),
             message.headers.get(b"transfer-encoding"),
@@ -239,37 +252,45 @@
         if (length is not None and (coding is not None or not length.isdigit())) or (
             coding is not None and coding.strip().lower() != b"chunked"
         ):
-            self._too_large = 400  # each reader could take another end for the right one
+            # Two recipients could disagree on where the message ends (request smuggling).
+            self._error_status = 400
             raise ValueError(f"contradictory framing: length {length!r}, coding {coding!r}")
         message.length = int(length) if length is not None else None
-        message.minor = 0 if self._parser.get_http_version() == "1.0" else 1
+        message.minor_version = 0 if self._parser.get_http_version() == "1.0" else 1
         message.keep_alive = self._parser.should_keep_alive()
         if isinstance(self._parser, httptools.HttpRequestParser):
             message.method = self._parser.get_method()
         else:
             message.status = self._parser.get_status_code()
         self._limit(message.length or 0, self.max_body, 413)
-        self._hooks.append((self.headed, (message,)))
-        if (message.length or 0) > HOLD:
-            self.in_parts()
+        self._hooks.append((self.head_received, (message,)))
+        if (message.length or 0) > MAX_BUFFERED_BODY_BYTES:
+            self.stream_body()
 
     def on_body(self, part: bytes) -> None:
         message = self._message
         self._size += len(part)
         self._limit(self._size, self.max_body, 413)
-        if message.in_parts:
-            self._hooks.append((self.part, (message, part)))
+        if message.streamed:
+            self._hooks.append((self.body_part_received, (message, part)))
             return
         self._parts.append(part)
-        if self._size > HOLD:
-            self.in_parts()
+        if self._size > MAX_BUFFERED_BODY_BYTES:
+            self.stream_body()
 
     def on_message_complete(self) -> None:
-        message, self._in_head, self._fed, self._begun = self._message, True, 0, False
+        message, self._in_head, self._head_bytes, self._message_begun = (
+            self._message,
+            True,
+            0,
+            False,
+        )
         message.body, self._parts = b"".join(self._parts), []
-        self._hooks.append((self.ended if message.in_parts else self.received, (message,)))
+        self._hooks.append(
+            (self.body_ended if message.streamed else self.message_received, (message,))
+        )
 
-    def _limit(self, size: int, most: int, status: int) -> None:
-        if size > most:
-            self._too_large = status
+    def _limit(self, size: int, limit: int, status: int) -> None:
+        if size > limit:
+            self._error_status = status
             raise ValueError("too large")
--- a/cairndale/ingress/net/sockets.py
+++ b/cairndale/ingress/net/sockets.py
@@ -1,4 +1,4 @@
-"""Counts the ingress's descriptors, and makes room before they run out."""
+"""Accounts for the ingress's file descriptors, and evicts idle connections before they run out."""
 
 from __future__ import annotations
 
@@ -7,63 +7,80 @@
 import termios
 from collections.abc import Callable
 
-BASE = 24  # descriptors that are not connections: standard streams, the loop's own, the listener
-CAP = 0.8  # of the limit: connections are opened up to here ...
-CLIENT_SHARE = 0.4  # of these are the clients' for sure, and ...
-SERVER_SHARE = 0.3  # ... this part is for connections to backends, whatever clients hold
-# ... and clients let in up to here, to be told no; then they wait in the listener's line
-TOP = 0.93
+# Descriptors that are not connections: standard streams, the loop's own, the listener.
+RESERVED_DESCRIPTORS = 24
+CAPACITY_FRACTION = 0.8  # of the descriptor limit, up to which connections are opened
+DOWNSTREAM_SHARE = 0.4  # of this capacity, which connections to backends may not use
+UPSTREAM_SHARE = 0.3  # of this capacity, reserved for connections to backends
+# Up to this fraction of the descriptor limit, clients are accepted in order to be rejected; beyond
+# it, they wait in the listen backlog.
+ACCEPT_FRACTION = 0.93
 
 
 class Sockets:
-    def __init__(self, limit: int, server_share: float = SERVER_SHARE) -> None:
-        self.server_share = server_share
-        self.tune(limit)
-        self.open = 0
-        self.servers = 0  # of these, to backends
-        self.elsewhere = 0  # held by the process that this one takes over from
-        self.freed: Callable[[], None] = lambda: None  # called when one has been closed
-        self._evict: list[Callable[[], bool]] = []
-
-    def tune(self, limit: int) -> None:
-        self.cap, self.top = int(limit * CAP) - BASE, int(limit * TOP) - BASE
-        self.for_servers = int(self.cap * self.server_share)  # theirs for sure, and ...
-        # ... all they may have
-        self.most_servers = int(self.cap * max(self.server_share, 1 - CLIENT_SHARE))
-
-    def on_crowded(self, evict: Callable[[], bool], first: bool = False) -> None:
-        """`evict` closes one idle connection, or returns False where there is none. Clients' go
-        first: one to a backend costs it work to make anew, and the next request time."""
-        self._evict.insert(0 if first else len(self._evict), evict)
-
-    def closed(self) -> None:
-        self.open -= 1
-        self.freed()
-
-    def room(self) -> bool:
-        """True if one more may be opened, if need be for an idle one that is closed."""
-        return self.open + self.elsewhere < self.cap or any(evict() for evict in self._evict)
-
-    def room_for_server(self) -> bool:
-        """The same for a connection to a backend: it may have its part whatever clients hold."""
-        if self.servers >= self.most_servers:
+    """Counts open connections against the limits of the process."""
+
+    def __init__(self, limit: int, server_share: float = UPSTREAM_SHARE) -> None:
+        self.upstream_share = server_share
+        self.update_limit(limit)
+        self.open_count = 0
+        self.upstream_count = 0  # connections to backends, included in open_count
+        self.predecessor_count = 0  # open in the process that this one replaces
+        self.on_closed: Callable[[], None] = lambda: None  # a descriptor is free again
+        self._evictors: list[Callable[[], bool]] = []
+
+    def update_limit(self, limit: int) -> None:
+        """Apply a new limit on descriptors."""
+        self.capacity, self.accept_limit = (
+            int(limit * CAPACITY_FRACTION) - RESERVED_DESCRIPTORS,
+            int(limit * ACCEPT_FRACTION) - RESERVED_DESCRIPTORS,
+        )
+        self.reserved_for_upstreams = int(self.capacity * self.upstream_share)
+        self.max_upstreams = int(self.capacity * max(self.upstream_share, 1 - DOWNSTREAM_SHARE))
+
+    def add_evictor(self, evict: Callable[[], bool], first: bool = False) -> None:
+        """Register a function that closes one idle connection, or returns False if there is none.
+
+        Client connections are evicted first: a new connection to a backend costs the backend work
+        and the next request time.
+        """
+        self._evictors.insert(0 if first else len(self._evictors), evict)
+
+    def connection_closed(self) -> None:
+        """Account for a closed client connection."""
+        self.open_count -= 1
+        self.on_closed()
+
+    def has_room(self) -> bool:
+        """Return whether a connection may be opened; evicts an idle one if necessary."""
+        return self.open_count + self.predecessor_count < self.capacity or any(
+            evict() for evict in self._evictors
+        )
+
+    def has_room_for_upstream(self) -> bool:
+        """Return whether a connection to a backend may be opened; a share is reserved for these."""
+        if self.upstream_count >= self.max_upstreams:
             return False
-        return self.room() or (self.servers < self.for_servers and not self.at_top())
+        return self.has_room() or (
+            self.upstream_count < self.reserved_for_upstreams and not self.is_exhausted()
+        )
 
-    def opened_to_server(self) -> None:
-        self.open += 1
-        self.servers += 1
+    def upstream_opened(self) -> None:
+        """Account for a new connection to a backend."""
+        self.open_count += 1
+        self.upstream_count += 1
 
-    def closed_to_server(self) -> None:
-        self.servers -= 1
-        self.closed()
+    def upstream_closed(self) -> None:
+        """Account for a closed connection to a backend."""
+        self.upstream_count -= 1
+        self.connection_closed()
 
-    def at_top(self) -> bool:
-        """True if not even refusals can be afforded now."""
-        return self.open + self.elsewhere >= self.top
+    def is_exhausted(self) -> bool:
+        """Return whether no client can be accepted any more, not even to be rejected."""
+        return self.open_count + self.predecessor_count >= self.accept_limit
 
 
-def unread(transport: asyncio.Transport) -> int:
-    """Bytes that have come and that the loop has not read yet."""
+def unread_bytes(transport: asyncio.Transport) -> int:
+    """Return the number of bytes received by the kernel that the loop has not read yet."""
     descriptor = transport.get_extra_info("socket").fileno()
     return int.from_bytes(fcntl.ioctl(descriptor, termios.FIONREAD, bytes(4)), "little")
--- a/cairndale/ingress/observability/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -21,7 +21,7 @@
 
 import structlog
 
-from cairndale.ingress.net.engine import Wanted
+from cairndale.ingress.net.engine import ClientRequest
 from cairndale.ingress.policy.interface import Outcome
 
 ROOT_LOGGER = "cairndale.ingress"
@@ -205,7 +205,7 @@
         # `_due`: lines due, as the sampling share summed over the requests
         self._writer, self._engine, self._due = writer, engine, 0.0
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         """Writes a line for every sampled request that is over; `us` is its duration."""
         self._due += self._writer.options.access
         if self._due < 1:
@@ -234,7 +234,7 @@
         """Attempts are not logged."""
         ...
 
-    def counted(self, outcome: Outcome, us: int) -> None:
+    def counter_called(self, outcome: Outcome, us: int) -> None:
         """Calls to the counter are not logged."""
         ...
 
@@ -245,7 +245,7 @@
     def __init__(self, *observers: Any) -> None:
         self._observers = observers
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         """See `Observer` in the engine."""
         for observer in self._observers:
             observer.request(wanted, outcome, us, attempts)
@@ -255,10 +255,10 @@
         for observer in self._observers:
             observer.attempt(backend, outcome, us)
 
-    def counted(self, outcome: Outcome, us: int) -> None:
+    def counter_called(self, outcome: Outcome, us: int) -> None:
         """See `Observer` in the engine."""
         for observer in self._observers:
-            observer.counted(outcome, us)
+            observer.counter_called(outcome, us)
 
 
 def logger_name(part: str) -> str:
--- a/cairndale/ingress/observability/metrics.py
+++ b/cairndale/ingress/observability/metrics.py
@@ -16,7 +16,7 @@
 from prometheus_client.core import GaugeMetricFamily
 from prometheus_client.registry import Collector
 
-from cairndale.ingress.net.engine import Engine, Wanted
+from cairndale.ingress.net.engine import ClientRequest, Engine
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.interface import Outcome
 
@@ -103,7 +103,7 @@
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
             self._max_lag_s = max(self._max_lag_s, loop.time() - due)
 
-    def request(self, wanted: Wanted, outcome: str, us: int, attempts: int) -> None:
+    def request(self, wanted: ClientRequest, outcome: str, us: int, attempts: int) -> None:
         """Counts a completed request; `us` is its duration."""
         settings = self._engine.settings
         name = settings.classes[wanted.cls].name
@@ -116,7 +116,7 @@
         self._attempts.labels(outcome.value).inc()
         self._attempt_time.labels(outcome.value).observe(us / 1e6)
 
-    def counted(self, outcome: Outcome, us: int) -> None:
+    def counter_called(self, outcome: Outcome, us: int) -> None:
         """Counts a completed call to the counter; `us` is its duration."""
         self._counter_calls.labels(outcome.value).inc()
         self._counter_call_time.observe(us / 1e6)
@@ -131,15 +131,17 @@
     def collect_gauges(self) -> Iterator[GaugeMetricFamily]:
         """The gauges that are computed only for a scrape."""
         engine, sockets = self._engine, self._sockets
-        yield GaugeMetricFamily("ironledge_open_requests", "Requests in flight", value=engine.open)
+        yield GaugeMetricFamily(
+            "ironledge_open_requests", "Requests in flight", value=engine.open_count
+        )
         connections = GaugeMetricFamily(
             "ironledge_connections", "Descriptors in use for connections", labels=["side"]
         )
-        connections.add_metric(["servers"], sockets.servers)
-        connections.add_metric(["clients"], max(0, sockets.open - sockets.servers))
+        connections.add_metric(["servers"], sockets.upstream_count)
+        connections.add_metric(["clients"], max(0, sockets.open_count - sockets.upstream_count))
         yield connections
         yield GaugeMetricFamily(
-            "ironledge_connections_limit", "Maximum number of connections", value=sockets.cap
+            "ironledge_connections_limit", "Maximum number of connections", value=sockets.capacity
         )
         pools = self.pools()
         states = GaugeMetricFamily(
--- a/tests/discovery/test_end_to_end.py
+++ b/tests/discovery/test_end_to_end.py
@@ -15,7 +15,7 @@
 
 from cairndale.discovery.state import PROMOTION_VERSION_GAP
 from tests.testing.discovery import HOST, ROOT, STARTED_PROCESSES, DiscoveryProcess, call
-from tests.testing.ingress import OK, RAW, Peer, PeerServer, answers, read_answer, request
+from tests.testing.ingress import OK, RAW, Peer, PeerServer, read_answer, reply_with, request
 
 DRAIN_GRACE = 0.25  # s after the ingress has received a drain
 
@@ -124,7 +124,7 @@
     servers: list[PeerServer] = []
 
     def counting_peer(number: int) -> Any:
-        answer = answers(OK)
+        answer = reply_with(OK)
 
         def count_requests(peer: Peer) -> None:
             request_counts[number] += peer.data.count(b"\r\n\r\n")
@@ -208,7 +208,7 @@
 ) -> None:
     """The follower lags at the failover. The ingress has received the drain, and is replaced by a
     new process."""
-    servers = [await PeerServer(answers(OK)).start() for _ in range(3)]
+    servers = [await PeerServer(reply_with(OK)).start() for _ in range(3)]
     leader = await DiscoveryProcess(tmp_path / "one").start()
     follower = await DiscoveryProcess(
         tmp_path / "two", extra_config={"follow": f"{HOST}:{leader.reads}"}
@@ -226,7 +226,7 @@
     assert (await leader.call("DELETE", "/servers/s-1"))[0] == 200
     await ingress.wait_for_status(index=5)
     for server in servers[:2]:
-        await server.until(lambda server=server: len(server.closed) == len(server.peers))  # type: ignore[misc]
+        await server.wait_until(lambda server=server: len(server.closed) == len(server.peers))  # type: ignore[misc]
     peer_counts = [len(server.peers) for server in servers]
     await leader.stop(signal.SIGKILL)
     await follower.start()
@@ -254,7 +254,7 @@
 
 
 async def test_an_ingress_switches_from_a_stopped_leader_to_the_follower(tmp_path: Path) -> None:
-    server = await PeerServer(answers(OK)).start()
+    server = await PeerServer(reply_with(OK)).start()
     leader = await DiscoveryProcess(tmp_path / "one").start()
     follower = await DiscoveryProcess(
         tmp_path / "two", extra_config={"follow": f"{HOST}:{leader.reads}"}
@@ -268,7 +268,7 @@
     leader.send_signal(signal.SIGSTOP)
     await ingress.wait_for_status(at=f"{HOST}:{follower.reads}")
     await ingress.wait_for_answers()
-    assert f"discovery: told by {HOST}:{leader.reads}" in ingress.log_text()
+    assert f"discovery: receiving updates from {HOST}:{leader.reads}" in ingress.log_text()
     await ingress.stop()
     assert ingress.failures == [] and ingress.retried == 0 and ingress.outcomes.keys() == {b"200"}
     leader.send_signal(signal.SIGCONT)
@@ -279,7 +279,7 @@
 
 async def test_an_ingress_without_directory_settings_works_with_the_service(tmp_path: Path) -> None:
     """The ingress has one address, and uses no more than PROTOCOL defines."""
-    servers = [await PeerServer(answers(OK)).start() for _ in range(2)]
+    servers = [await PeerServer(reply_with(OK)).start() for _ in range(2)]
     service = await DiscoveryProcess(tmp_path / "one").start()
     ingress = Ingress(tmp_path / "ingress", service.reads)
     await ingress.start()
@@ -293,7 +293,7 @@
     await ingress.wait_for_status(index=2)
     await service.call("DELETE", "/servers/s-0")
     await ingress.wait_for_status(index=3)
-    await servers[0].until(lambda: len(servers[0].closed) == len(servers[0].peers) > 0)
+    await servers[0].wait_until(lambda: len(servers[0].closed) == len(servers[0].peers) > 0)
     await ingress.wait_for_answers()
     assert len(servers[0].closed) == len(servers[0].peers) and servers[1].peers
     await ingress.stop()
