--- a/cairndale/ingress/__main__.py
+++ b/cairndale/ingress/__main__.py
@@ -1,4 +1,7 @@
-"""One real ingress: reads its configuration, starts, runs until SIGTERM."""
+"""Runs one ingress: reads its configuration, takes over from a running process, and serves.
+
+SIGTERM shuts it down gracefully, SIGHUP reloads the configuration.
+"""
 
 from __future__ import annotations
 
@@ -32,19 +35,20 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import RequestPolicy
 
-ACCEPT_AFTER_STOP_S = 0.55  # s after SIGTERM: new connections go on coming for 0.4 s
-MAX_DEADLINE_S = 3.0  # s: the longest deadline that the platform waits for, and ...
-STOP_MARGIN_S = 0.4  # ... what it waits beyond that, less a margin
-POLL_INTERVAL_S = 0.05  # s between looks whether all is finished
-COUNTER_WAIT_S = 0.5  # s for the counter to be there before another process is relieved
-HANDOVER_SOCKET = "ironledge.sock"  # in $TMPDIR, as is ...
+# After SIGTERM, new connections are accepted this long: they continue to arrive for 0.4 s.
+ACCEPT_AFTER_STOP_S = 0.55
+MAX_DEADLINE_S = 3.0  # the longest deadline that the platform waits for after SIGTERM
+STOP_MARGIN_S = 0.4  # for which the platform waits beyond that, less a margin
+POLL_INTERVAL_S = 0.05  # between checks whether all requests have ended
+COUNTER_WAIT_S = 0.5  # for a connection to the counter before another process is replaced
+HANDOVER_SOCKET = "ironledge.sock"  # in $TMPDIR
 MAINTENANCE_FILE = "ironledge-maintenance.json"  # in $TMPDIR
-NO_ADDRESS = ("127.0.0.1", 0)  # where no discovery is watched
+NO_ADDRESS = ("127.0.0.1", 0)  # placeholder if discovery is not watched
 
 log = logging.getLogger("cairndale.ingress")
 
-
-ConfigReader = Callable[[Config], Config]  # reads the configuration anew, or raises ConfigError
+# Reads the configuration again, given the present one. Raises ConfigError.
+ConfigReader = Callable[[Config], Config]
 
 
 def _from_file(before: Config) -> Config:
@@ -53,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressParts:
-    """What somebody who looks on may look at."""
+    """The objects of a running ingress that metrics and logs observe."""
 
     engine: Engine
     policy: RequestPolicy
@@ -65,14 +69,19 @@
 
 async def serve(
     config: Config,
-    again: ConfigReader = _from_file,
-    look_on: Callable[[IngressParts], None] | None = None,
+    reread: ConfigReader = _from_file,
+    on_created: Callable[[IngressParts], None] | None = None,
 ) -> None:
+    """Serve until SIGTERM or until another process has taken over.
+
+    `reread` reads the configuration at SIGHUP. `on_created` is called with the parts of the ingress
+    before it starts.
+    """
     loop, clock = asyncio.get_running_loop(), Clock()
     sockets = Sockets(config.sockets, config.pool.server_share)
     names = NameTable(config.settings, config.raw)
-    gateway = RequestPolicy(config.settings, config.seed)
-    engine = Engine(gateway, config.settings, names, loop, clock.now)
+    policy = RequestPolicy(config.settings, config.seed)
+    engine = Engine(policy, config.settings, names, loop, clock.now)
     limits = config.settings.limits
     fleet = config.settings.fleet_size
     backends = Backends(sockets, config.conn_idle, limits.connect_timeout, config.pool, fleet)
@@ -85,24 +94,24 @@
     if counter:
         engine.counter = counter
         counter.start()
-    settings, held = config.settings, EndpointTable(config.directory) if config.directory else None
+    settings, table = config.settings, EndpointTable(config.directory) if config.directory else None
     discovery = Discovery(
         config.discovery or NO_ADDRESS,
         config.known.index,
         engine.update_endpoints,
         settings.fleet_size,
-        held,
+        table,
         settings.ingress_index,
     )
     reader = config.request.reader() if config.request else None
     listener = Listener(engine, sockets, BodyMemory(config.memory_mb), clock.now, reader)
     backends.relays_responses = listener.relays_responses
-    temporary = Path(os.environ.get("TMPDIR") or gettempdir())
+    temporary_folder = Path(os.environ.get("TMPDIR") or gettempdir())
 
     def reload() -> None:
         nonlocal config
         try:
-            config = again(config)
+            config = reread(config)
         except ConfigError as error:
             log.warning("the configuration stays as it was: %s", error)
             return
@@ -125,32 +134,32 @@
             counter.update_timeout(config.settings.counter.timeout)
             counter.update_address(config.counter)
 
-    maintenance = Maintenance(engine, temporary / MAINTENANCE_FILE)
+    maintenance = Maintenance(engine, temporary_folder / MAINTENANCE_FILE)
 
     def serving() -> bool:
         return listener.accepting() and engine.can_serve()
 
     def running() -> dict[str, Any]:
-        import hashlib  # for this call alone: it loads OpenSSL
+        import hashlib  # imported for this call only, as it loads OpenSSL
 
         text = json.dumps(config.raw, sort_keys=True)
         return {"hash": hashlib.sha256(text.encode()).hexdigest()[:16], "settings": config.raw}
 
     ops = Ops(engine, maintenance, serving, discovery.status, backends.pool_reports, running)
-    if look_on:
-        look_on(IngressParts(engine, gateway, sockets, backends, discovery, ops))
-    # before clients: /status says no till then
+    if on_created:
+        on_created(IngressParts(engine, policy, sockets, backends, discovery, ops))
+    # Started before clients are accepted; /status reports "not serving" until then.
     ops_port = await ops.listen(*config.ops) if config.ops else 0
-    claim, index = await HandoverClaim.find(temporary / HANDOVER_SOCKET), None
+    claim, index = await HandoverClaim.find(temporary_folder / HANDOVER_SOCKET), None
     if claim:
         if counter:
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(counter.connected.wait(), COUNTER_WAIT_S)
-        index = await claim.take_over(engine, gateway, sockets, discovery)
+        index = await claim.take_over(engine, policy, sockets, discovery)
     if index is None:
         maintenance.restore()
-        if held:
-            held.load(config.known)
+        if table:
+            table.load(config.known)
         engine.update_endpoints(config.known, it.ListKind.CACHED)
     gc.collect()
     gc.freeze()
@@ -162,7 +171,8 @@
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    # the configuration's list may be old: what drains must be known before clients come
+    # The list in the configuration may be old: wait to learn which servers are draining before
+    # clients are accepted.
     if index is None:
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(
@@ -176,25 +186,25 @@
     log.info("listening on %s:%d", config.listen[0], port)
     if config.ops:
         log.info("operators' calls on %s:%d", config.ops[0], ops_port)
-    passed = asyncio.Event()
+    handed_over = asyncio.Event()
     offer = HandoverOffer(
-        temporary / HANDOVER_SOCKET,
+        temporary_folder / HANDOVER_SOCKET,
         engine,
-        gateway,
+        policy,
         listener,
         sockets,
         discovery,
         maintenance,
-        passed.set,
+        handed_over.set,
     )
     offer.open()
-    ends = [loop.create_task(event.wait()) for event in (stop, passed)]
-    await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
-    if passed.is_set():
+    stop_waits = [loop.create_task(event.wait()) for event in (stop, handed_over)]
+    await asyncio.wait(stop_waits, return_when=asyncio.FIRST_COMPLETED)
+    if handed_over.is_set():
         await _drain_after_handover(engine, listener, stop)
     else:
         await _shut_down(engine, listener, ACCEPT_AFTER_STOP_S)
-    for task in ends:
+    for task in stop_waits:
         task.cancel()
     await offer.stop()
     if claim:
@@ -211,7 +221,7 @@
 
 
 async def _drain_after_handover(engine: Engine, listener: Listener, stop: asyncio.Event) -> None:
-    """Another process has taken over: what is here is finished, until SIGTERM with no hurry."""
+    """Finish open requests after a hand-over, without a time limit until SIGTERM."""
     listener.stop_accepting()
     while not stop.is_set() and (engine.open_count or listener.connections):
         with contextlib.suppress(TimeoutError):
@@ -220,28 +230,29 @@
         await _shut_down(engine, listener, 0.0)
 
 
-async def _shut_down(engine: Engine, listener: Listener, accepts_on: float) -> None:
-    """Accepts for the stated while, finishes what was taken, and ends before it is killed."""
+async def _shut_down(engine: Engine, listener: Listener, accept_for: float) -> None:
+    """Accept for `accept_for` seconds, finish open requests, and return before SIGKILL is due."""
     loop = asyncio.get_running_loop()
-    longest = min(MAX_DEADLINE_S, max(c.deadline for c in engine.settings.classes) / 1e6)
-    end = loop.time() + longest + STOP_MARGIN_S
+    max_deadline = min(MAX_DEADLINE_S, max(c.deadline for c in engine.settings.classes) / 1e6)
+    ends_at = loop.time() + max_deadline + STOP_MARGIN_S
     listener.start_draining()
-    await asyncio.sleep(accepts_on)
+    await asyncio.sleep(accept_for)
     listener.stop_listening()
     done = asyncio.Event()
     engine.on_idle = done.set
     if engine.open_count:
         try:
-            async with asyncio.timeout_at(end):
+            async with asyncio.timeout_at(ends_at):
                 await done.wait()
         except TimeoutError:
             engine.fail_all()
-    # the last answers are still being written
-    while listener.connections and loop.time() < end + 0.1:
+    # Wait until the last responses have been written.
+    while listener.connections and loop.time() < ends_at + 0.1:
         await asyncio.sleep(0.005)
 
 
 def main() -> int:
+    """Run the ingress; return the exit status."""
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s"
     )
--- a/cairndale/ingress/net/config.py
+++ b/cairndale/ingress/net/config.py
@@ -1,5 +1,4 @@
-"""The platform's configuration file, read and checked as a whole: at the start, and anew at
-SIGHUP."""
+"""Reads and validates the configuration file, at the start and again at SIGHUP."""
 
 from __future__ import annotations
 
@@ -22,17 +21,21 @@
 from cairndale.ingress.wire import WireError, settings_from_json
 
 Address = tuple[str, int]
-MAX_ADDRESSES = 32  # of the list service
+MAX_ADDRESSES = 32  # of replicas of the list service
 
 
 class ConfigError(Exception):
+    """The configuration is invalid; nothing of it is applied."""
+
     pass
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A valid configuration of an ingress."""
+
     listen: Address
-    discovery: Address | None  # None: `known` is all there is
+    discovery: Address | None  # None: only the endpoints in `known`
     request: RequestFields | None  # None: the platform's protocol
     directory: DirectoryConfig | None
     pool: PoolOptions
@@ -41,22 +44,21 @@
     seed: int
     sockets: int
     memory_mb: float
-    known: EndpointUpdate
+    known: EndpointUpdate  # endpoint list to start with
     settings: it.Settings
-    raw: dict[str, Any]  # the settings as they came
-    conn_idle: int
+    raw: dict[str, Any]  # the settings as read
+    conn_idle: int  # idle timeout of connections to backends, us
 
 
-def _address(value: Any, what: str) -> Address:
+def _address(value: Any, key: str) -> Address:
     host, colon, port = str(value).rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) < 65536):
-        raise ConfigError(f"{what}: {value!r} is not HOST:PORT")
+        raise ConfigError(f"{key}: {value!r} is not HOST:PORT")
     return host, int(port)
 
 
 def _directory(raw: Any) -> DirectoryConfig | None:
-    """Where the list service is, beside `discovery`; absent: the platform's discovery is all there
-    is."""
+    """Parse `directory`, the list service; None if only the platform's discovery is used."""
     if raw is None:
         return None
     if not isinstance(raw, dict):
@@ -70,15 +72,19 @@
         "shrink": raw.get("shrink", DEFAULT_SHRINK),
         "hold_s": raw.get("hold_s", DEFAULT_HOLD_S),
     }
-    for key, most in (("shrink", 1), ("hold_s", 86_400)):
+    for key, maximum in (("shrink", 1), ("hold_s", 86_400)):
         value = numbers[key]
-        if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= most:
-            raise ConfigError(f"directory.{key}: {value!r} is not a number from 0 to {most}")
-    found = tuple(_address(a, f"directory.addresses[{n}]") for n, a in enumerate(addresses))
-    return DirectoryConfig(found, float(numbers["shrink"]), float(numbers["hold_s"]))
+        if (
+            not isinstance(value, int | float)
+            or isinstance(value, bool)
+            or not 0 <= value <= maximum
+        ):
+            raise ConfigError(f"directory.{key}: {value!r} is not a number from 0 to {maximum}")
+    replicas = tuple(_address(a, f"directory.addresses[{n}]") for n, a in enumerate(addresses))
+    return DirectoryConfig(replicas, float(numbers["shrink"]), float(numbers["hold_s"]))
 
 
-POOL_KEYS = {  # key of `pool`: field, least, most, whole
+POOL_KEYS = {  # key of `pool`: (field, minimum, maximum, whether it is an integer)
     "age_s": ("age", 1, 86_400, False),
     "requests": ("requests", 1, 10**9, True),
     "queue": ("queue", 0, 4096, True),
@@ -88,68 +94,79 @@
 
 
 def _pool(raw: Any) -> PoolOptions:
-    """Connections to the backends; what is not said keeps its default."""
+    """Parse `pool`, the limits of connection pools; absent keys have their defaults."""
     if not isinstance(raw, dict):
         raise ConfigError("pool: not an object")
     if unknown := sorted(raw.keys() - POOL_KEYS.keys()):
         raise ConfigError(f"pool.{unknown[0]}: not known here")
-    found: dict[str, Any] = {}
+    options: dict[str, Any] = {}
     for key, value in raw.items():
-        field, least, most, whole = POOL_KEYS[key]
-        sound = isinstance(value, int if whole else int | float) and not isinstance(value, bool)
-        if not sound or not least <= value <= most:
-            kind = "a whole number" if whole else "a number"
-            raise ConfigError(f"pool.{key}: {value!r} is not {kind} from {least} to {most}")
-        found[field] = value
-    return PoolOptions(**found)
+        field, minimum, maximum, is_integer = POOL_KEYS[key]
+        is_number = isinstance(value, int if is_integer else int | float) and not isinstance(
+            value, bool
+        )
+        if not is_number or not minimum <= value <= maximum:
+            expected = "a whole number" if is_integer else "a number"
+            raise ConfigError(
+                f"pool.{key}: {value!r} is not {expected} from {minimum} to {maximum}"
+            )
+        options[field] = value
+    return PoolOptions(**options)
 
 
 def _request(raw: Any) -> RequestFields:
-    """Where things are found in a request, in place of the platform's protocol."""
+    """Parse `request`: where a request's values are found, instead of the platform's protocol."""
     if not isinstance(raw, dict):
         raise ConfigError("request: not an object")
-    found: dict[str, tuple[str, str]] = {}
+    locations: dict[str, tuple[str, str]] = {}
     for key in ("customer", "plan", "timeout", "units"):
-        way, _, name = str(raw.get(key)).partition(":")
-        if way not in ("header", "cookie", "query", "constant") or not name:
+        source, _, name = str(raw.get(key)).partition(":")
+        if source not in ("header", "cookie", "query", "constant") or not name:
             raise ConfigError(f"request.{key}: {raw.get(key)!r} is not WAY:NAME")
-        found[key] = (way, name)
+        locations[key] = (source, name)
     paths, customers = raw.get("paths", {}), raw.get("customers", {})
     for key, value in (("paths", paths), ("customers", customers)):
         if not isinstance(value, dict) or not all(isinstance(v, str) for v in value.values()):
             raise ConfigError(f"request.{key}: not an object of names")
-    longest = sorted(paths, key=len, reverse=True)
+    longest_first = sorted(paths, key=len, reverse=True)
     return RequestFields(
-        **found, customers=customers, paths=tuple((p.encode(), paths[p].encode()) for p in longest)
+        **locations,
+        customers=customers,
+        paths=tuple((p.encode(), paths[p].encode()) for p in longest_first),
     )
 
 
-def _missing_key(before: Any, now: Any, where: str) -> str:
-    """The first key that settings had and have no longer: a cut-off file may be sound JSON, and a
-    default in a missing key's place would be a rule that nobody set. Named things may come and
-    go."""
+def _missing_key(before: Any, after: Any, where: str) -> str:
+    """Return the first key that the settings had before and lack now; empty if there is none.
+
+    A truncated file may still be valid JSON, and a default for a missing key would be a rule that
+    nobody has set. Entries of lists may be added and removed, but keep their common keys.
+    """
     if isinstance(before, dict):
-        if not isinstance(now, dict):
+        if not isinstance(after, dict):
             return where
         for key, value in before.items():
-            if key not in now:
+            if key not in after:
                 return f"{where}.{key}"
-            if found := _missing_key(value, now[key], f"{where}.{key}"):
-                return found
+            if missing := _missing_key(value, after[key], f"{where}.{key}"):
+                return missing
     elif isinstance(before, list) and before and all(isinstance(b, dict) for b in before):
-        if not isinstance(now, list):
+        if not isinstance(after, list):
             return where
         shared = set.intersection(*(set(b) for b in before))
-        for number, entry in enumerate(now):
-            if lost := sorted(shared - set(entry) if isinstance(entry, dict) else shared):
-                return f"{where}[{number}].{lost[0]}"
+        for number, entry in enumerate(after):
+            if missing_keys := sorted(shared - set(entry) if isinstance(entry, dict) else shared):
+                return f"{where}[{number}].{missing_keys[0]}"
     return ""
 
 
 def read_config(path: str, before: Config | None = None) -> Config:
-    """The whole file, or ConfigError. Addresses in the environment hold at the start; a file that
-    replaces another names where discovery and the counter have moved, and has all that the first
-    one had."""
+    """Read and validate the configuration file. Raises ConfigError.
+
+    At the start, addresses in the environment take precedence. A file that replaces the
+    configuration `before` may change the addresses of discovery and the counter, and must have all
+    the keys that `before` had.
+    """
     try:
         top = json.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
@@ -158,12 +175,12 @@
 
 
 def config_from(top: Any, before: Config | None = None) -> Config:
-    """The same of a file that is read already."""
+    """Validate a configuration that has been read already; see `read_config`."""
     env = os.environ if before is None else {}
     try:
         raw = top["settings"]
-        if before and (lost := _missing_key(before.raw, raw, "settings")):
-            raise ConfigError(f"{lost} is missing")
+        if before and (missing := _missing_key(before.raw, raw, "settings")):
+            raise ConfigError(f"{missing} is missing")
         if before and before.counter and not top.get("counter"):
             raise ConfigError("counter is missing")
         if before and before.directory and "directory" not in top:
--- a/cairndale/ingress/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -182,7 +182,7 @@
             raise UpdateRejected(f"epoch {update.epoch} is past, {self.epoch} is known")
         elif update.index < self.index:
             raise UpdateRejected(
-                f"version {update.index} is older than the known version {self.index}"
+                f"version {update.index} is older than {self.index}, which is known"
             )
         self.index, self.epoch = update.index, update.epoch
         before, had_listed_up = self.entries.copy(), self._has_listed_up()
--- a/cairndale/ingress/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -1,8 +1,9 @@
-"""Passing an ingress on to the process that replaces it, over a Unix socket in $TMPDIR.
+"""Hot restart: hands an ingress over to the process that replaces it, by a Unix socket in $TMPDIR.
 
-The new process gets the listening socket itself, so that its queue is never dropped, and with its
-`take` all that the old one knows; from then on new connections are its own. Until the old one ends
-they tell each other what one ingress has to know: attempts out, descriptors held, operators' calls.
+The new process receives the listening socket itself, so that no connection in its backlog is lost,
+and in answer to its `take` the state of the old process. From then on it accepts all new
+connections. Until the old process ends, the two exchange what must count for the ingress as a
+whole: attempts in flight, open descriptors, and operators' maintenance calls.
 """
 
 from __future__ import annotations
@@ -25,24 +26,25 @@
 from cairndale.ingress.net.sockets import Sockets
 from cairndale.ingress.policy.engine import RequestPolicy
 
-FORMAT_VERSION = 1  # of what is handed over: of another kind of process, nothing is taken
-CONNECT_TIMEOUT_S = 1.0  # s for the old process to answer; it has nothing else to wait for
-TAKE_TIMEOUT_S = 5.0  # s for the new one to be ready to take over
-LOAD_INTERVAL_S = 0.05  # s between what the old one tells
-SPARE_DESCRIPTORS = (
-    8  # descriptors that the old one may open beyond what it holds, for its last attempts
-)
+FORMAT_VERSION = 1  # of the state; nothing is taken over in another version
+CONNECT_TIMEOUT_S = 1.0  # for the old process to answer; it has nothing else to wait for
+TAKE_TIMEOUT_S = 5.0  # for the new process to be ready to take over
+LOAD_INTERVAL_S = 0.05  # between the old process's reports of its load
+# Descriptors that the old process may open beyond those in use, for its last attempts.
+SPARE_DESCRIPTORS = 8
 MAX_LINE_BYTES = 1 << 26
 
 log = logging.getLogger(__name__)
 
 
 class HandoverError(Exception):
+    """The hand-over has failed; the old process continues to serve."""
+
     pass
 
 
 async def _read_json(reader: asyncio.StreamReader, timeout: float) -> Any:
-    """One line of JSON, whole and in time."""
+    """Read one line of JSON. Raises HandoverError if it is not complete and valid in time."""
     try:
         async with asyncio.timeout(timeout):
             line = await reader.readline()
@@ -54,52 +56,60 @@
 
 
 class HandoverChannel:
-    """What both sides have: one JSON value a line."""
+    """The connection between both processes, with one JSON value per line."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def send(self, what: Any) -> None:
-        self.writer.write(json.dumps(what).encode() + b"\n")
+    def send(self, value: Any) -> None:
+        """Send a JSON value."""
+        self.writer.write(json.dumps(value).encode() + b"\n")
 
-    def send_maintenance(self, name: str, out: bool) -> None:
-        self.send({"maintenance": [name, out]})
+    def send_maintenance(self, name: str, in_maintenance: bool) -> None:
+        """Send the start or end of a backend's maintenance."""
+        self.send({"maintenance": [name, in_maintenance]})
 
 
 class HandoverOffer:
-    """The old process's side: waits for the one that replaces it, and tells `passed` once that one
-    serves."""
+    """The old process's side: waits for its successor.
+
+    `on_handed_over` is called once the successor serves.
+    """
 
     def __init__(
         self,
         path: Path,
         engine: Engine,
-        gateway: RequestPolicy,
+        policy: RequestPolicy,
         listener: Listener,
         sockets: Sockets,
         discovery: Discovery,
         maintenance: Maintenance,
-        passed: Callable[[], None],
+        on_handed_over: Callable[[], None],
     ) -> None:
         self._path, self._listener, self._sockets = path, listener, sockets
-        self._engine, self._policy = engine, gateway
-        self._discovery, self._maintenance, self._on_handed_over = discovery, maintenance, passed
+        self._engine, self._policy = engine, policy
+        self._discovery, self._maintenance, self._on_handed_over = (
+            discovery,
+            maintenance,
+            on_handed_over,
+        )
         self._handed_over = False
         self._sock: socket.socket | None = None
         self._task: asyncio.Task[None] | None = None
 
     def open(self) -> None:
-        """In place of a file that an earlier process left, in one step."""
-        made = self._path.with_suffix(f".{os.getpid()}")
+        """Listen on the socket, which atomically replaces one left by an earlier process."""
+        temporary_path = self._path.with_suffix(f".{os.getpid()}")
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        except OSError as error:  # where the platform refuses them
+        except OSError as error:  # the platform may refuse Unix sockets
             log.warning("no other process can take over: %s", error)
             return
         try:
-            sock.bind(str(made))
+            sock.bind(str(temporary_path))
             sock.listen(1)
-            made.replace(self._path)
+            temporary_path.replace(self._path)
         except OSError as error:
             sock.close()
             log.warning("no other process can take over: %s", error)
@@ -108,12 +118,13 @@
         self._task = asyncio.get_running_loop().create_task(self._accept_successors())
 
     async def stop(self) -> None:
+        """Stop listening, and remove the socket unless the successor has replaced it."""
         if self._task:
             self._task.cancel()
             await asyncio.wait([self._task])
         if self._sock:
             self._sock.close()
-            if not self._handed_over:  # else the file there is the new process's
+            if not self._handed_over:  # after a hand-over, the file is the successor's
                 self._path.unlink(missing_ok=True)
 
     async def _accept_successors(self) -> None:
@@ -138,39 +149,39 @@
         except OSError as error:
             log.warning("hand-over: %s", error)
             return
-        talk = HandoverChannel(reader, writer)
+        channel = HandoverChannel(reader, writer)
         try:
             if await _read_json(reader, TAKE_TIMEOUT_S) != "take":
                 raise HandoverError("not understood")
-            await self._transfer(talk)
+            await self._transfer(channel)
             self._handed_over = True
             log.info("handed over")
             self._on_handed_over()
-            await self._share_updates(talk)
+            await self._share_updates(channel)
         except (HandoverError, OSError) as error:
             log.warning("hand-over: %s", error)
         finally:
             writer.close()
 
-    async def _transfer(self, talk: HandoverChannel) -> None:
-        """All or nothing: if the new process does not get as serving, this one goes on."""
+    async def _transfer(self, channel: HandoverChannel) -> None:
+        """Transfer the state. If the successor does not start serving, this process continues."""
         self._listener.suspend(True)
         state = self._engine.dump_state() | {"module": handover_state.hand_over(self._policy)}
-        kept = self._sockets.capacity
-        self._sockets.capacity = min(kept, self._sockets.open_count + SPARE_DESCRIPTORS)
+        capacity_before = self._sockets.capacity
+        self._sockets.capacity = min(capacity_before, self._sockets.open_count + SPARE_DESCRIPTORS)
         try:
-            held = self._discovery.table.dump() if self._discovery.table else None
-            told = {
+            table = self._discovery.table.dump() if self._discovery.table else None
+            message = {
                 "version": FORMAT_VERSION,
                 "index": self._discovery.index,
-                "held": held,
+                "held": table,
                 "ingress": state,
             }
-            talk.send(told | self._load())
-            if await _read_json(talk.reader, TAKE_TIMEOUT_S) != "serving":
+            channel.send(message | self._load())
+            if await _read_json(channel.reader, TAKE_TIMEOUT_S) != "serving":
                 raise HandoverError("not understood")
         except HandoverError:
-            self._sockets.capacity = kept
+            self._sockets.capacity = capacity_before
             handover_state.take_back(self._policy, state["module"])
             self._listener.suspend(False)
             raise
@@ -178,17 +189,17 @@
     def _load(self) -> dict[str, Any]:
         return {"sockets": self._sockets.open_count, "busy": self._engine.in_flight_counts()}
 
-    async def _share_updates(self, talk: HandoverChannel) -> None:
-        self._maintenance.on_change = talk.send_maintenance
-        hears = asyncio.get_running_loop().create_task(
-            _receive_maintenance(talk.reader, self._engine)
+    async def _share_updates(self, channel: HandoverChannel) -> None:
+        self._maintenance.on_change = channel.send_maintenance
+        receiving = asyncio.get_running_loop().create_task(
+            _receive_maintenance(channel.reader, self._engine)
         )
         try:
-            while not hears.done():
-                talk.send(self._load())
-                await asyncio.wait([hears], timeout=LOAD_INTERVAL_S)
+            while not receiving.done():
+                channel.send(self._load())
+                await asyncio.wait([receiving], timeout=LOAD_INTERVAL_S)
         finally:
-            hears.cancel()
+            receiving.cancel()
 
 
 async def _receive_maintenance(reader: asyncio.StreamReader, engine: Engine) -> None:
@@ -198,7 +209,7 @@
 
 
 class HandoverClaim:
-    """The new process's side."""
+    """The new process's side: takes over from its predecessor."""
 
     def __init__(self, conn: socket.socket, listening: socket.socket) -> None:
         self.listening, self._conn = listening, conn
@@ -207,30 +218,33 @@
 
     @staticmethod
     async def find(path: Path) -> HandoverClaim | None:
-        """The old process, if there is one that answers."""
+        """Connect to the predecessor. Return None if there is none that answers."""
         return await asyncio.to_thread(_connect, path)
 
     async def take_over(
-        self, engine: Engine, gateway: RequestPolicy, sockets: Sockets, discovery: Discovery
+        self, engine: Engine, policy: RequestPolicy, sockets: Sockets, discovery: Discovery
     ) -> int | None:
-        """Takes all over; the version of the list that came with it, or None if nothing did."""
+        """Restore the predecessor's state.
+
+        Return the version of its endpoint list, or None if nothing could be taken over.
+        """
         try:
             reader, writer = await asyncio.open_unix_connection(
                 sock=self._conn, limit=MAX_LINE_BYTES
             )
             self._channel = HandoverChannel(reader, writer)
             self._channel.send("take")
-            told = await _read_json(reader, TAKE_TIMEOUT_S)
-            if told["version"] != FORMAT_VERSION:
-                raise HandoverError(f"version {told['version']}")
-            index = int(told["index"])
-            state = told["ingress"]
+            message = await _read_json(reader, TAKE_TIMEOUT_S)
+            if message["version"] != FORMAT_VERSION:
+                raise HandoverError(f"unknown format version {message['version']}")
+            index = int(message["index"])
+            state = message["ingress"]
             if discovery.table:
-                discovery.table.restore(told.get("held"), state["entries"])
+                discovery.table.restore(message.get("held"), state["entries"])
             classes, plans = engine.restore_state(state, index)
-            handover_state.take_over(gateway, engine.now(), state["module"], classes, plans)
-            sockets.predecessor_count = int(told["sockets"])
-            engine.set_predecessor_load(told["busy"])
+            handover_state.take_over(policy, engine.now(), state["module"], classes, plans)
+            sockets.predecessor_count = int(message["sockets"])
+            engine.set_predecessor_load(message["busy"])
         except (
             HandoverError,
             OSError,
@@ -259,16 +273,16 @@
         assert self._channel
         try:
             while (line := await self._channel.reader.readline()).endswith(b"\n"):
-                told = json.loads(line)
-                if "maintenance" in told:
-                    engine.set_maintenance(*told["maintenance"])
+                message = json.loads(line)
+                if "maintenance" in message:
+                    engine.set_maintenance(*message["maintenance"])
                 else:
-                    sockets.predecessor_count = told["sockets"]
-                    engine.set_predecessor_load(told["busy"])
+                    sockets.predecessor_count = message["sockets"]
+                    engine.set_predecessor_load(message["busy"])
         except OSError:
             pass
-        finally:  # it has ended: all there is of the ingress is here
-            maintenance.on_change = lambda name, out: None
+        finally:  # the predecessor has ended: this process is the whole ingress now
+            maintenance.on_change = lambda name, in_maintenance: None
             sockets.predecessor_count = 0
             engine.set_predecessor_load({"attempts": [], "customers": []})
             self.stop()
@@ -283,14 +297,14 @@
 def _connect(path: Path) -> HandoverClaim | None:
     try:
         conn = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    except OSError:  # refused, as the offer is then: that one is logged
+    except OSError:  # refused by the platform; the offer is refused too, and logs it
         return None
     try:
         conn.settimeout(CONNECT_TIMEOUT_S)
         conn.connect(str(path))
         _, descriptors, _, _ = socket.recv_fds(conn, 1, 1)
         listening = socket.socket(fileno=descriptors[0])
-    except (OSError, IndexError) as error:  # none, a stale file, or one that is ending
+    except (OSError, IndexError) as error:  # no predecessor, a stale file, or it is exiting
         if path.exists():
             log.info("no process to take over from: %r", error)
         conn.close()
--- a/cairndale/ingress/net/ops.py
+++ b/cairndale/ingress/net/ops.py
@@ -1,4 +1,4 @@
-"""The operators' side: a listener of its own for their calls, and what they have taken out."""
+"""The operators' port: status, metrics, reports, and the maintenance of backends."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from cairndale.ingress.net.engine import Engine
 from cairndale.ingress.net.http import HttpConnection, Message, encode_response
 
-MAX_CALLERS = 8  # at once: of more, the one that has waited longest without a whole call gives way
-CALL_TIMEOUT_S = 2.0  # s for a call to come whole
+MAX_CALLERS = 8  # beyond it, the oldest connection without a complete call is closed
+CALL_TIMEOUT_S = 2.0  # for a call to be received
 MAX_NAME_LENGTH = 256
-MAX_ITEMS_SHOWN = 200  # requests and tasks that a look inside tells of
+MAX_ITEMS_SHOWN = 200  # requests and tasks listed in a debug report
 CALL_METHODS = {
     "/status": b"GET",
     "/discovery": b"GET",
@@ -37,15 +37,15 @@
 
 
 class Maintenance:
-    """Backends that operators have taken out, by name; kept in a file, so that a new process knows
-    them."""
+    """Sets backends under maintenance, and saves their names in a file for the next process."""
 
     def __init__(self, engine: Engine, path: Path) -> None:
         self._engine, self._path, self._lock = engine, path, asyncio.Lock()
-        # told after each change made here
-        self.on_change: Callable[[str, bool], None] = lambda name, out: None
+        # Called after each change, with the backend's name and whether it is under maintenance.
+        self.on_change: Callable[[str, bool], None] = lambda name, in_maintenance: None
 
     def restore(self) -> None:
+        """Restore the maintenance set that an earlier process saved."""
         try:
             names = json.loads(self._path.read_bytes())
             if not (isinstance(names, list) and all(isinstance(n, str) for n in names)):
@@ -57,27 +57,31 @@
             return
         self._engine.restore_maintenance(names)
 
-    async def change(self, name: str, out: bool) -> None:
-        """Kept on file before it is acted on: once the operator hears yes, it outlives this
-        process."""
+    async def change(self, name: str, in_maintenance: bool) -> None:
+        """Start or end maintenance of a backend. Raises OSError if it could not be saved.
+
+        It is saved before it takes effect: a confirmed change survives this process.
+        """
         async with self._lock:
             names = (
                 self._engine.in_maintenance | {name}
-                if out
+                if in_maintenance
                 else self._engine.in_maintenance - {name}
             )
             await asyncio.to_thread(self._save, sorted(names))
-            self._engine.set_maintenance(name, out)
-        self.on_change(name, out)
-        log.info("maintenance: %s is %s", name, "out" if out else "back")
+            self._engine.set_maintenance(name, in_maintenance)
+        self.on_change(name, in_maintenance)
+        log.info("maintenance: %s is %s", name, "out" if in_maintenance else "back")
 
     def _save(self, names: list[str]) -> None:
-        made = self._path.with_suffix(f".{os.getpid()}")
-        made.write_text(json.dumps(names))
-        made.replace(self._path)
+        temporary_path = self._path.with_suffix(f".{os.getpid()}")
+        temporary_path.write_text(json.dumps(names))
+        temporary_path.replace(self._path)
 
 
 class Ops:
+    """Serves the operators' calls."""
+
     def __init__(
         self,
         engine: Engine,
@@ -97,38 +101,42 @@
             "/debug/tasks": _task_names,
         }
         self.metrics: Callable[[], bytes] | None = None
-        self.callers: dict[Caller, None] = {}  # the longest waiting first
+        self.callers: dict[Caller, None] = {}  # without a complete call, oldest first
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def listen(self, host: str, port: int) -> int:
+        """Listen on an address. Return the port."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Caller(self), host, port)
         bound: int = self._server.sockets[0].getsockname()[1]
         return bound
 
     def stop(self) -> None:
+        """Close the listener and the connections without a complete call."""
         if self._server:
             self._server.close()
         for caller in list(self.callers):
             caller.transport.abort()
 
     def caller_connected(self, caller: Caller) -> None:
+        """Add a connection; evict the oldest one if there are too many."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             next(iter(self.callers)).transport.abort()
 
     def handle_call(self, caller: Caller, message: Message) -> None:
+        """Respond to a call."""
         path, _, query = message.target.decode("latin-1").partition("?")
-        wanted = CALL_METHODS.get(path)
+        method = CALL_METHODS.get(path)
         names = parse_qs(query).get("who", [])
-        if wanted is None:
+        if method is None:
             caller.reject(404, "no such call")
-        elif message.method != wanted:
-            caller.reject(405, f"only {wanted.decode()} is known here")
+        elif message.method != method:
+            caller.reject(405, f"only {method.decode()} is known here")
         elif path == "/status":
-            yes = self._serving()
-            caller.respond(200 if yes else 503, "serving" if yes else "not serving")
+            serving = self._serving()
+            caller.respond(200 if serving else 503, "serving" if serving else "not serving")
         elif path == "/metrics":
             if self.metrics:
                 caller.respond(200, self.metrics().decode())
@@ -141,21 +149,21 @@
         elif not self._engine.is_known(names[0]):
             caller.reject(404, "no such profile server")
         else:
-            out = path == "/maintenance/enter"
+            in_maintenance = path == "/maintenance/enter"
             task = asyncio.get_running_loop().create_task(
-                self._change_maintenance(caller, names[0], out)
+                self._change_maintenance(caller, names[0], in_maintenance)
             )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _change_maintenance(self, caller: Caller, name: str, out: bool) -> None:
+    async def _change_maintenance(self, caller: Caller, name: str, in_maintenance: bool) -> None:
         try:
-            await self._maintenance.change(name, out)
+            await self._maintenance.change(name, in_maintenance)
         except OSError as error:
             log.warning("maintenance: %s stays as it was: %s", name, error)
             caller.reject(500, "could not be kept; nothing has changed")
             return
-        caller.respond(200, "out" if out else "back")
+        caller.respond(200, "out" if in_maintenance else "back")
 
 
 def _task_names() -> list[str]:
@@ -164,7 +172,7 @@
 
 
 class Caller(HttpConnection):
-    """One connection, one call, one answer."""
+    """One connection of an operator, for one call."""
 
     def __init__(self, ops: Ops) -> None:
         super().__init__(httptools.HttpRequestParser)
@@ -186,7 +194,7 @@
     def message_received(self, message: Message) -> None:
         if not self._answered:
             self._answered = True
-            # a whole call is owed its answer, and never gives way
+            # A complete call is always answered, so its connection is not evicted any more.
             self._ops.callers.pop(self, None)
             self._ops.handle_call(self, message)
 
@@ -196,9 +204,11 @@
             self.reject(status, "not understood")
 
     def reject(self, status: int, reason: str) -> None:
+        """Respond with an error, and close the connection."""
         self.respond(status, json.dumps({"error": reason}))
 
     def respond(self, status: int, text: str) -> None:
+        """Respond, and close the connection."""
         if not self.transport.is_closing():
             self.transport.write(encode_response(status, text.encode() + b"\n", close=True))
             self.transport.close()
