--- a/tests/ingress/net/test_answers.py
+++ b/tests/ingress/net/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers too many on a connection to a backend: none is ever taken for the next request's."""
+"""Surplus responses on a connection to a backend are never taken for the next request's."""
 
 from __future__ import annotations
 
@@ -30,18 +30,21 @@
 )
 
 
-class Spoken:
-    """Asks; what an answer calls goes on at once, as the module's next attempt does."""
+class ResponseCollector:
+    """Sends requests and collects the responses.
+
+    A callback may send the next request at once, as the policy's next attempt does.
+    """
 
     def __init__(self, fleet: SingleBackend) -> None:
         self.fleet, self.got = fleet, asyncio.Queue[bytes]()
 
     def ask(self, then: Callable[[], object] = lambda: None) -> None:
-        def ended(answer: AttemptResult) -> None:
+        def on_result(answer: AttemptResult) -> None:
             self.got.put_nowait(answer.body)
             then()
 
-        self.fleet.backends.send(1, REQUEST, ended)
+        self.fleet.backends.send(1, REQUEST, on_result)
 
     async def answer(self) -> bytes:
         async with asyncio.timeout(10):
@@ -49,48 +52,48 @@
 
 
 @pytest.mark.parametrize("surplus", [SURPLUS, b"HTTP/1.1 103 Early\r\n\r\n" + SURPLUS])
-async def test_an_answer_read_behind_another_is_never_the_next_requests(
+async def test_surplus_response_is_not_taken_for_the_next_requests(
     fleet: SingleBackend, surplus: bytes
 ) -> None:
-    """The next one is asked the moment the first is answered, by which time both have been read."""
-    spoken = Spoken(fleet)
+    """The next request is sent when the first is answered, after both responses have been read."""
+    collector = ResponseCollector(fleet)
     fleet.server.on_data = reply_with(OK + surplus)
 
-    def again() -> None:
+    def send_next() -> None:
         fleet.server.on_data = reply_with(OWN)
-        spoken.ask()
+        collector.ask()
 
-    spoken.ask(then=again)
-    assert [await spoken.answer(), await spoken.answer()] == [b"warm", b"own"]
+    collector.ask(then=send_next)
+    assert [await collector.answer(), await collector.answer()] == [b"warm", b"own"]
     assert len(fleet.server.peers) == 2
 
 
 @pytest.mark.parametrize("read", [True, False])
-async def test_who_waits_for_a_link_gets_none_that_has_said_more(
+async def test_waiting_attempt_gets_no_connection_with_surplus_data(
     fleet: SingleBackend, read: bool
 ) -> None:
-    """`read`: along with the answer before; else it is still in the socket."""
+    """`read`: the surplus was read with the previous response; else it is still in the socket."""
     fleet.server.on_data = lambda peer: None
-    spoken, held = Spoken(fleet), fleet.backends._pools[1]
-    spoken.ask()
+    collector, pool = ResponseCollector(fleet), fleet.backends._pools[1]
+    collector.ask()
     await fleet.server.wait_until(
         lambda: bool(fleet.server.peers) and b"\r\n\r\n" in fleet.server.peers[0].data
     )
-    (link,), (peer,) = held.busy, fleet.server.peers
-    spoken.ask()
-    assert len(held.pool.waiters) == 1
+    (connection,), (peer,) = pool.busy, fleet.server.peers
+    collector.ask()
+    assert len(pool.pool.waiters) == 1
     fleet.server.on_data = reply_with(OWN)
     if not read:
         os.write(peer.transport.get_extra_info("socket").fileno(), SURPLUS)
-    link.data_received(OK + SURPLUS * read)
-    assert [await spoken.answer(), await spoken.answer()] == [b"warm", b"own"]
+    connection.data_received(OK + SURPLUS * read)
+    assert [await collector.answer(), await collector.answer()] == [b"warm", b"own"]
 
 
-async def test_what_comes_on_an_idle_link_ends_it_though_it_is_only_a_part(
+async def test_partial_data_on_an_idle_connection_closes_it(
     fleet: SingleBackend,
 ) -> None:
-    """It is no longer in the socket then, where a look would find it, but in the parser."""
-    fleet.backends.update_limits(600_000_000, 250_000)  # nothing else ends it
+    """The data is in the parser then, not in the socket, where a peek would find it."""
+    fleet.backends.update_limits(600_000_000, 250_000)  # no idle timeout
     assert await fleet.outcome() is Outcome.OK
     fleet.server.peers[0].transport.write(SURPLUS[:20])
     await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
@@ -98,7 +101,7 @@
     assert await fleet.outcome() is Outcome.OK and len(fleet.server.peers) == 2
 
 
-# The same for the system's data plane, whose servers' answers carry the request's id.
+# The same for the data plane, whose servers' responses carry the request's id.
 
 
 def sealed(status: bytes, id: bytes, body: bytes, more: bytes = b"") -> bytes:
@@ -107,12 +110,12 @@
 
 
 async def attempt(fleet: SingleBackend, id: bytes) -> tuple[Outcome, bytes]:
-    """An attempt as the system's data plane makes it: the answer, whole or in parts."""
+    """Make an attempt as the data plane does; return its outcome and the body, streamed or not."""
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     parts: list[bytes] = []
     data = b"GET /a HTTP/1.1\r\nX-Request-Id: %b\r\n\r\n" % id
-    flow = AttemptContext(None, lambda answer: True, parts.append, request_id=id)
-    fleet.backends.send(1, data, done.set_result, flow)
+    context = AttemptContext(None, lambda answer: True, parts.append, request_id=id)
+    fleet.backends.send(1, data, done.set_result, context)
     async with asyncio.timeout(10):
         answer = await done
     return answer.outcome, answer.body or b"".join(parts)
@@ -129,31 +132,34 @@
 
 
 @pytest.mark.parametrize("id", [b"X-Request-Id: first\r\n", b""])
-async def test_a_refusal_read_behind_an_answer_is_not_the_next_requests(
+async def test_surplus_rejection_is_not_taken_for_the_next_requests(
     relaying: SingleBackend, id: bytes
 ) -> None:
-    """It would say that the next one never ran, whose one attempt is on its way to run."""
+    """It would state that the next request has not run, while its only attempt is about to run."""
     refusal = b"HTTP/1.1 503 Full\r\n%bX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n" % id
     relaying.server.on_data = reply_with(sealed(b"200 OK", b"first", b"1") + refusal)
     second: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
 
-    def again(answer: AttemptResult) -> None:
+    def send_next(answer: AttemptResult) -> None:
         relaying.server.on_data = reply_with(sealed(b"200 OK", b"second", b"2"))
         relaying.backends.send(
             1, b"GET /a HTTP/1.1\r\nX-Request-Id: second\r\n\r\n", second.set_result
         )
 
-    relaying.backends.send(1, b"GET /a HTTP/1.1\r\nX-Request-Id: first\r\n\r\n", again)
+    relaying.backends.send(1, b"GET /a HTTP/1.1\r\nX-Request-Id: first\r\n\r\n", send_next)
     async with asyncio.timeout(10):
         assert ((await second).outcome, second.result().body) == (Outcome.OK, b"2")
     assert len(relaying.server.peers) == 2
 
 
-async def test_a_late_second_refusal_does_not_count_for_the_same_requests_next_attempt(
+async def test_duplicate_rejection_does_not_count_for_the_next_attempt(
     relaying: SingleBackend,
 ) -> None:
-    """Its id is right. Taken for this attempt's it says that it never ran: a third one would run it
-    again."""
+    """It carries the same id.
+
+    If it were taken for the response to the second attempt, a third attempt would run the request
+    again.
+    """
     full, served = (
         sealed(b"503 Full", b"same", b"", b"X-Not-Run: 1\r\n"),
         sealed(b"200 OK", b"same", b"ran"),
@@ -162,10 +168,10 @@
     assert await attempt(relaying, b"same") == (Outcome.FULL, b"")
     (old,) = relaying.server.peers
 
-    def heard(peer: Peer) -> None:
+    def on_data(peer: Peer) -> None:
         reply_with(full if peer is old else served)(peer)
 
-    relaying.server.on_data = heard
+    relaying.server.on_data = on_data
     assert await attempt(relaying, b"same") == (Outcome.OK, b"ran")
     relaying.server.on_data = reply_with(sealed(b"200 OK", b"other", b"ran"))
     assert await attempt(relaying, b"other") == (Outcome.OK, b"ran")
@@ -173,7 +179,7 @@
 
 
 @pytest.mark.parametrize("size", [9, MAX_BUFFERED_BODY_BYTES + 1])
-async def test_another_requests_answer_passes_by_however_large(
+async def test_response_of_another_request_is_ignored_however_large(
     relaying: SingleBackend, size: int
 ) -> None:
     own = sealed(b"200 OK", b"new", b"own")
--- a/tests/ingress/net/test_backends.py
+++ b/tests/ingress/net/test_backends.py
@@ -1,4 +1,4 @@
-"""Attempts over loopback sockets: PROTOCOL's outcomes, the pool, drains."""
+"""Attempts over loopback sockets: outcomes, connection pools, draining."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 70000000\r\n\r\n", Outcome.RESET),
     ],
 )
-async def test_outcomes_of_answers(fleet: SingleBackend, reply: bytes, outcome: Outcome) -> None:
+async def test_outcomes_of_responses(fleet: SingleBackend, reply: bytes, outcome: Outcome) -> None:
     fleet.server.on_data = reply_with(reply)
     assert await fleet.outcome() is outcome
 
@@ -57,37 +57,37 @@
         (b"HTTP/1.1 200 OK\r\n\r\nall there is", Outcome.OK),
     ],
 )
-async def test_outcomes_of_a_connection_that_ends(
+async def test_outcomes_of_a_connection_that_the_backend_closes(
     fleet: SingleBackend, reply: bytes, outcome: Outcome
 ) -> None:
-    def heard(peer: object) -> None:
+    def on_data(peer: object) -> None:
         fleet.server.peers[0].transport.write(reply)
         fleet.server.peers[0].transport.close()
 
-    fleet.server.on_data = heard
+    fleet.server.on_data = on_data
     assert await fleet.outcome() is outcome
 
 
-async def test_a_connection_that_came_up_while_this_process_stood_still_counts(
+async def test_connection_established_while_this_process_was_suspended_counts(
     fleet: SingleBackend,
 ) -> None:
-    """Its time is over by the time anybody looks, which says nothing of the backend."""
+    """The timeout has expired when it is noticed, which is not the backend's fault."""
     fleet.backends.update_limits(10_000_000, 0)
     assert await fleet.outcome() is Outcome.OK
-    # one that does not come up is given up as ever
+    # A connection that is not established still times out.
     with socket.create_server((HOST, 0), backlog=0) as full:
         port = full.getsockname()[1]
-        held = [socket.socket() for _ in range(4)]
-        for sock in held:
+        fillers = [socket.socket() for _ in range(4)]
+        for sock in fillers:
             sock.setblocking(False)
             sock.connect_ex((HOST, port))
         fleet.update_list(port=port)
         assert await fleet.outcome() is Outcome.CONNECT_FAILED
-        for sock in held:
+        for sock in fillers:
             sock.close()
 
 
-async def test_an_address_may_be_a_name(fleet: SingleBackend) -> None:
+async def test_address_may_be_a_host_name(fleet: SingleBackend) -> None:
     fleet.backends.update_endpoint(
         EndpointEntry({"name": "s-2", "address": f"localhost:{fleet.server.port}", "status": "up"}),
         2,
@@ -98,7 +98,7 @@
         assert (await done).outcome is Outcome.OK
 
 
-async def test_a_refused_connection_never_ran(fleet: SingleBackend) -> None:
+async def test_refused_connection_means_not_run(fleet: SingleBackend) -> None:
     with socket.create_server((HOST, 0)) as closing:
         port = closing.getsockname()[1]
     fleet.update_list(port=port)
@@ -106,8 +106,8 @@
     assert fleet.sockets.open_count == 0
 
 
-async def test_a_connection_that_never_comes_up_never_ran(fleet: SingleBackend) -> None:
-    with socket.socket() as full:  # a line of one, filled: further connections hang
+async def test_connect_timeout_means_not_run(fleet: SingleBackend) -> None:
+    with socket.socket() as full:  # a full backlog: further connections hang
         full.bind((HOST, 0))
         full.listen(0)
         fillers = [socket.socket() for _ in range(4)]
@@ -121,7 +121,7 @@
     assert fleet.sockets.open_count == 0
 
 
-async def test_out_of_descriptors_never_ran(
+async def test_lack_of_descriptors_means_not_run(
     fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def none_left(*_: object) -> None:
@@ -132,24 +132,24 @@
     assert fleet.sockets.open_count == 0
 
 
-async def test_connections_are_kept_and_carry_one_request_each(fleet: SingleBackend) -> None:
+async def test_connections_are_reused_for_one_request_at_a_time(fleet: SingleBackend) -> None:
     assert [await fleet.outcome() for _ in range(3)] == [Outcome.OK] * 3
     assert len(fleet.server.peers) == 1
     both = fleet.send(), fleet.send()
     assert [(await b).outcome for b in both] == [Outcome.OK] * 2
-    # a dial that was not needed is kept
+    # The connection of a dial that was not needed is kept.
     await fleet.server.wait_until(lambda: len(fleet.server.peers) == 2)
     assert fleet.sockets.open_count == 2
 
 
-async def test_no_request_goes_out_on_a_connection_that_the_backend_has_ended(
+async def test_no_request_is_sent_on_a_connection_that_the_backend_has_closed(
     fleet: SingleBackend,
 ) -> None:
-    """The end may be in the socket before the loop has read it: a look at the socket tells."""
+    """The socket shows the close before the loop has read it."""
     assert await fleet.outcome() is Outcome.OK
-    (link,) = fleet.backends._pools[1].idle
+    (connection,) = fleet.backends._pools[1].idle
     fleet.server.peers[0].transport.close()
-    while link.is_usable():  # without going back to the loop's own reading of it
+    while connection.is_usable():  # before the loop reads the close
         fleet.server.peers[0].transport.get_extra_info("socket")
         await asyncio.sleep(0)
     assert await fleet.outcome() is Outcome.OK
@@ -168,27 +168,27 @@
     server.stop()
 
 
-async def test_giving_up_ends_the_connection_before_anything_else_is_sent(
+async def test_abort_shuts_the_connection_down_at_once(
     fleet: SingleBackend,
 ) -> None:
     seen: list[int] = []
     fleet.server.on_data = lambda peer: seen.append(len(fleet.server.peers))
     fleet.send()
     await fleet.server.wait_until(lambda: len(seen) == 1)
-    (link,) = fleet.backends._pools[1].busy
+    (connection,) = fleet.backends._pools[1].busy
     assert fleet.exchange.abort() is True
-    with pytest.raises(BrokenPipeError):  # our sending has ended, in the very same step
-        link.sock.send(b"x")
+    with pytest.raises(BrokenPipeError):  # shut down by `abort` itself
+        connection.sock.send(b"x")
     await fleet.server.wait_until(lambda: len(fleet.server.closed) == 1)
     assert fleet.sockets.open_count == 0
 
 
-async def test_an_attempt_given_up_while_connecting_never_ran(fleet: SingleBackend) -> None:
+async def test_attempt_aborted_while_connecting_has_not_run(fleet: SingleBackend) -> None:
     fleet.send()
     assert fleet.exchange.abort() is False
 
 
-async def test_a_drain_withdraws_what_is_not_written_and_closes_what_is_idle(
+async def test_drain_withdraws_unwritten_attempts_and_closes_idle_connections(
     fleet: SingleBackend,
 ) -> None:
     assert await fleet.outcome() is Outcome.OK
@@ -201,12 +201,12 @@
     assert (await fleet.send()).outcome is Outcome.CONNECT_FAILED
     for peer in fleet.server.peers:
         peer.transport.write(OK)
-    assert (await written).outcome is Outcome.OK  # a drain finishes what it has
+    assert (await written).outcome is Outcome.OK  # a drain lets written requests finish
     assert (await unwritten).outcome in (Outcome.OK, Outcome.CONNECT_FAILED)
     await fleet.server.wait_until(lambda: len(fleet.server.closed) == len(fleet.server.peers))
 
 
-async def test_a_name_may_move_to_another_address(fleet: SingleBackend) -> None:
+async def test_backend_may_move_to_another_address(fleet: SingleBackend) -> None:
     assert await fleet.outcome() is Outcome.OK
     other = await PeerServer(reply_with(OK)).start()
     fleet.update_list(port=other.port)
@@ -216,7 +216,7 @@
     other.stop()
 
 
-async def test_probes_are_answered_or_given_up(fleet: SingleBackend) -> None:
+async def test_probes_are_answered_or_time_out(fleet: SingleBackend) -> None:
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
     fleet.backends.probe(1, done.set_result)
     assert (await done).outcome is Outcome.OK
@@ -226,10 +226,10 @@
     assert (await silent).outcome is Outcome.TIMEOUT
 
 
-async def test_a_connection_with_something_nobody_asked_for_is_not_used_again(
+async def test_connection_with_unexpected_data_is_not_reused(
     fleet: SingleBackend,
 ) -> None:
-    """The start of a second answer behind the first would have garbled the next request's."""
+    """The start of a second response would corrupt the response to the next request."""
     fleet.server.on_data = reply_with(OK + b"HTTP/1.1 2")
     assert await fleet.outcome() is Outcome.OK
     fleet.server.on_data = reply_with(OK)
@@ -237,10 +237,10 @@
     assert len(fleet.server.peers) == 2
 
 
-# The pool's mechanisms on sockets; the decisions alone are in test_net_pool.py.
+# The pool's mechanisms on sockets; its decisions alone are tested in test_pool.py.
 
 
-async def test_an_attempt_gets_whichever_comes_first_and_its_dial_is_kept(
+async def test_attempt_gets_the_first_free_connection_and_its_dial_is_kept(
     fleet: SingleBackend,
 ) -> None:
     fleet.server.on_data = lambda peer: None
@@ -249,7 +249,7 @@
         lambda: bool(fleet.server.peers) and b"\r\n\r\n" in fleet.server.peers[0].data
     )
     second = fleet.send()
-    assert fleet.exchange.abort() is False  # its dial goes on without it
+    assert fleet.exchange.abort() is False  # its dial continues
     await fleet.server.wait_until(lambda: len(fleet.server.peers) == 2)
     fleet.server.on_data = reply_with(OK)
     assert await fleet.outcome() is Outcome.OK
@@ -258,19 +258,19 @@
     assert (await first).outcome is Outcome.OK
 
 
-async def test_one_reset_under_a_request_closes_the_other_idle_links_too(
+async def test_reset_under_a_request_closes_idle_connections(
     fleet: SingleBackend,
 ) -> None:
-    """A backend that went away without a word would have failed one request for each of them."""
+    """Otherwise a backend that vanished would fail one request for each idle connection."""
     fleet.server.on_data = lambda peer: None
-    some = [fleet.send() for _ in range(3)]
+    requests = [fleet.send() for _ in range(3)]
     await fleet.server.wait_until(
         lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 3
     )
     for peer in fleet.server.peers:
         peer.data = b""
         peer.transport.write(OK)
-    assert [(await s).outcome for s in some] == [Outcome.OK] * 3
+    assert [(await s).outcome for s in requests] == [Outcome.OK] * 3
     fleet.server.on_data = lambda peer: peer.transport.abort()
     assert await fleet.outcome() is Outcome.RESET
     (pool,) = (s.pool for s in fleet.backends._pools.values())
@@ -279,7 +279,7 @@
     assert await fleet.outcome() is Outcome.OK
 
 
-async def test_after_standing_still_no_idle_link_is_trusted(
+async def test_idle_connections_are_closed_after_a_suspension(
     fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     assert await fleet.outcome() is Outcome.OK
@@ -292,11 +292,11 @@
     assert await fleet.outcome() is Outcome.OK and len(fleet.server.peers) == 2
 
 
-async def test_clients_that_hold_all_descriptors_leave_backends_their_part(
+async def test_descriptors_are_reserved_for_backends(
     fleet: SingleBackend,
 ) -> None:
     sockets = fleet.sockets
-    sockets.open_count = sockets.capacity  # clients, none of them idle
+    sockets.open_count = sockets.capacity  # all used by clients, none idle
     assert not sockets.has_room() and sockets.has_room_for_upstream()
     assert await fleet.outcome() is Outcome.OK
     fleet.backends.close_idle(1)
@@ -305,28 +305,28 @@
     sockets.open_count = sockets.upstream_count = sockets.max_upstreams
     assert (
         sockets.has_room() and not sockets.has_room_for_upstream()
-    )  # nor do backends take the clients'
+    )  # the clients' share is reserved, too
 
 
-async def test_what_waits_for_a_full_pool_ends_unsent_in_its_own_time_and_says_nothing_of_the_backend(  # noqa: E501
+async def test_attempt_that_waits_too_long_for_a_full_pool_is_moot(
     fleet: SingleBackend,
 ) -> None:
     fleet.server.on_data = lambda peer: None
-    held = [fleet.send() for _ in range(2)]
+    busy = [fleet.send() for _ in range(2)]
     await fleet.server.wait_until(
         lambda: sum(b"\r\n\r\n" in p.data for p in fleet.server.peers) == 2
     )
     (pool,) = (s.pool for s in fleet.backends._pools.values())
     pool.descriptor_bound = 2.0
-    flow = AttemptContext(None, lambda answer: True, lambda data: None, timeout_s=0.08)
+    context = AttemptContext(None, lambda answer: True, lambda data: None, timeout_s=0.08)
     done: asyncio.Future[AttemptResult] = asyncio.get_running_loop().create_future()
-    fleet.backends.send(1, REQUEST, done.set_result, flow)
+    fleet.backends.send(1, REQUEST, done.set_result, context)
     async with asyncio.timeout(10):
         assert (await done).outcome is Outcome.MOOT
-    assert len(fleet.server.peers) == 2 and not any(h.done() for h in held)
+    assert len(fleet.server.peers) == 2 and not any(h.done() for h in busy)
 
 
-async def test_a_dial_that_comes_up_as_its_time_ends_is_counted_once(
+async def test_connection_established_as_its_dial_times_out_is_counted_once(
     fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     loop = asyncio.get_running_loop()
@@ -338,7 +338,7 @@
 
     monkeypatch.setattr(BackendPool, "now", staticmethod(loop.time))
     monkeypatch.setattr(
-        "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: Late(loop, late)
+        "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: LoopWith(loop, late)
     )
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
     monkeypatch.undo()
@@ -346,28 +346,28 @@
     assert (fleet.sockets.open_count, fleet.sockets.upstream_count) == (0, 0)
 
 
-async def test_a_link_that_ended_as_it_came_up_is_handed_to_nobody(
+async def test_connection_closed_as_it_is_established_is_not_assigned(
     fleet: SingleBackend, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It would be busy for good. It may be read from before its dial is told that it is up."""
+    """It would stay busy forever. Data may be read from it before its dial has ended."""
     loop = asyncio.get_running_loop()
     made = loop.create_connection
 
     async def ended(*args: Any, **more: Any) -> Any:
-        transport, link = await made(*args, **more)
-        link.data_received(b"HTTP/1.1 408 Late\r\n\r\n")
-        return transport, link
+        transport, connection = await made(*args, **more)
+        connection.data_received(b"HTTP/1.1 408 Late\r\n\r\n")
+        return transport, connection
 
     monkeypatch.setattr(BackendPool, "now", staticmethod(loop.time))
     monkeypatch.setattr(
-        "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: Late(loop, ended)
+        "cairndale.ingress.net.backends.asyncio.get_running_loop", lambda: LoopWith(loop, ended)
     )
     assert await fleet.outcome() is Outcome.CONNECT_FAILED
     assert (fleet.backends._pools[1].pool.open(), fleet.sockets.open_count) == (0, 0)
 
 
-class Late:
-    """The loop, but for one call."""
+class LoopWith:
+    """The event loop with another `create_connection`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, late: Any) -> None:
         self._loop, self.create_connection = loop, late
--- a/tests/ingress/net/test_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -1,4 +1,4 @@
-"""Large and slow bodies over loopback sockets, both ways: parts, framing, back-pressure, ends."""
+"""Large and slow bodies over loopback sockets, both ways: streaming, framing, flow control."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from cairndale.ingress.net.bodies import MAX_BUFFER_BYTES, MIN_BUFFER_BYTES, BodyMemory, Upload
 from cairndale.ingress.policy import interface as it
-from tests.ingress.net.test_clients import listing, look_later
+from tests.ingress.net.test_clients import listing, sweep_later
 from tests.testing.ingress import (
     HOST,
     OK,
@@ -45,18 +45,18 @@
     ingress.stop()
 
 
-async def asked(
+async def send_request(
     ingress: Ingress, backend: PeerServer, data: bytes
 ) -> tuple[asyncio.StreamReader, Peer]:
     reader, writer = await asyncio.open_connection(HOST, ingress.port, limit=1 << 24)
-    ingress.held = writer  # type: ignore[attr-defined]
+    ingress.writer = writer  # type: ignore[attr-defined]
     writer.write(data)
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     return reader, backend.peers[0]
 
 
 async def body_of(reader: asyncio.StreamReader) -> bytes:
-    """The body that follows, whichever way it is framed."""
+    """Read a response, and return its body, whichever way it is framed."""
     async with asyncio.timeout(20):
         head = (await reader.readuntil(b"\r\n\r\n")).lower()
         assert head.startswith(b"http/1.1 200 ")
@@ -71,10 +71,8 @@
         return body
 
 
-async def test_a_large_answer_goes_on_before_it_is_whole(
-    ingress: Ingress, backend: PeerServer
-) -> None:
-    reader, peer = await asked(ingress, backend, request())
+async def test_large_response_is_streamed(ingress: Ingress, backend: PeerServer) -> None:
+    reader, peer = await send_request(ingress, backend, request())
     peer.transport.write(HEAD % len(LARGE) + LARGE[:1000])
     async with asyncio.timeout(10):
         head = await reader.readuntil(b"\r\n\r\n")
@@ -86,19 +84,19 @@
     (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.OK and ended.final and ingress.engine.open_count == 0
     backend.on_data = reply_with(OK)
-    ingress.held.write(request("next"))  # type: ignore[attr-defined]
-    # both stay in use
+    ingress.writer.write(request("next"))  # type: ignore[attr-defined]
+    # Both connections are reused.
     assert (await read_answer(reader)).endswith(b"warm") and len(backend.peers) == 1
 
 
 @pytest.mark.parametrize("cut", [1, 7, 100_000])
-async def test_chunks_with_trailers_cut_anywhere(
+async def test_chunks_with_trailers_split_anywhere(
     ingress: Ingress, backend: PeerServer, cut: int
 ) -> None:
     body = LARGE[: 300 if cut < 100 else 200_000]
-    pieces = [body[n : n + 90] for n in range(0, len(body), 90)]
-    parts = b"".join(b"%x;a=b\r\n%b\r\n" % (len(piece), piece) for piece in pieces)
-    reader, peer = await asked(ingress, backend, request())
+    chunks = [body[n : n + 90] for n in range(0, len(body), 90)]
+    parts = b"".join(b"%x;a=b\r\n%b\r\n" % (len(piece), piece) for piece in chunks)
+    reader, peer = await send_request(ingress, backend, request())
     data = (
         b"HTTP/1.1 103 Early Hints\r\n\r\n" + CHUNKED + parts + b"0\r\nDigest: none\r\nX: y\r\n\r\n"
     )
@@ -111,19 +109,19 @@
 
 
 @pytest.mark.parametrize("size", [100, len(LARGE)])
-async def test_an_answer_that_ends_with_its_connection(
+async def test_response_that_ends_with_its_connection(
     ingress: Ingress, backend: PeerServer, size: int
 ) -> None:
-    reader, peer = await asked(ingress, backend, request())
+    reader, peer = await send_request(ingress, backend, request())
     peer.transport.write(b"HTTP/1.1 200 OK\r\n\r\n" + LARGE[:size])
     peer.transport.close()
     assert await body_of(reader) == LARGE[:size]
 
 
-async def test_a_slow_answer_of_unknown_length_is_not_held(
+async def test_slow_response_of_unknown_length_is_not_buffered(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    reader, peer = await asked(ingress, backend, request())
+    reader, peer = await send_request(ingress, backend, request())
     peer.transport.write(CHUNKED + b"3\r\nabc\r\n")
     async with asyncio.timeout(10):
         assert (await reader.readuntil(b"abc\r\n")).endswith(b"\r\n\r\n3\r\nabc\r\n")
@@ -131,18 +129,18 @@
     assert await reader.readexactly(5) == b"0\r\n\r\n"
 
 
-async def test_an_old_client_gets_a_body_that_ends_with_the_connection(
+async def test_http_1_0_client_gets_a_body_that_ends_with_the_connection(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    reader, peer = await asked(ingress, backend, request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    reader, peer = await send_request(ingress, backend, request().replace(b"HTTP/1.1", b"HTTP/1.0"))
     peer.transport.write(CHUNKED + b"100000\r\n" + LARGE + b"\r\n0\r\n\r\n")
     assert await body_of(reader) == LARGE
 
 
-async def test_an_old_client_is_told_by_a_reset_that_a_body_without_a_length_is_not_whole(
+async def test_incomplete_body_without_length_resets_an_http_1_0_client(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    reader, peer = await asked(ingress, backend, request().replace(b"HTTP/1.1", b"HTTP/1.0"))
+    reader, peer = await send_request(ingress, backend, request().replace(b"HTTP/1.1", b"HTTP/1.0"))
     peer.transport.write(CHUNKED + b"100000\r\n" + LARGE[:100_000])
     async with asyncio.timeout(10):
         await reader.readuntil(b"\r\n\r\n")
@@ -152,7 +150,7 @@
 
 
 @pytest.mark.parametrize("head", [HEAD % len(LARGE), CHUNKED + b"100000\r\n"])
-async def test_a_broken_answer_can_be_told_and_nothing_else_is_tried(
+async def test_aborted_response_is_visible_to_the_client_and_not_retried(
     ingress: Ingress, backend: PeerServer, head: bytes
 ) -> None:
     def rule(event: it.Event) -> list[it.Action]:
@@ -160,7 +158,7 @@
         return [it.SendAttempt(1, 1, 0)] if ended or isinstance(event, it.RequestArrived) else []
 
     ingress.script.rule = rule
-    reader, peer = await asked(ingress, backend, request())
+    reader, peer = await send_request(ingress, backend, request())
     peer.transport.write(head + LARGE[:100_000])
     async with asyncio.timeout(10):
         await reader.readuntil(b"\r\n\r\n")
@@ -172,7 +170,7 @@
     assert ingress.engine.open_count == 0 and ingress.listener.memory.active_bodies == 0
 
 
-async def test_a_client_that_does_not_read_holds_its_backend_up_and_little_memory(
+async def test_client_that_does_not_read_pauses_its_backend(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     body = LARGE * 16
@@ -180,7 +178,7 @@
     writer.write(request())
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(HEAD % len(body) + body)
-    while not (links := ingress.backends._pools[1].busy) or next(iter(links)).last_part_at < 1e18:
+    while not (busy := ingress.backends._pools[1].busy) or next(iter(busy)).last_part_at < 1e18:
         await asyncio.sleep(0.001)  # until the backend's connection is paused
     (connection,) = ingress.listener.connections
     assert connection.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
@@ -188,13 +186,13 @@
     writer.close()
 
 
-async def test_a_client_that_leaves_midway_ends_the_attempt(
+async def test_client_disconnect_within_a_response_cancels_the_attempt(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    reader, peer = await asked(ingress, backend, request())
+    reader, peer = await send_request(ingress, backend, request())
     peer.transport.write(HEAD % len(LARGE) + LARGE[:1000])
     await reader.readuntil(b"\r\n\r\n")
-    ingress.held.transport.abort()  # type: ignore[attr-defined]
+    ingress.writer.transport.abort()  # type: ignore[attr-defined]
     (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.CANCELLED and ended.final
     await backend.wait_until(lambda: len(backend.closed) == 1)
@@ -206,32 +204,32 @@
     return made.replace(b"Content-Length: 0\r\n", b"")
 
 
-async def test_a_large_request_goes_on_as_it_comes_and_its_time_counts_from_its_end(
+async def test_large_request_is_streamed_and_its_deadline_counts_from_its_end(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    _, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:500_000])
+    _, peer = await send_request(ingress, backend, upload(len(LARGE)) + LARGE[:500_000])
     await backend.wait_until(lambda: len(peer.data) > 400_000)
     assert ingress.script.of_kind(it.RequestArrived)[
         0
     ].body_streaming and not ingress.script.of_kind(it.BodyCompleted)
-    ingress.held.write(LARGE[500_000:])  # type: ignore[attr-defined]
+    ingress.writer.write(LARGE[500_000:])  # type: ignore[attr-defined]
     await backend.wait_until(lambda: peer.data.endswith(LARGE))
     head = peer.data[: -len(LARGE)]
     assert b"Content-Length: 1048576\r\n" in head and head.endswith(b"\r\n\r\n")
-    (came,) = ingress.script.of_kind(it.BodyCompleted)
-    assert came.time_left == 3_000_000
+    (completed,) = ingress.script.of_kind(it.BodyCompleted)
+    assert completed.time_left == 3_000_000
     peer.transport.write(OK)
     (ended,) = await ingress.script.wait_for(it.AttemptEnded)
     assert ended.outcome is it.Outcome.OK and ended.body_consumed
 
 
-async def test_a_request_of_unknown_length_goes_on_chunked(
+async def test_request_of_unknown_length_is_forwarded_chunked(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     sent = (
         upload(0, content_length="-", Transfer_Encoding="chunked") + b"100000\r\n" + LARGE + b"\r\n"
     )
-    reader, peer = await asked(ingress, backend, sent + b"0\r\nX: trailer\r\n\r\n")
+    reader, peer = await send_request(ingress, backend, sent + b"0\r\nX: trailer\r\n\r\n")
     await backend.wait_until(lambda: peer.data.endswith(b"\r\n0\r\n\r\n"))
     head, _, rest = peer.data.partition(b"\r\n\r\n")
     assert b"Transfer-Encoding: chunked" in head and b"Content-Length" not in head
@@ -244,17 +242,17 @@
     assert (await read_answer(reader)).endswith(b"warm")
 
 
-async def test_a_backend_that_takes_none_holds_the_client_up(
+async def test_backend_that_does_not_read_pauses_the_client(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     backend.on_data = lambda peer: peer.transport.pause_reading()
-    reader, peer = await asked(ingress, backend, upload(16 * len(LARGE)) + LARGE * 16)
+    reader, peer = await send_request(ingress, backend, upload(16 * len(LARGE)) + LARGE * 16)
     (connection,) = ingress.listener.connections
     while not connection._pause_reasons:
         await asyncio.sleep(0.001)
-    (link,) = ingress.backends._pools[1].busy
-    assert link.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
-    look_later(ingress, 60)  # its time does not count while it is held up
+    (upstream,) = ingress.backends._pools[1].busy
+    assert upstream.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
+    sweep_later(ingress, 60)  # the timeout does not count while reading is paused
     assert not connection.transport.is_closing()
     backend.on_data = lambda peer: None
     peer.transport.resume_reading()
@@ -263,7 +261,7 @@
     assert (await read_answer(reader)).endswith(b"warm")
 
 
-async def test_a_refusal_is_heard_before_the_body_is_through(ingress: Ingress) -> None:
+async def test_rejection_is_sent_before_the_body_is_complete(ingress: Ingress) -> None:
     ingress.script.rule = lambda e: (
         [it.Refuse(e.request)] if isinstance(e, it.RequestArrived) else []
     )
@@ -276,18 +274,18 @@
     writer.close()
 
 
-async def test_a_body_that_was_begun_goes_to_no_other_attempt(
+async def test_consumed_body_is_not_sent_by_another_attempt(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     def rule(event: it.Event) -> list[it.Action]:
         if isinstance(event, it.AttemptEnded) and not event.final:
-            # its end was never written
+            # The last byte was never written.
             assert event.body_consumed and event.outcome is it.Outcome.CONNECT_FAILED
             return [it.SendAttempt(event.request, 1, 0), it.Fail(event.request)]
         return send_first(event)
 
     ingress.script.rule = rule
-    reader, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:200_000])
+    reader, peer = await send_request(ingress, backend, upload(len(LARGE)) + LARGE[:200_000])
     await backend.wait_until(lambda: len(peer.data) > 100_000)
     peer.transport.abort()
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 502 ")
@@ -296,7 +294,7 @@
 
 
 @pytest.mark.parametrize("size", [5, 100_000])
-async def test_a_client_that_waits_to_go_ahead_may(
+async def test_client_that_expects_continue_receives_it(
     ingress: Ingress, backend: PeerServer, size: int
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -326,26 +324,26 @@
         "Transfer-Encoding: chunked, chunked",
     ],
 )
-async def test_contradictory_framing_is_refused(ingress: Ingress, fields: str) -> None:
+async def test_contradictory_framing_is_rejected(ingress: Ingress, fields: str) -> None:
     data = request(cls="order").replace(b"Content-Length: 0", fields.encode())
     answer = await ingress.ask(data + b"5\r\nhello\r\n0\r\n\r\n")
     assert answer.startswith(b"HTTP/1.1 400 ") and b"Connection: close" in answer
     assert not ingress.script.of_kind(it.RequestArrived)
 
 
-async def test_a_slow_body_is_awaited_and_one_that_stops_is_not(
+async def test_slow_body_is_awaited_but_a_stalled_one_times_out(
     ingress: Ingress, backend: PeerServer
 ) -> None:
-    reader, peer = await asked(ingress, backend, upload(len(LARGE)) + LARGE[:320_000])
+    reader, peer = await send_request(ingress, backend, upload(len(LARGE)) + LARGE[:320_000])
     await backend.wait_until(lambda: len(peer.data) > 320_000)
-    look_later(ingress, 7)  # 320 kB at 64 kB/s take 5 s
+    sweep_later(ingress, 7)  # 320 kB at 64 kB/s take 5 s
     assert len(ingress.listener.connections) == 1 and not ingress.script.of_kind(it.ClientGone)
-    look_later(ingress, 7)
+    sweep_later(ingress, 7)
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
     await ingress.script.wait_for(it.ClientGone)
 
 
-def test_the_more_bodies_there_are_the_less_each_may_hold() -> None:
+def test_buffer_limit_shrinks_with_the_number_of_bodies() -> None:
     memory, holds = BodyMemory(64), list[bool]()
     assert memory.buffer_limit() == MAX_BUFFER_BYTES
     memory.active_bodies = 10**6
@@ -357,7 +355,7 @@
     assert holds == [True, False]
 
 
-async def test_a_client_that_takes_no_answers_is_asked_for_no_more_and_then_ended(
+async def test_client_that_reads_no_responses_is_paused_and_disconnected(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     body = LARGE[:60_000]
@@ -374,7 +372,7 @@
         connection.transport.get_write_buffer_size() < 4 * MAX_BUFFER_BYTES
         and connection._pending_requests
     )
-    for _ in range(2):  # the first look finds what is left, the second that it is as much
-        look_later(ingress, 10)
+    for _ in range(2):  # the first sweep notes the buffered size, the second finds it unchanged
+        sweep_later(ingress, 10)
     assert connection.transport.is_closing()
     writer.close()
--- a/tests/ingress/net/test_clients.py
+++ b/tests/ingress/net/test_clients.py
@@ -1,4 +1,4 @@
-"""The clients' side over loopback sockets: answers, bad input, a stop."""
+"""Client connections over loopback sockets: responses, invalid input, draining, eviction."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     return EndpointUpdate({"index": index, "snapshot": whole, "endpoints": [entry]})
 
 
-async def test_a_request_is_served_and_told_to_the_module(
+async def test_request_is_served_and_reported_to_the_policy(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     backend.on_data = lambda peer: None
@@ -95,7 +95,7 @@
         (request().replace(b"GET", b"HEAD"), b"405", False),
     ],
 )
-async def test_bad_input_gets_a_plain_4xx_and_harms_nobody(
+async def test_invalid_input_gets_a_4xx_and_affects_no_other_request(
     ingress: Ingress, caplog: pytest.LogCaptureFixture, data: bytes, status: bytes, closed: bool
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -112,12 +112,12 @@
     writer.close()
 
 
-async def test_a_live_id_is_not_taken_twice(ingress: Ingress, backend: PeerServer) -> None:
+async def test_id_of_an_open_request_is_rejected(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
     first = asyncio.create_task(ingress.ask(request("same")))
     await ingress.script.wait_for(it.RequestArrived)
     assert (await ingress.ask(request("same"))).startswith(b"HTTP/1.1 409 ")
-    # the end of the second connection is not the first's
+    # Closing the second connection does not affect the first one's request.
     assert not ingress.script.of_kind(it.ClientGone)
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
@@ -132,9 +132,7 @@
     writer.close()
 
 
-async def test_a_client_that_closes_is_gone_and_its_attempt_is_given_up(
-    ingress: Ingress, backend: PeerServer
-) -> None:
+async def test_client_disconnect_cancels_its_attempt(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
     script = ingress.script
     cancel = [it.CancelAttempt(1, 0)]
@@ -148,14 +146,14 @@
     await backend.wait_until(lambda: len(backend.closed) == 1)
 
 
-async def test_what_the_module_leaves_open_is_failed_before_the_deadline(ingress: Ingress) -> None:
+async def test_unanswered_request_fails_before_its_deadline(ingress: Ingress) -> None:
     ingress.script.rule = lambda event: []
     answer = await ingress.ask(request(timeout="150m"))
     assert answer.startswith(b"HTTP/1.1 504 ")
     await ingress.script.wait_for(it.ClientGone)
 
 
-async def test_a_refusal_carries_the_wait_and_max_open_is_kept_from_the_module(
+async def test_rejection_carries_retry_after_and_max_open_bypasses_the_policy(
     ingress: Ingress,
 ) -> None:
     ingress.script.rule = lambda event: [it.Refuse(1, 250_000)]
@@ -167,7 +165,7 @@
     ingress.engine.open_count = 0
 
 
-async def test_a_module_error_does_not_end_the_process(ingress: Ingress) -> None:
+async def test_policy_error_does_not_end_the_process(ingress: Ingress) -> None:
     def broken(event: it.Event) -> list[it.Action]:
         raise RuntimeError("made up")
 
@@ -177,14 +175,14 @@
     assert (await ingress.ask(request("b2"))).startswith(b"HTTP/1.1 200 ")
 
 
-async def test_stopping_closes_idle_connections_and_finishes_what_was_taken(
+async def test_draining_closes_idle_connections_and_finishes_open_requests(
     ingress: Ingress, backend: PeerServer
 ) -> None:
     backend.on_data = lambda peer: None
     idle, idle_writer = await asyncio.open_connection(HOST, ingress.port)
     idle_writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     assert (await read_answer(idle)).startswith(b"HTTP/1.1 200 ")
-    taken = asyncio.create_task(ingress.ask(request()))
+    pending = asyncio.create_task(ingress.ask(request()))
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     ingress.listener.start_draining()
     async with asyncio.timeout(10):
@@ -192,28 +190,28 @@
     backend.on_data = reply_with(OK)
     late = await ingress.ask(request("late"))
     backend.peers[0].transport.write(OK)
-    for answer in (late, await taken):
+    for answer in (late, await pending):
         assert answer.startswith(b"HTTP/1.1 200 ") and b"Connection: close\r\n" in answer
     idle_writer.close()
 
 
-async def test_with_few_descriptors_idle_connections_go_first_and_then_requests_are_refused(
+async def test_low_on_descriptors_evicts_idle_connections_then_rejects(
     backend: PeerServer,
 ) -> None:
-    # room for three connections, and four at the top
+    # Capacity for 3 connections, and for 4 more to be rejected.
     ingress = Ingress(ScriptedPolicy(send_first), limit=34)
     await ingress.start()
     ingress.engine.update_endpoints(listing(backend.port))
     assert (ingress.sockets.capacity, ingress.sockets.accept_limit) == (3, 7)
-    held = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
-    for reader, writer in held:
+    idle = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
+    for reader, writer in idle:
         writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await read_answer(reader)
-    # one idle client makes room for this one, another for the backend
+    # One idle client is evicted for this connection, another for the one to the backend.
     answer = await ingress.ask(request())
     assert answer.startswith(b"HTTP/1.1 200 ")
     async with asyncio.timeout(10):
-        assert await held[0][0].read() == b"" and await held[1][0].read() == b""
+        assert await idle[0][0].read() == b"" and await idle[1][0].read() == b""
     ingress.script.rule = lambda event: []
     writers = []
     for number in range(3):
@@ -223,14 +221,13 @@
     await ingress.script.wait_for(it.RequestArrived, 4)
     answer = await ingress.ask(request("over"))
     assert answer.startswith(b"HTTP/1.1 503 ") and b"Connection: close\r\n" in answer
-    for _, writer in [*held, *[(None, w) for w in writers]]:
+    for _, writer in [*idle, *[(None, w) for w in writers]]:
         writer.close()
     ingress.stop()
 
 
-async def test_a_connection_is_not_evicted_with_a_request_unread(ingress: Ingress) -> None:
-    """With descriptors short, 20 first requests on fresh connections were lost: they were closed as
-    idle."""
+async def test_connection_with_an_unread_request_is_not_evicted(ingress: Ingress) -> None:
+    """Low on descriptors, 20 first requests were lost, as their new connections counted as idle."""
     fresh, writer = await asyncio.open_connection(HOST, ingress.port)
     while not ingress.listener.connections:
         await asyncio.sleep(0)
@@ -239,7 +236,7 @@
     writer.write(request("first"))
     assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
     assert connection in ingress.listener.idle
-    writer.write(b"G")  # written at once; the loop has not been back to read it
+    writer.write(b"G")  # in the socket; the loop has not read it yet
     assert not ingress.listener._evict()
     writer.write(request("second")[1:])
     assert (await read_answer(fresh)).startswith(b"HTTP/1.1 200 ")
@@ -249,22 +246,22 @@
     writer.close()
 
 
-async def test_at_the_top_clients_wait_in_line_and_lose_nothing(backend: PeerServer) -> None:
-    ingress = Ingress(ScriptedPolicy(send_first), limit=30)  # room for none, and three at the top
+async def test_clients_wait_in_the_backlog_without_descriptors(backend: PeerServer) -> None:
+    ingress = Ingress(ScriptedPolicy(send_first), limit=30)  # capacity 0, and 3 to be rejected
     await ingress.start()
     assert (ingress.sockets.capacity, ingress.sockets.accept_limit) == (0, 3)
-    ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(6)]
+    connections = [await asyncio.open_connection(HOST, ingress.port) for _ in range(6)]
     while len(ingress.listener.connections) < 3:
         await asyncio.sleep(0)
-    for reader, writer in ends:
+    for reader, writer in connections:
         writer.write(request())
         assert (await read_answer(reader)).startswith(b"HTTP/1.1 503 ")
         writer.close()
-    assert len(ends) == 6 and not ingress.script.events
+    assert len(connections) == 6 and not ingress.script.events
     ingress.stop()
 
 
-async def test_a_connection_with_the_next_request_begun_is_not_idle(ingress: Ingress) -> None:
+async def test_connection_with_a_partial_next_request_is_not_idle(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request("first") + request("second")[:20])
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
@@ -274,8 +271,8 @@
     writer.close()
 
 
-def look_later(ingress: Ingress, seconds: float) -> None:
-    """The listener's next look at its connections, with the clock that much further."""
+def sweep_later(ingress: Ingress, seconds: float) -> None:
+    """Run the listener's next sweep with its clock advanced by `seconds`."""
     now = ingress.listener.now
     ingress.listener.now = lambda: now() + int(seconds * 1e6)
     if ingress.listener._sweep_timer:
@@ -284,7 +281,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /read/x HTTP/1.1\r\nHost:"])
-async def test_a_peer_that_sends_no_whole_request_gets_an_end_within_three_seconds(
+async def test_client_without_a_complete_request_is_closed_within_3_s(
     ingress: Ingress, sent: bytes
 ) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
@@ -294,7 +291,7 @@
     (connection,) = ingress.listener.connections
     while sent and not connection._message_begun:
         await asyncio.sleep(0)
-    look_later(ingress, 2.5)  # the look after this one may come half a second later
+    sweep_later(ingress, 2.5)  # the next sweep may come half a second later
     assert connection.transport.is_closing()
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
     async with asyncio.timeout(10):
@@ -302,26 +299,28 @@
     writer.close()
 
 
-async def test_a_connection_long_without_a_request_is_closed_and_a_fresh_one_kept(
+async def test_idle_connection_times_out_but_a_new_one_is_kept(
     ingress: Ingress,
 ) -> None:
-    ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
-    ends[0][1].write(request())
-    assert (await read_answer(ends[0][0])).startswith(b"HTTP/1.1 200 ")
-    look_later(ingress, 1.9)
+    connections = [await asyncio.open_connection(HOST, ingress.port) for _ in range(2)]
+    connections[0][1].write(request())
+    assert (await read_answer(connections[0][0])).startswith(b"HTTP/1.1 200 ")
+    sweep_later(ingress, 1.9)
     assert len(ingress.listener.idle) == 1
-    look_later(ingress, 0.2)
+    sweep_later(ingress, 0.2)
     async with asyncio.timeout(10):
-        assert await ends[0][0].read() == b""
-    for _, writer in ends:
+        assert await connections[0][0].read() == b""
+    for _, writer in connections:
         writer.close()
 
 
-async def test_idle_clients_make_room_before_idle_connections_to_backends(ingress: Ingress) -> None:
+async def test_idle_clients_are_evicted_before_idle_backend_connections(ingress: Ingress) -> None:
     reader, writer = await asyncio.open_connection(HOST, ingress.port)
     writer.write(request())
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 200 ")
-    ingress.sockets.capacity = ingress.sockets.open_count  # one idle client and one backend's
+    ingress.sockets.capacity = (
+        ingress.sockets.open_count
+    )  # one idle client, one idle connection to a backend
     assert ingress.sockets.has_room()
     async with asyncio.timeout(10):
         assert await reader.read() == b""
@@ -329,35 +328,35 @@
     writer.close()
 
 
-async def test_where_room_is_short_half_written_requests_give_way_after_idle_connections(
+async def test_partial_requests_are_evicted_after_idle_connections(
     ingress: Ingress,
 ) -> None:
-    ends = [await asyncio.open_connection(HOST, ingress.port) for _ in range(4)]
-    ends[0][1].write(request())
-    assert (await read_answer(ends[0][0])).startswith(b"HTTP/1.1 200 ")  # idle
-    ends[1][1].write(b"GET /read/x HTTP/1.1\r\nHo")  # half-written; the others are silent
+    connections = [await asyncio.open_connection(HOST, ingress.port) for _ in range(4)]
+    connections[0][1].write(request())
+    assert (await read_answer(connections[0][0])).startswith(b"HTTP/1.1 200 ")  # idle
+    connections[1][1].write(b"GET /read/x HTTP/1.1\r\nHo")  # partial; the others are silent
     while not any(c._message_begun for c in ingress.listener.connections):
         await asyncio.sleep(0)
     ingress.sockets.capacity = ingress.sockets.open_count
     assert ingress.sockets.has_room()  # the idle client
     async with asyncio.timeout(10):
-        assert await ends[0][0].read() == b""
-    assert not ingress.listener._evict()  # the rest are young: their requests may be on the way
+        assert await connections[0][0].read() == b""
+    assert not ingress.listener._evict()  # the others are new: their requests may be in transit
     now = ingress.listener.now
     ingress.listener.now = lambda: now() + 600_000
     assert [ingress.listener._evict() for _ in range(4)] == [True, True, True, False]
-    assert (await read_answer(ends[1][0])).startswith(b"HTTP/1.1 408 ")
-    for _, writer in ends:
+    assert (await read_answer(connections[1][0])).startswith(b"HTTP/1.1 408 ")
+    for _, writer in connections:
         writer.close()
 
 
-async def test_a_whole_request_never_gives_way(ingress: Ingress, backend: PeerServer) -> None:
+async def test_complete_request_is_never_evicted(ingress: Ingress, backend: PeerServer) -> None:
     backend.on_data = lambda peer: None
-    taken = asyncio.create_task(ingress.ask(request()))
+    pending = asyncio.create_task(ingress.ask(request()))
     await ingress.script.wait_for(it.RequestArrived)
     now = ingress.listener.now
     ingress.listener.now = lambda: now() + 60_000_000
     assert not ingress.listener._evict()
     await backend.wait_until(lambda: bool(backend.peers) and b"\r\n\r\n" in backend.peers[0].data)
     backend.peers[0].transport.write(OK)
-    assert (await taken).startswith(b"HTTP/1.1 200 ")
+    assert (await pending).startswith(b"HTTP/1.1 200 ")
--- a/tests/ingress/net/test_counter.py
+++ b/tests/ingress/net/test_counter.py
@@ -1,4 +1,4 @@
-"""The counter's client and the watch over loopback sockets."""
+"""The quota counter client and the discovery watch over loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,6 +22,8 @@
 
 
 class Calls:
+    """Calls to a counter, and their answers."""
+
     def __init__(self, server: PeerServer, timeout_us: int) -> None:
         self.counter, self.server = QuotaCounterClient((HOST, server.port), timeout_us), server
         self.answers: list[tuple[str, Outcome, float]] = []
@@ -56,14 +58,14 @@
 
 
 async def lines(server: PeerServer, count: int) -> list[bytes]:
-    def told() -> list[bytes]:
+    def received() -> list[bytes]:
         return [x for p in server.peers for x in p.data.split(b"\r\n") if x.startswith(b"add")]
 
-    await server.wait_until(lambda: len(told()) >= count)
-    return told()
+    await server.wait_until(lambda: len(received()) >= count)
+    return received()
 
 
-async def test_calls_are_pipelined_and_answers_come_in_their_order(server: PeerServer) -> None:
+async def test_calls_are_pipelined_and_answered_in_order(server: PeerServer) -> None:
     calls = Calls(server, LONG)
     await calls.connect()
     calls.add("a", -2.5)
@@ -84,7 +86,7 @@
     calls.counter.stop()
 
 
-async def test_a_late_answer_is_dropped_and_the_next_not_taken_for_it(server: PeerServer) -> None:
+async def test_late_answer_is_not_taken_for_the_next_calls(server: PeerServer) -> None:
     calls = Calls(server, SHORT)
     await calls.connect()
     calls.add("late")
@@ -96,11 +98,11 @@
     calls.counter.stop()
 
 
-async def test_an_answer_within_the_slack_that_sockets_give_is_taken(
+async def test_answer_within_the_timeout_slack_counts(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "TIMEOUT_SLACK_S", 10.0)
-    calls = Calls(server, 0)  # given up at once, but for the slack
+    calls = Calls(server, 0)  # times out at once, but for the slack
     calls.counter.update_timeout(0)
     await calls.connect()
     calls.add("a")
@@ -111,7 +113,7 @@
 
 
 @pytest.mark.parametrize("reply", [b"what\r\n", b"pong\r\n", b"ok nan\r\n", b"ok\r\n", b"x" * 1000])
-async def test_garbage_ends_the_connection_and_a_new_one_is_made(
+async def test_invalid_answer_closes_the_connection_and_reconnects(
     server: PeerServer, reply: bytes
 ) -> None:
     calls = Calls(server, LONG)
@@ -119,13 +121,13 @@
     calls.add("a")
     await lines(server, 1)
     server.peers[0].transport.write(reply)
-    # written: it may have been added
+    # The call was written, so the amount may have been added.
     assert await calls.answered(1) == [("a", Outcome.TIMEOUT, 0.0)]
     await server.wait_until(lambda: len(server.peers) == 2)
     calls.counter.stop()
 
 
-async def test_a_call_without_a_connection_added_nothing(server: PeerServer) -> None:
+async def test_call_without_a_connection_fails_unsent(server: PeerServer) -> None:
     calls = Calls(server, LONG)
     calls.add("a")
     assert calls.answers == [("a", Outcome.CONNECT_FAILED, 0.0)]
@@ -147,15 +149,15 @@
     )
     lost.abort()
     await calls.answered(2)
-    calls.add("held")
+    calls.add("pending")
     assert (await calls.answered(3))[1:] == [
         ("lost", Outcome.RESET, 0.0),
-        ("held", Outcome.OK, 2.0),
+        ("pending", Outcome.OK, 2.0),
     ]
     calls.counter.stop()
 
 
-async def test_calls_that_wait_for_a_counter_that_has_gone_are_told_so(server: PeerServer) -> None:
+async def test_pending_calls_fail_if_the_counter_is_unreachable(server: PeerServer) -> None:
     calls = Calls(server, LONG)
     await calls.connect()
     server.on_data = lambda peer: peer.transport.write(b"ok 1\r\n")
@@ -165,12 +167,12 @@
     line = calls.counter._connection
     assert line
     await line.closed.wait()
-    calls.add("held")
-    assert (await calls.answered(2))[1] == ("held", Outcome.CONNECT_FAILED, 0.0)
+    calls.add("pending")
+    assert (await calls.answered(2))[1] == ("pending", Outcome.CONNECT_FAILED, 0.0)
     calls.counter.stop()
 
 
-async def test_a_counter_that_moves_gets_the_new_calls_and_answers_the_old(
+async def test_new_address_gets_new_calls_and_the_old_answers_old_ones(
     server: PeerServer,
 ) -> None:
     calls, other = Calls(server, LONG), await PeerServer().start()
@@ -190,7 +192,7 @@
     other.stop()
 
 
-async def test_an_idle_connection_is_pinged_and_a_silent_one_given_up(
+async def test_idle_connection_is_pinged_and_an_unresponsive_one_closed(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(counter_module, "PING_INTERVAL_S", 0.01)
@@ -217,35 +219,37 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class Watched:
+class WatchClient:
+    """A discovery client that records the updates."""
+
     def __init__(self, server: PeerServer, fleet_size: int = 1) -> None:
-        self.told: list[EndpointUpdate] = []
+        self.updates: list[EndpointUpdate] = []
         self.changed = asyncio.Event()
         self.discovery = Discovery((HOST, server.port), 41, self._changed, fleet_size)
         self.discovery.start()
 
-    def _changed(self, listing: EndpointUpdate) -> None:
-        self.told.append(listing)
+    def _changed(self, update: EndpointUpdate) -> None:
+        self.updates.append(update)
         self.changed.set()
 
-    async def heard(self, count: int) -> list[EndpointUpdate]:
+    async def received(self, count: int) -> list[EndpointUpdate]:
         async with asyncio.timeout(10):
-            while len(self.told) < count:
+            while len(self.updates) < count:
                 self.changed.clear()
                 await self.changed.wait()
-        return self.told
+        return self.updates
 
 
-async def test_the_watch_starts_from_the_version_held_and_goes_on_from_the_last(
+async def test_watch_resumes_from_the_last_known_version(
     server: PeerServer,
 ) -> None:
-    watched = Watched(server)
+    watched = WatchClient(server)
     await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     assert server.peers[0].data.startswith(b"GET /discovery/hosts?watch=1&from=41 HTTP/1.1\r\n")
     both = line(42, False, "a") + b"\n" + line(43, True, "a", "b")
     server.peers[0].transport.write(HEAD + chunk(both[:30]) + chunk(both[30:]))
-    told = await watched.heard(2)
-    assert [(x.index, x.full, [e.name for e in x.entries]) for x in told] == [
+    updates = await watched.received(2)
+    assert [(x.index, x.full, [e.name for e in x.entries]) for x in updates] == [
         (42, False, ["a"]),
         (43, True, ["a", "b"]),
     ]
@@ -255,7 +259,7 @@
     watched.discovery.stop()
 
 
-async def test_tries_that_are_turned_away_are_spread_over_the_fleet_and_doubled_until_one_is_heard(
+async def test_pause_after_rejections_doubles_until_a_line_is_received(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     waits: list[tuple[float, float]] = []
@@ -272,18 +276,21 @@
 
     server.on_data = answer
     monkeypatch.setattr(discovery_module.random, "uniform", uniform)
-    watched = Watched(server, fleet_size=40)
+    watched = WatchClient(server, fleet_size=40)
     await server.wait_until(lambda: len(server.peers) > 7)
     watched.discovery.stop()
     assert waits[:5] == [(0, 4.0), (0, 8.0), (0, 16.0), (0, 32.0), (0, 32.0)]
-    assert waits[5:7] == [(0.5, 1.0), (0, 4.0)]  # heard: soon; turned away again: from the start
+    assert waits[5:7] == [
+        (0.5, 1.0),
+        (0, 4.0),
+    ]  # line received: short pause; rejected again: from the start
 
 
-async def test_a_silent_watch_is_opened_anew(
+async def test_watch_without_heartbeats_is_reopened(
     server: PeerServer, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery_module, "WATCH_TIMEOUT_S", 0.05)
-    watched = Watched(server)
+    watched = WatchClient(server)
     await server.wait_until(lambda: len(server.peers) == 2)
     watched.discovery.stop()
 
@@ -291,12 +298,10 @@
 @pytest.mark.parametrize(
     "bad", [b"no json\n", b'{"index":1}\n', b"[]\n", b'{"index":1,"snapshot":0,"endpoints":[1]}\n']
 )
-async def test_garbage_ends_the_watch_and_a_new_one_is_opened(
-    server: PeerServer, bad: bytes
-) -> None:
-    watched = Watched(server)
+async def test_invalid_line_closes_the_watch_and_reopens_it(server: PeerServer, bad: bytes) -> None:
+    watched = WatchClient(server)
     await server.wait_until(lambda: bool(server.peers) and b"\r\n\r\n" in server.peers[0].data)
     server.peers[0].transport.write(HEAD + chunk(bad))
     await server.wait_until(lambda: len(server.peers) == 2)
-    assert watched.told == []
+    assert watched.updates == []
     watched.discovery.stop()
--- a/tests/ingress/net/test_engine.py
+++ b/tests/ingress/net/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine without sockets: numbers, guards, time-outs, order."""
+"""The engine without sockets: numbering, limits, timeouts, order of events."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class World(ManualClock):
-    """The loop, the backends, the counter and one client, all pretended."""
+    """Simulated event loop, backends and client."""
 
     def __init__(self, script: ScriptedPolicy) -> None:
         super().__init__(START)
@@ -53,10 +53,10 @@
 
     def update_endpoint(self, entry: EndpointEntry, backend: int) -> None: ...
 
-    def set_maintenance(self, backend: int, out: bool) -> None: ...
+    def set_maintenance(self, backend: int, in_maintenance: bool) -> None: ...
 
-    def apply_updates(self, gone: Iterable[int]) -> None:
-        self.settled += gone
+    def apply_updates(self, removed: Iterable[int]) -> None:
+        self.settled += removed
         for exchange in self.sent:
             exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
 
@@ -64,18 +64,18 @@
         self,
         backend: int,
         data: bytes,
-        ended: Callable[[AttemptResult], None],
-        flow: AttemptContext | None = None,
+        on_result: Callable[[AttemptResult], None],
+        context: AttemptContext | None = None,
     ) -> Exchange:
-        self.sent.append(Exchange(data, ended, flow))
+        self.sent.append(Exchange(data, on_result, context))
         return self.sent[-1]
 
-    def probe(self, backend: int, ended: Callable[[AttemptResult], None]) -> None: ...
+    def probe(self, backend: int, on_result: Callable[[AttemptResult], None]) -> None: ...
 
     def close_idle(self, backend: int) -> None: ...
 
-    def send_response(self, answer: AttemptResult) -> None:
-        self.answers.append(answer.body)
+    def send_response(self, result: AttemptResult) -> None:
+        self.answers.append(result.body)
 
     def reject(self, retry_after: int, status: int = 429) -> None:
         self.answers.append(retry_after)
@@ -83,7 +83,7 @@
     def fail(self, timed_out: bool) -> None:
         self.answers.append("late" if timed_out else "failed")
 
-    def begin_stream(self, answer: AttemptResult, source: Exchange) -> None:
+    def begin_stream(self, result: AttemptResult, source: Exchange) -> None:
         self.answers.append("begun")
 
     def write_body(self, data: bytes) -> None:
@@ -96,10 +96,10 @@
         self.answers.append("broken off")
 
     def ask(self, id: bytes = b"a", timeout: int = 1_000_000, ago: int = 0) -> bool:
-        wanted = ClientRequest(
+        client_request = ClientRequest(
             id, 0, 0, 7, 1.0, 1, 0, timeout, self.time - ago, False, b"GET / HTTP/1.1\r\n", b""
         )
-        return self.engine.request_arrived(wanted, self)
+        return self.engine.request_arrived(client_request, self)
 
 
 def sender(*more: it.Action, timeout: int = 0) -> Callable[[it.Event], list[it.Action]]:
@@ -115,7 +115,7 @@
     return [(e.attempt, e.outcome, e.final) for e in script.of_kind(it.AttemptEnded)]
 
 
-def test_the_first_200_is_final_and_a_later_outcome_is_not_told_twice() -> None:
+def test_first_ok_is_final_and_later_outcomes_are_ignored() -> None:
     world = World(ScriptedPolicy(sender()))
     world.ask()
     world.time += 7000
@@ -128,9 +128,9 @@
     assert world.ask()  # the id is free again
 
 
-def test_attempts_beyond_the_limit_at_once_or_after_the_end_are_moot() -> None:
-    again = it.SendAttempt(1, 1, 0)
-    world = World(ScriptedPolicy(sender(again, it.Fail(1), again)))
+def test_attempts_over_the_limit_or_after_the_end_are_moot() -> None:
+    attempt = it.SendAttempt(1, 1, 0)
+    world = World(ScriptedPolicy(sender(attempt, it.Fail(1), attempt)))
     world.ask()
     assert ends(world.script) == [(1, Outcome.MOOT, False), (2, Outcome.MOOT, True)]
     assert len(world.sent) == 1 and world.answers == ["failed"]
@@ -138,7 +138,7 @@
     assert ends(world.script)[2] == (0, Outcome.OK, True) and world.answers == ["failed"]
 
 
-def test_time_counts_from_the_clients_sending_and_attempts_end_before_the_deadline() -> None:
+def test_deadline_counts_from_the_first_byte_and_attempts_end_before_it() -> None:
     world = World(ScriptedPolicy(sender(timeout=5_000_000)))
     world.ask(timeout=1_000_000, ago=200_000)
     assert world.script.of_kind(it.RequestArrived)[0].time_left == 800_000
@@ -151,7 +151,7 @@
     assert world.answers == ["late"] and len(world.script.of_kind(it.ClientGone)) == 1
 
 
-def test_a_request_refused_after_the_counters_answer_leaves_nothing_behind() -> None:
+def test_request_rejected_after_the_counter_answered_is_forgotten() -> None:
     def rule(event: it.Event) -> list[it.Action]:
         if isinstance(event, it.RequestArrived):
             return [it.AddToCounter(5, 1.0, 1000)]
@@ -163,7 +163,7 @@
     assert world.ask()  # the id is free again
 
 
-def test_an_attempt_never_written_is_not_called_a_time_out() -> None:
+def test_attempt_that_was_never_written_does_not_count_as_timed_out() -> None:
     world = World(ScriptedPolicy(sender(timeout=1000)))
     world.ask()
     world.sent[0].ran = False
@@ -171,13 +171,13 @@
     assert ends(world.script) == [(0, Outcome.CONNECT_FAILED, False)]
 
 
-def test_a_request_whose_time_is_over_never_reaches_the_module() -> None:
+def test_expired_request_never_reaches_the_policy() -> None:
     world = World(ScriptedPolicy(sender()))
     world.ask(timeout=100_000, ago=100_000)
     assert world.answers == [0] and not world.script.events
 
 
-def test_outcomes_during_actions_wait_their_turn() -> None:
+def test_events_during_actions_are_queued() -> None:
     depth = [0]
 
     def rule(event: it.Event) -> list[it.Action]:
@@ -198,7 +198,7 @@
     assert ends(world.script) == [(0, Outcome.CANCELLED, False)]
 
 
-def test_the_module_hears_the_list_before_the_attempts_that_it_withdraws() -> None:
+def test_policy_receives_an_update_before_the_attempts_that_it_ends() -> None:
     world = World(ScriptedPolicy(sender()))
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up", "since_ms": 5} for n in "ab"]
     world.engine.update_endpoints(
@@ -217,7 +217,7 @@
     assert first.backends[0].key != first.backends[1].key == second.backends[0].key
 
 
-def test_a_name_that_is_no_text_ends_nothing() -> None:
+def test_name_of_invalid_unicode_is_accepted() -> None:
     world = World(ScriptedPolicy())
     names = [{"name": n, "address": "127.0.0.1:1", "status": "up"} for n in ("a", "\ud800")]
     world.engine.update_endpoints(
@@ -226,7 +226,7 @@
     assert len(world.script.of_kind(it.BackendsListed)[0].backends) == 2
 
 
-def test_a_class_is_followed_by_name_and_an_open_request_keeps_the_rules_it_began_with() -> None:
+def test_classes_match_by_name_and_open_requests_keep_their_limits() -> None:
     world = World(ScriptedPolicy(sender()))
     world.ask()
     read, order = SETTINGS.classes
@@ -236,10 +236,10 @@
         limits=replace(SETTINGS.limits, max_attempts=1),
     )
     world.engine.update_settings(changed, RAW)
-    (told,) = world.script.of_kind(it.SettingsChanged)
-    assert [c.name for c in told.settings.classes] == ["read", "order", "fresh"]
-    assert told.settings.classes[1].deadline == 9_000_000
-    # read is dropped, for what is new
+    (change,) = world.script.of_kind(it.SettingsChanged)
+    assert [c.name for c in change.settings.classes] == ["read", "order", "fresh"]
+    assert change.settings.classes[1].deadline == 9_000_000
+    # `read` was removed, but keeps its number.
     assert world.engine.names.classes == {b"order": 1, b"fresh": 2}
     world.ask(b"b")
     world.sent[0].ended(AttemptResult(Outcome.ERROR))
@@ -251,13 +251,13 @@
 
 
 @pytest.mark.parametrize("text", [b"", b"queue=", b"other=1", b"queue=1e"])
-def test_a_load_report_that_says_nothing_is_none(text: bytes) -> None:
+def test_invalid_load_report_is_empty(text: bytes) -> None:
     assert NameTable(SETTINGS, RAW).parse_load(text) == ()
 
 
 @pytest.mark.parametrize("bound", [True, False])
-def test_an_answer_in_parts_is_bound_by_its_deadline_where_that_is_wanted(bound: bool) -> None:
-    """A server that goes silent in the middle would else hold its client for good."""
+def test_streamed_response_is_aborted_at_its_deadline_if_enabled(bound: bool) -> None:
+    """Otherwise a backend that stops within a response would block its client forever."""
     for whole in (True, False):
         world = World(ScriptedPolicy(sender()))
         world.engine.aborts_streams_at_deadline = bound
@@ -270,8 +270,8 @@
         if whole:
             exchange.ended(AttemptResult(Outcome.OK))
         world.advance(10_000_000)
-        told = "whole" if whole else "broken off"
-        assert world.answers == ["begun"] + [told] * (bound or whole)
+        last = "whole" if whole else "broken off"
+        assert world.answers == ["begun"] + [last] * (bound or whole)
         assert exchange.aborted == (bound and not whole) and world.engine.open_count == (
             not bound and not whole
         )
--- a/tests/ingress/net/test_ops.py
+++ b/tests/ingress/net/test_ops.py
@@ -1,5 +1,4 @@
-"""Operators' calls over loopback sockets: yes and no, silent callers, maintenance and where it is
-kept."""
+"""Operators' calls over loopback sockets: statuses, incomplete calls, saved maintenance."""
 
 from __future__ import annotations
 
@@ -27,19 +26,19 @@
 )
 
 
-class Desk:
-    """An ingress with one backend, s-1, and its operators' listener."""
+class OpsPort:
+    """An ingress with one backend, s-1, and its operators' port."""
 
-    def __init__(self, ingress: Ingress, kept: Path) -> None:
-        self.ingress, self.kept, self.serving = ingress, kept, True
-        self.maintenance = Maintenance(ingress.engine, kept)
+    def __init__(self, ingress: Ingress, saved: Path) -> None:
+        self.ingress, self.saved, self.serving = ingress, saved, True
+        self.maintenance = Maintenance(ingress.engine, saved)
         self.ops = Ops(ingress.engine, self.maintenance, lambda: self.serving)
 
     async def call(self, text: str, method: str = "POST") -> int:
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(f"{method} {text} HTTP/1.1\r\nHost: ops\r\n\r\n".encode())
         answer = await read_answer(reader)
-        assert await reader.read() == b""  # one call a connection
+        assert await reader.read() == b""  # one call per connection
         writer.close()
         return int(answer.split()[1])
 
@@ -56,16 +55,16 @@
 
 
 @pytest_asyncio.fixture
-async def desk(tmp_path: Path) -> AsyncIterator[Desk]:
+async def ops_port(tmp_path: Path) -> AsyncIterator[OpsPort]:
     server = await PeerServer(reply_with(OK)).start()
     ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
     ingress.engine.update_endpoints(listing(server.port, "up"))
-    desk = Desk(ingress, tmp_path / "kept.json")
-    desk.server = server  # type: ignore[attr-defined]
-    desk.port = await desk.ops.listen(HOST, 0)
-    yield desk
-    desk.ops.stop()
+    ops_port = OpsPort(ingress, tmp_path / "kept.json")
+    ops_port.server = server  # type: ignore[attr-defined]
+    ops_port.port = await ops_port.ops.listen(HOST, 0)
+    yield ops_port
+    ops_port.ops.stop()
     ingress.stop()
     server.stop()
 
@@ -87,51 +86,53 @@
         ("GET", "/up", 404),
     ],
 )
-async def test_calls_get_a_yes_or_a_plain_no(
-    desk: Desk, method: str, call: str, status: int
-) -> None:
-    assert await desk.call(call, method) == status
-    assert not desk.ingress.script.of_kind(it.MaintenanceChanged) and not desk.kept.exists()
+async def test_statuses_of_calls(ops_port: OpsPort, method: str, call: str, status: int) -> None:
+    assert await ops_port.call(call, method) == status
+    assert (
+        not ops_port.ingress.script.of_kind(it.MaintenanceChanged) and not ops_port.saved.exists()
+    )
 
 
-async def test_status_is_no_while_the_process_cannot_serve(desk: Desk) -> None:
-    desk.serving = False
-    assert await desk.call("/status", "GET") == 503
+async def test_status_is_503_while_the_process_cannot_serve(ops_port: OpsPort) -> None:
+    ops_port.serving = False
+    assert await ops_port.call("/status", "GET") == 503
 
 
-async def test_a_server_out_gets_nothing_new_whatever_the_list_says(desk: Desk) -> None:
-    engine, script, port = desk.ingress.engine, desk.ingress.script, desk.server.port  # type: ignore[attr-defined]
-    assert (await desk.ingress.ask(request("a"))).startswith(b"HTTP/1.1 200 ")
-    for _ in range(2):  # it may arrive twice
-        assert await desk.call("/maintenance/enter?who=s-1") == 200
-    assert json.loads(desk.kept.read_text()) == ["s-1"] and not engine.can_serve()
+async def test_backend_in_maintenance_gets_no_request_whatever_its_status(
+    ops_port: OpsPort,
+) -> None:
+    engine, script, port = ops_port.ingress.engine, ops_port.ingress.script, ops_port.server.port  # type: ignore[attr-defined]
+    assert (await ops_port.ingress.ask(request("a"))).startswith(b"HTTP/1.1 200 ")
+    for _ in range(2):  # the call may arrive twice
+        assert await ops_port.call("/maintenance/enter?who=s-1") == 200
+    assert json.loads(ops_port.saved.read_text()) == ["s-1"] and not engine.can_serve()
     for status in ("draining", "removed", "up"):
         engine.update_endpoints(listing(port, status))
-    assert (await desk.ingress.ask(request("b"))).startswith(b"HTTP/1.1 502 ")
-    assert await desk.call("/maintenance/exit?who=s-1") == 200  # one call back undoes both
-    assert (await desk.ingress.ask(request("c"))).startswith(b"HTTP/1.1 200 ")
+    assert (await ops_port.ingress.ask(request("b"))).startswith(b"HTTP/1.1 502 ")
+    assert await ops_port.call("/maintenance/exit?who=s-1") == 200  # one exit call undoes both
+    assert (await ops_port.ingress.ask(request("c"))).startswith(b"HTTP/1.1 200 ")
     assert [e.in_maintenance for e in script.of_kind(it.MaintenanceChanged)] == [True, True, False]
-    assert json.loads(desk.kept.read_text()) == [] and engine.can_serve()
+    assert json.loads(ops_port.saved.read_text()) == [] and engine.can_serve()
 
 
-async def test_a_new_process_knows_what_was_out_before_the_list_names_it(tmp_path: Path) -> None:
-    kept, script = tmp_path / "kept.json", ScriptedPolicy()
-    kept.write_text('["s-1"]')
+async def test_maintenance_is_restored_before_the_backend_is_listed(tmp_path: Path) -> None:
+    saved, script = tmp_path / "kept.json", ScriptedPolicy()
+    saved.write_text('["s-1"]')
     ingress = Ingress(script)
-    Maintenance(ingress.engine, kept).restore()
+    Maintenance(ingress.engine, saved).restore()
     ingress.engine.update_endpoints(listing(1, "up"))
-    (told,) = script.of_kind(it.MaintenanceChanged)
+    (event,) = script.of_kind(it.MaintenanceChanged)
     (listed,) = script.of_kind(it.BackendsListed)
     assert (
-        told.in_maintenance
-        and told.backend == listed.backends[0].id
+        event.in_maintenance
+        and event.backend == listed.backends[0].id
         and not ingress.engine.can_serve()
     )
     ingress.stop()
 
 
 @pytest.mark.parametrize("text", ["", '["s-1"', '{"s-1": 1}', "[1]"])
-async def test_a_broken_file_is_told_and_passed_over(
+async def test_invalid_maintenance_file_is_logged_and_ignored(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, text: str
 ) -> None:
     (tmp_path / "kept.json").write_text(text)
@@ -141,32 +142,36 @@
     ingress.stop()
 
 
-async def test_what_cannot_be_kept_is_a_no_and_changes_nothing(desk: Desk, tmp_path: Path) -> None:
-    desk.maintenance._path = tmp_path / "missing" / "kept.json"
-    assert await desk.call("/maintenance/enter?who=s-1") == 500
-    assert not desk.ingress.engine.in_maintenance and not desk.ingress.script.of_kind(
+async def test_maintenance_that_cannot_be_saved_is_rejected(
+    ops_port: OpsPort, tmp_path: Path
+) -> None:
+    ops_port.maintenance._path = tmp_path / "missing" / "kept.json"
+    assert await ops_port.call("/maintenance/enter?who=s-1") == 500
+    assert not ops_port.ingress.engine.in_maintenance and not ops_port.ingress.script.of_kind(
         it.MaintenanceChanged
     )
 
 
-async def test_silent_and_half_sent_callers_are_bounded_and_hold_up_nobody(desk: Desk) -> None:
-    held = [await asyncio.open_connection(HOST, desk.port) for _ in range(2 * MAX_CALLERS)]
-    for _, writer in held[MAX_CALLERS:]:
+async def test_incomplete_calls_are_limited_and_block_no_others(ops_port: OpsPort) -> None:
+    connections = [
+        await asyncio.open_connection(HOST, ops_port.port) for _ in range(2 * MAX_CALLERS)
+    ]
+    for _, writer in connections[MAX_CALLERS:]:
         writer.write(b"POST /maintenance/enter?who=s-1 HTTP/1.1\r\nHo")
-    assert await desk.call("/status", "GET") == 200
-    assert len(desk.ops.callers) <= MAX_CALLERS
+    assert await ops_port.call("/status", "GET") == 200
+    assert len(ops_port.ops.callers) <= MAX_CALLERS
     async with asyncio.timeout(10):
-        for number, (reader, writer) in enumerate(held):
+        for number, (reader, writer) in enumerate(connections):
             with_answer = await reader.read() if number < MAX_CALLERS else b""
-            assert with_answer == b""  # the longest waiting have given way
+            assert with_answer == b""  # the oldest ones were evicted
             writer.close()
 
 
-async def test_a_caller_that_never_finishes_is_told_so(
-    desk: Desk, monkeypatch: pytest.MonkeyPatch
+async def test_call_that_is_never_completed_times_out(
+    ops_port: OpsPort, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("cairndale.ingress.net.ops.CALL_TIMEOUT_S", 0.01)
-    reader, writer = await asyncio.open_connection(HOST, desk.port)
+    reader, writer = await asyncio.open_connection(HOST, ops_port.port)
     writer.write(b"GET /sta")
     assert (await read_answer(reader)).startswith(b"HTTP/1.1 408 ")
     writer.close()
--- a/tests/ingress/net/test_pool.py
+++ b/tests/ingress/net/test_pool.py
@@ -1,5 +1,7 @@
-"""The pool's decisions: whatever happens in whatever order, nobody is forgotten and nothing is held
-twice."""
+"""The connection pool's decisions.
+
+In any order of events, every waiting attempt ends and no connection is assigned twice.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +28,7 @@
 
 
 class PoolMachine(RuleBasedStateMachine):
-    """Carries actions out as backends.py does, and keeps books of its own."""
+    """Carries actions out as `backends.py` does, and tracks the expected state."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,10 +39,10 @@
             descriptor_bound=5.0,
         )
         self.now, self.count = 0.0, 0
-        self.waiting: set[int] = set()  # attempts with no end yet
+        self.waiting: set[int] = set()  # attempts that wait for a connection
         self.dials: set[int] = set()
         self.idle: set[str] = set()
-        self.held: dict[str, int] = {}  # link: attempt
+        self.assigned: dict[str, int] = {}  # attempts by connection
         self.stale: set[str] = set()
 
     def do(self, actions: list[Action]) -> None:
@@ -49,30 +51,32 @@
                 case StartDial(dial):
                     assert dial not in self.dials
                     self.dials.add(dial)
-                case AssignConnection(waiter, link):
+                case AssignConnection(waiter, connection):
                     assert (
-                        waiter in self.waiting and link not in self.held and link not in self.stale
+                        waiter in self.waiting
+                        and connection not in self.assigned
+                        and connection not in self.stale
                     )
                     self.waiting.remove(waiter)
-                    self.idle.discard(link)
-                    self.held[link] = waiter
+                    self.idle.discard(connection)
+                    self.assigned[connection] = waiter
                 case RejectAttempt(waiter, _):
                     self.waiting.remove(waiter)
-                case CloseConnection(link):
-                    assert link not in self.held
-                    self.idle.discard(link)
-                    self.stale.discard(link)
+                case CloseConnection(connection):
+                    assert connection not in self.assigned
+                    self.idle.discard(connection)
+                    self.stale.discard(connection)
                 case CancelDial(dial):
                     self.dials.remove(dial)
-        self.idle = {link for link in self.idle if link in self.pool.idle}
+        self.idle = {connection for connection in self.idle if connection in self.pool.idle}
 
-    @rule(patience=st.sampled_from([0.4, 4.0, 400.0]))
-    def ask(self, patience: float) -> None:
+    @rule(timeout=st.sampled_from([0.4, 4.0, 400.0]))
+    def ask(self, timeout: float) -> None:
         self.count += 1
         self.waiting.add(self.count)
         self.do(
             self.pool.request_connection(
-                self.now, self.count, patience, lambda link: link not in self.stale
+                self.now, self.count, timeout, lambda connection: connection not in self.stale
             )
         )
 
@@ -83,33 +87,33 @@
         self.dials.remove(dial)
         if good:
             self.count += 1
-            link = f"link {self.count}"
-            self.idle.add(link)
-            self.do(self.pool.dial_succeeded(self.now, dial, link))
+            connection = f"connection {self.count}"
+            self.idle.add(connection)
+            self.do(self.pool.dial_succeeded(self.now, dial, connection))
         else:
             self.do(self.pool.dial_failed(self.now, dial, refused))
 
-    @precondition(lambda self: self.held)
+    @precondition(lambda self: self.assigned)
     @rule(data=st.data(), reusable=st.booleans())
     def exchange_ends(self, data: st.DataObject, reusable: bool) -> None:
-        link = data.draw(st.sampled_from(sorted(self.held)))
-        del self.held[link]
-        self.idle.add(link)
-        self.do(self.pool.release(self.now, link, reusable))
+        connection = data.draw(st.sampled_from(sorted(self.assigned)))
+        del self.assigned[connection]
+        self.idle.add(connection)
+        self.do(self.pool.release(self.now, connection, reusable))
 
-    @precondition(lambda self: self.held or self.idle)
+    @precondition(lambda self: self.assigned or self.idle)
     @rule(data=st.data(), under=st.booleans())
-    def link_breaks(self, data: st.DataObject, under: bool) -> None:
-        link = data.draw(st.sampled_from(sorted(self.held | dict.fromkeys(self.idle, 0))))
-        under = under and link in self.held
-        self.held.pop(link, None)
-        self.idle.discard(link)
-        self.stale.discard(link)
-        self.do(self.pool.connection_lost(self.now, link, under))
+    def connection_breaks(self, data: st.DataObject, under: bool) -> None:
+        connection = data.draw(st.sampled_from(sorted(self.assigned | dict.fromkeys(self.idle, 0))))
+        under = under and connection in self.assigned
+        self.assigned.pop(connection, None)
+        self.idle.discard(connection)
+        self.stale.discard(connection)
+        self.do(self.pool.connection_lost(self.now, connection, under))
 
     @precondition(lambda self: self.idle)
     @rule()
-    def backend_closes_an_idle_one_unnoticed(self) -> None:
+    def idle_connection_becomes_stale(self) -> None:
         self.stale.add(min(self.idle))
 
     @precondition(lambda self: self.waiting)
@@ -119,11 +123,11 @@
         self.waiting.remove(waiter)
         self.pool.cancel(waiter)
 
-    @rule(wait=st.sampled_from([0.1, 1.0, 6.0, 40.0]), gap=st.booleans())
-    def time_passes(self, wait: float, gap: bool) -> None:
+    @rule(wait=st.sampled_from([0.1, 1.0, 6.0, 40.0]), suspended=st.booleans())
+    def time_passes(self, wait: float, suspended: bool) -> None:
         self.now += wait
-        self.do(self.pool.tick(self.now, gap))
-        if gap:
+        self.do(self.pool.tick(self.now, suspended))
+        if suspended:
             assert not self.pool.idle
 
     @rule(ready=st.booleans())
@@ -137,24 +141,26 @@
         self.do(self.pool.tick(self.now))
 
     @rule(count=st.integers(0, 3))
-    def room_is_needed_elsewhere(self, count: int) -> None:
+    def idle_connections_are_evicted(self, count: int) -> None:
         caught = self.pool.counters.stale_detected
         self.do(self.pool.close_idle(count))
-        assert self.pool.counters.stale_detected == caught  # nothing was wrong with them
+        assert self.pool.counters.stale_detected == caught  # they were not stale
 
     @rule()
-    def doubted(self) -> None:
+    def backend_is_silent(self) -> None:
         self.pool.distrust_idle()
 
     @rule()
-    def warmed(self) -> None:
+    def preconnect(self) -> None:
         self.do(self.pool.preconnect(self.now))
 
     @invariant()
-    def books_agree(self) -> None:
+    def pool_matches_expected_state(self) -> None:
         pool = self.pool
         assert (
-            set(pool.idle) == self.idle and pool.busy == set(self.held) and pool.dials == self.dials
+            set(pool.idle) == self.idle
+            and pool.busy == set(self.assigned)
+            and pool.dials == self.dials
         )
         assert {w for w, _ in pool.waiters} == self.waiting and len(
             pool.waiters
@@ -163,23 +169,23 @@
         assert set(pool._states) == set(pool.idle) | pool.busy
 
     @invariant()
-    def nobody_is_forgotten(self) -> None:
+    def waiting_attempts_make_progress(self) -> None:
         pool = self.pool
         if pool.waiters:
-            assert pool.dials or pool.busy, "nothing can come"
-            assert not pool.idle or pool.distrusted, "a link is free"
+            assert pool.dials or pool.busy, "no connection can become free"
+            assert not pool.idle or pool.distrusted, "an idle connection is not assigned"
 
     @invariant()
-    def the_bound_holds_for_what_is_opened(self) -> None:
+    def bound_limits_dials(self) -> None:
         pool = self.pool
         assert pool.bound() >= MIN_CONNECTIONS
         assert not pool.dials or pool.open() <= max(8, pool.bound())
 
     def teardown(self) -> None:
         self.do(self.pool.drain(False))
-        for link in sorted(self.held):
-            del self.held[link]
-            self.do(self.pool.release(self.now, link, True))
+        for connection in sorted(self.assigned):
+            del self.assigned[connection]
+            self.do(self.pool.release(self.now, connection, True))
         assert self.pool.open() == 0 and not self.pool._states and not self.pool.waiters
 
 
@@ -188,10 +194,10 @@
 
 
 def opened(pool: ConnectionPool, count: int, now: float = 0.0) -> list[str]:
-    """So many links, all of them busy."""
+    """Return `count` new connections, all busy."""
     links = []
     for n in range(count):
-        for action in pool.request_connection(now, f"a{n}", 60.0, lambda link: True):
+        for action in pool.request_connection(now, f"a{n}", 60.0, lambda connection: True):
             assert isinstance(action, StartDial)
             links.append(f"l{n}")
             assert pool.dial_succeeded(now, action.dial, links[-1]) == [
@@ -200,11 +206,11 @@
     return links
 
 
-def test_the_most_recently_used_goes_first_and_the_surplus_ages_out() -> None:
+def test_most_recently_used_is_reused_first_and_surplus_expires() -> None:
     pool = ConnectionPool(PoolOptions(), 10.0, random.Random(1))
-    for n, link in enumerate(opened(pool, 3)):
-        pool.release(float(n), link, True)
-    assert pool.request_connection(3.0, "x", 1.0, lambda link: True) == [
+    for n, connection in enumerate(opened(pool, 3)):
+        pool.release(float(n), connection, True)
+    assert pool.request_connection(3.0, "x", 1.0, lambda connection: True) == [
         AssignConnection("x", "l2")
     ]
     assert pool.release(9.0, "l2", True) == []
@@ -212,19 +218,19 @@
     assert pool.tick(19.5) == [CloseConnection("l2")]
 
 
-def test_the_bound_halves_its_way_down_by_refusals_and_grows_by_one_with_use() -> None:
+def test_bound_shrinks_on_refusals_and_grows_by_one_with_use() -> None:
     pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1), descriptor_bound=40.0)
     links = opened(pool, 10)
-    (dial,) = pool.request_connection(1.0, "x", 8.0, lambda link: True)
+    (dial,) = pool.request_connection(1.0, "x", 8.0, lambda connection: True)
     assert isinstance(dial, StartDial)
     assert pool.dial_failed(1.0, dial.dial, True) == [RejectAttempt("x", True)]
     assert (pool.bound(), pool.bound_reason()) == (7, BoundReason.REFUSED)
-    # no dial beyond the bound: it waits for a link
-    assert pool.request_connection(1.5, "y", 8.0, lambda link: True) == []
-    # surplus goes first
+    # No dial beyond the bound: the attempt waits for a connection.
+    assert pool.request_connection(1.5, "y", 8.0, lambda connection: True) == []
+    # Connections over the bound are closed first.
     assert pool.release(2.0, links[0], True) == [CloseConnection(links[0])] and pool.waiters
-    for n, link in enumerate(links[1:5]):
-        pool.release(3.0 + n, link, True)
+    for n, connection in enumerate(links[1:5]):
+        pool.release(3.0 + n, connection, True)
     assert "y" not in {w for w, _ in pool.waiters} and pool.bound() > 7
     pool.learned_bound = 39.5
     for n in range(40):
@@ -233,38 +239,38 @@
     assert (pool.bound(), pool.bound_reason()) == (40, BoundReason.DESCRIPTORS)
 
 
-def test_a_doubted_backend_gets_a_fresh_link_before_idle_ones_are_used_again() -> None:
+def test_distrusted_idle_connections_wait_for_a_new_connection() -> None:
     pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1))
-    for link in opened(pool, 2):
-        pool.release(1.0, link, True)
+    for connection in opened(pool, 2):
+        pool.release(1.0, connection, True)
     pool.distrust_idle()
-    (dial,) = pool.request_connection(2.0, "x", 8.0, lambda link: True)
+    (dial,) = pool.request_connection(2.0, "x", 8.0, lambda connection: True)
     assert isinstance(dial, StartDial) and pool.dial_succeeded(2.1, dial.dial, "l9") == [
         AssignConnection("x", "l9")
     ]
-    # it answers: trusted again
-    assert pool.request_connection(2.2, "y", 8.0, lambda link: True) == [
+    # The backend answers, so idle connections are trusted again.
+    assert pool.request_connection(2.2, "y", 8.0, lambda connection: True) == [
         AssignConnection("y", "l1")
     ]
     pool.distrust_idle()
-    (dial,) = pool.request_connection(3.0, "z", 8.0, lambda link: True)
+    (dial,) = pool.request_connection(3.0, "z", 8.0, lambda connection: True)
     assert isinstance(dial, StartDial)
-    # vanished: none is tried
+    # The backend has vanished: no idle connection is tried.
     assert pool.dial_failed(3.25, dial.dial, False) == [
         CloseConnection("l0"),
         RejectAttempt("z", True),
     ]
 
 
-def test_what_is_idle_beyond_a_smaller_bound_is_closed_the_oldest_first() -> None:
+def test_idle_connections_over_a_reduced_bound_are_closed_oldest_first() -> None:
     pool = ConnectionPool(PoolOptions(), 60.0, random.Random(1), descriptor_bound=9.0)
-    for link in opened(pool, 6)[:4]:
-        pool.release(1.0, link, True)
+    for connection in opened(pool, 6)[:4]:
+        pool.release(1.0, connection, True)
     pool.descriptor_bound = 4.0  # SIGHUP has halved the descriptors
     assert pool.tick(2.0) == [CloseConnection("l0"), CloseConnection("l1")] and pool.open() == 4
 
 
-def test_links_of_a_fleet_do_not_turn_over_in_step() -> None:
+def test_lifetimes_of_connections_vary() -> None:
     deaths, uses = set(), set()
     for seed in range(50):
         pool = ConnectionPool(PoolOptions(age=100, requests=1000), 60.0, random.Random(seed))
@@ -274,18 +280,18 @@
     assert len(deaths) > 20 and min(deaths) >= 80 and max(deaths) <= 120 and len(uses) > 30
 
 
-def test_links_are_opened_ahead_only_where_traffic_was_and_only_if_that_is_on() -> None:
+def test_preconnect_follows_recent_traffic_if_enabled() -> None:
     for warm, wanted in ((0, 0), (2, 2)):
         pool = ConnectionPool(PoolOptions(warm=warm), 60.0, random.Random(1))
-        assert pool.preconnect(0.0) == []  # nothing is known of its traffic
+        assert pool.preconnect(0.0) == []  # no traffic so far
         opened(pool, 3)
         pool.drain(True)
-        for link in sorted(pool.busy):
-            pool.release(1.0, link, False)
+        for connection in sorted(pool.busy):
+            pool.release(1.0, connection, False)
         assert (
             sum(isinstance(a, StartDial) for _ in range(5) for a in pool.preconnect(1.0)) == wanted
         )
-        assert pool.preconnect(200.0) == []  # long ago
+        assert pool.preconnect(200.0) == []  # the traffic was long ago
 
 
 @pytest.mark.parametrize(
@@ -300,7 +306,7 @@
         ({"warm": "2"}, "pool.warm: '2'"),
     ],
 )
-def test_what_makes_no_sense_is_refused_by_its_name(raw: object, wrong: str) -> None:
+def test_invalid_pool_settings_are_rejected_by_key(raw: object, wrong: str) -> None:
     with pytest.raises(ConfigError, match=wrong.replace(".", r"\.")):
         _pool(raw)
     assert _pool({"age_s": 60, "requests": 9}) == PoolOptions(age=60, requests=9)
--- a/tests/ingress/test_main.py
+++ b/tests/ingress/test_main.py
@@ -1,4 +1,4 @@
-"""The program as it is started: bad configuration, `/up`, SIGTERM, SIGHUP."""
+"""The ingress as a process: invalid configuration, `/up`, SIGTERM, SIGHUP."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     return start(path)
 
 
-def listens(ran: subprocess.Popen[str]) -> int:
-    """The port that it took, as its log tells."""
-    assert ran.stderr
-    line = ran.stderr.readline()
+def listening_port(process: subprocess.Popen[str]) -> int:
+    """Return the port that the process has logged."""
+    assert process.stderr
+    line = process.stderr.readline()
     assert "listening on " in line
     return int(line.rpartition(":")[2])
 
@@ -65,36 +65,40 @@
         json.dumps(config(known={"index": 1})),
     ],
 )
-def test_bad_configuration_is_one_line(tmp_path: Path, text: str) -> None:
+def test_invalid_configuration_prints_one_line(tmp_path: Path, text: str) -> None:
     (tmp_path / "config.json").write_text(text)
-    ran = start(tmp_path / "config.json")
-    _, errors = ran.communicate(timeout=60)
-    assert ran.returncode == 1 and errors.count("\n") == 1 and errors.startswith("ironledge: ")
-
-
-def test_up_without_discovery_or_counter_and_an_orderly_end(tmp_path: Path) -> None:
-    made = config()
-    (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
-    with urllib.request.urlopen(f"http://{HOST}:{listens(ran)}/up", timeout=60) as answer:
+    process = start(tmp_path / "config.json")
+    _, errors = process.communicate(timeout=60)
+    assert process.returncode == 1 and errors.count("\n") == 1 and errors.startswith("ironledge: ")
+
+
+def test_starts_and_stops_without_discovery_and_counter(tmp_path: Path) -> None:
+    raw_config = config()
+    (tmp_path / "config.json").write_text(json.dumps(raw_config))
+    process = start(tmp_path / "config.json")
+    with urllib.request.urlopen(
+        f"http://{HOST}:{listening_port(process)}/up", timeout=60
+    ) as answer:
         assert answer.status == 200
-    ran.send_signal(signal.SIGTERM)
-    _, errors = ran.communicate(timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    process.send_signal(signal.SIGTERM)
+    _, errors = process.communicate(timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
 
 
-async def test_sigterm_finishes_what_was_taken_and_ends_in_time(tmp_path: Path) -> None:
-    """Through the real module: one request is answered after SIGTERM, one never is by its backend,
-    and a new connection is still served; all get one final answer and the process ends with 0."""
+async def test_sigterm_finishes_open_requests_and_ends_in_time(tmp_path: Path) -> None:
+    """With the real policy: one backend answers after SIGTERM, one never does.
+
+    A new connection is still served. Every request gets one response, and the exit status is 0.
+    """
     server = await PeerServer().start()
     backend = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
-    made = config(known={"index": 1, "snapshot": True, "endpoints": [backend]})
-    (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
-    port = await asyncio.to_thread(listens, ran)
+    raw_config = config(known={"index": 1, "snapshot": True, "endpoints": [backend]})
+    (tmp_path / "config.json").write_text(json.dumps(raw_config))
+    process = start(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, process)
     asks = [asyncio.create_task(ask(port, request(f"r{n}", "order", "4000m"))) for n in range(2)]
     await server.wait_until(lambda: sum(b"\r\n\r\n" in peer.data for peer in server.peers) == 2)
-    ran.send_signal(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     first = server.peers[0].data.partition(b"Request-Id: ")[2][:2]
     late = asyncio.create_task(ask(port, request("late", "order", "4000m")))
     await server.wait_until(lambda: len(server.peers) == 3 and b"\r\n\r\n" in server.peers[2].data)
@@ -108,64 +112,65 @@
         b"HTTP/1.1 503"
     )
     assert all(b"Connection: close\r\n" in answer for answer in answers.values())
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
     server.stop()
 
 
-async def test_clients_wait_until_discovery_has_said_what_drains(tmp_path: Path) -> None:
-    """The list of the configuration may be old: a process that has just begun sends nothing by it
-    alone."""
+async def test_clients_wait_for_the_first_update_of_discovery(tmp_path: Path) -> None:
+    """The list in the configuration may be old, so a new process sends no request by it alone."""
     server, discovery = await PeerServer().start(), await PeerServer().start()
     backend = {"name": "s-1", "address": f"{HOST}:{server.port}", "status": "up"}
     known = {"index": 1, "snapshot": True, "endpoints": [backend]}
-    patient = RAW | {"safety": RAW["safety"] | {"drain_grace": 30_000_000}}
-    made = config(discovery=f"{HOST}:{discovery.port}", known=known, settings=patient)
-    (tmp_path / "config.json").write_text(json.dumps(made))
-    ran = start(tmp_path / "config.json")
+    long_grace = RAW | {"safety": RAW["safety"] | {"drain_grace": 30_000_000}}
+    raw_config = config(discovery=f"{HOST}:{discovery.port}", known=known, settings=long_grace)
+    (tmp_path / "config.json").write_text(json.dumps(raw_config))
+    process = start(tmp_path / "config.json")
     await discovery.wait_until(
         lambda: bool(discovery.peers) and b"\r\n\r\n" in discovery.peers[0].data
     )
-    assert ran.stderr and select.select([ran.stderr], [], [], 0)[0] == []  # not yet listening
-    told = {"index": 2, "snapshot": False, "endpoints": [backend | {"status": "draining"}]}
-    line = json.dumps(told).encode() + b"\n"
+    assert (
+        process.stderr and select.select([process.stderr], [], [], 0)[0] == []
+    )  # not yet listening
+    update = {"index": 2, "snapshot": False, "endpoints": [backend | {"status": "draining"}]}
+    line = json.dumps(update).encode() + b"\n"
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     discovery.peers[0].transport.write(head + b"%x\r\n%b\r\n" % (len(line), line))
-    port = await asyncio.to_thread(listens, ran)
+    port = await asyncio.to_thread(listening_port, process)
     assert (await ask(port, request())).startswith(b"HTTP/1.1 429 ")
     assert server.peers == []
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    process.send_signal(signal.SIGTERM)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
     server.stop()
     discovery.stop()
 
 
-async def test_a_silent_discovery_keeps_clients_waiting_for_no_longer_than_a_drain_may_take(
+async def test_silent_discovery_delays_clients_at_most_by_the_drain_grace(
     tmp_path: Path,
 ) -> None:
     discovery = await PeerServer().start()
     (tmp_path / "config.json").write_text(json.dumps(config(discovery=f"{HOST}:{discovery.port}")))
-    ran = start(tmp_path / "config.json")
-    port = await asyncio.to_thread(listens, ran)
+    process = start(tmp_path / "config.json")
+    port = await asyncio.to_thread(listening_port, process)
     assert (await ask(port, b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
-    ran.send_signal(signal.SIGTERM)
-    await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0
+    process.send_signal(signal.SIGTERM)
+    await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0
     discovery.stop()
 
 
 def without(path: str, value: Any = None) -> str:
-    """The configuration with one key of the settings gone, or with another value."""
-    made = json.loads(json.dumps(config()))
-    *way, last = path.split(".")
-    at = made["settings"]
-    for key in way:
-        at = at[int(key) if key.isdecimal() else key]
-    del at[last]
+    """Return the configuration without one key of the settings, or with another value for it."""
+    raw_config = json.loads(json.dumps(config()))
+    *parents, last = path.split(".")
+    item = raw_config["settings"]
+    for key in parents:
+        item = item[int(key) if key.isdecimal() else key]
+    del item[last]
     if value is not None:
-        at[last] = value
-    return json.dumps(made)
+        item[last] = value
+    return json.dumps(raw_config)
 
 
 BROKEN = [
@@ -184,97 +189,105 @@
 
 
 @pytest.mark.parametrize("broken", [None, *BROKEN])
-async def test_sighup_takes_up_new_addresses_and_survives_a_broken_file(
+async def test_sighup_applies_new_addresses_and_survives_an_invalid_file(
     tmp_path: Path, broken: str | None
 ) -> None:
     olds, news = [[await PeerServer().start() for _ in range(2)] for _ in range(2)]
     path = tmp_path / "config.json"
 
     def write(discovery: PeerServer, counter: PeerServer) -> None:
-        at = {"discovery": f"{HOST}:{discovery.port}", "counter": f"{HOST}:{counter.port}"}
-        path.write_text(json.dumps(config(**at)))
+        addresses = {"discovery": f"{HOST}:{discovery.port}", "counter": f"{HOST}:{counter.port}"}
+        path.write_text(json.dumps(config(**addresses)))
 
     write(*olds)
-    ran = start(path)
-    await asyncio.to_thread(listens, ran)
+    process = start(path)
+    await asyncio.to_thread(listening_port, process)
     for server in olds:
         await server.wait_until(lambda server=server: len(server.peers) == 1)  # type: ignore[misc]
     if broken is not None:
         path.write_text(broken)
-        ran.send_signal(signal.SIGHUP)
-        assert ran.stderr and "stays as it was" in await asyncio.to_thread(ran.stderr.readline)
+        process.send_signal(signal.SIGHUP)
+        assert process.stderr and "stays as it was" in await asyncio.to_thread(
+            process.stderr.readline
+        )
     write(*news)
-    ran.send_signal(signal.SIGHUP)
+    process.send_signal(signal.SIGHUP)
     await news[0].wait_until(
         lambda: bool(news[0].peers) and b"watch=1&from=1 " in news[0].peers[0].data
     )
     await news[1].wait_until(lambda: len(news[1].peers) == 1)
     for server in olds:
         await server.wait_until(lambda server=server: len(server.closed) == 1)  # type: ignore[misc]
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    process.send_signal(signal.SIGTERM)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
     for server in (*olds, *news):
         server.stop()
 
 
-async def test_sighup_turns_the_list_service_on_and_off_by_name_alone(tmp_path: Path) -> None:
+async def test_sighup_switches_the_list_service_on_and_off(tmp_path: Path) -> None:
     one, two = [await PeerServer().start() for _ in range(2)]
     path = tmp_path / "config.json"
-    ran = start_with(path, discovery=f"{HOST}:{one.port}")
+    process = start_with(path, discovery=f"{HOST}:{one.port}")
 
-    async def told(words: str, **changes: Any) -> None:
+    async def reload(log_text: str, **changes: Any) -> None:
         path.write_text(json.dumps(config(discovery=f"{HOST}:{one.port}") | changes))
-        ran.send_signal(signal.SIGHUP)
-        assert ran.stderr and words in await asyncio.to_thread(ran.stderr.readline)
+        process.send_signal(signal.SIGHUP)
+        assert process.stderr and log_text in await asyncio.to_thread(process.stderr.readline)
 
-    async def asked(server: PeerServer, peer: int) -> bytes:
+    async def watch_target(server: PeerServer, peer: int) -> bytes:
         await server.wait_until(
             lambda: len(server.peers) > peer and b"\r\n\r\n" in server.peers[peer].data
         )
         return bytes(server.peers[peer].data.split()[1])
 
-    assert await asked(one, 0) == b"/discovery/hosts?watch=1&from=1"
-    await asyncio.to_thread(listens, ran)
-    await told("directory.addresses[0]: 'nowhere'", directory={"addresses": ["nowhere"]})
-    await told("new settings", directory={"addresses": [f"{HOST}:{two.port}"]})
-    assert await asked(one, 1) == b"/discovery/hosts?watch=1&from=0&epoch=0&lineage="
-    await told("stays as it was: directory is missing")
+    assert await watch_target(one, 0) == b"/discovery/hosts?watch=1&from=1"
+    await asyncio.to_thread(listening_port, process)
+    await reload("directory.addresses[0]: 'nowhere'", directory={"addresses": ["nowhere"]})
+    await reload("new settings", directory={"addresses": [f"{HOST}:{two.port}"]})
+    assert await watch_target(one, 1) == b"/discovery/hosts?watch=1&from=0&epoch=0&lineage="
+    await reload("stays as it was: directory is missing")
     one.peers[1].transport.close()
-    assert await asked(two, 0) == b"/discovery/hosts?watch=1&from=0&epoch=0&lineage="
-    await told("new settings", directory=None)
-    assert await asked(one, 2) == b"/discovery/hosts?watch=1&from=1"
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    assert await watch_target(two, 0) == b"/discovery/hosts?watch=1&from=0&epoch=0&lineage="
+    await reload("new settings", directory=None)
+    assert await watch_target(one, 2) == b"/discovery/hosts?watch=1&from=1"
+    process.send_signal(signal.SIGTERM)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
     one.stop()
     two.stop()
 
 
-async def test_sighup_swaps_the_classes_in(tmp_path: Path) -> None:
+async def test_sighup_replaces_the_classes(tmp_path: Path) -> None:
     path, classes = tmp_path / "config.json", RAW["services"]
 
     def write(*services: dict[str, Any]) -> None:
         path.write_text(json.dumps(config(settings=RAW | {"services": services})))
 
-    async def named(ran: subprocess.Popen[str], *services: dict[str, Any]) -> list[bytes]:
+    async def statuses(process: subprocess.Popen[str], *services: dict[str, Any]) -> list[bytes]:
         if services:
             write(*services)
-            ran.send_signal(signal.SIGHUP)
-            assert ran.stderr and "new settings" in await asyncio.to_thread(ran.stderr.readline)
+            process.send_signal(signal.SIGHUP)
+            assert process.stderr and "new settings" in await asyncio.to_thread(
+                process.stderr.readline
+            )
         asks = [ask(port, request(cls=c)) for c in ("read", "order", "fresh")]
         return [(await a).split()[1] for a in asks]
 
     write(*classes)
-    ran = start(path)
-    port = await asyncio.to_thread(listens, ran)
-    # known, with no backend to send them to; unknown
-    assert await named(ran) == [b"429", b"429", b"404"]
-    assert await named(ran, *classes, classes[0] | {"name": "fresh"}) == [b"429"] * 3
-    assert await named(ran, classes[1], classes[0] | {"name": "fresh"}) == [b"404", b"429", b"429"]
-    ran.send_signal(signal.SIGTERM)
-    _, errors = await asyncio.to_thread(ran.communicate, timeout=60)
-    assert ran.returncode == 0 and "Traceback" not in errors
+    process = start(path)
+    port = await asyncio.to_thread(listening_port, process)
+    # 429: known, but without a backend; 404: unknown.
+    assert await statuses(process) == [b"429", b"429", b"404"]
+    assert await statuses(process, *classes, classes[0] | {"name": "fresh"}) == [b"429"] * 3
+    assert await statuses(process, classes[1], classes[0] | {"name": "fresh"}) == [
+        b"404",
+        b"429",
+        b"429",
+    ]
+    process.send_signal(signal.SIGTERM)
+    _, errors = await asyncio.to_thread(process.communicate, timeout=60)
+    assert process.returncode == 0 and "Traceback" not in errors
 
 
 async def ask(port: int, data: bytes) -> bytes:
--- a/tests/testing/ingress.py
+++ b/tests/testing/ingress.py
@@ -1,4 +1,4 @@
-"""What the tests of the real ingress share: settings as they come, and small peers on loopback."""
+"""Shared by the tests of the ingress: settings, a scripted policy, and test peers on loopback."""
 
 from __future__ import annotations
 
@@ -58,8 +58,10 @@
 
 
 class ScriptedPolicy:
-    """A module that does what the test says: `rule` turns an event into actions; all events are
-    kept."""
+    """A request policy that is scripted by the test: `rule` returns the actions for an event.
+
+    All events are recorded.
+    """
 
     def __init__(self, rule: Callable[[it.Event], list[it.Action]] = lambda event: []) -> None:
         self.rule = rule
@@ -72,9 +74,11 @@
         return self.rule(event)
 
     def of_kind(self, kind: type) -> list[Any]:
+        """Return the recorded events of this kind."""
         return [e for e in self.events if isinstance(e, kind)]
 
     async def wait_for(self, kind: type, count: int = 1) -> list[Any]:
+        """Wait until `count` events of this kind have been recorded, and return all of them."""
         async with asyncio.timeout(10):
             while len(self.of_kind(kind)) < count:
                 self.changed.clear()
@@ -83,7 +87,7 @@
 
 
 def send_first(event: it.Event) -> list[it.Action]:
-    """Sends every request to backend 1, and fails it if that does not serve it."""
+    """Send every request to backend 1, and fail it if the attempt fails."""
     if isinstance(event, it.RequestArrived):
         return [it.SendAttempt(event.request, 1, 0)]
     if isinstance(event, it.AttemptEnded) and not event.final:
@@ -92,8 +96,10 @@
 
 
 class Peer(asyncio.Protocol):
-    """One connection to a pretended backend or counter: `heard` is called with what has come so
-    far."""
+    """One connection to a simulated backend, counter or list service.
+
+    The server's `on_data` is called after each receipt, with all data so far in `data`.
+    """
 
     def __init__(self, server: PeerServer) -> None:
         self.server, self.data = server, b""
@@ -114,8 +120,10 @@
 
 
 class PeerServer:
-    def __init__(self, heard: Callable[[Peer], None] = lambda peer: None) -> None:
-        self.on_data = heard
+    """A listener on loopback that records its connections."""
+
+    def __init__(self, on_data: Callable[[Peer], None] = lambda peer: None) -> None:
+        self.on_data = on_data
         self.peers: list[Peer] = []
         self.closed: list[Peer] = []
         self.changed = asyncio.Event()
@@ -127,9 +135,9 @@
         self.port = self._server.sockets[0].getsockname()[1]
         return self
 
-    async def wait_until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(10):
-            while not holds():
+            while not condition():
                 self.changed.clear()
                 await self.changed.wait()
 
@@ -140,14 +148,14 @@
 
 
 def reply_with(reply: bytes) -> Callable[[Peer], None]:
-    """Answers each whole request (these have no body) on a connection with `reply`."""
+    """Return an `on_data` that answers each complete request, without body, with `reply`."""
 
-    def heard(peer: Peer) -> None:
+    def on_data(peer: Peer) -> None:
         while b"\r\n\r\n" in peer.data:
             _, _, peer.data = peer.data.partition(b"\r\n\r\n")
             peer.transport.write(reply)
 
-    return heard
+    return on_data
 
 
 OK = b"HTTP/1.1 200 OK\r\nServer-Load: queue=3\r\nContent-Length: 4\r\n\r\nwarm"
@@ -155,7 +163,7 @@
 
 
 class SingleBackend:
-    """One backend behind the real pools."""
+    """One simulated backend behind real connection pools."""
 
     def __init__(self, server: PeerServer, idle_us: int = 10_000_000) -> None:
         self.server, self.sockets = server, Sockets(1024)
@@ -177,7 +185,7 @@
 
 
 class Ingress:
-    """All of the ingress but discovery and the counter, with a scripted module."""
+    """An ingress without discovery and counter, with a scripted policy."""
 
     def __init__(self, script: ScriptedPolicy, limit: int = 1024) -> None:
         clock, self.sockets, self.script = Clock(), Sockets(limit), script
@@ -199,7 +207,7 @@
             connection.transport.abort()
 
     async def ask(self, request: bytes) -> bytes:
-        """All that comes back on a new connection until it is closed or the answer is whole."""
+        """Send a request on a new connection, and return its response."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         try:
             writer.write(request)
@@ -240,7 +248,7 @@
 
 
 class ManualClock:
-    """A loop whose time passes when it is told to; us."""
+    """An event loop's timers on simulated time, in us, which passes only by `advance`."""
 
     def __init__(self, start: int) -> None:
         self.time, self.timers = start, list[Timer]()
