--- a/cairndale/ingress/net/__init__.py
+++ b/cairndale/ingress/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real ingress: sockets round the decision module."""
+"""The ingress in service: sockets, HTTP/1.1 and connection pools around the request policy."""
--- a/cairndale/ingress/net/backends.py
+++ b/cairndale/ingress/net/backends.py
@@ -532,26 +532,26 @@
                     socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self._backends.unacked_ms
                 )
             await _connect_socket(loop, sock, self.address, self._backends.connect_timeout)
-            connection = made = UpstreamConnection(self, sock)
-            await loop.create_connection(lambda: made, sock=sock)
+            connection = created = UpstreamConnection(self, sock)
+            await loop.create_connection(lambda: created, sock=sock)
             established = True
         except TimeoutError:
             pass
         except (OSError, ValueError):  # refused, or out of descriptors
             refused = True
         finally:
-            wanted = self._dial_tasks.pop(dial, None) is not None
+            still_wanted = self._dial_tasks.pop(dial, None) is not None
             if connection is None or not hasattr(connection, "transport"):
                 self._backends.sockets.upstream_closed()
                 if sock:
                     sock.close()
-            elif not (established and wanted):
+            elif not (established and still_wanted):
                 # Established just as the dial was given up; its closing is counted once, by
                 # `connection_closed`.
                 connection.disconnect()
-            if established and wanted and connection and not connection.closed:
+            if established and still_wanted and connection and not connection.closed:
                 self._execute(self.pool.dial_succeeded(self.now(), dial, connection))
-            elif wanted:
+            elif still_wanted:
                 self._execute(self.pool.dial_failed(self.now(), dial, refused))
 
     def preconnect(self) -> None:
--- a/cairndale/ingress/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -189,17 +189,17 @@
             call.end(Outcome.RESET if exc else Outcome.TIMEOUT)  # it may have been added
 
     def _handle_answer(self, line: bytes) -> bool:
-        word, _, rest = line.partition(b" ")
+        status, _, rest = line.partition(b" ")
         outcome, total = Outcome.FULL, 0.0
-        if word == b"ok":
+        if status == b"ok":
             try:
                 outcome, total = Outcome.OK, float(rest)
             except ValueError:
                 return False
-        if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
+        if status not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
             return False
         # Answers and calls are out of step and cannot be matched.
-        if not self._calls or self._calls[0].is_ping != (word == b"pong"):
+        if not self._calls or self._calls[0].is_ping != (status == b"pong"):
             return False
         self.answered = True
         self._calls.popleft().end(outcome, total)
--- a/cairndale/ingress/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -137,8 +137,8 @@
 class CounterCallback(Protocol):
     """Receives the result of a call to the quota counter."""
 
-    def __call__(self, outcome: Outcome, total: float, left: float | None = None, /) -> None:
-        """`left`: units in the token bucket, if the counter itself keeps the buckets."""
+    def __call__(self, outcome: Outcome, total: float, units_left: float | None = None, /) -> None:
+        """`units_left`: units in the token bucket, if the counter itself keeps the buckets."""
 
 
 class CounterClient(Protocol):
@@ -860,11 +860,11 @@
     def _call_counter(self, action: it.AddToCounter) -> None:
         called_at, name = self.now(), action.name
 
-        def callback(outcome: Outcome, total: float, left: float | None = None) -> None:
+        def callback(outcome: Outcome, total: float, units_left: float | None = None) -> None:
             latency = self.now() - called_at
             if self.observer:
                 self.observer.counter_called(outcome, latency)
-            self._post(it.CountAnswered(name, outcome, total, latency, left))
+            self._post(it.CountAnswered(name, outcome, total, latency, units_left))
 
         if self.lease_client:
             self.lease_client.lease(
@@ -906,20 +906,20 @@
 
     Items that were removed keep their positions, and new names are appended.
     """
-    named: dict[str, Named] = {entry.name: entry for entry in after}
-    kept: list[Named] = [named.get(entry.name, entry) for entry in before]
-    known = set(kept)  # a set, as a site may have very many tenants
-    return tuple(kept + [entry for entry in after if entry not in known])
+    by_name: dict[str, Named] = {entry.name: entry for entry in after}
+    merged: list[Named] = [by_name.get(entry.name, entry) for entry in before]
+    known = set(merged)  # a set, as a site may have very many tenants
+    return tuple(merged + [entry for entry in after if entry not in known])
 
 
 class NameTable:
     """The names in the settings of the items that the policy identifies by number."""
 
     def __init__(
-        self, settings: it.Settings, raw: dict[str, Any], named: it.Settings | None = None
+        self, settings: it.Settings, raw: dict[str, Any], usable: it.Settings | None = None
     ) -> None:
-        named = named or settings  # without removed classes and plans
-        classes, plans = set(named.classes), set(named.plans)
+        usable = usable or settings  # without removed classes and plans
+        classes, plans = set(usable.classes), set(usable.plans)
         self.classes = {c.name.encode(): n for n, c in enumerate(settings.classes) if c in classes}
         self.plans = {p.name.encode(): n for n, p in enumerate(settings.plans) if p in plans}
         self.fleet_size = settings.fleet_size
@@ -935,15 +935,15 @@
 
         Return its values in the order of the settings, or nothing if a field is missing or invalid.
         """
-        found: list[float | None] = [None] * self._load_count
+        values_found: list[float | None] = [None] * self._load_count
         for part in text.split(b","):
             name, _, value = part.strip().partition(b"=")
             if (at := self._load_positions.get(name)) is not None:
                 try:
-                    found[at] = float(value)
+                    values_found[at] = float(value)
                 except ValueError:
                     return ()
-        values = [v for v in found if v is not None]
+        values = [v for v in values_found if v is not None]
         return tuple(values) if len(values) == self._load_count else ()
 
 
--- a/cairndale/ingress/net/pool.py
+++ b/cairndale/ingress/net/pool.py
@@ -357,14 +357,14 @@
         """
         actions: list[Action] = []
         oldest = now - self.idle_timeout
-        kept = []
+        remaining = []
         for connection in self.idle:
             state = self._states[connection]
             if suspended or state.idle_since <= oldest or state.expires_at <= now:
                 self._close(connection, actions)
             else:
-                kept.append(connection)
-        self.idle[:] = kept
+                remaining.append(connection)
+        self.idle[:] = remaining
         actions += self.shrink(self.bound())
         while self.waiters and self.waiters[0][1] <= now:
             self.counters.rejected += 1
@@ -412,8 +412,8 @@
 
         Waiting attempts take precedence.
         """
-        wanted = min(float(self.options.warm), math.ceil(self.expected_demand(now)), self.bound())
+        target = min(float(self.options.warm), math.ceil(self.expected_demand(now)), self.bound())
         actions: list[Action] = []
-        if self.ready and not self.waiters and self.open() < wanted:
+        if self.ready and not self.waiters and self.open() < target:
             self._start_dial(actions)
         return actions
--- a/tests/ingress/net/test_bodies.py
+++ b/tests/ingress/net/test_bodies.py
@@ -10,7 +10,7 @@
 
 from cairndale.ingress.net.bodies import MAX_BUFFER_BYTES, MIN_BUFFER_BYTES, BodyMemory, Upload
 from cairndale.ingress.policy import interface as it
-from tests.ingress.net.test_clients import listing, sweep_later
+from tests.ingress.net.test_clients import endpoint_update, sweep_later
 from tests.testing.ingress import (
     HOST,
     OK,
@@ -40,7 +40,7 @@
 async def ingress(backend: PeerServer) -> AsyncIterator[Ingress]:
     ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.update_endpoints(listing(backend.port))
+    ingress.engine.update_endpoints(endpoint_update(backend.port))
     yield ingress
     ingress.stop()
 
@@ -200,8 +200,8 @@
 
 
 def upload(size: int, **other: str) -> bytes:
-    made = request(cls="order", **({"content_length": str(size)} | other))
-    return made.replace(b"Content-Length: 0\r\n", b"")
+    data = request(cls="order", **({"content_length": str(size)} | other))
+    return data.replace(b"Content-Length: 0\r\n", b"")
 
 
 async def test_large_request_is_streamed_and_its_deadline_counts_from_its_end(
--- a/tests/ingress/net/test_clients.py
+++ b/tests/ingress/net/test_clients.py
@@ -34,12 +34,14 @@
 async def ingress(backend: PeerServer) -> AsyncIterator[Ingress]:
     ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.update_endpoints(listing(backend.port))
+    ingress.engine.update_endpoints(endpoint_update(backend.port))
     yield ingress
     ingress.stop()
 
 
-def listing(port: int, status: str = "up", index: int = 1, whole: bool = True) -> EndpointUpdate:
+def endpoint_update(
+    port: int, status: str = "up", index: int = 1, full: bool = True
+) -> EndpointUpdate:
     entry = {
         "name": "s-1",
         "address": f"{HOST}:{port}",
@@ -47,7 +49,7 @@
         "zone": "hall",
         "type": "big",
     }
-    return EndpointUpdate({"index": index, "snapshot": whole, "endpoints": [entry]})
+    return EndpointUpdate({"index": index, "snapshot": full, "endpoints": [entry]})
 
 
 async def test_request_is_served_and_reported_to_the_policy(
@@ -201,7 +203,7 @@
     # Capacity for 3 connections, and for 4 more to be rejected.
     ingress = Ingress(ScriptedPolicy(send_first), limit=34)
     await ingress.start()
-    ingress.engine.update_endpoints(listing(backend.port))
+    ingress.engine.update_endpoints(endpoint_update(backend.port))
     assert (ingress.sockets.capacity, ingress.sockets.accept_limit) == (3, 7)
     idle = [await asyncio.open_connection(HOST, ingress.port) for _ in range(3)]
     for reader, writer in idle:
--- a/tests/ingress/net/test_counter.py
+++ b/tests/ingress/net/test_counter.py
@@ -143,11 +143,11 @@
     calls.add("lost")
     await lines(server, 2)
     server.on_data = lambda peer: peer.transport.write(b"ok 2\r\n")
-    lost = server.peers[0].transport
-    lost.get_extra_info("socket").setsockopt(
+    transport = server.peers[0].transport
+    transport.get_extra_info("socket").setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
     )
-    lost.abort()
+    transport.abort()
     await calls.answered(2)
     calls.add("pending")
     assert (await calls.answered(3))[1:] == [
@@ -207,9 +207,9 @@
 # The watch.
 
 
-def line(index: int, whole: bool, *names: str) -> bytes:
+def line(index: int, full: bool, *names: str) -> bytes:
     endpoints = [{"name": n, "address": f"{HOST}:1", "status": "up"} for n in names]
-    return json.dumps({"index": index, "snapshot": whole, "endpoints": endpoints}).encode() + b"\n"
+    return json.dumps({"index": index, "snapshot": full, "endpoints": endpoints}).encode() + b"\n"
 
 
 def chunk(data: bytes) -> bytes:
--- a/tests/ingress/net/test_discovery.py
+++ b/tests/ingress/net/test_discovery.py
@@ -46,10 +46,10 @@
     return raw if version is None else raw | {"version": version}
 
 
-def listing(
-    index: int, *entries: dict[str, Any], whole: bool = True, epoch: int = 1, **more: Any
+def endpoint_update(
+    index: int, *entries: dict[str, Any], full: bool = True, epoch: int = 1, **more: Any
 ) -> EndpointUpdate:
-    raw = {"index": index, "snapshot": whole, "endpoints": entries, "epoch": epoch, "lineage": "l"}
+    raw = {"index": index, "snapshot": full, "endpoints": entries, "epoch": epoch, "lineage": "l"}
     return EndpointUpdate(raw | more)
 
 
@@ -164,46 +164,52 @@
 
 def test_older_version_or_epoch_is_rejected() -> None:
     table = client()
-    table.apply_update(listing(10, entry("a", version=9), entry("b", version=10)), 0.0)
+    table.apply_update(endpoint_update(10, entry("a", version=9), entry("b", version=10)), 0.0)
     for old in (
-        listing(9, entry("a", version=9)),
-        listing(9, entry("a", version=9), whole=False),
-        listing(99, entry("a", version=9), epoch=0),
+        endpoint_update(9, entry("a", version=9)),
+        endpoint_update(9, entry("a", version=9), full=False),
+        endpoint_update(99, entry("a", version=9), epoch=0),
     ):
         with pytest.raises(UpdateRejected):
             table.apply_update(old, 1.0)
     assert table.index == 10 and statuses(table) == {"a": "up", "b": "up"}
-    table.apply_update(listing(99, entry("a", version=9), entry("b", version=10), epoch=2), 2.0)
+    table.apply_update(
+        endpoint_update(99, entry("a", version=9), entry("b", version=10), epoch=2), 2.0
+    )
     with pytest.raises(UpdateRejected, match="epoch 1 is past"):
-        table.apply_update(listing(200, entry("a", version=9)), 3.0)
+        table.apply_update(endpoint_update(200, entry("a", version=9)), 3.0)
 
 
 def test_drain_and_removal_persist_over_a_failover_that_lost_them() -> None:
     table = client()
     known = [entry(n, version=v) for v, n in enumerate("abcd", 1)]
-    table.apply_update(listing(4, *known), 0.0)
-    table.apply_update(listing(5, entry("a", "draining", version=5), whole=False), 1.0)
-    table.apply_update(listing(6, entry("b", "removed", version=6), whole=False), 1.0)
-    table.apply_update(listing(1000, *known, epoch=2), 2.0)  # a replica without these changes leads
+    table.apply_update(endpoint_update(4, *known), 0.0)
+    table.apply_update(endpoint_update(5, entry("a", "draining", version=5), full=False), 1.0)
+    table.apply_update(endpoint_update(6, entry("b", "removed", version=6), full=False), 1.0)
+    table.apply_update(
+        endpoint_update(1000, *known, epoch=2), 2.0
+    )  # a replica without these changes leads
     assert statuses(table) == {"a": "draining", "c": "up", "d": "up"}
     # Another version of the same instance.
-    table.apply_update(listing(1001, entry("a", version=1001), whole=False, epoch=2), 3.0)
+    table.apply_update(endpoint_update(1001, entry("a", version=1001), full=False, epoch=2), 3.0)
     assert table.entries["a"].status == "draining"
-    table.apply_update(listing(1002, entry("a", since=5, version=1002), whole=False, epoch=2), 3.0)
     table.apply_update(
-        listing(1003, entry("b", version=1003), whole=False, epoch=2), 3.0
+        endpoint_update(1002, entry("a", since=5, version=1002), full=False, epoch=2), 3.0
+    )
+    table.apply_update(
+        endpoint_update(1003, entry("b", version=1003), full=False, epoch=2), 3.0
     )  # listed again
     assert statuses(table) == {"a": "up", "b": "up", "c": "up", "d": "up"}
 
 
 def test_entries_lost_in_a_failover_do_not_revert_newer_ones() -> None:
     table = client()
-    table.apply_update(listing(4, entry("a", version=3), entry("b", version=4)), 0.0)
-    table.apply_update(listing(6, entry("a", port=2, version=6), whole=False), 1.0)  # moved
-    table.apply_update(listing(7, entry("b", "draining", version=7), whole=False), 1.0)
+    table.apply_update(endpoint_update(4, entry("a", version=3), entry("b", version=4)), 0.0)
+    table.apply_update(endpoint_update(6, entry("a", port=2, version=6), full=False), 1.0)  # moved
+    table.apply_update(endpoint_update(7, entry("b", "draining", version=7), full=False), 1.0)
     entries = (entry("a", version=3), entry("b", version=4))
     # `b` was removed before the version that is known.
-    table.apply_update(listing(1000, *entries, epoch=2, gone=[["b", 2]]), 2.0)
+    table.apply_update(endpoint_update(1000, *entries, epoch=2, gone=[["b", 2]]), 2.0)
     assert table.entries["a"].address == (HOST, 2) and statuses(table) == {
         "a": "up",
         "b": "draining",
@@ -212,36 +218,42 @@
 
 def test_versions_of_another_lineage_are_not_compared() -> None:
     table = client()
-    table.apply_update(listing(90, entry("a", version=80), entry("b", version=90)), 0.0)
+    table.apply_update(endpoint_update(90, entry("a", version=80), entry("b", version=90)), 0.0)
     table.apply_update(
-        listing(2, entry("a", port=2, version=1), entry("b", version=2), lineage="new"), 1.0
+        endpoint_update(2, entry("a", port=2, version=1), entry("b", version=2), lineage="new"), 1.0
     )
     assert table.entries["a"].address == (HOST, 2)
 
 
 def test_drain_persists_over_a_new_lineage() -> None:
     table = client()
-    table.apply_update(listing(4, entry("a", "draining", version=4), entry("b", version=1)), 0.0)
-    table.apply_update(listing(2, entry("a", version=1), entry("b", version=2), lineage="new"), 1.0)
+    table.apply_update(
+        endpoint_update(4, entry("a", "draining", version=4), entry("b", version=1)), 0.0
+    )
+    table.apply_update(
+        endpoint_update(2, entry("a", version=1), entry("b", version=2), lineage="new"), 1.0
+    )
     assert (table.lineage, table.index) == ("new", 2) and statuses(table) == {
         "a": "draining",
         "b": "up",
     }
     with pytest.raises(UpdateRejected, match="list l was left for new"):
-        table.apply_update(listing(9, entry("a", version=9)), 2.0)
+        table.apply_update(endpoint_update(9, entry("a", version=9)), 2.0)
     with pytest.raises(UpdateRejected, match="changes of the unknown list"):
-        table.apply_update(listing(9, entry("a", version=9), lineage="third", whole=False), 2.0)
+        table.apply_update(
+            endpoint_update(9, entry("a", version=9), lineage="third", full=False), 2.0
+        )
     with pytest.raises(UpdateRejected, match="no epoch"):
         table.apply_update(EndpointUpdate({"index": 99, "snapshot": True, "endpoints": []}), 2.0)
 
 
 def test_empty_list_after_a_restart_removes_no_server() -> None:
     table = client()
-    table.apply_update(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
-    table.apply_update(listing(0, lineage="new"), 1.0)
+    table.apply_update(endpoint_update(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
+    table.apply_update(endpoint_update(0, lineage="new"), 1.0)
     assert len(table.entries) == 4 and sorted(table.retained) == list("abcd")
     assert table.expire_retained(1e6) is None and len(table.entries) == 4
-    table.apply_update(listing(1, entry("a", version=1), whole=False, lineage="new"), 1e6)
+    table.apply_update(endpoint_update(1, entry("a", version=1), full=False, lineage="new"), 1e6)
     assert (
         table.expire_retained(1e6 + 59) is None
     )  # the others are retained for the full time again
@@ -255,13 +267,13 @@
 
 def test_drastically_shorter_list_is_applied_late_and_a_removal_at_once() -> None:
     table = client()
-    table.apply_update(listing(4, *[entry(n, version=1) for n in "abcdef"]), 0.0)
+    table.apply_update(endpoint_update(4, *[entry(n, version=1) for n in "abcdef"]), 0.0)
     table.apply_update(
-        listing(9, entry("a", version=1), entry("b", version=1), gone=[["c", 8]]), 10.0
+        endpoint_update(9, entry("a", version=1), entry("b", version=1), gone=[["c", 8]]), 10.0
     )
     assert sorted(statuses(table)) == list("abdef") and sorted(table.retained) == list("def")
-    table.apply_update(listing(10, entry("d", "removed", version=10), whole=False), 11.0)
-    table.apply_update(listing(11, entry("e", version=11), whole=False), 11.0)
+    table.apply_update(endpoint_update(10, entry("d", "removed", version=10), full=False), 11.0)
+    table.apply_update(endpoint_update(11, entry("e", version=11), full=False), 11.0)
     assert sorted(table.retained) == ["f"]
     assert table.expire_retained(69.0) is None
     assert table.expire_retained(70.0) is not None and sorted(statuses(table)) == list("abe")
@@ -269,25 +281,25 @@
 
 def test_list_that_lacks_few_servers_is_applied_at_once() -> None:
     table = client()
-    table.apply_update(listing(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
-    table.apply_update(listing(9, entry("a", version=1), entry("b", version=1)), 10.0)
+    table.apply_update(endpoint_update(4, *[entry(n, version=1) for n in "abcd"]), 0.0)
+    table.apply_update(endpoint_update(9, entry("a", version=1), entry("b", version=1)), 10.0)
     assert sorted(statuses(table)) == list("ab") and not table.retained
 
 
 def test_table_is_handed_over_to_the_next_process() -> None:
     table, after = client(), client()
-    table.apply_update(listing(4, entry("a", version=1), entry("b", version=2)), 0.0)
-    table.apply_update(listing(5, entry("a", "removed", version=5), whole=False), 1.0)
-    table.apply_update(listing(6), 2.0)
+    table.apply_update(endpoint_update(4, entry("a", version=1), entry("b", version=2)), 0.0)
+    table.apply_update(endpoint_update(5, entry("a", "removed", version=5), full=False), 1.0)
+    table.apply_update(endpoint_update(6), 2.0)
     after.restore(json.loads(json.dumps(table.dump())), [])
     assert after.dump() == table.dump() and after.retained == {"b": 62.0}
     with pytest.raises(UpdateRejected):
-        after.apply_update(listing(4, entry("a", version=1)), 2.0)
+        after.apply_update(endpoint_update(4, entry("a", version=1)), 2.0)
     before = client()
     before.restore(
         None, [entry("a", "draining")]
     )  # a process that watched the platform's discovery
-    before.apply_update(listing(4, entry("a", version=1)), 2.0)
+    before.apply_update(endpoint_update(4, entry("a", version=1)), 2.0)
     assert statuses(before) == {"a": "draining"}
 
 
@@ -405,8 +417,8 @@
     assert raised == []
 
 
-def raw(index: int, *entries: dict[str, Any], whole: bool = True, **more: Any) -> dict[str, Any]:
-    line = {"index": index, "snapshot": whole, "endpoints": entries, "epoch": 1, "lineage": "l"}
+def raw(index: int, *entries: dict[str, Any], full: bool = True, **more: Any) -> dict[str, Any]:
+    line = {"index": index, "snapshot": full, "endpoints": entries, "epoch": 1, "lineage": "l"}
     return line | more
 
 
@@ -496,7 +508,7 @@
     fleet.send(0, raw(7, A, B))
     await fleet.received(1)
     assert fleet.discovery.age() < 10
-    fleet.send(0, raw(7, whole=False, age_ms=20_000), head=False)
+    fleet.send(0, raw(7, full=False, age_ms=20_000), head=False)
     await fleet.watch_target(1)  # the replica is left for another
     status = fleet.discovery.status()
     assert status["age_s"] >= 20 and status["servers"] == 2 and "out of touch" in status["refused"]
--- a/tests/ingress/net/test_engine.py
+++ b/tests/ingress/net/test_engine.py
@@ -28,15 +28,15 @@
     def __init__(
         self,
         data: bytes,
-        ended: Callable[[AttemptResult], None],
-        flow: AttemptContext | None = None,
+        on_result: Callable[[AttemptResult], None],
+        context: AttemptContext | None = None,
     ) -> None:
-        self.data, self.ended, self.aborted, self.ran = data, ended, False, True
-        self.flow = flow
+        self.data, self.on_result, self.aborted, self.may_have_run = data, on_result, False, True
+        self.context = context
 
     def abort(self) -> bool:
         self.aborted = True
-        return self.ran
+        return self.may_have_run
 
 
 class World(ManualClock):
@@ -58,7 +58,7 @@
     def apply_updates(self, removed: Iterable[int]) -> None:
         self.settled += removed
         for exchange in self.sent:
-            exchange.ended(AttemptResult(Outcome.CONNECT_FAILED))
+            exchange.on_result(AttemptResult(Outcome.CONNECT_FAILED))
 
     def send(
         self,
@@ -119,8 +119,8 @@
     world = World(ScriptedPolicy(sender()))
     world.ask()
     world.time += 7000
-    world.sent[0].ended(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
-    world.sent[0].ended(AttemptResult(Outcome.RESET))
+    world.sent[0].on_result(AttemptResult(Outcome.OK, b"body", load=b"queue=2"))
+    world.sent[0].on_result(AttemptResult(Outcome.RESET))
     assert world.answers == [b"body"] and ends(world.script) == [(0, Outcome.OK, True)]
     (event,) = world.script.of_kind(it.AttemptEnded)
     assert event.load == (2.0,) and event.latency == 7000
@@ -134,7 +134,7 @@
     world.ask()
     assert ends(world.script) == [(1, Outcome.MOOT, False), (2, Outcome.MOOT, True)]
     assert len(world.sent) == 1 and world.answers == ["failed"]
-    world.sent[0].ended(AttemptResult(Outcome.OK, b"too late"))
+    world.sent[0].on_result(AttemptResult(Outcome.OK, b"too late"))
     assert ends(world.script)[2] == (0, Outcome.OK, True) and world.answers == ["failed"]
 
 
@@ -166,7 +166,7 @@
 def test_attempt_that_was_never_written_does_not_count_as_timed_out() -> None:
     world = World(ScriptedPolicy(sender(timeout=1000)))
     world.ask()
-    world.sent[0].ran = False
+    world.sent[0].may_have_run = False
     world.advance(1000)
     assert ends(world.script) == [(0, Outcome.CONNECT_FAILED, False)]
 
@@ -242,7 +242,7 @@
     # `read` was removed, but keeps its number.
     assert world.engine.names.classes == {b"order": 1, b"fresh": 2}
     world.ask(b"b")
-    world.sent[0].ended(AttemptResult(Outcome.ERROR))
+    world.sent[0].on_result(AttemptResult(Outcome.ERROR))
     again: list[it.Action] = [it.SendAttempt(n, 1, 0) for n in (1, 2)]
     world.script.rule = lambda event: again if isinstance(event, it.MaintenanceChanged) else []
     world.engine.restore_maintenance(["s"])
@@ -258,20 +258,20 @@
 @pytest.mark.parametrize("bound", [True, False])
 def test_streamed_response_is_aborted_at_its_deadline_if_enabled(bound: bool) -> None:
     """Otherwise a backend that stops within a response would block its client forever."""
-    for whole in (True, False):
+    for complete in (True, False):
         world = World(ScriptedPolicy(sender()))
         world.engine.aborts_streams_at_deadline = bound
         world.ask(timeout=1_000_000)
         world.advance(600_000)
         (exchange,) = world.sent
-        assert exchange.flow and exchange.flow.on_head(AttemptResult(Outcome.OK))
+        assert exchange.context and exchange.context.on_head(AttemptResult(Outcome.OK))
         world.advance(399_000)
         assert world.answers == ["begun"] and not exchange.aborted
-        if whole:
-            exchange.ended(AttemptResult(Outcome.OK))
+        if complete:
+            exchange.on_result(AttemptResult(Outcome.OK))
         world.advance(10_000_000)
-        last = "whole" if whole else "broken off"
-        assert world.answers == ["begun"] + [last] * (bound or whole)
-        assert exchange.aborted == (bound and not whole) and world.engine.open_count == (
-            not bound and not whole
+        last = "whole" if complete else "broken off"
+        assert world.answers == ["begun"] + [last] * (bound or complete)
+        assert exchange.aborted == (bound and not complete) and world.engine.open_count == (
+            not bound and not complete
         )
--- a/tests/ingress/net/test_handover.py
+++ b/tests/ingress/net/test_handover.py
@@ -204,12 +204,17 @@
     before = account.tokens, account.ceiling_leased, account.ceiling_unreported
     state = json.loads(json.dumps(hand_over(old)))
     take_over(new, 2 * SECOND, state, range(3), range(4))
-    taken = new.accounts[7]
-    assert before[0] > 0 and (account.tokens, taken.tokens) == (0.0, before[0])
-    assert account.ceiling_leased + taken.ceiling_leased == pytest.approx(before[1])
-    assert account.ceiling_unreported + taken.ceiling_unreported == pytest.approx(before[2])
-    assert (taken.bucket_units, taken.demand) == (account.bucket_units, account.demand)
-    assert taken.plan == account.plan
+    successor_account = new.accounts[7]
+    assert before[0] > 0 and (account.tokens, successor_account.tokens) == (0.0, before[0])
+    assert account.ceiling_leased + successor_account.ceiling_leased == pytest.approx(before[1])
+    assert account.ceiling_unreported + successor_account.ceiling_unreported == pytest.approx(
+        before[2]
+    )
+    assert (successor_account.bucket_units, successor_account.demand) == (
+        account.bucket_units,
+        account.demand,
+    )
+    assert successor_account.plan == account.plan
     # A customer that the old process sees first after the hand-over.
     old.handle(3 * SECOND, arrival(9, plan=3, customer=8))
     assert old.accounts[8].ceiling_leased == old.accounts[8].ceiling_unreported == 0.0
--- a/tests/ingress/net/test_ops.py
+++ b/tests/ingress/net/test_ops.py
@@ -43,7 +43,7 @@
         return int(answer.split()[1])
 
 
-def listing(port: int, status: str, index: int = 1, name: str = "s-1") -> EndpointUpdate:
+def endpoint_update(port: int, status: str, index: int = 1, name: str = "s-1") -> EndpointUpdate:
     entry = {
         "name": name,
         "address": f"{HOST}:{port}",
@@ -59,7 +59,7 @@
     server = await PeerServer(reply_with(OK)).start()
     ingress = Ingress(ScriptedPolicy(send_first))
     await ingress.start()
-    ingress.engine.update_endpoints(listing(server.port, "up"))
+    ingress.engine.update_endpoints(endpoint_update(server.port, "up"))
     ops_port = OpsPort(ingress, tmp_path / "kept.json")
     ops_port.server = server  # type: ignore[attr-defined]
     ops_port.port = await ops_port.ops.listen(HOST, 0)
@@ -107,7 +107,7 @@
         assert await ops_port.call("/maintenance/enter?who=s-1") == 200
     assert json.loads(ops_port.saved.read_text()) == ["s-1"] and not engine.can_serve()
     for status in ("draining", "removed", "up"):
-        engine.update_endpoints(listing(port, status))
+        engine.update_endpoints(endpoint_update(port, status))
     assert (await ops_port.ingress.ask(request("b"))).startswith(b"HTTP/1.1 502 ")
     assert await ops_port.call("/maintenance/exit?who=s-1") == 200  # one exit call undoes both
     assert (await ops_port.ingress.ask(request("c"))).startswith(b"HTTP/1.1 200 ")
@@ -120,7 +120,7 @@
     saved.write_text('["s-1"]')
     ingress = Ingress(script)
     Maintenance(ingress.engine, saved).restore()
-    ingress.engine.update_endpoints(listing(1, "up"))
+    ingress.engine.update_endpoints(endpoint_update(1, "up"))
     (event,) = script.of_kind(it.MaintenanceChanged)
     (listed,) = script.of_kind(it.BackendsListed)
     assert (
--- a/tests/ingress/net/test_pool.py
+++ b/tests/ingress/net/test_pool.py
@@ -102,14 +102,14 @@
         self.do(self.pool.release(self.now, connection, reusable))
 
     @precondition(lambda self: self.assigned or self.idle)
-    @rule(data=st.data(), under=st.booleans())
-    def connection_breaks(self, data: st.DataObject, under: bool) -> None:
+    @rule(data=st.data(), under_request=st.booleans())
+    def connection_breaks(self, data: st.DataObject, under_request: bool) -> None:
         connection = data.draw(st.sampled_from(sorted(self.assigned | dict.fromkeys(self.idle, 0))))
-        under = under and connection in self.assigned
+        under_request = under_request and connection in self.assigned
         self.assigned.pop(connection, None)
         self.idle.discard(connection)
         self.stale.discard(connection)
-        self.do(self.pool.connection_lost(self.now, connection, under))
+        self.do(self.pool.connection_lost(self.now, connection, under_request))
 
     @precondition(lambda self: self.idle)
     @rule()
@@ -281,7 +281,7 @@
 
 
 def test_preconnect_follows_recent_traffic_if_enabled() -> None:
-    for warm, wanted in ((0, 0), (2, 2)):
+    for warm, expected in ((0, 0), (2, 2)):
         pool = ConnectionPool(PoolOptions(warm=warm), 60.0, random.Random(1))
         assert pool.preconnect(0.0) == []  # no traffic so far
         opened(pool, 3)
@@ -289,7 +289,8 @@
         for connection in sorted(pool.busy):
             pool.release(1.0, connection, False)
         assert (
-            sum(isinstance(a, StartDial) for _ in range(5) for a in pool.preconnect(1.0)) == wanted
+            sum(isinstance(a, StartDial) for _ in range(5) for a in pool.preconnect(1.0))
+            == expected
         )
         assert pool.preconnect(200.0) == []  # the traffic was long ago
 
--- a/tests/ingress/test_main.py
+++ b/tests/ingress/test_main.py
@@ -192,17 +192,17 @@
 async def test_sighup_applies_new_addresses_and_survives_an_invalid_file(
     tmp_path: Path, broken: str | None
 ) -> None:
-    olds, news = [[await PeerServer().start() for _ in range(2)] for _ in range(2)]
+    old_servers, new_servers = [[await PeerServer().start() for _ in range(2)] for _ in range(2)]
     path = tmp_path / "config.json"
 
     def write(discovery: PeerServer, counter: PeerServer) -> None:
         addresses = {"discovery": f"{HOST}:{discovery.port}", "counter": f"{HOST}:{counter.port}"}
         path.write_text(json.dumps(config(**addresses)))
 
-    write(*olds)
+    write(*old_servers)
     process = start(path)
     await asyncio.to_thread(listening_port, process)
-    for server in olds:
+    for server in old_servers:
         await server.wait_until(lambda server=server: len(server.peers) == 1)  # type: ignore[misc]
     if broken is not None:
         path.write_text(broken)
@@ -210,18 +210,18 @@
         assert process.stderr and "stays as it was" in await asyncio.to_thread(
             process.stderr.readline
         )
-    write(*news)
+    write(*new_servers)
     process.send_signal(signal.SIGHUP)
-    await news[0].wait_until(
-        lambda: bool(news[0].peers) and b"watch=1&from=1 " in news[0].peers[0].data
+    await new_servers[0].wait_until(
+        lambda: bool(new_servers[0].peers) and b"watch=1&from=1 " in new_servers[0].peers[0].data
     )
-    await news[1].wait_until(lambda: len(news[1].peers) == 1)
-    for server in olds:
+    await new_servers[1].wait_until(lambda: len(new_servers[1].peers) == 1)
+    for server in old_servers:
         await server.wait_until(lambda server=server: len(server.closed) == 1)  # type: ignore[misc]
     process.send_signal(signal.SIGTERM)
     _, errors = await asyncio.to_thread(process.communicate, timeout=60)
     assert process.returncode == 0 and "Traceback" not in errors
-    for server in (*olds, *news):
+    for server in (*old_servers, *new_servers):
         server.stop()
 
 
