--- a/cairndale/ingress/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -37,6 +37,7 @@
         self.is_ping = callback is None
 
     def end(self, outcome: Outcome, total: float = 0.0) -> None:
+        """Report the result, unless the call has ended already."""
         callback, self.callback = self.callback, None
         if callback:
             callback(outcome, total)
@@ -56,9 +57,11 @@
         self.connected = asyncio.Event()  # set once the first connection is established
 
     def start(self) -> None:
+        """Connect, and reconnect whenever the connection is lost."""
         self._task = asyncio.get_running_loop().create_task(self._keep_connected())
 
     def stop(self) -> None:
+        """Close the connections, and do not reconnect."""
         if self._task:
             self._task.cancel()
         for connection in (self._connection, self._previous):
--- a/cairndale/ingress/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -348,6 +348,7 @@
 
     @property
     def current(self) -> tuple[str, int]:
+        """The address to watch."""
         return self.targets[self.position]
 
     def watch_ended(
@@ -437,6 +438,7 @@
         self._plan_expiry(self._loop.time())
 
     def stop(self) -> None:
+        """Close the watch."""
         for waiting in (self._task, self._expiry):
             if waiting:
                 waiting.cancel()
--- a/cairndale/ingress/net/engine.py
+++ b/cairndale/ingress/net/engine.py
@@ -48,6 +48,7 @@
         self._base = time.time_ns() // 1000 - time.monotonic_ns() // 1000
 
     def now(self) -> int:
+        """Return the current time in us."""
         return self._base + time.monotonic_ns() // 1000
 
 
@@ -237,6 +238,7 @@
     """Stands for the exchange of an attempt that waits for budget units; nothing is written yet."""
 
     def abort(self) -> bool:
+        """Return False, as nothing was written."""
         return False
 
     def pause(self, paused: bool) -> None:
--- a/cairndale/ingress/net/handover.py
+++ b/cairndale/ingress/net/handover.py
@@ -1,4 +1,4 @@
-"""Hot restart: hands an ingress over to the process that replaces it, by a Unix socket in $TMPDIR.
+"""Hot restart: hands an ingress over to a new process by a Unix socket in $TMPDIR.
 
 The new process receives the listening socket itself, so that no connection in its backlog is lost,
 and in answer to its `take` the state of the old process. From then on it accepts all new
@@ -152,7 +152,7 @@
         channel = HandoverChannel(reader, writer)
         try:
             if await _read_json(reader, TAKE_TIMEOUT_S) != "take":
-                raise HandoverError("not understood")
+                raise HandoverError("unexpected message in place of 'take'")
             await self._transfer(channel)
             self._handed_over = True
             log.info("handed over")
@@ -179,7 +179,7 @@
             }
             channel.send(message | self._load())
             if await _read_json(channel.reader, TAKE_TIMEOUT_S) != "serving":
-                raise HandoverError("not understood")
+                raise HandoverError("unexpected message in place of 'serving'")
         except HandoverError:
             self._sockets.capacity = capacity_before
             handover_state.take_back(self._policy, state["module"])
@@ -260,6 +260,7 @@
         return index
 
     def confirm_serving(self, engine: Engine, sockets: Sockets, maintenance: Maintenance) -> None:
+        """Confirm to the predecessor that this process serves, and follow its updates."""
         if self._channel:
             self._channel.send("serving")
             maintenance.on_change = self._channel.send_maintenance
@@ -288,6 +289,7 @@
             self.stop()
 
     def stop(self) -> None:
+        """Close the connection to the predecessor."""
         if self._task and self._task is not asyncio.current_task():
             self._task.cancel()
         if self._channel:
