--- a/cairndale/ingress/net/counter.py
+++ b/cairndale/ingress/net/counter.py
@@ -37,6 +37,7 @@
         self.is_ping = callback is None
 
     def end(self, outcome: Outcome, total: float = 0.0) -> None:
+        """Report the result, unless the call has ended already."""
         callback, self.callback = self.callback, None
         if callback:
             callback(outcome, total)
@@ -56,9 +57,11 @@
         self.connected = asyncio.Event()  # set once the first connection is established
 
     def start(self) -> None:
+        """Connect, and reconnect whenever the connection is lost."""
         self._task = asyncio.get_running_loop().create_task(self._keep_connected())
 
     def stop(self) -> None:
+        """Close the connections, and do not reconnect."""
         if self._task:
             self._task.cancel()
         for connection in (self._connection, self._previous):
@@ -189,17 +192,17 @@
             call.end(Outcome.RESET if exc else Outcome.TIMEOUT)  # it may have been added
 
     def _handle_answer(self, line: bytes) -> bool:
-        word, _, rest = line.partition(b" ")
+        status, _, rest = line.partition(b" ")
         outcome, total = Outcome.FULL, 0.0
-        if word == b"ok":
+        if status == b"ok":
             try:
                 outcome, total = Outcome.OK, float(rest)
             except ValueError:
                 return False
-        if word not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
+        if status not in (b"ok", b"busy", b"error", b"pong") or not math.isfinite(total):
             return False
         # Answers and calls are out of step and cannot be matched.
-        if not self._calls or self._calls[0].is_ping != (word == b"pong"):
+        if not self._calls or self._calls[0].is_ping != (status == b"pong"):
             return False
         self.answered = True
         self._calls.popleft().end(outcome, total)
--- a/cairndale/ingress/net/discovery.py
+++ b/cairndale/ingress/net/discovery.py
@@ -182,7 +182,7 @@
             raise UpdateRejected(f"epoch {update.epoch} is past, {self.epoch} is known")
         elif update.index < self.index:
             raise UpdateRejected(
-                f"version {update.index} is older than the known version {self.index}"
+                f"version {update.index} is older than {self.index}, which is known"
             )
         self.index, self.epoch = update.index, update.epoch
         before, had_listed_up = self.entries.copy(), self._has_listed_up()
@@ -348,6 +348,7 @@
 
     @property
     def current(self) -> tuple[str, int]:
+        """The address to watch."""
         return self.targets[self.position]
 
     def watch_ended(
@@ -437,6 +438,7 @@
         self._plan_expiry(self._loop.time())
 
     def stop(self) -> None:
+        """Close the watch."""
         for waiting in (self._task, self._expiry):
             if waiting:
                 waiting.cancel()
