--- a/cairndale/lab/limits.py
+++ b/cairndale/lab/limits.py
@@ -16,7 +16,7 @@
 from cairndale.lab import record as rec
 from cairndale.lab.draw import day
 from cairndale.lab.live.host import Options, play
-from cairndale.lab.policies import maker
+from cairndale.lab.policies import policy_factory
 from cairndale.lab.scenario import Scenario, parse
 from cairndale.lab.simulate import simulate
 from cairndale.lab.stopping import run_until_stopped
@@ -114,7 +114,7 @@
     for gateways, servers in fleets:
         drawn = day(_sized(scenario, gateways, servers), seed)
         began = time.process_time()
-        record = simulate(drawn, maker("module"))
+        record = simulate(drawn, policy_factory("module"))
         memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
         found.append(
             Grown(gateways, servers, len(record.tries), time.process_time() - began, memory)
--- a/cairndale/lab/live/loader.py
+++ b/cairndale/lab/live/loader.py
@@ -214,7 +214,7 @@
         step = SECOND * self.spec.workers / self.spec.rate
         at, plan = step * self.spec.number / self.spec.workers, len(self.day.plans) - 1
         while at < self.spec.length_s * SECOND:
-            draws = tuple(rng.random(world_clients.DRAWS).tolist())
+            draws = tuple(rng.random(world_clients.DRAW_COUNT).tolist())
             yield Arrival(
                 int(at), int(rng.integers(1 << 33)), plan, 0, self.spec.gateways, 0, 1.0, draws
             )
@@ -227,10 +227,10 @@
 
     def _begin(self, arrival: Arrival, root: int, number: int, before: int) -> None:
         now = self.now()
-        gateway = self.clients.gateway(arrival, now, number, frozenset(self.down), before)
+        gateway = self.clients.choose_ingress(arrival, now, number, frozenset(self.down), before)
         self.count += 1
         id = ((self.spec.number + 1) << 40) + self.count
-        until, _ = self.clients.patience(arrival, now)
+        until, _ = self.clients.deadlines(arrival, now)
         root = root if root >= 0 else id
         row = self.record.tries.add(
             id,
@@ -253,16 +253,16 @@
             return
         self._send(trying)
         self.loop.call_later(max(0, until - now) / 1e6, self._expired, trying)
-        if quits := self.clients.quits(arrival):
+        if quits := self.clients.quit_after(arrival):
             self.loop.call_later(min(quits, until - now) / 1e6, self._quits, trying)
 
     def _request(self, trying: Try) -> bytes:
         a, cls = trying.arrival, self.day.classes[trying.arrival.cls]
-        draw = a.draws[world_clients.ATTEMPT]
+        draw = a.draws[world_clients.ATTEMPT_DRAW]
         t = self.day.traffic
         low, high = 200, max(201, int(t["body_bytes"]))
-        size = int(low + (high - low) * a.draws[world_clients.BYTES])
-        if a.draws[world_clients.LARGE] < t["large_share"]:
+        size = int(low + (high - low) * a.draws[world_clients.BYTES_DRAW])
+        if a.draws[world_clients.LARGE_DRAW] < t["large_share"]:
             size = int(t["large_bytes"])
         left = max(1, trying.until - self.now())
         return (
@@ -354,7 +354,7 @@
         again = (
             0
             if self.bare
-            else self.clients.again(trying.arrival, self.now(), trying.number + 1, advice)
+            else self.clients.retry_at(trying.arrival, self.now(), trying.number + 1, advice)
         )
         if again:
             self._waiting += 1
--- a/cairndale/lab/live/standins.py
+++ b/cairndale/lab/live/standins.py
@@ -25,7 +25,7 @@
 from cairndale.lab.record import Record
 from cairndale.lab.scenario import parse
 from cairndale.lab.troubles import Step, plan
-from cairndale.lab.world.counter import Counter, Said
+from cairndale.lab.world.counter import CallStatus, Counter
 from cairndale.lab.world.discovery import Discovery, Entry
 from cairndale.lab.world.network import Network
 from cairndale.lab.world.server import Job, Server, Verdict
@@ -34,7 +34,7 @@
 COUNTER_LINKS = 32  # connections of one gateway to the counter (PROTOCOL)
 HEAD = 16 << 10  # bytes of a head, of a line to the counter
 CODES = {"up": rec.UP, "draining": rec.DRAINING, "removed": rec.REMOVED}
-SAID = list(Said)
+SAID = list(CallStatus)
 
 
 class ServerLink(asyncio.Protocol):
@@ -140,12 +140,12 @@
         worked = job.target > 0 and verdict in (Verdict.OK, Verdict.ERROR)
         sends.set(self.row, "work", int(job.work) if worked else 0)
         self.job = None
-        if job.orphan or self.gone or world.cut(self):
+        if job.abandoned or self.gone or world.cut(self):
             return
         if verdict is Verdict.OK:
             sends.set(self.row, "useful", 1)
         if verdict is Verdict.DOWN or (
-            world.network.resets and world.rng.random() < world.network.resets
+            world.network.reset_share and world.rng.random() < world.network.reset_share
         ):
             self.transport.abort()
             return
@@ -228,16 +228,16 @@
         except (ValueError, IndexError):
             self._say(b"error", now)
             return
-        way = world.network.way(world.day.gateway_zones[self.gateway], 0, world.rng.random())
+        way = world.network.latency(world.day.gateway_zones[self.gateway], 0, world.rng.random())
         key = int.from_bytes(name, "big")
         answer = world.counter.add(now + way, key, amount, life * 1000, world.rng.random())
-        world.record.calls.add(now, SAID.index(answer.said))
-        if answer.said is Said.OK:
-            self._say(b"ok %.7g" % answer.total, answer.at + way)
-        elif answer.said is Said.BUSY:
-            self._say(b"busy", answer.at + way)
-        elif answer.said is Said.SPOILT:
-            self._say(b"ok ?", answer.at + way)
+        world.record.calls.add(now, SAID.index(answer.status))
+        if answer.status is CallStatus.OK:
+            self._say(b"ok %.7g" % answer.total, answer.answered_at + way)
+        elif answer.status is CallStatus.BUSY:
+            self._say(b"busy", answer.answered_at + way)
+        elif answer.status is CallStatus.SPOILT:
+            self._say(b"ok ?", answer.answered_at + way)
 
     def _say(self, what: bytes, at: int) -> None:
         """Answers keep the calls' order, whichever part was sooner."""
@@ -355,15 +355,23 @@
         self.spec, self.day, self.record = spec, drawn, Record()
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(drawn.seed)
         self.now = spec.now
-        self.network, self.counter = Network.drawn(drawn.network), Counter.drawn(drawn.counter)
+        self.network, self.counter = (
+            Network.from_figures(drawn.network),
+            Counter.from_figures(drawn.counter),
+        )
         count = len(drawn.gateway_zones)
-        self.discovery = Discovery.drawn(count, drawn.discovery, random.Random(drawn.seed + 1))
+        self.discovery = Discovery.from_figures(
+            count, drawn.discovery, random.Random(drawn.seed + 1)
+        )
         self.servers = [Server(kind, -1) for kind in drawn.servers]
         rules = drawn.scenario.rules
         for server in self.servers:
-            server.fall_multiple, server.fall_us = rules.fall_multiple, int(rules.fall_ms * 1000)
-        self.discovery.begin(dict.fromkeys(range(len(self.servers)), -1))
-        whole = self.discovery.whole()
+            server.overload_multiple, server.overload_us = (
+                rules.fall_multiple,
+                int(rules.fall_ms * 1000),
+            )
+        self.discovery.initialize(dict.fromkeys(range(len(self.servers)), -1))
+        whole = self.discovery.full_list()
         self.agents = [Agent(whole, self.discovery.version) for _ in range(count)]
         self.links: list[set[ServerLink]] = [set() for _ in self.servers]
         self.watches: list[set[AgentLink]] = [set() for _ in range(count)]
@@ -384,7 +392,7 @@
     def way(self, link: ServerLink) -> int:
         zone = self.day.servers[link.server].zone
         gateway = self.day.gateway_zones[link.gateway] if link.gateway >= 0 else zone
-        return self.network.way(gateway, zone, self.rng.random())
+        return self.network.latency(gateway, zone, self.rng.random())
 
     def cut(self, link: ServerLink) -> bool:
         """Nothing passes between this server and that gateway."""
@@ -413,7 +421,7 @@
 
     def settle(self, number: int, over: list[tuple[Job, Verdict]]) -> None:
         server = self.servers[number]
-        if server.fallen and not server.alive and number not in self._fell:
+        if server.failed_overloaded and not server.alive and number not in self._fell:
             self._fell.add(number)
             self.record.falls.add(self.now(), number)
             self._gone(number)
@@ -421,7 +429,7 @@
             cast(ServerLink, job.key).done(job, verdict)
         if handle := self._wakes.pop(number, None):
             handle.cancel()
-        if due := server.next_at():
+        if due := server.next_event_at():
             wait = max(0, due - self.now()) / 1e6
             self._wakes[number] = self.loop.call_later(wait, self._wake, number)
 
@@ -437,7 +445,7 @@
             self.loop.call_later(max(0, when - self.now()) / 1e6, self._tell, gateway)
 
     def _tell(self, gateway: int) -> None:
-        version, entries = self.discovery.news(gateway)
+        version, entries = self.discovery.take_update(gateway)
         if not entries:
             return
         self.agents[gateway].take(version, entries)
@@ -467,7 +475,7 @@
         self.vanished.add(number)
         for port in self.ports[number]:
             port.silence()
-        self.servers[number].die(self.now())
+        self.servers[number].terminate(self.now())
         self._list_later(number, self.day.discovery["silent_notice_s"])
 
     def begin(self, number: int) -> None:
@@ -489,10 +497,10 @@
         server = self.servers[number]
         if not server.alive:
             return
-        if server.held():
+        if server.request_count():
             self.loop.call_later(0.1, self._swap, number)
             return
-        server.die(self.now())
+        server.terminate(self.now())
         for link in list(self.links[number]):
             link.transport.abort()
         self.begin(number)
@@ -501,19 +509,19 @@
         server = self.servers[step.target] if 0 <= step.target < len(self.servers) else None
         match step.verb:
             case "cut":
-                self.network.cut.add(step.target)
+                self.network.partitioned_zones.add(step.target)
                 self._links_to(step.target, Port.silence)
             case "mend":
-                self.network.cut.discard(step.target)
+                self.network.partitioned_zones.discard(step.target)
                 self._links_to(step.target, Port.open)
             case "vanish":
                 self.vanish(step.target)
             case "begin":
                 self.begin(step.target)
             case "slow" if server:
-                server.slow = step.value
+                server.slowdown = step.value
             case "failing" if server:
-                server.failing = step.value
+                server.failure_share = step.value
             case "replace" if server and server.alive:
                 self.list_change(step.target, "draining", server.started)
                 grace = (
@@ -528,23 +536,23 @@
                 self.discovery.up = False
             case "discovery_up":
                 self.discovery.up = True
-                for gateway, when in self.discovery.due(self.now()).items():
+                for gateway, when in self.discovery.notification_times(self.now()).items():
                     self.loop.call_later(max(0, when - self.now()) / 1e6, self._tell, gateway)
             case "counter_down":
-                self.counter.fail()
+                self.counter.stop()
                 for port in self.counter_ports:
                     port.refuse()
                 for links in self.counting:
                     for link in list(links):
                         link.transport.abort()
             case "counter_up":
-                self.counter.back(self.now())
+                self.counter.restart(self.now())
                 for port in self.counter_ports:
                     port.open()
             case "counter_spoilt":
-                self.counter.spoilt = step.value
+                self.counter.invalid_share = step.value
             case "resets":
-                self.network.resets = step.value
+                self.network.reset_share = step.value
             case _:
                 pass
 
@@ -571,9 +579,9 @@
         for number, server in enumerate(self.servers):
             self.settle(number, server.advance(now))
             row = (
-                server.held(),
+                server.request_count(),
                 server.connections,
-                int(server.spent),
+                int(server.capacity_used),
                 int(server.warmth(now) * 1000),
             )
             self.record.servers.add(now, number, *row, int(server.alive), server.kind.slots)
@@ -591,7 +599,9 @@
         servers=[[p.number for p in ports] for ports in world.ports],
         counters=[p.number for p in world.counter_ports],
         agents=[p.number for p in world.agent_ports],
-        known=[world.endpoint(e, g) for g in range(spec.gateways) for e in world.discovery.whole()],
+        known=[
+            world.endpoint(e, g) for g in range(spec.gateways) for e in world.discovery.full_list()
+        ],
     )
 
     def heard(said: dict[str, Any]) -> bool:
--- a/cairndale/lab/play.py
+++ b/cairndale/lab/play.py
@@ -121,11 +121,11 @@
 
 
 def simulated(run: Run) -> tuple[Day, Record]:
-    from cairndale.lab.policies import maker
+    from cairndale.lab.policies import policy_factory
     from cairndale.lab.simulate import simulate
 
     made = drawn(run)
-    return made, simulate(made, maker(run.policy))
+    return made, simulate(made, policy_factory(run.policy))
 
 
 def result(
--- a/cairndale/lab/policies.py
+++ b/cairndale/lab/policies.py
@@ -15,25 +15,25 @@
 from cairndale.ingress.policy import interface as it
 from cairndale.ingress.policy.engine import RequestPolicy
 from cairndale.ingress.policy.interface import Outcome
-from cairndale.lab.simulate import Make, Sight
+from cairndale.lab.simulate import GlobalView, PolicyFactory
 
 SECOND = 1_000_000
 # of the aim: the mean time there from which `sees-all` lets nothing in, as tails run far longer
-FULL = 0.5
+MAX_LOAD_SHARE = 0.5
 
 
 @dataclass(slots=True)
-class Store:
+class TokenBucket:
     """A quota's store: starts full, fills at the rate, holds the burst at most."""
 
     rate: float
     burst: float
     level: float
-    at: int
+    updated_at: int
 
     def take(self, now: int, units: float) -> bool:
-        self.level = min(self.burst, self.level + self.rate * (now - self.at) / SECOND)
-        self.at = now
+        self.level = min(self.burst, self.level + self.rate * (now - self.updated_at) / SECOND)
+        self.updated_at = now
         if self.level < units:
             return False
         self.level -= units
@@ -41,21 +41,21 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenRequest:
     event: it.RequestArrived
-    tried: set[int] = field(default_factory=set)
+    tried_backends: set[int] = field(default_factory=set)
     attempts: int = 0
 
 
-class Plain:
+class Unlimited:
     """Lets every request in; one attempt at a time, up to the attempts allowed where none can have
     harmed."""
 
-    def __init__(self, settings: it.Settings, seed: int, sight: Sight) -> None:
-        self.settings, self.rng, self.sight = settings, random.Random(seed), sight
+    def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
+        self.settings, self.rng, self.view = settings, random.Random(seed), view
         self.backends: dict[int, it.ListedBackend] = {}
-        self.out: dict[int, int] = {}
-        self.open: dict[int, _Open] = {}
+        self.in_flight: dict[int, int] = {}
+        self.open: dict[int, _OpenRequest] = {}
         self.actions: list[it.Action] = []
         self.now = 0
 
@@ -65,7 +65,7 @@
         """True or False; None: `decide` is called later."""
         return True
 
-    def counted(self, event: it.CountAnswered) -> None: ...
+    def on_counter_answer(self, event: it.CountAnswered) -> None: ...
 
     def advice(self, event: it.RequestArrived) -> int:
         return 0
@@ -76,14 +76,14 @@
         self.now, self.actions = now, []
         match event:
             case it.RequestArrived():
-                self.open[event.request] = _Open(event)
+                self.open[event.request] = _OpenRequest(event)
                 admitted = self.admit(event)
                 if admitted is not None:
                     self.decide(event.request, admitted)
             case it.AttemptEnded():
-                self._ended(event)
+                self._on_attempt_ended(event)
             case it.CountAnswered():
-                self.counted(event)
+                self.on_counter_answer(event)
             case it.ClientGone(number):
                 self.open.pop(number, None)
             case it.BackendsListed(kind, _, entries):
@@ -95,77 +95,81 @@
         return self.actions
 
     def decide(self, number: int, admitted: bool) -> None:
-        if not (opened := self.open.get(number)):
+        if not (request := self.open.get(number)):
             return
         if admitted:
-            self._send(opened)
+            self._send_attempt(request)
         else:
-            self.actions.append(it.Refuse(number, self.advice(opened.event)))
+            self.actions.append(it.Refuse(number, self.advice(request.event)))
             del self.open[number]
 
     def choose(self, ready: list[it.ListedBackend]) -> it.ListedBackend:
-        some = self.rng.sample(ready, min(2, len(ready)))
-        return min(some, key=lambda b: self.out.get(b.id, 0) / max(0.01, self.warmth(b)))
+        candidates = self.rng.sample(ready, min(2, len(ready)))
+        return min(
+            candidates, key=lambda b: self.in_flight.get(b.id, 0) / max(0.01, self.warmth(b))
+        )
 
     def warmth(self, backend: it.ListedBackend) -> float:
         safety = self.settings.safety
-        grown = (
+        progress = (
             (self.now - backend.started) / max(1, safety.ramp_time) if backend.started > 0 else 1.0
         )
-        return min(1.0, safety.cold_share + (1 - safety.cold_share) * max(0.0, grown))
+        return min(1.0, safety.cold_share + (1 - safety.cold_share) * max(0.0, progress))
 
-    def _send(self, opened: _Open) -> None:
-        number = opened.event.request
+    def _send_attempt(self, request: _OpenRequest) -> None:
+        number = request.event.request
         ready = [
             b
             for b in self.backends.values()
-            if b.state is it.BackendState.READY and b.id not in opened.tried
+            if b.state is it.BackendState.READY and b.id not in request.tried_backends
         ]
-        if not ready or opened.attempts >= self.settings.limits.max_attempts:
+        if not ready or request.attempts >= self.settings.limits.max_attempts:
             self.actions.append(it.Refuse(number))
             self.open.pop(number, None)
             return
         chosen = self.choose(ready)
-        opened.tried.add(chosen.id)
-        opened.attempts += 1
-        self.out[chosen.id] = self.out.get(chosen.id, 0) + 1
+        request.tried_backends.add(chosen.id)
+        request.attempts += 1
+        self.in_flight[chosen.id] = self.in_flight.get(chosen.id, 0) + 1
         self.actions.append(it.SendAttempt(number, chosen.id, 0))
 
-    def _ended(self, event: it.AttemptEnded) -> None:
-        self.out[event.backend] = max(0, self.out.get(event.backend, 0) - 1)
-        opened = self.open.get(event.request)
-        if event.final or opened is None:
+    def _on_attempt_ended(self, event: it.AttemptEnded) -> None:
+        self.in_flight[event.backend] = max(0, self.in_flight.get(event.backend, 0) - 1)
+        request = self.open.get(event.request)
+        if event.final or request is None:
             self.open.pop(event.request, None)
         elif event.outcome is Outcome.TIMEOUT:
             self.actions.append(it.Fail(event.request))
             self.open.pop(event.request, None)
         else:
-            self._send(opened)
+            self._send_attempt(request)
 
 
-class Quota(Plain):
+class WholeQuota(Unlimited):
     """Each gateway grants a share of the quota by a store of its own."""
 
-    def __init__(self, settings: it.Settings, seed: int, sight: Sight) -> None:
-        super().__init__(settings, seed, sight)
-        self.stores: dict[int, Store] = {}
+    def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
+        super().__init__(settings, seed, view)
+        self.buckets: dict[int, TokenBucket] = {}
 
-    def share(self, event: it.RequestArrived) -> float:
+    def quota_share(self, event: it.RequestArrived) -> float:
         return 1.0
 
-    def store(self, event: it.RequestArrived) -> Store:
-        plan, share = self.settings.plans[event.plan], self.share(event)
-        if event.customer not in self.stores:
-            burst = max(event.units, plan.burst * share)
-            self.stores[event.customer] = Store(plan.rate * share, burst, burst, self.now)
-        return self.stores[event.customer]
+    def bucket(self, event: it.RequestArrived) -> TokenBucket:
+        plan, quota_share = self.settings.plans[event.plan], self.quota_share(event)
+        if event.customer not in self.buckets:
+            burst = max(event.units, plan.burst * quota_share)
+            self.buckets[event.customer] = TokenBucket(
+                plan.rate * quota_share, burst, burst, self.now
+            )
+        return self.buckets[event.customer]
 
     def admit(self, event: it.RequestArrived) -> bool | None:
-        return self.store(event).take(self.now, event.units)
+        return self.bucket(event).take(self.now, event.units)
 
 
-class EvenSplit(Quota):
-    def share(self, event: it.RequestArrived) -> float:
+class EvenSplit(WholeQuota):
+    def quota_share(self, event: it.RequestArrived) -> float:
         return 1 / max(1, event.spread)
 
 
@@ -177,31 +181,31 @@
         return self.settings.limits.max_retry_after or SECOND
 
 
-class CountEach(Plain):
+class CountEach(Unlimited):
     """A call for each try on a window's name; lets in when there is no answer."""
 
-    def __init__(self, settings: it.Settings, seed: int, sight: Sight) -> None:
-        super().__init__(settings, seed, sight)
-        self.waiting: dict[int, list[tuple[int, float, float]]] = {}
+    def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
+        super().__init__(settings, seed, view)
+        self.pending_calls: dict[int, list[tuple[int, float, float]]] = {}
 
     def admit(self, event: it.RequestArrived) -> bool | None:
         plan = self.settings.plans[event.plan]
         window = max(SECOND, int(plan.burst / max(1e-9, plan.rate) * SECOND))
         name = event.customer * 1_000_003 + self.now // window
-        self.waiting.setdefault(name, []).append(
+        self.pending_calls.setdefault(name, []).append(
             (event.request, plan.burst, plan.rate * window / SECOND)
         )
         self.actions.append(it.AddToCounter(name, event.units, min(60 * SECOND, 2 * window)))
         return None
 
-    def counted(self, event: it.CountAnswered) -> None:
-        if not (queue := self.waiting.get(event.name)):
+    def on_counter_answer(self, event: it.CountAnswered) -> None:
+        if not (queue := self.pending_calls.get(event.name)):
             return
-        number, burst, filled = queue.pop(0)
+        number, burst, refill = queue.pop(0)
         if not queue:
-            del self.waiting[event.name]
-        most = max(burst, filled)
-        self.decide(number, event.outcome is not Outcome.OK or event.total <= most)
+            del self.pending_calls[event.name]
+        limit = max(burst, refill)
+        self.decide(number, event.outcome is not Outcome.OK or event.total <= limit)
 
 
 class LeasesOnly(RequestPolicy):
@@ -215,7 +219,7 @@
         return [it.Refuse(a.request) if isinstance(a, it.Refuse) else a for a in actions]
 
 
-class SeesAll(Plain):
+class Omniscient(Unlimited):
     """A bound, not a policy: one gateway that sees every store and every server as they are at this
     moment."""
 
@@ -223,29 +227,31 @@
         self,
         settings: it.Settings,
         seed: int,
-        sight: Sight,
-        stores: dict[int, tuple[Store, Store | None]],
+        view: GlobalView,
+        buckets: dict[int, tuple[TokenBucket, TokenBucket | None]],
     ):
-        super().__init__(settings, seed, sight)
-        self.stores = stores  # shared by all gateways of the run
+        super().__init__(settings, seed, view)
+        self.buckets = buckets  # shared by all gateways of the run
 
     def admit(self, event: it.RequestArrived) -> bool | None:
         plan = self.settings.plans[event.plan]
-        if event.customer not in self.stores:
-            top = Store(plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_burst, self.now)
-            quota = Store(plan.rate, plan.burst, plan.burst, self.now)
-            self.stores[event.customer] = (quota, top if plan.ceiling_rate else None)
-        quota, ceiling = self.stores[event.customer]
+        if event.customer not in self.buckets:
+            ceiling_bucket = TokenBucket(
+                plan.ceiling_rate, plan.ceiling_burst, plan.ceiling_burst, self.now
+            )
+            quota = TokenBucket(plan.rate, plan.burst, plan.burst, self.now)
+            self.buckets[event.customer] = (quota, ceiling_bucket if plan.ceiling_rate else None)
+        quota, ceiling = self.buckets[event.customer]
         ready = [b for b in self.backends.values() if b.state is it.BackendState.READY]
-        soonest = min((self.sight.load(b.id) for b in ready), default=float("inf"))
-        if soonest > FULL * self.settings.classes[event.cls].aim:
+        lowest_load = min((self.view.load(b.id) for b in ready), default=float("inf"))
+        if lowest_load > MAX_LOAD_SHARE * self.settings.classes[event.cls].aim:
             return False
         return quota.take(self.now, event.units) and (
             ceiling is None or ceiling.take(self.now, event.units)
         )
 
     def choose(self, ready: list[it.ListedBackend]) -> it.ListedBackend:
-        return min(ready, key=lambda b: self.sight.load(b.id))
+        return min(ready, key=lambda b: self.view.load(b.id))
 
 
 BASELINES: dict[str, str] = {
@@ -262,12 +268,12 @@
 }
 
 
-def maker(name: str) -> Make:
+def policy_factory(name: str) -> PolicyFactory:
     """A fresh maker for one run: gateways of `sees-all` share their stores within it. KeyError: no
     such name."""
-    plain: dict[str, Callable[[it.Settings, int, Sight], Plain]] = {
-        "let-all-in": Plain,
-        "whole-quota": Quota,
+    baselines: dict[str, Callable[[it.Settings, int, GlobalView], Unlimited]] = {
+        "let-all-in": Unlimited,
+        "whole-quota": WholeQuota,
         "even-split": EvenSplit,
         "count-each": CountEach,
         "bucket-filter": BucketFilter,
@@ -277,6 +283,6 @@
     if name == "leases-only":
         return lambda settings, seed, _: LeasesOnly(settings, seed)
     if name == "sees-all":
-        stores: dict[int, tuple[Store, Store | None]] = {}
-        return lambda settings, seed, sight: SeesAll(settings, seed, sight, stores)
-    return plain[name]
+        buckets: dict[int, tuple[TokenBucket, TokenBucket | None]] = {}
+        return lambda settings, seed, view: Omniscient(settings, seed, view, buckets)
+    return baselines[name]
--- a/cairndale/lab/series.py
+++ b/cairndale/lab/series.py
@@ -10,7 +10,7 @@
 from cairndale.lab import record as rec
 from cairndale.lab.draw import SECOND, Day
 from cairndale.lab.record import Record
-from cairndale.lab.world.counter import Said
+from cairndale.lab.world.counter import CallStatus
 
 BUCKETS_MS = np.unique(np.round(np.geomspace(1, 60_000, 120)).astype(np.int64))  # of the latencies
 
@@ -53,7 +53,7 @@
     at = np.minimum(calls["at"] // SECOND, seconds - 1)
     found["calls"] = {
         said.value: np.bincount(at[calls["said"] == n], minlength=seconds)[:seconds].tolist()
-        for n, said in enumerate(Said)
+        for n, said in enumerate(CallStatus)
     }
     dials = np.clip(record.dials["at"] // SECOND, 0, seconds - 1)
     found["dials"] = np.bincount(dials, minlength=seconds)[:seconds].tolist()
--- a/cairndale/lab/simulate.py
+++ b/cairndale/lab/simulate.py
@@ -30,29 +30,29 @@
 from cairndale.lab.world.server import Job, Server, Verdict
 
 # what the gateways' clock shows at the start; a server's 0 stays "long ago"
-EPOCH = 1_700_000_000 * SECOND
-ANSWER_MARGIN, LAST_ATTEMPT = 10_000, 15_000  # us: as net/engine.py has them
-RESTART = 500_000  # us that a gateway needs to be there again
-ACCEPTS_ON = 300_000  # us after SIGTERM that new connections come; protocol: 0.2 to 0.4 s
-STATES = {
+EPOCH_US = 1_700_000_000 * SECOND
+ANSWER_MARGIN_US, LAST_ATTEMPT_US = 10_000, 15_000  # us: as net/engine.py has them
+RESTART_US = 500_000  # us that a gateway needs to be there again
+ACCEPT_PERIOD_US = 300_000  # us after SIGTERM that new connections come; protocol: 0.2 to 0.4 s
+BACKEND_STATES = {
     "up": it.BackendState.READY,
     "draining": it.BackendState.DRAINING,
     "removed": it.BackendState.GONE,
 }
-CODES = {"up": rec.UP, "draining": rec.DRAINING, "removed": rec.REMOVED}
-SAID = {
-    world_counter.Said.OK: Outcome.OK,
-    world_counter.Said.BUSY: Outcome.FULL,
-    world_counter.Said.DOWN: Outcome.CONNECT_FAILED,
-    world_counter.Said.SPOILT: Outcome.RESET,
+STATUS_CODES = {"up": rec.UP, "draining": rec.DRAINING, "removed": rec.REMOVED}
+COUNTER_OUTCOMES = {
+    world_counter.CallStatus.OK: Outcome.OK,
+    world_counter.CallStatus.BUSY: Outcome.FULL,
+    world_counter.CallStatus.DOWN: Outcome.CONNECT_FAILED,
+    world_counter.CallStatus.SPOILT: Outcome.RESET,
 }
 
 
-class Decider(Protocol):
+class Policy(Protocol):
     def handle(self, now: int, event: it.Event) -> list[it.Action]: ...
 
 
-class Sight(Protocol):
+class GlobalView(Protocol):
     """What a gateway that sees all would see: for the baselines that are bounds, and for no
     others."""
 
@@ -61,500 +61,600 @@
         it."""
 
 
-Make = Callable[[it.Settings, int, Sight], Decider]
+PolicyFactory = Callable[[it.Settings, int, GlobalView], Policy]
 
 
 @dataclass(slots=True)
-class Try:
+class ClientAttempt:
     arrival: Arrival
     root: int  # the first try's id
     number: int  # 0: the first
     id: int
-    gateway: int
-    until: int
+    ingress_index: int
+    expires_at: int
     row: int  # in the record
-    over: bool = False
-    owner: Open | None = None
+    finished: bool = False
+    request: OpenRequest | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    open: Open
+    request: OpenRequest
     number: int
     server: int
-    sent: int
+    sent_at: int
     row: int = -1
     job: Job | None = None
-    fresh: bool = False  # its connection is still being made
+    connecting: bool = False  # its connection is still being made
     ended: bool = False
-    silent: bool = False  # nothing of it will ever arrive
+    blackholed: bool = False  # nothing of it will ever arrive
 
 
 @dataclass(slots=True, eq=False)
-class Open:
+class OpenRequest:
     """A try that a gateway has taken."""
 
-    trying: Try
+    client_attempt: ClientAttempt
     number: int
-    host: Host
+    ingress: Ingress
     deadline: int
     limits: it.Limits
-    over: bool = False
-    out: int = 0
+    finished: bool = False
+    in_flight: int = 0
     attempts: list[Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Host:
+class Ingress:
     """A gateway's process: what net/ does for the module."""
 
     index: int
     zone: int
-    decider: Decider
+    policy: Policy
     settings: it.Settings
-    life: int = 0
+    incarnation: int = 0
     alive: bool = True
-    stopping: bool = False
-    stopped: bool = False
-    closes: int = 0  # when one that is stopping accepts no more connections
-    open: dict[int, Open] = field(default_factory=dict)
+    terminating: bool = False
+    paused: bool = False
+    accepts_until: int = 0  # when one that is stopping accepts no more connections
+    requests: dict[int, OpenRequest] = field(default_factory=dict)
     # by server: since when, the latest last
-    idle: dict[int, list[int]] = field(default_factory=dict)
-    status: dict[int, str] = field(default_factory=dict)
-    events: deque[it.Event] = field(default_factory=deque)
+    idle_connections: dict[int, list[int]] = field(default_factory=dict)
+    backend_status: dict[int, str] = field(default_factory=dict)
+    pending_events: deque[it.Event] = field(default_factory=deque)
     # while stopped
-    held: list[tuple[Callable[..., None], tuple[Any, ...]]] = field(default_factory=list)
-    busy: bool = False
+    deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = field(default_factory=list)
+    dispatching: bool = False
 
 
 class Simulation:
-    def __init__(self, day: Day, make: Make) -> None:
-        self.day, self.make, self.record = day, make, Record()
-        self.now = self._seq = 0
+    def __init__(self, day: Day, make_policy: PolicyFactory) -> None:
+        self.day, self.make_policy, self.record = day, make_policy, Record()
+        self.now = self._sequence = 0
         self._heap: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
         self.rng = random.Random(day.seed)
-        self.clients, self.network = Clients(day), Network.drawn(day.network)
-        self.counter = Counter.drawn(day.counter)
-        self.discovery = Discovery.drawn(
+        self.clients, self.network = Clients(day), Network.from_figures(day.network)
+        self.counter = Counter.from_figures(day.counter)
+        self.discovery = Discovery.from_figures(
             len(day.gateway_zones), day.discovery, random.Random(day.seed + 1)
         )
         self.servers = [Server(kind, -1) for kind in day.servers]
         for server in self.servers:
-            server.fall_multiple = day.scenario.rules.fall_multiple
-            server.fall_us = int(day.scenario.rules.fall_ms * 1000)
-        self.vanished: set[int] = set()  # servers that say nothing
-        self.noticed: set[int] = set()  # gateways that the front knows to be down
-        self._wakes: dict[int, int] = {}
-        self.discovery.begin(dict.fromkeys(range(len(self.servers)), -1))
-        self._changed: dict[str, float] = {}
-        self.hosts = [self._host(n) for n in range(len(day.gateway_zones))]
-        self._tries = self._numbers = 0
-        self._fell: set[int] = set()  # servers pushed over since they last started
-        self._absent: dict[int, int] = {}  # a gateway's last row among those that are away
-        self.events = 0
-        self._connect_timeout = int(day.scenario.server.connect_timeout_ms * 1000)
-        self._idle = int(day.scenario.server.idle_s * SECOND * 0.9)
-        self.asked_work = 0.0
+            server.overload_multiple = day.scenario.rules.fall_multiple
+            server.overload_us = int(day.scenario.rules.fall_ms * 1000)
+        self.vanished_servers: set[int] = set()  # servers that say nothing
+        self.known_down: set[int] = set()  # gateways that the front knows to be down
+        self._wakeups: dict[int, int] = {}
+        self.discovery.initialize(dict.fromkeys(range(len(self.servers)), -1))
+        self._changed_settings: dict[str, float] = {}
+        self.ingresses = [self._start_ingress(n) for n in range(len(day.gateway_zones))]
+        self._attempt_count = self._request_count = 0
+        self._overloaded_servers: set[int] = set()  # servers pushed over since they last started
+        self._absence_rows: dict[int, int] = {}  # a gateway's last row among those that are away
+        self.executed_count = 0
+        self._connect_timeout_us = int(day.scenario.server.connect_timeout_ms * 1000)
+        self._client_idle_us = int(day.scenario.server.idle_s * SECOND * 0.9)
+        self.offered_work = 0.0
 
     # The clock.
 
-    def at(self, when: int, act: Callable[..., None], *args: Any) -> None:
-        self._seq += 1
-        heapq.heappush(self._heap, (max(when, self.now), self._seq, act, args))
+    def schedule(self, when: int, callback: Callable[..., None], *args: Any) -> None:
+        self._sequence += 1
+        heapq.heappush(self._heap, (max(when, self.now), self._sequence, callback, args))
 
     def run(self) -> Record:
         arrivals = self.clients.arrivals()
-        following = next(arrivals, None)
+        next_arrival = next(arrivals, None)
         for number, trouble in enumerate(self.day.scenario.trouble):
             begin = int(trouble.at_s * SECOND)
             self.record.marks.add(begin, begin + int(trouble.len_s * SECOND), number)
         for step in plan(self.day):
-            self.at(step.at, self._do, step)
+            self.schedule(step.at, self._run_step, step)
         end = self.day.length + max(c.deadline_us for c in self.day.classes) + SECOND
         for second in range(0, self.day.length + SECOND, SECOND):
-            self.at(second, self._sample)
+            self.schedule(second, self._sample)
         heap = self._heap
-        while heap or following:
-            if following and (not heap or following.due <= heap[0][0]):
-                self.now = following.due
-                self._first_try(following)
-                following = next(arrivals, None)
+        while heap or next_arrival:
+            if next_arrival and (not heap or next_arrival.due <= heap[0][0]):
+                self.now = next_arrival.due
+                self._first_attempt(next_arrival)
+                next_arrival = next(arrivals, None)
                 continue
-            when, _, act, args = heapq.heappop(heap)
+            when, _, callback, args = heapq.heappop(heap)
             if when > end:
                 break
             self.now = when
-            self.events += 1
-            act(*args)
+            self.executed_count += 1
+            callback(*args)
         self.record.figures |= {
             "requests": len(self.record.tries),
-            "events": self.events,
-            "asked_work": self.asked_work,
-            "done_work": sum(s.done for s in self.servers),
+            "events": self.executed_count,
+            "asked_work": self.offered_work,
+            "done_work": sum(s.work_done for s in self.servers),
         }
         return self.record
 
     def _sample(self) -> None:
         for number, server in enumerate(self.servers):
-            self._settle(number, server.advance(self.now))
+            self._process_finished_jobs(number, server.advance(self.now))
             self.record.servers.add(
                 self.now,
                 number,
-                server.held(),
+                server.request_count(),
                 server.connections,
-                int(server.spent),
+                int(server.capacity_used),
                 int(server.warmth(self.now) * 1000),
                 int(server.alive),
                 server.kind.slots,
             )
-        limit = self.now - self._idle
-        for host in self.hosts:
-            for number, since in host.idle.items():
-                old = sum(1 for at in since if at <= limit)
+        limit = self.now - self._client_idle_us
+        for ingress in self.ingresses:
+            for number, since in ingress.idle_connections.items():
+                old = sum(1 for idle_since in since if idle_since <= limit)
                 for _ in range(old):
                     self.servers[number].close()
                 del since[:old]
 
     # Gateways.
 
-    def _host(self, index: int, life: int = 0) -> Host:
+    def _start_ingress(self, index: int, incarnation: int = 0) -> Ingress:
         settings = settings_from_json(
-            json.dumps(self.day.raw_settings(index, self._changed)).encode()
+            json.dumps(self.day.raw_settings(index, self._changed_settings)).encode()
         )
-        seed = (self.day.seed * 1000 + index) * 100 + life
-        host = Host(
-            index, self.day.gateway_zones[index], self.make(settings, seed, self), settings, life
+        seed = (self.day.seed * 1000 + index) * 100 + incarnation
+        ingress = Ingress(
+            index,
+            self.day.gateway_zones[index],
+            self.make_policy(settings, seed, self),
+            settings,
+            incarnation,
         )
-        entries = self.discovery.held(index)
-        host.status = {e.server: e.status for e in entries}
-        self._post(
-            host,
+        entries = self.discovery.list_sent_to(index)
+        ingress.backend_status = {e.server: e.status for e in entries}
+        self._dispatch(
+            ingress,
             it.BackendsListed(
-                it.ListKind.CACHED, self.discovery.told[index], self._listed(entries)
+                it.ListKind.CACHED,
+                self.discovery.notified_versions[index],
+                self._listed_backends(entries),
             ),
         )
-        return host
+        return ingress
 
-    def _listed(self, entries: list[Entry]) -> tuple[it.ListedBackend, ...]:
+    def _listed_backends(self, entries: list[Entry]) -> tuple[it.ListedBackend, ...]:
         return tuple(
             it.ListedBackend(
                 e.server + 1,
-                STATES[e.status],
+                BACKEND_STATES[e.status],
                 self.day.servers[e.server].zone,
                 0,
                 0,
                 1.0,
-                EPOCH + e.started if e.started >= 0 else 0,
+                EPOCH_US + e.started if e.started >= 0 else 0,
             )
             for e in entries
         )
 
-    def _post(self, host: Host, event: it.Event) -> None:
-        host.events.append(event)
-        if host.busy:
+    def _dispatch(self, ingress: Ingress, event: it.Event) -> None:
+        ingress.pending_events.append(event)
+        if ingress.dispatching:
             return
-        host.busy = True
+        ingress.dispatching = True
         try:
-            while host.events:
-                for action in host.decider.handle(EPOCH + self.now, host.events.popleft()):
-                    self._carry_out(host, action)
+            while ingress.pending_events:
+                for action in ingress.policy.handle(
+                    EPOCH_US + self.now, ingress.pending_events.popleft()
+                ):
+                    self._execute(ingress, action)
         finally:
-            host.busy = False
+            ingress.dispatching = False
 
-    def _later(self, host: Host, life: int, act: Callable[..., None], *args: Any) -> None:
+    def _deliver(
+        self, ingress: Ingress, incarnation: int, callback: Callable[..., None], *args: Any
+    ) -> None:
         """Reaches that process, if it is still the same; one that is stopped finds it when it goes
         on."""
-        if host.life != life or not host.alive:
+        if ingress.incarnation != incarnation or not ingress.alive:
             return
-        if host.stopped:
-            host.held.append((act, args))
+        if ingress.paused:
+            ingress.deferred.append((callback, args))
         else:
-            act(*args)
+            callback(*args)
 
-    def _carry_out(self, host: Host, action: it.Action) -> None:
+    def _execute(self, ingress: Ingress, action: it.Action) -> None:
         match action:
             case it.SendAttempt(number, backend, timeout):
-                self._send(host, number, backend - 1, timeout)
+                self._send(ingress, number, backend - 1, timeout)
             case it.Refuse(number, advice):
-                if (opened := host.open.get(number)) and not opened.over:
-                    self._close(opened)
-                    advice = advice if host.settings.limits.advises_retry else 0
-                    self._answer(opened.trying, rec.REFUSED, advice)
+                if (request := ingress.requests.get(number)) and not request.finished:
+                    self._finish_request(request)
+                    advice = advice if ingress.settings.limits.advises_retry else 0
+                    self._answer(request.client_attempt, rec.REFUSED, advice)
             case it.Fail(number):
-                if (opened := host.open.get(number)) and not opened.over:
-                    self._close(opened)
-                    self._answer(opened.trying, rec.FAILED)
+                if (request := ingress.requests.get(number)) and not request.finished:
+                    self._finish_request(request)
+                    self._answer(request.client_attempt, rec.FAILED)
             case it.CancelAttempt(number, index):
-                opened = host.open.get(number)
-                if opened and index < len(opened.attempts) and not opened.attempts[index].ended:
-                    attempt = opened.attempts[index]
-                    self._abandon(
-                        attempt, Outcome.CONNECT_FAILED if attempt.fresh else Outcome.CANCELLED
+                request = ingress.requests.get(number)
+                if request and index < len(request.attempts) and not request.attempts[index].ended:
+                    attempt = request.attempts[index]
+                    self._abort_attempt(
+                        attempt, Outcome.CONNECT_FAILED if attempt.connecting else Outcome.CANCELLED
                     )
             case it.SetTimer(token, when):
-                self.at(
-                    when - EPOCH,
-                    self._later,
-                    host,
-                    host.life,
-                    self._post,
-                    host,
+                self.schedule(
+                    when - EPOCH_US,
+                    self._deliver,
+                    ingress,
+                    ingress.incarnation,
+                    self._dispatch,
+                    ingress,
                     it.TimerFired(token),
                 )
-            case it.AddToCounter(name, amount, life):
-                self._add(host, name, amount, life)
+            case it.AddToCounter(name, amount, ttl):
+                self._call_counter(ingress, name, amount, ttl)
             case _:  # no peers, no probes, the list comes by itself
                 pass
 
-    def _close(self, opened: Open) -> None:
-        opened.over = True
-        self._forget(opened)
+    def _finish_request(self, request: OpenRequest) -> None:
+        request.finished = True
+        self._release_request(request)
 
-    def _forget(self, opened: Open) -> None:
-        if opened.over and opened.out == 0:
-            opened.host.open.pop(opened.number, None)
+    def _release_request(self, request: OpenRequest) -> None:
+        if request.finished and request.in_flight == 0:
+            request.ingress.requests.pop(request.number, None)
 
     # Clients.
 
-    def _first_try(self, arrival: Arrival) -> None:
-        self.asked_work += arrival.work
-        self._begin(arrival, -1, 0, -1)
+    def _first_attempt(self, arrival: Arrival) -> None:
+        self.offered_work += arrival.work
+        self._start_attempt(arrival, -1, 0, -1)
 
-    def _begin(self, arrival: Arrival, root: int, number: int, before: int) -> None:
-        down = frozenset(self.noticed)
-        gateway = self.clients.gateway(arrival, self.now, number, down, before)
-        self._tries += 1
-        until, _ = self.clients.patience(arrival, self.now)
-        root = root if root >= 0 else self._tries
+    def _start_attempt(self, arrival: Arrival, root: int, number: int, previous: int) -> None:
+        down = frozenset(self.known_down)
+        ingress_index = self.clients.choose_ingress(arrival, self.now, number, down, previous)
+        self._attempt_count += 1
+        expires_at, _ = self.clients.deadlines(arrival, self.now)
+        root = root if root >= 0 else self._attempt_count
         row = self.record.tries.add(
-            self._tries,
+            self._attempt_count,
             root,
             arrival.customer,
             arrival.plan,
             arrival.cls,
-            gateway,
+            ingress_index,
             arrival.due,
             self.now,
-            until,
+            expires_at,
             -1,
             rec.NONE,
             0,
         )
-        trying = Try(arrival, root, number, self._tries, gateway, until, row)
-        if gateway < 0:
-            self._heard(trying, rec.UNREACHED, 0)
+        client_attempt = ClientAttempt(
+            arrival, root, number, self._attempt_count, ingress_index, expires_at, row
+        )
+        if ingress_index < 0:
+            self._on_final_answer(client_attempt, rec.UNREACHED, 0)
             return
-        host, way = self.hosts[gateway], self.network.to_client(self.rng.random())
-        if not host.alive or (host.stopping and self.now >= host.closes):
-            self.at(self.now + 2 * way, self._heard, trying, rec.UNREACHED, 0)
+        ingress, latency = self.ingresses[ingress_index], self.network.to_client(self.rng.random())
+        if not ingress.alive or (ingress.terminating and self.now >= ingress.accepts_until):
+            self.schedule(
+                self.now + 2 * latency, self._on_final_answer, client_attempt, rec.UNREACHED, 0
+            )
             return
-        self.at(self.now + way, self._reach, host, host.life, trying)
-        self.at(until, self._expired, trying)
-        if quits := self.clients.quits(arrival):
-            self.at(min(until, self.now + quits), self._leaves, trying)
-
-    def _reach(self, host: Host, life: int, trying: Try) -> None:
-        if host.life != life or not host.alive:
-            self._heard(trying, rec.UNREACHED, 0)
+        self.schedule(
+            self.now + latency,
+            self._on_ingress_reached,
+            ingress,
+            ingress.incarnation,
+            client_attempt,
+        )
+        self.schedule(expires_at, self._on_client_timeout, client_attempt)
+        if quit_after := self.clients.quit_after(arrival):
+            self.schedule(
+                min(expires_at, self.now + quit_after), self._on_client_quit, client_attempt
+            )
+
+    def _on_ingress_reached(
+        self, ingress: Ingress, incarnation: int, client_attempt: ClientAttempt
+    ) -> None:
+        if ingress.incarnation != incarnation or not ingress.alive:
+            self._on_final_answer(client_attempt, rec.UNREACHED, 0)
         else:
-            self._later(host, life, self._take, host, trying)
+            self._deliver(ingress, incarnation, self._accept_request, ingress, client_attempt)
 
-    def _take(self, host: Host, trying: Try) -> None:
-        left = trying.until - self.now
-        if trying.over:
+    def _accept_request(self, ingress: Ingress, client_attempt: ClientAttempt) -> None:
+        remaining = client_attempt.expires_at - self.now
+        if client_attempt.finished:
             return
-        limits = host.settings.limits
-        if left <= ANSWER_MARGIN or 0 < limits.max_open <= len(host.open):
-            self._answer(trying, rec.REFUSED)
+        limits = ingress.settings.limits
+        if remaining <= ANSWER_MARGIN_US or 0 < limits.max_open <= len(ingress.requests):
+            self._answer(client_attempt, rec.REFUSED)
             return
-        self._numbers += 1
-        opened = Open(trying, self._numbers, host, trying.until, limits)
-        trying.owner = host.open[opened.number] = opened
-        self.at(trying.until - ANSWER_MARGIN, self._later, host, host.life, self._overdue, opened)
-        a = trying.arrival
-        self._post(
-            host,
+        self._request_count += 1
+        request = OpenRequest(
+            client_attempt, self._request_count, ingress, client_attempt.expires_at, limits
+        )
+        client_attempt.request = ingress.requests[request.number] = request
+        self.schedule(
+            client_attempt.expires_at - ANSWER_MARGIN_US,
+            self._deliver,
+            ingress,
+            ingress.incarnation,
+            self._on_request_deadline,
+            request,
+        )
+        arrival = client_attempt.arrival
+        self._dispatch(
+            ingress,
             it.RequestArrived(
-                opened.number, a.cls, a.plan, a.customer, 1.0, left, a.first, a.spread, False
+                request.number,
+                arrival.cls,
+                arrival.plan,
+                arrival.customer,
+                1.0,
+                remaining,
+                arrival.first,
+                arrival.spread,
+                False,
             ),
         )
 
-    def _overdue(self, opened: Open) -> None:
-        if not opened.over:
-            self._close(opened)
-            self._answer(opened.trying, rec.FAILED)
-            self._post(opened.host, it.ClientGone(opened.number))
-
-    def _answer(self, trying: Try, kind: int, advice: int = 0) -> None:
-        self.at(
-            self.now + self.network.to_client(self.rng.random()), self._heard, trying, kind, advice
+    def _on_request_deadline(self, request: OpenRequest) -> None:
+        if not request.finished:
+            self._finish_request(request)
+            self._answer(request.client_attempt, rec.FAILED)
+            self._dispatch(request.ingress, it.ClientGone(request.number))
+
+    def _answer(self, client_attempt: ClientAttempt, kind: int, advice: int = 0) -> None:
+        self.schedule(
+            self.now + self.network.to_client(self.rng.random()),
+            self._on_final_answer,
+            client_attempt,
+            kind,
+            advice,
         )
 
-    def _heard(self, trying: Try, kind: int, advice: int) -> None:
+    def _on_final_answer(self, client_attempt: ClientAttempt, kind: int, advice: int) -> None:
         """The client has its final answer, or none will come."""
         tries = self.record.tries
         if kind not in (rec.NONE, rec.GONE):
-            tries.set(trying.row, "ended", self.now)
-            if tries.columns[10][trying.row] not in (rec.NONE, rec.GONE):
-                self.record.faults.add(self.now, 2, trying.id, trying.gateway)
-            tries.set(trying.row, "kind", kind)
-            tries.set(trying.row, "advice", advice)
-        if trying.over:
+            tries.set(client_attempt.row, "ended", self.now)
+            if tries.columns[10][client_attempt.row] not in (rec.NONE, rec.GONE):
+                self.record.faults.add(self.now, 2, client_attempt.id, client_attempt.ingress_index)
+            tries.set(client_attempt.row, "kind", kind)
+            tries.set(client_attempt.row, "advice", advice)
+        if client_attempt.finished:
             return
-        trying.over = True
+        client_attempt.finished = True
         if kind == rec.SERVED:
             return
-        again = self.clients.again(trying.arrival, self.now, trying.number + 1, advice)
-        if again:
-            self.at(
-                again, self._begin, trying.arrival, trying.root, trying.number + 1, trying.gateway
+        retry_at = self.clients.retry_at(
+            client_attempt.arrival, self.now, client_attempt.number + 1, advice
+        )
+        if retry_at:
+            self.schedule(
+                retry_at,
+                self._start_attempt,
+                client_attempt.arrival,
+                client_attempt.root,
+                client_attempt.number + 1,
+                client_attempt.ingress_index,
             )
 
-    def _expired(self, trying: Try) -> None:
-        if not trying.over:
-            self._heard(trying, rec.NONE, 0)
+    def _on_client_timeout(self, client_attempt: ClientAttempt) -> None:
+        if not client_attempt.finished:
+            self._on_final_answer(client_attempt, rec.NONE, 0)
 
-    def _leaves(self, trying: Try) -> None:
+    def _on_client_quit(self, client_attempt: ClientAttempt) -> None:
         """An impatient client closes its connection, and does not come back."""
-        if trying.over:
+        if client_attempt.finished:
             return
-        trying.over = True
-        self.record.tries.set(trying.row, "kind", rec.GONE)
-        host = self.hosts[trying.gateway]
-        if (opened := trying.owner) and not opened.over:
-            self._later(host, opened.host.life, self._client_gone, opened)
+        client_attempt.finished = True
+        self.record.tries.set(client_attempt.row, "kind", rec.GONE)
+        ingress = self.ingresses[client_attempt.ingress_index]
+        if (request := client_attempt.request) and not request.finished:
+            self._deliver(
+                ingress, request.ingress.incarnation, self._on_client_disconnected, request
+            )
 
-    def _client_gone(self, opened: Open) -> None:
-        if not opened.over:
-            self._close(opened)
-            self._post(opened.host, it.ClientGone(opened.number))
+    def _on_client_disconnected(self, request: OpenRequest) -> None:
+        if not request.finished:
+            self._finish_request(request)
+            self._dispatch(request.ingress, it.ClientGone(request.number))
 
     # Attempts.
 
-    def _send(self, host: Host, number: int, server: int, timeout: int) -> None:
-        opened = host.open.get(number)
-        if opened is None:
-            host.events.append(it.AttemptEnded(number, 0, server + 1, Outcome.MOOT, 0, True))
+    def _send(self, ingress: Ingress, number: int, server: int, timeout: int) -> None:
+        request = ingress.requests.get(number)
+        if request is None:
+            ingress.pending_events.append(
+                it.AttemptEnded(number, 0, server + 1, Outcome.MOOT, 0, True)
+            )
             return
-        attempt = Attempt(opened, len(opened.attempts), server, self.now)
-        left = opened.deadline - self.now - LAST_ATTEMPT
-        limits = opened.limits
-        second = opened.out > 0 and not limits.may_duplicate
-        spent = len(opened.attempts) >= limits.max_attempts
-        opened.attempts.append(attempt)
-        opened.out += 1
-        if opened.over or second or spent or left <= 0:
-            self._ended(attempt, Outcome.MOOT)
+        attempt = Attempt(request, len(request.attempts), server, self.now)
+        remaining = request.deadline - self.now - LAST_ATTEMPT_US
+        limits = request.limits
+        duplicate = request.in_flight > 0 and not limits.may_duplicate
+        attempts_exhausted = len(request.attempts) >= limits.max_attempts
+        request.attempts.append(attempt)
+        request.in_flight += 1
+        if request.finished or duplicate or attempts_exhausted or remaining <= 0:
+            self._end_attempt(attempt, Outcome.MOOT)
             return
-        if host.status.get(server) != "up":
-            self._ended(attempt, Outcome.CONNECT_FAILED)
+        if ingress.backend_status.get(server) != "up":
+            self._end_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        wait = min(timeout, left) if timeout else left
-        self.at(self.now + wait, self._later, host, host.life, self._timed_out, attempt)
-        zone, idle = self.day.servers[server].zone, host.idle.get(server)
-        linked = self.network.linked(host.zone, zone) and server not in self.vanished
-        way = self.network.way(host.zone, zone, self.rng.random())
-        if idle:
-            idle.pop()
-            attempt.silent = not linked
-            self._write(attempt, wait, way)
+        timeout_us = min(timeout, remaining) if timeout else remaining
+        self.schedule(
+            self.now + timeout_us,
+            self._deliver,
+            ingress,
+            ingress.incarnation,
+            self._on_attempt_timeout,
+            attempt,
+        )
+        zone, idle_connections = self.day.servers[server].zone, ingress.idle_connections.get(server)
+        linked = self.network.linked(ingress.zone, zone) and server not in self.vanished_servers
+        latency = self.network.latency(ingress.zone, zone, self.rng.random())
+        if idle_connections:
+            idle_connections.pop()
+            attempt.blackholed = not linked
+            self._write_request(attempt, timeout_us, latency)
         elif not linked:
-            attempt.fresh = True
-            self.at(
-                self.now + self._connect_timeout,
-                self._later,
-                host,
-                host.life,
-                self._dial_failed,
+            attempt.connecting = True
+            self.schedule(
+                self.now + self._connect_timeout_us,
+                self._deliver,
+                ingress,
+                ingress.incarnation,
+                self._on_connect_failed,
                 attempt,
             )
         else:
-            attempt.fresh = True
-            self.at(self.now + way, self._dial, attempt, wait, way)
+            attempt.connecting = True
+            self.schedule(self.now + latency, self._accept_connection, attempt, timeout_us, latency)
 
-    def _dial(self, attempt: Attempt, wait: int, way: int) -> None:
+    def _accept_connection(self, attempt: Attempt, timeout_us: int, latency: int) -> None:
         """A new connection has come to the server."""
         if attempt.ended:
             return
-        host, server = attempt.open.host, self.servers[attempt.server]
-        self.record.dials.add(self.now, host.index, attempt.server)
-        good, over = server.open(self.now)
-        self._settle(attempt.server, over)
-        if not good:
-            self.at(self.now + way, self._later, host, host.life, self._dial_failed, attempt)
+        ingress, server = attempt.request.ingress, self.servers[attempt.server]
+        self.record.dials.add(self.now, ingress.index, attempt.server)
+        connected, finished_jobs = server.open(self.now)
+        self._process_finished_jobs(attempt.server, finished_jobs)
+        if not connected:
+            self.schedule(
+                self.now + latency,
+                self._deliver,
+                ingress,
+                ingress.incarnation,
+                self._on_connect_failed,
+                attempt,
+            )
             return
-        trips = int(2 * way * max(0.5, server.kind.handshake_rtts - 0.5))
-        self.at(self.now + trips, self._later, host, host.life, self._dialled, attempt, wait, way)
+        handshake_us = int(2 * latency * max(0.5, server.kind.handshake_rtts - 0.5))
+        self.schedule(
+            self.now + handshake_us,
+            self._deliver,
+            ingress,
+            ingress.incarnation,
+            self._on_connected,
+            attempt,
+            timeout_us,
+            latency,
+        )
 
-    def _dialled(self, attempt: Attempt, wait: int, way: int) -> None:
+    def _on_connected(self, attempt: Attempt, timeout_us: int, latency: int) -> None:
         if attempt.ended:
             self.servers[attempt.server].close()
             return
-        attempt.fresh = False
-        self._write(attempt, wait - (self.now - attempt.sent), way)
+        attempt.connecting = False
+        self._write_request(attempt, timeout_us - (self.now - attempt.sent_at), latency)
 
-    def _dial_failed(self, attempt: Attempt) -> None:
+    def _on_connect_failed(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            self._ended(attempt, Outcome.CONNECT_FAILED)
+            self._end_attempt(attempt, Outcome.CONNECT_FAILED)
 
-    def _write(self, attempt: Attempt, wait: int, way: int) -> None:
-        trying = attempt.open.trying
+    def _write_request(self, attempt: Attempt, timeout_us: int, latency: int) -> None:
+        client_attempt = attempt.request.client_attempt
         attempt.row = self.record.sends.add(
-            trying.id, attempt.open.host.index, attempt.server, self.now, -1, -1, rec.OPEN, 0, 0
+            client_attempt.id,
+            attempt.request.ingress.index,
+            attempt.server,
+            self.now,
+            -1,
+            -1,
+            rec.OPEN,
+            0,
+            0,
         )
-        if not attempt.silent:
-            self.at(self.now + way, self._arrive, attempt, self.now + wait, way)
+        if not attempt.blackholed:
+            self.schedule(
+                self.now + latency,
+                self._on_request_received,
+                attempt,
+                self.now + timeout_us,
+                latency,
+            )
 
-    def _arrive(self, attempt: Attempt, until: int, way: int) -> None:
+    def _on_request_received(self, attempt: Attempt, deadline: int, latency: int) -> None:
         """Its last byte has come to the server."""
-        server, a = self.servers[attempt.server], attempt.open.trying.arrival
+        server, arrival = self.servers[attempt.server], attempt.request.client_attempt.arrival
         if not server.alive:
             if not attempt.ended:
-                host = attempt.open.host
-                self.at(self.now + way, self._later, host, host.life, self._reset, attempt)
+                ingress = attempt.request.ingress
+                self.schedule(
+                    self.now + latency,
+                    self._deliver,
+                    ingress,
+                    ingress.incarnation,
+                    self._on_reset,
+                    attempt,
+                )
             return
         self.record.sends.set(attempt.row, "whole", self.now)
-        draw = a.draws[world_clients.ATTEMPT + min(attempt.number, 5)]
-        job = attempt.job = Job(attempt, a.work, until, draw)
-        verdict, over = server.offer(self.now, job)
-        self._settle(attempt.server, over)
+        draw = arrival.draws[world_clients.ATTEMPT_DRAW + min(attempt.number, 5)]
+        job = attempt.job = Job(attempt, arrival.work, deadline, draw)
+        verdict, finished_jobs = server.offer(self.now, job)
+        self._process_finished_jobs(attempt.server, finished_jobs)
         if attempt.ended and verdict is None:  # given up while it was on its way
-            _, over = server.cancel(self.now, job)
-            self._settle(attempt.server, over)
+            _, finished_jobs = server.cancel(self.now, job)
+            self._process_finished_jobs(attempt.server, finished_jobs)
         if verdict is not None:
-            self._done(job, verdict)
-        self._wake(attempt.server)
+            self._on_job_finished(job, verdict)
+        self._schedule_wakeup(attempt.server)
 
-    def _reset(self, attempt: Attempt) -> None:
+    def _on_reset(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            self._ended(attempt, Outcome.RESET)
+            self._end_attempt(attempt, Outcome.RESET)
 
-    def _wake(self, number: int) -> None:
-        due = self.servers[number].next_at()
-        if due and (due < self._wakes.get(number, 1 << 62) or self._wakes[number] < self.now):
-            self._wakes[number] = due
-            self.at(due, self._woken, number, due)
+    def _schedule_wakeup(self, number: int) -> None:
+        due = self.servers[number].next_event_at()
+        if due and (due < self._wakeups.get(number, 1 << 62) or self._wakeups[number] < self.now):
+            self._wakeups[number] = due
+            self.schedule(due, self._on_wakeup, number, due)
 
-    def _woken(self, number: int, due: int) -> None:
-        if self._wakes.get(number) == due:
-            self._wakes.pop(number)
-            self._settle(number, self.servers[number].advance(self.now))
+    def _on_wakeup(self, number: int, due: int) -> None:
+        if self._wakeups.get(number) == due:
+            self._wakeups.pop(number)
+            self._process_finished_jobs(number, self.servers[number].advance(self.now))
 
-    def _settle(self, number: int, over: list[tuple[Job, Verdict]]) -> None:
+    def _process_finished_jobs(self, number: int, finished_jobs: list[tuple[Job, Verdict]]) -> None:
         server = self.servers[number]
-        if server.fallen and not server.alive and number not in self._fell:
-            self._fell.add(number)
+        if server.failed_overloaded and not server.alive and number not in self._overloaded_servers:
+            self._overloaded_servers.add(number)
             self.record.falls.add(self.now, number)
-            self._gone(number)
-        for job, verdict in over:
-            self._done(job, verdict)
+            self._on_server_exit(number)
+        for job, verdict in finished_jobs:
+            self._on_job_finished(job, verdict)
         if server.alive:
-            self._wake(number)
+            self._schedule_wakeup(number)
 
-    def _done(self, job: Job, verdict: Verdict) -> None:
+    def _on_job_finished(self, job: Job, verdict: Verdict) -> None:
         """A server is through with a request; its answer sets out, unless nobody waits."""
         attempt: Attempt = job.key  # type: ignore[assignment]
-        host, sends = attempt.open.host, self.record.sends
+        ingress, sends = attempt.request.ingress, self.record.sends
         code = {
             Verdict.OK: rec.OK,
             Verdict.ERROR: rec.ERROR,
@@ -563,15 +663,15 @@
         }[verdict]
         sends.set(attempt.row, "ended", self.now)
         sends.set(attempt.row, "outcome", code)
-        worked = job.target > 0 and verdict in (Verdict.OK, Verdict.ERROR)
-        sends.set(attempt.row, "work", int(job.work) if worked else 0)
-        if job.orphan or attempt.ended:
+        executed = job.target > 0 and verdict in (Verdict.OK, Verdict.ERROR)
+        sends.set(attempt.row, "work", int(job.work) if executed else 0)
+        if job.abandoned or attempt.ended:
             return
         zone = self.day.servers[attempt.server].zone
-        if not self.network.linked(host.zone, zone) or attempt.server in self.vanished:
+        if not self.network.linked(ingress.zone, zone) or attempt.server in self.vanished_servers:
             return
-        way = self.network.way(host.zone, zone, self.rng.random())
-        if self.network.resets and self.rng.random() < self.network.resets:
+        latency = self.network.latency(ingress.zone, zone, self.rng.random())
+        if self.network.reset_share and self.rng.random() < self.network.reset_share:
             verdict = Verdict.DOWN
         outcome = {
             Verdict.OK: Outcome.OK,
@@ -579,198 +679,214 @@
             Verdict.FULL: Outcome.FULL,
             Verdict.DOWN: Outcome.RESET,
         }[verdict]
-        self.at(self.now + way, self._later, host, host.life, self._came, attempt, outcome)
+        self.schedule(
+            self.now + latency,
+            self._deliver,
+            ingress,
+            ingress.incarnation,
+            self._on_answer,
+            attempt,
+            outcome,
+        )
 
-    def _came(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _on_answer(self, attempt: Attempt, outcome: Outcome) -> None:
         """An answer has come to the gateway."""
         if attempt.ended:
             return
-        host, server = attempt.open.host, self.servers[attempt.server]
+        ingress, server = attempt.request.ingress, self.servers[attempt.server]
         if (
             outcome is not Outcome.RESET
             and server.alive
-            and host.status.get(attempt.server) == "up"
+            and ingress.backend_status.get(attempt.server) == "up"
         ):
-            host.idle.setdefault(attempt.server, []).append(self.now)
+            ingress.idle_connections.setdefault(attempt.server, []).append(self.now)
         else:
             server.close()
-        self._ended(attempt, outcome)
+        self._end_attempt(attempt, outcome)
 
-    def _timed_out(self, attempt: Attempt) -> None:
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            self._abandon(attempt, Outcome.CONNECT_FAILED if attempt.fresh else Outcome.TIMEOUT)
+            self._abort_attempt(
+                attempt, Outcome.CONNECT_FAILED if attempt.connecting else Outcome.TIMEOUT
+            )
 
-    def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """The gateway closes the attempt's connection."""
-        if not attempt.fresh:
+        if not attempt.connecting:
             self.servers[attempt.server].close()
-            if attempt.job and not attempt.silent:
+            if attempt.job and not attempt.blackholed:
                 zone = self.day.servers[attempt.server].zone
-                way = self.network.way(attempt.open.host.zone, zone, self.rng.random())
-                self.at(self.now + way, self._cancel, attempt)
-        self._ended(attempt, outcome)
+                latency = self.network.latency(
+                    attempt.request.ingress.zone, zone, self.rng.random()
+                )
+                self.schedule(self.now + latency, self._cancel_job, attempt)
+        self._end_attempt(attempt, outcome)
 
-    def _cancel(self, attempt: Attempt) -> None:
+    def _cancel_job(self, attempt: Attempt) -> None:
         if attempt.job and attempt.job.state in ("waiting", "working", "failing"):
-            stopped, over = self.servers[attempt.server].cancel(self.now, attempt.job)
-            self._settle(attempt.server, over)
-            if stopped:
+            cancelled, finished_jobs = self.servers[attempt.server].cancel(self.now, attempt.job)
+            self._process_finished_jobs(attempt.server, finished_jobs)
+            if cancelled:
                 self.record.sends.set(attempt.row, "ended", self.now)
                 self.record.sends.set(attempt.row, "outcome", rec.CANCELLED)
 
-    def _ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        opened = attempt.open
-        host = opened.host
-        attempt.ended, attempt.open.out = True, opened.out - 1
-        if outcome is Outcome.OK and not opened.over:
-            opened.over = True
+    def _end_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        request = attempt.request
+        ingress = request.ingress
+        attempt.ended, attempt.request.in_flight = True, request.in_flight - 1
+        if outcome is Outcome.OK and not request.finished:
+            request.finished = True
             if attempt.row >= 0:
                 self.record.sends.set(attempt.row, "useful", 1)
-            self._answer(opened.trying, rec.SERVED)
-        self._forget(opened)
-        latency = self.now - attempt.sent
+            self._answer(request.client_attempt, rec.SERVED)
+        self._release_request(request)
+        latency = self.now - attempt.sent_at
         event = it.AttemptEnded(
-            opened.number, attempt.number, attempt.server + 1, outcome, latency, opened.over
+            request.number, attempt.number, attempt.server + 1, outcome, latency, request.finished
         )
-        self._post(host, event)
+        self._dispatch(ingress, event)
 
     # The counter.
 
-    def _add(self, host: Host, name: int, amount: float, life: int) -> None:
-        there = 0  # the counter stands in the first zone
-        linked = self.network.linked(host.zone, there)
-        way = self.network.way(host.zone, there, self.rng.random())
-        state = [False]
-        self.at(
-            self.now + host.settings.counter.timeout,
-            self._count_over,
-            host,
-            host.life,
+    def _call_counter(self, ingress: Ingress, name: int, amount: float, ttl: int) -> None:
+        counter_zone = 0  # the counter stands in the first zone
+        linked = self.network.linked(ingress.zone, counter_zone)
+        latency = self.network.latency(ingress.zone, counter_zone, self.rng.random())
+        answered = [False]
+        self.schedule(
+            self.now + ingress.settings.counter.timeout,
+            self._on_counter_answer,
+            ingress,
+            ingress.incarnation,
             name,
-            state,
+            answered,
             Outcome.TIMEOUT,
             0.0,
             self.now,
         )
         if linked:
-            self.at(
-                self.now + way,
-                self._count,
-                host,
-                host.life,
+            self.schedule(
+                self.now + latency,
+                self._on_counter_call,
+                ingress,
+                ingress.incarnation,
                 name,
                 amount,
-                life,
-                state,
-                way,
+                ttl,
+                answered,
+                latency,
                 self.now,
             )
 
-    def _count(
+    def _on_counter_call(
         self,
-        host: Host,
+        ingress: Ingress,
         incarnation: int,
         name: int,
         amount: float,
-        life: int,
-        state: list[bool],
-        way: int,
-        asked: int,
+        ttl: int,
+        answered: list[bool],
+        latency: int,
+        called_at: int,
     ) -> None:
-        answer = self.counter.add(self.now, name, amount, life, self.rng.random())
-        self.record.calls.add(self.now, list(world_counter.Said).index(answer.said))
-        if answer.said is not world_counter.Said.LOST and self.network.linked(host.zone, 0):
-            self.at(
-                answer.at + way,
-                self._count_over,
-                host,
+        answer = self.counter.add(self.now, name, amount, ttl, self.rng.random())
+        self.record.calls.add(self.now, list(world_counter.CallStatus).index(answer.status))
+        if answer.status is not world_counter.CallStatus.LOST and self.network.linked(
+            ingress.zone, 0
+        ):
+            self.schedule(
+                answer.answered_at + latency,
+                self._on_counter_answer,
+                ingress,
                 incarnation,
                 name,
-                state,
-                SAID[answer.said],
+                answered,
+                COUNTER_OUTCOMES[answer.status],
                 answer.total,
-                asked,
+                called_at,
             )
 
-    def _count_over(
+    def _on_counter_answer(
         self,
-        host: Host,
-        life: int,
+        ingress: Ingress,
+        incarnation: int,
         name: int,
-        state: list[bool],
+        answered: list[bool],
         outcome: Outcome,
         total: float,
-        asked: int,
+        called_at: int,
     ) -> None:
-        if not state[0]:
-            state[0] = True
-            event = it.CountAnswered(name, outcome, total, self.now - asked)
-            self._later(host, life, self._post, host, event)
+        if not answered[0]:
+            answered[0] = True
+            event = it.CountAnswered(name, outcome, total, self.now - called_at)
+            self._deliver(ingress, incarnation, self._dispatch, ingress, event)
 
     # Discovery.
 
-    def _list(self, server: int, status: str, started: int) -> None:
-        for gateway, when in self.discovery.change(self.now, server, status, started).items():
-            self.at(when, self._tell, gateway)
+    def _change_list(self, server: int, status: str, started: int) -> None:
+        for ingress_index, when in self.discovery.change(self.now, server, status, started).items():
+            self.schedule(when, self._notify, ingress_index)
 
-    def _tell(self, gateway: int) -> None:
-        host = self.hosts[gateway]
-        if host.alive:
-            self._later(host, host.life, self._told, host)
+    def _notify(self, ingress_index: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        if ingress.alive:
+            self._deliver(ingress, ingress.incarnation, self._apply_update, ingress)
 
-    def _told(self, host: Host) -> None:
-        version, entries = self.discovery.news(host.index)
+    def _apply_update(self, ingress: Ingress) -> None:
+        version, entries = self.discovery.take_update(ingress.index)
         if not entries:
             return
         for entry in entries:
-            before, known = host.status.get(entry.server), host.status
+            previous, statuses = ingress.backend_status.get(entry.server), ingress.backend_status
             if entry.status == "removed":
-                known.pop(entry.server, None)
+                statuses.pop(entry.server, None)
             else:
-                known[entry.server] = entry.status
-            self.record.tells.add(self.now, host.index, entry.server, CODES[entry.status])
-            if entry.status != "up" or before != "up":
-                self._drop_idle(host, entry.server)
-        host.events.append(it.BackendsListed(it.ListKind.DELTA, version, self._listed(entries)))
-        self._withdraw(host, {e.server for e in entries if e.status != "up"})
-        if not host.busy and host.events:
-            self._post(host, host.events.popleft())
-
-    def _withdraw(self, host: Host, servers: set[int]) -> None:
+                statuses[entry.server] = entry.status
+            self.record.tells.add(self.now, ingress.index, entry.server, STATUS_CODES[entry.status])
+            if entry.status != "up" or previous != "up":
+                self._close_idle_connections(ingress, entry.server)
+        ingress.pending_events.append(
+            it.BackendsListed(it.ListKind.DELTA, version, self._listed_backends(entries))
+        )
+        self._abort_connecting(ingress, {e.server for e in entries if e.status != "up"})
+        if not ingress.dispatching and ingress.pending_events:
+            self._dispatch(ingress, ingress.pending_events.popleft())
+
+    def _abort_connecting(self, ingress: Ingress, servers: set[int]) -> None:
         """Attempts that wait for a connection to these are not written any more."""
-        for opened in list(host.open.values()) if servers else []:
-            for attempt in opened.attempts:
-                if not attempt.ended and attempt.fresh and attempt.server in servers:
-                    attempt.ended, opened.out = True, opened.out - 1
-                    self._forget(opened)
-                    latency = self.now - attempt.sent
-                    host.events.append(
+        for request in list(ingress.requests.values()) if servers else []:
+            for attempt in request.attempts:
+                if not attempt.ended and attempt.connecting and attempt.server in servers:
+                    attempt.ended, request.in_flight = True, request.in_flight - 1
+                    self._release_request(request)
+                    latency = self.now - attempt.sent_at
+                    ingress.pending_events.append(
                         it.AttemptEnded(
-                            opened.number,
+                            request.number,
                             attempt.number,
                             attempt.server + 1,
                             Outcome.CONNECT_FAILED,
                             latency,
-                            opened.over,
+                            request.finished,
                         )
                     )
 
-    def _drop_idle(self, host: Host, server: int) -> None:
-        for _ in host.idle.pop(server, []):
+    def _close_idle_connections(self, ingress: Ingress, server: int) -> None:
+        for _ in ingress.idle_connections.pop(server, []):
             self.servers[server].close()
 
     # Troubles.
 
-    def _do(self, step: Step) -> None:
+    def _run_step(self, step: Step) -> None:
         match step.verb:
             case "kill":
                 self._kill(step.target)
             case "restart":
                 self._restart(step.target)
             case "stop":
-                self._stop(step.target)
+                self._pause(step.target)
             case "go_on":
-                self._go_on(step.target)
+                self._resume(step.target)
             case "terminate":
                 self._terminate(step.target)
             case "upgrade":  # to the module that is the same life: nothing is seen of it here
@@ -778,17 +894,17 @@
             case "reload":
                 self._reload(step.settings)
             case "cut":
-                self.network.cut.add(step.target)
+                self.network.partitioned_zones.add(step.target)
             case "mend":
-                self.network.cut.discard(step.target)
+                self.network.partitioned_zones.discard(step.target)
             case "vanish":
-                self._lose(step.target)
+                self._vanish(step.target)
             case "begin":
-                self._begin_server(step.target)
+                self._start_server(step.target)
             case "slow":
-                self.servers[step.target].slow = step.value
+                self.servers[step.target].slowdown = step.value
             case "failing":
-                self.servers[step.target].failing = step.value
+                self.servers[step.target].failure_share = step.value
             case "replace":
                 self._replace(step.target)
             case "drain" | "undrain":
@@ -796,177 +912,195 @@
             case "discovery_down":
                 self.discovery.up = False
             case "discovery_up":
-                self._discovery_back()
+                self._restore_discovery()
             case "counter_down":
-                self.counter.fail()
+                self.counter.stop()
             case "counter_up":
-                self.counter.back(self.now)
+                self.counter.restart(self.now)
             case "counter_spoilt":
-                self.counter.spoilt = step.value
+                self.counter.invalid_share = step.value
             case "resets":
-                self.network.resets = step.value
+                self.network.reset_share = step.value
             case _:
                 raise ValueError(step.verb)
 
-    def _kill(self, gateway: int) -> None:
-        host = self.hosts[gateway]
-        if not host.alive:
+    def _kill(self, ingress_index: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        if not ingress.alive:
             return
-        host.alive = False
-        row = self.record.absent.add(gateway, self.now, -1)
-        self._absent[gateway] = row
-        for opened in list(host.open.values()):
-            for attempt in opened.attempts:
+        ingress.alive = False
+        row = self.record.absent.add(ingress_index, self.now, -1)
+        self._absence_rows[ingress_index] = row
+        for request in list(ingress.requests.values()):
+            for attempt in request.attempts:
                 if not attempt.ended:
                     attempt.ended = True
-                    if not attempt.fresh:
+                    if not attempt.connecting:
                         self.servers[attempt.server].close()
-                    self._cancel(attempt)
-            if not opened.over:
-                opened.over = True
-                self._answer(opened.trying, rec.UNREACHED)
-        for number in list(host.idle):
-            self._drop_idle(host, number)
-        host.open.clear()
-        notice = int(self.day.network["front_notice_s"] * SECOND)
-        self.at(self.now + notice, self._notice, gateway, host.life)
-
-    def _notice(self, gateway: int, life: int) -> None:
-        if not self.hosts[gateway].alive and self.hosts[gateway].life == life:
-            self.noticed.add(gateway)
-
-    def _restart(self, gateway: int) -> None:
-        host = self.hosts[gateway]
-        if host.alive and not host.stopping:
+                    self._cancel_job(attempt)
+            if not request.finished:
+                request.finished = True
+                self._answer(request.client_attempt, rec.UNREACHED)
+        for number in list(ingress.idle_connections):
+            self._close_idle_connections(ingress, number)
+        ingress.requests.clear()
+        notice_us = int(self.day.network["front_notice_s"] * SECOND)
+        self.schedule(self.now + notice_us, self._mark_down, ingress_index, ingress.incarnation)
+
+    def _mark_down(self, ingress_index: int, incarnation: int) -> None:
+        if (
+            not self.ingresses[ingress_index].alive
+            and self.ingresses[ingress_index].incarnation == incarnation
+        ):
+            self.known_down.add(ingress_index)
+
+    def _restart(self, ingress_index: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        if ingress.alive and not ingress.terminating:
             return
-        self.at(self.now + RESTART, self._up_again, gateway)
+        self.schedule(self.now + RESTART_US, self._start_new_process, ingress_index)
 
-    def _up_again(self, gateway: int) -> None:
-        before = self.hosts[gateway]
-        self.record.absent.set(self._absent[gateway], "to", self.now)
-        self.hosts[gateway] = host = self._host(gateway, before.life + 1)
-        self.noticed.discard(gateway)
-        self._told(host)
+    def _start_new_process(self, ingress_index: int) -> None:
+        previous = self.ingresses[ingress_index]
+        self.record.absent.set(self._absence_rows[ingress_index], "to", self.now)
+        self.ingresses[ingress_index] = ingress = self._start_ingress(
+            ingress_index, previous.incarnation + 1
+        )
+        self.known_down.discard(ingress_index)
+        self._apply_update(ingress)
 
-    def _terminate(self, gateway: int) -> None:
+    def _terminate(self, ingress_index: int) -> None:
         """SIGTERM: the front sends nothing new after a moment, what is open is finished, then it
         starts anew."""
-        host = self.hosts[gateway]
-        host.stopping, host.closes = True, self.now + ACCEPTS_ON
-        self.at(self.now + ACCEPTS_ON, self.noticed.add, gateway)
-        self.at(self.now + ACCEPTS_ON, self._finish, gateway, host.life)
-
-    def _finish(self, gateway: int, life: int) -> None:
-        host = self.hosts[gateway]
-        if host.life != life or not host.alive:
+        ingress = self.ingresses[ingress_index]
+        ingress.terminating, ingress.accepts_until = True, self.now + ACCEPT_PERIOD_US
+        self.schedule(self.now + ACCEPT_PERIOD_US, self.known_down.add, ingress_index)
+        self.schedule(
+            self.now + ACCEPT_PERIOD_US, self._exit_when_idle, ingress_index, ingress.incarnation
+        )
+
+    def _exit_when_idle(self, ingress_index: int, incarnation: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        if ingress.incarnation != incarnation or not ingress.alive:
             return
-        if host.open:
-            self.at(self.now + 50_000, self._finish, gateway, life)
+        if ingress.requests:
+            self.schedule(self.now + 50_000, self._exit_when_idle, ingress_index, incarnation)
             return
-        self._kill(gateway)
-        self._restart(gateway)
-
-    def _stop(self, gateway: int) -> None:
-        host = self.hosts[gateway]
-        host.stopped = True
-        self._absent[gateway] = self.record.absent.add(gateway, self.now, -1)
-        notice = int(self.day.network["front_notice_s"] * SECOND)
-        self.at(self.now + notice, lambda: self.noticed.add(gateway) if host.stopped else None)
-
-    def _go_on(self, gateway: int) -> None:
-        host = self.hosts[gateway]
-        host.stopped = False
-        self.record.absent.set(self._absent[gateway], "to", self.now)
-        self.noticed.discard(gateway)
-        held, host.held = host.held, []
-        for act, args in held:
-            act(*args)
-
-    def _gone(self, number: int) -> None:
+        self._kill(ingress_index)
+        self._restart(ingress_index)
+
+    def _pause(self, ingress_index: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        ingress.paused = True
+        self._absence_rows[ingress_index] = self.record.absent.add(ingress_index, self.now, -1)
+        notice_us = int(self.day.network["front_notice_s"] * SECOND)
+        self.schedule(
+            self.now + notice_us,
+            lambda: self.known_down.add(ingress_index) if ingress.paused else None,
+        )
+
+    def _resume(self, ingress_index: int) -> None:
+        ingress = self.ingresses[ingress_index]
+        ingress.paused = False
+        self.record.absent.set(self._absence_rows[ingress_index], "to", self.now)
+        self.known_down.discard(ingress_index)
+        deferred, ingress.deferred = ingress.deferred, []
+        for callback, args in deferred:
+            callback(*args)
+
+    def _on_server_exit(self, number: int) -> None:
         """A server's process has ended; discovery lists that later."""
-        for host in self.hosts:
-            host.idle.pop(number, None)
-        silent = number in self.vanished
-        wait = self.day.discovery["silent_notice_s" if silent else "notice_s"]
-        self.at(self.now + int(wait * SECOND), self._list_end, number, self.servers[number].started)
+        for ingress in self.ingresses:
+            ingress.idle_connections.pop(number, None)
+        vanished = number in self.vanished_servers
+        wait = self.day.discovery["silent_notice_s" if vanished else "notice_s"]
+        self.schedule(
+            self.now + int(wait * SECOND), self._list_removed, number, self.servers[number].started
+        )
 
-    def _list_end(self, number: int, started: int) -> None:
+    def _list_removed(self, number: int, started: int) -> None:
         if not self.servers[number].alive and self.servers[number].started == started:
-            self._list(number, "removed", started)
+            self._change_list(number, "removed", started)
 
-    def _lose(self, number: int) -> None:
+    def _vanish(self, number: int) -> None:
         """It vanishes without a word: connections stay, and nothing comes any more."""
         if not self.servers[number].alive:
             return
-        self.vanished.add(number)
-        kept = {host.index: host.idle[number] for host in self.hosts if host.idle.get(number)}
-        self.servers[number].die(self.now)
-        self._gone(number)
-        for host in self.hosts:  # nobody has told them: their idle connections look as before
-            if host.index in kept:
-                host.idle[number] = kept[host.index]
-
-    def _begin_server(self, number: int) -> None:
-        self.vanished.discard(number)
-        for host in self.hosts:
-            host.idle.pop(number, None)
+        self.vanished_servers.add(number)
+        idle_connections = {
+            ingress.index: ingress.idle_connections[number]
+            for ingress in self.ingresses
+            if ingress.idle_connections.get(number)
+        }
+        self.servers[number].terminate(self.now)
+        self._on_server_exit(number)
+        for (
+            ingress
+        ) in self.ingresses:  # nobody has told them: their idle connections look as before
+            if ingress.index in idle_connections:
+                ingress.idle_connections[number] = idle_connections[ingress.index]
+
+    def _start_server(self, number: int) -> None:
+        self.vanished_servers.discard(number)
+        for ingress in self.ingresses:
+            ingress.idle_connections.pop(number, None)
         self.servers[number].start(self.now)
-        self._fell.discard(number)
-        self.at(
+        self._overloaded_servers.discard(number)
+        self.schedule(
             self.now + int(self.day.discovery["add_s"] * SECOND), self._list_up, number, self.now
         )
 
     def _list_up(self, number: int, started: int) -> None:
         if self.servers[number].alive and self.servers[number].started == started:
-            self._list(number, "up", started)
+            self._change_list(number, "up", started)
 
     def _replace(self, number: int) -> None:
         """A release: drained, and once that is told and the work is done, a new process, cold."""
         self._drain(number, True)
-        grace = int(
+        grace_us = int(
             (self.day.discovery["period_ms"] + self.day.discovery["spread_ms"] + 500) * 1000
         )
-        self.at(self.now + grace, self._swap, number)
+        self.schedule(self.now + grace_us, self._replace_when_idle, number)
 
-    def _swap(self, number: int) -> None:
+    def _replace_when_idle(self, number: int) -> None:
         server = self.servers[number]
         if not server.alive:
             return
-        if server.held() and self.now < self.day.length:
-            self._settle(number, server.advance(self.now))
-            self.at(self.now + 100_000, self._swap, number)
+        if server.request_count() and self.now < self.day.length:
+            self._process_finished_jobs(number, server.advance(self.now))
+            self.schedule(self.now + 100_000, self._replace_when_idle, number)
             return
-        self._settle(number, server.die(self.now))
-        self._begin_server(number)
+        self._process_finished_jobs(number, server.terminate(self.now))
+        self._start_server(number)
 
-    def _drain(self, number: int, out: bool) -> None:
+    def _drain(self, number: int, draining: bool) -> None:
         server = self.servers[number]
         if not server.alive:
             return
-        self._list(number, "draining" if out else "up", server.started)
+        self._change_list(number, "draining" if draining else "up", server.started)
 
-    def _discovery_back(self) -> None:
+    def _restore_discovery(self) -> None:
         self.discovery.up = True
-        for gateway, when in self.discovery.due(self.now).items():
-            self.at(when, self._tell, gateway)
-
-    def _reload(self, change: dict[str, float]) -> None:
-        self._changed = self._changed | change
-        for host in self.hosts:
-            host.settings = settings_from_json(
-                json.dumps(self.day.raw_settings(host.index, self._changed)).encode()
+        for ingress_index, when in self.discovery.notification_times(self.now).items():
+            self.schedule(when, self._notify, ingress_index)
+
+    def _reload(self, changes: dict[str, float]) -> None:
+        self._changed_settings = self._changed_settings | changes
+        for ingress in self.ingresses:
+            ingress.settings = settings_from_json(
+                json.dumps(self.day.raw_settings(ingress.index, self._changed_settings)).encode()
             )
-            self._post(host, it.SettingsChanged(host.settings))
+            self._dispatch(ingress, it.SettingsChanged(ingress.settings))
 
     # What a gateway that sees all would see.
 
     def load(self, backend: int) -> float:
         server = self.servers[backend - 1]
-        if not server.alive or server.draining or backend - 1 in self.vanished:
+        if not server.alive or server.draining or backend - 1 in self.vanished_servers:
             return float("inf")
         work = sum(c.share * c.work_us for c in self.day.classes)
-        return max(work, (server.held() + 1) * work / max(1e-9, server.capacity(self.now)))
+        return max(work, (server.request_count() + 1) * work / max(1e-9, server.capacity(self.now)))
 
 
-def simulate(day: Day, make: Make) -> Record:
-    return Simulation(day, make).run()
+def simulate(day: Day, make_policy: PolicyFactory) -> Record:
+    return Simulation(day, make_policy).run()
--- a/cairndale/lab/world/counter.py
+++ b/cairndale/lab/world/counter.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-MOST_LIFE = 60_000_000  # us
+MAX_TTL_US = 60_000_000  # us
 
 
-class Said(Enum):
+class CallStatus(Enum):
     OK = "ok"
     BUSY = "busy"
     DOWN = "down"  # refused: nothing was added
@@ -19,74 +19,78 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    said: Said
-    at: int  # us: when it has had its turn
+    status: CallStatus
+    answered_at: int  # us: when it has had its turn
     total: float = 0.0
 
 
 @dataclass(slots=True)
-class _Name:
+class _Entry:
     total: float
-    until: int
+    expires_at: int
 
 
 @dataclass(slots=True)
 class Counter:
     parts: int
-    service: int  # us a call
-    line: int  # us of work that a part lets wait
+    service_us: int  # us a call
+    max_queue_us: int  # us of work that a part lets wait
     up: bool = True
-    spoilt: float = 0.0  # share of answers with no number
-    lost: float = 0.0  # share that never comes
+    invalid_share: float = 0.0  # share of answers with no number
+    lost_share: float = 0.0  # share that never comes
     calls: int = 0
-    _free: list[int] = field(default_factory=list)
-    _names: dict[int, _Name] = field(default_factory=dict)
-    _swept: int = 0
+    _free_at: list[int] = field(default_factory=list)
+    _entries: dict[int, _Entry] = field(default_factory=dict)
+    _last_sweep: int = 0
 
     def __post_init__(self) -> None:
-        self._free = [0] * self.parts
+        self._free_at = [0] * self.parts
 
     @classmethod
-    def drawn(cls, figures: dict[str, float]) -> Counter:
+    def from_figures(cls, figures: dict[str, float]) -> Counter:
         """As a day has it: a part's pace is the slower of its share of `per_s` and `ms`."""
         parts = max(1, int(figures["parts"]))
-        pace = max(figures["ms"] * 1000, 1e6 * parts / max(1.0, figures["per_s"]))
-        return cls(parts, int(pace), int(figures["queue_timeouts"] * figures["timeout_ms"] * 1000))
+        service_us = max(figures["ms"] * 1000, 1e6 * parts / max(1.0, figures["per_s"]))
+        return cls(
+            parts, int(service_us), int(figures["queue_timeouts"] * figures["timeout_ms"] * 1000)
+        )
 
-    def add(self, now: int, name: int, amount: float, life: int, draw: float = 1.0) -> Answer:
+    def add(self, now: int, name: int, amount: float, ttl: int, draw: float = 1.0) -> Answer:
         """`draw` in [0, 1) decides whether the answer is spoilt or lost. Totals follow the order of
         calls."""
         self.calls += 1
         if not self.up:
-            return Answer(Said.DOWN, now)
+            return Answer(CallStatus.DOWN, now)
         part = name % self.parts
-        begins = max(now, self._free[part])
-        if begins - now > self.line:
-            return Answer(Said.BUSY, now)
-        ends = self._free[part] = begins + self.service
-        if now - self._swept > MOST_LIFE // 4:
-            self._swept = now
-            self._names = {n: e for n, e in self._names.items() if e.until > now}
-        entry = self._names.get(name)
-        if entry is None or entry.until <= begins:
-            entry = self._names[name] = _Name(0.0, begins + min(max(1, life), MOST_LIFE))
+        started_at = max(now, self._free_at[part])
+        if started_at - now > self.max_queue_us:
+            return Answer(CallStatus.BUSY, now)
+        finished_at = self._free_at[part] = started_at + self.service_us
+        if now - self._last_sweep > MAX_TTL_US // 4:
+            self._last_sweep = now
+            self._entries = {
+                key: item for key, item in self._entries.items() if item.expires_at > now
+            }
+        entry = self._entries.get(name)
+        if entry is None or entry.expires_at <= started_at:
+            entry = self._entries[name] = _Entry(0.0, started_at + min(max(1, ttl), MAX_TTL_US))
         entry.total += amount
-        said = (
-            Said.SPOILT
-            if draw < self.spoilt
-            else Said.LOST
-            if draw < self.spoilt + self.lost
-            else Said.OK
+        status = (
+            CallStatus.SPOILT
+            if draw < self.invalid_share
+            else CallStatus.LOST
+            if draw < self.invalid_share + self.lost_share
+            else CallStatus.OK
         )
-        return Answer(said, ends, entry.total)
+        return Answer(status, finished_at, entry.total)
 
-    def fail(self) -> None:
+    def stop(self) -> None:
         """Down; what it held is forgotten."""
         self.up = False
-        self._names.clear()
+        self._entries.clear()
 
-    def back(self, now: int) -> None:
-        self.up, self._free = True, [now] * self.parts
+    def restart(self, now: int) -> None:
+        self.up, self._free_at = True, [now] * self.parts
 
-    def names(self) -> int:
-        return len(self._names)
+    def name_count(self) -> int:
+        return len(self._entries)
--- a/cairndale/lab/world/network.py
+++ b/cairndale/lab/world/network.py
@@ -8,28 +8,30 @@
 
 @dataclass(slots=True)
 class Network:
-    same: int  # us one way within a zone
-    cross: int  # us between zones
-    client: int  # us between client and gateway
+    same_zone_us: int  # us one way within a zone
+    cross_zone_us: int  # us between zones
+    client_us: int  # us between client and gateway
     jitter: float  # mean of the exponential part, as a share of the way
-    cut: set[int] = field(default_factory=set)  # zones without links to the others
-    resets: float = 0.0  # share of exchanges whose connection breaks under them
+    partitioned_zones: set[int] = field(default_factory=set)  # zones without links to the others
+    reset_share: float = 0.0  # share of exchanges whose connection breaks under them
 
     @classmethod
-    def drawn(cls, figures: dict[str, float]) -> Network:
-        same, cross, client = (int(figures[k] * 1000) for k in ("same_ms", "cross_ms", "client_ms"))
-        return cls(same, cross, client, figures["jitter"])
+    def from_figures(cls, figures: dict[str, float]) -> Network:
+        same_zone_us, cross_zone_us, client_us = (
+            int(figures[k] * 1000) for k in ("same_ms", "cross_ms", "client_ms")
+        )
+        return cls(same_zone_us, cross_zone_us, client_us, figures["jitter"])
 
     def linked(self, a: int, b: int) -> bool:
-        return a == b or not (a in self.cut or b in self.cut)
+        return a == b or not (a in self.partitioned_zones or b in self.partitioned_zones)
 
-    def way(self, a: int, b: int, draw: float) -> int:
+    def latency(self, a: int, b: int, draw: float) -> int:
         """us from zone a to zone b; `draw` in [0, 1). Ask `linked` first: what is cut off says
         nothing."""
-        return self._late(self.same if a == b else self.cross, draw)
+        return self._jittered(self.same_zone_us if a == b else self.cross_zone_us, draw)
 
     def to_client(self, draw: float) -> int:
-        return self._late(self.client, draw)
+        return self._jittered(self.client_us, draw)
 
-    def _late(self, way: int, draw: float) -> int:
-        return way + int(way * self.jitter * -math.log(1 - draw))
+    def _jittered(self, mean: int, draw: float) -> int:
+        return mean + int(mean * self.jitter * -math.log(1 - draw))
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab as a whole: determinism, the judge, scenarios, experiments, reports."""
+"""End-to-end tests of the lab: determinism, judge, scenarios, experiments, reports, live runs."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from cairndale.lab.judge import Verdict, judge
 from cairndale.lab.live.standins import Port
 from cairndale.lab.play import Run, Variant, VariantError, play, slug
-from cairndale.lab.policies import BASELINES, Plain, maker
+from cairndale.lab.policies import BASELINES, Unlimited, policy_factory
 from cairndale.lab.record import Record
-from cairndale.lab.simulate import Sight, simulate
+from cairndale.lab.simulate import GlobalView, simulate
 
 ROOT = Path(__file__).parents[2]
 SHORT = """
@@ -49,25 +49,26 @@
 """
 
 
-def lab(*args: str, **more: Any) -> subprocess.CompletedProcess[str]:
+def run_lab(*args: str, **kwargs: Any) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "cairndale.lab", *args]
-    return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, **more)
+    return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=120, **kwargs)
 
 
-# Virtual time.
+# Simulated runs.
 
 
-def test_the_same_seed_gives_the_same_bytes_in_every_process_whatever_the_hash_seed(
+def test_same_seed_gives_identical_records_for_any_hash_seed(
     tmp_path: Path,
 ) -> None:
     (tmp_path / "short.toml").write_text(SHORT)
     script = (
         "import sys, hashlib; from cairndale.lab import draw, policies, scenario, simulate\n"
-        "r = simulate.simulate(draw.day(scenario.load(sys.argv[1]), 4), policies.maker('module'))\n"
+        "day = draw.day(scenario.load(sys.argv[1]), 4)\n"
+        "r = simulate.simulate(day, policies.policy_factory('module'))\n"
         "t = b''.join(c.tobytes() for n in sorted(r.tables) for c in r.tables[n].columns)\n"
         "print(hashlib.sha256(t).hexdigest(), len(r.tries))"
     )
-    said = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", script, str(tmp_path / "short.toml")],
             cwd=ROOT,
@@ -78,13 +79,13 @@
         ).stdout
         for seed in ("0", "77")
     ]
-    assert said[0] == said[1] and int(said[0].split()[1]) > 300
+    assert outputs[0] == outputs[1] and int(outputs[0].split()[1]) > 300
 
 
 @pytest.mark.parametrize("name", sorted(set(scenario.shipped()) - {"fleet-200"}))
-def test_the_module_breaks_no_rule_on_a_shipped_scenario_and_every_try_ends(name: str) -> None:
+def test_policy_breaks_no_rule_in_shipped_scenarios(name: str) -> None:
     day = draw.day(scenario.load(name), 2)
-    record = simulate(day, maker("module"))
+    record = simulate(day, policy_factory("module"))
     verdict = judge(day, record)
     assert verdict.broken == [] and verdict.kinds["none"] == 0
     assert 0.5 < verdict.g < 1 and verdict.sends > 100
@@ -95,9 +96,9 @@
 # The judge.
 
 
-def test_a_gateway_that_breaks_one_rule_is_caught_at_that_rule_and_the_sound_one_is_not() -> None:
-    class ToTheCold(Plain):
-        """Sends all to the server that has started last."""
+def test_judge_reports_the_rule_that_a_faulty_policy_breaks() -> None:
+    class NewestServerOnly(Unlimited):
+        """Sends every request to the server that started last."""
 
         def choose(self, ready: list[it.ListedBackend]) -> it.ListedBackend:
             return max(ready, key=lambda b: b.started)
@@ -109,15 +110,17 @@
         "servers = 6", "servers = 12"
     )
 
-    def plain(made: type[Plain]) -> Callable[[it.Settings, int, Sight], Plain]:
-        return lambda settings, seed, sight: made(settings, seed, sight)
+    def factory(
+        policy_class: type[Unlimited],
+    ) -> Callable[[it.Settings, int, GlobalView], Unlimited]:
+        return lambda settings, seed, view: policy_class(settings, seed, view)
 
     day = draw.day(scenario.parse(release, "release"), 1)
     broken: dict[str, set[str]] = {}
     for name, make in {
-        "sound": maker("module"),
-        "cold": plain(ToTheCold),
-        "ceiling": maker("let-all-in"),
+        "sound": policy_factory("module"),
+        "cold": factory(NewestServerOnly),
+        "ceiling": policy_factory("let-all-in"),
     }.items():
         broken[name] = set(judge(day, simulate(day, make)).counts)
     assert broken["sound"] == set()
@@ -128,8 +131,8 @@
     )
 
 
-def scripted() -> tuple[draw.Day, Record]:
-    """Two requests of one member, both served in time, by the book."""
+def valid_record() -> tuple[draw.Day, Record]:
+    """Two requests of one member, both served in time, with no rule broken."""
     day, record = draw.day(scenario.parse(SHORT, "short"), 1), Record()
     for n in (1, 2):
         at = n * 1_000_000
@@ -138,14 +141,14 @@
     return day, record
 
 
-def drained(record: Record) -> None:
+def sent_to_draining_server(record: Record) -> None:
     record.tells.add(1_500_000, 0, 0, rec.DRAINING)
     record.sends.add(2, 0, 0, 1_500_000 + 250_001, 1_800_000, -1, rec.OPEN, 0, 0)
 
 
-def in_maintenance(record: Record) -> None:
+def sent_to_server_in_maintenance(record: Record) -> None:
     record.maintenance.add(1_000_000, 0, 0, 1)
-    record.tells.add(1_100_000, 0, 0, rec.UP)  # what the list says does not count
+    record.tells.add(1_100_000, 0, 0, rec.UP)  # maintenance takes precedence over the endpoint list
 
 
 def never_answered(record: Record) -> None:
@@ -156,24 +159,24 @@
     record.tries.add(3, 3, 77, 0, 0, 0, 2_000_000, 2_000_000, 5_000_000, 5_700_000, rec.FAILED, 0)
 
 
-def cut_off(record: Record) -> None:
+def answer_truncated(record: Record) -> None:
     record.tries.add(3, 3, 77, 0, 0, 0, 2_000_000, 2_000_000, 5_000_000, 2_100_000, rec.BROKEN, 0)
 
 
-def made_up(record: Record) -> None:
+def answer_without_server(record: Record) -> None:
     record.tries.add(3, 3, 77, 0, 0, 0, 2_000_000, 2_000_000, 5_000_000, 2_100_000, rec.SERVED, 0)
 
 
-def unasked(record: Record) -> None:
+def sent_without_request(record: Record) -> None:
     record.sends.add(99, 0, 1, 2_000_000, 2_001_000, 2_100_000, rec.OK, 1000, 0)
 
 
-def too_often(record: Record) -> None:
+def too_many_attempts(record: Record) -> None:
     for n in range(6):
         record.sends.add(2, 0, n % 3, 2_000_000 + n, 2_001_000 + n, -1, rec.OPEN, 0, 0)
 
 
-def over_the_ceiling(record: Record) -> None:
+def above_rate_limit(record: Record) -> None:
     for n in range(3, 60):
         record.tries.add(
             n, n, 77, 0, 0, 0, 3_000_000, 3_000_000, 6_000_000, 3_100_000, rec.SERVED, 0
@@ -181,54 +184,50 @@
         record.sends.add(n, 0, 0, 3_000_000, 3_001_000, 3_090_000, rec.OK, 1000, 1)
 
 
-def over_its_memory(record: Record) -> None:
+def above_memory_limit(record: Record) -> None:
     record.process.add(1_000_000, 0, 0, 193 * 1024, 100)
 
 
 @pytest.mark.parametrize(
-    ("breaks", "rule"),
+    ("add_violation", "rule"),
     [
         (lambda record: None, ""),
-        (drained, "drain"),
-        (in_maintenance, "drain"),
+        (sent_to_draining_server, "drain"),
+        (sent_to_server_in_maintenance, "drain"),
         (never_answered, "lost"),
         (answered_late, "lost"),
-        (cut_off, "lost"),
-        (made_up, "lost"),
-        (unasked, "duplicates"),
-        (too_often, "duplicates"),
-        (over_the_ceiling, "ceiling"),
-        (over_its_memory, "limits"),
+        (answer_truncated, "lost"),
+        (answer_without_server, "lost"),
+        (sent_without_request, "duplicates"),
+        (too_many_attempts, "duplicates"),
+        (above_rate_limit, "ceiling"),
+        (above_memory_limit, "limits"),
         (lambda record: record.falls.add(3_000_000, 1), "cold"),
         (lambda record: record.faults.add(3_000_000, 3, 0, 1), "crash"),
         (lambda record: record.faults.add(3_000_000, 2, 5, 0), "answers"),
     ],
 )
-def test_the_judge_names_the_one_rule_that_a_record_breaks(
-    breaks: Callable[[Record], Any], rule: str
+def test_judge_reports_the_rule_that_a_record_breaks(
+    add_violation: Callable[[Record], Any], rule: str
 ) -> None:
-    day, record = scripted()
-    breaks(record)
+    day, record = valid_record()
+    add_violation(record)
     verdict = judge(day, record)
     assert set(verdict.counts) == ({rule} if rule else set())
     assert all(b.text for b in verdict.broken)
 
 
-def test_what_a_dead_gateway_had_taken_is_not_held_against_it_and_the_clients_own_leaving_neither() -> (  # noqa: E501
-    None
-):
-    day, record = scripted()
+def test_judge_ignores_requests_of_a_crashed_ingress_and_client_disconnects() -> None:
+    day, record = valid_record()
     never_answered(record)
-    cut_off(record)
+    answer_truncated(record)
     record.absent.add(0, 1_900_000, 2_500_000)
     record.tries.add(4, 4, 77, 0, 0, 0, 5_000_000, 5_000_000, 8_000_000, -1, rec.GONE, 0)
     assert judge(day, record).broken == []
 
 
-def test_worth_is_what_was_answered_in_time_inside_the_quota_over_what_was_asked_inside_it() -> (
-    None
-):
-    day, record = scripted()
+def test_value_is_timely_answers_over_requests_within_quota() -> None:
+    day, record = valid_record()
     assert judge(day, record).whole == 1.0
     late = record.tries.add(
         3, 3, 77, 0, 0, 0, 3_000_000, 3_000_000, 6_000_000, 4_300_000, rec.SERVED, 0
@@ -242,13 +241,13 @@
     )
     record.tries.add(4, 3, 77, 0, 0, 0, 3_000_000, 3_500_000, 6_000_000, 4_100_000, rec.SERVED, 0)
     record.sends.add(4, 0, 0, 3_501_000, 3_502_000, 4_099_000, rec.OK, 150_000, 1)
-    assert judge(day, record).whole == 1.0  # a client's retry belongs to its first try
+    assert judge(day, record).whole == 1.0  # a client's retry counts toward its original request
 
 
 # Scenarios.
 
 
-def test_every_error_of_a_scenario_is_said_at_once_with_its_key_and_nothing_is_started(
+def test_all_scenario_errors_are_reported_with_their_keys_before_the_run(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "bad.toml"
@@ -259,8 +258,8 @@
         '[[trouble]]\nkind = "hot"\nat_s = -1\n'
         '[[plan]]\nname = "p"\nshare = 0.5\nrate = -1\nburst_s = 1\n'
     )
-    ran = lab("experiment", str(path), "--out", str(tmp_path / "out"))
-    assert ran.returncode == 2 and not (tmp_path / "out").exists()
+    result = run_lab("experiment", str(path), "--out", str(tmp_path / "out"))
+    assert result.returncode == 2 and not (tmp_path / "out").exists()
     for key in (
         "colour: unknown key",
         "did you mean 'traffic'",
@@ -270,8 +269,8 @@
         "trouble[1].at_s",
         "plan[0].rate",
     ):
-        assert key in ran.stderr
-    assert all(line.startswith("bad.toml: ") for line in ran.stderr.splitlines())
+        assert key in result.stderr
+    assert all(line.startswith("bad.toml: ") for line in result.stderr.splitlines())
     path.write_text(
         'name = "bad"\nlength_s = 10\n[clients]\nretries = [3, 1]\n'
         '[[trouble]]\nkind = "drain"\nat_s = 8\n'
@@ -279,10 +278,12 @@
     )
     with pytest.raises(scenario.ScenarioError) as error:
         scenario.load(str(path))
-    assert len(error.value.errors) == 4  # the range, the end, the server, the zone
+    assert (
+        len(error.value.errors) == 4
+    )  # retries range, drain beyond the end, unknown server, unknown zone
 
 
-def test_every_parameter_says_its_origin_and_the_page_names_every_scenario_and_baseline() -> None:
+def test_parameters_state_their_origin_and_docs_list_scenarios_and_baselines() -> None:
     known = ("site", "bench", "protocol", "brief", "guess", "deployment", "page")
     for key, _, text in scenario.parameters():
         assert (
@@ -292,18 +293,16 @@
     assert all(f"`{name}`" in text for name in (*scenario.shipped(), *BASELINES))
 
 
-def test_a_variant_is_a_baseline_a_checkout_or_other_settings_and_anything_else_is_refused() -> (
-    None
-):
-    made = Variant.parse(f"module@{ROOT}+ceilings.max_attempts=2", list(BASELINES))
-    assert (made.policy, made.checkout, made.told) == (
+def test_variants_are_parsed_and_invalid_ones_rejected() -> None:
+    variant = Variant.parse(f"module@{ROOT}+ceilings.max_attempts=2", list(BASELINES))
+    assert (variant.policy, variant.checkout, variant.told) == (
         "module",
         str(ROOT),
         (("ceilings.max_attempts", 2),),
     )
-    for bad in ("modul", "module@/nowhere", "module+x", "module+x=y"):
+    for invalid in ("modul", "module@/nowhere", "module+x", "module+x=y"):
         with pytest.raises(VariantError):
-            Variant.parse(bad, list(BASELINES))
+            Variant.parse(invalid, list(BASELINES))
     run = Run(SHORT, "short", "module", "module", 1, "sim", "", told=[("ceilings.max_attemps", 2)])
     with pytest.raises(scenario.ScenarioError):
         play(run)
@@ -319,17 +318,19 @@
     return experiment.Plan({"short": text}, variants, seeds, ["sim"], folder, 2)
 
 
-async def test_an_experiment_that_was_stopped_goes_on_and_ends_as_an_unbroken_one(
+async def test_resumed_experiment_equals_an_uninterrupted_one(
     tmp_path: Path,
 ) -> None:
-    whole = await experiment.carry_out(plan(tmp_path / "whole", [1, 2]), lambda _: None)
-    assert (whole.done, whole.kept, whole.failed) == (4, 0, [])
+    uninterrupted = await experiment.carry_out(plan(tmp_path / "whole", [1, 2]), lambda _: None)
+    assert (uninterrupted.done, uninterrupted.kept, uninterrupted.failed) == (4, 0, [])
     await experiment.carry_out(plan(tmp_path / "parts", [1]), lambda _: None)
     files = {p: p.stat().st_mtime_ns for p in (tmp_path / "parts/runs").iterdir()}
     (tmp_path / "parts/runs/short--module--s2--sim.json.1.tmp").write_text("half")
-    rest = await experiment.carry_out(plan(tmp_path / "parts", [1, 2]), lambda _: None)
-    assert (rest.done, rest.kept) == (4, 2)
-    assert all(p.stat().st_mtime_ns == when for p, when in files.items())  # nothing played twice
+    resumed = await experiment.carry_out(plan(tmp_path / "parts", [1, 2]), lambda _: None)
+    assert (resumed.done, resumed.kept) == (4, 2)
+    assert all(
+        p.stat().st_mtime_ns == when for p, when in files.items()
+    )  # no finished run is repeated
     figures = [
         {
             (r["variant"], r["seed"]): (r["verdict"], r["series"])
@@ -339,8 +340,12 @@
     ]
     assert figures[0] == figures[1]
     rows = experiment.results(tmp_path / "whole")
-    (found,) = (d for d in experiment.differences(rows, "module", ("g",)))
-    assert found.pairs == 2 and found.low <= found.mean <= found.high and found.mean < 0
+    (difference,) = (d for d in experiment.differences(rows, "module", ("g",)))
+    assert (
+        difference.pairs == 2
+        and difference.low <= difference.mean <= difference.high
+        and difference.mean < 0
+    )
     assert experiment.failures(rows, "module", ["g<-0.001"]) and not experiment.failures(
         rows, "module", ["broken"]
     )
@@ -348,14 +353,14 @@
         experiment.failures(rows, "module", ["speed<-1"])
 
 
-async def test_a_run_that_fails_is_named_and_the_others_are_kept(tmp_path: Path) -> None:
-    made = plan(tmp_path, [1])
-    made.variants[0] = Variant("module@/nowhere", "module", "/nowhere")
-    progress = await experiment.carry_out(made, lambda _: None)
+async def test_failed_run_is_reported_and_other_results_are_kept(tmp_path: Path) -> None:
+    experiment_plan = plan(tmp_path, [1])
+    experiment_plan.variants[0] = Variant("module@/nowhere", "module", "/nowhere")
+    progress = await experiment.carry_out(experiment_plan, lambda _: None)
     assert progress.done == 1 and len(progress.failed) == 1 and "No such file" in progress.failed[0]
 
 
-def test_reports_stand_with_no_result_with_one_and_without_anything_served(tmp_path: Path) -> None:
+def test_reports_handle_no_results_one_result_and_nothing_served(tmp_path: Path) -> None:
     assert "Nothing has finished" in report.page([], "module", "empty")
     one = play(
         Run(
@@ -375,29 +380,32 @@
     assert report.compared([one], [one])[0][5] == "+0.0000"
 
 
-def test_the_papers_filters_agree_where_nothing_is_scarce_and_differ_as_it_says_where_tokens_are() -> (  # noqa: E501
-    None
-):
-    new = paper.arrivals(1, 100.0, 200)
-    assert 60 < len(new) / 200 < 140 and (new[1:] >= new[:-1]).all()
-    made = {
+def test_paper_filters_differ_only_when_tokens_are_scarce() -> None:
+    arrivals = paper.arrivals(1, 100.0, 200)
+    assert 60 < len(arrivals) / 200 < 140 and (arrivals[1:] >= arrivals[:-1]).all()
+    filters = {
         "bucket": paper.Bucket(120, 120),
         "firm": paper.Bucket(120, 120, True),
         "abacus": paper.Abacus(120, 120),
     }
-    came = {name: paper.run(f.decide, new, 1, 75.0) for name, f in made.items()}
-    assert came["bucket"].throughput >= came["abacus"].throughput >= came["firm"].throughput
-    assert came["bucket"].delay > came["abacus"].delay > came["firm"].delay == 0.0
-    assert came["bucket"].rejected == came["firm"].timed_out == 0.0
-    for wide in (paper.Bucket(1e6, 1e6), paper.Abacus(1e6, 1e6)):
-        assert paper.run(wide.decide, new, 1, 75.0).throughput == 1.0
+    results = {
+        name: paper.run(request_filter.decide, arrivals, 1, 75.0)
+        for name, request_filter in filters.items()
+    }
+    assert (
+        results["bucket"].throughput >= results["abacus"].throughput >= results["firm"].throughput
+    )
+    assert results["bucket"].delay > results["abacus"].delay > results["firm"].delay == 0.0
+    assert results["bucket"].rejected == results["firm"].timed_out == 0.0
+    for unlimited in (paper.Bucket(1e6, 1e6), paper.Abacus(1e6, 1e6)):
+        assert paper.run(unlimited.decide, arrivals, 1, 75.0).throughput == 1.0
 
 
-# Live.
+# Live runs.
 
 
-def children(pid: int) -> list[int]:
-    found = []
+def child_pids(pid: int) -> list[int]:
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
             try:
@@ -405,11 +413,11 @@
             except (OSError, IndexError):
                 continue
             if parent == pid:
-                found.append(int(entry.name))
-    return found
+                pids.append(int(entry.name))
+    return pids
 
 
-def started(folder: Path, length: int, **more: Any) -> subprocess.Popen[str]:
+def start_live_run(folder: Path, length: int, **kwargs: Any) -> subprocess.Popen[str]:
     text = (
         SHORT.split("[[trouble]]")[0]
         .replace("length_s = 8", f"length_s = {length}")
@@ -424,72 +432,74 @@
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
-        **more,
+        **kwargs,
     )
 
 
-def test_a_live_run_with_a_killed_ingress_keeps_the_rules_and_leaves_its_report(
+def test_live_run_with_a_killed_ingress_keeps_the_rules_and_writes_its_report(
     tmp_path: Path,
 ) -> None:
-    ran = started(tmp_path, 2)
-    said, _ = ran.communicate(timeout=60)
+    process = start_live_run(tmp_path, 2)
+    output, _ = process.communicate(timeout=60)
     (path,) = (tmp_path / "out/runs").glob("*.json")
     row = json.loads(path.read_text())
     verdict = row["verdict"]
-    assert verdict["broken"] == [], said
+    assert verdict["broken"] == [], output
     assert verdict["kinds"]["served"] > 30 and verdict["kinds"]["none"] == 0
-    assert verdict["kinds"]["unreached"] + verdict["kinds"]["broken"] > 0  # the killed one's
+    assert (
+        verdict["kinds"]["unreached"] + verdict["kinds"]["broken"] > 0
+    )  # requests of the killed ingress
     assert row["series"]["process"].keys() == {"0", "1"}
-    assert (tmp_path / "out/report.html").exists() and ran.returncode == (
+    assert (tmp_path / "out/report.html").exists() and process.returncode == (
         1 if verdict["void"] else 0
     )
 
 
-def test_what_cannot_be_done_live_is_said_before_anything_starts(tmp_path: Path) -> None:
+def test_unsupported_live_runs_are_rejected_before_start(tmp_path: Path) -> None:
     lists = '[discovery]\nuse = "list-service"\n'
-    for text, wanted in (
+    for text, expected in (
         (SHORT + lists, "zones cannot be cut off"),
         (SHORT.replace("= 4", "= 256").replace("servers = 6", "servers = 256"), "descriptors"),
     ):
         (tmp_path / "short.toml").write_text(text)
-        more = {"preexec_fn": lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (4096, 4096))}
-        ran = lab(
-            "run", str(tmp_path / "short.toml"), "--live", "--out", str(tmp_path / "out"), **more
+        limits = {"preexec_fn": lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (4096, 4096))}
+        result = run_lab(
+            "run", str(tmp_path / "short.toml"), "--live", "--out", str(tmp_path / "out"), **limits
         )
-        assert ran.returncode == 1 and wanted in ran.stderr, ran.stderr
+        assert result.returncode == 1 and expected in result.stderr, result.stderr
 
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGINT])
 def test_no_process_of_a_live_run_outlives_the_tool(tmp_path: Path, number: signal.Signals) -> None:
-    ran, end = started(tmp_path, 60), time.monotonic() + 60
-    # stand-ins, two ingresses, the loader
-    while len(mine := children(ran.pid)) < 4 and time.monotonic() < end:
+    process, end = start_live_run(tmp_path, 60), time.monotonic() + 60
+    # The stand-ins, two ingresses and the loader.
+    while len(pids := child_pids(process.pid)) < 4 and time.monotonic() < end:
         time.sleep(0.05)
-    assert len(mine) == 4
-    ran.send_signal(number)
-    code = ran.wait(timeout=60)
+    assert len(pids) == 4
+    process.send_signal(number)
+    code = process.wait(timeout=60)
     assert code == (130 if number == signal.SIGINT else -signal.SIGKILL)
-    while any(alive(pid) for pid in mine) and time.monotonic() < end:
+    while any(is_running(pid) for pid in pids) and time.monotonic() < end:
         time.sleep(0.02)
-    assert not any(alive(pid) for pid in mine)
+    assert not any(is_running(pid) for pid in pids)
 
 
-def alive(pid: int) -> bool:
+def is_running(pid: int) -> bool:
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def test_the_ingress_imports_neither_the_lab_nor_its_libraries() -> None:
+def test_ingress_does_not_import_the_lab_or_its_libraries() -> None:
     script = (
         "import sys, cairndale.ingress.__main__, cairndale.ingress.adapter; "
         "print(sorted(sys.modules))"
     )
-    said = subprocess.run(
+    output = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, timeout=60
     ).stdout
-    loaded = {m.split(".")[0] if not m.startswith("cairndale") else m for m in eval(said)}
+    loaded = {m.split(".")[0] if not m.startswith("cairndale") else m for m in eval(output)}
     libraries = {
         "click",
         "rich",
@@ -501,32 +511,32 @@
         "prometheus_client",
     }
     assert not loaded & libraries
-    ours = ("cairndale.lab", "cairndale.ingress.cli", "cairndale.ingress.observability")
-    assert not any(m.startswith(ours) for m in loaded)
+    excluded = ("cairndale.lab", "cairndale.ingress.cli", "cairndale.ingress.observability")
+    assert not any(m.startswith(excluded) for m in loaded)
 
 
-async def test_a_port_refuses_is_silent_and_comes_back_under_the_same_number() -> None:
+async def test_port_can_refuse_go_silent_and_reopen_with_the_same_number() -> None:
     class Greeter(asyncio.Protocol):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
             transport.write(b"hi")  # type: ignore[attr-defined]
 
     port = Port(Greeter)
 
-    async def said() -> str:
+    async def connect_result() -> str:
         try:
             async with asyncio.timeout(0.3):
                 reader, writer = await asyncio.open_connection("127.0.0.1", port.number)
-                found = (await reader.read(2)).decode()
+                greeting = (await reader.read(2)).decode()
                 writer.close()
-                return found
+                return greeting
         except OSError as error:  # TimeoutError is one
             return type(error).__name__
 
-    seen = [await said()]
+    results = [await connect_result()]
     for act in (port.refuse, port.open, port.silence, port.open, port.refuse):
         act()
-        seen.append(await said())
-    assert seen == [
+        results.append(await connect_result())
+    assert results == [
         "hi",
         "ConnectionRefusedError",
         "hi",
