--- a/cairndale/lab/policies.py
+++ b/cairndale/lab/policies.py
@@ -1,9 +1,9 @@
-"""Baselines behind the module's own interface, as the bench's page describes them in words, and the
-module itself.
+"""Baseline policies behind the interface of the request policy, and the request policy itself.
 
-All but the module's kin choose a server alike (fewest own attempts out of two drawn, over warmth),
-so that they
-differ in admission alone. They keep no part of a ceiling unless said so.
+Except for `module` and `leases-only`, which are the request policy, and `sees-all`, the baselines
+choose servers in the same way, so that they differ in admission alone: the better of two random
+servers by own attempts in flight over slow-start weight. They enforce no hard rate limit
+(`ceiling_*`) unless stated.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
 from cairndale.lab.simulate import GlobalView, PolicyFactory
 
 SECOND = 1_000_000
-# of the aim: the mean time there from which `sees-all` lets nothing in, as tails run far longer
+# `sees-all` rejects a request if its expected duration exceeds this share of the latency target:
+# tail latencies are far above the mean.
 MAX_LOAD_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """A quota's store: starts full, fills at the rate, holds the burst at most."""
+    """Token bucket of quota units: starts full, refills at `rate` per second up to `burst`."""
 
     rate: float
     burst: float
@@ -48,8 +49,8 @@
 
 
 class Unlimited:
-    """Lets every request in; one attempt at a time, up to the attempts allowed where none can have
-    harmed."""
+    """Admits every request. Attempts are made one at a time, up to the limit; a timeout is not
+    retried."""
 
     def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
         self.settings, self.rng, self.view = settings, random.Random(seed), view
@@ -59,10 +60,10 @@
         self.actions: list[it.Action] = []
         self.now = 0
 
-    # What the baselines differ in.
+    # Overridden by the baselines.
 
     def admit(self, event: it.RequestArrived) -> bool | None:
-        """True or False; None: `decide` is called later."""
+        """Whether to admit the request; None: `decide` is called later."""
         return True
 
     def on_counter_answer(self, event: it.CountAnswered) -> None: ...
@@ -70,7 +71,7 @@
     def advice(self, event: it.RequestArrived) -> int:
         return 0
 
-    # What they share.
+    # Shared by all baselines.
 
     def handle(self, now: int, event: it.Event) -> list[it.Action]:
         self.now, self.actions = now, []
@@ -146,7 +147,7 @@
 
 
 class WholeQuota(Unlimited):
-    """Each gateway grants a share of the quota by a store of its own."""
+    """Each ingress grants `quota_share` of the quota, here the whole, from its own token bucket."""
 
     def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
         super().__init__(settings, seed, view)
@@ -169,20 +170,23 @@
 
 
 class EvenSplit(WholeQuota):
+    """Each ingress grants an even share of the quota: 1 / number of the customer's ingresses."""
+
     def quota_share(self, event: it.RequestArrived) -> float:
         return 1 / max(1, event.spread)
 
 
 class BucketFilter(EvenSplit):
-    """The paper's plain token bucket filter: what its tokens do not cover is dropped, to come back
-    at d_0."""
+    """The paper's plain token bucket filter: requests without tokens are rejected with the retry
+    delay d_0."""
 
     def advice(self, event: it.RequestArrived) -> int:
         return self.settings.limits.max_retry_after or SECOND
 
 
 class CountEach(Unlimited):
-    """A call for each try on a window's name; lets in when there is no answer."""
+    """Calls the counter once per request, on a name for the current window. Admits the request if
+    the call fails."""
 
     def __init__(self, settings: it.Settings, seed: int, view: GlobalView) -> None:
         super().__init__(settings, seed, view)
@@ -209,7 +213,7 @@
 
 
 class LeasesOnly(RequestPolicy):
-    """The module without its ring: what the bucket does not cover is refused firmly."""
+    """The request policy without its borrowing ring: rejections carry no retry advice."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
         super().__init__(settings, seed)
@@ -220,8 +224,8 @@
 
 
 class Omniscient(Unlimited):
-    """A bound, not a policy: one gateway that sees every store and every server as they are at this
-    moment."""
+    """An upper bound rather than a feasible policy: sees the present state of all token buckets
+    and servers, and enforces the hard rate limit."""
 
     def __init__(
         self,
@@ -231,7 +235,7 @@
         buckets: dict[int, tuple[TokenBucket, TokenBucket | None]],
     ):
         super().__init__(settings, seed, view)
-        self.buckets = buckets  # shared by all gateways of the run
+        self.buckets = buckets  # quota and hard rate limit, shared by all ingresses of the run
 
     def admit(self, event: it.RequestArrived) -> bool | None:
         plan = self.settings.plans[event.plan]
@@ -255,22 +259,24 @@
 
 
 BASELINES: dict[str, str] = {
-    "module": "this project's decisions, as they are",
-    "leases-only": "the module without the borrowing ring: every refusal is firm",
-    "let-all-in": "no quota; the floor",
-    "whole-quota": "each gateway grants the whole quota",
-    "even-split": "each gateway grants its even part of the quota",
-    "count-each": "a counter call for each try; lets in without an answer",
+    "module": "the request policy of this project, unchanged",
+    "leases-only": "the request policy without the borrowing ring: no retry advice in rejections",
+    "let-all-in": "no quota; the lower bound",
+    "whole-quota": "each ingress grants the whole quota",
+    "even-split": "each ingress grants an even share of the quota",
+    "count-each": "one counter call per request; admits it if the call fails",
     "bucket-filter": (
-        "the paper's token bucket filter at the even part; the rest is dropped, to return"
+        "the paper's token bucket filter at an even share; rejects the rest with a retry delay"
     ),
-    "sees-all": "a bound: one gateway that sees every store and server as they are",
+    "sees-all": "an upper bound: sees the present state of all token buckets and servers",
 }
 
 
 def policy_factory(name: str) -> PolicyFactory:
-    """A fresh maker for one run: gateways of `sees-all` share their stores within it. KeyError: no
-    such name."""
+    """A new factory for one run: with `sees-all`, all ingresses of the run share their token
+    buckets.
+
+    Raises KeyError if there is no such baseline."""
     baselines: dict[str, Callable[[it.Settings, int, GlobalView], Unlimited]] = {
         "let-all-in": Unlimited,
         "whole-quota": WholeQuota,
--- a/cairndale/lab/simulate.py
+++ b/cairndale/lab/simulate.py
@@ -1,7 +1,8 @@
-"""The host in virtual time: gateways' decisions in process, the world around them, the same record
-for a seed.
+"""Discrete-event simulation of the platform in virtual time.
 
-Ties are broken by the order in which things were planned. Nothing here reads a clock or a hash.
+The request policies of all ingresses run in this process; clients, servers, network, discovery and
+counter are models. The same seed gives the same record: events with equal times run in the order
+in which they were scheduled, and nothing here reads a clock or depends on hash order.
 """
 
 from __future__ import annotations
@@ -29,11 +30,14 @@
 from cairndale.lab.world.network import Network
 from cairndale.lab.world.server import Job, Server, Verdict
 
-# what the gateways' clock shows at the start; a server's 0 stays "long ago"
+# The ingress clock at the start of a run. It is far from 0 because a server start time of 0 means
+# "long ago".
 EPOCH_US = 1_700_000_000 * SECOND
-ANSWER_MARGIN_US, LAST_ATTEMPT_US = 10_000, 15_000  # us: as net/engine.py has them
-RESTART_US = 500_000  # us that a gateway needs to be there again
-ACCEPT_PERIOD_US = 300_000  # us after SIGTERM that new connections come; protocol: 0.2 to 0.4 s
+# Time reserved before the deadline for the answer and for the last attempt, as in net/engine.py.
+ANSWER_MARGIN_US, LAST_ATTEMPT_US = 10_000, 15_000
+RESTART_US = 500_000  # from the restart of an ingress until it serves again
+# New connections are accepted for this long after SIGTERM; the protocol allows 0.2 to 0.4 s.
+ACCEPT_PERIOD_US = 300_000
 BACKEND_STATES = {
     "up": it.BackendState.READY,
     "draining": it.BackendState.DRAINING,
@@ -53,12 +57,11 @@
 
 
 class GlobalView(Protocol):
-    """What a gateway that sees all would see: for the baselines that are bounds, and for no
-    others."""
+    """Global state that no real ingress can see; only for baselines that serve as bounds."""
 
     def load(self, backend: int) -> float:
-        """us that one more request would take there, about; infinite if nothing can be sent to
-        it."""
+        """Estimated duration of one more request on the backend, in us; infinite if the backend
+        cannot be used."""
 
 
 PolicyFactory = Callable[[it.Settings, int, GlobalView], Policy]
@@ -66,33 +69,37 @@
 
 @dataclass(slots=True)
 class ClientAttempt:
+    """A client's request as sent to one ingress; each client retry is a further attempt."""
+
     arrival: Arrival
-    root: int  # the first try's id
-    number: int  # 0: the first
+    root: int  # id of the client's first attempt
+    number: int  # 0: the first attempt
     id: int
     ingress_index: int
     expires_at: int
-    row: int  # in the record
+    row: int  # in the record's table of client attempts
     finished: bool = False
     request: OpenRequest | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One attempt of an ingress to have a request served by a backend server."""
+
     request: OpenRequest
     number: int
     server: int
     sent_at: int
     row: int = -1
     job: Job | None = None
-    connecting: bool = False  # its connection is still being made
+    connecting: bool = False  # the connection is not established yet
     ended: bool = False
-    blackholed: bool = False  # nothing of it will ever arrive
+    blackholed: bool = False  # sent over a connection that no longer delivers anything
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A try that a gateway has taken."""
+    """A client attempt that an ingress has accepted and not yet completed."""
 
     client_attempt: ClientAttempt
     number: int
@@ -106,7 +113,7 @@
 
 @dataclass(slots=True, eq=False)
 class Ingress:
-    """A gateway's process: what net/ does for the module."""
+    """An ingress process: does for the request policy what net/ does in production."""
 
     index: int
     zone: int
@@ -116,18 +123,20 @@
     alive: bool = True
     terminating: bool = False
     paused: bool = False
-    accepts_until: int = 0  # when one that is stopping accepts no more connections
+    accepts_until: int = 0  # while terminating: end of accepting new connections, us
     requests: dict[int, OpenRequest] = field(default_factory=dict)
-    # by server: since when, the latest last
+    # By server: the times since which connections are idle, latest last.
     idle_connections: dict[int, list[int]] = field(default_factory=dict)
     backend_status: dict[int, str] = field(default_factory=dict)
     pending_events: deque[it.Event] = field(default_factory=deque)
-    # while stopped
+    # Callbacks that arrived while the process was paused.
     deferred: list[tuple[Callable[..., None], tuple[Any, ...]]] = field(default_factory=list)
     dispatching: bool = False
 
 
 class Simulation:
+    """One simulated run. Implements `GlobalView`. Times are us since the start of the run."""
+
     def __init__(self, day: Day, make_policy: PolicyFactory) -> None:
         self.day, self.make_policy, self.record = day, make_policy, Record()
         self.now = self._sequence = 0
@@ -142,21 +151,25 @@
         for server in self.servers:
             server.overload_multiple = day.scenario.rules.fall_multiple
             server.overload_us = int(day.scenario.rules.fall_ms * 1000)
-        self.vanished_servers: set[int] = set()  # servers that say nothing
-        self.known_down: set[int] = set()  # gateways that the front knows to be down
+        self.vanished_servers: set[int] = set()  # servers that stopped without closing connections
+        self.known_down: set[int] = (
+            set()
+        )  # ingresses that the front load balancer has detected as down
         self._wakeups: dict[int, int] = {}
         self.discovery.initialize(dict.fromkeys(range(len(self.servers)), -1))
         self._changed_settings: dict[str, float] = {}
         self.ingresses = [self._start_ingress(n) for n in range(len(day.gateway_zones))]
         self._attempt_count = self._request_count = 0
-        self._overloaded_servers: set[int] = set()  # servers pushed over since they last started
-        self._absence_rows: dict[int, int] = {}  # a gateway's last row among those that are away
+        # Servers that have failed from overload since their last start.
+        self._overloaded_servers: set[int] = set()
+        # The latest row of each ingress in the record's `absent` table.
+        self._absence_rows: dict[int, int] = {}
         self.executed_count = 0
         self._connect_timeout_us = int(day.scenario.server.connect_timeout_ms * 1000)
         self._client_idle_us = int(day.scenario.server.idle_s * SECOND * 0.9)
         self.offered_work = 0.0
 
-    # The clock.
+    # Event loop.
 
     def schedule(self, when: int, callback: Callable[..., None], *args: Any) -> None:
         self._sequence += 1
@@ -215,7 +228,7 @@
                     self.servers[number].close()
                 del since[:old]
 
-    # Gateways.
+    # Ingresses.
 
     def _start_ingress(self, index: int, incarnation: int = 0) -> Ingress:
         settings = settings_from_json(
@@ -272,8 +285,8 @@
     def _deliver(
         self, ingress: Ingress, incarnation: int, callback: Callable[..., None], *args: Any
     ) -> None:
-        """Reaches that process, if it is still the same; one that is stopped finds it when it goes
-        on."""
+        """Run the callback if this incarnation of the process is still alive; if the process is
+        paused, when it resumes."""
         if ingress.incarnation != incarnation or not ingress.alive:
             return
         if ingress.paused:
@@ -313,7 +326,7 @@
                 )
             case it.AddToCounter(name, amount, ttl):
                 self._call_counter(ingress, name, amount, ttl)
-            case _:  # no peers, no probes, the list comes by itself
+            case _:  # peer messages and probes are not simulated; lists are pushed by discovery
                 pass
 
     def _finish_request(self, request: OpenRequest) -> None:
@@ -436,7 +449,7 @@
         )
 
     def _on_final_answer(self, client_attempt: ClientAttempt, kind: int, advice: int) -> None:
-        """The client has its final answer, or none will come."""
+        """Handle the final answer at the client, or the knowledge that none will come."""
         tries = self.record.tries
         if kind not in (rec.NONE, rec.GONE):
             tries.set(client_attempt.row, "ended", self.now)
@@ -467,7 +480,7 @@
             self._on_final_answer(client_attempt, rec.NONE, 0)
 
     def _on_client_quit(self, client_attempt: ClientAttempt) -> None:
-        """An impatient client closes its connection, and does not come back."""
+        """An impatient client closes its connection and does not retry."""
         if client_attempt.finished:
             return
         client_attempt.finished = True
@@ -536,7 +549,7 @@
             self.schedule(self.now + latency, self._accept_connection, attempt, timeout_us, latency)
 
     def _accept_connection(self, attempt: Attempt, timeout_us: int, latency: int) -> None:
-        """A new connection has come to the server."""
+        """Handle a new connection at the server."""
         if attempt.ended:
             return
         ingress, server = attempt.request.ingress, self.servers[attempt.server]
@@ -599,7 +612,7 @@
             )
 
     def _on_request_received(self, attempt: Attempt, deadline: int, latency: int) -> None:
-        """Its last byte has come to the server."""
+        """Handle the last byte of a request at the server."""
         server, arrival = self.servers[attempt.server], attempt.request.client_attempt.arrival
         if not server.alive:
             if not attempt.ended:
@@ -618,7 +631,7 @@
         job = attempt.job = Job(attempt, arrival.work, deadline, draw)
         verdict, finished_jobs = server.offer(self.now, job)
         self._process_finished_jobs(attempt.server, finished_jobs)
-        if attempt.ended and verdict is None:  # given up while it was on its way
+        if attempt.ended and verdict is None:  # aborted in transit
             _, finished_jobs = server.cancel(self.now, job)
             self._process_finished_jobs(attempt.server, finished_jobs)
         if verdict is not None:
@@ -652,7 +665,7 @@
             self._schedule_wakeup(number)
 
     def _on_job_finished(self, job: Job, verdict: Verdict) -> None:
-        """A server is through with a request; its answer sets out, unless nobody waits."""
+        """Record the end of a job and send its answer, unless the attempt has been abandoned."""
         attempt: Attempt = job.key  # type: ignore[assignment]
         ingress, sends = attempt.request.ingress, self.record.sends
         code = {
@@ -690,7 +703,7 @@
         )
 
     def _on_answer(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An answer has come to the gateway."""
+        """Handle an answer, or a reset, at the ingress."""
         if attempt.ended:
             return
         ingress, server = attempt.request.ingress, self.servers[attempt.server]
@@ -711,7 +724,7 @@
             )
 
     def _abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The gateway closes the attempt's connection."""
+        """The ingress closes the connection of an attempt."""
         if not attempt.connecting:
             self.servers[attempt.server].close()
             if attempt.job and not attempt.blackholed:
@@ -749,7 +762,7 @@
     # The counter.
 
     def _call_counter(self, ingress: Ingress, name: int, amount: float, ttl: int) -> None:
-        counter_zone = 0  # the counter stands in the first zone
+        counter_zone = 0  # the counter runs in the first zone
         linked = self.network.linked(ingress.zone, counter_zone)
         latency = self.network.latency(ingress.zone, counter_zone, self.rng.random())
         answered = [False]
@@ -853,7 +866,7 @@
             self._dispatch(ingress, ingress.pending_events.popleft())
 
     def _abort_connecting(self, ingress: Ingress, servers: set[int]) -> None:
-        """Attempts that wait for a connection to these are not written any more."""
+        """Fail the attempts that are still connecting to one of these servers."""
         for request in list(ingress.requests.values()) if servers else []:
             for attempt in request.attempts:
                 if not attempt.ended and attempt.connecting and attempt.server in servers:
@@ -875,7 +888,7 @@
         for _ in ingress.idle_connections.pop(server, []):
             self.servers[server].close()
 
-    # Troubles.
+    # Steps of the scenario's faults.
 
     def _run_step(self, step: Step) -> None:
         match step.verb:
@@ -889,7 +902,7 @@
                 self._resume(step.target)
             case "terminate":
                 self._terminate(step.target)
-            case "upgrade":  # to the module that is the same life: nothing is seen of it here
+            case "upgrade":  # hot upgrade: the policy keeps its state, so nothing changes here
                 pass
             case "reload":
                 self._reload(step.settings)
@@ -970,8 +983,8 @@
         self._apply_update(ingress)
 
     def _terminate(self, ingress_index: int) -> None:
-        """SIGTERM: the front sends nothing new after a moment, what is open is finished, then it
-        starts anew."""
+        """SIGTERM: after `ACCEPT_PERIOD_US` the front sends no new connections; open requests are
+        finished, then the process restarts."""
         ingress = self.ingresses[ingress_index]
         ingress.terminating, ingress.accepts_until = True, self.now + ACCEPT_PERIOD_US
         self.schedule(self.now + ACCEPT_PERIOD_US, self.known_down.add, ingress_index)
@@ -1009,7 +1022,7 @@
             callback(*args)
 
     def _on_server_exit(self, number: int) -> None:
-        """A server's process has ended; discovery lists that later."""
+        """A server process has ended; discovery lists it as removed after its detection delay."""
         for ingress in self.ingresses:
             ingress.idle_connections.pop(number, None)
         vanished = number in self.vanished_servers
@@ -1023,7 +1036,7 @@
             self._change_list(number, "removed", started)
 
     def _vanish(self, number: int) -> None:
-        """It vanishes without a word: connections stay, and nothing comes any more."""
+        """A server disappears silently: connections stay open and deliver nothing."""
         if not self.servers[number].alive:
             return
         self.vanished_servers.add(number)
@@ -1034,9 +1047,8 @@
         }
         self.servers[number].terminate(self.now)
         self._on_server_exit(number)
-        for (
-            ingress
-        ) in self.ingresses:  # nobody has told them: their idle connections look as before
+        # The ingresses are not notified: their idle connections look unchanged.
+        for ingress in self.ingresses:
             if ingress.index in idle_connections:
                 ingress.idle_connections[number] = idle_connections[ingress.index]
 
@@ -1055,7 +1067,8 @@
             self._change_list(number, "up", started)
 
     def _replace(self, number: int) -> None:
-        """A release: drained, and once that is told and the work is done, a new process, cold."""
+        """Release: drain the server; once all ingresses know and its work is done, start a new,
+        cold process."""
         self._drain(number, True)
         grace_us = int(
             (self.day.discovery["period_ms"] + self.day.discovery["spread_ms"] + 500) * 1000
@@ -1092,7 +1105,7 @@
             )
             self._dispatch(ingress, it.SettingsChanged(ingress.settings))
 
-    # What a gateway that sees all would see.
+    # Global view.
 
     def load(self, backend: int) -> float:
         server = self.servers[backend - 1]
--- a/cairndale/lab/world/__init__.py
+++ b/cairndale/lab/world/__init__.py
@@ -1,2 +1,4 @@
-"""What stands around the gateways: events and `now` in, events out. No clock, no I/O; times are
-microseconds."""
+"""Models of the ingresses' environment: clients, servers, network, discovery and counter.
+
+The models are pure: the present time is an argument. No clock, no I/O; times are microseconds.
+"""
--- a/cairndale/lab/world/clients.py
+++ b/cairndale/lab/world/clients.py
@@ -1,5 +1,8 @@
-"""Members, what they ask, through which gateways, and how they try again. Arrivals are drawn ahead,
-block by block, and never wait for answers."""
+"""Model of the clients: members, their load, their choice of ingress, and their retries.
+
+Arrivals are an open-loop load: they are drawn in advance, block by block, and never wait for
+answers.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,12 @@
 
 from cairndale.lab.draw import SECOND, Day
 
-BLOCK_US = SECOND  # us of arrivals drawn at a time: what bounds the memory of a long day
-DRAW_COUNT = 18  # uniform numbers that belong to a request, whatever a variant makes of it
+# Arrivals are drawn for this period at a time, which bounds the memory of a long run.
+BLOCK_US = SECOND
+# Uniform random numbers drawn for each request; they are the same in all variants of a run. The
+# constants below are the index of the first draw of each use: INGRESS_DRAW and SWITCH_DRAW have a
+# draw for each of 4 attempts of the client, ATTEMPT_DRAW for each of 6 attempts of the ingress.
+DRAW_COUNT = 18
 INGRESS_DRAW, SWITCH_DRAW, HONOURS_DRAW, IMPATIENT_DRAW, BYTES_DRAW, LARGE_DRAW, ATTEMPT_DRAW = (
     0,
     4,
@@ -22,23 +29,25 @@
     11,
     12,
 )
-HEAVY_PERIOD_S = (8.0, 20.0)  # s that a heavy member asks much, and as long not; guess
+HEAVY_PERIOD_S = (8.0, 20.0)  # range of a heavy member's high-load and idle periods; guess
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
+    """A customer that sends requests through `spread` ingresses, beginning with `first`."""
+
     customer: int  # below 2^33
     plan: int
     first: int
     spread: int
-    base_rate: float  # requests a second that it asks most of the time
-    peak_rate: float  # and while it is heavy or in a spike
-    peak_periods: tuple[tuple[int, int], ...]  # us from, to
+    base_rate: float  # requests per second outside the peak periods
+    peak_rate: float  # requests per second during the peak periods
+    peak_periods: tuple[tuple[int, int], ...]  # (start, end) in us
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A first try that is due, with the draws that belong to it."""
+    """A new request, due at `due`, with its random draws."""
 
     due: int
     customer: int
@@ -46,7 +55,7 @@
     first: int
     spread: int
     cls: int
-    work: float  # us
+    work: float  # us of one core at speed 1
     draws: tuple[float, ...]
 
 
@@ -55,7 +64,7 @@
         self.day, traffic = day, day.traffic
         self.ingress_count = len(day.gateway_zones)
         self.members = self._members()
-        self.baseline_rate = sum(m.base_rate for m in self.members)  # requests a second
+        self.baseline_rate = sum(m.base_rate for m in self.members)  # requests per second
         self.max_retries = int(day.clients["retries"])
         self.switch_share = traffic["elsewhere"]
         self._ingress_orders: dict[tuple[int, int], list[int]] = {}
@@ -67,7 +76,7 @@
         self._ranks = {size: (weights / weights[-1]).tolist() for size, weights in ranks.items()}
         self._shift = max(1, int(traffic["shift_s"] * SECOND))
 
-    # Who there is.
+    # Members.
 
     def _members(self) -> list[Member]:
         day, traffic = self.day, self.day.traffic
@@ -110,7 +119,8 @@
     def _rate_within_quota(
         self, calm_rate: float, rate: float, peak_periods: tuple[tuple[int, int], ...]
     ) -> float:
-        """What of a member's use lies within its quota, about: the rate while it peaks."""
+        """Approximate share of a member's load that is within its quota, in requests per second:
+        its quota rate during peaks."""
         peak_share = sum(end - start for start, end in peak_periods) / max(1, self.day.length)
         return calm_rate * (1 - peak_share) + rate * peak_share
 
@@ -133,10 +143,10 @@
             start_s = end_s + float(rng.uniform(min_off_s, max_off_s))
         return tuple(periods)
 
-    # What they ask.
+    # Arrivals.
 
     def arrivals(self) -> Iterator[Arrival]:
-        """In order of `due`; each block's numbers come from streams of its own."""
+        """All arrivals, ordered by `due`. Baseline and faults draw from separate random streams."""
         baseline_rng = self.day.stream("arrivals")
         trouble_rngs = {
             n: self.day.stream(f"trouble.{n}.arrivals")
@@ -256,13 +266,13 @@
         draws = rng.random((count, DRAW_COUNT))
         return zip(due, cls.tolist(), work.tolist(), draws.tolist(), strict=True)
 
-    # Through which gateway, and when again.
+    # Choice of ingress, deadlines and retries.
 
     def choose_ingress(
         self, arrival: Arrival, now: int, attempt: int, down: frozenset[int], previous: int = -1
     ) -> int:
-        """The gateway that the front gives this try; `down` are those it has noticed. -1: all of
-        the set are."""
+        """The ingress to which the front load balancer sends this attempt; -1 if all ingresses of
+        the member are down. `down` holds the ingresses that the front has detected as down."""
         draw = arrival.draws[INGRESS_DRAW + min(attempt, 3)]
         if (
             previous >= 0
@@ -281,8 +291,9 @@
         return -1
 
     def _ingress_order(self, customer: int, spread: int, now: int) -> list[int]:
-        """Places of the member's gateways, busiest first: others after each shift, out of step with
-        the rest."""
+        """The member's ingresses by load, busiest first, as offsets from `first`.
+
+        The order changes after every shift period, at a different time for each member."""
         shift_number = (now + customer * 7919 % self._shift) // self._shift
         key = (customer, shift_number)
         if key not in self._ingress_orders:
@@ -293,13 +304,13 @@
         return self._ingress_orders[key]
 
     def deadlines(self, arrival: Arrival, now: int) -> tuple[int, int]:
-        """Until when a try that begins now is waited for, and until when the client cares; us."""
+        """Deadline of an attempt that begins now, and of the whole request, us."""
         cls = self.day.classes[arrival.cls]
         end = arrival.due + cls.deadline_us
         return min(end, now + int(self.day.clients["try_share"] * cls.deadline_us)), end
 
     def quit_after(self, arrival: Arrival) -> int:
-        """us after which an impatient client leaves early; 0: it does not."""
+        """Time in us after which an impatient client disconnects; 0: it does not."""
         share = self.day.clients["impatient"]
         if arrival.draws[IMPATIENT_DRAW] >= share or not share:
             return 0
@@ -309,7 +320,8 @@
         )
 
     def retry_at(self, arrival: Arrival, now: int, attempts: int, advice: int) -> int:
-        """When the client tries again after a no; 0: never. `advice`: Retry-After, us."""
+        """When the client retries after a failure or rejection; 0: never. `advice`: Retry-After in
+        us."""
         if attempts > self.max_retries:
             return 0
         wait = int(self.day.clients["backoff_ms"] * 1000) if self.day.waits else 0
--- a/cairndale/lab/world/counter.py
+++ b/cairndale/lab/world/counter.py
@@ -1,26 +1,30 @@
-"""The counter: named numbers on parts that serve calls in turn (PROTOCOL, 'The counter'; BENCH,
-'counter')."""
+"""Model of the shared counter: named totals with a TTL on partitions that serve one call at a time.
+
+See PROTOCOL, 'The counter', and BENCH, 'counter'.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-MAX_TTL_US = 60_000_000  # us
+MAX_TTL_US = 60_000_000
 
 
 class CallStatus(Enum):
+    """How a call to the counter ended."""
+
     OK = "ok"
     BUSY = "busy"
-    DOWN = "down"  # refused: nothing was added
-    LOST = "lost"  # added, and no answer
-    SPOILT = "spoilt"  # added, and an answer with no number in it
+    DOWN = "down"  # connection refused; nothing was added
+    LOST = "lost"  # added, but the answer was lost
+    SPOILT = "spoilt"  # added, but the answer contains no number
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
     status: CallStatus
-    answered_at: int  # us: when it has had its turn
+    answered_at: int  # us: when the counter sends the answer
     total: float = 0.0
 
 
@@ -33,11 +37,11 @@
 @dataclass(slots=True)
 class Counter:
     parts: int
-    service_us: int  # us a call
-    max_queue_us: int  # us of work that a part lets wait
+    service_us: int  # service time of one call
+    max_queue_us: int  # queued work above which a partition rejects calls as busy
     up: bool = True
-    invalid_share: float = 0.0  # share of answers with no number
-    lost_share: float = 0.0  # share that never comes
+    invalid_share: float = 0.0  # share of answers that contain no number
+    lost_share: float = 0.0  # share of answers that are lost
     calls: int = 0
     _free_at: list[int] = field(default_factory=list)
     _entries: dict[int, _Entry] = field(default_factory=dict)
@@ -48,7 +52,8 @@
 
     @classmethod
     def from_figures(cls, figures: dict[str, float]) -> Counter:
-        """As a day has it: a part's pace is the slower of its share of `per_s` and `ms`."""
+        """Build from the figures drawn for a day. The service time of a call is the longer of `ms`
+        and a partition's share of the rate `per_s`."""
         parts = max(1, int(figures["parts"]))
         service_us = max(figures["ms"] * 1000, 1e6 * parts / max(1.0, figures["per_s"]))
         return cls(
@@ -56,8 +61,9 @@
         )
 
     def add(self, now: int, name: int, amount: float, ttl: int, draw: float = 1.0) -> Answer:
-        """`draw` in [0, 1) decides whether the answer is spoilt or lost. Totals follow the order of
-        calls."""
+        """Add to the total of a name. Totals follow the order of calls.
+
+        `draw` in [0, 1) decides whether the answer is invalid or lost."""
         self.calls += 1
         if not self.up:
             return Answer(CallStatus.DOWN, now)
@@ -85,7 +91,7 @@
         return Answer(status, finished_at, entry.total)
 
     def stop(self) -> None:
-        """Down; what it held is forgotten."""
+        """Stop the counter; all totals are lost."""
         self.up = False
         self._entries.clear()
 
--- a/cairndale/lab/world/discovery.py
+++ b/cairndale/lab/world/discovery.py
@@ -1,5 +1,7 @@
-"""Discovery: the true list, and when each gateway is told of a change. It knows only whether a
-process runs."""
+"""Model of discovery: the current endpoint list, and when each ingress is notified of a change.
+
+Discovery knows whether a process runs, not whether it is healthy.
+"""
 
 from __future__ import annotations
 
@@ -13,26 +15,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
+    """The state of one server in the list, as of `version`."""
+
     server: int
     status: str  # up, draining, removed
-    started: int  # us from the start; negative: long ago
+    started: int  # us since the start of the run; negative: long ago
     version: int
 
 
 @dataclass(slots=True)
 class Discovery:
-    """Pure: `change` and `tick` say at which moments which gateway is to be told; `news` says
-    what."""
+    """Pure state: `change` and `notification_times` return when to notify each ingress, and
+    `take_update` what to send then."""
 
     ingress_count: int
-    period: int  # us that changes are gathered
-    spread: int  # us from the first gateway told to the last
-    per_s: float  # gateways told a second; 0: no bound
+    period: int  # us; changes are batched over this period
+    spread: int  # us between the first and the last notification of a change
+    per_s: float  # notifications per second; 0: unlimited
     rng: RandomSource
     up: bool = True
     version: int = 0
     entries: dict[int, Entry] = field(default_factory=dict)
-    notified_versions: list[int] = field(default_factory=list)  # version that each gateway has
+    notified_versions: list[int] = field(default_factory=list)  # by ingress: the version last sent
     _log: list[Entry] = field(default_factory=list)
     _free_at: float = 0.0
 
@@ -51,7 +55,7 @@
         )
 
     def initialize(self, started: dict[int, int]) -> None:
-        """What everybody knows when the day begins."""
+        """Set the list that all ingresses know at the start of the run."""
         for server, at in started.items():
             self.version += 1
             self.entries[server] = Entry(server, "up", at, self.version)
@@ -59,8 +63,7 @@
         self.notified_versions = [self.version] * self.ingress_count
 
     def change(self, now: int, server: int, status: str, started: int) -> dict[int, int]:
-        """The list holds a change from now on; for each gateway the moment at which it is to be
-        told."""
+        """Apply a change to the list; return the notification time of each ingress."""
         current = self.entries.get(server)
         if current and (current.status, current.started) == (status, started):
             return {}
@@ -74,8 +77,7 @@
         return self.notification_times(now)
 
     def notification_times(self, now: int) -> dict[int, int]:
-        """When each gateway is told: gathered over a period, spread, and no faster than the service
-        can."""
+        """When to notify each ingress: batched over a period, spread, and limited to `per_s`."""
         earliest = now + int(self.period * self.rng.random())
         times = {}
         for ingress_index in range(self.ingress_count):
@@ -87,8 +89,8 @@
         return times
 
     def take_update(self, ingress_index: int) -> tuple[int, list[Entry]]:
-        """The changes that this gateway has not been told of, latest word a server; it counts as
-        told now. Nothing while discovery is down."""
+        """Return the version and the latest change of each server that this ingress has not
+        received, and mark it as sent. Empty while discovery is down."""
         if not self.up:
             return self.notified_versions[ingress_index], []
         latest: dict[int, Entry] = {}
@@ -103,7 +105,7 @@
         return [replace(self.entries[number]) for number in sorted(self.entries)]
 
     def list_sent_to(self, ingress_index: int) -> list[Entry]:
-        """The list as that gateway last had it: what it starts from."""
+        """The list as last sent to this ingress: its cached list after a restart."""
         entries_by_server: dict[int, Entry] = {}
         for entry in self._log:
             if entry.version > self.notified_versions[ingress_index]:
--- a/cairndale/lab/world/network.py
+++ b/cairndale/lab/world/network.py
@@ -1,4 +1,4 @@
-"""Ways between zones, and what cuts them."""
+"""Model of the network: latency between zones, partitions and connection resets."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True)
 class Network:
-    same_zone_us: int  # us one way within a zone
-    cross_zone_us: int  # us between zones
-    client_us: int  # us between client and gateway
-    jitter: float  # mean of the exponential part, as a share of the way
-    partitioned_zones: set[int] = field(default_factory=set)  # zones without links to the others
-    reset_share: float = 0.0  # share of exchanges whose connection breaks under them
+    same_zone_us: int  # one-way latency within a zone
+    cross_zone_us: int  # one-way latency between zones
+    client_us: int  # one-way latency between client and ingress
+    jitter: float  # mean of the exponential part, as a share of the latency
+    partitioned_zones: set[int] = field(default_factory=set)  # zones isolated from all others
+    reset_share: float = 0.0  # share of exchanges that end with a connection reset
 
     @classmethod
     def from_figures(cls, figures: dict[str, float]) -> Network:
@@ -26,8 +26,8 @@
         return a == b or not (a in self.partitioned_zones or b in self.partitioned_zones)
 
     def latency(self, a: int, b: int, draw: float) -> int:
-        """us from zone a to zone b; `draw` in [0, 1). Ask `linked` first: what is cut off says
-        nothing."""
+        """One-way latency from zone a to zone b, us; `draw` is in [0, 1). Partitions are not
+        considered: check `linked` first."""
         return self._jittered(self.same_zone_us if a == b else self.cross_zone_us, draw)
 
     def to_client(self, draw: float) -> int:
--- a/cairndale/lab/world/server.py
+++ b/cairndale/lab/world/server.py
@@ -1,8 +1,8 @@
-"""One profile server: cores shared evenly by what is in work, a waiting room, a cold start,
-connections.
+"""Model of a backend server: evenly shared cores, a queue, a cold start and connections.
 
-BENCH, 'The world', tells what there is; where it gives no form the description in lab/scenario.py
-says `guess`. Work is counted in microseconds of one core at speed 1."""
+The model follows the bench page (BENCH, 'The world'); parameters that the page leaves open are
+described as `guess` in lab/scenario.py. Work is measured in microseconds of one core at speed 1.
+"""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 
 from cairndale.lab.draw import ServerKind
 
-WARMUP_STEP_US = 20_000  # us between looks at a capacity that still grows
-FAST_FAILURE_US = 1000  # us for an error that does no work
+WARMUP_STEP_US = 20_000  # interval at which growing capacity is re-evaluated
+FAST_FAILURE_US = 1000  # duration of an error response that does no work
 
 
 class Verdict(Enum):
+    """How a request ended at the server."""
+
     OK = "ok"
     ERROR = "error"
-    FULL = "full"  # turned away unseen: room, draining, overdue
-    DOWN = "down"  # its connection is gone
+    FULL = "full"  # rejected without executing: queue full, draining, or past its deadline
+    DOWN = "down"  # the connection is closed
 
 
 @dataclass(slots=True)
 class Job:
-    """A request that has come whole. `until`: the moment from which nobody waits for it."""
+    """A completely received request. After `deadline` no client waits for the answer."""
 
     key: object
     work: float
     deadline: int
     draw: float = 1.0  # in [0, 1): decides whether it fails
     arrived_at: int = 0
-    target: float = 0.0  # the per-request service at which it is done
+    target: float = 0.0  # value of the server's `_service` at which the job is complete
     state: str = "new"  # waiting, working, failing, over
-    abandoned: bool = False  # nobody waits for it any longer
+    abandoned: bool = False  # the ingress no longer waits for the answer
 
 
 Finished = tuple[Job, Verdict]
@@ -44,35 +46,35 @@
 @dataclass(slots=True)
 class Server:
     kind: ServerKind
-    started: int  # us; a negative one: long ago, warm
+    started: int  # us; negative: long ago, hence warm
     alive: bool = True
     draining: bool = False
     failed_overloaded: bool = False
-    slowdown: float = 0.0  # share of its speed lost
+    slowdown: float = 0.0  # share of the speed that is lost
     failure_share: float = 0.0  # share of requests that fail fast
     connections: int = 0
     served: int = 0  # since its start
-    work_done: float = 0.0  # work done in all, us
-    capacity_used: float = 0.0  # capacity used in all, us: what it did and what connections cost
+    work_done: float = 0.0  # total work done, us
+    capacity_used: float = 0.0  # total capacity used, us: work and connection handshakes
     _now: int = 0
-    _service: float = 0.0  # what each request in work has got since the beginning
+    _service: float = 0.0  # work that each running request has received since the start
     _running: list[tuple[float, int, Job]] = field(default_factory=list)
     _running_count: int = 0
     _waiting: deque[Job] = field(default_factory=deque)
     _queued_count: int = 0
     _failing: list[tuple[int, int, Job]] = field(default_factory=list)
     _sequence: int = 0
-    _handshake_work: float = 0.0  # work of handshakes still to be done
-    # work sent to it while cold, and when
+    _handshake_work: float = 0.0  # outstanding handshake work
+    # While cold: (time, work offered), and (time, capacity available), within `overload_us`.
     _offered_log: deque[tuple[int, float]] = field(default_factory=deque)
     _offered_work: float = 0.0
-    _capacity_log: deque[tuple[int, float]] = field(default_factory=deque)  # capacity while cold
+    _capacity_log: deque[tuple[int, float]] = field(default_factory=deque)
     _capacity_total: float = 0.0
 
-    # What it can do.
+    # Capacity.
 
     def warmth(self, now: int) -> float:
-        """Share of its capacity: rises evenly with time, or with requests done, if that is
+        """Share of full capacity: rises linearly with time or with requests served, whichever is
         faster."""
         if self.started < 0:
             return 1.0
@@ -92,7 +94,7 @@
         return self._queued_count
 
     def capacity(self, now: int) -> float:
-        """Cores' worth of work a microsecond."""
+        """Total work per microsecond, in cores."""
         kind = self.kind
         excess = max(0.0, self.request_count() / kind.cores - kind.thrash_at) / max(
             1.0, kind.thrash_at
@@ -108,15 +110,16 @@
         )
 
     def _rate_per_request(self, now: int) -> float:
-        """Service a microsecond for each request in work: one core at the most."""
+        """Work per microsecond for each running request: at most one core."""
         total = self.capacity(now)
         return min(total / self.kind.cores, total / max(1, self._running_count))
 
     # Events.
 
     def advance(self, now: int) -> list[Finished]:
-        """All that ended by now, in order. Capacity counts as constant between calls: call by
-        `next_at`."""
+        """Advance to `now` and return the jobs that finished, in order.
+
+        Capacity is taken as constant between calls, so call no later than `next_event_at`."""
         finished: list[Finished] = []
         while self._now < now and self.alive:
             step = min(now, self.next_event_at() or now)
@@ -180,7 +183,7 @@
         heapq.heappush(self._running, (job.target, self._sequence, job))
 
     def next_event_at(self) -> int:
-        """When to call `advance` next; 0: nothing is under way."""
+        """When to call `advance` next; 0: there is no pending work."""
         if not self.alive:
             return 0
         times = [self._failing[0][0]] if self._failing else []
@@ -197,8 +200,8 @@
         return min(times, default=0)
 
     def offer(self, now: int, job: Job) -> tuple[Verdict | None, list[Finished]]:
-        """A request has come whole: turned away at once with a verdict, or None and later an
-        end."""
+        """Offer a completely received request. Return a verdict if it is rejected at once, or None
+        if it will finish later; and the jobs finished by now."""
         finished = self.advance(now)
         if not self.alive:
             return Verdict.DOWN, finished
@@ -227,8 +230,8 @@
     overload_us: int = 3_000_000
 
     def offer_overloads(self, now: int, work: float) -> bool:
-        """Whether a cold server has been sent more than `fall_multiple` times what it could do, for
-        `fall_us`."""
+        """Count the offered work of a cold server. Return whether over the last `overload_us` it
+        exceeds `overload_multiple` times the capacity."""
         if self.warmth(now) >= 1:
             self._offered_log.clear()
             self._capacity_log.clear()
@@ -253,8 +256,8 @@
         return self.terminate(now)
 
     def cancel(self, now: int, job: Job) -> tuple[bool, list[Finished]]:
-        """Nobody waits for it: True if that stops it. Running work goes on; waiting work by the
-        kind."""
+        """Abandon a job. Return whether that stops it: running jobs go on; queued jobs are removed
+        if the kind of server does so (`cancel_queued`)."""
         finished = self.advance(now)
         job.abandoned = True
         if job.state == "waiting" and self.kind.cancel_queued:
@@ -264,7 +267,7 @@
         return False, finished
 
     def terminate(self, now: int) -> list[Finished]:
-        """The process is gone: everything held ends, every connection with it."""
+        """End the process: all jobs and connections end."""
         finished = self.advance(now)
         unfinished = [job for _, _, job in self._running if job.state == "working"]
         unfinished += [job for job in self._waiting if job.state == "waiting"]
@@ -277,7 +280,7 @@
         return finished + [(job, Verdict.DOWN) for job in unfinished]
 
     def start(self, now: int) -> None:
-        """A new process, cold."""
+        """Start a new, cold process."""
         self._now, self.started, self.alive, self.failed_overloaded, self.draining = (
             now,
             now,
@@ -296,7 +299,7 @@
         self._capacity_log.clear()
 
     def open(self, now: int) -> tuple[bool, list[Finished]]:
-        """A new connection: False if the table is full or nobody is there."""
+        """Open a connection; False if the connection table is full or the server is down."""
         finished = self.advance(now)
         if not self.alive or self.connections >= self.kind.cap:
             return False, finished
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -1,4 +1,4 @@
-"""The lab's models: what must hold of each, whatever happens in whatever order."""
+"""Invariants of the simulator's models, mostly as property-based tests."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 
 
 class ServerMachine(RuleBasedStateMachine):
-    """Work is conserved, slots, room and table hold, warmth never falls, and every request ends
-    once."""
+    """Invariants of a server under random operations.
+
+    Work is conserved, the limits on slots, queue and connections hold, warmth never falls while a
+    process runs, and every request ends exactly once."""
 
     def __init__(self) -> None:
         super().__init__()
         self.server, self.now, self.count = Server(KIND, 0), 0, 0
         self.pending: dict[int, Job] = {}
         self.ended: dict[int, Verdict] = {}
-        self.max_work = 0.0  # the most work that its cores could have done
+        self.max_work = 0.0  # the most work that the cores could have done
         self.warmth = 0.0
-        self.completed_work = 0.0  # of what has ended well
+        self.completed_work = 0.0  # work of the requests that ended with OK
 
     def collect(self, ended: list[tuple[Job, Verdict]]) -> None:
         for job, verdict in ended:
@@ -211,7 +213,7 @@
 def test_requests_use_only_available_ingresses_of_the_member() -> None:
     clients = Clients(draw.day(scenario.load("half-lost"), 5))
     for arrival in list(clients.arrivals())[:400]:
-        ingresses = {(arrival.first + number) % 4 for number in range(arrival.spread)}
+        ingresses = {(arrival.first + offset) % 4 for offset in range(arrival.spread)}
         assert clients.choose_ingress(arrival, arrival.due, 0, frozenset()) in ingresses
         down = frozenset(sorted(ingresses)[:1])
         assert clients.choose_ingress(arrival, arrival.due, 1, down) in ingresses - down
