--- a/cairndale/lab/simulate.py
+++ b/cairndale/lab/simulate.py
@@ -53,6 +53,8 @@
 
 
 class Policy(Protocol):
+    """A request policy: receives events with their time in us and returns actions."""
+
     def handle(self, now: int, event: it.Event) -> list[it.Action]: ...
 
 
@@ -166,16 +168,18 @@
         self._absence_rows: dict[int, int] = {}
         self.executed_count = 0
         self._connect_timeout_us = int(day.scenario.server.connect_timeout_ms * 1000)
-        self._client_idle_us = int(day.scenario.server.idle_s * SECOND * 0.9)
+        self._idle_timeout_us = int(day.scenario.server.idle_s * SECOND * 0.9)
         self.offered_work = 0.0
 
     # Event loop.
 
     def schedule(self, when: int, callback: Callable[..., None], *args: Any) -> None:
+        """Run the callback at the virtual time `when`, or now if that has passed."""
         self._sequence += 1
         heapq.heappush(self._heap, (max(when, self.now), self._sequence, callback, args))
 
     def run(self) -> Record:
+        """Run to the end of the day, plus the time in which the last requests can be answered."""
         arrivals = self.clients.arrivals()
         next_arrival = next(arrivals, None)
         for number, trouble in enumerate(self.day.scenario.trouble):
@@ -208,6 +212,7 @@
         return self.record
 
     def _sample(self) -> None:
+        """Record the state of the servers, and close connections that were idle for too long."""
         for number, server in enumerate(self.servers):
             self._process_finished_jobs(number, server.advance(self.now))
             self.record.servers.add(
@@ -220,13 +225,13 @@
                 int(server.alive),
                 server.kind.slots,
             )
-        limit = self.now - self._client_idle_us
+        idle_limit = self.now - self._idle_timeout_us
         for ingress in self.ingresses:
-            for number, since in ingress.idle_connections.items():
-                old = sum(1 for idle_since in since if idle_since <= limit)
-                for _ in range(old):
+            for number, idle_times in ingress.idle_connections.items():
+                expired = sum(1 for idle_since in idle_times if idle_since <= idle_limit)
+                for _ in range(expired):
                     self.servers[number].close()
-                del since[:old]
+                del idle_times[:expired]
 
     # Ingresses.
 
@@ -269,6 +274,9 @@
         )
 
     def _dispatch(self, ingress: Ingress, event: it.Event) -> None:
+        """Pass an event to the policy and execute its actions.
+
+        Events that arise meanwhile are queued: the policy is not re-entrant."""
         ingress.pending_events.append(event)
         if ingress.dispatching:
             return
@@ -334,6 +342,7 @@
         self._release_request(request)
 
     def _release_request(self, request: OpenRequest) -> None:
+        """Remove a finished request once none of its attempts is in flight."""
         if request.finished and request.in_flight == 0:
             request.ingress.requests.pop(request.number, None)
 
@@ -1111,9 +1120,13 @@
         server = self.servers[backend - 1]
         if not server.alive or server.draining or backend - 1 in self.vanished_servers:
             return float("inf")
-        work = sum(c.share * c.work_us for c in self.day.classes)
-        return max(work, (server.request_count() + 1) * work / max(1e-9, server.capacity(self.now)))
+        mean_work = sum(c.share * c.work_us for c in self.day.classes)
+        return max(
+            mean_work,
+            (server.request_count() + 1) * mean_work / max(1e-9, server.capacity(self.now)),
+        )
 
 
 def simulate(day: Day, make_policy: PolicyFactory) -> Record:
+    """Simulate a day with one policy per ingress, and return what was recorded."""
     return Simulation(day, make_policy).run()
--- a/cairndale/lab/world/clients.py
+++ b/cairndale/lab/world/clients.py
@@ -60,6 +60,8 @@
 
 
 class Clients:
+    """The members of one run, their arrivals, and their choices of ingress and retry."""
+
     def __init__(self, day: Day) -> None:
         self.day, traffic = day, day.traffic
         self.ingress_count = len(day.gateway_zones)
--- a/cairndale/lab/world/counter.py
+++ b/cairndale/lab/world/counter.py
@@ -23,6 +23,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """The outcome of a call, and the total after it."""
+
     status: CallStatus
     answered_at: int  # us: when the counter sends the answer
     total: float = 0.0
@@ -36,6 +38,8 @@
 
 @dataclass(slots=True)
 class Counter:
+    """The shared counter; see the module docstring."""
+
     parts: int
     service_us: int  # service time of one call
     max_queue_us: int  # queued work above which a partition rejects calls as busy
--- a/cairndale/lab/world/network.py
+++ b/cairndale/lab/world/network.py
@@ -8,6 +8,8 @@
 
 @dataclass(slots=True)
 class Network:
+    """Latencies in us, and the faults in effect."""
+
     same_zone_us: int  # one-way latency within a zone
     cross_zone_us: int  # one-way latency between zones
     client_us: int  # one-way latency between client and ingress
--- a/cairndale/lab/world/server.py
+++ b/cairndale/lab/world/server.py
@@ -45,6 +45,8 @@
 
 @dataclass(slots=True)
 class Server:
+    """One backend server; see the module docstring."""
+
     kind: ServerKind
     started: int  # us; negative: long ago, hence warm
     alive: bool = True
@@ -57,7 +59,9 @@
     work_done: float = 0.0  # total work done, us
     capacity_used: float = 0.0  # total capacity used, us: work and connection handshakes
     _now: int = 0
-    _service: float = 0.0  # work that each running request has received since the start
+    _service: float = (
+        0.0  # cumulative work per running request; a job ends when it reaches its `target`
+    )
     _running: list[tuple[float, int, Job]] = field(default_factory=list)
     _running_count: int = 0
     _waiting: deque[Job] = field(default_factory=deque)
--- a/tests/lab/test_stopping.py
+++ b/tests/lab/test_stopping.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.lab.test_lab import ROOT, alive, children, started
+from tests.lab.test_lab import ROOT, child_pids, is_running, start_live_run
 
 
 def ignoring_sigint() -> None:
@@ -27,9 +27,12 @@
     tmp_path: Path, number: signal.Signals, count: int
 ) -> None:
     env = os.environ | {"TMPDIR": str(tmp_path)}
-    ran, end = started(tmp_path, 600, env=env, preexec_fn=ignoring_sigint), time.monotonic() + 60
+    ran, end = (
+        start_live_run(tmp_path, 600, env=env, preexec_fn=ignoring_sigint),
+        time.monotonic() + 60,
+    )
     try:
-        while len(mine := children(ran.pid)) < count:
+        while len(mine := child_pids(ran.pid)) < count:
             assert ran.poll() is None and time.monotonic() < end
         ran.send_signal(number)
         ran.send_signal(number)  # a second one does not break the end off
@@ -39,7 +42,7 @@
         ran.wait()
     assert ran.returncode == 130 and said.rstrip().endswith("stopped"), said
     assert not list(tmp_path.glob("lab-*"))  # the run's folder: its removal is the end's last step
-    assert not any(alive(pid) for pid in mine)  # each was waited for before the tool ended
+    assert not any(is_running(pid) for pid in mine)  # each was waited for before the tool ended
 
 
 def script(text: str) -> tuple[int, str]:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -113,6 +113,7 @@
 
 
 def run_until_idle(server: Server, now: int) -> int:
+    """Return the time at which the server has finished all its work."""
     while due := server.next_event_at():
         now = due
         server.advance(now)
