--- a/cairndale/lab/simulate.py
+++ b/cairndale/lab/simulate.py
@@ -182,9 +182,9 @@
         """Run to the end of the day, plus the time in which the last requests can be answered."""
         arrivals = self.clients.arrivals()
         next_arrival = next(arrivals, None)
-        for number, trouble in enumerate(self.day.scenario.trouble):
-            begin = int(trouble.at_s * SECOND)
-            self.record.marks.add(begin, begin + int(trouble.len_s * SECOND), number)
+        for number, fault in enumerate(self.day.scenario.trouble):
+            begin = int(fault.at_s * SECOND)
+            self.record.marks.add(begin, begin + int(fault.len_s * SECOND), number)
         for step in plan(self.day):
             self.schedule(step.at, self._run_step, step)
         end = self.day.length + max(c.deadline_us for c in self.day.classes) + SECOND
--- a/cairndale/lab/world/clients.py
+++ b/cairndale/lab/world/clients.py
@@ -150,11 +150,11 @@
     def arrivals(self) -> Iterator[Arrival]:
         """All arrivals, ordered by `due`. Baseline and faults draw from separate random streams."""
         baseline_rng = self.day.stream("arrivals")
-        trouble_rngs = {
+        fault_rngs = {
             n: self.day.stream(f"trouble.{n}.arrivals")
             for n in range(len(self.day.scenario.trouble))
         }
-        index = np.arange(len(self.members))
+        member_indices = np.arange(len(self.members))
         base_rate = np.array([m.base_rate for m in self.members])
         swing, period = (
             self.day.traffic["swing"],
@@ -165,46 +165,53 @@
             duration_s = (end - start) / SECOND
             rates = base_rate.copy()
             for n, member in enumerate(self.members):
-                for since, to in member.peak_periods:
-                    if since < end and to > start:
-                        part = (min(to, end) - max(since, start)) / (end - start)
-                        rates[n] = member.base_rate * (1 - part) + member.peak_rate * part
+                for peak_start, peak_end in member.peak_periods:
+                    if peak_start < end and peak_end > start:
+                        overlap_share = (min(peak_end, end) - max(peak_start, start)) / (
+                            end - start
+                        )
+                        rates[n] = (
+                            member.base_rate * (1 - overlap_share)
+                            + member.peak_rate * overlap_share
+                        )
             rates *= 1 + swing * np.sin(2 * np.pi * (start + end) / 2 / period)
-            arrivals_in_block = self._block(baseline_rng, start, end, index, rates * duration_s)
-            for number, trouble in enumerate(self.day.scenario.trouble):
-                begins_at, ends_at = trouble.at_s * SECOND, (trouble.at_s + trouble.len_s) * SECOND
+            arrivals_in_block = self._draw_arrivals(
+                baseline_rng, start, end, member_indices, rates * duration_s
+            )
+            for number, fault in enumerate(self.day.scenario.trouble):
+                begins_at, ends_at = fault.at_s * SECOND, (fault.at_s + fault.len_s) * SECOND
                 if (
-                    trouble.kind not in ("burst", "hot_member", "scan")
+                    fault.kind not in ("burst", "hot_member", "scan")
                     or begins_at >= end
                     or ends_at <= start
                 ):
                     continue
-                low, high = max(start, int(begins_at)), min(end, int(ends_at))
-                expected = trouble.size * self.baseline_rate * (high - low) / SECOND
-                if trouble.kind == "burst":
+                start_us, end_us = max(start, int(begins_at)), min(end, int(ends_at))
+                expected = fault.size * self.baseline_rate * (end_us - start_us) / SECOND
+                if fault.kind == "burst":
                     weights = rates / max(1e-9, rates.sum()) * expected
-                    arrivals_in_block += self._block(
-                        trouble_rngs[number], low, high, index, weights
+                    arrivals_in_block += self._draw_arrivals(
+                        fault_rngs[number], start_us, end_us, member_indices, weights
                     )
-                elif trouble.kind == "hot_member":
+                elif fault.kind == "hot_member":
                     hot_members = self.day.stream(f"trouble.{number}").permutation(
                         len(self.members)
-                    )[: trouble.keys]
-                    arrivals_in_block += self._block(
-                        trouble_rngs[number],
-                        low,
-                        high,
+                    )[: fault.keys]
+                    arrivals_in_block += self._draw_arrivals(
+                        fault_rngs[number],
+                        start_us,
+                        end_us,
                         hot_members,
                         np.full(len(hot_members), expected / len(hot_members)),
                     )
                 else:
                     arrivals_in_block += self._scan_arrivals(
-                        trouble_rngs[number], low, high, expected
+                        fault_rngs[number], start_us, end_us, expected
                     )
             arrivals_in_block.sort(key=lambda r: (r.due, r.customer))
             yield from arrivals_in_block
 
-    def _block(
+    def _draw_arrivals(
         self,
         rng: np.random.Generator,
         start: int,
--- a/cairndale/lab/world/counter.py
+++ b/cairndale/lab/world/counter.py
@@ -40,7 +40,7 @@
 class Counter:
     """The shared counter; see the module docstring."""
 
-    parts: int
+    partitions: int
     service_us: int  # service time of one call
     max_queue_us: int  # queued work above which a partition rejects calls as busy
     up: bool = True
@@ -52,16 +52,18 @@
     _last_sweep: int = 0
 
     def __post_init__(self) -> None:
-        self._free_at = [0] * self.parts
+        self._free_at = [0] * self.partitions
 
     @classmethod
     def from_figures(cls, figures: dict[str, float]) -> Counter:
         """Build from the figures drawn for a day. The service time of a call is the longer of `ms`
         and a partition's share of the rate `per_s`."""
-        parts = max(1, int(figures["parts"]))
-        service_us = max(figures["ms"] * 1000, 1e6 * parts / max(1.0, figures["per_s"]))
+        partitions = max(1, int(figures["parts"]))
+        service_us = max(figures["ms"] * 1000, 1e6 * partitions / max(1.0, figures["per_s"]))
         return cls(
-            parts, int(service_us), int(figures["queue_timeouts"] * figures["timeout_ms"] * 1000)
+            partitions,
+            int(service_us),
+            int(figures["queue_timeouts"] * figures["timeout_ms"] * 1000),
         )
 
     def add(self, now: int, name: int, amount: float, ttl: int, draw: float = 1.0) -> Answer:
@@ -71,11 +73,11 @@
         self.calls += 1
         if not self.up:
             return Answer(CallStatus.DOWN, now)
-        part = name % self.parts
-        started_at = max(now, self._free_at[part])
+        partition = name % self.partitions
+        started_at = max(now, self._free_at[partition])
         if started_at - now > self.max_queue_us:
             return Answer(CallStatus.BUSY, now)
-        finished_at = self._free_at[part] = started_at + self.service_us
+        finished_at = self._free_at[partition] = started_at + self.service_us
         if now - self._last_sweep > MAX_TTL_US // 4:
             self._last_sweep = now
             self._entries = {
@@ -100,7 +102,7 @@
         self._entries.clear()
 
     def restart(self, now: int) -> None:
-        self.up, self._free_at = True, [now] * self.parts
+        self.up, self._free_at = True, [now] * self.partitions
 
     def name_count(self) -> int:
         return len(self._entries)
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -152,7 +152,7 @@
 def test_counter_totals_are_exact_and_in_call_order(
     calls: list[tuple[int, float, int]],
 ) -> None:
-    counter = Counter(parts=2, service_us=1000, max_queue_us=8000)
+    counter = Counter(partitions=2, service_us=1000, max_queue_us=8000)
     now, totals, last_answer_at = 0, dict.fromkeys(range(6), 0.0), [0, 0]
     for name, amount, wait in calls:
         now += wait
@@ -167,7 +167,7 @@
 
 
 def test_counter_entries_expire_and_are_lost_when_the_counter_fails() -> None:
-    counter = Counter(parts=1, service_us=10, max_queue_us=1000)
+    counter = Counter(partitions=1, service_us=10, max_queue_us=1000)
     assert counter.add(0, 1, 2.0, 5000).total == 2.0
     assert counter.add(4000, 1, 2.0, 5000).total == 4.0
     assert counter.add(5001, 1, 2.0, 5000).total == 2.0
