--- a/cairndale/chaos/__init__.py
+++ b/cairndale/chaos/__init__.py
@@ -1,5 +1,6 @@
-"""The whole system on one machine: its real processes amid stand-ins for servers, clients and
-operators.
+"""Fault injection into the whole system on one machine: real processes, and stand-ins for servers,
+clients and operators.
 
-Each machine has a loopback address of its own, so that ports are alike on all, as on the platform.
+Each simulated machine has its own loopback address, so that all use the same ports, as on the
+platform.
 """
--- a/cairndale/chaos/control_mutations.py
+++ b/cairndale/chaos/control_mutations.py
@@ -1,5 +1,5 @@
-"""Known defects of the core, one or more for each of the five points of issue 40: `storm SEED COUNT
-NAME`."""
+"""Known defects of the control plane, one or more for each of the five points of issue 40. They
+show that the checkers of a storm detect them: `storm SEED COUNT NAME`."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def _module(name: str) -> Any:
-    """Looked into when a plant is put in: what it alters may be anywhere."""
+    """Import a module only when a defect is applied, since each defect patches other modules."""
     return import_module(name)
 
 
@@ -18,85 +18,88 @@
 
 
 def beats_alone() -> None:
-    """Who has lost contact goes on confirming beats, and says that it is ready."""
+    """A follower that lost contact with the leader still confirms heartbeats and reports ready."""
     follower = _module("cairndale.control.follower").Follower
     follower.in_contact = lambda self, now: True
 
 
 def unconfirmed() -> None:
-    """Whoever once took the lead answers at once, whether anybody follows it still or not."""
+    """A node that once became leader answers reads without confirming that it still leads."""
     _module("cairndale.control.read_index").ReadIndex._is_confirmed = lambda self, waiting, stand: (
         True
     )
-    machine = _module("cairndale.raft.node")
-    machine.RaftNode.leads = lambda self, now: (
-        self.role is machine.Role.LEADER and self._has_committed_in_term
+    raft_node = _module("cairndale.raft.node")
+    raft_node.RaftNode.leads = lambda self, now: (
+        self.role is raft_node.Role.LEADER and self._has_committed_in_term
     )
-    follow = machine.RaftNode._become_follower
+    become_follower = raft_node.RaftNode._become_follower
 
-    def stay(self: Any, now: float, step: Any, term: int, leader: Any) -> None:
-        if leader or term > self.term or self.role is not machine.Role.LEADER:
-            follow(self, now, step, term, leader)
+    def keep_leading(self: Any, now: float, step: Any, term: int, leader: Any) -> None:
+        if leader or term > self.term or self.role is not raft_node.Role.LEADER:
+            become_follower(self, now, step, term, leader)
 
-    machine.RaftNode._become_follower = stay
+    raft_node.RaftNode._become_follower = keep_leading
 
 
-def _instead(call: str, answer: Any) -> None:
-    """`answer` may give one of its own, from the process and the body, to each call whose path
-    begins so."""
+def _override_call(call: str, answer: Any) -> None:
+    """Override the answer to control calls whose path starts with `call`.
+
+    `answer` takes the process and the request body; where it returns None, the call is handled as
+    usual.
+    """
     api = _module("cairndale.control.api").ControlApi
     control = api.control
 
-    async def held(self: Any, method: str, target: str, body: bytes) -> Any:
-        own = answer(self._process, body) if target.startswith(f"/-/{call}") else None
-        return own or await control(self, method, target, body)
+    async def intercepted(self: Any, method: str, target: str, body: bytes) -> Any:
+        replacement = answer(self._process, body) if target.startswith(f"/-/{call}") else None
+        return replacement or await control(self, method, target, body)
 
-    api.control = held
+    api.control = intercepted
 
 
 def own_reads() -> None:
-    """Whoever is asked reads out what it holds itself."""
+    """A node answers a configuration read from its own state, without a read index."""
     from cairndale.http_api.server import json_response
 
     def content(process: Any, body: bytes) -> Any:
         return json_response(200, process.state.content) if process.state.gen else None
 
-    _instead("Config.Read", content)
+    _override_call("Config.Read", content)
 
 
-# One order at a time, and again.
+# Serialized, idempotent orders.
 
 
 def short_memory() -> None:
-    """Only the last four accepted orders are remembered, and all others refused."""
+    """Only the last four accepted orders are remembered; a retry of an older one is rejected."""
     state = _module("cairndale.configuration.state")
     state.MAX_IDEMPOTENCY_RECORDS = 4
     state.State.record_may_be_evicted = lambda self, gen: False
 
 
 def own_refusals() -> None:
-    """Whoever is asked refuses by what it holds itself."""
+    """A node rejects an order by its own state, without asking the leader."""
     from cairndale.http_api.server import error_response
 
-    def refusal(process: Any, body: bytes) -> Any:
+    def rejection(process: Any, body: bytes) -> Any:
         order, gen = json.loads(body or b"{}"), process.state.gen
-        late = order.get("parent", gen) != gen and order["gen"] > gen
-        return error_response(412, f"parent: {order['parent']} is not {gen}") if late else None
+        conflicts = order.get("parent", gen) != gen and order["gen"] > gen
+        return error_response(412, f"parent: {order['parent']} is not {gen}") if conflicts else None
 
-    _instead("Config.", refusal)
+    _override_call("Config.", rejection)
 
 
-# Membership by agreement.
+# Membership changes by consensus.
 
 
 def gone_members_vote() -> None:
-    """Whoever comes votes, and nobody is taken out."""
+    """Every member that joins votes, and none is removed."""
     membership = _module("cairndale.raft.membership")
     membership.next_voters = lambda members, *more: frozenset(m.disk_id for m in members)
 
 
 def new_majority_only() -> None:
-    """A change counts by the new voters alone, and several are made at once."""
+    """A membership change needs a majority of the new voters only, and several run at once."""
     replica = _module("cairndale.raft.replica").Replica
     replica._voter_sets = lambda self: (self._voters,)
     _module("cairndale.raft.membership").Membership._may_change_members = lambda self: (
@@ -105,43 +108,43 @@
 
 
 def unsynced_votes() -> None:
-    """Terms and votes are not kept, nor are entries: a disk is empty after each start."""
+    """Terms, votes and log entries are not written: the disk is empty after each start."""
     store = _module("cairndale.raft.storage").RaftStorage
     write = store.write
-    heads = ("HardState", "SaveEntries")
+    dropped = ("HardState", "SaveEntries")
     store.write = lambda self, writes: write(
-        self, [w for w in writes if type(w).__name__ not in heads]
+        self, [item for item in writes if type(item).__name__ not in dropped]
     )
 
 
-# Catching up.
+# Catching up by snapshot.
 
 
 def torn_snapshot() -> None:
-    """A snapshot counts as installed with the tables of before in it."""
-    machine = _module("cairndale.raft.node").RaftNode
-    install = machine.install_snapshot
+    """A snapshot counts as installed although the state machine keeps its previous tables."""
+    raft_node = _module("cairndale.raft.node").RaftNode
+    install = raft_node.install_snapshot
 
-    def torn(self: Any, now: float, snapshot: Any) -> Any:
+    def install_without_tables(self: Any, now: float, snapshot: Any) -> Any:
         step = install(self, now, snapshot)
         step.restored_snapshot = None
         return step
 
-    machine.install_snapshot = torn
+    raft_node.install_snapshot = install_without_tables
 
 
-# Answers and words of others.
+# Responses and messages of other nodes.
 
 
 def answers_by_number() -> None:
-    """An answer is taken by its number alone, from whomever it comes."""
+    """A response is matched by its call id alone, whichever connection it comes from."""
     pending_calls = _module("cairndale.rpc.pending_calls").PendingCalls
-    checked = pending_calls.answered
+    answered_if_matching = pending_calls.answered
 
     def answered(self: Any, connection: Any, answer: Any) -> bool:
         call = self._calls.get(answer.call_id)
         if call is None or call.response.done():
-            return bool(checked(self, connection, answer))
+            return bool(answered_if_matching(self, connection, answer))
         call.response.set_result(answer)
         return True
 
@@ -149,21 +152,20 @@
 
 
 def old_words() -> None:
-    """An older leader's word is obeyed like any."""
+    """Messages from a leader of an older term are accepted."""
     _module("cairndale.rpc.peer").RpcPeer.is_stale = lambda self, envelope, address: False
     client = _module("cairndale.dataplane.config_client").ConfigClient
     apply = client.apply
 
-    def obey(self: Any, watch_response: Any, *more: Any) -> Any:
+    def apply_any(self: Any, watch_response: Any, *more: Any) -> Any:
         version = min(self.cursor.config_version, watch_response.config_version)
         self.cursor = replace(self.cursor, config_version=version)
         return apply(self, watch_response, *more)
 
-    client.apply = obey
+    client.apply = apply_any
 
 
 def foreign_words() -> None:
-    """Whoever stands at a door is talked to, of whatever system, and what it says as a leader is
-    obeyed."""
+    """The system id in a peer's hello is not checked, and messages of any leader are accepted."""
     _module("cairndale.rpc.peer").RpcPeer.hello_received = lambda self, connection, hello: True
     old_words()
--- a/cairndale/chaos/faults.py
+++ b/cairndale/chaos/faults.py
@@ -1,4 +1,5 @@
-"""The troubles of a storm: each kind by name, its victims and lengths drawn by the storm's seed."""
+"""The nemesis of a storm: the kinds of faults by name. Victims and durations are drawn from the
+storm's seed."""
 
 from __future__ import annotations
 
@@ -9,172 +10,184 @@
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass
 
-from cairndale.chaos.records import Isolation, Record, Span
-from cairndale.chaos.relayed import Pairs, RelayedWorld
+from cairndale.chaos.records import FaultInterval, Isolation, Record
+from cairndale.chaos.relayed import Links, RelayedWorld
 
-SYNC = 4.0  # s in which a machine that is back, or new, has to have caught up (`sync_time`)
-FREEZE = (1.0, 10.0)  # s
+CATCH_UP_S = 4.0  # in which a restarted or new machine has to catch up (`sync_time`)
+FREEZE_RANGE_S = (1.0, 10.0)
 
 
-class Troubles:
+class FaultInjector:
+    """Injects faults into the machines of a storm, and records when each began and ended."""
+
     def __init__(
         self, world: RelayedWorld, record: Record, rng: random.Random, until: float
     ) -> None:
-        """`until`: by when all of it is over."""
+        """`until`: the time by which all faults have ended, on the event loop's clock."""
         self.world, self.record, self.rng, self.until = world, record, rng, until
-        self.did: list[str] = []
-        # disks that were lost, and until when they count as lost
-        self._empty: dict[str, float] = {}
-        self._busy: set[str] = set()  # machines in trouble now
-        self.replacing = False  # one goes for good at a time
+        self.fault_log: list[str] = []
+        # by machine: until when its disk counts as lost
+        self._disk_lost_until: dict[str, float] = {}
+        self._faulty: set[str] = set()  # machines with a fault now
+        self.replacing = False  # one machine is replaced at a time
         self._loop = asyncio.get_running_loop()
 
-    # What is there.
+    # Machines to choose from.
 
     def cores(self) -> list[str]:
-        return [n for n, m in self.world.machines.items() if m.core and m.here]
+        return [n for n, m in self.world.machines.items() if m.core and m.is_deployed]
 
     def edges(self) -> list[str]:
-        return [n for n, m in self.world.machines.items() if not m.core and m.here]
+        return [n for n, m in self.world.machines.items() if not m.core and m.is_deployed]
 
     async def leader(self) -> str:
-        """Its name, or any's of the core while nobody says."""
+        """Return the leader's name, or that of a random core machine while none is reported."""
         with contextlib.suppress(TimeoutError, KeyError):
-            _, shown = await self.world.order("GET", "Fleet.Show", within=1.5)
-            ip = shown["leader"].partition(":")[0]
+            _, fleet = await self.world.order("GET", "Fleet.Show", within=1.5)
+            ip = fleet["leader"].partition(":")[0]
             for name in self.cores():
                 if self.world.machines[name].ip == ip:
                     return name
         return self.rng.choice(self.cores())
 
     async def learners(self) -> list[str]:
-        """Core machines that carry the log and do not vote, as the leader says."""
+        """Return the non-voting core machines, as the leader reports them."""
         addresses: set[str] = set()
         with contextlib.suppress(TimeoutError, KeyError):
-            _, shown = await self.world.order("GET", "Fleet.Show", within=1.5)
-            addresses = {m[0] for m in shown["members"] if m[2:] == ["learner"]}
-        return [n for n in self.cores() if self.world.own(self.world.machines[n]) in addresses]
+            _, fleet = await self.world.order("GET", "Fleet.Show", within=1.5)
+            addresses = {m[0] for m in fleet["members"] if m[2:] == ["learner"]}
+        return [
+            n for n in self.cores() if self.world.peer_address(self.world.machines[n]) in addresses
+        ]
 
     async def follower(self) -> str:
         leader = await self.leader()
         return self.rng.choice([n for n in self.cores() if n != leader])
 
-    async def one(self) -> str:
-        """A core machine, the leader more often than others."""
+    async def pick_core(self) -> str:
+        """Return a random core machine, the leader with at least 60% probability."""
         return await self.leader() if self.rng.random() < 0.6 else self.rng.choice(self.cores())
 
-    def left(self) -> float:
+    def time_left(self) -> float:
         return max(0.2, self.until - self._loop.time())
 
     def may_lose_disk(self) -> bool:
-        """So many disks at once are borne as leave a majority."""
+        """Whether a majority would still have its disks after one more loss."""
         now = self._loop.time()
-        lost = sum(1 for until in self._empty.values() if until > now)
-        return lost < (self.world.cores - 1) // 2
+        lost_disks = sum(1 for until in self._disk_lost_until.values() if until > now)
+        return lost_disks < (self.world.cores - 1) // 2
 
-    def span(self, low: float, high: float) -> float:
-        return min(self.left(), self.rng.uniform(low, high))
+    def duration(self, low: float, high: float) -> float:
+        return min(self.time_left(), self.rng.uniform(low, high))
 
-    # What is done.
+    # Faults.
 
     async def run(self, kind: str) -> None:
-        """Never raises for what the system does: that is the judge's to see."""
-        await TROUBLES[kind](self)
+        """Inject a fault of that kind. Failures of the system are left for the checkers to find."""
+        await FAULTS[kind](self)
 
     @contextlib.asynccontextmanager
-    async def during(self, kind: str, victims: Iterable[str]):  # type: ignore[no-untyped-def]
-        begun, victims = self._loop.time(), list(victims)
-        mine = Span(kind, begun, self.until + 60.0)
-        self.record.spans.append(mine)
-        self._busy |= set(victims)
+    async def record_fault(self, kind: str, victims: Iterable[str]):  # type: ignore[no-untyped-def]
+        began_at, victims = self._loop.time(), list(victims)
+        interval = FaultInterval(kind, began_at, self.until + 60.0)
+        self.record.faults.append(interval)
+        self._faulty |= set(victims)
         try:
-            yield mine
+            yield interval
         finally:
-            self._busy -= set(victims)
-            mine.end = self._loop.time()
-            self.did.append(f"{kind} {' '.join(victims)} {begun % 1000:.1f}+{mine.end - begun:.1f}")
-
-    async def cut(self, kind: str, victim: str, others: list[str], ways: str, span: float) -> None:
-        pairs: Pairs = self.world.between([victim], others, ways)
-        off = set(others) >= set(self.cores() + self.edges()) - {victim} and victim in self.cores()
-        async with self.during(f"{kind} ({ways})", [victim]):
-            begun = self._loop.time()
-            self.world.cut(pairs, silent=self.rng.random() < 0.7)
+            self._faulty -= set(victims)
+            interval.end = self._loop.time()
+            self.fault_log.append(
+                f"{kind} {' '.join(victims)} {began_at % 1000:.1f}+{interval.end - began_at:.1f}"
+            )
+
+    async def partition(
+        self, kind: str, victim: str, others: list[str], direction: str, duration: float
+    ) -> None:
+        links: Links = self.world.links_between([victim], others, direction)
+        is_isolated = (
+            set(others) >= set(self.cores() + self.edges()) - {victim} and victim in self.cores()
+        )
+        async with self.record_fault(f"{kind} ({direction})", [victim]):
+            began_at = self._loop.time()
+            self.world.partition(links, silent=self.rng.random() < 0.7)
             try:
-                await asyncio.sleep(span)
+                await asyncio.sleep(duration)
             finally:
-                if off and ways == "both":
+                if is_isolated and direction == "both":
                     address = self.world.address(self.world.machines[victim], 1)
-                    self.record.isolations.append(Isolation(address, begun, self._loop.time()))
-                self.world.heal(pairs)
+                    self.record.isolations.append(Isolation(address, began_at, self._loop.time()))
+                self.world.heal(links)
 
-    async def down(
-        self, kind: str, victims: list[str], span: float, number: int = signal.SIGKILL
+    async def take_down(
+        self, kind: str, victims: list[str], duration: float, signal_number: int = signal.SIGKILL
     ) -> None:
-        async with self.during(kind, victims):
+        async with self.record_fault(kind, victims):
             killed = [v for v in victims if self.world.machines[v].process]
-            await asyncio.gather(*(self.world.kill(v, number) for v in killed))
-            await asyncio.sleep(span)
+            await asyncio.gather(*(self.world.kill(v, signal_number) for v in killed))
+            await asyncio.sleep(duration)
             for name in killed:
-                if self.world.machines[name].here:
+                if self.world.machines[name].is_deployed:
                     self.start(name)
 
-    async def freeze(self, kind: str, victim: str, span: float) -> None:
-        async with self.during(kind, [victim]):
-            self.world.tell(victim, signal.SIGSTOP)
-            await asyncio.sleep(span)
-            self.world.tell(victim, signal.SIGCONT)
+    async def freeze(self, kind: str, victim: str, duration: float) -> None:
+        async with self.record_fault(kind, [victim]):
+            self.world.send_signal(victim, signal.SIGSTOP)
+            await asyncio.sleep(duration)
+            self.world.send_signal(victim, signal.SIGCONT)
 
-    async def wipe(self, kind: str, victim: str, span: float) -> None:
-        self._empty[victim] = float("inf")
-        async with self.during(kind, [victim]):
+    async def wipe(self, kind: str, victim: str, duration: float) -> None:
+        self._disk_lost_until[victim] = float("inf")
+        async with self.record_fault(kind, [victim]):
             await self.world.wipe(victim)
-            await asyncio.sleep(span)
+            await asyncio.sleep(duration)
             self.start(victim)
-        self._empty[victim] = self._loop.time() + SYNC
+        self._disk_lost_until[victim] = self._loop.time() + CATCH_UP_S
 
-    async def fill(self, kind: str, victim: str, span: float) -> None:
-        """Whoever ends by itself over that, or is killed, is started again when there is room
-        again."""
-        async with self.during(kind, [victim]):
+    async def fill_disk(self, kind: str, victim: str, duration: float) -> None:
+        """Fill the disk of a machine for a while; then restart its process if it has exited by
+        itself, or was killed, which happens half of the time."""
+        async with self.record_fault(kind, [victim]):
             self.world.fill_disk(victim, True)
-            await asyncio.sleep(span)
+            await asyncio.sleep(duration)
             self.world.fill_disk(victim, False)
             if self.rng.random() < 0.5:
                 await self.world.kill(victim)
             self.start(victim)
 
     def start(self, name: str) -> None:
-        """Unless another trouble has already done so."""
+        """Start the process, unless another fault has already restarted it."""
         process = self.world.machines[name].process
         if process is None or process.poll() is not None:
             self.world.start(name)
 
-    async def platform(self) -> None:
-        """Starts again what ended by itself, until it is cancelled."""
+    async def supervise(self) -> None:
+        """Restart processes that exited by themselves, until cancelled."""
         while True:
             await asyncio.sleep(0.2)
             for name, machine in self.world.machines.items():
                 process = machine.process
                 if (
-                    machine.here
+                    machine.is_deployed
                     and process
                     and process.poll() is not None
-                    and name not in self._busy
+                    and name not in self._faulty
                 ):
-                    self.record.ended.append(f"{name} ended by itself with {process.returncode}")
+                    self.record.unexpected_exits.append(
+                        f"{name} exited unexpectedly with status {process.returncode}"
+                    )
                     self.world.start(name)
 
     async def replace(self, victim: str, new: str) -> None:
-        """A machine goes for good; one with an empty disk, at a door of its own, takes its place;
-        the list of operators and servers, and the seeds, follow a little later."""
+        """Replace a machine for good by one with an empty disk and an address of its own. The
+        addresses that operators and servers use, and the seeds, are updated a little later."""
         world, machines = self.world, self.world.machines
-        self._empty[victim] = float("inf")
-        async with self.during("replace", [victim, new]):
+        self._disk_lost_until[victim] = float("inf")
+        async with self.record_fault("replace", [victim, new]):
             await world.kill(victim)
-            machines[victim].here = False
+            machines[victim].is_deployed = False
             await asyncio.sleep(self.rng.uniform(0.2, 1.0))
-            machines[new].here, machines[new].zone = True, machines[victim].zone
+            machines[new].is_deployed, machines[new].zone = True, machines[victim].zone
             running = [world.address(machines[n], 1) for n in self.cores() if n != new]
             seeds = [
                 *self.rng.sample(running, min(2, len(running))),
@@ -184,217 +197,301 @@
             world.seeds = seeds
             world.start(new)
         await asyncio.sleep(self.rng.uniform(0.0, 1.5))
-        world.relist()
-        world.reseed(seeds)
-        self._empty.pop(victim)
-        self._empty[new] = self._loop.time() + SYNC
-
-
-Kind = Callable[[Troubles], Awaitable[None]]
-TROUBLES: dict[str, Kind] = {}
-
-
-def trouble(made: Kind) -> Kind:
-    TROUBLES[made.__name__.replace("_", "-")] = made
-    return made
-
-
-# Cuts between the system's own.
-
-
-@trouble
-async def cut_leader(t: Troubles) -> None:
-    leader = await t.leader()
-    await t.cut("cut-leader", leader, [*t.cores(), *t.edges()], "both", t.span(1, 20))
-
-
-@trouble
-async def cut_follower(t: Troubles) -> None:
-    one = await t.follower()
-    await t.cut("cut-follower", one, [*t.cores(), *t.edges()], "both", t.span(1, 20))
-
-
-@trouble
-async def cut_core(t: Troubles) -> None:
-    """From the core alone: ingresses still reach it."""
-    await t.cut("cut-core", await t.one(), t.cores(), "both", t.span(1, 20))
-
-
-@trouble
-async def cut_one_way(t: Troubles) -> None:
-    others = t.cores() if t.rng.random() < 0.5 else [*t.cores(), *t.edges()]
-    await t.cut("cut-one-way", await t.one(), others, t.rng.choice(["in", "out"]), t.span(1, 20))
-
-
-@trouble
-async def cut_some(t: Troubles) -> None:
-    one = await t.one()
-    others = [n for n in [*t.cores(), *t.edges()] if n != one]
-    some = t.rng.sample(others, t.rng.randint(1, len(others) - 1))
-    await t.cut("cut-some", one, some, t.rng.choice(["both", "both", "in", "out"]), t.span(1, 20))
-
-
-@trouble
-async def cut_ingress(t: Troubles) -> None:
-    one, cores = t.rng.choice(t.edges()), t.cores()
-    some = cores if t.rng.random() < 0.5 else t.rng.sample(cores, t.rng.randint(1, len(cores)))
-    await t.cut("cut-ingress", one, some, t.rng.choice(["both", "in", "out"]), t.span(1, 20))
+        world.update_control_addresses()
+        world.update_seeds(seeds)
+        self._disk_lost_until.pop(victim)
+        self._disk_lost_until[new] = self._loop.time() + CATCH_UP_S
+
+
+FaultFunction = Callable[[FaultInjector], Awaitable[None]]
+FAULTS: dict[str, FaultFunction] = {}
+
+
+def fault(function: FaultFunction) -> FaultFunction:
+    """Register a kind of fault under the function's name."""
+    FAULTS[function.__name__.replace("_", "-")] = function
+    return function
+
+
+# Network partitions between the system's machines.
+
+
+@fault
+async def cut_leader(injector: FaultInjector) -> None:
+    leader = await injector.leader()
+    await injector.partition(
+        "cut-leader",
+        leader,
+        [*injector.cores(), *injector.edges()],
+        "both",
+        injector.duration(1, 20),
+    )
+
+
+@fault
+async def cut_follower(injector: FaultInjector) -> None:
+    victim = await injector.follower()
+    await injector.partition(
+        "cut-follower",
+        victim,
+        [*injector.cores(), *injector.edges()],
+        "both",
+        injector.duration(1, 20),
+    )
+
+
+@fault
+async def cut_core(injector: FaultInjector) -> None:
+    """Partition a core machine from the core only: ingresses still reach it."""
+    await injector.partition(
+        "cut-core", await injector.pick_core(), injector.cores(), "both", injector.duration(1, 20)
+    )
+
+
+@fault
+async def cut_one_way(injector: FaultInjector) -> None:
+    others = (
+        injector.cores() if injector.rng.random() < 0.5 else [*injector.cores(), *injector.edges()]
+    )
+    await injector.partition(
+        "cut-one-way",
+        await injector.pick_core(),
+        others,
+        injector.rng.choice(["in", "out"]),
+        injector.duration(1, 20),
+    )
+
+
+@fault
+async def cut_some(injector: FaultInjector) -> None:
+    victim = await injector.pick_core()
+    others = [n for n in [*injector.cores(), *injector.edges()] if n != victim]
+    subset = injector.rng.sample(others, injector.rng.randint(1, len(others) - 1))
+    await injector.partition(
+        "cut-some",
+        victim,
+        subset,
+        injector.rng.choice(["both", "both", "in", "out"]),
+        injector.duration(1, 20),
+    )
+
+
+@fault
+async def cut_ingress(injector: FaultInjector) -> None:
+    victim, cores = injector.rng.choice(injector.edges()), injector.cores()
+    subset = (
+        cores
+        if injector.rng.random() < 0.5
+        else injector.rng.sample(cores, injector.rng.randint(1, len(cores)))
+    )
+    await injector.partition(
+        "cut-ingress",
+        victim,
+        subset,
+        injector.rng.choice(["both", "in", "out"]),
+        injector.duration(1, 20),
+    )
 
 
 # Processes.
 
 
-@trouble
-async def kill(t: Troubles) -> None:
-    await t.down("kill", [t.rng.choice([*t.cores(), *t.edges()])], t.span(0.1, 2))
+@fault
+async def kill(injector: FaultInjector) -> None:
+    await injector.take_down(
+        "kill",
+        [injector.rng.choice([*injector.cores(), *injector.edges()])],
+        injector.duration(0.1, 2),
+    )
 
 
-@trouble
-async def kill_leader(t: Troubles) -> None:
-    await t.down("kill-leader", [await t.leader()], t.span(0.1, 2))
+@fault
+async def kill_leader(injector: FaultInjector) -> None:
+    await injector.take_down("kill-leader", [await injector.leader()], injector.duration(0.1, 2))
 
 
-@trouble
-async def stop_leader(t: Troubles) -> None:
+@fault
+async def stop_leader(injector: FaultInjector) -> None:
     """In order."""
-    await t.down("stop-leader", [await t.leader()], t.span(0.1, 2), signal.SIGTERM)
+    await injector.take_down(
+        "stop-leader", [await injector.leader()], injector.duration(0.1, 2), signal.SIGTERM
+    )
 
 
-@trouble
-async def kill_core(t: Troubles) -> None:
-    await t.down("kill-core", t.cores(), t.span(0.1, 2))
+@fault
+async def kill_core(injector: FaultInjector) -> None:
+    await injector.take_down("kill-core", injector.cores(), injector.duration(0.1, 2))
 
 
-@trouble
-async def kill_all(t: Troubles) -> None:
-    await t.down("kill-all", [*t.cores(), *t.edges()], t.span(0.1, 2))
+@fault
+async def kill_all(injector: FaultInjector) -> None:
+    await injector.take_down(
+        "kill-all", [*injector.cores(), *injector.edges()], injector.duration(0.1, 2)
+    )
 
 
-@trouble
-async def freeze_leader(t: Troubles) -> None:
-    await t.freeze("freeze-leader", await t.leader(), t.span(*FREEZE))
+@fault
+async def freeze_leader(injector: FaultInjector) -> None:
+    await injector.freeze(
+        "freeze-leader", await injector.leader(), injector.duration(*FREEZE_RANGE_S)
+    )
 
 
-@trouble
-async def freeze(t: Troubles) -> None:
-    await t.freeze("freeze", t.rng.choice([*t.cores(), *t.edges()]), t.span(*FREEZE))
+@fault
+async def freeze(injector: FaultInjector) -> None:
+    await injector.freeze(
+        "freeze",
+        injector.rng.choice([*injector.cores(), *injector.edges()]),
+        injector.duration(*FREEZE_RANGE_S),
+    )
 
 
 # Disks.
 
 
-@trouble
-async def wipe(t: Troubles) -> None:
-    victim = await t.one()
-    if t.may_lose_disk():
-        await t.wipe("wipe", victim, t.span(0.1, 1.5))
+@fault
+async def wipe(injector: FaultInjector) -> None:
+    victim = await injector.pick_core()
+    if injector.may_lose_disk():
+        await injector.wipe("wipe", victim, injector.duration(0.1, 1.5))
 
 
-@trouble
-async def full_disk(t: Troubles) -> None:
-    await t.fill("full-disk", await t.one(), t.span(0.5, 4))
+@fault
+async def full_disk(injector: FaultInjector) -> None:
+    await injector.fill_disk("full-disk", await injector.pick_core(), injector.duration(0.5, 4))
 
 
 # Replacement.
 
 
-@trouble
-async def replacement(t: Troubles) -> None:
-    """One core machine after the other, each with a second loss while its place is taken."""
-    if t.replacing:
+@fault
+async def replacement(injector: FaultInjector) -> None:
+    """Replace one core machine after the other; mostly a second fault hits another machine while a
+    replacement is under way."""
+    if injector.replacing:
         return
-    for new in [n for n, m in t.world.machines.items() if m.spare and not m.here and not m.starts]:
-        t.replacing = t.left() >= SYNC + 3
-        if not t.replacing:
+    for new in [
+        n
+        for n, m in injector.world.machines.items()
+        if m.spare and not m.is_deployed and not m.starts
+    ]:
+        injector.replacing = injector.time_left() >= CATCH_UP_S + 3
+        if not injector.replacing:
             return
-        victim = await t.one()
-        going = [asyncio.ensure_future(t.replace(victim, new))]
-        await asyncio.sleep(t.rng.uniform(0.0, 1.5))
-        others = [n for n in t.cores() if n not in (victim, new)]
-        second = t.rng.choice(others)
-        how = t.rng.choice(["kill", "freeze", "wipe", "none"])
-        if how == "wipe" and t.may_lose_disk():
-            going.append(asyncio.ensure_future(t.wipe("second wipe", second, t.span(0.1, 1))))
-        elif how == "freeze":
-            going.append(asyncio.ensure_future(t.freeze("second freeze", second, t.span(1, 4))))
-        elif how != "none":
-            going.append(asyncio.ensure_future(t.down("second kill", [second], t.span(0.1, 2))))
-        await asyncio.gather(*going)
-        await asyncio.sleep(SYNC)
-    t.replacing = False
-
-
-@trouble
-async def cut_steps(t: Troubles) -> None:
-    """Two voters are cut off from the leader and the learners, and the other voters about when
-    learners take the places of those two: the four hear each other, and were a majority before that
-    change. They lead, or the change is known to one of them."""
-    leader, learners = await t.leader(), await t.learners()
-    voters = [n for n in t.cores() if n != leader and n not in learners]
-    if len(learners) < 2 or len(voters) < 4 or t.left() < 3:
+        victim = await injector.pick_core()
+        tasks = [asyncio.ensure_future(injector.replace(victim, new))]
+        await asyncio.sleep(injector.rng.uniform(0.0, 1.5))
+        others = [n for n in injector.cores() if n not in (victim, new)]
+        second_victim = injector.rng.choice(others)
+        second_fault = injector.rng.choice(["kill", "freeze", "wipe", "none"])
+        if second_fault == "wipe" and injector.may_lose_disk():
+            tasks.append(
+                asyncio.ensure_future(
+                    injector.wipe("second wipe", second_victim, injector.duration(0.1, 1))
+                )
+            )
+        elif second_fault == "freeze":
+            tasks.append(
+                asyncio.ensure_future(
+                    injector.freeze("second freeze", second_victim, injector.duration(1, 4))
+                )
+            )
+        elif second_fault != "none":
+            tasks.append(
+                asyncio.ensure_future(
+                    injector.take_down("second kill", [second_victim], injector.duration(0.1, 2))
+                )
+            )
+        await asyncio.gather(*tasks)
+        await asyncio.sleep(CATCH_UP_S)
+    injector.replacing = False
+
+
+@fault
+async def cut_steps(injector: FaultInjector) -> None:
+    """Partition two voters from the leader and the learners, and later the other voters, about when
+    learners replace the first two as voters.
+
+    The four partitioned voters reach each other, and were a majority before that membership change.
+    They may elect a leader only if none of them knows of the change.
+    """
+    leader, learners = await injector.leader(), await injector.learners()
+    voters = [n for n in injector.cores() if n != leader and n not in learners]
+    if len(learners) < 2 or len(voters) < 4 or injector.time_left() < 3:
         return
-    t.rng.shuffle(voters)
-    steps = [t.world.between(some, [leader, *learners]) for some in (voters[:2], voters[2:])]
-    async with t.during("cut-steps", voters):
-        t.world.cut(steps[0], silent=True)
-        await asyncio.sleep(t.rng.uniform(0.9, 1.7))
-        t.world.cut(steps[1], silent=True)
-        await asyncio.sleep(t.span(6, 12))
-        for pairs in steps:
-            t.world.heal(pairs)
-
-
-@trouble
-async def reused_door(t: Troubles) -> None:
-    """A core machine goes for good, another takes its place, and its door becomes one of another
-    system."""
-    spares = [n for n, m in t.world.machines.items() if m.spare and not m.here and not m.starts]
-    if t.replacing or not spares or t.left() < SYNC + 3:
+    injector.rng.shuffle(voters)
+    partitions = [
+        injector.world.links_between(group, [leader, *learners])
+        for group in (voters[:2], voters[2:])
+    ]
+    async with injector.record_fault("cut-steps", voters):
+        injector.world.partition(partitions[0], silent=True)
+        await asyncio.sleep(injector.rng.uniform(0.9, 1.7))
+        injector.world.partition(partitions[1], silent=True)
+        await asyncio.sleep(injector.duration(6, 12))
+        for links in partitions:
+            injector.world.heal(links)
+
+
+@fault
+async def reused_door(injector: FaultInjector) -> None:
+    """Replace a core machine for good, then give its address to a machine of another system."""
+    spares = [
+        n
+        for n, m in injector.world.machines.items()
+        if m.spare and not m.is_deployed and not m.starts
+    ]
+    if injector.replacing or not spares or injector.time_left() < CATCH_UP_S + 3:
         return
-    t.replacing = True
-    victim = await t.one()
-    await t.replace(victim, spares[0])
-    await asyncio.sleep(t.rng.uniform(0.0, 2.0))
-    t.world.take_over(victim)
-    t.did.append(f"the door of {victim} is another system's")
-    await asyncio.sleep(SYNC)
-    t.replacing = False
+    injector.replacing = True
+    victim = await injector.pick_core()
+    await injector.replace(victim, spares[0])
+    await asyncio.sleep(injector.rng.uniform(0.0, 2.0))
+    injector.world.take_over(victim)
+    injector.fault_log.append(f"another system took over the address of {victim}")
+    await asyncio.sleep(CATCH_UP_S)
+    injector.replacing = False
 
 
 # Servers.
 
 
 @dataclass(frozen=True, slots=True)
-class Spoil:
-    all: bool
+class ServerFault:
+    """Makes one server, or all of a service, truncate or omit responses, or reject all requests."""
+
+    whole_service: bool
 
-    async def __call__(self, t: Troubles) -> None:
-        """One, or all of a service, break off their answers, or say nothing, or turn all away."""
-        ready = [s for s in t.world.up if s.state == "ready" and not s.how]
+    async def __call__(self, injector: FaultInjector) -> None:
+        ready = [s for s in injector.world.started_servers if s.state == "ready" and not s.fault]
         if not ready:
             return
-        one = t.rng.choice(ready)
-        some = [s for s in ready if s.service == one.service] if self.all else [one]
-        how = "cut" if self.all else t.rng.choice(["cut", "mute", "full"])
-        span = t.span(0.2, 3.0)
-        t.did.append(f"spoil {len(some)} {one.service} for {span:.1f}")
-        for server in some:
-            server.how = how
-        await asyncio.sleep(span)
-        for server in some:
-            server.how = ""
-
-
-TROUBLES["spoil"], TROUBLES["spoil-all"] = Spoil(False), Spoil(True)
-
-
-@trouble
-async def server(t: Troubles) -> None:
-    """One crashes under its requests and another starts."""
-    one = t.rng.choice([s for s in t.world.up if s.state == "ready" and not s.how])
-    one.crash()
-    one.state = "gone"
-    span = t.span(0.1, 1.5)
-    t.did.append(f"server {one.id} for {span:.1f}")
-    await asyncio.sleep(span)
-    await t.world.add_server(one.service, one.zone)
+        chosen = injector.rng.choice(ready)
+        servers = (
+            [s for s in ready if s.service == chosen.service] if self.whole_service else [chosen]
+        )
+        server_fault = "cut" if self.whole_service else injector.rng.choice(["cut", "mute", "full"])
+        duration = injector.duration(0.2, 3.0)
+        injector.fault_log.append(f"spoil {len(servers)} {chosen.service} for {duration:.1f}")
+        for server in servers:
+            server.fault = server_fault
+        await asyncio.sleep(duration)
+        for server in servers:
+            server.fault = ""
+
+
+FAULTS["spoil"], FAULTS["spoil-all"] = ServerFault(False), ServerFault(True)
+
+
+@fault
+async def server(injector: FaultInjector) -> None:
+    """Crash a server that may have requests in flight, and start another one."""
+    crashed = injector.rng.choice(
+        [s for s in injector.world.started_servers if s.state == "ready" and not s.fault]
+    )
+    crashed.crash()
+    crashed.state = "gone"
+    duration = injector.duration(0.1, 1.5)
+    injector.fault_log.append(f"server {crashed.id} for {duration:.1f}")
+    await asyncio.sleep(duration)
+    await injector.world.add_server(crashed.service, crashed.zone)
--- a/cairndale/chaos/judge.py
+++ b/cairndale/chaos/judge.py
@@ -1,6 +1,9 @@
-"""What a storm broke, from the records alone (`records.py`): nothing twice, no promise broken, one
-chain of versions, reads of one register, nothing acknowledged lost, none that goes back, nobody
-called gone who beats, no clear answer of one that hears nobody."""
+"""Checks the history of a storm (`records.py`) and returns the violations.
+
+Together with `World.verdict`: no request runs twice, no guarantee in a response is broken, accepted
+orders form one chain of versions, orders and reads are linearizable, no acknowledged order is lost,
+no ingress goes back to an older version, no server with steady heartbeats is reported missing, and
+no isolated node gives an answer that needs a quorum."""
 
 from __future__ import annotations
 
@@ -9,267 +12,341 @@
 from typing import Any
 
 from cairndale.chaos import register
-from cairndale.chaos.records import NEVER, Order, Record, Shown
-from cairndale.chaos.standins import Beat
-from cairndale.chaos.world import Heard
-
-# s after its acknowledgement by which nothing more comes to a server that drains, while ...
-DRAINED = 1.5
-# ... no trouble began or ended from so many s before: longer than an ingress's lease, and ...
-SETTLED = 5.0
-LONG_DRAINED = 9.0  # ... whatever the troubles
-EVACUATED = 1.0  # s after which nothing more comes to a zone whose evacuation was acknowledged
-ALONE = 5.0  # s without contact after which a machine answers nothing that only a majority can know
-GONE = 2.5  # s for which one that beats all the time may not be listed, ...
-FLAPS = 3  # ... and how often, in calm
-GAP = 1.5  # s between acknowledged beats at most, of one that beats all the time ...
-STEADY = 6.0  # ... from so many s before
-
-
-def broken(record: Record, last: register.Found | None) -> list[str]:
-    """All rules but those of `World.verdict` and of the bounds. `last`: what was read back at the
-    end."""
-    wrong = chain(record) + reads(record, last) + served(record)
-    return wrong + drains(record) + moves(record) + gone(record) + alone(record) + record.ended
-
-
-def chain(record: Record) -> list[str]:
-    """Orders that were taken form one chain by parent, and what was refused is not among them."""
-    wrong, taken = [], record.taken()
-    for order in taken:
-        for refusal in order.refusals:
-            known = min(
-                order.acked, *(r.heard for r in record.reads if r.mark == order.mark), NEVER, NEVER
+from cairndale.chaos.records import NEVER, FleetStatus, Order, Record
+from cairndale.chaos.standins import Heartbeat
+from cairndale.chaos.world import Attempt
+
+# A draining server receives no more requests this long after the drain was acknowledged, if no
+# fault began or ended from CALM_BEFORE_S before the acknowledgement on.
+DRAIN_BOUND_S = 1.5
+CALM_BEFORE_S = 5.0  # longer than the lease of an ingress
+DRAIN_BOUND_UNDER_FAULTS_S = 9.0  # the same bound whatever the faults
+# An evacuated zone receives no more requests this long after the evacuation was acknowledged.
+EVACUATION_BOUND_S = 1.0
+# After this long without contact a machine gives no answer that needs a majority.
+ISOLATION_BOUND_S = 5.0
+# A server with steady heartbeats is not missing from the list for longer than MAX_MISSING_S, nor
+# MISSING_COUNT_LIMIT times while no fault begins or ends.
+MAX_MISSING_S = 2.5
+MISSING_COUNT_LIMIT = 3
+# Heartbeats are steady if acknowledged ones have followed each other within MAX_HEARTBEAT_GAP_S for
+# at least STEADY_AFTER_S.
+MAX_HEARTBEAT_GAP_S = 1.5
+STEADY_AFTER_S = 6.0
+
+
+def record_violations(record: Record, final_read: register.Observation | None) -> list[str]:
+    """Return the violations of all rules except `World.verdict` and `bound_violations`.
+
+    `final_read`: the configuration read after recovery.
+    """
+    violations = (
+        check_order_chain(record) + check_reads(record, final_read) + check_served_versions(record)
+    )
+    return (
+        violations
+        + check_drains(record)
+        + check_evacuations(record)
+        + check_missing_servers(record)
+        + check_isolated_nodes(record)
+        + record.unexpected_exits
+    )
+
+
+def check_order_chain(record: Record) -> list[str]:
+    """Accepted orders form one chain by parent, and no rejected order is among them."""
+    violations, accepted = [], record.accepted_orders()
+    for order in accepted:
+        for rejection in order.rejections:
+            known_accepted_at = min(
+                order.acked_at,
+                *(read.received_at for read in record.reads if read.marker == order.marker),
+                NEVER,
+                NEVER,
             )
-            again = known < refusal.sent
-            how = (
-                "was taken, and refused when it was sent again"
-                if again
-                else "was refused, and taken"
+            is_resent = known_accepted_at < rejection.sent_at
+            description = (
+                "was accepted, then rejected when it was sent again"
+                if is_resent
+                else "was rejected, then accepted"
             )
-            wrong.append(
-                f"{order.mark}: {how} ({refusal.status} from {refusal.address}, "
-                f"{refusal.sent - order.sent:.2f} s after it was first sent)"
+            violations.append(
+                f"{order.marker}: {description} ({rejection.status} from {rejection.address}, "
+                f"{rejection.sent_at - order.sent_at:.2f} s after it was first sent)"
             )
             break
-    for one, other in pairwise(taken):
-        if one.gen == other.gen:
-            wrong.append(f"{one.mark} and {other.mark} were both taken under one number")
-        elif other.parent != one.gen:
-            wrong.append(f"{other.mark} was taken on {other.parent}, and {one.mark} came between")
-    return wrong
-
-
-def reads(record: Record, last: register.Found | None) -> list[str]:
-    """Orders and reads are those of one register."""
-    taken = [o for o in record.taken()]
-    writes = [register.Write(o.gen, o.sent, o.acked) for o in taken]
-    found = [register.Found(r.gen, r.sent, r.heard) for r in record.reads] + (
-        [last] if last else []
-    )
+    for earlier, later in pairwise(accepted):
+        if earlier.gen == later.gen:
+            violations.append(
+                f"{earlier.marker} and {later.marker} were both accepted with one version number"
+            )
+        elif later.parent != earlier.gen:
+            violations.append(
+                f"{later.marker} was accepted on top of {later.parent}, but {earlier.marker} "
+                "came between"
+            )
+    return violations
+
+
+def check_reads(record: Record, final_read: register.Observation | None) -> list[str]:
+    """Orders and reads are linearizable as one register."""
+    accepted = [order for order in record.accepted_orders()]
+    writes = [register.Write(order.gen, order.sent_at, order.acked_at) for order in accepted]
+    observations = [
+        register.Observation(read.gen, read.sent_at, read.received_at) for read in record.reads
+    ] + ([final_read] if final_read else [])
     for order in record.orders.values():
-        late = [s for s in order.refusals if s.status == 412]
-        found += [register.Found(order.parent, s.sent, s.heard, True) for s in late]
-    marks = {o.gen: o.mark for o in taken}
-    wrong = [
-        f"version {r.gen} was read as {r.mark}, and is {marks[r.gen]}"
-        for r in record.reads
-        if r.mark and r.mark != marks.get(r.gen, r.mark)
+        conflicts = [attempt for attempt in order.rejections if attempt.status == 412]
+        observations += [
+            register.Observation(order.parent, attempt.sent_at, attempt.received_at, True)
+            for attempt in conflicts
+        ]
+    markers = {order.gen: order.marker for order in accepted}
+    violations = [
+        f"version {read.gen} was read as {read.marker}, but is {markers[read.gen]}"
+        for read in record.reads
+        if read.marker and read.marker != markers.get(read.gen, read.marker)
     ][:3]
-    one = register.first_broken(writes, found)
-    return wrong + ([one] if one else [])
-
-
-def served(record: Record) -> list[str]:
-    """No ingress serves by an older version than was acknowledged before, and none goes back in a
-    life."""
-    wrong, taken = [], record.taken()
-    acks = sorted((o.acked, o.gen) for o in taken if o.acked < NEVER)
-    shown = {
-        line.request: record.orders[line.tenant].gen
-        for line in record.ledger.ran
-        if line.tenant in record.orders
+    violation = register.first_violation(writes, observations)
+    return violations + ([violation] if violation else [])
+
+
+def check_served_versions(record: Record) -> list[str]:
+    """No ingress serves a version older than one acknowledged before, and none goes back to an
+    older version within one incarnation."""
+    violations, accepted = [], record.accepted_orders()
+    acks = sorted((order.acked_at, order.gen) for order in accepted if order.acked_at < NEVER)
+    versions_by_request = {
+        execution.request: record.orders[execution.tenant].gen
+        for execution in record.ledger.executions
+        if execution.tenant in record.orders
     }
-    last: dict[tuple[str, int], int] = {}
+    newest_served: dict[tuple[str, int], int] = {}
     for probe in record.probes:
-        if (gen := shown.get(probe.request)) is None:
+        if (version := versions_by_request.get(probe.request)) is None:
             continue
-        before = max((g for acked, g in acks if acked < probe.sent), default=0)
-        if gen < before:
-            wrong.append(f"{probe.edge}: version {gen} though {before} was acknowledged before")
-        if gen < last.get((probe.edge, probe.life), 0):
-            wrong.append(f"{probe.edge}: went back to version {gen}")
-        last[probe.edge, probe.life] = gen
-    return wrong
+        acknowledged = max((gen for acked, gen in acks if acked < probe.sent_at), default=0)
+        if version < acknowledged:
+            violations.append(
+                f"{probe.edge}: served version {version} although {acknowledged} was "
+                "acknowledged before"
+            )
+        if version < newest_served.get((probe.edge, probe.incarnation), 0):
+            violations.append(f"{probe.edge}: went back to version {version}")
+        newest_served[probe.edge, probe.incarnation] = version
+    return violations
 
 
-def drains(record: Record) -> list[str]:
-    wrong = []
+def check_drains(record: Record) -> list[str]:
+    """No request reaches a draining server later than the bound after its acknowledgement."""
+    violations = []
     for id, acked in record.drained:
-        calm = record.settled(acked - SETTLED, acked + DRAINED)
-        bound = DRAINED if calm else LONG_DRAINED
+        is_calm = record.has_no_fault_change(acked - CALM_BEFORE_S, acked + DRAIN_BOUND_S)
+        bound = DRAIN_BOUND_S if is_calm else DRAIN_BOUND_UNDER_FAULTS_S
         late = [
-            line for line in record.ledger.arrived if line.server == id and line.at > acked + bound
+            arrival
+            for arrival in record.ledger.arrivals
+            if arrival.server == id and arrival.at > acked + bound
         ]
         if late:
-            wrong.append(
-                f"{id} drains, and got {len(late)}, the last {late[-1].at - acked:.1f} s after"
+            violations.append(
+                f"{id} is draining, but received {len(late)} late requests, the last "
+                f"{late[-1].at - acked:.1f} s after the acknowledgement"
             )
-    return wrong
+    return violations
 
 
-def moves(record: Record) -> list[str]:
-    wrong = []
-    for move in record.moves:
+def check_evacuations(record: Record) -> list[str]:
+    """No request reaches an evacuated zone later than the bound after its acknowledgement."""
+    violations = []
+    for evacuation in record.evacuations:
         late = [
-            line
-            for line in record.ledger.arrived
-            if line.zone == move.zone and move.acked + EVACUATED < line.at < move.over
+            arrival
+            for arrival in record.ledger.arrivals
+            if arrival.zone == evacuation.zone
+            and evacuation.acked_at + EVACUATION_BOUND_S < arrival.at < evacuation.ends_at
         ]
         if late:
-            wrong.append(
-                f"{move.zone} is evacuated, and got {len(late)} requests, "
-                f"the last {late[-1].at - move.acked:.1f} s after"
+            violations.append(
+                f"{evacuation.zone} is evacuated, but received {len(late)} late requests, "
+                f"the last {late[-1].at - evacuation.acked_at:.1f} s after the acknowledgement"
             )
-    return wrong
+    return violations
 
 
-def steady(beats: list[Beat]) -> Iterator[tuple[float, float]]:
-    """Spans in which a server was acknowledged all the time, from STEADY s after their begin."""
+def steady_intervals(heartbeats: list[Heartbeat]) -> Iterator[tuple[float, float]]:
+    """Return the intervals in which a server's heartbeats were acknowledged without a gap, each
+    from `STEADY_AFTER_S` after its begin."""
     begin = end = -NEVER
-    for beat in sorted(beats, key=lambda b: b.heard):
-        if beat.heard - end > GAP:
-            if end > begin + STEADY:
-                yield begin + STEADY, end
-            begin = beat.heard
-        end = beat.heard
-    if end > begin + STEADY:
-        yield begin + STEADY, end
-
-
-def missing(shown: list[Shown], id: str, begin: float, end: float) -> list[tuple[float, float]]:
-    """Spans within these in which an operator was told of no such server."""
-    spans: list[tuple[float, float]] = []
-    out = False
-    for one in shown:
-        if begin <= one.sent and one.heard <= end:
-            if id not in one.ready:
-                spans = (
-                    [*spans[:-1], (spans[-1][0], one.heard)]
-                    if out
-                    else [*spans, (one.sent, one.heard)]
+    for heartbeat in sorted(heartbeats, key=lambda b: b.received_at):
+        if heartbeat.received_at - end > MAX_HEARTBEAT_GAP_S:
+            if end > begin + STEADY_AFTER_S:
+                yield begin + STEADY_AFTER_S, end
+            begin = heartbeat.received_at
+        end = heartbeat.received_at
+    if end > begin + STEADY_AFTER_S:
+        yield begin + STEADY_AFTER_S, end
+
+
+def missing_intervals(
+    fleet_statuses: list[FleetStatus], id: str, begin: float, end: float
+) -> list[tuple[float, float]]:
+    """Return the parts of an interval in which `Fleet.Show` did not list the server as ready."""
+    intervals: list[tuple[float, float]] = []
+    is_missing = False
+    for status in fleet_statuses:
+        if begin <= status.sent_at and status.received_at <= end:
+            if id not in status.ready:
+                intervals = (
+                    [*intervals[:-1], (intervals[-1][0], status.received_at)]
+                    if is_missing
+                    else [*intervals, (status.sent_at, status.received_at)]
                 )
-            out = id not in one.ready
-    return spans
-
-
-def gone(record: Record) -> list[str]:
-    """Nobody who beats all the time is called gone for long, or again and again."""
-    wrong = []
-    beats: dict[str, list[Beat]] = {}
-    for beat in record.ledger.beats:
-        if beat.state == "ready":
-            beats.setdefault(beat.server, []).append(beat)
-    shown = sorted(record.shown, key=lambda s: s.sent)
-    for id, mine in beats.items():
-        for begin, end in steady(mine):
-            spans = missing(shown, id, begin, end)
-            long = [b - a for a, b in spans if b - a > GONE]
-            calm = [s for s in spans if record.settled(s[0] - GONE, s[0])]
-            if long:
-                wrong.append(
-                    f"{id} is acknowledged all the time, and called gone for {max(long):.1f} s"
+            is_missing = id not in status.ready
+    return intervals
+
+
+def check_missing_servers(record: Record) -> list[str]:
+    """No server with steady heartbeats is missing from the list for long, or repeatedly."""
+    violations = []
+    heartbeats_by_server: dict[str, list[Heartbeat]] = {}
+    for heartbeat in record.ledger.heartbeats:
+        if heartbeat.state == "ready":
+            heartbeats_by_server.setdefault(heartbeat.server, []).append(heartbeat)
+    fleet_statuses = sorted(record.fleet_statuses, key=lambda s: s.sent_at)
+    for id, heartbeats in heartbeats_by_server.items():
+        for begin, end in steady_intervals(heartbeats):
+            intervals = missing_intervals(fleet_statuses, id, begin, end)
+            long_absences = [b - a for a, b in intervals if b - a > MAX_MISSING_S]
+            calm_absences = [
+                s for s in intervals if record.has_no_fault_change(s[0] - MAX_MISSING_S, s[0])
+            ]
+            if long_absences:
+                violations.append(
+                    f"{id} was not listed for {max(long_absences):.1f} s, "
+                    "although its heartbeats were acknowledged"
                 )
-            elif len(calm) >= FLAPS:
-                wrong.append(
-                    f"{id} is acknowledged all the time, and called gone {len(calm)} times"
+            elif len(calm_absences) >= MISSING_COUNT_LIMIT:
+                violations.append(
+                    f"{id} was not listed {len(calm_absences)} times, "
+                    "although its heartbeats were acknowledged"
                 )
-    return wrong
-
-
-def alone(record: Record) -> list[str]:
-    """One that has no contact for long confirms nothing."""
-    wrong = []
-    said = [(b.address, f"a beat of {b.server}", b.sent, b.heard) for b in record.ledger.beats]
-    said += [(r.address, f"a read of {r.gen}", r.sent, r.heard) for r in record.reads]
-    said += [
-        (s.address, f"{o.mark} with {s.status}", s.sent, s.heard)
-        for o in record.orders.values()
-        for s in o.sendings
+    return violations
+
+
+def check_isolated_nodes(record: Record) -> list[str]:
+    """A node that has been isolated for long gives no answer that needs a quorum."""
+    violations = []
+    answers = [
+        (
+            heartbeat.address,
+            f"a heartbeat of {heartbeat.server}",
+            heartbeat.sent_at,
+            heartbeat.received_at,
+        )
+        for heartbeat in record.ledger.heartbeats
+    ]
+    answers += [
+        (read.address, f"a read with version {read.gen}", read.sent_at, read.received_at)
+        for read in record.reads
+    ]
+    answers += [
+        (s.address, f"{order.marker} with {s.status}", s.sent_at, s.received_at)
+        for order in record.orders.values()
+        for s in order.attempts
         if s.status
     ]
-    said += [(s.address, s.what, s.sent, s.heard) for s in record.said]
-    for one in record.isolations:
-        mine = [
-            s for s in said if s[0] == one.address and s[2] > one.begin + ALONE and s[3] < one.end
+    answers += [(s.address, s.description, s.sent_at, s.received_at) for s in record.quorum_answers]
+    for isolation in record.isolations:
+        wrong_answers = [
+            s
+            for s in answers
+            if s[0] == isolation.address
+            and s[2] > isolation.begin + ISOLATION_BOUND_S
+            and s[3] < isolation.end
         ]
-        if mine:
-            span, after = one.end - one.begin, mine[0][2] - one.begin
-            wrong.append(
-                f"{one.address} hears nobody for {span:.0f} s, and after {after:.1f} s "
-                f"it answered {mine[0][1]} (so {len(mine)} times)"
+        if wrong_answers:
+            duration, after = isolation.end - isolation.begin, wrong_answers[0][2] - isolation.begin
+            violations.append(
+                f"{isolation.address} was isolated for {duration:.0f} s, but after {after:.1f} s "
+                f"it answered {wrong_answers[0][1]} ({len(wrong_answers)} such answers)"
             )
-    return wrong
+    return violations
 
 
-def most_within(times: list[float], window: float) -> int:
-    most, first, times = 0, 0, sorted(times)
+def max_in_window(times: list[float], window: float) -> int:
+    """Return the largest number of times within any window of that length."""
+    highest, first, times = 0, 0, sorted(times)
     for count, at in enumerate(times, 1):
         while times[first] <= at - window:
             first += 1
-        most = max(most, count - first)
-    return most
+        highest = max(highest, count - first)
+    return highest
 
 
-def bounds(
+def bound_violations(
     record: Record,
-    heard: list[Heard],
+    attempts: list[Attempt],
     slo: dict[str, Any],
     services: tuple[str, ...],
     rate: float,
     burst: float,
     warm_per_s: float,
 ) -> list[str]:
-    """No window with more in it than its bound. `rate` and `burst` are of the tenant "south"."""
-    wrong, ledger = [], record.ledger
-    greedy = [line.at for line in ledger.ran if line.tenant == "south"]
+    """Return the time windows in which quota, slow start or retries exceeded their bounds.
+
+    `rate` and `burst` are those of the tenant "south"; `warm_per_s` is the limit of requests a
+    second to a server in slow start.
+    """
+    violations, ledger = [], record.ledger
+    execution_times = [entry.at for entry in ledger.executions if entry.tenant == "south"]
     bound = (rate * 5.0 + burst) * (1 + slo["quotaOverrun"]) + slo["quotaSlack"]
-    if (most := most_within(greedy, 5.0)) > bound:
-        wrong.append(f"quota: {most} ran in 5 s, where {bound:.0f} are allowed")
+    if (count := max_in_window(execution_times, 5.0)) > bound:
+        violations.append(f"quota: {count} requests ran in 5 s, at most {bound:.0f} are allowed")
     bound = warm_per_s * slo["warmupOverrun"] + slo["warmupSlack"]
-    for id in {line.server for line in ledger.arrived}:
-        starts = [line.at for line in ledger.arrived if line.server == id and line.cold]
-        if (most := most_within(starts, 1.0)) > bound:
-            wrong.append(f"cold: {most} came to {id} in 1 s, where {bound:.0f} are allowed")
+    for id in {entry.server for entry in ledger.arrivals}:
+        cold_arrival_times = [
+            entry.at for entry in ledger.arrivals if entry.server == id and entry.cold
+        ]
+        if (count := max_in_window(cold_arrival_times, 1.0)) > bound:
+            violations.append(
+                f"cold: {count} requests reached {id} in 1 s, at most {bound:.0f} are allowed"
+            )
     for service in services:
-        asked = [h.sent for h in heard if h.path.startswith(f"/{service}/")]
-        seen: set[str] = set()
-        again = []
-        for line in ledger.arrived:
-            if line.service == service:
-                if line.request in seen:
-                    again.append(line.at)
-                seen.add(line.request)
-        for at in again:
-            most = sum(1 for other in again if at - 10.0 < other <= at)
+        request_times = [
+            attempt.sent_at for attempt in attempts if attempt.path.startswith(f"/{service}/")
+        ]
+        seen_requests: set[str] = set()
+        retry_times = []
+        for entry in ledger.arrivals:
+            if entry.service == service:
+                if entry.request in seen_requests:
+                    retry_times.append(entry.at)
+                seen_requests.add(entry.request)
+        for at in retry_times:
+            count = sum(1 for other in retry_times if at - 10.0 < other <= at)
             bound = (
                 slo["retryRatio"]
                 * max(
-                    sum(1 for sent in asked if start <= sent < start + 10.0)
-                    for start in (at - 10.0, at - 15.0, at - 20.0)
+                    sum(
+                        1
+                        for sent_at in request_times
+                        if window_start <= sent_at < window_start + 10.0
+                    )
+                    for window_start in (at - 10.0, at - 15.0, at - 20.0)
                 )
                 + slo["retrySlack"]
             )
-            if most > bound:
-                wrong.append(
-                    f"further tries: {most} at {service} in 10 s, where {bound:.1f} are allowed"
+            if count > bound:
+                violations.append(
+                    f"retries: {count} of {service} in 10 s, at most {bound:.1f} are allowed"
                 )
                 break
-    return wrong
+    return violations
 
 
-def newest(record: Record) -> Order | None:
-    """Of those acknowledged."""
+def newest_acknowledged(record: Record) -> Order | None:
+    """Return the acknowledged order with the highest version, if any."""
     return max(
-        (o for o in record.orders.values() if o.acked < NEVER), key=lambda o: o.gen, default=None
+        (o for o in record.orders.values() if o.acked_at < NEVER), key=lambda o: o.gen, default=None
     )
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -1,7 +1,7 @@
-"""What the stand-ins of a storm wrote down: orders, reads, beats, requests. The judge looks at
-nothing else.
+"""The history of a storm, as its stand-ins recorded it: orders, reads, heartbeats, requests. The
+checkers use nothing else.
 
-Times are seconds on the run's clock.
+Times are seconds on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -16,84 +16,88 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A request at one ingress, one after the other there, that shows its version."""
+    """A request that shows the configuration version of one ingress; sent there in sequence."""
 
     edge: str
-    life: int
+    incarnation: int
     request: str
-    sent: float
+    sent_at: float
 
 
 @dataclass(slots=True)
-class Sending:
-    """One time that an order was sent; a status of 0: no clear answer."""
+class OrderAttempt:
+    """One submission of an order; status 0 means no clear answer."""
 
     address: str
-    sent: float
-    heard: float
+    sent_at: float
+    received_at: float
     status: int
 
 
 @dataclass(slots=True)
 class Order:
-    """A change of the configuration, and whenever it was sent. Its mark is in force while it is."""
+    """A configuration change with all its submissions. Its marker is part of the configuration
+    while the version is in force."""
 
-    mark: str
+    marker: str
     gen: int
     parent: int
     call: str
     body: dict[str, Any]
-    sendings: list[Sending] = field(default_factory=list)
+    attempts: list[OrderAttempt] = field(default_factory=list)
 
     @property
-    def sent(self) -> float:
-        return min((s.sent for s in self.sendings), default=NEVER)
+    def sent_at(self) -> float:
+        return min((attempt.sent_at for attempt in self.attempts), default=NEVER)
 
     @property
-    def acked(self) -> float:
-        """When its first acknowledgement was there."""
-        return min((s.heard for s in self.sendings if s.status == 200), default=NEVER)
+    def acked_at(self) -> float:
+        """When its first acknowledgement arrived."""
+        return min(
+            (attempt.received_at for attempt in self.attempts if attempt.status == 200),
+            default=NEVER,
+        )
 
     @property
-    def refusals(self) -> list[Sending]:
-        return [s for s in self.sendings if 400 <= s.status < 500]
+    def rejections(self) -> list[OrderAttempt]:
+        return [attempt for attempt in self.attempts if 400 <= attempt.status < 500]
 
 
 @dataclass(slots=True)
 class Read:
-    """A configuration that was read; `gen` 0: there is none."""
+    """A configuration read; `gen` 0 means that there was none yet."""
 
     address: str
-    sent: float
-    heard: float
+    sent_at: float
+    received_at: float
     gen: int
-    mark: str = ""
+    marker: str = ""
 
 
 @dataclass(slots=True)
-class Shown:
-    """What an operator was shown of the system."""
+class FleetStatus:
+    """An answer to `Fleet.Show`."""
 
-    sent: float
-    heard: float
+    sent_at: float
+    received_at: float
     leader: str
     members: list[str]
-    ready: set[str]  # servers
+    ready: set[str]  # ids of servers
     evacuated: dict[str, int]
 
 
 @dataclass(slots=True)
-class Move:
-    """A zone's evacuation, from when it was acknowledged until it may be over."""
+class Evacuation:
+    """Evacuation of a zone, from its acknowledgement to the first call that may end it."""
 
     zone: str
-    acked: float
-    over: float = NEVER
+    acked_at: float
+    ends_at: float = NEVER
 
 
 @dataclass(slots=True)
-class Span:
-    """A trouble."""
+class FaultInterval:
+    """The interval in which a fault is injected."""
 
     kind: str
     begin: float
@@ -102,7 +106,7 @@
 
 @dataclass(slots=True)
 class Isolation:
-    """One that none of its own could reach, nor it them."""
+    """The interval in which a control node is partitioned from all other nodes, both ways."""
 
     address: str
     begin: float
@@ -110,37 +114,43 @@
 
 
 @dataclass(slots=True)
-class Said:
-    """A clear answer of one machine to a call that it can't answer alone."""
+class QuorumAnswer:
+    """A clear answer of one machine to a call that it may answer only in contact with a quorum."""
 
     address: str
-    what: str
-    sent: float
-    heard: float
+    description: str
+    sent_at: float
+    received_at: float
 
 
 @dataclass
 class Record:
     ledger: Ledger
     probes: list[Probe] = field(default_factory=list)
-    orders: dict[str, Order] = field(default_factory=dict)  # by mark
+    orders: dict[str, Order] = field(default_factory=dict)  # by marker
     reads: list[Read] = field(default_factory=list)
-    shown: list[Shown] = field(default_factory=list)
-    moves: list[Move] = field(default_factory=list)
+    fleet_statuses: list[FleetStatus] = field(default_factory=list)
+    evacuations: list[Evacuation] = field(default_factory=list)
     drained: list[tuple[str, float]] = field(default_factory=list)
-    spans: list[Span] = field(default_factory=list)
+    faults: list[FaultInterval] = field(default_factory=list)
     isolations: list[Isolation] = field(default_factory=list)
-    said: list[Said] = field(default_factory=list)
-    # processes that ended by themselves, out of trouble
-    ended: list[str] = field(default_factory=list)
-
-    def taken(self) -> list[Order]:
-        """Orders that were acknowledged or seen in force, in their order."""
-        shown = {line.tenant for line in self.ledger.ran if line.tenant in self.orders}
-        shown |= {read.mark for read in self.reads}
-        found = [o for o in self.orders.values() if o.acked < NEVER or o.mark in shown]
-        return sorted(found, key=lambda o: o.gen)
-
-    def settled(self, begin: float, end: float) -> bool:
-        """Nothing began or ended to be in trouble in that time."""
-        return not any(begin < at < end for span in self.spans for at in (span.begin, span.end))
+    quorum_answers: list[QuorumAnswer] = field(default_factory=list)
+    # processes that exited by themselves while no fault was injected into them
+    unexpected_exits: list[str] = field(default_factory=list)
+
+    def accepted_orders(self) -> list[Order]:
+        """Orders that were acknowledged or seen in force, by version."""
+        served_markers = {
+            execution.tenant
+            for execution in self.ledger.executions
+            if execution.tenant in self.orders
+        }
+        served_markers |= {read.marker for read in self.reads}
+        accepted = [
+            o for o in self.orders.values() if o.acked_at < NEVER or o.marker in served_markers
+        ]
+        return sorted(accepted, key=lambda o: o.gen)
+
+    def has_no_fault_change(self, begin: float, end: float) -> bool:
+        """Whether no fault began or ended in that interval."""
+        return not any(begin < at < end for fault in self.faults for at in (fault.begin, fault.end))
--- a/cairndale/chaos/register.py
+++ b/cairndale/chaos/register.py
@@ -1,12 +1,12 @@
-"""Is a history of versions, each built on the one before, that of one register (linearizable)?
+"""Linearizability check of a history of versions, each built on the one before, as one register.
 
-Versions are written in a known order, each once, so that a greedy search is complete: each version
-is put in force as what is known of the ones before it allows, which leaves most room for
-all later ones. A version is in force from its point on until the next one's. A write that was
-acknowledged has its point between its first sending and its first acknowledgement; a read finds the
-version in force at some moment between its begin and its end; a refusal of a write that builds on P
-finds another than P in force (judged where P was known to have been in force before the write was
-sent)."""
+Versions are written in a known order, each once, so a greedy search is complete: each version takes
+effect as early as the versions before it allow, which leaves the widest range for all later ones. A
+version is in force from its linearization point until that of the next version. The linearization
+point of an acknowledged write lies between its first sending and its first acknowledgement. A read
+returns the version in force at some moment between its begin and its end. A rejected write on top
+of P means that a version other than P was in force; this is checked where P was known to have been
+in force before the write was sent."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """`end`: of its acknowledgement; NEVER where it has none."""
+    """A write; `end` is the time of its acknowledgement, NEVER if it has none."""
 
     version: int
     begin: float
@@ -25,47 +25,65 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """A read, or a refusal: then `version` was not in force at some moment of it."""
+class Observation:
+    """A read, or a rejected write: then `version` was not in force at some moment in between."""
 
     version: int
     begin: float
     end: float
-    refused: bool = False
+    rejected: bool = False
 
 
-def first_broken(writes: list[Write], found: list[Found], start: int = 0) -> str:
-    """What cannot be put into one order, or nothing. `writes`: those that took effect, as they
-    follow one another; `start`: the version in force before."""
-    point, before, points = -NEVER, start, {start: -NEVER}
-    known = {w.version: w.end for w in writes} | {start: -NEVER}
-    for read in found:
-        if not read.refused:
-            known[read.version] = min(read.end, known.get(read.version, NEVER))
+def first_violation(writes: list[Write], observations: list[Observation], initial: int = 0) -> str:
+    """Return a description of the first observation that contradicts a total order, or "".
+
+    `writes`: those that took effect, in version order; `initial`: the version in force before.
+    """
+    point, previous, points = -NEVER, initial, {initial: -NEVER}
+    known = {w.version: w.end for w in writes} | {initial: -NEVER}
+    for observation in observations:
+        if not observation.rejected:
+            known[observation.version] = min(observation.end, known.get(observation.version, NEVER))
     for write in writes:
         last_seen = max(
-            (f.begin for f in found if f.version == before and not f.refused), default=-NEVER
+            (
+                observation.begin
+                for observation in observations
+                if observation.version == previous and not observation.rejected
+            ),
+            default=-NEVER,
         )
         point = max(point, write.begin, last_seen)
         if point > write.end:
-            late = point - write.end
+            delay = point - write.end
             return (
-                f"version {write.version} was acknowledged {late:.2f} s before an older one "
+                f"version {write.version} was acknowledged {delay:.2f} s before an older one "
                 "was read"
             )
-        for read in found:
-            if read.version == write.version and not read.refused and read.end < point:
+        for observation in observations:
+            if (
+                observation.version == write.version
+                and not observation.rejected
+                and observation.end < point
+            ):
                 return (
-                    f"version {write.version} was read {point - read.end:.2f} s before it can "
-                    "be in force"
+                    f"version {write.version} was read {point - observation.end:.2f} s before it "
+                    "can have taken effect"
                 )
         points[write.version] = point
-        before = write.version
+        previous = write.version
     following = dict(zip(points, [*list(points.values())[1:], NEVER], strict=True))
-    for one in found:
-        if one.version not in points:
-            if not one.refused:
-                return f"version {one.version} was read, which nobody wrote"
-        elif one.refused and known[one.version] < one.begin and one.end < following[one.version]:
-            return f"a change on version {one.version} was refused while that was in force"
+    for observation in observations:
+        if observation.version not in points:
+            if not observation.rejected:
+                return f"version {observation.version} was read but never written"
+        elif (
+            observation.rejected
+            and known[observation.version] < observation.begin
+            and observation.end < following[observation.version]
+        ):
+            return (
+                f"a change on top of version {observation.version} was rejected while it was "
+                "in force"
+            )
     return ""
--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -1,5 +1,5 @@
-"""A run whose processes meet each other through relays (`cairndale/lab/faults/relay.py`), so
-that ways between them can be cut. Clients, operators and servers reach them straight."""
+"""A system whose processes reach each other through relays (`cairndale/lab/faults/relay.py`), so
+that links between them can be partitioned. Clients, operators and servers connect directly."""
 
 from __future__ import annotations
 
@@ -20,39 +20,46 @@
 from cairndale.lab.faults.links import CLEAR, Conditions
 from cairndale.lab.live.worker import Piped, spawn
 
-Pairs = list[tuple[str, str]]  # of machines: what the first sends to the second
+Links = list[tuple[str, str]]  # from the first machine to the second
 
 
 @dataclass
 class RelayedWorld(World):
-    plant: str = ""  # MODULE:FUNCTION that puts a known defect into each process
+    """A system with a relay for each direction between two machines."""
+
+    plant: str = ""  # MODULE:FUNCTION that applies a known defect in each process
 
     def __post_init__(self) -> None:
         super().__post_init__()
         self.relay: Piped | None = None
-        self.opened: dict[str, int] = {}
-        self.relayed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._cuts: dict[str, int] = {}  # by way: cuts that lie on it now
+        self.relay_ports: dict[str, int] = {}
+        self.relay_opened: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        self._partition_counts: dict[str, int] = {}  # by link: partitions that include it now
 
-    def _said(self, said: dict[str, Any]) -> None:
-        if "opened" in said:
-            self.opened = said["opened"]
-            self.relayed.set_result(None)
+    def _handle_relay_message(self, message: dict[str, Any]) -> None:
+        if "opened" in message:
+            self.relay_ports = message["opened"]
+            self.relay_opened.set_result(None)
 
-    def own(self, machine: Machine) -> str:
-        return f"{machine.ip}:{self.base + (0 if machine.core else 1)}"
+    def peer_address(self, machine: Machine) -> str:
+        """Return the address at which other processes of the system reach a machine."""
+        return f"{machine.ip}:{self.port_base + (0 if machine.core else 1)}"
 
     async def begin(self) -> None:
-        self.relay = Piped("relay", ["cairndale.lab.faults.relay"], self.folder, self._said)
+        self.relay = Piped(
+            "relay", ["cairndale.lab.faults.relay"], self.folder, self._handle_relay_message
+        )
         await self.relay.ready
-        pairs = [
+        machine_pairs = [
             (a, b) for a in self.machines.values() for b in self.machines.values() if a is not b
         ]
-        addresses = {f"{a.name}>{b.name}": self.own(b).rpartition(":") for a, b in pairs}
+        addresses = {
+            f"{a.name}>{b.name}": self.peer_address(b).rpartition(":") for a, b in machine_pairs
+        }
         self.relay.tell(
             tcp=[[pair, host, int(port)] for pair, (host, _, port) in addresses.items()]
         )
-        await self.relayed
+        await self.relay_opened
         await super().begin()
 
     async def end(self) -> None:
@@ -68,11 +75,11 @@
         if not control.exists():
             Control(control, create=True)
         routes = {
-            self.own(m): self.opened[f"{name}>{m.name}"]
+            self.peer_address(m): self.relay_ports[f"{name}>{m.name}"]
             for m in self.machines.values()
             if m.name != name
         }
-        told = Launch(
+        launch = Launch(
             "cairndale",
             [],
             str(control),
@@ -80,56 +87,68 @@
             routes,
             plant=self.plant,
         )
-        spec = self.folder / f"{name}.launch"
-        spec.write_bytes(msgspec.json.encode(told))
+        launch_file = self.folder / f"{name}.launch"
+        launch_file.write_bytes(msgspec.json.encode(launch))
         env = self.environment(path)
-        # by another: a full disk is not to swallow it
+        # Another process writes the log, so that a full disk does not lose it.
         with open(self.folder / f"{name}.log", "ab") as log:
-            kept = Popen(["cat"], stdin=PIPE, stdout=log)
-        assert kept.stdin
-        command = [sys.executable, "-m", "cairndale.lab.faults.launch", str(spec)]
-        out = kept.stdin
-        machine.process = spawn(command, cwd=ROOT, env=env, stdin=DEVNULL, stdout=out, stderr=out)
-        kept.stdin.close()
-
-    def cut(self, pairs: Pairs, silent: bool) -> None:
-        """Nothing passes these ways; who dials learns it at once, or is left without an answer."""
+            log_writer = Popen(["cat"], stdin=PIPE, stdout=log)
+        assert log_writer.stdin
+        command = [sys.executable, "-m", "cairndale.lab.faults.launch", str(launch_file)]
+        log_pipe = log_writer.stdin
+        machine.process = spawn(
+            command, cwd=ROOT, env=env, stdin=DEVNULL, stdout=log_pipe, stderr=log_pipe
+        )
+        log_writer.stdin.close()
+
+    def partition(self, links: Links, silent: bool) -> None:
+        """Block these links. New connections get no answer if `silent`, else they are refused and
+        open ones are reset."""
         assert self.relay
-        fronts = [f"{a}>{b}" for a, b in pairs]
-        for front in fronts:
-            self._cuts[front] = self._cuts.get(front, 0) + 1
-        self.relay.tell(set={front: msgspec.to_builtins(Conditions(cut=True)) for front in fronts})
-        self.relay.tell(connect={front: "unanswered" if silent else "refuse" for front in fronts})
+        link_names = [f"{a}>{b}" for a, b in links]
+        for link_name in link_names:
+            self._partition_counts[link_name] = self._partition_counts.get(link_name, 0) + 1
+        self.relay.tell(
+            set={link_name: msgspec.to_builtins(Conditions(cut=True)) for link_name in link_names}
+        )
+        self.relay.tell(
+            connect={link_name: "unanswered" if silent else "refuse" for link_name in link_names}
+        )
         if not silent:
-            self.relay.tell(reset=fronts)
+            self.relay.tell(reset=link_names)
 
-    def heal(self, pairs: Pairs) -> None:
-        """Ways on which no other cut lies are open again."""
+    def heal(self, links: Links) -> None:
+        """Reopen those of these links that no other partition includes."""
         assert self.relay
-        fronts = []
-        for front in (f"{a}>{b}" for a, b in pairs):
-            self._cuts[front] -= 1
-            fronts += [front] * (not self._cuts[front])
-        self.relay.tell(set={front: msgspec.to_builtins(CLEAR) for front in fronts})
-        self.relay.tell(connect={front: "open" for front in fronts}, reset=fronts)
-
-    def between(self, some: Iterable[str], others: Iterable[str], ways: str = "both") -> Pairs:
-        """`ways`: "both"; "out": what the first send; "in": what they hear."""
+        restored = []
+        for link_name in (f"{a}>{b}" for a, b in links):
+            self._partition_counts[link_name] -= 1
+            restored += [link_name] * (not self._partition_counts[link_name])
+        self.relay.tell(set={link_name: msgspec.to_builtins(CLEAR) for link_name in restored})
+        self.relay.tell(connect={link_name: "open" for link_name in restored}, reset=restored)
+
+    def links_between(
+        self, nodes: Iterable[str], others: Iterable[str], direction: str = "both"
+    ) -> Links:
+        """Return the links between two groups. `direction`: "out" is from `nodes` to `others`,
+        "in" the reverse, "both" is both."""
         others = list(others)
-        out = [(a, b) for a in some for b in others if a != b]
-        back = [(b, a) for a, b in out]
-        return list(dict.fromkeys(out * (ways != "in") + back * (ways != "out")))
+        outgoing = [(a, b) for a in nodes for b in others if a != b]
+        incoming = [(b, a) for a, b in outgoing]
+        return list(dict.fromkeys(outgoing * (direction != "in") + incoming * (direction != "out")))
 
     def fill_disk(self, name: str, full: bool) -> None:
-        """No write of the process to a regular file gets through while it is full (the kernel says
-        so: its bound on a file's size lies at nothing)."""
+        """Make writes of the process to regular files fail while `full`, by a file size limit of 1
+        byte that the kernel enforces."""
         if (process := self.machines[name].process) and process.poll() is None:
-            bound = 1 if full else resource.RLIM_INFINITY
-            resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (bound, resource.RLIM_INFINITY))
-
-    def reseed(self, seeds: list[str]) -> None:
-        """Other seeds stand in all settings files; who has started is told so (before that a SIGHUP
-        ends a process, as it ends any)."""
+            size_limit = 1 if full else resource.RLIM_INFINITY
+            resource.prlimit(
+                process.pid, resource.RLIMIT_FSIZE, (size_limit, resource.RLIM_INFINITY)
+            )
+
+    def update_seeds(self, seeds: list[str]) -> None:
+        """Write other seeds to all settings files, and send SIGHUP to the processes that have
+        started: before that point the signal would end them."""
         self.seeds = seeds
         for name, machine in self.machines.items():
             if machine.process and machine.process.poll() is None:
@@ -137,4 +156,4 @@
                 if (self.folder / f"{name}.log").read_text().count(
                     " 100 started"
                 ) == machine.starts:
-                    self.tell(name, signal.SIGHUP)
+                    self.send_signal(name, signal.SIGHUP)
--- a/cairndale/chaos/soak.py
+++ b/cairndale/chaos/soak.py
@@ -1,8 +1,8 @@
-"""Soak: real processes restarted, signalled and reconfigured in overlapping series, under clients
-that keep their connections.
+"""Soak: real processes are restarted, signalled and reconfigured in overlapping series, while
+clients keep their connections open.
 
 `python -m cairndale.chaos.soak SEED [COUNT] [--edges N] [--length S]`. All regions have clients;
-the routes of their host have homes that share no region. What is judged stands in `soak_judge.py`.
+the routes of their host have home regions that do not overlap. The rules are in `soak_judge.py`.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 from typing import Any
 
 from cairndale.chaos.soak_client import SoakClient
-from cairndale.chaos.soak_judge import Lifetime, OwnEnd, SoakRecord, broken_rules
+from cairndale.chaos.soak_judge import Lifetime, SoakRecord, UnexpectedExit, soak_violations
 from cairndale.chaos.world import ROOT, World
 from cairndale.dataplane.shutdown import ACCEPT_MARGIN_S
 
 ZONES = {f"{region}-{part}": region for region in ("north", "south", "east") for part in "ab"}
-# Homes by route; the route without any may be served everywhere.
+# Home regions by route; a route without any may be served everywhere.
 HOMES: dict[str, list[str]] = {"tiles": ["north", "east"], "books": ["south"], "open": []}
 CLIENTS_PER_ZONE = 2
 DEFAULT_EDGES = 6
 DEFAULT_LENGTH_S = 20.0
-GRACE_S = 3.0  # of the settings that the processes are given
+GRACE_S = 3.0  # `grace` in the settings of the processes
 ACCEPT_S = GRACE_S - ACCEPT_MARGIN_S  # for which an ingress takes connections after SIGTERM
 RESTART_WITHIN_S = GRACE_S + 5.0
 READY_WITHIN_S = 30.0
@@ -45,8 +45,8 @@
 
     Attributes:
         edges: data-plane nodes, spread evenly over the zones.
-        length_s: seconds of load and of what is done meanwhile.
-        pause_s: between two signals of a series, at the least and at the most.
+        length_s: seconds of load and faults.
+        pause_s: least and greatest pause between two actions of a series, in seconds.
     """
 
     edges: int = DEFAULT_EDGES
@@ -56,7 +56,7 @@
 
 @dataclass
 class Soak(World):
-    """One run; `seed` draws what is done, and when."""
+    """One run; `seed` determines the actions and their times."""
 
     seed: int = 0
     plan: SoakPlan = field(default_factory=SoakPlan)
@@ -66,14 +66,14 @@
         super().__post_init__()
         self.rng = random.Random(self.seed)
         self.record = SoakRecord(homes={name: frozenset(homes) for name, homes in HOMES.items()})
-        self.done: list[str] = []
+        self.actions: list[str] = []
         self._restarting: set[str] = set()
-        self._stopping: set[str] = set()  # those that have got SIGTERM
+        self._stopping: set[str] = set()  # processes that were sent SIGTERM
         self._started_at: dict[str, float] = {}
         self._until = 0.0
 
     def content(self, **fields: Any) -> dict[str, Any]:
-        """The world's, with homes; its keys may ask for as much as they like."""
+        """Return the configuration of `World` with home regions and without quotas."""
         content = super().content(**fields)
         for route in content["routes"]:
             route["homeRegions"] = HOMES[route["name"]]
@@ -81,36 +81,38 @@
             tenant |= {"ratePerS": 0, "burst": 0}
         return content
 
-    async def play(self) -> list[str]:
-        """Return what was broken, a line each."""
+    async def run(self) -> list[str]:
+        """Run the soak; return the violations, a line each."""
         loop = asyncio.get_running_loop()
         await self.begin()
         try:
             await self.configure()
             await self.ready(self.edges, READY_WITHIN_S)
         except TimeoutError as error:
-            return [f"it did not begin: {error}"]
+            return [f"the system did not start: {error}"]
         for machine in self.machines.values():
             if not machine.core:
                 self._note_ready(machine.name)
         self._until = loop.time() + self.plan.length_s
         clients = self._make_clients()
         load = [asyncio.ensure_future(client.run(self._until)) for client in clients]
-        series = [self._roll_region, self._roll_region, self._hang_up, self._reconfigure]
-        done = [asyncio.ensure_future(self._repeat(one)) for one in (*series, self._restart_core)]
+        series = [self._roll_region, self._roll_region, self._send_sighup, self._reconfigure]
+        actions = [
+            asyncio.ensure_future(self._repeat(action)) for action in (*series, self._restart_core)
+        ]
         platform = asyncio.ensure_future(self._supervise())
         try:
             async with asyncio.timeout(self.plan.length_s + RESTART_WITHIN_S + READY_WITHIN_S):
-                await asyncio.gather(*done)
+                await asyncio.gather(*actions)
                 await asyncio.gather(*load)
             await self.ready(self.edges, READY_WITHIN_S)
         except TimeoutError as error:
-            return [f"not well again in time: {error}; {self.done[-3:]}"]
+            return [f"not recovered in time: {error}; {self.actions[-3:]}"]
         finally:
-            for task in (*done, *load, platform):
+            for task in (*actions, *load, platform):
                 task.cancel()
-            await asyncio.gather(*done, *load, platform, return_exceptions=True)
-        return self.verdict() + broken_rules(self.record, self.ledger)
+            await asyncio.gather(*actions, *load, platform, return_exceptions=True)
+        return self.verdict() + soak_violations(self.record, self.ledger)
 
     def _make_clients(self) -> list[SoakClient]:
         regions = {self.edge(m.name): self.zones[m.zone] for m in self.machines.values()}
@@ -122,7 +124,7 @@
                 directories=directories,
                 regions=regions,
                 record=self.record,
-                heard=self.heard,
+                attempts=self.attempts,
                 rng=random.Random(f"{self.seed} {zone} {number}"),
             )
             for zone, region in self.zones.items()
@@ -132,18 +134,18 @@
     # The platform.
 
     def start(self, name: str) -> None:
-        """As the world does; when is kept."""
+        """Start the process and note the time."""
         self._started_at[name] = asyncio.get_running_loop().time()
         super().start(name)
 
     async def _supervise(self) -> None:
-        """Start processes again that have ended without being told to."""
+        """Restart processes that exited without having been sent SIGTERM."""
         while True:
             for name, machine in self.machines.items():
                 code = machine.process.poll() if machine.process else None
                 if code is not None and name not in self._stopping:
-                    lived = asyncio.get_running_loop().time() - self._started_at[name]
-                    self.record.own_ends.append(OwnEnd(name, code, lived))
+                    uptime = asyncio.get_running_loop().time() - self._started_at[name]
+                    self.record.unexpected_exits.append(UnexpectedExit(name, code, uptime))
                     self.start(name)
             await asyncio.sleep(SUPERVISE_POLL_S)
 
@@ -152,7 +154,7 @@
         await self.kill(name, signal.SIGTERM, RESTART_WITHIN_S)
         self._stopping.discard(name)
 
-    # Series, several of which run at once.
+    # Series of actions, several of which run at once.
 
     async def _repeat(self, series: Callable[[], Coroutine[Any, Any, None]]) -> None:
         loop = asyncio.get_running_loop()
@@ -164,13 +166,13 @@
         await asyncio.sleep(self.rng.uniform(*self.plan.pause_s))
 
     async def _roll_region(self) -> None:
-        """SIGTERM for all ingresses of a region, in turn or at once; each starts again."""
+        """Restart all ingresses of a region by SIGTERM, in turn or at once."""
         region = self.rng.choice(sorted(set(self.zones.values())))
         edges = [n for n, m in self.machines.items() if not m.core]
         names = [n for n in edges if self.zones[self.machines[n].zone] == region]
         self.rng.shuffle(names)
         at_once = self.rng.random() < 0.3
-        self.done.append(f"{'all' if at_once else 'each'} of {region} restarted")
+        self.actions.append(f"{'all' if at_once else 'each'} of {region} restarted")
         restarts = []
         for name in names:
             restarts.append(asyncio.ensure_future(self._restart_edge(name)))
@@ -187,7 +189,7 @@
         await self._stop(name)
         self.start(name)
         async with asyncio.timeout(READY_WITHIN_S):
-            while not await self._says_ready(self.machines[name]):
+            while not await self._is_ready(self.machines[name]):
                 await asyncio.sleep(READY_POLL_S)
         self._note_ready(name)
         self._restarting.discard(name)
@@ -198,68 +200,68 @@
         now = asyncio.get_running_loop().time()
         lifetimes.append(Lifetime(self.zones[machine.zone], now))
 
-    async def _hang_up(self) -> None:
-        """SIGHUP for some processes, also for those that are about to end or have just begun."""
+    async def _send_sighup(self) -> None:
+        """Send SIGHUP to some processes, including those that are stopping or have just started."""
         names = self.rng.sample(sorted(self.machines), self.rng.randint(1, 3))
-        self.done.append(f"hup {' '.join(names)}")
+        self.actions.append(f"hup {' '.join(names)}")
         for name in names:
             with suppress(ProcessLookupError):
-                self.tell(name, signal.SIGHUP)
+                self.send_signal(name, signal.SIGHUP)
 
     async def _reconfigure(self) -> None:
-        """A change of the configuration, as likely as not amid a restart."""
+        """Replace the configuration, often during a restart."""
         with suppress(TimeoutError):
             status, _ = await self.configure()
-            self.done.append(f"gen {self.gen}: {status}")
+            self.actions.append(f"gen {self.gen}: {status}")
 
     async def _restart_core(self) -> None:
-        """One control node is stopped in order, and starts again; one at a time."""
+        """Restart one control node by SIGTERM; one at a time."""
         name = self.rng.choice([n for n, m in self.machines.items() if m.core])
-        self.done.append(f"{name} restarted")
+        self.actions.append(f"{name} restarted")
         await self._stop(name)
         self.start(name)
         await self._pause()
 
 
 async def run_soak(seed: int, plan: SoakPlan | None = None) -> tuple[Soak, list[str]]:
-    """Play one soak; return it, and what was broken. The logs of a broken one are kept."""
+    """Run one soak; return it and the violations. With violations, the logs are kept."""
     with tempfile.TemporaryDirectory() as folder:
         soak = Soak(Path(folder), seed=seed, plan=plan or SoakPlan())
-        broken = ["it never ended"]
+        violations = ["the soak did not end"]
         try:
-            broken = await soak.play()
+            violations = await soak.run()
         finally:
             await soak.end()
-            if broken:
-                kept = ROOT / "lab-out" / f"soak-{seed}"
-                shutil.rmtree(kept, ignore_errors=True)
-                shutil.copytree(folder, kept)
-        return soak, broken
+            if violations:
+                log_folder = ROOT / "lab-out" / f"soak-{seed}"
+                shutil.rmtree(log_folder, ignore_errors=True)
+                shutil.copytree(folder, log_folder)
+        return soak, violations
 
 
 def main() -> int:
-    """Run soaks by hand; the exit code is 1 if one of them broke a rule."""
+    """Run soaks from the command line; the exit code is 1 if one of them had violations."""
     parser = argparse.ArgumentParser(prog="cairndale.chaos.soak")
     parser.add_argument("seed", type=int, nargs="?", default=1)
     parser.add_argument("count", type=int, nargs="?", default=1)
     parser.add_argument("--edges", type=int, default=DEFAULT_EDGES, help="data-plane nodes")
-    parser.add_argument("--length", type=float, default=DEFAULT_LENGTH_S, help="s of load")
+    parser.add_argument("--length", type=float, default=DEFAULT_LENGTH_S, help="seconds of load")
     options = parser.parse_args()
     plan = SoakPlan(options.edges, options.length)
     failed = 0
     for seed in range(options.seed, options.seed + options.count):
-        soak, broken = asyncio.run(run_soak(seed, plan))
-        failed += bool(broken)
-        served = sum(heard.status == 200 for heard in soak.heard)
+        soak, violations = asyncio.run(run_soak(seed, plan))
+        failed += bool(violations)
+        served = sum(attempt.status == 200 for attempt in soak.attempts)
         print(
-            f"seed {seed}: {len(soak.heard)} tries, {served} served,"
-            f" {len(soak.record.lookups)} look-ups, {len(soak.done)} things done,"
-            f" {len(broken)} broken",
+            f"seed {seed}: {len(soak.attempts)} attempts, {served} served,"
+            f" {len(soak.record.lookups)} look-ups, {len(soak.actions)} actions,"
+            f" {len(violations)} violations",
             flush=True,
         )
-        for line in broken[:8]:
+        for line in violations[:8]:
             print(f"  {line}", flush=True)
-    print(f"{options.count} soaks, {failed} broken")
+    print(f"{options.count} soaks, {failed} with violations")
     return 1 if failed else 0
 
 
--- a/cairndale/chaos/soak_client.py
+++ b/cairndale/chaos/soak_client.py
@@ -1,4 +1,4 @@
-"""A client that keeps using its open connection until the process at the other end is gone."""
+"""A client that keeps using its open connection until the process at the other end closes it."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 import httptools
 
-from cairndale.chaos.soak_judge import BrokenOff, LookupSeen, SoakRecord
-from cairndale.chaos.standins import ask
-from cairndale.chaos.world import KEY, Heard
+from cairndale.chaos.soak_judge import AbortedRequest, ObservedLookup, SoakRecord
+from cairndale.chaos.standins import http_call
+from cairndale.chaos.world import KEY, Attempt
 
 PATHS = {"/tiles/1": "GET", "/books/1": "POST", "/open/1": "GET"}
 HOST = "a.example"
 LOOKUP_TIMEOUT_S = 1.0
-ANSWER_TIMEOUT_S = 5.0
+RESPONSE_TIMEOUT_S = 5.0
 DEADLINE_MS = 3000
 MAX_PAUSE_S = 0.1
 READ_BYTES = 65536
 
 
 @dataclass(slots=True)
-class _Answer:
-    """Collects one answer, as the parser's callbacks."""
+class _ResponseCollector:
+    """Collects one response through the parser's callbacks."""
 
     body: bytes = b""
     is_complete: bool = False
-    closes: bool = False  # the connection ends after it
+    closes_connection: bool = False  # the connection ends after it
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"connection" and b"close" in value.lower():
-            self.closes = True
+            self.closes_connection = True
 
     def on_body(self, part: bytes) -> None:
         self.body += part
@@ -63,29 +63,29 @@
     async def exchange(self, request: bytes) -> tuple[int, bytes, bool]:
         """Return status, body, and whether the connection may be used again.
 
-        Raises EOFError or OSError where it ends before a whole answer, TimeoutError after
-        `ANSWER_TIMEOUT_S`, httptools.HttpParserError for bytes that are no answer.
+        Raises EOFError or OSError if the connection ends before a complete response, TimeoutError
+        after `RESPONSE_TIMEOUT_S`, httptools.HttpParserError for a malformed response.
         """
-        answer = _Answer()
-        parser = httptools.HttpResponseParser(answer)
+        response = _ResponseCollector()
+        parser = httptools.HttpResponseParser(response)
         self._writer.write(request)
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
-            while not answer.is_complete:
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+            while not response.is_complete:
                 data = await self._reader.read(READ_BYTES)
                 if not data:
                     raise EOFError
                 parser.feed_data(data)
-        return parser.get_status_code(), answer.body, not answer.closes
+        return parser.get_status_code(), response.body, not response.closes_connection
 
 
 @dataclass
 class SoakClient:
-    """Sends requests one after the other.
+    """Sends requests one after the other over one connection.
 
     Attributes:
         directories: addresses that answer look-ups.
         regions: of ingresses, by the address at which they take requests.
-        heard: where the outcome of each try is put.
+        attempts: receives each attempt with its outcome.
     """
 
     region: str
@@ -93,12 +93,12 @@
     directories: list[str]
     regions: dict[str, str]
     record: SoakRecord
-    heard: list[Heard]
+    attempts: list[Attempt]
     rng: random.Random
     _connection: _Connection | None = field(default=None, init=False)
 
     async def run(self, until: float) -> None:
-        """Send requests until then (s on the loop's clock)."""
+        """Send requests until the time `until` on the event loop's clock."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             if self._connection is None:
@@ -114,7 +114,7 @@
             self._connection = None
 
     async def _connect(self) -> None:
-        """Ask where to go, and connect to one of those named; nothing where neither succeeds."""
+        """Look up the ingresses and connect to one; without success, stay disconnected."""
         if addresses := await self._look_up():
             try:
                 self._connection = await _Connection.open(self.rng.choice(addresses))
@@ -127,34 +127,36 @@
         sent_at = loop.time()
         try:
             async with asyncio.timeout(LOOKUP_TIMEOUT_S):
-                status, body = await ask(self.rng.choice(self.directories), "GET", target)
+                status, body = await http_call(self.rng.choice(self.directories), "GET", target)
         except (OSError, ValueError, TimeoutError):
             return []
         if status != 200:
             return []
         addresses: list[str] = json.loads(body)["addrs"]
         regions = frozenset(self.regions[address] for address in addresses)
-        self.record.lookups.append(LookupSeen(self.region, sent_at, loop.time(), regions))
+        self.record.lookups.append(ObservedLookup(self.region, sent_at, loop.time(), regions))
         return addresses
 
     async def _send(self, connection: _Connection, path: str) -> None:
         loop = asyncio.get_running_loop()
-        made = Heard(f"{random.getrandbits(64):016x}", PATHS[path], 0, path=path, sent=loop.time())
-        self.heard.append(made)
+        attempt = Attempt(
+            f"{random.getrandbits(64):016x}", PATHS[path], 0, path=path, sent_at=loop.time()
+        )
+        self.attempts.append(attempt)
         head = [
-            f"{made.method} {path} HTTP/1.1",
+            f"{attempt.method} {path} HTTP/1.1",
             f"Host: {HOST}",
-            f"X-Request-Id: {made.request}",
+            f"X-Request-Id: {attempt.request}",
             f"X-Deadline-Ms: {DEADLINE_MS}",
             f"Authorization: Token {KEY}",
             "Content-Length: 0",
         ]
         request = "\r\n".join([*head, "", ""]).encode()
         try:
-            made.status, made.body, keep = await connection.exchange(request)
+            attempt.status, attempt.body, keep = await connection.exchange(request)
         except (EOFError, OSError, TimeoutError, httptools.HttpParserError):
-            self.record.broken_off.append(
-                BrokenOff(made.request, connection.address, made.sent, loop.time())
+            self.record.aborted_requests.append(
+                AbortedRequest(attempt.request, connection.address, attempt.sent_at, loop.time())
             )
             keep = False
         if not keep:
--- a/cairndale/chaos/soak_judge.py
+++ b/cairndale/chaos/soak_judge.py
@@ -1,6 +1,6 @@
-"""What a soak's clients saw, and the rules that it is held against.
+"""The history that a soak's clients recorded, and the rules that it must satisfy.
 
-Times are seconds on the run's clock.
+Times are seconds on the event loop's clock.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 
 from cairndale.chaos.standins import Ledger
 
-# An ingress of the client's region that has served for so long is known to all others.
+# After an ingress has served for this long, all others know it.
 KNOWN_AFTER_S = 1.5
-# SIGHUP ends a process until its interpreter has begun to run the program, which takes up to this.
+# SIGHUP ends a process until its interpreter runs the program, which takes up to this long.
 INTERPRETER_START_S = 1.0
 
 
 @dataclass(slots=True)
 class Lifetime:
-    """When a life of an ingress took connections: from being ready on, to the end of its drain."""
+    """When one incarnation of an ingress took connections: from ready to the end of its drain."""
 
     region: str
     began_at: float
@@ -27,18 +27,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LookupSeen:
-    """One answer to a client that asked where to go; `regions`: of the ingresses that it names."""
+class ObservedLookup:
+    """One answer to a client's look-up; `regions` are those of the ingresses that it names."""
 
     client_region: str
     sent_at: float
-    heard_at: float
+    received_at: float
     regions: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenOff:
-    """A request that was sent whole, and whose connection ended without an answer."""
+class AbortedRequest:
+    """A request that was sent completely, and whose connection ended without a response."""
 
     request: str
     address: str
@@ -47,20 +47,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwnEnd:
-    """A process that ended without SIGTERM; `code`: as subprocess has it, minus a signal's number.
+class UnexpectedExit:
+    """A process that exited without SIGTERM; `code` is subprocess's, negative for a signal.
 
-    `lived_s`: seconds from its start until that was seen.
+    `uptime_s`: seconds from its start until the exit was noticed.
     """
 
     name: str
     code: int
-    lived_s: float
+    uptime_s: float
 
 
 @dataclass(slots=True)
 class SoakRecord:
-    """All that the judge looks at, beside the servers' ledger.
+    """All that the rules are checked on, besides the servers' ledger.
 
     Attributes:
         homes: home regions by route; empty: any.
@@ -69,53 +69,61 @@
 
     homes: dict[str, frozenset[str]]
     lifetimes: dict[str, list[Lifetime]] = field(default_factory=dict)
-    lookups: list[LookupSeen] = field(default_factory=list)
-    broken_off: list[BrokenOff] = field(default_factory=list)
-    own_ends: list[OwnEnd] = field(default_factory=list)
+    lookups: list[ObservedLookup] = field(default_factory=list)
+    aborted_requests: list[AbortedRequest] = field(default_factory=list)
+    unexpected_exits: list[UnexpectedExit] = field(default_factory=list)
 
 
-def broken_rules(record: SoakRecord, ledger: Ledger) -> list[str]:
-    """Return what was broken, a line each."""
-    return [*_left_home(record), *_lost(record, ledger), *_ended(record)]
+def soak_violations(record: SoakRecord, ledger: Ledger) -> list[str]:
+    """Return the violations, a line each."""
+    return [
+        *_check_home_regions(record),
+        *_check_aborted_requests(record, ledger),
+        *_check_exits(record),
+    ]
 
 
-def _left_home(record: SoakRecord) -> Iterator[str]:
-    """Clients are not sent out of a route's homes while an ingress of their own region serves."""
-    for seen in record.lookups:
-        if not _is_region_served(record, seen):
+def _check_home_regions(record: SoakRecord) -> Iterator[str]:
+    """Clients are not sent outside a route's home regions while their own region serves."""
+    for lookup in record.lookups:
+        if not _is_region_served(record, lookup):
             continue
-        for region in seen.regions - {seen.client_region}:
+        for region in lookup.regions - {lookup.client_region}:
             routes = [name for name, homes in record.homes.items() if homes and region not in homes]
             if routes:
                 yield (
-                    f"at {seen.heard_at:.2f} clients of {seen.client_region} were sent to {region},"
-                    f" no home of {' '.join(routes)}"
+                    f"at {lookup.received_at:.2f} clients of {lookup.client_region} were sent to"
+                    f" {region}, no home region of {' '.join(routes)}"
                 )
 
 
-def _is_region_served(record: SoakRecord, seen: LookupSeen) -> bool:
+def _is_region_served(record: SoakRecord, lookup: ObservedLookup) -> bool:
     return any(
-        life.region == seen.client_region
-        and life.began_at + KNOWN_AFTER_S <= seen.sent_at
-        and seen.heard_at <= life.ends_at
+        lifetime.region == lookup.client_region
+        and lifetime.began_at + KNOWN_AFTER_S <= lookup.sent_at
+        and lookup.received_at <= lifetime.ends_at
         for lifetimes in record.lifetimes.values()
-        for life in lifetimes
+        for lifetime in lifetimes
     )
 
 
-def _lost(record: SoakRecord, ledger: Ledger) -> Iterator[str]:
-    """No connection ends under a request that a server has run: no process is killed."""
-    times = ledger.times()
-    for lost in record.broken_off:
-        if times[lost.request]:
+def _check_aborted_requests(record: SoakRecord, ledger: Ledger) -> Iterator[str]:
+    """A request that ran gets a response: processes drain and are not killed."""
+    execution_counts = ledger.execution_counts()
+    for aborted in record.aborted_requests:
+        if execution_counts[aborted.request]:
             yield (
-                f"{lost.request}: ran, and {lost.address} ended the connection without an answer"
-                f" after {lost.ended_at - lost.sent_at:.2f} s, at {lost.ended_at:.2f}"
+                f"{aborted.request}: ran, but {aborted.address} closed the connection without a"
+                f" response after {aborted.ended_at - aborted.sent_at:.2f} s,"
+                f" at {aborted.ended_at:.2f}"
             )
 
 
-def _ended(record: SoakRecord) -> Iterator[str]:
-    """No process ends without being told to, but by a signal before it could handle any."""
-    for end in record.own_ends:
-        if end.code != -signal.SIGHUP or end.lived_s > INTERPRETER_START_S:
-            yield f"{end.name} ended by itself with {end.code}, {end.lived_s:.2f} s after its start"
+def _check_exits(record: SoakRecord) -> Iterator[str]:
+    """No process exits without SIGTERM, except by a SIGHUP before it could handle signals."""
+    for exit_ in record.unexpected_exits:
+        if exit_.code != -signal.SIGHUP or exit_.uptime_s > INTERPRETER_START_S:
+            yield (
+                f"{exit_.name} exited unexpectedly with status {exit_.code}, {exit_.uptime_s:.2f} s"
+                " after its start"
+            )
--- a/cairndale/chaos/standins.py
+++ b/cairndale/chaos/standins.py
@@ -1,4 +1,4 @@
-"""Servers as the protocol has them: they beat, run requests, and write down every one that ran."""
+"""Stand-ins for servers: they send heartbeats, run requests and record every one that ran."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from cairndale.http_api.server import BufferedConnection
 from cairndale.ingress.net.http import Message, plain
 
-BEAT_WAIT = 1.0  # s for the answer to a beat; then the next ingress is called
+HEARTBEAT_TIMEOUT_S = 1.0  # for the response to a heartbeat; then the next node is called
 
 
 @dataclass(slots=True)
-class Ran:
-    """A line of a server's ledger."""
+class Execution:
+    """A request that a server ran."""
 
     request: str
     server: str
     tenant: str
-    key: str  # the key itself, which no server is to see
+    key: str  # the API key, which must not reach servers: empty if all is well
     method: str
     path: str
     at: float
 
 
 @dataclass(slots=True)
-class Arrived:
-    """A request at a server, whether it ran or was turned away."""
+class Arrival:
+    """A request that reached a server, whether it ran or was rejected."""
 
     request: str
     service: str
@@ -45,120 +45,149 @@
 
 
 @dataclass(slots=True)
-class Beat:
-    """A call of a server that was acknowledged."""
+class Heartbeat:
+    """An acknowledged heartbeat of a server."""
 
     server: str
     state: str
     address: str
-    sent: float
-    heard: float
+    sent_at: float
+    received_at: float
 
 
 @dataclass(slots=True)
 class Ledger:
-    """What all servers of a run have run, in order, and what came to them."""
+    """The executions, arrivals and heartbeats of all servers of a run, in order."""
 
-    ran: list[Ran] = field(default_factory=list)
-    arrived: list[Arrived] = field(default_factory=list)
-    beats: list[Beat] = field(default_factory=list)
-    turned_away: int = 0
+    executions: list[Execution] = field(default_factory=list)
+    arrivals: list[Arrival] = field(default_factory=list)
+    heartbeats: list[Heartbeat] = field(default_factory=list)
+    rejected: int = 0
 
-    def times(self) -> Counter[str]:
-        return Counter(line.request for line in self.ran)
+    def execution_counts(self) -> Counter[str]:
+        """Return how often each request ran."""
+        return Counter(execution.request for execution in self.executions)
 
 
 class Server:
-    """One life of a server. `how` spoils its answers: "late" sends a second answer after each,
-    "cut" breaks off in the middle, "mute" runs and never answers, "full" turns all away."""
+    """One incarnation of a server.
+
+    `fault` is how it misbehaves: "late" sends a surplus response after each, "cut" truncates
+    responses, "mute" runs requests and never responds, "full" rejects all requests.
+    """
 
     def __init__(
         self,
         service: str,
         zone: str,
-        at: tuple[str, int],
+        listen_address: tuple[str, int],
         ledger: Ledger,
         control: list[str],
-        work: float = 0.005,
-        beat: float = 0.3,
+        service_time: float = 0.005,
+        heartbeat_interval: float = 0.3,
         warmup: float = 0.0,
     ) -> None:
-        """`warmup`: s from its start for which it is cold."""
+        """`warmup`: seconds of slow start."""
         self.id = f"i-{random.getrandbits(40):010x}"
-        self.service, self.zone, self.at, self.ledger = service, zone, at, ledger
-        self.control, self.work, self.beat, self.how = control, work, beat, ""
-        self.state, self.seq, self.near = "ready", 0, ""
+        self.service, self.zone, self.listen_address, self.ledger = (
+            service,
+            zone,
+            listen_address,
+            ledger,
+        )
+        self.control, self.service_time, self.heartbeat_interval, self.fault = (
+            control,
+            service_time,
+            heartbeat_interval,
+            "",
+        )
+        self.state, self.seq, self.preferred_address = "ready", 0, ""
         self.chunked = False
         self.warm_at = asyncio.get_running_loop().time() + warmup
-        self.open: set[Connection] = set()
+        self.connections: set[Connection] = set()
         self._server: asyncio.Server | None = None
-        self._beats: asyncio.Task[None] | None = None
+        self._heartbeat_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: Connection(self), *self.at)
-        self._beats = loop.create_task(self._beating())
+        self._server = await loop.create_server(lambda: Connection(self), *self.listen_address)
+        self._heartbeat_task = loop.create_task(self._send_heartbeats())
 
     def crash(self) -> None:
-        """Without a word."""
-        if self._beats:
-            self._beats.cancel()
+        """Stop without draining, and abort all connections."""
+        if self._heartbeat_task:
+            self._heartbeat_task.cancel()
         if self._server:
             self._server.close()
-        for connection in list(self.open):
+        for connection in list(self.connections):
             connection.transport.abort()
 
     async def drain(self) -> None:
-        """Until the beat that says so is acknowledged."""
+        """Report the state "draining" until a heartbeat with it is acknowledged."""
         self.state = "draining"
-        while not await self.say(f"Instances.Heartbeat/{self.id}"):
+        while not await self.send_status(f"Instances.Heartbeat/{self.id}"):
             await asyncio.sleep(0.05)
 
-    async def _beating(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await self.say(f"Instances.Heartbeat/{self.id}")
-            await asyncio.sleep(self.beat * random.uniform(0.8, 1.2))
+            await self.send_status(f"Instances.Heartbeat/{self.id}")
+            await asyncio.sleep(self.heartbeat_interval * random.uniform(0.8, 1.2))
 
-    async def say(self, call: str) -> bool:
+    async def send_status(self, call: str) -> bool:
+        """Send the state to the first node that accepts it; return whether one did."""
         self.seq += 1
-        left = max(0.0, self.warm_at - asyncio.get_running_loop().time())
+        warmup_left = max(0.0, self.warm_at - asyncio.get_running_loop().time())
         body: dict[str, Any] = {
-            "addr": f"{self.at[0]}:{self.at[1]}",
+            "addr": f"{self.listen_address[0]}:{self.listen_address[1]}",
             "details": {"backend": self.service, "gen": "v1", "zone": self.zone, "capacity": 4},
-            "status": {"state": self.state, "seq": self.seq, "warmupLeft": f"{left * 1000:.0f}ms"},
+            "status": {
+                "state": self.state,
+                "seq": self.seq,
+                "warmupLeft": f"{warmup_left * 1000:.0f}ms",
+            },
         }
-        loop, near, self.near = asyncio.get_running_loop(), self.near, ""
-        for address in [*([near] if near else []), *random.sample(self.control, len(self.control))]:
+        loop, preferred_address, self.preferred_address = (
+            asyncio.get_running_loop(),
+            self.preferred_address,
+            "",
+        )
+        for address in [
+            *([preferred_address] if preferred_address else []),
+            *random.sample(self.control, len(self.control)),
+        ]:
             sent = loop.time()
             with contextlib.suppress(OSError, TimeoutError, ValueError):
-                async with asyncio.timeout(BEAT_WAIT):
-                    status, told = await ask(
+                async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
+                    status, answer = await http_call(
                         address, "POST", f"/-/{call}", json.dumps(body).encode()
                     )
                 if 200 <= status < 300:
-                    self.ledger.beats.append(
-                        Beat(self.id, body["status"]["state"], address, sent, loop.time())
+                    self.ledger.heartbeats.append(
+                        Heartbeat(self.id, body["status"]["state"], address, sent, loop.time())
                     )
-                    self.near = (
-                        json.loads(told or b"{}").get("beatUrl", "").removeprefix("http://") or near
+                    self.preferred_address = (
+                        json.loads(answer or b"{}").get("beatUrl", "").removeprefix("http://")
+                        or preferred_address
                     )
                     return True
-            near = ""  # it holds until a beat fails there
+            preferred_address = ""  # valid only until a heartbeat fails there
         return False
 
 
 class Connection(BufferedConnection):
+    """A connection from an ingress to a server."""
+
     def __init__(self, server: Server) -> None:
         super().__init__(httptools.HttpRequestParser)
         self.server = server
-        self._waits: list[asyncio.TimerHandle] = []
+        self._timers: list[asyncio.TimerHandle] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.server.open.add(self)
+        self.server.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.open.discard(self)
+        self.server.connections.discard(self)
 
     def garbage(self, status: int) -> None:
         self.transport.abort()
@@ -173,17 +202,17 @@
         )
         if target in ("", server.id):
             cold = now < server.warm_at
-            came = Arrived(id.decode(), server.service, server.id, cold, now, server.zone)
-            server.ledger.arrived.append(came)
+            arrival = Arrival(id.decode(), server.service, server.id, cold, now, server.zone)
+            server.ledger.arrivals.append(arrival)
         if target not in ("", server.id):
-            server.ledger.turned_away += 1
+            server.ledger.rejected += 1
             self.transport.write(plain(421, b"", echo))
-        elif server.how == "full" or not id:
-            server.ledger.turned_away += 1
+        elif server.fault == "full" or not id:
+            server.ledger.rejected += 1
             self.transport.write(plain(503 if id else 400, b"", echo + b"X-Not-Run: 1\r\n"))
         else:
             loop = asyncio.get_running_loop()
-            line = Ran(
+            execution = Execution(
                 id.decode(),
                 server.id,
                 headers.get(b"x-tenant", b"").decode(),
@@ -192,34 +221,38 @@
                 message.target.decode("latin-1"),
                 now,
             )
-            server.ledger.ran.append(line)
-            loop.call_later(server.work, self._answer, id, message.body)
+            server.ledger.executions.append(execution)
+            loop.call_later(server.service_time, self._answer, id, message.body)
 
     def _answer(self, id: bytes, body: bytes) -> None:
         server = self.server
-        if self.transport.is_closing() or server.how == "mute":
+        if self.transport.is_closing() or server.fault == "mute":
             return
-        seal = b"X-Request-Id: %b\r\nX-Seal: %b\r\n" % (id, server.id.encode())
-        text = b"%b:%b" % (server.id.encode(), body)
+        identity_headers = b"X-Request-Id: %b\r\nX-Seal: %b\r\n" % (id, server.id.encode())
+        response_body = b"%b:%b" % (server.id.encode(), body)
         if server.chunked:
-            head = b"HTTP/1.1 200 OK\r\n%bTransfer-Encoding: chunked\r\n\r\n" % seal
+            head = b"HTTP/1.1 200 OK\r\n%bTransfer-Encoding: chunked\r\n\r\n" % identity_headers
             data = (
                 head
-                + b"".join(b"%x\r\n%b\r\n" % (len(p), p) for p in (text[:5], text[5:]) if p)
+                + b"".join(
+                    b"%x\r\n%b\r\n" % (len(chunk), chunk)
+                    for chunk in (response_body[:5], response_body[5:])
+                    if chunk
+                )
                 + b"0\r\n\r\n"
             )
         else:
-            data = plain(200, text, seal)
-        if server.how == "cut":
+            data = plain(200, response_body, identity_headers)
+        if server.fault == "cut":
             self.transport.write(data[:-3])
             self.transport.close()
             return
         self.transport.write(data)
-        if server.how == "late":  # an answer too many, in the place of the next one
+        if server.fault == "late":  # a surplus response, where that to the next request is expected
             asyncio.get_running_loop().call_later(0.02, self.transport.write, data)
 
 
-async def ask(
+async def http_call(
     address: str,
     method: str,
     target: str,
@@ -227,44 +260,47 @@
     headers: dict[str, str] | None = None,
     count: Callable[[int, int], None] | None = None,
 ) -> tuple[int, bytes]:
-    """One call on a connection of its own. `count` is told the bytes that went out and that came
-    in. Raises OSError, or ValueError for what is no whole answer."""
+    """Send one request on a new connection; return status and body of the response.
+
+    `count` is called with the numbers of bytes sent and received. Raises OSError, or ValueError for
+    an incomplete or malformed response.
+    """
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         lines = [f"{method} {target} HTTP/1.1", f"Content-Length: {len(body)}", "Connection: close"]
-        named = {"Host": address} | (headers or {})
-        lines += [f"{name}: {value}" for name, value in named.items()]
-        whole = "\r\n".join([*lines, "", ""]).encode() + body
-        writer.write(whole)
+        all_headers = {"Host": address} | (headers or {})
+        lines += [f"{name}: {value}" for name, value in all_headers.items()]
+        request = "\r\n".join([*lines, "", ""]).encode() + body
+        writer.write(request)
         data = await reader.read()
         if count:
-            count(len(whole), len(data))
+            count(len(request), len(data))
     finally:
         writer.close()
-    return parsed(data)
+    return parse_response(data)
 
 
-def parsed(data: bytes) -> tuple[int, bytes]:
-    """Status and body of a whole answer; ValueError if it is none."""
+def parse_response(data: bytes) -> tuple[int, bytes]:
+    """Return status and body of a response; raises ValueError if it is incomplete or malformed."""
 
-    class Reader:
+    class ResponseCollector:
         def __init__(self) -> None:
             self.parts: list[bytes] = []
-            self.done = False
+            self.is_complete = False
 
         def on_body(self, part: bytes) -> None:
             self.parts.append(part)
 
         def on_message_complete(self) -> None:
-            self.done = True
+            self.is_complete = True
 
-    found = Reader()
-    parser = httptools.HttpResponseParser(found)
+    collector = ResponseCollector()
+    parser = httptools.HttpResponseParser(collector)
     try:
         parser.feed_data(data)
     except httptools.HttpParserError as error:
         raise ValueError(str(error)) from None
-    if not found.done:
-        raise ValueError("the answer ended early")
-    return parser.get_status_code(), b"".join(found.parts)
+    if not collector.is_complete:
+        raise ValueError("incomplete HTTP response")
+    return parser.get_status_code(), b"".join(collector.parts)
--- a/cairndale/chaos/world.py
+++ b/cairndale/chaos/world.py
@@ -1,5 +1,5 @@
-"""Starts the system's real processes, does things to them, and judges from what the stand-ins wrote
-down."""
+"""Starts the system's real processes, controls them, and checks the histories that the stand-ins
+recorded."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from subprocess import DEVNULL, Popen
 from typing import Any
 
-from cairndale.chaos.standins import Ledger, Server, ask
+from cairndale.chaos.standins import Ledger, Server, http_call
 
 ROOT = Path(__file__).parent.parent.parent
 ZONES = {
@@ -30,8 +30,8 @@
 PORTS = 16  # of a machine
 
 
-def free_base() -> int:
-    """The first of PORTS ports in a row that nobody uses."""
+def free_port_base() -> int:
+    """Return the first of `PORTS` consecutive free ports."""
     for _ in range(200):
         base = random.randrange(20_000, 32_000 - PORTS, PORTS)
         try:
@@ -46,46 +46,50 @@
 
 @dataclass(slots=True)
 class Machine:
+    """A simulated machine, which runs one process of the system."""
+
     name: str
     ip: str
     zone: str
     core: bool
     process: Popen[bytes] | None = None
     starts: int = 0
-    spare: bool = False  # not there when the system starts for the first time
-    here: bool = True  # operators' lists name it
-    foreign: bool = False  # its door is another system's by now, of this one core machine alone
+    spare: bool = False  # not deployed when the system first starts
+    is_deployed: bool = True  # operators and servers know its address
+    foreign: bool = False  # it now runs another system, of which it is the only core machine
 
 
 @dataclass(slots=True)
-class Heard:
-    """What a client was told of one try; 0: no answer."""
+class Attempt:
+    """One attempt of a client's request, and its outcome; status 0 means no response."""
 
     request: str
     method: str
     status: int
     body: bytes = b""
     path: str = ""
-    sent: float = 0.0
+    sent_at: float = 0.0
 
 
 @dataclass
 class World:
+    """A system of real processes with its servers, clients and operators."""
+
     folder: Path
     cores: int = 3
     edges: int = 2
-    servers: int = 2  # of each service
+    servers: int = 2  # for each service
     services: tuple[str, ...] = ("tiles", "books")
     ledger: Ledger = field(default_factory=Ledger)
-    heard: list[Heard] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     gen: int = 0
-    broken: list[str] = field(default_factory=list)
-    warmup: float = 0.0  # s for which servers are cold
-    spares: int = 0  # core machines that may take the place of others, at doors of their own
-    zones: dict[str, str] = field(default_factory=lambda: dict(ZONES))  # to their regions
+    violations: list[str] = field(default_factory=list)
+    warmup: float = 0.0  # s of slow start of servers
+    spares: int = 0  # core machines that may replace others, at addresses of their own
+    zones: dict[str, str] = field(default_factory=lambda: dict(ZONES))  # regions by zone
 
     def __post_init__(self) -> None:
-        self.base, block = free_base(), random.randrange(1, 250)
+        self.port_base, block = free_port_base(), random.randrange(1, 250)
         names = list(self.zones)
         self.machines: dict[str, Machine] = {}
         kinds = ["core"] * self.cores + ["edge"] * self.edges + ["core"] * self.spares
@@ -100,22 +104,27 @@
                 zone,
                 kind == "core",
                 spare=spare,
-                here=not spare,
+                is_deployed=not spare,
             )
-        self._server_ip, self._server_port = f"127.{block}.1.1", self.base
-        self.up: list[Server] = []
-        # doors of those that serve `ctl`, as operators and servers have them
+        self._server_ip, self._server_port = f"127.{block}.1.1", self.port_base
+        self.started_servers: list[Server] = []
+        # addresses of the `ctl` endpoints that operators and servers know
         self.control: list[str] = []
-        self.relist()
+        self.update_control_addresses()
         self.seeds = self.control[:3]
 
-    # Addresses: ctl, dir, http and readyz follow the ports that processes have among themselves.
+    # The ports of ctl, dir, http and readyz follow the range for traffic between processes.
 
-    def address(self, machine: Machine, which: int) -> str:
-        return f"{machine.ip}:{self.base + 8 + which}"
+    def address(self, machine: Machine, port_offset: int) -> str:
+        """Return an address of a machine: offset 1 is ctl, 2 dir, 3 http, 4 readyz."""
+        return f"{machine.ip}:{self.port_base + 8 + port_offset}"
 
-    def relist(self) -> None:
-        self.control[:] = [self.address(m, 1) for m in self.machines.values() if m.core and m.here]
+    def update_control_addresses(self) -> None:
+        self.control[:] = [
+            self.address(machine, 1)
+            for machine in self.machines.values()
+            if machine.core and machine.is_deployed
+        ]
 
     def settings(self, machine: Machine) -> dict[str, Any]:
         listen = {"ctl": 1} if machine.core else {"dir": 2, "http": 3, "readyz": 4}
@@ -134,8 +143,8 @@
                 "limits": {"memMb": 300, "nofile": 1024},
             },
             "network": {
-                "listen": {name: self.address(machine, which) for name, which in listen.items()},
-                "portRange": [self.base, self.base + 7],
+                "listen": {name: self.address(machine, offset) for name, offset in listen.items()},
+                "portRange": [self.port_base, self.port_base + 7],
                 "zones": self.zones,
                 "peers": [self.address(machine, 1)] if machine.foreign else self.seeds,
             },
@@ -163,7 +172,7 @@
     # Processes.
 
     def take_over(self, name: str) -> None:
-        """A machine that has gone for good: its door is given to a core machine of another
+        """Give the address of a machine that was removed for good to a core machine of another
         system."""
         self.machines[name].foreign = True
         self.start(name)
@@ -187,27 +196,30 @@
     def environment(self, path: Path) -> dict[str, str]:
         return {"PATH": os.environ.get("PATH", ""), "CAIRNDALE_CONFIG": str(path)}
 
-    def tell(self, name: str, number: int) -> None:
+    def send_signal(self, name: str, signal_number: int) -> None:
         if process := self.machines[name].process:
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
-    async def kill(self, name: str, number: int = signal.SIGKILL, within: float = 10.0) -> None:
-        """Its end is waited for."""
+    async def kill(
+        self, name: str, signal_number: int = signal.SIGKILL, within: float = 10.0
+    ) -> None:
+        """Send a signal and wait until the process has ended."""
         machine = self.machines[name]
         if process := machine.process:
-            process.send_signal(number)
+            process.send_signal(signal_number)
             async with asyncio.timeout(within):
                 while process.poll() is None:
                     await asyncio.sleep(0.01)
             machine.process = None if machine.process is process else machine.process
 
     async def wipe(self, name: str) -> None:
+        """Kill the process and delete its state."""
         await self.kill(name)
         shutil.rmtree(self.folder / name, ignore_errors=True)
 
     async def begin(self) -> None:
         for name, machine in self.machines.items():
-            if machine.here:
+            if machine.is_deployed:
                 self.start(name)
         for service in self.services:
             for number in range(self.servers):
@@ -218,11 +230,11 @@
         at = (self._server_ip, self._server_port)
         server = Server(service, zone, at, self.ledger, self.control, warmup=self.warmup)
         await server.start()
-        self.up.append(server)
+        self.started_servers.append(server)
         return server
 
     async def end(self) -> None:
-        for server in self.up:
+        for server in self.started_servers:
             server.crash()
         running = [m for m in self.machines.values() if m.process]
         for machine in running:
@@ -236,7 +248,8 @@
     # Operators.
 
     def content(self, **fields: Any) -> dict[str, Any]:
-        """A configuration: tiles may be repeated, books may not; a key for each of two tenants."""
+        """Return a configuration with idempotent routes (tiles, open), a mutating one (books) and
+        two tenants with a key each."""
         common = {
             "host": "a.example",
             "deadline": "4000ms",
@@ -278,16 +291,24 @@
         } | fields
 
     async def order(
-        self, method: str, call: str, raw: Any = None, within: float = 15.0, patience: float = 2.0
+        self,
+        method: str,
+        call: str,
+        raw: Any = None,
+        within: float = 15.0,
+        attempt_timeout: float = 2.0,
     ) -> tuple[int, Any]:
-        """As operators do: the next ingress after a failure, again and again for a while."""
+        """Send an operator's call to one node after the other until there is a clear answer.
+
+        Returns status and decoded body. Raises TimeoutError after `within` seconds.
+        """
         body = json.dumps(raw).encode() if raw is not None else b""
         async with asyncio.timeout(within):
             while True:
                 for address in random.sample(self.control, len(self.control)):
                     try:
-                        async with asyncio.timeout(patience):
-                            status, answer = await ask(address, method, f"/-/{call}", body)
+                        async with asyncio.timeout(attempt_timeout):
+                            status, answer = await http_call(address, method, f"/-/{call}", body)
                     except (OSError, ValueError, TimeoutError):
                         continue
                     if status < 500:
@@ -295,40 +316,45 @@
                 await asyncio.sleep(0.1)
 
     async def configure(self, **fields: Any) -> tuple[int, Any]:
+        """Replace the configuration; return the status and the answer."""
         gen = self.gen + random.randint(1, 3)
-        status, told = await self.order(
+        status, answer = await self.order(
             "POST", "Config.Replace", self.content(**fields) | {"gen": gen, "parent": self.gen}
         )
         if status == 200:
             self.gen = gen
-        return status, told
+        return status, answer
 
     async def ready(self, edges: int, within: float = 20.0) -> None:
-        """Until so many ingresses say that they are, and all core machines that run, and clients
-        are sent to an ingress. Raises TimeoutError, naming who is not."""
-        waits: list[str] = []
+        """Wait until that many ingresses and all running core machines report that they are ready,
+        and look-ups name an ingress. Raises TimeoutError, which names those that are not ready."""
+        not_ready: list[str] = []
         try:
             async with asyncio.timeout(within):
                 while True:
-                    up = [m for m in self.machines.values() if m.process]
-                    said = await asyncio.gather(*(self._says_ready(m) for m in up))
-                    waits = [m.name for m, ready in zip(up, said, strict=True) if not ready]
-                    count = sum(1 for m in up if not m.core and m.name not in waits)
-                    core = not any(m.core and m.name in waits for m in up)
+                    running = [m for m in self.machines.values() if m.process]
+                    answers = await asyncio.gather(*(self._is_ready(m) for m in running))
+                    not_ready = [
+                        m.name for m, ready in zip(running, answers, strict=True) if not ready
+                    ]
+                    ready_ingresses = sum(
+                        1 for m in running if not m.core and m.name not in not_ready
+                    )
+                    core_ready = not any(m.core and m.name in not_ready for m in running)
                     if (
-                        core
-                        and count >= edges
+                        core_ready
+                        and ready_ingresses >= edges
                         and len(await self.look_up("south")) >= min(1, edges)
                     ):
                         return
                     await asyncio.sleep(0.05)
         except TimeoutError:
-            raise TimeoutError(f"not ready: {' '.join(waits)}") from None
+            raise TimeoutError(f"not ready: {' '.join(not_ready)}") from None
 
-    async def _says_ready(self, machine: Machine) -> bool:
+    async def _is_ready(self, machine: Machine) -> bool:
         try:
             async with asyncio.timeout(1.0):
-                status, _ = await ask(
+                status, _ = await http_call(
                     self.address(machine, 1 if machine.core else 4), "GET", "/-/readyz"
                 )
         except (OSError, ValueError, TimeoutError):
@@ -338,12 +364,13 @@
     # Clients.
 
     async def look_up(self, region: str) -> list[str]:
+        """Return the addresses of ingresses that the first responding directory names."""
         for machine in self.machines.values():
             if not machine.core and machine.process:
                 try:
                     async with asyncio.timeout(1.0):
                         address = self.address(machine, 2)
-                        status, body = await ask(
+                        status, body = await http_call(
                             address, "GET", f"/-/lookup?name=a.example&region={region}&zone=x"
                         )
                 except (OSError, ValueError, TimeoutError):
@@ -361,45 +388,53 @@
         body: bytes = b"",
         at: str = "",
         **headers: str,
-    ) -> Heard:
-        """One try, at any ingress that clients are told of or at the one named."""
+    ) -> Attempt:
+        """Send one attempt to a random ingress from a look-up, or to `at`, and record it."""
         addresses = [at] if at else await self.look_up(random.choice(["north", "south"]))
         sent = asyncio.get_running_loop().time()
-        made = Heard(f"{random.getrandbits(64):016x}", method, 0, path=path, sent=sent)
-        fields = {"Host": "a.example", "X-Request-Id": made.request, "X-Deadline-Ms": "3000"}
-        fields |= {"Authorization": f"Token {key}"} if key else {}
-        fields |= {name.replace("_", "-"): value for name, value in headers.items()}
+        attempt = Attempt(f"{random.getrandbits(64):016x}", method, 0, path=path, sent_at=sent)
+        header_fields = {
+            "Host": "a.example",
+            "X-Request-Id": attempt.request,
+            "X-Deadline-Ms": "3000",
+        }
+        header_fields |= {"Authorization": f"Token {key}"} if key else {}
+        header_fields |= {name.replace("_", "-"): value for name, value in headers.items()}
         if addresses:
             try:
                 async with asyncio.timeout(4.0):
-                    made.status, made.body = await ask(
-                        random.choice(addresses), method, path, body, fields
+                    attempt.status, attempt.body = await http_call(
+                        random.choice(addresses), method, path, body, header_fields
                     )
             except (OSError, ValueError, TimeoutError):
                 pass
-        self.heard.append(made)
-        return made
+        self.attempts.append(attempt)
+        return attempt
 
     def edge(self, name: str) -> str:
+        """Return the address at which an ingress takes client requests."""
         return self.address(self.machines[name], 3)
 
-    # Judging.
+    # Checks.
 
     def verdict(self) -> list[str]:
-        """What was broken, from the servers' ledger and the clients' records alone."""
-        wrong, times = [], self.ledger.times()
-        known = {h.request for h in self.heard}
-        for line in self.ledger.ran:
-            if line.request not in known:
-                wrong.append(f"{line.request}: nobody asked for it")
-            if line.key:
-                wrong.append(f"{line.request}: the key was passed on")
-        for heard in self.heard:
-            ran = times[heard.request]
-            if heard.method != "GET" and ran > 1:
-                wrong.append(f"{heard.request}: ran {ran} times")
-            if heard.status in (408, 421, 429, 503) and ran:
-                wrong.append(f"{heard.request}: promised not to run, and ran")
-            if heard.status == 200 and not ran:
-                wrong.append(f"{heard.request}: a made-up success")
-        return wrong
+        """Return the violations that the servers' ledger and the clients' attempts show."""
+        violations, execution_counts = [], self.ledger.execution_counts()
+        known = {attempt.request for attempt in self.attempts}
+        for execution in self.ledger.executions:
+            if execution.request not in known:
+                violations.append(f"{execution.request}: ran, but no client sent it")
+            if execution.key:
+                violations.append(f"{execution.request}: the API key was forwarded to a server")
+        for attempt in self.attempts:
+            run_count = execution_counts[attempt.request]
+            if attempt.method != "GET" and run_count > 1:
+                violations.append(f"{attempt.request}: ran {run_count} times")
+            if attempt.status in (408, 421, 429, 503) and run_count:
+                violations.append(
+                    f"{attempt.request}: status {attempt.status} guarantees that it did not run, "
+                    "but it ran"
+                )
+            if attempt.status == 200 and not run_count:
+                violations.append(f"{attempt.request}: status 200, but it never ran")
+        return violations
--- a/cairndale/scale/run.py
+++ b/cairndale/scale/run.py
@@ -115,7 +115,7 @@
         await node.say(made, BEGIN)
 
     def _addresses(self) -> list[str]:
-        return [f"{m.ip}:{self.world.base}" for m in self.world.machines.values() if m.core]
+        return [f"{m.ip}:{self.world.port_base}" for m in self.world.machines.values() if m.core]
 
     def _ingresses(self) -> list[list[dict[str, Any]]]:
         block, zones = self.rng.randrange(100, 180), list(self.world.places)
@@ -123,7 +123,7 @@
             {
                 "name": f"hollow-{n}",
                 "ip": f"127.{block}.{n // 250}.{n % 250 + 1}",
-                "port": self.world.base + 1,
+                "port": self.world.port_base + 1,
                 "zone": zones[n % len(zones)],
                 "region": self.world.places[zones[n % len(zones)]],
             }
@@ -144,7 +144,7 @@
     async def _order(
         self, method: str, call: str, raw: Any = None, within: float = 20.0
     ) -> tuple[int, Any]:
-        return await self.world.order(method, call, raw, within, patience=ORDER)
+        return await self.world.order(method, call, raw, within, attempt_timeout=ORDER)
 
     async def _first(self) -> None:
         size = self.size
@@ -229,7 +229,9 @@
         _, shown = await self._order("GET", "Fleet.Show")
         addresses = {address for address, _, kind in shown["members"] if kind == "learner"}
         self.learners = {
-            n for n, m in self.world.machines.items() if f"{m.ip}:{self.world.base}" in addresses
+            n
+            for n, m in self.world.machines.items()
+            if f"{m.ip}:{self.world.port_base}" in addresses
         }
 
     async def look_ups(self) -> dict[str, Any]:
--- a/cairndale/scale/simulated.py
+++ b/cairndale/scale/simulated.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cairndale.chaos.standins import BEAT_WAIT, ask
+from cairndale.chaos.standins import HEARTBEAT_TIMEOUT_S, http_call
 from cairndale.dataplane.config_client import ConfigClient
 from cairndale.dataplane.config_watch import WATCH_TIMEOUT_S
 from cairndale.dataplane.quota_client import LEASE_ATTEMPT_TIMEOUT_S, LEASE_TIMEOUT_S
@@ -209,7 +209,7 @@
         )
         try:
             async with asyncio.timeout(LOOKED):
-                _, told = await ask(address, "GET", target, count=count)
+                _, told = await http_call(address, "GET", target, count=count)
             most = max(most, len(json.loads(told)["addrs"]))
         except (OSError, TimeoutError, ValueError, KeyError):
             failed += 1
@@ -293,8 +293,8 @@
         addresses = self._rng.sample(self._control, min(3, len(self._control)))
         for address in [self._near, *addresses] if self._near else addresses:
             try:
-                async with asyncio.timeout(BEAT_WAIT):
-                    status, told = await ask(
+                async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
+                    status, told = await http_call(
                         address,
                         "POST",
                         f"/-/{call}",
--- a/tests/chaos/test_soak.py
+++ b/tests/chaos/test_soak.py
@@ -1,4 +1,4 @@
-"""One short soak over real processes, and what its judge sees."""
+"""One short soak over real processes, and the rules of its checker."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 
 from cairndale.chaos.soak import SoakPlan, run_soak
 from cairndale.chaos.soak_judge import (
-    BrokenOff,
+    AbortedRequest,
     Lifetime,
-    LookupSeen,
-    OwnEnd,
+    ObservedLookup,
     SoakRecord,
-    broken_rules,
+    UnexpectedExit,
+    soak_violations,
 )
-from cairndale.chaos.standins import Ledger, Ran
+from cairndale.chaos.standins import Execution, Ledger
 
 HOMES = {"tiles": frozenset({"north"}), "books": frozenset({"south"}), "open": frozenset[str]()}
 
 
-async def test_nothing_is_broken_in_a_short_soak() -> None:
-    soak, broken = await run_soak(7, SoakPlan(edges=6, length_s=12.0))
-    assert broken == [], soak.done
-    assert sum(heard.status == 200 for heard in soak.heard) > 100
-    assert any("restarted" in done for done in soak.done), soak.done
+async def test_a_short_soak_has_no_violations() -> None:
+    soak, violations = await run_soak(7, SoakPlan(edges=6, length_s=12.0))
+    assert violations == [], soak.actions
+    assert sum(attempt.status == 200 for attempt in soak.attempts) > 100
+    assert any("restarted" in action for action in soak.actions), soak.actions
 
 
 def make_record(ends_at: float = 20.0) -> SoakRecord:
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ends_at", "regions", "is_broken"),
+    ("ends_at", "regions", "is_violated"),
     [
         (20.0, {"north"}, False),
         (20.0, {"south"}, True),  # no home of tiles, and north serves
@@ -40,30 +40,28 @@
         (9.0, {"south"}, False),  # north serves no longer
     ],
 )
-def test_clients_that_are_sent_out_of_homes_are_seen_while_their_region_serves(
-    ends_at: float, regions: set[str], is_broken: bool
+def test_clients_sent_outside_home_regions_while_their_region_serves_are_reported(
+    ends_at: float, regions: set[str], is_violated: bool
 ) -> None:
     record = make_record(ends_at)
-    record.lookups.append(LookupSeen("north", 10.0, 10.1, frozenset(regions)))
-    assert bool(broken_rules(record, Ledger())) == is_broken
+    record.lookups.append(ObservedLookup("north", 10.0, 10.1, frozenset(regions)))
+    assert bool(soak_violations(record, Ledger())) == is_violated
 
 
 @pytest.mark.parametrize("ran", [True, False])
-def test_a_request_that_ran_and_got_no_answer_is_lost(ran: bool) -> None:
+def test_a_request_that_ran_without_a_response_is_reported(ran: bool) -> None:
     record, ledger = make_record(), Ledger()
-    record.broken_off.append(BrokenOff("x", "a", 10.0, 10.5))
+    record.aborted_requests.append(AbortedRequest("x", "a", 10.0, 10.5))
     if ran:
-        ledger.ran.append(Ran("x", "i", "north", "", "POST", "/books/1", 10.1))
-    assert bool(broken_rules(record, ledger)) == ran
+        ledger.executions.append(Execution("x", "i", "north", "", "POST", "/books/1", 10.1))
+    assert bool(soak_violations(record, ledger)) == ran
 
 
 @pytest.mark.parametrize(
-    ("code", "lived_s", "is_broken"),
+    ("code", "uptime_s", "is_violated"),
     [(-signal.SIGHUP, 0.1, False), (-signal.SIGHUP, 5.0, True), (1, 0.1, True)],
 )
-def test_processes_that_end_by_themselves_are_seen(
-    code: int, lived_s: float, is_broken: bool
-) -> None:
+def test_unexpected_exits_are_reported(code: int, uptime_s: float, is_violated: bool) -> None:
     record = make_record()
-    record.own_ends.append(OwnEnd("edge-1", code, lived_s))
-    assert bool(broken_rules(record, Ledger())) == is_broken
+    record.unexpected_exits.append(UnexpectedExit("edge-1", code, uptime_s))
+    assert bool(soak_violations(record, Ledger())) == is_violated
--- a/tests/chaos/test_storm.py
+++ b/tests/chaos/test_storm.py
@@ -1,20 +1,29 @@
-"""One storm over real processes, and one that a planted defect breaks."""
+"""One storm over real processes, and one with known defects that the checkers must detect."""
 
 from __future__ import annotations
 
-from cairndale.chaos.storm import Plan, one
+from cairndale.chaos.storm import StormPlan, run_storm
 
 
-async def test_nothing_is_broken_in_a_storm() -> None:
-    storm = await one(1001, spoilt="books")
-    assert storm.broken == [], storm.did
-    assert len(storm.acks) >= 1 and sum(heard.status == 200 for heard in storm.heard) > 100
+async def test_a_storm_has_no_violations() -> None:
+    storm = await run_storm(1001, faulty_service="books")
+    assert storm.violations == [], storm.fault_log
+    assert (
+        len(storm.acknowledged_orders) >= 1
+        and sum(attempt.status == 200 for attempt in storm.attempts) > 100
+    )
 
 
-async def test_planted_defects_are_seen() -> None:
-    """All of them in one storm, in which cold servers take the place of others all the time:
-    `broken_promise`, `free_starts`, `short_memory`."""
-    plan = Plan(kinds=("server",))
-    storm = await one(1001, "cairndale.chaos.mutations:several", spoilt="books", plan=plan)
-    for said in ("promised not to run, and ran", "cold: ", "refused when it was sent again"):
-        assert any(said in line for line in storm.broken), (said, storm.broken)
+async def test_planted_defects_are_detected() -> None:
+    """`broken_promise`, `free_starts` and `short_memory` in one storm, in which servers in slow
+    start replace others all the time."""
+    plan = StormPlan(fault_kinds=("server",))
+    storm = await run_storm(
+        1001, "cairndale.chaos.mutations:several", faulty_service="books", plan=plan
+    )
+    for expected in (
+        "guarantees that it did not run, but it ran",
+        "cold: ",
+        "rejected when it was sent again",
+    ):
+        assert any(expected in line for line in storm.violations), (expected, storm.violations)
--- a/tests/features/steps/system.py
+++ b/tests/features/steps/system.py
@@ -11,7 +11,7 @@
 
 from behave import given, then, when
 
-from cairndale.chaos.standins import ask, parsed
+from cairndale.chaos.standins import http_call, parse_response
 from cairndale.chaos.world import KEY, OTHER_KEY, World
 
 
@@ -62,7 +62,7 @@
     async def send(address: str) -> int:
         for _ in range(100):
             try:
-                status, _ = await ask(address, "POST", "/-/Config.Replace", body)
+                status, _ = await http_call(address, "POST", "/-/Config.Replace", body)
                 if status < 500:
                     return status
             except (OSError, ValueError):
@@ -113,20 +113,20 @@
 @step(then, "every request is served, and ran once")
 async def _(context: Any, world: World) -> None:
     all_served(context, world)
-    times = world.ledger.times()
+    times = world.ledger.execution_counts()
     assert all(times[response.request] == 1 for response in context.responses)
 
 
 @step(then, "servers received the tenant of each key, but no key")
 async def _(context: Any, world: World) -> None:
-    assert world.ledger.ran and all(
-        line.tenant == "north" and not line.key for line in world.ledger.ran
+    assert world.ledger.executions and all(
+        line.tenant == "north" and not line.key for line in world.ledger.executions
     )
 
 
 @step(when, 'a server of "{service}" reports that it is draining, and all ingresses know it')
 async def _(context: Any, world: World, service: str) -> None:
-    context.drained = next(s for s in world.up if s.service == service)
+    context.drained = next(s for s in world.started_servers if s.service == service)
     await context.drained.drain()
     # Sent to all ingresses within the bound; the step continues as soon as both have received it.
     await until(lambda: is_up_to_date(world))
@@ -138,7 +138,7 @@
     The first heartbeat of a server may arrive later than those of others."""
     status, shown = await world.order("GET", "Fleet.Show")
     nodes = [n for n in shown["nodes"] if n["kind"] == "edge"]
-    if not {s.id for s in world.up} <= {s["id"] for s in shown["servers"]}:
+    if not {s.id for s in world.started_servers} <= {s["id"] for s in shown["servers"]}:
         return False
     return status == 200 and all(n["version"] == shown["version"] and n["current"] for n in nodes)
 
@@ -149,7 +149,7 @@
     request_ids = {response.request for response in context.responses}
     assert not [
         line
-        for line in world.ledger.ran
+        for line in world.ledger.executions
         if line.request in request_ids and line.server == context.drained.id
     ]
 
@@ -251,7 +251,7 @@
     for row in context.table:
         response = await world.request(row["method"], row["path"], row["key"], Host=row["host"])
         assert response.status == int(row["status"]), (row, response)
-    assert not world.ledger.ran
+    assert not world.ledger.executions
 
 
 @step(then, "these requests are served:")
@@ -266,9 +266,9 @@
     response = await world.request(
         "GET", "/tiles/1", OTHER_KEY, X_Tenant="north", X_Target_Instance="i-none"
     )
-    assert response.status == 200 and world.ledger.ran[-1].tenant == "south"
+    assert response.status == 200 and world.ledger.executions[-1].tenant == "south"
     await world.request("GET", "/open/1", "", X_Tenant="north")
-    assert world.ledger.ran[-1].tenant == ""
+    assert world.ledger.executions[-1].tenant == ""
 
 
 @step(then, "these calls are rejected and change nothing:")
@@ -276,7 +276,7 @@
     _, before = await world.order("GET", "Config.Read")
     for row in context.table:
         for address in world.control:  # at each node: followers forward the call
-            status, body = await ask(
+            status, body = await http_call(
                 address, row["method"], f"/-/{row['call']}", row["body"].encode()
             )
             assert status == int(row["status"]) and row["error"] in body.decode(), (
@@ -293,7 +293,7 @@
     left = []
     for number, call in enumerate(calls):
         address = world.control[number % len(world.control)]
-        status, body = await ask(address, "POST", f"/-/Drain.{call}/north-a", b"")
+        status, body = await http_call(address, "POST", f"/-/Drain.{call}/north-a", b"")
         left.append((status, json.loads(body)["orders"]))
         await asyncio.sleep(0.05)  # until the receipt of the answer has reached the leader
     assert left == [(200, 1), (200, 2), (200, 1), (200, 0)], left
@@ -326,11 +326,11 @@
 
 @step(when, 'the servers of "{service}" {how}')
 async def _(context: Any, world: World, service: str, how: str) -> None:
-    for server in world.up:
+    for server in world.started_servers:
         if server.service == service:
-            server.how = SERVER_FAULTS.get(how, "")
+            server.fault = SERVER_FAULTS.get(how, "")
             server.chunked = how == "answer in chunks"
-            server.work = 0.5 if how == "take half a second" else server.work
+            server.service_time = 0.5 if how == "take half a second" else server.service_time
 
 
 @step(then, "{count:d} requests on one connection each get their own response")
@@ -352,15 +352,15 @@
         await reader.readexactly(length)
         await asyncio.sleep(0.03)  # for the surplus response, which belongs to no request
     writer.close()
-    assert all(n == 1 for n in (world.ledger.times()[id] for id in ids))
-    world.ledger.ran = [line for line in world.ledger.ran if line.request not in ids]
+    assert all(n == 1 for n in (world.ledger.execution_counts()[id] for id in ids))
+    world.ledger.executions = [line for line in world.ledger.executions if line.request not in ids]
 
 
 @step(then, "a non-idempotent request gets {status:d}, and {ran}")
 async def _(context: Any, world: World, status: int, ran: str) -> None:
     response = await world.request("POST", "/books/1", body=b"x")
     assert response.status == status, response
-    assert world.ledger.times()[response.request] == (1 if ran == "ran once" else 0)
+    assert world.ledger.execution_counts()[response.request] == (1 if ran == "ran once" else 0)
 
 
 @step(then, "a chunked body is echoed completely")
@@ -378,25 +378,25 @@
     for part in parts:
         writer.write(b"%x\r\n%b\r\n" % (len(part), part))
     writer.write(b"0\r\n\r\n")
-    status, body = parsed(await asyncio.wait_for(reader.read(), 5))
+    status, body = parse_response(await asyncio.wait_for(reader.read(), 5))
     writer.close()
     assert status == 200 and body.partition(b":")[2] == b"".join(parts)
-    world.ledger.ran = [line for line in world.ledger.ran if line.request != "chunks"]
+    world.ledger.executions = [line for line in world.ledger.executions if line.request != "chunks"]
 
 
 @step(when, "a data-plane ingress is stopped while it has requests in flight")
 async def _(context: Any, world: World) -> None:
-    before = len(world.ledger.ran)
+    before = len(world.ledger.executions)
     requests = [
         asyncio.ensure_future(world.request("POST", "/books/1", at=world.edge("edge-1")))
         for _ in range(4)
     ]
 
     async def are_in_flight() -> bool:
-        return len(world.ledger.ran) >= before + 4
+        return len(world.ledger.executions) >= before + 4
 
     await until(are_in_flight)
-    world.tell("edge-1", signal.SIGTERM)
+    world.send_signal("edge-1", signal.SIGTERM)
     context.responses = await asyncio.gather(*requests)
 
 
--- a/tests/golden/mixed_versions.py
+++ b/tests/golden/mixed_versions.py
@@ -28,7 +28,7 @@
 from subprocess import DEVNULL, Popen
 from typing import Any
 
-from cairndale.chaos.standins import ask
+from cairndale.chaos.standins import http_call
 from cairndale.chaos.world import World
 
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -216,7 +216,10 @@
         async def whole() -> bool:
             found[:] = [await self.show()]
             kinds = [node["kind"] for node in found[0]["nodes"]]
-            return len(found[0]["servers"]) == len(self.world.up) and kinds.count("edge") == EDGES
+            return (
+                len(found[0]["servers"]) == len(self.world.started_servers)
+                and kinds.count("edge") == EDGES
+            )
 
         await until("all servers and ingresses in Fleet.Show", whole, SETTLED_WITHIN)
         return shape(found[0])
@@ -294,7 +297,7 @@
             address = self.world.address(self.world.machines[name], 1)
 
             async def told(address: str = address) -> bool:
-                status, body = await ask(address, "GET", "/-/Config.Read")
+                status, body = await http_call(address, "GET", "/-/Config.Read")
                 return status == 200 and json.loads(body) == expected
 
             await until(f"the configuration at {name}", told, SETTLED_WITHIN)
@@ -316,7 +319,7 @@
             heard += await asyncio.gather(*asked[first : first + AT_ONCE])
         if refused := [f"{one.path} {one.status}" for one in heard if one.status != 200]:
             raise StepError(f"not served: {' '.join(refused)}")
-        times = self.world.ledger.times()
+        times = self.world.ledger.execution_counts()
         if repeated := [one.path for one in heard if times[one.request] != 1]:
             raise StepError(f"did not run once: {' '.join(repeated)}")
         return f"{len(heard)} of {len(asked)} requests served, each ran once"
@@ -331,7 +334,7 @@
         StepError."""
         if broken := [*self.world.verdict(), *self.bad_events()]:
             raise StepError("; ".join(broken))
-        requests = f"{len(self.world.heard)} requests"
+        requests = f"{len(self.world.attempts)} requests"
         self.say("whole scenario", requests, "nothing broken", "no event of bad data in the logs")
 
     def bad_events(self) -> list[str]:
--- a/tests/http_api/test_server.py
+++ b/tests/http_api/test_server.py
@@ -7,7 +7,7 @@
 
 import uvloop
 
-from cairndale.chaos.standins import ask
+from cairndale.chaos.standins import http_call
 from cairndale.http_api.server import HttpServer, Response, json_response
 
 CALL = (
@@ -35,7 +35,7 @@
     if disconnect:
         client.close()
     # Sent after the first request, and answered.
-    assert (await ask(f"{address[0]}:{address[1]}", "POST", "/-/later"))[0] == 200
+    assert (await http_call(f"{address[0]}:{address[1]}", "POST", "/-/later"))[0] == 200
     client.close()
     server.stop()
     return handled
