--- a/cairndale/chaos/__main__.py
+++ b/cairndale/chaos/__main__.py
@@ -22,6 +22,8 @@
 
 
 class Demo:
+    """Clients and scheduled faults, with the outcomes of requests by second."""
+
     def __init__(self, world: World) -> None:
         self.world, self.second = world, 0
         self.outcomes: list[Counter[str]] = [Counter() for _ in range(LENGTH_S + 10)]
@@ -46,9 +48,9 @@
 
     async def inject_faults(self) -> None:
         world = self.world
-        _, shown = await world.order("GET", "Fleet.Show")
+        _, fleet = await world.order("GET", "Fleet.Show")
         leader = next(
-            n for n, m in world.machines.items() if shown["leader"].startswith(f"{m.ip}:")
+            n for n, m in world.machines.items() if fleet["leader"].startswith(f"{m.ip}:")
         )
         actions: dict[int, tuple[str, Callable[[], Awaitable[object]]]] = {
             3: ("edge-1 is killed", lambda: world.kill("edge-1")),
--- a/cairndale/chaos/judge.py
+++ b/cairndale/chaos/judge.py
@@ -213,13 +213,15 @@
     for heartbeat in record.ledger.heartbeats:
         if heartbeat.state == "ready":
             heartbeats_by_server.setdefault(heartbeat.server, []).append(heartbeat)
-    fleet_statuses = sorted(record.fleet_statuses, key=lambda s: s.sent_at)
+    fleet_statuses = sorted(record.fleet_statuses, key=lambda status: status.sent_at)
     for id, heartbeats in heartbeats_by_server.items():
         for begin, end in steady_intervals(heartbeats):
             intervals = missing_intervals(fleet_statuses, id, begin, end)
             long_absences = [b - a for a, b in intervals if b - a > MAX_MISSING_S]
             calm_absences = [
-                s for s in intervals if record.has_no_fault_change(s[0] - MAX_MISSING_S, s[0])
+                interval
+                for interval in intervals
+                if record.has_no_fault_change(interval[0] - MAX_MISSING_S, interval[0])
             ]
             if long_absences:
                 violations.append(
@@ -251,19 +253,27 @@
         for read in record.reads
     ]
     answers += [
-        (s.address, f"{order.marker} with {s.status}", s.sent_at, s.received_at)
+        (
+            attempt.address,
+            f"{order.marker} with {attempt.status}",
+            attempt.sent_at,
+            attempt.received_at,
+        )
         for order in record.orders.values()
-        for s in order.attempts
-        if s.status
+        for attempt in order.attempts
+        if attempt.status
+    ]
+    answers += [
+        (answer.address, answer.description, answer.sent_at, answer.received_at)
+        for answer in record.quorum_answers
     ]
-    answers += [(s.address, s.description, s.sent_at, s.received_at) for s in record.quorum_answers]
     for isolation in record.isolations:
         wrong_answers = [
-            s
-            for s in answers
-            if s[0] == isolation.address
-            and s[2] > isolation.begin + ISOLATION_BOUND_S
-            and s[3] < isolation.end
+            answer
+            for answer in answers
+            if answer[0] == isolation.address
+            and answer[2] > isolation.begin + ISOLATION_BOUND_S
+            and answer[3] < isolation.end
         ]
         if wrong_answers:
             duration, after = isolation.end - isolation.begin, wrong_answers[0][2] - isolation.begin
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -125,6 +125,8 @@
 
 @dataclass
 class Record:
+    """The history of one storm."""
+
     ledger: Ledger
     probes: list[Probe] = field(default_factory=list)
     orders: dict[str, Order] = field(default_factory=dict)  # by marker
--- a/cairndale/chaos/standins.py
+++ b/cairndale/chaos/standins.py
@@ -155,7 +155,7 @@
             *([preferred_address] if preferred_address else []),
             *random.sample(self.control, len(self.control)),
         ]:
-            sent = loop.time()
+            sent_at = loop.time()
             with contextlib.suppress(OSError, TimeoutError, ValueError):
                 async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
                     status, answer = await http_call(
@@ -163,7 +163,7 @@
                     )
                 if 200 <= status < 300:
                     self.ledger.heartbeats.append(
-                        Heartbeat(self.id, body["status"]["state"], address, sent, loop.time())
+                        Heartbeat(self.id, body["status"]["state"], address, sent_at, loop.time())
                     )
                     self.preferred_address = (
                         json.loads(answer or b"{}").get("beatUrl", "").removeprefix("http://")
--- a/cairndale/chaos/world.py
+++ b/cairndale/chaos/world.py
@@ -391,8 +391,8 @@
     ) -> Attempt:
         """Send one attempt to a random ingress from a look-up, or to `at`, and record it."""
         addresses = [at] if at else await self.look_up(random.choice(["north", "south"]))
-        sent = asyncio.get_running_loop().time()
-        attempt = Attempt(f"{random.getrandbits(64):016x}", method, 0, path=path, sent_at=sent)
+        sent_at = asyncio.get_running_loop().time()
+        attempt = Attempt(f"{random.getrandbits(64):016x}", method, 0, path=path, sent_at=sent_at)
         header_fields = {
             "Host": "a.example",
             "X-Request-Id": attempt.request,
--- a/cairndale/scale/floor.py
+++ b/cairndale/scale/floor.py
@@ -16,14 +16,14 @@
 
 async def measure_floor(folder: Path) -> dict[str, float]:
     """Return the cores and MB that an idle process uses, and the load average."""
-    node = await WorkerProcess.begin("idle", folder, [], {"PATH": os.environ.get("PATH", "")})
+    worker = await WorkerProcess.begin("idle", folder, [], {"PATH": os.environ.get("PATH", "")})
     try:
-        await node.request({"seed": 1, "cores": [], "control": [], "beat": 1.0, "life": 1.0})
-        await node.request({"do": "count"})
+        await worker.request({"seed": 1, "cores": [], "control": [], "beat": 1.0, "life": 1.0})
+        await worker.request({"do": "count"})
         await asyncio.sleep(SPAN_S)
-        usage = await node.request({"do": "count"})
+        usage = await worker.request({"do": "count"})
     finally:
-        await node.end()
+        await worker.end()
     return {"cpu": usage["cpu"], "mb": usage["mb"], "load": os.getloadavg()[0]}
 
 
--- a/cairndale/scale/pages.py
+++ b/cairndale/scale/pages.py
@@ -69,7 +69,7 @@
 
 
 def _draw(axis: Any, slope: Slope) -> None:
-    scale, sizes = UNITS[slope.what][1], [s for _, s, _ in slope.points]
+    scale, sizes = UNITS[slope.metric][1], [s for _, s, _ in slope.points]
     (line,) = axis.plot(sizes, [v * scale for *_, v in slope.points], "o", label=slope.cause)
     sizes_at_ends = [sizes[0], sizes[-1], TARGET[sums.varied_dimension(slope.cause)]]
     middle, low, high = ([slope.fit.predict(s)[n] * scale for s in sizes_at_ends] for n in range(3))
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -125,12 +125,12 @@
             f"of {sums.REGIONS} regions",
         )
     )
-    rows += _lists_of_all()
-    rows += _look_ups(kept)
+    rows += _full_list_rows()
+    rows += _lookup_rows(kept)
     return table(("what", "sum", "from"), rows)
 
 
-def _lists_of_all() -> list[tuple[str, str, str]]:
+def _full_list_rows() -> list[tuple[str, str, str]]:
     """Return the cost of sending full endpoint lists when all ingresses reconnect."""
     rows = []
     for count in (1000, 3000, TARGET["ingresses"]):
@@ -148,8 +148,8 @@
             for n in range(count)
         ]
         size = len(compress_lists(pb.WatchResponse(nodes=nodes)))
-        what = f"all ingresses told of to one, KB, at {count:,}"
-        rows.append((what, format_number(size / 1e3), "made up here and packed"))
+        label = f"all ingresses told of to one, KB, at {count:,}"
+        rows.append((label, format_number(size / 1e3), "made up here and packed"))
         within = format_number(size * count / SEND_RATE_BYTES_PER_S)
         rows.append(
             (
@@ -161,15 +161,15 @@
     return rows
 
 
-def _look_ups(kept: dict[str, RunResult]) -> list[tuple[str, str, str]]:
+def _lookup_rows(kept: dict[str, RunResult]) -> list[tuple[str, str, str]]:
     """Return the look-up load at the target size, if each client makes one request a second and
     looks up again after the ttl that it is given."""
     ingress_count, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
     slope = sums.lookup_slope(kept)
-    for ttl, what in ((MAX_TTL_S, "as it is told now"), (5.0, "the most that counts")):
+    for ttl, basis in ((MAX_TTL_S, "as it is told now"), (5.0, "the most that counts")):
         lookups_per_s = sums.REQUESTS_PER_S / ttl
         rows.append(
-            (f"look-ups a second with a ttl of {ttl:g} s", format_number(lookups_per_s), what)
+            (f"look-ups a second with a ttl of {ttl:g} s", format_number(lookups_per_s), basis)
         )
         rows.append(
             (
@@ -295,12 +295,12 @@
     )
     others = sweeps(FOLDER)
     rows: list[list[Any]] = []
-    for what, line, scale, measured in shared:
+    for metric, line, scale, measured in shared:
         for size in (30, 100, 300):
             results = (kept.get(f"{cause}-{size}") for cause in ("ingresses", *sums.LATER_SERIES))
             cells = [sweep.at(line, size) for sweep in others]
             row = [
-                what,
+                metric,
                 size,
                 *(measured(result) if result else "not run" for result in results),
                 *(_cell(cell, scale) for cell in cells),
--- a/cairndale/scale/run.py
+++ b/cairndale/scale/run.py
@@ -52,13 +52,14 @@
         settings = (
             super().settings(machine)
             if machine.zone not in self.regions_by_zone
-            else self._placed(machine)
+            else self._regional_settings(machine)
         )
         settings["infra"]["heartbeat"] = f"{HEARTBEAT_INTERVAL_S:.1f}s"
         settings["self"]["limits"]["nofile"] = 20_000
         return settings
 
-    def _placed(self, machine: Any) -> dict[str, Any]:
+    def _regional_settings(self, machine: Any) -> dict[str, Any]:
+        """Return the settings of a machine in a zone of this run, which `World` does not know."""
         zone, machine.zone = machine.zone, "north-a"
         settings = super().settings(machine)
         machine.zone = zone
@@ -92,11 +93,11 @@
             await self._start_real(name, machine)
         await self._apply_first_configuration()
         zones, shares = list(self.world.regions_by_zone), self._ingress_shares()
-        life = self.size.servers / SERVER_RESTARTS_PER_S
+        mean_lifetime = self.size.servers / SERVER_RESTARTS_PER_S
         common: dict[str, Any] = {
             "control": self.world.control,
             "beat": HEARTBEAT_INTERVAL_S,
-            "life": life,
+            "life": mean_lifetime,
         }
         for number, ingresses in enumerate(shares):
             parameters = common | {
@@ -130,10 +131,10 @@
     async def _start_simulated(
         self, name: str, parameters: dict[str, Any], env: dict[str, str]
     ) -> None:
-        node = await WorkerProcess.begin(name, self.folder, [], env)
+        worker = await WorkerProcess.begin(name, self.folder, [], env)
         processes = self.ingress_workers if parameters.get("ingresses") else self.server_workers
-        processes.append(node)
-        await node.request(parameters, START_TIMEOUT_S)
+        processes.append(worker)
+        await worker.request(parameters, START_TIMEOUT_S)
 
     def _addresses(self) -> list[str]:
         return [f"{m.ip}:{self.world.port_base}" for m in self.world.machines.values() if m.core]
@@ -159,9 +160,9 @@
         """Kill all processes, at whatever point the run stopped. A process that is not registered
         yet exits at the end of its standard input."""
         nodes = [*self.ingress_workers, *self.server_workers, *self.real_processes.values()]
-        for node in nodes:
-            node.kill()
-        await asyncio.gather(*(node.end() for node in nodes), return_exceptions=True)
+        for worker in nodes:
+            worker.kill()
+        await asyncio.gather(*(worker.end() for worker in nodes), return_exceptions=True)
 
     # The operator.
 
@@ -221,7 +222,7 @@
         """Return, for each simulated ingress with a lease and a configuration, the term of the
         lease and since when it has had both."""
         answers = await asyncio.gather(
-            *(node.request({"do": "told"}) for node in self.ingress_workers)
+            *(worker.request({"do": "told"}) for worker in self.ingress_workers)
         )
         return [(term, since) for answer in answers for term, since in answer["well"]]
 
@@ -271,10 +272,10 @@
         usage["learner"] = [usage_row for n, usage_row in cores.items() if n in self.learners]
         usage["real ingress"] = edges
         usage["hollow ingresses"] = [
-            await node.request({"do": "count"}) for node in self.ingress_workers
+            await worker.request({"do": "count"}) for worker in self.ingress_workers
         ]
         usage["hollow servers"] = [
-            await node.request({"do": "count"}) for node in self.server_workers
+            await worker.request({"do": "count"}) for worker in self.server_workers
         ]
         return usage
 
@@ -329,8 +330,8 @@
         roles = {role: role_usage(rows) for role, rows in usage.items() if rows}
         served = [
             times
-            for node in self.ingress_workers
-            for times in (await node.request({"do": "served"}))["served"]
+            for worker in self.ingress_workers
+            for times in (await worker.request({"do": "served"}))["served"]
         ]
         simulated = usage["hollow ingresses"]
         return {
@@ -375,7 +376,10 @@
         await self._start_real(name, self.world.machines[name])
         began_at = time.monotonic()
         await asyncio.gather(
-            *(node.request({"do": "restart"}, RECOVERY_TIMEOUT_S) for node in self.ingress_workers)
+            *(
+                worker.request({"do": "restart"}, RECOVERY_TIMEOUT_S)
+                for worker in self.ingress_workers
+            )
         )
         results["fleet restarts"] = await self.wait_recovered(began_at)
         self.report(
@@ -389,15 +393,15 @@
         self.report(f"the core was killed and restarted: {format_times(results['core restarts'])}")
         running_ingresses = sum(
             [
-                (await node.request({"do": "cut", "region": "r0"}))["ingresses"]
-                for node in self.ingress_workers
+                (await worker.request({"do": "cut", "region": "r0"}))["ingresses"]
+                for worker in self.ingress_workers
             ]
         )
         results["cut for"] = min(60.0, 3 * self.size.seconds)
         await asyncio.sleep(results["cut for"])
         began_at = time.monotonic()
         await asyncio.gather(
-            *(node.request({"do": "heal"}, RECOVERY_TIMEOUT_S) for node in self.ingress_workers)
+            *(worker.request({"do": "heal"}, RECOVERY_TIMEOUT_S) for worker in self.ingress_workers)
         )
         results["region returns"] = await self.wait_recovered(
             began_at, partitioned=self.size.ingresses - running_ingresses
--- a/cairndale/scale/sums.py
+++ b/cairndale/scale/sums.py
@@ -67,14 +67,15 @@
 
 
 def is_valid(result: RunResult) -> bool:
+    """Whether a run worked, so that its costs count."""
     return bool(result["hollow"]["with a lease"] >= MIN_LEASE_SHARE and result["changes"]["count"])
 
 
-def value(result: RunResult, role: str, what: str) -> float:
+def value(result: RunResult, role: str, metric: str) -> float:
     """Return the cost of one process of a role, or of one simulated ingress or server, which share
     processes."""
     row = result["roles"][role]
-    cost = float(row[what])
+    cost = float(row[metric])
     if role == "hollow ingresses":
         cost *= row["processes"] / result["size"]["ingresses"]
     if role == "hollow servers":
@@ -88,7 +89,7 @@
 
     cause: str
     role: str
-    what: str
+    metric: str
     points: tuple[tuple[str, float, float], ...]  # run, size, value
     fit: Fit
 
@@ -100,10 +101,10 @@
         return middle - base, low - base, high - base
 
 
-def slope(kept: dict[str, RunResult], cause: str, role: str, what: str) -> Slope | None:
+def slope(kept: dict[str, RunResult], cause: str, role: str, metric: str) -> Slope | None:
     """Fit the valid runs of a cause; None for fewer than two runs or a cost of zero."""
     points = tuple(
-        (name, float(result["size"][varied_dimension(cause)]), value(result, role, what))
+        (name, float(result["size"][varied_dimension(cause)]), value(result, role, metric))
         for name, result in runs_of_cause(kept, cause)
         if is_valid(result)
     )
@@ -113,21 +114,21 @@
     return Slope(
         cause,
         role,
-        what,
+        metric,
         points,
         fit_power_law([s for _, s, _ in points], [v for _, _, v in points]),
     )
 
 
-def widest_slope(kept: dict[str, RunResult], role: str, what: str) -> Slope | None:
+def widest_slope(kept: dict[str, RunResult], role: str, metric: str) -> Slope | None:
     """Return the slope over ingresses from the series with the largest run, the newest of equal
     ones."""
-    found = [
-        slope_found
+    candidates = [
+        candidate
         for cause in ("ingresses", *LATER_SERIES)
-        if (slope_found := slope(kept, cause, role, what))
+        if (candidate := slope(kept, cause, role, metric))
     ]
-    return max(reversed(found), key=lambda slope_found: slope_found.points[-1][1], default=None)
+    return max(reversed(candidates), key=lambda candidate: candidate.points[-1][1], default=None)
 
 
 def lookup_slope(kept: dict[str, RunResult]) -> Slope | None:
@@ -145,20 +146,20 @@
     )
 
 
-def slopes(kept: dict[str, RunResult], role: str, what: str) -> list[Slope]:
+def slopes(kept: dict[str, RunResult], role: str, metric: str) -> list[Slope]:
     """Return the slope of each cause; that of ingresses is `widest_slope`."""
-    found = [
-        widest_slope(kept, role, what),
-        *(slope(kept, cause, role, what) for cause in CAUSES[1:]),
+    candidates = [
+        widest_slope(kept, role, metric),
+        *(slope(kept, cause, role, metric) for cause in CAUSES[1:]),
     ]
-    return [slope_found for slope_found in found if slope_found]
+    return [candidate for candidate in candidates if candidate]
 
 
-def at_target(kept: dict[str, RunResult], role: str, what: str) -> tuple[float, float, float]:
+def at_target(kept: dict[str, RunResult], role: str, metric: str) -> tuple[float, float, float]:
     """Return the cost at the target: that of the base run plus what each cause adds by itself, with
     lower and upper bound. Products of causes are left out, and estimated separately."""
-    base = value(kept[BASE], role, what)
-    additions = [found.added for found in slopes(kept, role, what)]
+    base = value(kept[BASE], role, metric)
+    additions = [candidate.added for candidate in slopes(kept, role, metric)]
     low, high = (base + sum(addition[n] for addition in additions) for n in (1, 2))
     return base + sum(addition[0] for addition in additions), max(0.0, low), high
 
--- a/cairndale/scale/tables.py
+++ b/cairndale/scale/tables.py
@@ -54,9 +54,9 @@
     return "\n".join(lines)
 
 
-def label_of(role: str, what: str) -> str:
+def label_of(role: str, metric: str) -> str:
     role = "one hollow ingress" if role == "hollow ingresses" else role
-    return f"{role}, {UNITS[what][0]}"
+    return f"{role}, {UNITS[metric][0]}"
 
 
 def _late(row: dict[str, Any]) -> str:
@@ -120,8 +120,8 @@
     for name, result in kept.items():
         for role in result["roles"]:
             value = {
-                what: sums.value(result, role, what)
-                for what in ("cpu", "bytes_out", "bytes_in", "messages_out")
+                metric: sums.value(result, role, metric)
+                for metric in ("cpu", "bytes_out", "bytes_in", "messages_out")
             }
             row = result["roles"][role]
             label = {
@@ -224,13 +224,13 @@
     rows = []
     for cause in (*sums.CAUSES, *sums.LATER_SERIES):
         target = TARGET[sums.varied_dimension(cause)]
-        for role, what in SLOPES:
-            if slope := sums.slope(kept, cause, role, what):
-                scale = UNITS[what][1]
+        for role, metric in SLOPES:
+            if slope := sums.slope(kept, cause, role, metric):
+                scale = UNITS[metric][1]
                 rows.append(
                     (
                         cause,
-                        label_of(role, what),
+                        label_of(role, metric),
                         ", ".join(f"{s:g}: {format_number(v * scale)}" for _, s, v in slope.points),
                         f"{slope.fit.power:.2f} ± {2 * slope.fit.error:.2f}"
                         if len(slope.points) > 2
@@ -253,17 +253,17 @@
         ("hollow ingresses", "bytes_in"): "15",
     }
     rows = []
-    for role, what in SLOPES:
-        estimate = sums.at_target(kept, role, what)
-        base = sums.value(kept[sums.BASE], role, what)
-        scale = UNITS[what][1]
-        causes = [s.cause for s in sums.slopes(kept, role, what)]
+    for role, metric in SLOPES:
+        estimate = sums.at_target(kept, role, metric)
+        base = sums.value(kept[sums.BASE], role, metric)
+        scale = UNITS[metric][1]
+        causes = [s.cause for s in sums.slopes(kept, role, metric)]
         rows.append(
             (
-                label_of(role, what),
+                label_of(role, metric),
                 format_number(base * scale),
                 ranged(estimate, scale),
-                limits.get((role, what), ""),
+                limits.get((role, metric), ""),
                 ", ".join(causes),
             )
         )
