--- a/cairndale/chaos/judge.py
+++ b/cairndale/chaos/judge.py
@@ -96,10 +96,10 @@
         register.Observation(read.gen, read.sent_at, read.received_at) for read in record.reads
     ] + ([final_read] if final_read else [])
     for order in record.orders.values():
-        conflicts = [attempt for attempt in order.rejections if attempt.status == 412]
+        conflicts = [submission for submission in order.rejections if submission.status == 412]
         observations += [
-            register.Observation(order.parent, attempt.sent_at, attempt.received_at, True)
-            for attempt in conflicts
+            register.Observation(order.parent, submission.sent_at, submission.received_at, True)
+            for submission in conflicts
         ]
     markers = {order.gen: order.marker for order in accepted}
     violations = [
@@ -254,14 +254,14 @@
     ]
     answers += [
         (
-            attempt.address,
-            f"{order.marker} with {attempt.status}",
-            attempt.sent_at,
-            attempt.received_at,
+            submission.address,
+            f"{order.marker} with {submission.status}",
+            submission.sent_at,
+            submission.received_at,
         )
         for order in record.orders.values()
-        for attempt in order.attempts
-        if attempt.status
+        for submission in order.submissions
+        if submission.status
     ]
     answers += [
         (answer.address, answer.description, answer.sent_at, answer.received_at)
--- a/cairndale/chaos/operators.py
+++ b/cairndale/chaos/operators.py
@@ -11,7 +11,7 @@
 import struct
 from typing import Any
 
-from cairndale.chaos.records import Evacuation, FleetStatus, Order, OrderAttempt, Read, Record
+from cairndale.chaos.records import Evacuation, FleetStatus, Order, Read, Record, Submission
 from cairndale.chaos.standins import parse_response
 from cairndale.chaos.world import World
 
@@ -123,18 +123,18 @@
     async def send_once(
         self, order: Order, address: str = "", loss_probability: float = 0.0
     ) -> int:
-        """Send an order once, and record the attempt; return its status."""
+        """Send an order once, and record the submission; return its status."""
         address = address or self._random_address()
         lose_after = random.uniform(0.0, 0.15) if random.random() < loss_probability else -1.0
         within = LONG_CALL_TIMEOUT_S if random.random() < 0.05 else CALL_TIMEOUT_S
         body, sent_at = json.dumps(order.body).encode(), self._loop.time()
-        attempt = OrderAttempt(address, sent_at, float("inf"), 0)
-        order.attempts.append(attempt)
-        attempt.status, _ = await send(address, "POST", order.call, body, within, lose_after)
-        attempt.received_at = self._loop.time()
-        if attempt.status == 200:
+        submission = Submission(address, sent_at, float("inf"), 0)
+        order.submissions.append(submission)
+        submission.status, _ = await send(address, "POST", order.call, body, within, lose_after)
+        submission.received_at = self._loop.time()
+        if submission.status == 200:
             self._note_version(order.gen, order.marker)
-        return attempt.status
+        return submission.status
 
     async def submit(
         self, order: Order, within: float = RETRY_FOR_S, loss_probability: float = RESPONSE_LOSS
--- a/cairndale/chaos/records.py
+++ b/cairndale/chaos/records.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class OrderAttempt:
+class Submission:
     """One submission of an order; status 0 means no clear answer."""
 
     address: str
@@ -44,23 +44,23 @@
     parent: int
     call: str
     body: dict[str, Any]
-    attempts: list[OrderAttempt] = field(default_factory=list)
+    submissions: list[Submission] = field(default_factory=list)
 
     @property
     def sent_at(self) -> float:
-        return min((attempt.sent_at for attempt in self.attempts), default=NEVER)
+        return min((submission.sent_at for submission in self.submissions), default=NEVER)
 
     @property
     def acked_at(self) -> float:
         """When its first acknowledgement arrived."""
         return min(
-            (attempt.received_at for attempt in self.attempts if attempt.status == 200),
+            (submission.received_at for submission in self.submissions if submission.status == 200),
             default=NEVER,
         )
 
     @property
-    def rejections(self) -> list[OrderAttempt]:
-        return [attempt for attempt in self.attempts if 400 <= attempt.status < 500]
+    def rejections(self) -> list[Submission]:
+        return [submission for submission in self.submissions if 400 <= submission.status < 500]
 
 
 @dataclass(slots=True)
--- a/cairndale/chaos/storm.py
+++ b/cairndale/chaos/storm.py
@@ -347,7 +347,7 @@
         storm = asyncio.run(run_storm(seed, plant, plan=plan))
         violations = storm.violations
         served = sum(1 for attempt in storm.attempts if attempt.status == 200)
-        sent = sum(len(o.attempts) for o in storm.record.orders.values())
+        sent = sum(len(o.submissions) for o in storm.record.orders.values())
         attempts, acknowledged, violated_runs = (
             attempts + len(storm.attempts),
             acknowledged + len(storm.acknowledged_orders),
--- a/tests/chaos/test_judge.py
+++ b/tests/chaos/test_judge.py
@@ -16,10 +16,10 @@
     FleetStatus,
     Isolation,
     Order,
-    OrderAttempt,
     Probe,
     Read,
     Record,
+    Submission,
 )
 from cairndale.chaos.register import NEVER, Observation, Write, first_violation
 from cairndale.chaos.standins import Arrival, Execution, Heartbeat, Ledger
@@ -30,10 +30,10 @@
 
 
 def add_order(
-    record: Record, gen: int, parent: int, *sendings: tuple[float, float, int], marker: str = ""
+    record: Record, gen: int, parent: int, *submissions: tuple[float, float, int], marker: str = ""
 ) -> Order:
     new_order = Order(marker or f"v{gen}", gen, parent, "Config.Update", {})
-    new_order.attempts = [OrderAttempt("a", *attempt) for attempt in sendings]
+    new_order.submissions = [Submission("a", *submission) for submission in submissions]
     record.orders[new_order.marker] = new_order
     return new_order
 
@@ -113,7 +113,7 @@
     add_order(record, 2, 1, (2, 3, 200))
     add_order(record, 4, 1, (2, 3, 200))
     assert any("came between" in line for line in judge.check_order_chain(record))
-    record.orders["v4"].attempts = [OrderAttempt("a", 2, 3, 412)]
+    record.orders["v4"].submissions = [Submission("a", 2, 3, 412)]
     assert judge.check_order_chain(record) == []
 
 
