--- a/cairndale/chaos/faults.py
+++ b/cairndale/chaos/faults.py
@@ -413,7 +413,7 @@
     learners replace the first two as voters.
 
     The four partitioned voters reach each other, and were a majority before that membership change.
-    They may elect a leader only if none of them knows of the change.
+    They elect a leader, unless one of them knows of the change.
     """
     leader, learners = await injector.leader(), await injector.learners()
     voters = [n for n in injector.cores() if n != leader and n not in learners]
