--- a/tests/measurements/measure_discovery.py
+++ b/tests/measurements/measure_discovery.py
@@ -161,7 +161,9 @@
             pause = (0.0, 0.0) if kind == "watch, no back-off" else discovery_module.BACKOFF_S
             patches = (
                 mock.patch.object(discovery_module, "BACKOFF_S", pause),
-                mock.patch.object(AddressRotation, "ended", counted(AddressRotation.watch_ended)),
+                mock.patch.object(
+                    AddressRotation, "watch_ended", counted(AddressRotation.watch_ended)
+                ),
             )
             with patches[0], patches[1]:
                 counts = await spell(kind, what, folder / f"{what.__name__} {kind}")
