--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from cairndale.chaos.world import ROOT, Machine, World
-from cairndale.lab.faults.launch import Control, Launch
+from cairndale.lab.faults.launch import Control, LaunchSpec
 from cairndale.lab.faults.links import CLEAR, Conditions
-from cairndale.lab.live.worker import Piped, spawn
+from cairndale.lab.live.worker import PipedProcess, spawn
 
 Pairs = list[tuple[str, str]]  # of machines: what the first sends to the second
 
@@ -29,7 +29,7 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.relay: Piped | None = None
+        self.relay: PipedProcess | None = None
         self.opened: dict[str, int] = {}
         self.relayed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._cuts: dict[str, int] = {}  # by way: cuts that lie on it now
@@ -43,13 +43,13 @@
         return f"{machine.ip}:{self.base + (0 if machine.core else 1)}"
 
     async def begin(self) -> None:
-        self.relay = Piped("relay", ["cairndale.lab.faults.relay"], self.folder, self._said)
+        self.relay = PipedProcess("relay", ["cairndale.lab.faults.relay"], self.folder, self._said)
         await self.relay.ready
         pairs = [
             (a, b) for a in self.machines.values() for b in self.machines.values() if a is not b
         ]
         addresses = {f"{a.name}>{b.name}": self.own(b).rpartition(":") for a, b in pairs}
-        self.relay.tell(
+        self.relay.send(
             tcp=[[pair, host, int(port)] for pair, (host, _, port) in addresses.items()]
         )
         await self.relayed
@@ -72,7 +72,7 @@
             for m in self.machines.values()
             if m.name != name
         }
-        told = Launch(
+        told = LaunchSpec(
             "cairndale",
             [],
             str(control),
@@ -98,10 +98,10 @@
         fronts = [f"{a}>{b}" for a, b in pairs]
         for front in fronts:
             self._cuts[front] = self._cuts.get(front, 0) + 1
-        self.relay.tell(set={front: msgspec.to_builtins(Conditions(cut=True)) for front in fronts})
-        self.relay.tell(connect={front: "unanswered" if silent else "refuse" for front in fronts})
+        self.relay.send(set={front: msgspec.to_builtins(Conditions(cut=True)) for front in fronts})
+        self.relay.send(connect={front: "unanswered" if silent else "refuse" for front in fronts})
         if not silent:
-            self.relay.tell(reset=fronts)
+            self.relay.send(reset=fronts)
 
     def heal(self, pairs: Pairs) -> None:
         """Ways on which no other cut lies are open again."""
@@ -110,8 +110,8 @@
         for front in (f"{a}>{b}" for a, b in pairs):
             self._cuts[front] -= 1
             fronts += [front] * (not self._cuts[front])
-        self.relay.tell(set={front: msgspec.to_builtins(CLEAR) for front in fronts})
-        self.relay.tell(connect={front: "open" for front in fronts}, reset=fronts)
+        self.relay.send(set={front: msgspec.to_builtins(CLEAR) for front in fronts})
+        self.relay.send(connect={front: "open" for front in fronts}, reset=fronts)
 
     def between(self, some: Iterable[str], others: Iterable[str], ways: str = "both") -> Pairs:
         """`ways`: "both"; "out": what the first send; "in": what they hear."""
--- a/cairndale/lab/experiment.py
+++ b/cairndale/lab/experiment.py
@@ -24,7 +24,7 @@
 
 from cairndale.lab.checkout import LAYOUTS
 from cairndale.lab.draw import stream
-from cairndale.lab.live.worker import die_with
+from cairndale.lab.live.worker import die_with_parent
 from cairndale.lab.play import HERE, Run, Variant, write
 
 BOOTSTRAPS = 10_000
@@ -177,7 +177,7 @@
         env=env,
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=die_with(os.getpid()),
+        preexec_fn=die_with_parent(os.getpid()),
     )
     try:
         async with asyncio.timeout(TIMEOUT):
--- a/cairndale/lab/faults/cli.py
+++ b/cairndale/lab/faults/cli.py
@@ -79,7 +79,7 @@
     if as_json:
         click.echo(many.as_json(result, folder))
     else:
-        from cairndale.lab.faults.picture import page
+        from cairndale.lab.faults.picture import write_report
 
         for happened in result.happened:
             click.echo(f"{happened.begin:6.2f} to {happened.end:6.2f} s  {happened.what}")
@@ -89,9 +89,9 @@
                 click.echo(f"    {event}")
         calls = ", ".join(f"{count} {what}" for what, count in result.verdict.calls.items())
         click.echo(f"\n{calls}")
-        for property, said in result.verdict.properties.items():
-            click.echo(f"{property:14} {said}")
-        click.echo(f"report: {page(result, folder)}")
+        for property, verdict in result.verdict.properties.items():
+            click.echo(f"{property:14} {verdict}")
+        click.echo(f"report: {write_report(result, folder)}")
     sys.exit(0 if result.verdict.passed else 1)
 
 
@@ -134,15 +134,15 @@
                 out,
                 plant or "",
                 stop_on or "",
-                lambda found: status.update(found.told()),
+                lambda found: status.update(found.describe()),
             )
         )
-    click.echo(found.told())
+    click.echo(found.describe())
     for property, folders in sorted(found.broken.items()):
         click.echo(f"{property}: {' '.join(str(f) for f in folders)}")
     for folder in found.failed:
         click.echo(f"not made: {folder.with_suffix('.log')}")
-    sys.exit(0 if found.runs and found.held == found.runs else 1)
+    sys.exit(0 if found.runs and found.passed_runs == found.runs else 1)
 
 
 @faults.command()
@@ -163,7 +163,7 @@
         def progress(now: many.Shrunk) -> None:
             many.write_shrunk(now, result, path)  # whoever stops it has the best so far
             faults = len(now.schedule.fault)
-            status.update(f"{now.tried} tried; {faults} faults, failed {now.failed} of {now.of}")
+            status.update(f"{now.tried} tried; {faults} faults, failed {now.failed} of {now.runs}")
 
         found = run_until_stopped(
             many.shrink(result, folder, jobs or many.default_jobs(), times, bound, progress)
@@ -171,7 +171,7 @@
     shutil.rmtree(folder / "tries", ignore_errors=True)
     click.echo(
         f"{path}: {len(found.schedule.fault)} of {len(result.schedule.fault)} faults, failed "
-        f"{found.failed} times of {found.of}; {found.tried} schedules were tried"
+        f"{found.failed} times of {found.runs}; {found.tried} schedules were tried"
     )
     sys.exit(0 if found.failed else 1)
 
@@ -191,14 +191,14 @@
 def show(folder: Path, out: Path | None) -> None:
     """Draws a run: processes over time, faults, who acted in which term, calls; and writes its
     report."""
-    from cairndale.lab.faults.picture import draw, page
+    from cairndale.lab.faults.picture import draw, write_report
 
     result = _result(folder)
     path = out or folder / "run.svg"
     if path.suffix not in (".svg", ".png"):
         raise click.BadParameter(f"{path}: .svg or .png is wanted")
     draw(result, folder, path)
-    click.echo(f"{path}\n{page(result, folder)}")
+    click.echo(f"{path}\n{write_report(result, folder)}")
 
 
 @faults.command()
@@ -208,4 +208,4 @@
 
     for row in run_until_stopped(measure.cost()):
         trip = f"round trip {row.median_us:5.0f} us (99%: {row.p99_us:.0f})"
-        click.echo(f"{row.way:8} {trip}, {row.mb_per_s:.0f} MB a second")
+        click.echo(f"{row.path:8} {trip}, {row.mb_per_s:.0f} MB a second")
--- a/cairndale/lab/faults/history.py
+++ b/cairndale/lab/faults/history.py
@@ -13,11 +13,11 @@
 import msgspec
 
 OK, CONFLICT, REFUSED, UNKNOWN = "ok", "conflict", "refused", "unknown"
-PART = 4 << 20  # bytes of a history that are judged at once, about 60,000 calls
-FILE = "history.jsonl"
+PART_BYTES = 4 << 20  # bytes of a history that are judged at once, about 60,000 calls
+HISTORY_FILE = "history.jsonl"
 
 
-class Call(msgspec.Struct, array_like=True):
+class Operation(msgspec.Struct, array_like=True):
     """One call of the lab's. Times in us on the lab's monotonic clock.
 
     `write` sets a register to `value`, a number never used twice; `cas` does where it holds
@@ -25,8 +25,8 @@
     when it began; a `request` is for an effect on a server. Outcome `unknown`: it may have been
     carried out, or may yet be."""
 
-    who: str
-    at: str  # the process that it was made at
+    caller: str
+    process: str  # the process that it was made at
     kind: str
     key: str
     begin: int
@@ -35,35 +35,35 @@
     value: int = 0
     expected: int = 0
     age: int = 0
-    token: int = -1  # the term in which whoever answered acted, where it says so
+    term: int = -1  # the term in which whoever answered acted, where it says so
 
-    def told(self) -> str:
+    def describe(self) -> str:
         what = {"cas": f" {self.expected} -> {self.value}", "request": ""}.get(
             self.kind, f" {self.value}"
         )
         age = f", at most {self.age / 1e6:.2f} s old" if self.kind == "aged" else ""
-        token = f", term {self.token}" if self.token >= 0 else ""
+        term = f", term {self.term}" if self.term >= 0 else ""
         end = "open" if self.outcome == UNKNOWN else f"{self.end / 1e6:.3f}"
         return (
-            f"{self.begin / 1e6:.3f} to {end} s: {self.who} at {self.at}: {self.kind} "
+            f"{self.begin / 1e6:.3f} to {end} s: {self.caller} at {self.process}: {self.kind} "
             f"{self.key}{what}: "
-            f"{self.outcome}{age}{token}"
+            f"{self.outcome}{age}{term}"
         )
 
 
-class Writer:
+class HistoryWriter:
     """Calls as they end. What is open as the run ends is written by whoever made it, as unknown."""
 
     def __init__(self, folder: Path) -> None:
         self._encoder = msgspec.json.Encoder()
-        self._file: IO[bytes] = (folder / FILE).open("wb")
+        self._file: IO[bytes] = (folder / HISTORY_FILE).open("wb")
         self.count = 0
 
-    def add(self, call: Call) -> None:
-        self._file.write(self._encoder.encode(call) + b"\n")
+    def add(self, operation: Operation) -> None:
+        self._file.write(self._encoder.encode(operation) + b"\n")
         self.count += 1
 
-    def __enter__(self) -> Writer:
+    def __enter__(self) -> HistoryWriter:
         return self
 
     def __exit__(
@@ -75,18 +75,18 @@
         self._file.close()
 
 
-def read(path: Path) -> Iterator[Call]:
-    decoder = msgspec.json.Decoder(Call)
+def read_operations(path: Path) -> Iterator[Operation]:
+    decoder = msgspec.json.Decoder(Operation)
     with path.open("rb") as file:
         for line in file:
             yield decoder.decode(line)
 
 
 @contextlib.contextmanager
-def parted(path: Path, part: int = PART) -> Iterator[list[Path]]:
+def split_by_key(path: Path, part_bytes: int = PART_BYTES) -> Iterator[list[Path]]:
     """Files that together hold the history, all calls of a key in one of them; removed
     afterwards."""
-    count = max(1, path.stat().st_size // part)
+    count = max(1, path.stat().st_size // part_bytes)
     if count == 1:
         yield [path]
         return
@@ -95,16 +95,18 @@
         with contextlib.ExitStack() as stack:
             files = [stack.enter_context(p.open("wb")) for p in paths]
             encoder = msgspec.json.Encoder()
-            for call in read(path):
-                files[crc32(call.key.encode()) % count].write(encoder.encode(call) + b"\n")
+            for operation in read_operations(path):
+                files[crc32(operation.key.encode()) % count].write(
+                    encoder.encode(operation) + b"\n"
+                )
         yield paths
     finally:
         for p in paths:
             p.unlink(missing_ok=True)
 
 
-def by_key(calls: Iterable[Call]) -> dict[str, list[Call]]:
-    found: dict[str, list[Call]] = {}
-    for call in calls:
-        found.setdefault(call.key, []).append(call)
+def by_key(operations: Iterable[Operation]) -> dict[str, list[Operation]]:
+    found: dict[str, list[Operation]] = {}
+    for operation in operations:
+        found.setdefault(operation.key, []).append(operation)
     return found
--- a/cairndale/lab/faults/host.py
+++ b/cairndale/lab/faults/host.py
@@ -16,40 +16,40 @@
 import msgspec
 
 from cairndale.lab.faults.calls import (
+    CallerContext,
     Client,
-    Desk,
+    ConnectFailed,
     ListReader,
     ListWriter,
-    Lost,
-    NotSent,
-    Place,
+    ResponseLost,
+    Target,
     Viewer,
-    ask,
+    send_request,
     value_of,
 )
-from cairndale.lab.faults.history import Writer
-from cairndale.lab.faults.judge import Seen, Verdict, judge
-from cairndale.lab.faults.launch import FAILING, FULL
-from cairndale.lab.faults.links import CLEAR, Conditions, together
+from cairndale.lab.faults.history import HistoryWriter
+from cairndale.lab.faults.judge import Observations, Verdict, check_run
+from cairndale.lab.faults.launch import DISK_FAILING, DISK_FULL
+from cairndale.lab.faults.links import CLEAR, Conditions, combine
 from cairndale.lab.faults.processes import LEASE_MS, Process, Processes
-from cairndale.lab.faults.schedule import ON_LINKS, Fault, Schedule, text_of
+from cairndale.lab.faults.schedule import LINK_FAULTS, Fault, Schedule, to_toml
 from cairndale.lab.live.host import LiveError
 from cairndale.lab.live.ports import HOST
-from cairndale.lab.live.worker import Piped
+from cairndale.lab.live.worker import PipedProcess
 from cairndale.lab.play import write
 
-START = 30.0  # s for all to be there
-SLACK = 2.0  # s for calls that are open as the load ends
-POLL = 0.1  # s between looks whether all agree
-OPERATOR = 1.0  # s after the load that the page's steps after a failover are taken
-AGAIN = 0.4  # s between starts of a process that does not come up
-COPIES = 1.0  # s between copies of folders that are to be put back
-LATE = 2.0  # s that the lab's own loop may be late before a run says nothing
-BUSY = 0.8  # share of a core that the relays may use before a run says nothing
-RESULT = "run.json"
+START_TIMEOUT_S = 30.0  # s for all to be there
+OPEN_CALL_SLACK_S = 2.0  # s for calls that are open as the load ends
+AGREEMENT_POLL_S = 0.1  # s between looks whether all agree
+OPERATOR_DELAY_S = 1.0  # s after the load that the page's steps after a failover are taken
+RESTART_DELAY_S = 0.4  # s between starts of a process that does not come up
+BACKUP_INTERVAL_S = 1.0  # s between copies of folders that are to be put back
+MAX_LOOP_LAG_S = 2.0  # s that the lab's own loop may be late before a run says nothing
+MAX_RELAY_CPU_SHARE = 0.8  # share of a core that the relays may use before a run says nothing
+RESULT_FILE = "run.json"
 
 
-class Happened(msgspec.Struct):
+class FaultInterval(msgspec.Struct):
     """A fault as it was: s from the run's 0."""
 
     fault: int  # in the schedule
@@ -58,7 +58,7 @@
     end: float = -1.0
 
 
-class Bar(msgspec.Struct):
+class StateInterval(msgspec.Struct):
     """What a process did over a time."""
 
     process: str
@@ -71,150 +71,161 @@
     schedule: Schedule
     seed: int
     verdict: Verdict
-    happened: list[Happened]
-    bars: list[Bar]
-    seen: Seen
+    happened: list[FaultInterval]
+    bars: list[StateInterval]
+    seen: Observations
     length_s: float
     relay: dict[str, float] = {}
     plain: str = ""  # the schedule's text
 
 
-class Host:
+class FaultRun:
     def __init__(self, schedule: Schedule, seed: int, folder: Path) -> None:
         self.schedule, self.seed, self.folder = schedule, seed, folder
         self.processes = Processes(schedule, seed, folder)
-        self.seen = Seen()
-        self.happened: list[Happened] = []
-        self.bars: list[Bar] = []
-        self.relay: Piped | None = None
+        self.observations = Observations()
+        self.happened: list[FaultInterval] = []
+        self.bars: list[StateInterval] = []
+        self.relay: PipedProcess | None = None
         self._opened: dict[str, int] = {}
-        self._heard = asyncio.Event()
-        self._relayed: dict[str, float] = {}
-        self._on: dict[tuple[str, str], list[tuple[Fault, Conditions]]] = {}
-        self._modes: dict[str, str] = {}
+        self._proxies_opened = asyncio.Event()
+        self._relay_usage: dict[str, float] = {}
+        self._link_faults: dict[tuple[str, str], list[tuple[Fault, Conditions]]] = {}
+        self._connect_modes: dict[str, str] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._began = time.monotonic_ns()
         self._last_fault = 0.0
-        self._late = 0.0
+        self._max_loop_lag = 0.0
 
     def now(self) -> int:
         return (time.monotonic_ns() - self._began) // 1000
 
-    def _s(self) -> float:
+    def _now_s(self) -> float:
         return self.now() / 1e6
 
     async def run(self) -> Result:
         """Raises LiveError if the processes cannot be started. However it ends, none is left."""
-        with Writer(self.folder) as history:
+        with HistoryWriter(self.folder) as history:
             try:
-                async with asyncio.timeout(START):
+                async with asyncio.timeout(START_TIMEOUT_S):
                     await self._start()
                 await self._play(history)
-                await self._settle()
+                await self._await_agreement()
             except TimeoutError:
-                raise LiveError(f"not all processes were ready in {START:.0f} s") from None
+                raise LiveError(
+                    f"not all processes were ready in {START_TIMEOUT_S:.0f} s"
+                ) from None
             finally:
                 await self._end()
-        if self._relayed.get("cpu_s", 0.0) > BUSY * self._s():
-            self.seen.void.append("the relays were the bottleneck")
-        verdict = await asyncio.to_thread(judge, self.folder, self.seen)
+        if self._relay_usage.get("cpu_s", 0.0) > MAX_RELAY_CPU_SHARE * self._now_s():
+            self.observations.void.append("the relays were the bottleneck")
+        verdict = await asyncio.to_thread(check_run, self.folder, self.observations)
         return Result(
             self.schedule,
             self.seed,
             verdict,
             self.happened,
             self.bars,
-            self.seen,
-            self._s(),
-            self._relayed,
-            text_of(self.schedule),
+            self.observations,
+            self._now_s(),
+            self._relay_usage,
+            to_toml(self.schedule),
         )
 
     # Starting.
 
     async def _start(self) -> None:
-        self.relay = Piped("relay", ["cairndale.lab.faults.relay"], self.folder, self._said)
+        self.relay = PipedProcess(
+            "relay", ["cairndale.lab.faults.relay"], self.folder, self._on_relay_message
+        )
         await self.relay.ready
-        fronts = [
+        proxies = [
             (f"{a}>{b}#{port}", HOST, self.processes.all[b].ports[port])
-            for a, b, port in self.processes.fronts()
+            for a, b, port in self.processes.proxies()
         ]
-        datagrams = [
+        datagram_routes = [
             (f"{a}>{b}#{port}/udp", HOST, self.processes.all[b].ports[port])
-            for a, b, port in self.processes.datagrams()
+            for a, b, port in self.processes.datagram_routes()
         ]
-        self.relay.tell(tcp=fronts, udp=datagrams)
-        await self._heard.wait()
+        self.relay.send(tcp=proxies, udp=datagram_routes)
+        await self._proxies_opened.wait()
         self.processes.route(self._opened)
         first = [p for p in self.processes.all.values() if p.kind in "lsc"]
         await asyncio.gather(*(self._first_start(p) for p in first))
-        for number in range(self.schedule.fleet.servers if self.processes.of("l") else 0):
+        for number in range(self.schedule.fleet.servers if self.processes.of_kind("l") else 0):
             body = json.dumps(self._registration(f"s{number}") | {"weight": 1.0}).encode()
-            status, said = await ask(
+            status, response_body = await send_request(
                 self.processes.all["l0"].ports["writes"], "PUT", f"/servers/s{number}", body, 10.0
             )
             if status != 200:
-                raise LiveError(f"s{number} was not registered: {said.decode()}")
-        others = [*self.processes.of("i"), *self.processes.of("m")]
+                raise LiveError(f"s{number} was not registered: {response_body.decode()}")
+        others = [*self.processes.of_kind("i"), *self.processes.of_kind("m")]
         await asyncio.gather(*(self._first_start(p) for p in others))
-        while self._members() and self._apart(
-            [(p, await self._told(p)) for p in self.processes.of("m")]
+        while self._members() and self._view_differences(
+            [(p, await self._query_state(p)) for p in self.processes.of_kind("m")]
         ):
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(AGREEMENT_POLL_S)
 
     def _members(self) -> bool:
-        return bool(self.processes.of("m"))
+        return bool(self.processes.of_kind("m"))
 
     def _registration(self, name: str) -> dict[str, Any]:
         return {"address": self.processes.address(name, "serve"), "lease_ms": LEASE_MS}
 
-    async def _first_start(self, it: Process) -> None:
-        if not await self.processes.start(it):
-            raise LiveError(f"{it.name} did not start: {it.log[-1000:]}")
-        self._bar(it, "up")
+    async def _first_start(self, process: Process) -> None:
+        if not await self.processes.start(process):
+            raise LiveError(f"{process.name} did not start: {process.log[-1000:]}")
+        self._record_state(process, "up")
 
-    def _said(self, said: dict[str, Any]) -> None:
-        if "opened" in said:
-            self._opened = said["opened"]
-            self._heard.set()
-        if "cpu_s" in said:
-            self._relayed = said
+    def _on_relay_message(self, message: dict[str, Any]) -> None:
+        if "opened" in message:
+            self._opened = message["opened"]
+            self._proxies_opened.set()
+        if "cpu_s" in message:
+            self._relay_usage = message
 
-    def _bar(self, it: Process, state: str) -> None:
+    def _record_state(self, process: Process, state: str) -> None:
         """From now on it is in this state; empty: it is gone."""
         for bar in reversed(self.bars):
-            if bar.process == it.name:
+            if bar.process == process.name:
                 if bar.end < 0:
-                    bar.end = self._s()
+                    bar.end = self._now_s()
                 break
         if state:
-            self.bars.append(Bar(it.name, state, self._s()))
+            self.bars.append(StateInterval(process.name, state, self._now_s()))
 
     # The run.
 
-    def _task(self, what: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = asyncio.get_running_loop().create_task(what)
+    def _task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._over)
+        task.add_done_callback(self._task_done)
         return task
 
-    def _over(self, task: asyncio.Task[None]) -> None:
+    def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.seen.void.append(f"the lab failed: {error!r}")
+            self.observations.void.append(f"the lab failed: {error!r}")
 
-    async def _play(self, history: Writer) -> None:
+    async def _play(self, history: HistoryWriter) -> None:
         self._began = time.monotonic_ns()
         for bar in self.bars:
             bar.begin = 0.0
         schedule, load = self.schedule, self.schedule.load
-        registers = {p.name: self._registration(p.name) for p in self.processes.of("s")}
-        names = {self.processes.address(p.name, "writes"): p.name for p in self.processes.of("l")}
-        desk = Desk(
+        registers = {p.name: self._registration(p.name) for p in self.processes.of_kind("s")}
+        names = {
+            self.processes.address(p.name, "writes"): p.name for p in self.processes.of_kind("l")
+        }
+        context = CallerContext(
             history, self.now, load.timeout_ms / 1000, load.pause_ms / 1000, registers, names
         )
         callers: list[Any] = [
-            Viewer(name, desk, self.processes.of("m"), random.Random(f"caller {self.seed} {name}"))
+            Viewer(
+                name,
+                context,
+                self.processes.of_kind("m"),
+                random.Random(f"caller {self.seed} {name}"),
+            )
             for name in schedule.callers()
             if name[0] == "v" and self._members()
         ]
@@ -223,337 +234,363 @@
             if name[0] == "v":
                 continue
             make = {"w": ListWriter, "r": ListReader, "q": Client}[name[0]]
-            places = [
-                self._place(name, p) for p in self.processes.of("i" if make is Client else "l")
+            targets = [
+                self._target(name, p)
+                for p in self.processes.of_kind("i" if make is Client else "l")
             ]
-            if places and registers:
-                callers.append(make(name, desk, places, rng))
-        faults = [self._task(self._carry_out(n, f)) for n, f in enumerate(schedule.fault)]
-        watches = [
-            self._task(self._watch()),
-            self._task(self._lateness()),
-            self._task(self._copies()),
+            if targets and registers:
+                callers.append(make(name, context, targets, rng))
+        faults = [self._task(self._run_fault(n, f)) for n, f in enumerate(schedule.fault)]
+        monitors = [
+            self._task(self._supervise()),
+            self._task(self._measure_loop_lag()),
+            self._task(self._back_up_folders()),
         ]
-        calling = [self._task(c.run()) for c in callers]
+        caller_tasks = [self._task(c.run()) for c in callers]
         await asyncio.sleep(schedule.length_s)
         if faults:
-            await asyncio.wait(faults, timeout=START)
-        for task in calling:
+            await asyncio.wait(faults, timeout=START_TIMEOUT_S)
+        for task in caller_tasks:
             task.cancel()  # a call under way is open, and its outcome unknown
-        await asyncio.gather(*calling, return_exceptions=True)
-        desk.close()
-        for task in watches[1:]:
+        await asyncio.gather(*caller_tasks, return_exceptions=True)
+        context.close()
+        for task in monitors[1:]:
             task.cancel()
-        if self._late > LATE:
-            self.seen.void.append(f"the lab's own loop was {self._late:.1f} s late")
+        if self._max_loop_lag > MAX_LOOP_LAG_S:
+            self.observations.void.append(f"the lab's own loop was {self._max_loop_lag:.1f} s late")
 
-    def _place(self, caller: str, it: Process) -> Place:
+    def _target(self, caller: str, process: Process) -> Target:
         """Its ports as this caller reaches them: through relays."""
-        return Place(it.name, {p: self._opened.get(f"{caller}>{it.name}#{p}", 0) for p in it.ports})
+        return Target(
+            process.name,
+            {p: self._opened.get(f"{caller}>{process.name}#{p}", 0) for p in process.ports},
+        )
 
-    async def _lateness(self) -> None:
+    async def _measure_loop_lag(self) -> None:
         while True:
             before = time.monotonic()
             await asyncio.sleep(0.05)
-            self._late = max(self._late, time.monotonic() - before - 0.05)
+            self._max_loop_lag = max(self._max_loop_lag, time.monotonic() - before - 0.05)
 
-    async def _copies(self) -> None:
+    async def _back_up_folders(self) -> None:
         """Of the folders that a fault will put back."""
         wanted = {
-            n for f in self.schedule.fault if f.folder == "old" for n in self.schedule.chosen(f.on)
+            n for f in self.schedule.fault if f.folder == "old" for n in self.schedule.select(f.on)
         }
         while wanted:
             for name in wanted:
-                it = self.processes.all[name]
-                if it.up and not it.stopped:
-                    await asyncio.to_thread(self.processes.copy, it, self._s())
-            await asyncio.sleep(COPIES)
+                process = self.processes.all[name]
+                if process.up and not process.stopped:
+                    await asyncio.to_thread(self.processes.back_up, process, self._now_s())
+            await asyncio.sleep(BACKUP_INTERVAL_S)
 
-    async def _watch(self) -> None:
+    async def _supervise(self) -> None:
         """Nobody ends unasked; who does is started again, as by a supervisor."""
         while True:
             await asyncio.sleep(0.05)
-            for it in self.processes.all.values():
-                if it.up and it.process and it.process.poll() is not None and not it.expected:
-                    it.up = False
-                    code = it.process.returncode
-                    self.seen.crashes.append(
-                        f"{it.name} ended with {code} at {self._s():.2f} s: {_last(it)}"
+            for process in self.processes.all.values():
+                if (
+                    process.up
+                    and process.popen
+                    and process.popen.poll() is not None
+                    and not process.expected
+                ):
+                    process.up = False
+                    code = process.popen.returncode
+                    self.observations.crashes.append(
+                        f"{process.name} ended with {code} at {self._now_s():.2f} s: "
+                        f"{_last_log_line(process)}"
                     )
-                    self._bar(it, "")
-                    self._connects()
-                    self._task(self._back(it))
+                    self._record_state(process, "")
+                    self._update_connect_modes()
+                    self._task(self._restart(process))
 
-    async def _back(self, it: Process) -> None:
+    async def _restart(self, process: Process) -> None:
         """Starts it again until it is there: a disk may refuse that for a while, nothing else
         may."""
-        while not await self.processes.start(it):
-            if it.expected:
+        while not await self.processes.start(process):
+            if process.expected:
                 return
-            if not it.bad_disk and it.process:
-                code = it.process.poll()
-                self.seen.crashes.append(f"{it.name} did not start ({code}): {_last(it)}")
+            if not process.bad_disk and process.popen:
+                code = process.popen.poll()
+                self.observations.crashes.append(
+                    f"{process.name} did not start ({code}): {_last_log_line(process)}"
+                )
                 return
-            await asyncio.sleep(AGAIN)
-        self._bar(it, "up")
-        self._connects()
+            await asyncio.sleep(RESTART_DELAY_S)
+        self._record_state(process, "up")
+        self._update_connect_modes()
 
     # Faults.
 
-    async def _until(self, at_s: float) -> None:
-        await asyncio.sleep(max(0.0, at_s - self._s()))
+    async def _sleep_until(self, at_s: float) -> None:
+        await asyncio.sleep(max(0.0, at_s - self._now_s()))
 
-    async def _carry_out(self, number: int, fault: Fault) -> None:
-        await self._until(fault.at_s)
+    async def _run_fault(self, number: int, fault: Fault) -> None:
+        await self._sleep_until(fault.at_s)
         end = fault.at_s + fault.len_s
-        if fault.kind in ON_LINKS:
-            await self._on_links(number, fault, end)
+        if fault.kind in LINK_FAULTS:
+            await self._run_link_fault(number, fault, end)
         else:
-            chosen = [self.processes.all[n] for n in self.schedule.chosen(fault.on)]
-            await asyncio.gather(*(self._on_process(number, fault, it, end) for it in chosen))
-        self._last_fault = max(self._last_fault, self._s())
+            chosen = [self.processes.all[n] for n in self.schedule.select(fault.on)]
+            await asyncio.gather(
+                *(self._run_process_fault(number, fault, process, end) for process in chosen)
+            )
+        self._last_fault = max(self._last_fault, self._now_s())
 
-    def _begins(self, number: int, what: str) -> Happened:
-        made = Happened(number, what, self._s())
+    def _begin_fault(self, number: int, what: str) -> FaultInterval:
+        made = FaultInterval(number, what, self._now_s())
         self.happened.append(made)
         return made
 
-    async def _on_links(self, number: int, fault: Fault, end: float) -> None:
-        pairs = self.schedule.pairs(fault)
-        noted = self._begins(number, fault.kind)
+    async def _run_link_fault(self, number: int, fault: Fault, end: float) -> None:
+        pairs = self.schedule.directions(fault)
+        interval = self._begin_fault(number, fault.kind)
         if fault.kind == "reset":
             assert self.relay
-            self.relay.tell(reset=[f"{a}>{b}" for a, b in pairs])
+            self.relay.send(reset=[f"{a}>{b}" for a, b in pairs])
         elif fault.kind == "flap":
             bad = False
-            while self._s() < end:
+            while self._now_s() < end:
                 bad = not bad
-                self._lay(pairs, fault, bad)
-                await self._until(min(end, self._s() + fault.every_s / 2))
+                self._set_link_fault(pairs, fault, bad)
+                await self._sleep_until(min(end, self._now_s() + fault.every_s / 2))
             if bad:
-                self._lay(pairs, fault, False)
+                self._set_link_fault(pairs, fault, False)
         else:
-            self._lay(pairs, fault, True)
-            await self._until(end)
-            self._lay(pairs, fault, False)
-        noted.end = self._s()
+            self._set_link_fault(pairs, fault, True)
+            await self._sleep_until(end)
+            self._set_link_fault(pairs, fault, False)
+        interval.end = self._now_s()
 
-    def _lay(self, pairs: list[tuple[str, str]], fault: Fault, on: bool) -> None:
+    def _set_link_fault(self, pairs: list[tuple[str, str]], fault: Fault, on: bool) -> None:
         """Lays a fault on links, or takes it off."""
         assert self.relay
         conditions = fault.conditions() if fault.kind not in ("refuse", "unanswered") else CLEAR
         for pair in pairs:
-            laid = self._on.setdefault(pair, [])
+            active = self._link_faults.setdefault(pair, [])
             if on:
-                laid.append((fault, conditions))
+                active.append((fault, conditions))
             else:
-                laid.remove((fault, conditions))
-        changed = {f"{a}>{b}": together(c for _, c in self._on[a, b]) for a, b in pairs}
-        self.relay.tell(set={name: msgspec.to_builtins(c) for name, c in changed.items()})
-        self._connects()
+                active.remove((fault, conditions))
+        changed = {f"{a}>{b}": combine(c for _, c in self._link_faults[a, b]) for a, b in pairs}
+        self.relay.send(set={name: msgspec.to_builtins(c) for name, c in changed.items()})
+        self._update_connect_modes()
 
-    def _connects(self) -> None:
+    def _update_connect_modes(self) -> None:
         """What becomes of new connections: a cut answers none, a dead process refuses them."""
         assert self.relay
         changed: dict[str, str] = {}
-        for a, b, _ in self.processes.fronts():
-            laid = self._on.get((a, b), [])
-            kinds = {f.kind for f, _ in laid}
-            cut = any(c.cut for _, c in [*laid, *self._on.get((b, a), [])])
+        for a, b, _ in self.processes.proxies():
+            active = self._link_faults.get((a, b), [])
+            kinds = {f.kind for f, _ in active}
+            cut = any(c.cut for _, c in [*active, *self._link_faults.get((b, a), [])])
             mode = "open"
             if cut or "unanswered" in kinds:
                 mode = "unanswered"
             elif "refuse" in kinds or not self.processes.all[b].up:
                 mode = "refuse"
-            if self._modes.get(f"{a}>{b}", "open") != mode:
+            if self._connect_modes.get(f"{a}>{b}", "open") != mode:
                 changed[f"{a}>{b}"] = mode
-        self._modes |= changed
+        self._connect_modes |= changed
         if changed:
-            self.relay.tell(connect=changed)
+            self.relay.send(connect=changed)
 
-    async def _on_process(self, number: int, fault: Fault, it: Process, end: float) -> None:
-        if not it.up or it.stopped:
-            self._begins(number, f"{fault.kind} {it.name}: skipped, it was away").end = self._s()
+    async def _run_process_fault(
+        self, number: int, fault: Fault, process: Process, end: float
+    ) -> None:
+        if not process.up or process.stopped:
+            self._begin_fault(
+                number, f"{fault.kind} {process.name}: skipped, it was away"
+            ).end = self._now_s()
             return
-        noted = self._begins(number, f"{fault.kind} {it.name}")
+        interval = self._begin_fault(number, f"{fault.kind} {process.name}")
         match fault.kind:
             case "kill" | "terminate":
-                await self._away(fault, it, end, noted)
+                await self._take_down(fault, process, end, interval)
             case "stop":
-                await self._stop(it, end)
+                await self._pause(process, end)
             case "starve":
-                while self._s() < end and it.up:
-                    await self._stop(it, min(end, self._s() + fault.every_s / 2))
-                    await self._until(min(end, self._s() + fault.every_s / 2))
+                while self._now_s() < end and process.up:
+                    await self._pause(process, min(end, self._now_s() + fault.every_s / 2))
+                    await self._sleep_until(min(end, self._now_s() + fault.every_s / 2))
             case "clock":
-                await self._set(
-                    it,
+                await self._apply_control(
+                    process,
                     end,
                     {"wall_us": int(fault.jump_s * 1e6), "rate": fault.clock_rate},
                     {"wall_us": 0, "rate": 1.0},
                 )
             case "disk":
-                it.bad_disk = True
-                mode = {"full": FULL, "failing": FAILING}.get(fault.disk, 0)
+                process.bad_disk = True
+                mode = {"full": DISK_FULL, "failing": DISK_FAILING}.get(fault.disk, 0)
                 slow = fault.sync_ms if fault.disk == "slow" else 0.0
-                await self._set(
-                    it, end, {"disk": mode, "sync_ms": slow}, {"disk": 0, "sync_ms": 0.0}
+                await self._apply_control(
+                    process, end, {"disk": mode, "sync_ms": slow}, {"disk": 0, "sync_ms": 0.0}
                 )
-                it.bad_disk = False
+                process.bad_disk = False
             case "upgrade":
-                if not await self.processes.upgrade(it):
-                    self.seen.crashes.append(
-                        f"{it.name}: the new process did not serve: {_last(it)}"
+                if not await self.processes.upgrade(process):
+                    self.observations.crashes.append(
+                        f"{process.name}: the new process did not serve: {_last_log_line(process)}"
                     )
             case "promote":
-                with contextlib.suppress(NotSent, Lost):
-                    status, said = await ask(it.ports["writes"], "POST", "/promote")
-                    noted.what += f": {status}" + (
-                        "" if status == 200 else f" {said.decode().strip()}"
+                with contextlib.suppress(ConnectFailed, ResponseLost):
+                    status, response_body = await send_request(
+                        process.ports["writes"], "POST", "/promote"
+                    )
+                    interval.what += f": {status}" + (
+                        "" if status == 200 else f" {response_body.decode().strip()}"
                     )
-        noted.end = self._s()
+        interval.end = self._now_s()
 
-    async def _set(
-        self, it: Process, end: float, bad: dict[str, Any], good: dict[str, Any]
+    async def _apply_control(
+        self, process: Process, end: float, bad: dict[str, Any], good: dict[str, Any]
+    ) -> None:
+        assert process.control
+        process.control.change(**bad)
+        await self._sleep_until(end)
+        process.control.change(**good)
+
+    async def _pause(self, process: Process, until: float) -> None:
+        popen = process.popen
+        self.processes.pause(process, True)
+        self._record_state(process, "stopped")
+        await self._sleep_until(until)
+        if process.popen is popen and process.stopped:
+            self.processes.pause(process, False)
+            self._record_state(process, "up")
+
+    async def _take_down(
+        self, fault: Fault, process: Process, end: float, interval: FaultInterval
     ) -> None:
-        assert it.control
-        it.control.change(**bad)
-        await self._until(end)
-        it.control.change(**good)
-
-    async def _stop(self, it: Process, until: float) -> None:
-        process = it.process
-        self.processes.pause(it, True)
-        self._bar(it, "stopped")
-        await self._until(until)
-        if it.process is process and it.stopped:
-            self.processes.pause(it, False)
-            self._bar(it, "up")
-
-    async def _away(self, fault: Fault, it: Process, end: float, noted: Happened) -> None:
-        if fault.in_write and it.control and it.process:
-            it.expected = True
-            it.control.change(die_at=it.control.syncs + 1)
-            while it.process.poll() is None and self._s() < end:
+        if fault.in_write and process.control and process.popen:
+            process.expected = True
+            process.control.change(die_at=process.control.syncs + 1)
+            while process.popen.poll() is None and self._now_s() < end:
                 await asyncio.sleep(0.005)
-            if it.process.poll() is not None:
-                noted.what += " between sync and answer"
-            it.control.change(die_at=0)
+            if process.popen.poll() is not None:
+                interval.what += " between sync and answer"
+            process.control.change(die_at=0)
         if fault.kind == "terminate":
-            await self.processes.terminate(it)
+            await self.processes.terminate(process)
         else:
-            await self.processes.kill(it)
-        self._bar(it, "")
-        self._connects()
-        lost = await asyncio.to_thread(self.processes.put_back, it, fault.folder, fault.power)
-        if lost:
-            noted.what += f", {lost} bytes were not synced"
+            await self.processes.kill(process)
+        self._record_state(process, "")
+        self._update_connect_modes()
+        unsynced_bytes = await asyncio.to_thread(
+            self.processes.restore_folder, process, fault.folder, fault.power
+        )
+        if unsynced_bytes:
+            interval.what += f", {unsynced_bytes} bytes were not synced"
         if fault.for_good:
             return
-        await self._until(end)
-        it.expected = False
-        await self._back(it)
+        await self._sleep_until(end)
+        process.expected = False
+        await self._restart(process)
 
     # The end.
 
-    async def _settle(self) -> None:
+    async def _await_agreement(self) -> None:
         """Until all agree; meanwhile what the page tells an operator to do after a failover."""
-        begin, tended = self._s(), False
+        begin, operator_acted = self._now_s(), False
         since = max(begin, self._last_fault)
         while True:
             alive = [p for p in self.processes.all.values() if p.up and p.kind in "lim"]
             if not any(p.kind in "lm" for p in alive):
-                self.seen.nobody = True
+                self.observations.nobody = True
                 return
-            told = await asyncio.gather(*(self._told(p) for p in alive))
-            everybody = list(zip(alive, told, strict=True))
-            different = self._apart([(p, t) for p, t in everybody if p.kind == "m"])
-            different += self._compare([(p, t) for p, t in everybody if p.kind in "li"])
-            if not different:
-                self.seen.agreed_s = round(self._s() - since, 2)
+            state = await asyncio.gather(*(self._query_state(p) for p in alive))
+            states = list(zip(alive, state, strict=True))
+            differences = self._view_differences([(p, t) for p, t in states if p.kind == "m"])
+            differences += self._state_differences([(p, t) for p, t in states if p.kind in "li"])
+            if not differences:
+                self.observations.agreed_s = round(self._now_s() - since, 2)
                 return
-            if self._s() - since > self.schedule.settle_s:
-                self.seen.differences = different
+            if self._now_s() - since > self.schedule.settle_s:
+                self.observations.differences = differences
                 return
-            if not tended and self._s() - begin > OPERATOR:
-                tended = await self._tend(
-                    [(p, t) for p, t in zip(alive, told, strict=True) if p.kind == "l"]
+            if not operator_acted and self._now_s() - begin > OPERATOR_DELAY_S:
+                operator_acted = await self._rejoin_followers(
+                    [(p, t) for p, t in zip(alive, state, strict=True) if p.kind == "l"]
                 )
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(AGREEMENT_POLL_S)
 
-    async def _told(self, it: Process) -> dict[str, Any]:
+    async def _query_state(self, process: Process) -> dict[str, Any]:
         """What it holds, asked directly; empty if it does not say."""
         try:
-            if it.kind == "m":
-                _, said = await ask(it.ports["ops"], "GET", "/members")
-                found = json.loads(said)
+            if process.kind == "m":
+                _, response_body = await send_request(process.ports["ops"], "GET", "/members")
+                found = json.loads(response_body)
                 return {k: found[k] for k in ("view", "digest", "size", "standing")}
-            if it.kind == "i":
-                _, said = await ask(it.ports["ops"], "GET", "/discovery")
-                found = json.loads(said)
+            if process.kind == "i":
+                _, response_body = await send_request(process.ports["ops"], "GET", "/discovery")
+                found = json.loads(response_body)
                 return {k: found.get(k) for k in ("lineage", "epoch", "index")}
-            _, said = await ask(it.ports["writes"], "GET", "/status")
-            status = json.loads(said)
-            _, said = await ask(it.ports["writes"], "GET", "/servers")
-            held = {s["name"]: value_of(s["weight"]) for s in json.loads(said)["servers"]}
+            _, response_body = await send_request(process.ports["writes"], "GET", "/status")
+            status = json.loads(response_body)
+            _, response_body = await send_request(process.ports["writes"], "GET", "/servers")
+            held = {s["name"]: value_of(s["weight"]) for s in json.loads(response_body)["servers"]}
             keys = ("lineage", "epoch", "index", "role", "leader")
             return {k: status[k] for k in keys} | {"held": held}
-        except (NotSent, Lost, ValueError, KeyError):
+        except (ConnectFailed, ResponseLost, ValueError, KeyError):
             return {}
 
-    def _apart(self, members: list[tuple[Process, dict[str, Any]]]) -> list[str]:
+    def _view_differences(self, members: list[tuple[Process, dict[str, Any]]]) -> list[str]:
         """How members differ from one view, of just those that are up."""
         first = next((t for _, t in members if t), {})
-        different = []
-        for it, told in members:
-            if told.get("digest") != first.get("digest") or told.get("size") != len(members):
-                shown = f"view {told.get('view')} of {told.get('size')}, {told.get('standing')}"
-                different.append(f"{it.name}: {shown}")
-            elif told["standing"] not in ("whole", "majority"):
-                different.append(f"{it.name}: {told['standing']}")
-        return different
-
-    def _compare(self, all_told: list[tuple[Process, dict[str, Any]]]) -> list[str]:
+        differences = []
+        for process, state in members:
+            if state.get("digest") != first.get("digest") or state.get("size") != len(members):
+                shown = f"view {state.get('view')} of {state.get('size')}, {state.get('standing')}"
+                differences.append(f"{process.name}: {shown}")
+            elif state["standing"] not in ("whole", "majority"):
+                differences.append(f"{process.name}: {state['standing']}")
+        return differences
+
+    def _state_differences(self, states: list[tuple[Process, dict[str, Any]]]) -> list[str]:
         """How they differ; and, where they do not, the registers' values are those at the end."""
-        leaders = [(p, t) for p, t in all_told if t.get("role") == "leader"]
+        leaders = [(p, t) for p, t in states if t.get("role") == "leader"]
         if len(leaders) > 1:
             return [f"{p.name} leads epoch {t['epoch']} from {t['index']}" for p, t in leaders]
-        listed = [t for _, t in leaders] or [t for p, t in all_told if p.kind == "l" and t]
+        listed = [t for _, t in leaders] or [t for p, t in states if p.kind == "l" and t]
         reference = listed[0] if listed else {}
-        if not all_told:
+        if not states:
             return []
-        different = [] if reference else ["no list service answers"]
-        for it, told in all_told:
-            for key in ("lineage", "epoch", "index", *(("held",) if it.kind == "l" else ())):
-                if told.get(key) != reference.get(key):
-                    different.append(f"{it.name}: {key} {told.get(key)}, not {reference.get(key)}")
+        differences = [] if reference else ["no list service answers"]
+        for process, state in states:
+            for key in ("lineage", "epoch", "index", *(("held",) if process.kind == "l" else ())):
+                if state.get(key) != reference.get(key):
+                    differences.append(
+                        f"{process.name}: {key} {state.get(key)}, not {reference.get(key)}"
+                    )
                     break
-            if told.get("role") == "deposed":
-                different.append(f"{it.name} is deposed")
-        if not different and reference:
-            registers = {p.name: 0 for p in self.processes.of("s")}
-            self.seen.final = registers | {
+            if state.get("role") == "deposed":
+                differences.append(f"{process.name} is deposed")
+        if not differences and reference:
+            registers = {p.name: 0 for p in self.processes.of_kind("s")}
+            self.observations.final = registers | {
                 n: v for n, v in reference["held"].items() if n in registers
             }
-        return different
+        return differences
 
-    async def _tend(self, lists: list[tuple[Process, dict[str, Any]]]) -> bool:
+    async def _rejoin_followers(self, lists: list[tuple[Process, dict[str, Any]]]) -> bool:
         """Who was deposed, or follows one that was, is started again as a follower of the one that
         leads."""
         leaders = [p for p, t in lists if t.get("role") == "leader"]
         if len(leaders) != 1:
             return False
         follow = self.processes.address(leaders[0].name, "reads")
-        for it, told in lists:
+        for process, state in lists:
             if (
-                it is not leaders[0]
-                and told.get("role") in ("deposed", "follower")
-                and it.follow != follow
+                process is not leaders[0]
+                and state.get("role") in ("deposed", "follower")
+                and process.follow != follow
             ):
-                it.follow = follow
-                await self.processes.terminate(it)
-                it.expected = False
-                await self._back(it)
+                process.follow = follow
+                await self.processes.terminate(process)
+                process.expected = False
+                await self._restart(process)
         return True
 
     async def _end(self) -> None:
@@ -562,14 +599,14 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for bar in self.bars:
             if bar.end < 0:
-                bar.end = self._s()
+                bar.end = self._now_s()
         self.processes.end()
         if self.relay:
             await self.relay.end()
 
 
-def _last(it: Process) -> str:
-    lines = [line for line in it.log.splitlines() if line.strip()]
+def _last_log_line(process: Process) -> str:
+    lines = [line for line in process.log.splitlines() if line.strip()]
     return lines[-1] if lines else "it said nothing"
 
 
@@ -578,9 +615,9 @@
     if folder.exists():
         shutil.rmtree(folder)
     folder.mkdir(parents=True)
-    (folder / "schedule.toml").write_text(text_of(schedule))
-    result = await Host(schedule, seed, folder).run()
-    write(folder / RESULT, result)
+    (folder / "schedule.toml").write_text(to_toml(schedule))
+    result = await FaultRun(schedule, seed, folder).run()
+    write(folder / RESULT_FILE, result)
     if not result.verdict.broken:
         for name in schedule.processes():
             shutil.rmtree(folder / name, ignore_errors=True)
@@ -588,4 +625,4 @@
 
 
 def result_of(folder: Path) -> Result:
-    return msgspec.json.decode((folder / RESULT).read_bytes(), type=Result)
+    return msgspec.json.decode((folder / RESULT_FILE).read_bytes(), type=Result)
--- a/cairndale/lab/faults/judge.py
+++ b/cairndale/lab/faults/judge.py
@@ -24,7 +24,16 @@
 import msgspec
 
 from cairndale.lab.faults import linear
-from cairndale.lab.faults.history import FILE, OK, REFUSED, UNKNOWN, Call, by_key, parted, read
+from cairndale.lab.faults.history import (
+    HISTORY_FILE,
+    OK,
+    REFUSED,
+    UNKNOWN,
+    Operation,
+    by_key,
+    read_operations,
+    split_by_key,
+)
 
 HOLDS, BROKEN, UNDECIDED = "holds", "broken", "undecided"
 PROPERTIES = (
@@ -37,9 +46,9 @@
     "agreement",
     "standing",
 )
-EVENTS = 12  # that a finding shows
-MOST = 5  # findings of a property that are told
-NEVER = 1 << 62
+MAX_EVENTS = 12  # that a finding shows
+MAX_FINDINGS = 5  # findings of a property that are told
+INFINITE_TIME = 1 << 62
 
 
 class Finding(msgspec.Struct):
@@ -56,14 +65,14 @@
 
     @property
     def broken(self) -> list[str]:
-        return [name for name, said in self.properties.items() if said == BROKEN]
+        return [name for name, result in self.properties.items() if result == BROKEN]
 
     @property
     def passed(self) -> bool:
-        return all(said == HOLDS for said in self.properties.values())
+        return all(result == HOLDS for result in self.properties.values())
 
 
-class Seen(msgspec.Struct):
+class Observations(msgspec.Struct):
     """What the host adds to the calls: the end state, and what happened to processes."""
 
     final: dict[str, int] = {}  # each register's value once all agree
@@ -74,231 +83,277 @@
     void: list[str] = []  # why the run says nothing
 
 
-class _Court:
+class _Checker:
     def __init__(self) -> None:
         self.findings: dict[str, list[Finding]] = {name: [] for name in PROPERTIES}
         self.undecided: dict[str, str] = {}
         self.counts: dict[str, int] = {}
 
-    def find(self, property: str, key: str, text: str, events: Iterable[Call | str] = ()) -> None:
-        shown = [e if isinstance(e, str) else e.told() for e in events][-EVENTS:]
+    def add_finding(
+        self, property: str, key: str, text: str, events: Iterable[Operation | str] = ()
+    ) -> None:
+        shown = [e if isinstance(e, str) else e.describe() for e in events][-MAX_EVENTS:]
         self.findings[property].append(Finding(property, key, text, shown))
 
     def verdict(self) -> Verdict:
-        said = {}
+        result = {}
         for name in PROPERTIES:
-            said[name] = (
+            result[name] = (
                 BROKEN if self.findings[name] else UNDECIDED if name in self.undecided else HOLDS
             )
-        findings = [f for name in PROPERTIES for f in self.findings[name][:MOST]]
+        findings = [f for name in PROPERTIES for f in self.findings[name][:MAX_FINDINGS]]
         findings += [
             Finding(name, "", f"not decided: {why}") for name, why in self.undecided.items()
         ]
-        return Verdict(said, findings, dict(sorted(self.counts.items())))
+        return Verdict(result, findings, dict(sorted(self.counts.items())))
 
 
-def linearizable(court: _Court, key: str, calls: Sequence[Call], bound: int) -> None:
-    ops = [c for c in calls if c.kind in ("write", "cas", "read")]
+def check_linearizable(
+    checker: _Checker, key: str, operations: Sequence[Operation], bound: int
+) -> None:
+    ops = [c for c in operations if c.kind in ("write", "cas", "read")]
     try:
-        broken = linear.first_broken(ops, bound=bound)
+        broken = linear.first_violation(ops, bound=bound)
     except linear.Undecided:
-        court.undecided["linearizable"] = f"over {bound} orders are possible for {key}"
+        checker.undecided["linearizable"] = f"over {bound} orders are possible for {key}"
         return
     if broken is not None:
-        events = linear.explained(ops, broken)
-        court.find("linearizable", key, f"no order explains {len(events)} calls on {key}", events)
+        events = linear.minimal_violation(ops, broken)
+        checker.add_finding(
+            "linearizable", key, f"no order explains {len(events)} calls on {key}", events
+        )
 
 
-def _writes(calls: Sequence[Call]) -> dict[int, Call]:
+def _writes_by_value(operations: Sequence[Operation]) -> dict[int, Operation]:
     return {
         c.value: c
-        for c in calls
+        for c in operations
         if c.kind in ("write", "cas") and c.outcome in (OK, UNKNOWN, REFUSED)
     }
 
 
-def kept(court: _Court, key: str, calls: Sequence[Call], final: int | None) -> None:
-    answered = [c for c in calls if c.kind in ("write", "cas") and c.outcome == OK]
+def check_kept(
+    checker: _Checker, key: str, operations: Sequence[Operation], final: int | None
+) -> None:
+    answered = [c for c in operations if c.kind in ("write", "cas") and c.outcome == OK]
     if final is None:
         if answered:
-            court.undecided["kept"] = f"what became of {key} was not seen at the end"
+            checker.undecided["kept"] = f"what became of {key} was not seen at the end"
         return
-    writer = _writes(calls).get(final)
+    writer = _writes_by_value(operations).get(final)
     if writer is None and final != 0:
-        court.find("kept", key, f"{key} is {final} at the end, which nobody wrote")
+        checker.add_finding("kept", key, f"{key} is {final} at the end, which nobody wrote")
         return
     if writer is not None and writer.outcome == REFUSED:
-        court.find("kept", key, f"{key} is {final} at the end, a write that was refused", [writer])
+        checker.add_finding(
+            "kept", key, f"{key} is {final} at the end, a write that was refused", [writer]
+        )
         return
-    over = -NEVER if writer is None else NEVER if writer.outcome == UNKNOWN else writer.end
-    lost = sorted((c for c in answered if c.begin > over), key=lambda c: c.begin)
+    writer_end = (
+        -INFINITE_TIME
+        if writer is None
+        else INFINITE_TIME
+        if writer.outcome == UNKNOWN
+        else writer.end
+    )
+    lost = sorted((c for c in answered if c.begin > writer_end), key=lambda c: c.begin)
     if lost:
-        shown = [*([writer] if writer else []), *lost[: EVENTS - 1]]
-        court.find(
+        shown = [*([writer] if writer else []), *lost[: MAX_EVENTS - 1]]
+        checker.add_finding(
             "kept", key, f"{len(lost)} answered writes of {key} are lost: it is {final}", shown
         )
 
 
-def fresh(court: _Court, key: str, calls: Sequence[Call]) -> None:
+def check_fresh(checker: _Checker, key: str, operations: Sequence[Operation]) -> None:
     """Of the writes that were over before the moment that a read vouches for, none is newer than
     what it found."""
-    writers = _writes(calls)
+    writers = _writes_by_value(operations)
     answered = sorted(
-        (c for c in calls if c.kind in ("write", "cas") and c.outcome == OK), key=lambda c: c.end
+        (c for c in operations if c.kind in ("write", "cas") and c.outcome == OK),
+        key=lambda c: c.end,
     )
-    latest: list[Call] = []  # of those over by then, the one that began last
-    for call in answered:
-        latest.append(call if not latest or call.begin > latest[-1].begin else latest[-1])
+    latest: list[Operation] = []  # of those over by then, the one that began last
+    for operation in answered:
+        latest.append(operation if not latest or operation.begin > latest[-1].begin else latest[-1])
     ends = [c.end for c in answered]
-    for call in calls:
-        if call.kind != "aged" or call.outcome != OK:
+    for operation in operations:
+        if operation.kind != "aged" or operation.outcome != OK:
             continue
-        writer = writers.get(call.value)
-        if writer is None and call.value != 0:
-            court.find("fresh", key, f"a value of {key} that nobody wrote", [call])
+        writer = writers.get(operation.value)
+        if writer is None and operation.value != 0:
+            checker.add_finding("fresh", key, f"a value of {key} that nobody wrote", [operation])
             continue
         if writer is not None and writer.outcome == UNKNOWN:
             continue
-        over = -NEVER if writer is None else writer.end
-        known = bisect_left(ends, call.begin - call.age)
-        if known and latest[known - 1].begin > over:
-            shown = [*([writer] if writer else []), latest[known - 1], call]
-            late = (call.begin - call.age - latest[known - 1].end) / 1e6
-            court.find("fresh", key, f"a read of {key} is {late:.2f} s older than its bound", shown)
+        writer_end = -INFINITE_TIME if writer is None else writer.end
+        known = bisect_left(ends, operation.begin - operation.age)
+        if known and latest[known - 1].begin > writer_end:
+            shown = [*([writer] if writer else []), latest[known - 1], operation]
+            staleness_s = (operation.begin - operation.age - latest[known - 1].end) / 1e6
+            checker.add_finding(
+                "fresh", key, f"a read of {key} is {staleness_s:.2f} s older than its bound", shown
+            )
             return  # one a key tells enough
 
 
-def once(court: _Court, calls: Iterable[Call], effects: Mapping[str, Sequence[str]]) -> None:
+def check_once(
+    checker: _Checker, operations: Iterable[Operation], effects: Mapping[str, Sequence[str]]
+) -> None:
     """`effects`: for each request's id, what the servers noted."""
-    for call in calls:
-        if call.kind != "request":
+    for operation in operations:
+        if operation.kind != "request":
             continue
-        happened = effects.get(call.key, ())
-        if call.value:
-            court.find("once", call.key, f"{call.key} was given another's answer", [call])
-        least, most = {OK: (1, 1), UNKNOWN: (0, 1), REFUSED: (0, 0)}[call.outcome]
-        if not least <= len(happened) <= most:
-            text = f"{call.key} was {call.outcome} and took effect {len(happened)} times"
-            court.find("once", call.key, text, [call, *happened])
+        occurrences = effects.get(operation.key, ())
+        if operation.value:
+            checker.add_finding(
+                "once", operation.key, f"{operation.key} was given another's answer", [operation]
+            )
+        least, most = {OK: (1, 1), UNKNOWN: (0, 1), REFUSED: (0, 0)}[operation.outcome]
+        if not least <= len(occurrences) <= most:
+            text = (
+                f"{operation.key} was {operation.outcome} and took effect {len(occurrences)} times"
+            )
+            checker.add_finding("once", operation.key, text, [operation, *occurrences])
 
 
-class _Acts:
+class _TermChecker:
     """Who acted in which term, from the first act's end to the last one's beginning."""
 
     def __init__(self) -> None:
-        self.first: dict[int, Call] = {}
-        self.last: dict[int, Call] = {}
-        self.by: dict[int, dict[str, Call]] = {}
-
-    def add(self, call: Call) -> None:
-        if call.token < 0 or call.outcome != OK or call.kind not in ("write", "cas", "act"):
+        self.first: dict[int, Operation] = {}
+        self.last: dict[int, Operation] = {}
+        self.by_process: dict[int, dict[str, Operation]] = {}
+
+    def add(self, operation: Operation) -> None:
+        if (
+            operation.term < 0
+            or operation.outcome != OK
+            or operation.kind not in ("write", "cas", "act")
+        ):
             return
-        term = call.token
-        if term not in self.first or call.end < self.first[term].end:
-            self.first[term] = call
-        if term not in self.last or call.begin > self.last[term].begin:
-            self.last[term] = call
-        self.by.setdefault(term, {}).setdefault(call.at, call)
-
-    def judge(self, court: _Court) -> None:
-        for term, owners in sorted(self.by.items()):
+        term = operation.term
+        if term not in self.first or operation.end < self.first[term].end:
+            self.first[term] = operation
+        if term not in self.last or operation.begin > self.last[term].begin:
+            self.last[term] = operation
+        self.by_process.setdefault(term, {}).setdefault(operation.process, operation)
+
+    def check(self, checker: _Checker) -> None:
+        for term, owners in sorted(self.by_process.items()):
             if len(owners) > 1:
-                court.find(
+                checker.add_finding(
                     "one-owner", str(term), f"{len(owners)} act in term {term}", owners.values()
                 )
             for later in (t for t in self.first if t > term):
                 if self.last[term].begin > self.first[later].end:
                     shown = [self.first[later], self.last[term]]
-                    newer = f"{self.first[later].at} did in {later}"
-                    text = f"{self.last[term].at} acts in term {term} after {newer}"
-                    court.find("one-owner", str(term), text, shown)
+                    newer = f"{self.first[later].process} did in {later}"
+                    text = f"{self.last[term].process} acts in term {term} after {newer}"
+                    checker.add_finding("one-owner", str(term), text, shown)
 
 
-class _Views:
+class _ViewChecker:
     """Of each number the view that was seen first; of each member's process the last."""
 
     def __init__(self) -> None:
-        self.first: dict[int, Call] = {}
-        self.last: dict[str, Call] = {}
+        self.first: dict[int, Operation] = {}
+        self.last: dict[str, Operation] = {}
 
-    def add(self, court: _Court, call: Call) -> None:
-        if call.kind != "view" or not call.value:
+    def add(self, checker: _Checker, operation: Operation) -> None:
+        if operation.kind != "view" or not operation.value:
             return
-        first = self.first.setdefault(call.value, call)
-        if first.expected != call.expected:
-            court.find("views", call.key, f"two views have number {call.value}", [first, call])
-        last = self.last.get(call.key)
-        if last is not None and last.end < call.begin and last.value > call.value:
-            court.find("views", call.key, f"{call.at} went back", [last, call])
-        self.last[call.key] = call
+        first = self.first.setdefault(operation.value, operation)
+        if first.expected != operation.expected:
+            checker.add_finding(
+                "views",
+                operation.key,
+                f"two views have number {operation.value}",
+                [first, operation],
+            )
+        last = self.last.get(operation.key)
+        if last is not None and last.end < operation.begin and last.value > operation.value:
+            checker.add_finding(
+                "views", operation.key, f"{operation.process} went back", [last, operation]
+            )
+        self.last[operation.key] = operation
 
 
-def judge_calls(
-    calls: Sequence[Call],
+def check_operations(
+    operations: Sequence[Operation],
     final: Mapping[str, int],
     effects: Mapping[str, Sequence[str]] | None = None,
-    bound: int = linear.BOUND,
+    bound: int = linear.MAX_CONFIGURATIONS,
 ) -> Verdict:
     """A history that is in memory as a whole, without what the host adds."""
-    court, acts, views = _Court(), _Acts(), _Views()
-    for call in calls:
-        acts.add(call)
-        views.add(court, call)
-    _part(court, calls, final, effects or {}, bound)
-    acts.judge(court)
-    return court.verdict()
-
-
-def _part(
-    court: _Court,
-    calls: Sequence[Call],
+    checker, term_checker, view_checker = _Checker(), _TermChecker(), _ViewChecker()
+    for operation in operations:
+        term_checker.add(operation)
+        view_checker.add(checker, operation)
+    _check_part(checker, operations, final, effects or {}, bound)
+    term_checker.check(checker)
+    return checker.verdict()
+
+
+def _check_part(
+    checker: _Checker,
+    operations: Sequence[Operation],
     final: Mapping[str, int],
     effects: Mapping[str, Sequence[str]],
     bound: int,
 ) -> None:
-    for call in calls:
-        name = f"{call.kind} {call.outcome}"
-        court.counts[name] = court.counts.get(name, 0) + 1
-    once(court, calls, effects)
-    for key, own in sorted(
-        by_key(c for c in calls if c.kind not in ("request", "act", "view")).items()
+    for operation in operations:
+        name = f"{operation.kind} {operation.outcome}"
+        checker.counts[name] = checker.counts.get(name, 0) + 1
+    check_once(checker, operations, effects)
+    for key, key_operations in sorted(
+        by_key(c for c in operations if c.kind not in ("request", "act", "view")).items()
     ):
-        linearizable(court, key, own, bound)
-        kept(court, key, own, final.get(key))
-        fresh(court, key, own)
+        check_linearizable(checker, key, key_operations, bound)
+        check_kept(checker, key, key_operations, final.get(key))
+        check_fresh(checker, key, key_operations)
 
 
-def noted(folder: Path, wanted: set[str] | None = None) -> dict[str, list[str]]:
+def recorded_effects(folder: Path, request_ids: set[str] | None = None) -> dict[str, list[str]]:
     """Effects by request id, as the servers noted them; of `wanted` ids alone, if given."""
     found: dict[str, list[str]] = {}
     for path in sorted(folder.glob("effects-*.txt")):
         with path.open() as file:
             for line in file:
                 id, _, at = line.partition(" ")
-                if at.endswith("\n") and (wanted is None or id in wanted):
+                if at.endswith("\n") and (request_ids is None or id in request_ids):
                     text = f"{int(at) / 1e6:.3f} s: effect of {id} at {path.stem[8:]}"
                     found.setdefault(id, []).append(text)
     return found
 
 
-def judge(folder: Path, seen: Seen, bound: int = linear.BOUND) -> Verdict:
+def check_run(
+    folder: Path, observations: Observations, bound: int = linear.MAX_CONFIGURATIONS
+) -> Verdict:
     """The history in the folder, part by part, each key as a whole."""
-    court, acts, views = _Court(), _Acts(), _Views()
-    with parted(folder / FILE) as paths:
+    checker, term_checker, view_checker = _Checker(), _TermChecker(), _ViewChecker()
+    with split_by_key(folder / HISTORY_FILE) as paths:
         for path in paths:
-            calls = list(read(path))
-            for call in calls:
-                acts.add(call)
-                views.add(court, call)
-            wanted = {c.key for c in calls if c.kind == "request"}
-            _part(court, calls, seen.final, noted(folder, wanted), bound)
-    acts.judge(court)
-    if seen.nobody:
-        court.undecided["agreement"] = "no process was left"
-    elif seen.agreed_s is None:
-        court.find("agreement", "", "the processes did not agree in time", seen.differences)
-    for text in seen.crashes:
-        court.find("standing", "", text)
-    for text in seen.void:
-        court.undecided["standing"] = text
-    return court.verdict()
+            operations = list(read_operations(path))
+            for operation in operations:
+                term_checker.add(operation)
+                view_checker.add(checker, operation)
+            request_ids = {c.key for c in operations if c.kind == "request"}
+            _check_part(
+                checker,
+                operations,
+                observations.final,
+                recorded_effects(folder, request_ids),
+                bound,
+            )
+    term_checker.check(checker)
+    if observations.nobody:
+        checker.undecided["agreement"] = "no process was left"
+    elif observations.agreed_s is None:
+        checker.add_finding(
+            "agreement", "", "the processes did not agree in time", observations.differences
+        )
+    for text in observations.crashes:
+        checker.add_finding("standing", "", text)
+    for text in observations.void:
+        checker.undecided["standing"] = text
+    return checker.verdict()
--- a/cairndale/lab/faults/launch.py
+++ b/cairndale/lab/faults/launch.py
@@ -30,12 +30,12 @@
 from cairndale.lab.live.ports import HOST
 
 CONTROL = struct.Struct("<qdqdqq")  # see Control
-FULL, FAILING = 1, 2
+DISK_FULL, DISK_FAILING = 1, 2
 _real_time, _real_monotonic = time.time_ns, time.monotonic_ns
 _real_write, _real_fsync = os.write, os.fsync
 
 
-class Launch(msgspec.Struct):
+class LaunchSpec(msgspec.Struct):
     """What the wrapper is told. Addresses are `HOST:PORT` as the program knows them; ports are
     relays'."""
 
@@ -108,7 +108,7 @@
         self.unsynced = False  # a plant: syncs are left out
 
     def write(self, fd: int, data: Any, /) -> int:
-        if self._control.read()[2] == FULL and stat.S_ISREG(os.fstat(fd).st_mode):
+        if self._control.read()[2] == DISK_FULL and stat.S_ISREG(os.fstat(fd).st_mode):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return _real_write(fd, data)
 
@@ -116,13 +116,13 @@
         _, _, disk, sync_ms, die_at, syncs = self._control.read()
         if sync_ms:
             time.sleep(sync_ms / 1000)
-        if disk == FAILING:
+        if disk == DISK_FAILING:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         if not self.unsynced:
             _real_fsync(fd)
-            found = os.fstat(fd)
-            if stat.S_ISREG(found.st_mode):
-                _real_write(self._log, b"%d %d\n" % (found.st_ino, found.st_size))
+            status = os.fstat(fd)
+            if stat.S_ISREG(status.st_mode):
+                _real_write(self._log, b"%d %d\n" % (status.st_ino, status.st_size))
         self._control.change(syncs=syncs + 1)
         if die_at and syncs + 1 >= die_at:  # it is on disk, and nobody has been told
             os.kill(os.getpid(), signal.SIGKILL)
@@ -132,39 +132,39 @@
         os.fsync = self.fsync  # type: ignore[assignment]
 
 
-def cut_power(folder: Path, synced: Path) -> int:
+def truncate_to_synced(folder: Path, synced: Path) -> int:
     """What a loss of power leaves of a folder: of each file, what was synced. The bytes that were
     lost."""
-    kept = {}
+    synced_sizes = {}
     if synced.exists():
         for line in synced.read_text().splitlines():
             inode, synced_size = line.split()
-            kept[int(inode)] = int(synced_size)
-    lost = 0
+            synced_sizes[int(inode)] = int(synced_size)
+    lost_bytes = 0
     for path in folder.rglob("*"):
         if path.is_file() and path.name != "lock":
-            found = path.stat()
-            size = min(found.st_size, kept.get(found.st_ino, 0))
-            lost += found.st_size - size
+            status = path.stat()
+            size = min(status.st_size, synced_sizes.get(status.st_ino, 0))
+            lost_bytes += status.st_size - size
             os.truncate(path, size)
-    return lost
+    return lost_bytes
 
 
-class Routed(asyncio.DatagramProtocol):
+class RoutedDatagrams(asyncio.DatagramProtocol):
     """A datagram endpoint of the program: it names peers by their own addresses, the wire by
     relays'."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, routes: dict[str, int]) -> None:
         self._inner = inner
-        self._out = {_split(a): port for a, port in routes.items()}
-        self._back = {port: address for address, port in self._out.items()}
+        self._relay_ports = {_split_address(a): port for a, port in routes.items()}
+        self._peers_by_relay_port = {port: address for address, port in self._relay_ports.items()}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
         self._inner.connection_made(cast(asyncio.DatagramTransport, self))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._inner.datagram_received(data, self._back.get(addr[1], addr))
+        self._inner.datagram_received(data, self._peers_by_relay_port.get(addr[1], addr))
 
     def error_received(self, exc: Exception) -> None:
         self._inner.error_received(exc)
@@ -175,7 +175,7 @@
     # As a transport.
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        port = self._out.get((addr[0], addr[1]))
+        port = self._relay_ports.get((addr[0], addr[1]))
         self._transport.sendto(data, (addr[0], port) if port else addr)
 
     def close(self) -> None:
@@ -191,29 +191,29 @@
         return self._transport.get_extra_info(name, default)
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def loops(told: Launch) -> Callable[[], asyncio.AbstractEventLoop]:
+def loop_class(spec: LaunchSpec) -> Callable[[], asyncio.AbstractEventLoop]:
     """Of loops whose connections go by the routes."""
-    base: Any = asyncio.SelectorEventLoop if told.skewed else uvloop.Loop
+    base: Any = asyncio.SelectorEventLoop if spec.skewed else uvloop.Loop
 
     class Loop(base):  # type: ignore[misc]
         async def create_connection(
-            self, factory: Any, host: Any = None, port: Any = None, **more: Any
+            self, factory: Any, host: Any = None, port: Any = None, **options: Any
         ) -> Any:
-            if way := told.routes.get(f"{host}:{port}"):
-                host, port = HOST, way
-            return await super().create_connection(factory, host, port, **more)
+            if relay_port := spec.routes.get(f"{host}:{port}"):
+                host, port = HOST, relay_port
+            return await super().create_connection(factory, host, port, **options)
 
-        async def create_datagram_endpoint(self, factory: Any, *args: Any, **more: Any) -> Any:
-            made = Routed(factory(), told.datagrams)
-            await super().create_datagram_endpoint(lambda: made, *args, **more)
-            return made, made._inner
+        async def create_datagram_endpoint(self, factory: Any, *args: Any, **options: Any) -> Any:
+            endpoint = RoutedDatagrams(factory(), spec.datagrams)
+            await super().create_datagram_endpoint(lambda: endpoint, *args, **options)
+            return endpoint, endpoint._inner
 
-        if told.skewed:
+        if spec.skewed:
 
             def time(self) -> float:
                 return time.monotonic()
@@ -222,25 +222,25 @@
 
 
 def main() -> None:
-    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Launch)
-    control, make = Control(Path(told.control)), loops(told)
-    if told.skewed:
+    spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LaunchSpec)
+    control, make = Control(Path(spec.control)), loop_class(spec)
+    if spec.skewed:
         Clocks(control).install()
-    disk = Disk(control, Path(told.synced))
+    disk = Disk(control, Path(spec.synced))
     disk.install()
-    if ":" in told.plant:  # another program's: MODULE:FUNCTION
-        module, _, name = told.plant.partition(":")
+    if ":" in spec.plant:  # another program's: MODULE:FUNCTION
+        module, _, name = spec.plant.partition(":")
         getattr(importlib.import_module(module), name)()
-    elif told.plant:
-        PLANTS[told.plant](disk)
+    elif spec.plant:
+        PLANTS[spec.plant](disk)
 
     def run(main: Coroutine[Any, Any, Any]) -> Any:
         with asyncio.Runner(loop_factory=make) as runner:
             return runner.run(main)
 
     uvloop.run = cast(Any, run)
-    sys.argv = [told.module, *told.argv]
-    runpy.run_module(told.module, run_name="__main__", alter_sys=True)
+    sys.argv = [spec.module, *spec.argv]
+    runpy.run_module(spec.module, run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/cairndale/lab/faults/linear.py
+++ b/cairndale/lab/faults/linear.py
@@ -14,13 +14,15 @@
 from dataclasses import dataclass
 from itertools import count
 
-from cairndale.lab.faults.history import CONFLICT, OK, UNKNOWN, Call
+from cairndale.lab.faults.history import CONFLICT, OK, UNKNOWN, Operation
 
-BOUND = 200_000  # configurations of a key that are looked at before it is not decided
-SHOWN = 60  # last calls that an explanation begins from
-UNSEEN = -1  # stands for every value that nobody has read
+MAX_CONFIGURATIONS = 200_000  # configurations of a key that are looked at before it is not decided
+MAX_EXPLANATION = 60  # last calls that an explanation begins from
+UNREAD_VALUE = -1  # stands for every value that nobody has read
 
-Config = tuple[int, int]  # the register's value, and a bit for each open call that has taken effect
+Configuration = tuple[
+    int, int
+]  # the register's value, and a bit for each open call that has taken effect
 
 
 class Undecided(Exception):
@@ -28,109 +30,111 @@
 
 
 @dataclass(slots=True)
-class _Open:
-    call: Call
+class _OpenOperation:
+    operation: Operation
     bit: int
     value: int
 
     def step(self, state: int) -> int | None:
         """The state after it, None if it cannot have taken effect then with this outcome."""
-        call = self.call
-        if call.kind == "write":
+        operation = self.operation
+        if operation.kind == "write":
             return self.value
-        if call.kind == "read":
-            return state if state == call.value else None
-        if call.outcome == CONFLICT:
-            return state if state != call.expected else None
-        return self.value if state == call.expected else None
+        if operation.kind == "read":
+            return state if state == operation.value else None
+        if operation.outcome == CONFLICT:
+            return state if state != operation.expected else None
+        return self.value if state == operation.expected else None
 
     @property
-    def harmless(self) -> bool:
+    def read_only(self) -> bool:
         """It changes nothing: where it can take effect, it may as well do so at once."""
-        return self.call.kind == "read" or self.call.outcome == CONFLICT
+        return self.operation.kind == "read" or self.operation.outcome == CONFLICT
 
 
-def _relevant(calls: Sequence[Call]) -> list[tuple[Call, int]]:
+def _relevant(operations: Sequence[Operation]) -> list[tuple[Operation, int]]:
     """The calls that say something, each with the value it writes as anybody could tell."""
-    seen = {c.value for c in calls if c.kind == "read" and c.outcome == OK}
-    seen |= {c.expected for c in calls if c.kind == "cas"}
-    conflicts = any(c.outcome == CONFLICT for c in calls)
+    seen = {c.value for c in operations if c.kind == "read" and c.outcome == OK}
+    seen |= {c.expected for c in operations if c.kind == "cas"}
+    conflicts = any(c.outcome == CONFLICT for c in operations)
     found = []
-    for call in calls:
-        if call.outcome not in (OK, CONFLICT, UNKNOWN):
+    for operation in operations:
+        if operation.outcome not in (OK, CONFLICT, UNKNOWN):
             continue
-        if call.outcome == UNKNOWN:
-            if call.kind == "read" or not (call.value in seen or conflicts):
+        if operation.outcome == UNKNOWN:
+            if operation.kind == "read" or not (operation.value in seen or conflicts):
                 continue
-            found.append((call, call.value if call.value in seen else UNSEEN))
+            found.append((operation, operation.value if operation.value in seen else UNREAD_VALUE))
         else:
-            found.append((call, call.value))
+            found.append((operation, operation.value))
     return found
 
 
-def first_broken(calls: Sequence[Call], initial: int = 0, bound: int = BOUND) -> Call | None:
+def first_violation(
+    operations: Sequence[Operation], initial: int = 0, bound: int = MAX_CONFIGURATIONS
+) -> Operation | None:
     """The first call by whose end no order explains all calls on this key; None if one always does.
 
     Raises Undecided. Refused calls must have had no effect: a value of theirs that is read breaks
     the order."""
-    events: list[tuple[int, int, int, Call, int]] = []
-    for number, (call, value) in enumerate(_relevant(calls)):
-        events.append((call.begin, 0, number, call, value))
-        if call.outcome != UNKNOWN:
-            events.append((call.end, 1, number, call, value))
+    events: list[tuple[int, int, int, Operation, int]] = []
+    for number, (operation, value) in enumerate(_relevant(operations)):
+        events.append((operation.begin, 0, number, operation, value))
+        if operation.outcome != UNKNOWN:
+            events.append((operation.end, 1, number, operation, value))
     events.sort(key=lambda e: e[:3])
-    opened: dict[int, _Open] = {}
+    open_operations: dict[int, _OpenOperation] = {}
     bits = (1 << n for n in count())
     free: list[int] = []
     unknown = 0
-    configs: set[Config] = {(initial, 0)}
-    looked = 0
-    for _, ends, number, call, value in events:
-        if not ends:
+    configurations: set[Configuration] = {(initial, 0)}
+    explored = 0
+    for _, is_end, number, operation, value in events:
+        if not is_end:
             bit = free.pop() if free else next(bits)
-            opened[number] = _Open(call, bit, value)
-            if call.outcome == UNKNOWN:
+            open_operations[number] = _OpenOperation(operation, bit, value)
+            if operation.outcome == UNKNOWN:
                 unknown |= bit
             continue
-        own = opened[number]
-        harmless = [o for o in opened.values() if o.harmless]
-        others = [o for o in opened.values() if not o.harmless]
-        met: set[Config] = set()
-        through: set[Config] = set()
-        stack = list(configs)
+        completing = open_operations[number]
+        read_only = [o for o in open_operations.values() if o.read_only]
+        others = [o for o in open_operations.values() if not o.read_only]
+        visited: set[Configuration] = set()
+        completed: set[Configuration] = set()
+        stack = list(configurations)
         while stack:
             state, mask = stack.pop()
-            for one in harmless:
-                if one.step(state) is not None:
-                    mask |= one.bit
-            if (state, mask) in met:
+            for candidate in read_only:
+                if candidate.step(state) is not None:
+                    mask |= candidate.bit
+            if (state, mask) in visited:
                 continue
-            met.add((state, mask))
-            if mask & own.bit:
-                through.add((state, mask & ~own.bit))
+            visited.add((state, mask))
+            if mask & completing.bit:
+                completed.add((state, mask & ~completing.bit))
                 continue
-            looked += 1
-            if looked > bound:
+            explored += 1
+            if explored > bound:
                 raise Undecided
-            for one in others:
-                if not mask & one.bit and (after := one.step(state)) is not None:
-                    stack.append((after, mask | one.bit))
-        if not through:
-            return call
-        configs = _fewest(through, unknown)
-        del opened[number]
-        free.append(own.bit)
+            for candidate in others:
+                if not mask & candidate.bit and (after := candidate.step(state)) is not None:
+                    stack.append((after, mask | candidate.bit))
+        if not completed:
+            return operation
+        configurations = _drop_dominated(completed, unknown)
+        del open_operations[number]
+        free.append(completing.bit)
     return None
 
 
-def _fewest(configs: set[Config], unknown: int) -> set[Config]:
-    if not unknown or len(configs) < 2:
-        return configs
-    alike: dict[tuple[int, int], list[int]] = {}
-    for state, mask in configs:
-        alike.setdefault((state, mask & ~unknown), []).append(mask & unknown)
-    found: set[Config] = set()
-    for (state, known), masks in alike.items():
+def _drop_dominated(configurations: set[Configuration], unknown: int) -> set[Configuration]:
+    if not unknown or len(configurations) < 2:
+        return configurations
+    groups: dict[tuple[int, int], list[int]] = {}
+    for state, mask in configurations:
+        groups.setdefault((state, mask & ~unknown), []).append(mask & unknown)
+    found: set[Configuration] = set()
+    for (state, known), masks in groups.items():
         kept: list[int] = []
         for mask in sorted(masks, key=int.bit_count):
             if not any(k & mask == k for k in kept):
@@ -139,31 +143,35 @@
     return found
 
 
-def explained(calls: Sequence[Call], broken: Call, initial: int = 0) -> list[Call]:
+def minimal_violation(
+    operations: Sequence[Operation], violation: Operation, initial: int = 0
+) -> list[Operation]:
     """Few calls that cannot be put into an order either: `broken`, and of those before its end what
     cannot be left out. A read or a conflict can always be; a write once nobody left has seen what
     it wrote."""
-    left = [c for c in calls if c.begin <= broken.end and c.outcome != "refused"]
-    left.sort(key=lambda c: c.begin)
+    remaining = [c for c in operations if c.begin <= violation.end and c.outcome != "refused"]
+    remaining.sort(key=lambda c: c.begin)
 
-    def fails(some: Sequence[Call]) -> bool:
+    def is_violated(subset: Sequence[Operation]) -> bool:
         try:
-            return first_broken(some, initial) is not None
+            return first_violation(subset, initial) is not None
         except Undecided:
             return False
 
-    size = max(1, len(left) // 2)
+    size = max(1, len(remaining) // 2)
     while size:
         at = 0
-        while at < len(left):
-            out, rest = left[at : at + size], left[:at] + left[at + size :]
-            gone = {c.value for c in out if c.kind != "read" and c.outcome != CONFLICT}
+        while at < len(remaining):
+            removed, rest = remaining[at : at + size], remaining[:at] + remaining[at + size :]
+            removed_values = {
+                c.value for c in removed if c.kind != "read" and c.outcome != CONFLICT
+            }
             seen = {c.value for c in rest if c.kind == "read"} | {
                 c.expected for c in rest if c.kind == "cas"
             }
-            if broken not in out and not gone & seen and fails(rest):
-                left = rest
+            if violation not in removed and not removed_values & seen and is_violated(rest):
+                remaining = rest
             else:
                 at += size
         size //= 2
-    return left[-SHOWN:]
+    return remaining[-MAX_EXPLANATION:]
--- a/cairndale/lab/faults/links.py
+++ b/cairndale/lab/faults/links.py
@@ -23,36 +23,36 @@
     flip: float = 0.0  # one bit is another
 
     @property
-    def plain(self) -> bool:
+    def passes_through(self) -> bool:
         """Whether bytes go on as they come."""
         return not (self.cut or self.delay_ms or self.jitter_ms or self.rate)
 
 
 CLEAR = Conditions()
-REORDER = 0.05  # s that a datagram out of order is held back at the most
+REORDER_WINDOW_S = 0.05  # s that a datagram out of order is held back at the most
 
 
-def _either(a: float, b: float) -> float:
+def _either_probability(a: float, b: float) -> float:
     return 1 - (1 - a) * (1 - b)
 
 
-def together(several: Iterable[Conditions]) -> Conditions:
+def combine(parts: Iterable[Conditions]) -> Conditions:
     """Of faults that lie on one link at once: delays add up, the narrowest rate holds, chances are
     apart."""
-    made = CLEAR
-    for one in several:
-        made = Conditions(
-            made.delay_ms + one.delay_ms,
-            made.jitter_ms + one.jitter_ms,
-            min((r for r in (made.rate, one.rate) if r), default=0.0),
-            made.cut or one.cut,
-            _either(made.loss, one.loss),
-            _either(made.duplicate, one.duplicate),
-            _either(made.reorder, one.reorder),
-            _either(made.truncate, one.truncate),
-            _either(made.flip, one.flip),
+    combined = CLEAR
+    for part in parts:
+        combined = Conditions(
+            combined.delay_ms + part.delay_ms,
+            combined.jitter_ms + part.jitter_ms,
+            min((r for r in (combined.rate, part.rate) if r), default=0.0),
+            combined.cut or part.cut,
+            _either_probability(combined.loss, part.loss),
+            _either_probability(combined.duplicate, part.duplicate),
+            _either_probability(combined.reorder, part.reorder),
+            _either_probability(combined.truncate, part.truncate),
+            _either_probability(combined.flip, part.flip),
         )
-    return made
+    return combined
 
 
 @dataclass(slots=True)
@@ -60,28 +60,34 @@
     """When each piece of one direction of one connection is through. Order is kept."""
 
     free_at: float = 0.0  # s: the slow link has sent all that came before
-    last: float = 0.0
+    last_delivery_at: float = 0.0
 
-    def due(self, now: float, size: int, on: Conditions, rng: random.Random) -> float:
+    def delivery_time(
+        self, now: float, size: int, conditions: Conditions, rng: random.Random
+    ) -> float:
         """`now` and the answer in s, `size` in bytes."""
-        self.free_at = max(now, self.free_at) + (size / on.rate if on.rate else 0.0)
-        late = on.delay_ms + (rng.expovariate(1 / on.jitter_ms) if on.jitter_ms else 0.0)
-        self.last = max(self.last, self.free_at + late / 1000)
-        return self.last
+        self.free_at = max(now, self.free_at) + (size / conditions.rate if conditions.rate else 0.0)
+        delay_ms = conditions.delay_ms + (
+            rng.expovariate(1 / conditions.jitter_ms) if conditions.jitter_ms else 0.0
+        )
+        self.last_delivery_at = max(self.last_delivery_at, self.free_at + delay_ms / 1000)
+        return self.last_delivery_at
 
 
-def mangled(data: bytes, on: Conditions, rng: random.Random) -> list[tuple[float, bytes]]:
+def impair(data: bytes, conditions: Conditions, rng: random.Random) -> list[tuple[float, bytes]]:
     """What becomes of a datagram: s that each copy is held back beside the link's delay, and its
     bytes."""
-    if on.cut or rng.random() < on.loss:
+    if conditions.cut or rng.random() < conditions.loss:
         return []
-    found = []
-    for _ in range(1 + (rng.random() < on.duplicate)):
+    copies = []
+    for _ in range(1 + (rng.random() < conditions.duplicate)):
         copy = data
-        if copy and rng.random() < on.truncate:
+        if copy and rng.random() < conditions.truncate:
             copy = copy[: rng.randrange(len(copy))]
-        if copy and rng.random() < on.flip:
-            at = rng.randrange(len(copy))
-            copy = copy[:at] + bytes([copy[at] ^ (1 << rng.randrange(8))]) + copy[at + 1 :]
-        found.append((rng.uniform(0, REORDER) if rng.random() < on.reorder else 0.0, copy))
-    return found
+        if copy and rng.random() < conditions.flip:
+            index = rng.randrange(len(copy))
+            copy = copy[:index] + bytes([copy[index] ^ (1 << rng.randrange(8))]) + copy[index + 1 :]
+        copies.append(
+            (rng.uniform(0, REORDER_WINDOW_S) if rng.random() < conditions.reorder else 0.0, copy)
+        )
+    return copies
--- a/cairndale/lab/faults/many.py
+++ b/cairndale/lab/faults/many.py
@@ -17,17 +17,17 @@
 import msgspec
 
 from cairndale.lab.faults.host import Result, result_of
-from cairndale.lab.faults.schedule import Fault, Schedule, crossed, text_of
+from cairndale.lab.faults.schedule import Fault, Schedule, cross_field_errors, to_toml
 from cairndale.lab.live.worker import spawn
 from cairndale.lab.play import HERE
 
-LIMIT = 120.0  # s after which a run is given up
+RUN_TIMEOUT_S = 120.0  # s after which a run is given up
 # s to agree in that are tried in place of more: a run that breaks something waits them out
-SETTLE = 3.0
+SHRINK_SETTLE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class RunSpec:
     """A run to be made: a shipped or drawn schedule by name, or a file."""
 
     name: str
@@ -37,9 +37,9 @@
 
 
 @dataclass(slots=True)
-class Found:
+class HuntSummary:
     runs: int = 0
-    held: int = 0
+    passed_runs: int = 0
     undecided: int = 0
     failed: list[Path] = field(default_factory=list)  # runs that could not be made
     broken: dict[str, list[Path]] = field(default_factory=dict)  # by property
@@ -54,39 +54,39 @@
         for name in broken:
             self.broken.setdefault(name, []).append(folder)
         if result.verdict.passed:
-            self.held += 1
+            self.passed_runs += 1
         elif not broken:
             self.undecided += 1
         return broken
 
-    def told(self) -> str:
-        text = f"{self.runs} runs: {self.held} held, {self.undecided} undecided"
+    def describe(self) -> str:
+        text = f"{self.runs} runs: {self.passed_runs} held, {self.undecided} undecided"
         if self.failed:
             text += f", {len(self.failed)} could not be made"
         parts = [f"{len(paths)} broke {name}" for name, paths in sorted(self.broken.items())]
         return ", ".join([text, *parts])
 
 
-async def made(wanted: Wanted) -> Result | None:
+async def play_in_subprocess(spec: RunSpec) -> Result | None:
     """Plays it in a process of its own; None if it could not be played."""
-    wanted.folder.parent.mkdir(parents=True, exist_ok=True)
+    spec.folder.parent.mkdir(parents=True, exist_ok=True)
     command = [
         sys.executable,
         "-m",
         "cairndale.lab",
         "faults",
         "run",
-        wanted.name,
+        spec.name,
         "--seed",
-        str(wanted.seed),
+        str(spec.seed),
     ]
-    command += ["--json", "--out", str(wanted.folder)] + (
-        ["--plant", wanted.plant] if wanted.plant else []
+    command += ["--json", "--out", str(spec.folder)] + (
+        ["--plant", spec.plant] if spec.plant else []
     )
-    with wanted.folder.with_suffix(".log").open("wb") as log:
+    with spec.folder.with_suffix(".log").open("wb") as log:
         process = spawn(command, cwd=HERE, stdout=log, stderr=log)
     try:
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(RUN_TIMEOUT_S):
             while process.poll() is None:
                 await asyncio.sleep(0.05)
     except TimeoutError:
@@ -96,21 +96,21 @@
             process.kill()  # what it started dies with it
         process.wait()
     with contextlib.suppress(OSError, msgspec.DecodeError):
-        return result_of(wanted.folder)
+        return result_of(spec.folder)
     return None
 
 
-async def runs(
-    every: Iterator[Wanted], jobs: int
-) -> AsyncGenerator[tuple[Wanted, Result | None], None]:
+async def play_all(
+    specs: Iterator[RunSpec], jobs: int
+) -> AsyncGenerator[tuple[RunSpec, Result | None], None]:
     """Carries them out, `jobs` at a time, as they end. Whoever stops listening ends those under
     way."""
-    tasks: dict[asyncio.Task[Result | None], Wanted] = {}
+    tasks: dict[asyncio.Task[Result | None], RunSpec] = {}
     loop = asyncio.get_running_loop()
     try:
         while True:
-            for wanted in itertools.islice(every, jobs - len(tasks)):
-                tasks[loop.create_task(made(wanted))] = wanted
+            for spec in itertools.islice(specs, jobs - len(tasks)):
+                tasks[loop.create_task(play_in_subprocess(spec))] = spec
             if not tasks:
                 return
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -130,25 +130,25 @@
     out: Path,
     plant: str,
     stop_on: str,
-    progress: Callable[[Found], None],
-) -> Found:
+    progress: Callable[[HuntSummary], None],
+) -> HuntSummary:
     """Plays seeds until the time is over, or `stop_on` (a property) is broken. Runs that hold are
     removed."""
-    loop, found = asyncio.get_running_loop(), Found()
+    loop, found = asyncio.get_running_loop(), HuntSummary()
     end = loop.time() + 60 * minutes
 
-    def every() -> Iterator[Wanted]:
+    def specs() -> Iterator[RunSpec]:
         for seed in seeds:
             if loop.time() >= end:
                 return
-            yield Wanted(name, seed, out / f"{Path(name).stem.replace(':', '-')}-{seed}", plant)
+            yield RunSpec(name, seed, out / f"{Path(name).stem.replace(':', '-')}-{seed}", plant)
 
-    async with contextlib.aclosing(runs(every(), jobs)) as results:
-        async for wanted, result in results:
-            broken = found.add(wanted.folder, result)
+    async with contextlib.aclosing(play_all(specs(), jobs)) as results:
+        async for spec, result in results:
+            broken = found.add(spec.folder, result)
             if result is not None and result.verdict.passed:
-                shutil.rmtree(wanted.folder)
-                wanted.folder.with_suffix(".log").unlink(missing_ok=True)
+                shutil.rmtree(spec.folder)
+                spec.folder.with_suffix(".log").unlink(missing_ok=True)
             progress(found)
             if stop_on and stop_on in broken:
                 break
@@ -158,13 +158,13 @@
 # Shrinking.
 
 
-def smaller(schedule: Schedule) -> Iterator[Schedule]:
+def smaller_schedules(schedule: Schedule) -> Iterator[Schedule]:
     """Smaller schedules, the boldest first: fewer faults, processes and callers, shorter, simpler
     faults."""
     copy = msgspec.structs.replace
     faults = schedule.fault
-    if schedule.settle_s > SETTLE:
-        yield copy(schedule, settle_s=SETTLE)
+    if schedule.settle_s > SHRINK_SETTLE_S:
+        yield copy(schedule, settle_s=SHRINK_SETTLE_S)
     size = len(faults) // 2
     while size:
         for at in range(0, len(faults), size):
@@ -187,16 +187,16 @@
         if count := getattr(load, key):
             yield copy(schedule, load=copy(load, **{key: count // 2}))
     for number, fault in enumerate(faults):
-        for change in _simpler(fault, schedule):
+        for change in _simpler_faults(fault, schedule):
             yield copy(schedule, fault=[*faults[:number], change, *faults[number + 1 :]])
 
 
-def _simpler(fault: Fault, schedule: Schedule) -> Iterator[Fault]:
+def _simpler_faults(fault: Fault, schedule: Schedule) -> Iterator[Fault]:
     copy = msgspec.structs.replace
     if fault.len_s > 0.4:
         yield copy(fault, len_s=round(fault.len_s / 2, 2))
     for key, names in (("on", fault.on), ("from_", fault.from_), ("to", fault.to)):
-        chosen = schedule.chosen(names)
+        chosen = schedule.select(names)
         if len(chosen) > 1:
             for half in (chosen[: len(chosen) // 2], chosen[len(chosen) // 2 :]):
                 yield copy(fault, **{key: half})
@@ -208,17 +208,22 @@
 class Shrunk:
     schedule: Schedule
     failed: int  # runs of it that broke one of the properties ...
-    of: int  # ... of so many
+    runs: int  # ... out of this many runs
     tried: int  # schedules
 
 
 async def shrink(
-    result: Result, out: Path, jobs: int, each: int, bound: int, progress: Callable[[Shrunk], None]
+    result: Result,
+    out: Path,
+    jobs: int,
+    runs_each: int,
+    bound: int,
+    progress: Callable[[Shrunk], None],
 ) -> Shrunk:
     """The smallest schedule found that still breaks one of the properties that this run broke, each
     tried `each` times; at most `bound` of them. What is smaller is tried in batches that keep the
     cores busy."""
-    wanted = set(result.verdict.broken)
+    spec = set(result.verdict.broken)
     numbers = itertools.count()
     best = Shrunk(result.schedule, 0, 0, 0)
 
@@ -226,38 +231,42 @@
         """How often each of them failed."""
         folder = out / "tries"
         folder.mkdir(parents=True, exist_ok=True)
-        every = []
+        specs = []
         counts = [0] * len(schedules)
         which: dict[Path, int] = {}
         for n, schedule in enumerate(schedules):
             path = folder / f"try-{next(numbers)}.toml"
-            path.write_text(text_of(schedule))
-            for seed in range(each):
-                run = Wanted(str(path), result.seed + seed, path.with_name(f"{path.stem}-{seed}"))
+            path.write_text(to_toml(schedule))
+            for seed in range(runs_each):
+                run = RunSpec(str(path), result.seed + seed, path.with_name(f"{path.stem}-{seed}"))
                 which[run.folder] = n
-                every.append(run)
-        async with contextlib.aclosing(runs(iter(every), jobs)) as results:
+                specs.append(run)
+        async with contextlib.aclosing(play_all(iter(specs), jobs)) as results:
             async for run, found in results:
-                if found is not None and wanted & set(found.verdict.broken):
+                if found is not None and spec & set(found.verdict.broken):
                     counts[which[run.folder]] += 1
                 shutil.rmtree(run.folder, ignore_errors=True)
         return counts
 
     (best.failed,) = await fails([best.schedule])
-    best.of, best.tried = each, 1
+    best.runs, best.tried = runs_each, 1
     progress(best)
-    batch = max(1, jobs // each)
-    again = True
-    while again and best.tried < bound:
-        again = False
-        candidates = (c for c in smaller(best.schedule) if not list(crossed(c)))
-        while best.tried < bound and (some := list(itertools.islice(candidates, batch))):
-            counts = await fails(some)
-            best.tried += len(some)
-            good = [(c, s) for c, s in zip(counts, some, strict=True) if c]
-            if good:
-                best.failed, best.schedule = max(good, key=lambda g: g[0])
-                again = True
+    batch = max(1, jobs // runs_each)
+    improved = True
+    while improved and best.tried < bound:
+        improved = False
+        candidates = (
+            c for c in smaller_schedules(best.schedule) if not list(cross_field_errors(c))
+        )
+        while best.tried < bound and (
+            candidates_batch := list(itertools.islice(candidates, batch))
+        ):
+            counts = await fails(candidates_batch)
+            best.tried += len(candidates_batch)
+            failing = [(c, s) for c, s in zip(counts, candidates_batch, strict=True) if c]
+            if failing:
+                best.failed, best.schedule = max(failing, key=lambda g: g[0])
+                improved = True
                 progress(best)
                 break
             progress(best)
@@ -267,8 +276,10 @@
 def write_shrunk(found: Shrunk, result: Result, path: Path) -> None:
     broke = ", ".join(result.verdict.broken)
     head = f"# shrunk from {result.schedule.name}, seed {result.seed}: broke {broke}\n"
-    head += f"# it failed {found.failed} times of {found.of}; {found.tried} schedules were tried\n"
-    path.write_text(head + text_of(found.schedule))
+    head += (
+        f"# it failed {found.failed} times of {found.runs}; {found.tried} schedules were tried\n"
+    )
+    path.write_text(head + to_toml(found.schedule))
 
 
 def default_jobs() -> int:
@@ -278,7 +289,7 @@
 
 def as_json(result: Result, folder: Path) -> str:
     """What `run --json` says."""
-    told = {
+    payload = {
         "schedule": result.schedule.name,
         "seed": result.seed,
         "folder": str(folder),
@@ -288,4 +299,4 @@
         "happened": msgspec.to_builtins(result.happened),
         "agreed_s": result.seen.agreed_s,
     }
-    return json.dumps(told)
+    return json.dumps(payload)
--- a/cairndale/lab/faults/picture.py
+++ b/cairndale/lab/faults/picture.py
@@ -16,17 +16,17 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot as plt
 
-from cairndale.lab.faults.history import FILE, OK, UNKNOWN, Call, read
+from cairndale.lab.faults.history import HISTORY_FILE, OK, UNKNOWN, Operation, read_operations
 from cairndale.lab.faults.host import Result
-from cairndale.lab.faults.schedule import ON_LINKS
+from cairndale.lab.faults.schedule import LINK_FAULTS
 from cairndale.lab.report import INK, STYLE
 
 if TYPE_CHECKING:
     from matplotlib.axes import Axes
     from matplotlib.figure import Figure
 
-MOST = 20_000  # calls that are drawn
-MARKS = {
+MAX_OPERATIONS = 20_000  # calls that are drawn
+MARKERS = {
     "ok": ("|", INK[2]),
     "conflict": ("|", INK[5]),
     "refused": ("x", INK[4]),
@@ -34,23 +34,30 @@
 }
 
 
-def _spells(calls: Iterable[Call]) -> dict[tuple[str, int], tuple[int, int]]:
+def _term_intervals(operations: Iterable[Operation]) -> dict[tuple[str, int], tuple[int, int]]:
     """From when to when a process acted in a term, us."""
     found: dict[tuple[str, int], tuple[int, int]] = {}
-    for call in calls:
-        if call.token >= 0 and call.outcome == OK:
-            begin, end = found.get((call.at, call.token), (call.end, call.end))
-            found[call.at, call.token] = min(begin, call.end), max(end, call.end)
+    for operation in operations:
+        if operation.term >= 0 and operation.outcome == OK:
+            begin, end = found.get(
+                (operation.process, operation.term), (operation.end, operation.end)
+            )
+            found[operation.process, operation.term] = (
+                min(begin, operation.end),
+                max(end, operation.end),
+            )
     return found
 
 
-def _processes(axes: Axes, result: Result, rows: dict[str, int], calls: list[Call]) -> None:
+def _processes(
+    axes: Axes, result: Result, rows: dict[str, int], operations: list[Operation]
+) -> None:
     for bar in result.bars:
         if bar.process in rows:
             colour, hatch = (INK[4], "///") if bar.state == "stopped" else ("#dddddd", "")
             width = max(0.01, bar.end - bar.begin)
             axes.barh(rows[bar.process], width, 0.7, bar.begin, color=colour, hatch=hatch, lw=0)
-    for (name, term), (begin, end) in _spells(calls).items():
+    for (name, term), (begin, end) in _term_intervals(operations).items():
         if name in rows:
             axes.barh(
                 rows[name] + 0.25,
@@ -61,13 +68,13 @@
             )
             axes.annotate(f"term {term}", (begin / 1e6, rows[name] + 0.34), fontsize=6)
     by: dict[tuple[str, str], list[float]] = defaultdict(list)
-    for call in calls:
-        if call.at in rows and call.kind != "aged":
-            by[call.at, call.outcome].append(
-                (call.begin if call.outcome == UNKNOWN else call.end) / 1e6
+    for operation in operations:
+        if operation.process in rows and operation.kind != "aged":
+            by[operation.process, operation.outcome].append(
+                (operation.begin if operation.outcome == UNKNOWN else operation.end) / 1e6
             )
     for (name, outcome), times in by.items():
-        mark, colour = MARKS[outcome]
+        mark, colour = MARKERS[outcome]
         axes.scatter(
             times, [rows[name] - 0.1] * len(times), s=14, marker=mark, c=colour, linewidths=0.7
         )
@@ -76,28 +83,28 @@
 def _faults(axes: Axes, result: Result, top: int) -> None:
     for number, happened in enumerate(result.happened):
         fault = result.schedule.fault[happened.fault]
-        colour, row = INK[1] if fault.kind in ON_LINKS else INK[3], top + number
+        colour, row = INK[1] if fault.kind in LINK_FAULTS else INK[3], top + number
         end = max(happened.end, happened.begin + 0.05)
         axes.axvspan(happened.begin, end, color=colour, alpha=0.08, lw=0)
         axes.barh(row, end - happened.begin, 0.6, happened.begin, color=colour, lw=0)
         text = happened.what
-        if fault.kind in ON_LINKS:
+        if fault.kind in LINK_FAULTS:
             arrow = "<->" if fault.both else "->"
             text += f" {','.join(fault.from_)} {arrow} {','.join(fault.to) or 'the others'}"
         axes.annotate(text, (end + 0.05, row), fontsize=7, va="center")
 
 
 def figure(result: Result, folder: Path) -> Figure:
-    calls = []
-    for call in read(folder / FILE):
-        calls.append(call)
-        if len(calls) >= MOST:
+    operations = []
+    for operation in read_operations(folder / HISTORY_FILE):
+        operations.append(operation)
+        if len(operations) >= MAX_OPERATIONS:
             break
     names = result.schedule.processes()
     rows = {name: n for n, name in enumerate(names)}
     height = 1.5 + 0.42 * (len(names) + len(result.happened))
-    made, axes = plt.subplots(figsize=(13, height), layout="constrained")
-    _processes(axes, result, rows, calls)
+    chart, axes = plt.subplots(figsize=(13, height), layout="constrained")
+    _processes(axes, result, rows, operations)
     _faults(axes, result, len(names))
     labels = [*names, *("fault" for _ in result.happened)]
     axes.set_yticks(range(len(labels)), labels)
@@ -105,30 +112,32 @@
     axes.set_xlabel(
         "s; ticks: calls that ended (green yes, blue conflict, cross unknown or refused)"
     )
-    said = ", ".join(f"{n} {v}" for n, v in result.verdict.properties.items() if v != "holds")
-    axes.set_title(f"{result.schedule.name}, seed {result.seed}: {said or 'all properties hold'}")
-    return made
+    verdict = ", ".join(f"{n} {v}" for n, v in result.verdict.properties.items() if v != "holds")
+    axes.set_title(
+        f"{result.schedule.name}, seed {result.seed}: {verdict or 'all properties hold'}"
+    )
+    return chart
 
 
 def draw(result: Result, folder: Path, path: Path) -> None:
     """As SVG or PNG, by the path's ending."""
-    made = figure(result, folder)
-    made.savefig(
+    chart = figure(result, folder)
+    chart.savefig(
         path, bbox_inches="tight", metadata={"Date": None} if path.suffix == ".svg" else None
     )
-    plt.close(made)
+    plt.close(chart)
 
 
-def page(result: Result, folder: Path) -> Path:
+def write_report(result: Result, folder: Path) -> Path:
     """One self-contained HTML file: the verdict, the events that show it, the picture, the
     schedule."""
-    made, out = figure(result, folder), io.BytesIO()
-    made.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
-    plt.close(made)
+    chart, out = figure(result, folder), io.BytesIO()
+    chart.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
+    plt.close(chart)
     image = base64.b64encode(out.getvalue()).decode()
     rows = "".join(
-        f"<tr><td>{name}</td><td{'' if said == 'holds' else ' class=bad'}>{said}</td></tr>"
-        for name, said in result.verdict.properties.items()
+        f"<tr><td>{name}</td><td{'' if verdict == 'holds' else ' class=bad'}>{verdict}</td></tr>"
+        for name, verdict in result.verdict.properties.items()
     )
     findings = "".join(
         f"<h3>{html.escape(f.property)}: {html.escape(f.text)}</h3><pre>"
--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -19,19 +19,19 @@
 import msgspec
 import tomli_w
 
-from cairndale.lab.faults.calls import Lost, NotSent, ask
-from cairndale.lab.faults.launch import Control, Launch, cut_power
+from cairndale.lab.faults.calls import ConnectFailed, ResponseLost, send_request
+from cairndale.lab.faults.launch import Control, LaunchSpec, truncate_to_synced
 from cairndale.lab.faults.schedule import Schedule
-from cairndale.lab.live.host import held_datagram_port, held_port
+from cairndale.lab.live.host import reserve_datagram_port, reserve_port
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.live.worker import spawn
 from cairndale.lab.play import HERE
 
-READY = 20.0  # s for a program to be ready
-LOOK = 0.02  # s between looks whether it is
-STOP = 6.0  # s from SIGTERM to SIGKILL
-PERIOD = 0.2  # s between a member's probes: all that it does goes with that
-SEEDS = 3  # members that others join through
+READY_TIMEOUT_S = 20.0  # s for a program to be ready
+READY_POLL_S = 0.02  # s between looks whether it is
+TERMINATE_TIMEOUT_S = 6.0  # s from SIGTERM to SIGKILL
+PROBE_PERIOD_S = 0.2  # s between a member's probes: all that it does goes with that
+MAX_SEEDS = 3  # members that others join through
 LEASE_MS = 3_600_000  # servers of a run do not renew
 SETTINGS: dict[str, Any] = {
     "me": 0,
@@ -70,8 +70,8 @@
     "m": ("member", "ops"),
     "c": ("serve",),
 }
-DATAGRAMS = {"m": {"m": ("member",)}}
-DIALS: dict[str, dict[str, tuple[str, ...]]] = {  # who meets whom, and where
+DATAGRAM_PORTS = {"m": {"m": ("member",)}}
+DIALED_PORTS: dict[str, dict[str, tuple[str, ...]]] = {  # who meets whom, and where
     "l": {"l": ("reads", "writes")},
     "i": {"l": ("reads",), "s": ("serve",), "c": ("serve",)},
     "m": {"m": ("member",)},
@@ -86,9 +86,9 @@
     name: str
     folder: Path
     ports: dict[str, int]
-    process: subprocess.Popen[bytes] | None = None
+    popen: subprocess.Popen[bytes] | None = None
     # handed over, not yet ended
-    leaving: list[subprocess.Popen[bytes]] = field(default_factory=list)
+    predecessors: list[subprocess.Popen[bytes]] = field(default_factory=list)
     up: bool = False  # started, and not ended by a fault
     stopped: bool = False
     expected: bool = False  # its end is a fault's doing
@@ -97,7 +97,7 @@
     skewed: bool = False
     control: Control | None = None
     # of its folder, and when they were made
-    copies: list[tuple[float, Path]] = field(default_factory=list)
+    backups: list[tuple[float, Path]] = field(default_factory=list)
 
     @property
     def kind(self) -> str:
@@ -118,108 +118,110 @@
 
     def __init__(self, schedule: Schedule, seed: int, folder: Path) -> None:
         self.schedule, self.seed, self.folder = schedule, seed, folder
-        self.holders: list[socket.socket] = []
+        self.reservations: list[socket.socket] = []
         self.all: dict[str, Process] = {}
         self.routes: dict[str, dict[str, int]] = {}
         self.udp: dict[str, dict[str, int]] = {}
-        skewed = {n for f in schedule.fault if f.kind == "clock" for n in schedule.chosen(f.on)}
+        skewed = {n for f in schedule.fault if f.kind == "clock" for n in schedule.select(f.on)}
         for name in schedule.processes():
-            ports = {port: self._hold(name[0], port) for port in PORTS[name[0]]}
-            made = self.all[name] = Process(name, folder / name, ports, skewed=name in skewed)
-            made.data.mkdir(parents=True)
+            ports = {port: self._reserve_port(name[0], port) for port in PORTS[name[0]]}
+            process = self.all[name] = Process(name, folder / name, ports, skewed=name in skewed)
+            process.data.mkdir(parents=True)
             if name[0] == "l" and name != "l0":
-                made.follow = self.address("l0", "reads")
+                process.follow = self.address("l0", "reads")
             if name[0] in "lim":
-                made.control = Control(made.folder / "control", create=True)
+                process.control = Control(process.folder / "control", create=True)
 
-    def _hold(self, kind: str, port: str) -> int:
+    def _reserve_port(self, kind: str, port: str) -> int:
         """The number of a process's port, by what it serves there."""
-        datagrams = DATAGRAMS.get(kind, {}).values()
-        takes_datagrams = any(port in ports for ports in datagrams)
-        holder, number = held_datagram_port() if takes_datagrams else held_port()
-        self.holders.append(holder)
+        datagram_routes = DATAGRAM_PORTS.get(kind, {}).values()
+        takes_datagrams = any(port in ports for ports in datagram_routes)
+        reservation, number = reserve_datagram_port() if takes_datagrams else reserve_port()
+        self.reservations.append(reservation)
         return number
 
     def address(self, name: str, port: str) -> str:
         return f"{HOST}:{self.all[name].ports[port]}"
 
-    def of(self, kind: str) -> list[Process]:
+    def of_kind(self, kind: str) -> list[Process]:
         return [p for p in self.all.values() if p.kind == kind]
 
-    def fronts(self) -> Iterator[tuple[str, str, str]]:
+    def proxies(self) -> Iterator[tuple[str, str, str]]:
         """Who dials whom, and at which port: for each of them there is a relay."""
         for a in [*self.all, *self.schedule.callers()]:
             for b in self.all:
-                for port in DIALS.get(a[0], {}).get(b[0], ()) if a != b else ():
+                for port in DIALED_PORTS.get(a[0], {}).get(b[0], ()) if a != b else ():
                     yield a, b, port
 
-    def datagrams(self) -> Iterator[tuple[str, str, str]]:
+    def datagram_routes(self) -> Iterator[tuple[str, str, str]]:
         """Who sends whom datagrams, and to which port."""
-        for a, it in self.all.items():
+        for a, process in self.all.items():
             for b in self.all:
-                for port in DATAGRAMS.get(it.kind, {}).get(b[0], ()) if a != b else ():
+                for port in DATAGRAM_PORTS.get(process.kind, {}).get(b[0], ()) if a != b else ():
                     yield a, b, port
 
     def route(self, opened: dict[str, int]) -> None:
         """`opened`: the relays' ports by front."""
-        for a, b, port in self.datagrams():
+        for a, b, port in self.datagram_routes():
             self.udp.setdefault(a, {})[self.address(b, port)] = opened[f"{a}>{b}#{port}/udp"]
-        for a, b, port in self.fronts():
+        for a, b, port in self.proxies():
             self.routes.setdefault(a, {})[self.address(b, port)] = opened[f"{a}>{b}#{port}"]
 
     # Starting.
 
-    def _command(self, it: Process) -> list[str]:
-        match it.kind:
+    def _command(self, process: Process) -> list[str]:
+        match process.kind:
             case "l":
                 config: dict[str, Any] = {
-                    "data": str(it.data),
-                    "reads": self.address(it.name, "reads"),
-                    "writes": self.address(it.name, "writes"),
+                    "data": str(process.data),
+                    "reads": self.address(process.name, "reads"),
+                    "writes": self.address(process.name, "writes"),
                     "lease_ms": [1000, LEASE_MS],
                 }
-                if it.follow:
-                    config["follow"] = it.follow
+                if process.follow:
+                    config["follow"] = process.follow
                 return self._wrapped(
-                    it, "cairndale.discovery", config, [str(it.folder / "config.json")]
+                    process, "cairndale.discovery", config, [str(process.folder / "config.json")]
                 )
             case "i":
-                return self._wrapped(it, "cairndale.ingress", self._ingress(it), [])
+                return self._wrapped(process, "cairndale.ingress", self._ingress(process), [])
             case "m":
                 seeds = [
-                    self.address(p.name, "member") for p in self.of("m")[:SEEDS] if p is not it
+                    self.address(p.name, "member")
+                    for p in self.of_kind("m")[:MAX_SEEDS]
+                    if p is not process
                 ]
-                told = {
-                    "name": it.name,
+                member_config = {
+                    "name": process.name,
                     "fleet": "lab",
-                    "listen": self.address(it.name, "member"),
-                    "folder": str(it.data),
+                    "listen": self.address(process.name, "member"),
+                    "folder": str(process.data),
                     "seeds": seeds,
-                    "founds": it.name == "m0",
-                    "ops": self.address(it.name, "ops"),
-                    "period_s": PERIOD,
+                    "founds": process.name == "m0",
+                    "ops": self.address(process.name, "ops"),
+                    "period_s": PROBE_PERIOD_S,
                 }
-                path = it.folder / "member.toml"
-                path.write_text(tomli_w.dumps(told))
-                return self._wrapped(it, "cairndale.gossip", {}, [str(path)])
+                path = process.folder / "member.toml"
+                path.write_text(tomli_w.dumps(member_config))
+                return self._wrapped(process, "cairndale.gossip", {}, [str(path)])
             case "s":
                 return [
                     "cairndale.lab.faults.standins",
                     "server",
-                    str(it.ports["serve"]),
-                    str(self.folder / f"effects-{it.name}.txt"),
+                    str(process.ports["serve"]),
+                    str(self.folder / f"effects-{process.name}.txt"),
                 ]
-        return ["cairndale.lab.faults.standins", "counter", str(it.ports["serve"]), "-"]
+        return ["cairndale.lab.faults.standins", "counter", str(process.ports["serve"]), "-"]
 
-    def _ingress(self, it: Process) -> dict[str, Any]:
-        lists = [self.address(p.name, "reads") for p in self.of("l")]
-        counts = bool(self.of("c"))
-        settings = SETTINGS | {"me": int(it.name[1:]), "fleet_size": len(self.of("i"))}
+    def _ingress(self, process: Process) -> dict[str, Any]:
+        lists = [self.address(p.name, "reads") for p in self.of_kind("l")]
+        counts = bool(self.of_kind("c"))
+        settings = SETTINGS | {"me": int(process.name[1:]), "fleet_size": len(self.of_kind("i"))}
         settings["domain"] = SETTINGS["domain"] | {"may_count": counts}
         return {
-            "name": it.name,
-            "listen": self.address(it.name, "clients"),
-            "ops": self.address(it.name, "ops"),
+            "name": process.name,
+            "listen": self.address(process.name, "clients"),
+            "ops": self.address(process.name, "ops"),
             "seed": f"{self.seed * 1000 + settings['me']:016x}",
             "limits": {},
             "discovery": lists[0],
@@ -228,139 +230,139 @@
         } | ({"counter": self.address("c0", "serve")} if counts else {})
 
     def _wrapped(
-        self, it: Process, module: str, config: dict[str, Any], argv: list[str]
+        self, process: Process, module: str, config: dict[str, Any], argv: list[str]
     ) -> list[str]:
-        (it.folder / "config.json").write_text(json.dumps(config))
-        spec = Launch(
+        (process.folder / "config.json").write_text(json.dumps(config))
+        spec = LaunchSpec(
             module,
             argv,
-            str(it.folder / "control"),
-            str(it.folder / "synced"),
-            self.routes.get(it.name, {}),
-            self.udp.get(it.name, {}),
+            str(process.folder / "control"),
+            str(process.folder / "synced"),
+            self.routes.get(process.name, {}),
+            self.udp.get(process.name, {}),
             self.schedule.plant,
-            it.skewed,
+            process.skewed,
         )
-        path = it.folder / "launch.json"
+        path = process.folder / "launch.json"
         path.write_bytes(msgspec.json.encode(spec))
         return ["cairndale.lab.faults.launch", str(path)]
 
-    def launch(self, it: Process) -> None:
+    def launch(self, process: Process) -> None:
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        env |= {"EDGE_CONFIG": str(it.folder / "config.json"), "TMPDIR": str(it.data)}
-        with (it.folder / "log.txt").open("ab") as log:
-            command = [sys.executable, "-m", *self._command(it)]
-            it.process = spawn(command, cwd=HERE, env=env, stdout=log, stderr=log)
-        it.expected = it.stopped = False
+        env |= {"EDGE_CONFIG": str(process.folder / "config.json"), "TMPDIR": str(process.data)}
+        with (process.folder / "log.txt").open("ab") as log:
+            command = [sys.executable, "-m", *self._command(process)]
+            process.popen = spawn(command, cwd=HERE, env=env, stdout=log, stderr=log)
+        process.expected = process.stopped = False
 
-    async def ready(self, it: Process, process: subprocess.Popen[bytes]) -> bool:
+    async def ready(self, process: Process, popen: subprocess.Popen[bytes]) -> bool:
         """Whether that process of it is; False once it has ended, or in `READY` s."""
         path, port = {
             "l": ("/status", "writes"),
             "i": ("/status", "ops"),
             "m": ("/members", "ops"),
-        }.get(it.kind, ("/", "serve"))
+        }.get(process.kind, ("/", "serve"))
         loop = asyncio.get_running_loop()
-        end = loop.time() + READY
-        while process.poll() is None and loop.time() < end:
-            if it.kind == "c":
-                if await _listens(it.ports[port]):
+        end = loop.time() + READY_TIMEOUT_S
+        while popen.poll() is None and loop.time() < end:
+            if process.kind == "c":
+                if await _listens(process.ports[port]):
                     return True
             else:
-                with contextlib.suppress(NotSent, Lost):
-                    status, _ = await ask(it.ports[port], "GET", path)
-                    if status == (200 if it.kind in "lim" else 404):
+                with contextlib.suppress(ConnectFailed, ResponseLost):
+                    status, _ = await send_request(process.ports[port], "GET", path)
+                    if status == (200 if process.kind in "lim" else 404):
                         return True
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(READY_POLL_S)
         return False
 
-    async def start(self, it: Process) -> bool:
+    async def start(self, process: Process) -> bool:
         """Starts it at its address; False if it did not come up."""
-        self.launch(it)
-        assert it.process
-        it.up = await self.ready(it, it.process)
-        return it.up
+        self.launch(process)
+        assert process.popen
+        process.up = await self.ready(process, process.popen)
+        return process.up
 
     # Ending.
 
-    async def gone(self, process: subprocess.Popen[bytes]) -> None:
-        while process.poll() is None:
+    async def wait_for_exit(self, popen: subprocess.Popen[bytes]) -> None:
+        while popen.poll() is None:
             await asyncio.sleep(0.005)
 
-    async def kill(self, it: Process) -> None:
-        it.expected, it.up, it.stopped = True, False, False
-        for process in (it.process, *it.leaving):
-            if process:
-                process.kill()
-                await self.gone(process)
+    async def kill(self, process: Process) -> None:
+        process.expected, process.up, process.stopped = True, False, False
+        for popen in (process.popen, *process.predecessors):
+            if popen:
+                popen.kill()
+                await self.wait_for_exit(popen)
 
-    async def terminate(self, it: Process) -> None:
+    async def terminate(self, process: Process) -> None:
         """SIGTERM; SIGKILL where that is not heard in time."""
-        it.expected, it.up = True, False
-        if it.process:
-            it.process.send_signal(signal.SIGTERM)
+        process.expected, process.up = True, False
+        if process.popen:
+            process.popen.send_signal(signal.SIGTERM)
             try:
-                async with asyncio.timeout(STOP):
-                    await self.gone(it.process)
+                async with asyncio.timeout(TERMINATE_TIMEOUT_S):
+                    await self.wait_for_exit(process.popen)
             except TimeoutError:
-                await self.kill(it)
+                await self.kill(process)
 
-    def pause(self, it: Process, stopped: bool) -> None:
-        it.stopped = stopped
-        for process in (it.process, *it.leaving):
-            if process and process.poll() is None:
-                process.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
+    def pause(self, process: Process, stopped: bool) -> None:
+        process.stopped = stopped
+        for popen in (process.popen, *process.predecessors):
+            if popen and popen.poll() is None:
+                popen.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
-    async def upgrade(self, it: Process) -> bool:
+    async def upgrade(self, process: Process) -> bool:
         """A new process beside it, at another ops address, that takes over; False if it did not."""
-        before, it.ports["ops"] = it.process, self._hold(it.name[0], "ops")
-        assert before
-        it.leaving.append(before)
-        self.launch(it)
-        assert it.process
-        good = await self.ready(it, it.process)
-        before.send_signal(signal.SIGTERM)
+        old, process.ports["ops"] = process.popen, self._reserve_port(process.name[0], "ops")
+        assert old
+        process.predecessors.append(old)
+        self.launch(process)
+        assert process.popen
+        succeeded = await self.ready(process, process.popen)
+        old.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(STOP):
-                await self.gone(before)
+            async with asyncio.timeout(TERMINATE_TIMEOUT_S):
+                await self.wait_for_exit(old)
         except TimeoutError:
-            before.kill()
-            await self.gone(before)
-        it.leaving.remove(before)
-        return good
+            old.kill()
+            await self.wait_for_exit(old)
+        process.predecessors.remove(old)
+        return succeeded
 
     # Folders.
 
-    def copy(self, it: Process, now: float) -> None:
+    def back_up(self, process: Process, now: float) -> None:
         """Puts a copy of its folder aside, as a backup taken while it runs would."""
-        target = it.folder / f"copy-{len(it.copies)}"
+        target = process.folder / f"copy-{len(process.backups)}"
         # a file that was replaced meanwhile: no copy then
         with contextlib.suppress(OSError, shutil.Error):
             shutil.copytree(
-                it.data, target, ignore=shutil.ignore_patterns("*.new", "lock", "*.sock*")
+                process.data, target, ignore=shutil.ignore_patterns("*.new", "lock", "*.sock*")
             )
-            it.copies.append((now, target))
+            process.backups.append((now, target))
 
-    def put_back(self, it: Process, what: str, power: bool) -> int:
+    def restore_folder(self, process: Process, contents: str, power: bool) -> int:
         """What it finds when it starts again; the bytes lost."""
-        if what != "same":
-            shutil.rmtree(it.data)
-            if what == "old" and it.copies:
-                shutil.copytree(it.copies[0][1], it.data)
+        if contents != "same":
+            shutil.rmtree(process.data)
+            if contents == "old" and process.backups:
+                shutil.copytree(process.backups[0][1], process.data)
             else:
-                it.data.mkdir()
-        elif power and it.kind == "l":
-            return cut_power(it.data, it.folder / "synced")
+                process.data.mkdir()
+        elif power and process.kind == "l":
+            return truncate_to_synced(process.data, process.folder / "synced")
         return 0
 
     def end(self) -> None:
-        for it in self.all.values():
-            for process in (it.process, *it.leaving):
-                if process and process.poll() is None:
-                    process.kill()
-                    process.wait()
-        for holder in self.holders:
-            holder.close()
+        for process in self.all.values():
+            for popen in (process.popen, *process.predecessors):
+                if popen and popen.poll() is None:
+                    popen.kill()
+                    popen.wait()
+        for reservation in self.reservations:
+            reservation.close()
 
 
 async def _listens(port: int) -> bool:
--- a/cairndale/lab/faults/relay.py
+++ b/cairndale/lab/faults/relay.py
@@ -27,219 +27,240 @@
 import msgspec
 import uvloop
 
-from cairndale.lab.faults.links import CLEAR, Conditions, Shaper, mangled
+from cairndale.lab.faults.links import CLEAR, Conditions, Shaper, impair
 from cairndale.lab.live.ports import HOST, Port
-from cairndale.lab.live.worker import listen_to_tool, say
+from cairndale.lab.live.worker import listen_to_tool, send_to_tool
 
-HELD = 256 * 1024  # bytes of one direction beyond which its sender is read no more
-DATAGRAMS = 10_000  # under way on one front; more are lost
-SPLIT = 7  # bytes of a message that still pass before a reset
-DIAL = 2.0  # s for the other end to take a connection
+MAX_BUFFERED_BYTES = 256 * 1024  # bytes of one direction beyond which its sender is read no more
+MAX_DATAGRAMS_IN_FLIGHT = 10_000  # under way on one front; more are lost
+RESET_PREFIX_BYTES = 7  # bytes of a message that still pass before a reset
+CONNECT_TIMEOUT_S = 2.0  # s for the other end to take a connection
 
 
-class Way:
+class Direction:
     """One direction of one connection, from the end that reads to the end that writes."""
 
-    def __init__(self, relays: Relays, name: str, source: End, out: End) -> None:
-        self.relays, self.name, self.source, self.out = relays, name, source, out
+    def __init__(self, relays: Relays, name: str, source: Side, sink: Side) -> None:
+        self.relays, self.name, self.source, self.sink = relays, name, source, sink
         self._shaper = Shaper()
         self._queue: deque[tuple[float, bytes | None]] = deque()  # None: the end of what is sent
-        self._held, self._full, self._paused, self._dropping = 0, False, False, False
+        self._buffered_bytes, self._blocked, self._paused, self._resetting = 0, False, False, False
         self._timer: asyncio.TimerHandle | None = None
         self.done = False  # the end of what is sent has gone on
 
     def feed(self, data: bytes | None) -> None:
-        if self._dropping:
+        if self._resetting:
             return
-        on = self.relays.on(self.name)
-        if on.plain and not self._queue and not self._full and self.out.transport is not None:
+        conditions = self.relays.conditions(self.name)
+        if (
+            conditions.passes_through
+            and not self._queue
+            and not self._blocked
+            and self.sink.transport is not None
+        ):
             self._write(data)
             return
         now = self.relays.loop.time()
-        self._queue.append((self._shaper.due(now, len(data or b""), on, self.relays.rng), data))
-        self._held += len(data or b"")
+        self._queue.append(
+            (self._shaper.delivery_time(now, len(data or b""), conditions, self.relays.rng), data)
+        )
+        self._buffered_bytes += len(data or b"")
         self.flush()
 
     def _write(self, data: bytes | None) -> None:
-        assert self.out.transport is not None
+        assert self.sink.transport is not None
         if data is None:
             with contextlib.suppress(OSError, RuntimeError):  # it went away meanwhile
-                self.out.transport.write_eof()
+                self.sink.transport.write_eof()
             self.done = True
-            self.out.link.finished()
+            self.sink.connection.on_direction_done()
         else:
-            self.out.transport.write(data)
+            self.sink.transport.write(data)
 
     def flush(self) -> None:
         """What is due goes on; then whether more is read."""
         if self._timer:
             self._timer.cancel()
             self._timer = None
-        now, cut = self.relays.loop.time(), self.relays.on(self.name).cut
-        while self._queue and not cut and not self._full and self.out.transport is not None:
-            due, data = self._queue[0]
-            if due > now:
-                self._timer = self.relays.loop.call_at(due, self.flush)
+        now, cut = self.relays.loop.time(), self.relays.conditions(self.name).cut
+        while self._queue and not cut and not self._blocked and self.sink.transport is not None:
+            delivery_time, data = self._queue[0]
+            if delivery_time > now:
+                self._timer = self.relays.loop.call_at(delivery_time, self.flush)
                 break
             self._queue.popleft()
-            self._held -= len(data or b"")
+            self._buffered_bytes -= len(data or b"")
             self._write(data)
-        self.source.hold(cut or self._full or self._held > HELD or self.out.transport is None)
-
-    def replan(self) -> None:
+        self.source.set_reading_paused(
+            cut
+            or self._blocked
+            or self._buffered_bytes > MAX_BUFFERED_BYTES
+            or self.sink.transport is None
+        )
+
+    def reschedule(self) -> None:
         """The conditions are others: what is still held goes by those of now, not by those it came
         under."""
-        on, now, self._shaper = self.relays.on(self.name), self.relays.loop.time(), Shaper()
+        conditions, now, self._shaper = (
+            self.relays.conditions(self.name),
+            self.relays.loop.time(),
+            Shaper(),
+        )
         queue, self._queue = self._queue, deque()
         for _, data in queue:
-            self._queue.append((self._shaper.due(now, len(data or b""), on, self.relays.rng), data))
+            self._queue.append(
+                (
+                    self._shaper.delivery_time(now, len(data or b""), conditions, self.relays.rng),
+                    data,
+                )
+            )
         self.flush()
 
-    def press(self, full: bool) -> None:
-        self._full = full
+    def set_blocked(self, blocked: bool) -> None:
+        self._blocked = blocked
         self.flush()
 
-    def drop_rest(self) -> None:
+    def send_partial(self) -> None:
         """The next bytes that come are cut short, and both ends are reset."""
-        on, self._dropping = self.relays.on(self.name), True
-        part = b"".join(data for _, data in self._queue if data)[:SPLIT]
-        if part and not on.cut and self.out.transport is not None:
-            self.out.transport.write(part)
+        conditions, self._resetting = self.relays.conditions(self.name), True
+        part = b"".join(data for _, data in self._queue if data)[:RESET_PREFIX_BYTES]
+        if part and not conditions.cut and self.sink.transport is not None:
+            self.sink.transport.write(part)
 
     def end(self) -> None:
         if self._timer:
             self._timer.cancel()
 
 
-class End(asyncio.Protocol):
+class Side(asyncio.Protocol):
     """One of the two connections of a relayed one."""
 
-    def __init__(self, link: TcpLink) -> None:
-        self.link = link
+    def __init__(self, connection: RelayedConnection) -> None:
+        self.connection = connection
         self.transport: asyncio.Transport | None = None
-        self.gone = self._held = False
-        self.into: Way  # what is read here goes there
-        self.outof: Way  # what is written here comes from there
+        self.closed = self._reading_paused = False
+        self.read_direction: Direction  # what is read here goes there
+        self.write_direction: Direction  # what is written here comes from there
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(HELD)
-        self.link.made(self)
+        self.transport.set_write_buffer_limits(MAX_BUFFERED_BYTES)
+        self.connection.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.link.relays.bytes += len(data)
-        self.into.feed(data)
+        self.connection.relays.bytes += len(data)
+        self.read_direction.feed(data)
 
     def eof_received(self) -> bool:
-        self.into.feed(None)
+        self.read_direction.feed(None)
         return True  # the other direction goes on
 
-    def hold(self, held: bool) -> None:
-        if self.transport is None or held == self._held or self.transport.is_closing():
+    def set_reading_paused(self, paused: bool) -> None:
+        if self.transport is None or paused == self._reading_paused or self.transport.is_closing():
             return
-        self._held = held
-        if held:
+        self._reading_paused = paused
+        if paused:
             self.transport.pause_reading()
         else:
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
-        self.outof.press(True)
+        self.write_direction.set_blocked(True)
 
     def resume_writing(self) -> None:
-        self.outof.press(False)
+        self.write_direction.set_blocked(False)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
-        self.link.lost(self, exc)
+        self.closed = True
+        self.connection.on_closed(self, exc)
 
     def reset(self) -> None:
-        if self.transport is not None and not self.gone:
+        if self.transport is not None and not self.closed:
             sock = self.transport.get_extra_info("socket")
             with contextlib.suppress(OSError):  # linger of 0: the kernel sends a reset, not an end
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             self.transport.abort()
 
 
-class TcpLink:
-    def __init__(self, relays: Relays, front: Front) -> None:
-        self.relays, self.front = relays, front
-        self.near, self.far = End(self), End(self)
-        there = Way(relays, front.name, self.near, self.far)
-        back = Way(relays, front.back, self.far, self.near)
-        self.near.into = self.far.outof = there
-        self.far.into = self.near.outof = back
-        self.ways = (there, back)
-        self._dial: asyncio.Task[None] | None = None
-
-    def accepted(self) -> End:
-        return self.near
-
-    def made(self, end: End) -> None:
-        if end is self.near:
-            self.relays.links[self] = None
-            self._dial = self.relays.loop.create_task(self._reach())
-        for way in self.ways:
-            way.flush()
-
-    async def _reach(self) -> None:
+class RelayedConnection:
+    def __init__(self, relays: Relays, proxy: Proxy) -> None:
+        self.relays, self.proxy = relays, proxy
+        self.client, self.upstream = Side(self), Side(self)
+        forward = Direction(relays, proxy.name, self.client, self.upstream)
+        backward = Direction(relays, proxy.reverse_name, self.upstream, self.client)
+        self.client.read_direction = self.upstream.write_direction = forward
+        self.upstream.read_direction = self.client.write_direction = backward
+        self.directions = (forward, backward)
+        self._connecting: asyncio.Task[None] | None = None
+
+    def accepted(self) -> Side:
+        return self.client
+
+    def on_connected(self, end: Side) -> None:
+        if end is self.client:
+            self.relays.connections[self] = None
+            self._connecting = self.relays.loop.create_task(self._connect_upstream())
+        for direction in self.directions:
+            direction.flush()
+
+    async def _connect_upstream(self) -> None:
         try:
-            async with asyncio.timeout(DIAL):
-                await self.relays.loop.create_connection(lambda: self.far, *self.front.target)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self.relays.loop.create_connection(lambda: self.upstream, *self.proxy.target)
         except OSError:  # TimeoutError is one
-            self.near.reset()
+            self.client.reset()
 
-    def lost(self, end: End, exc: Exception | None) -> None:
+    def on_closed(self, end: Side, exc: Exception | None) -> None:
         """A reset reaches the other end as one, when it can; one whose way is cut learns of it
         afterwards."""
-        other = self.far if end is self.near else self.near
-        if other.gone or other.transport is None:
+        other = self.upstream if end is self.client else self.client
+        if other.closed or other.transport is None:
             self.end()
-        elif self.relays.on(end.into.name).cut:
-            self.relays.halves[self] = other
+        elif self.relays.conditions(end.read_direction.name).cut:
+            self.relays.half_closed[self] = other
         elif exc is not None:
             other.reset()
         elif not other.transport.is_closing():
             other.transport.close()
 
-    def finished(self) -> None:
-        if all(way.done for way in self.ways):
-            for end in (self.near, self.far):
+    def on_direction_done(self) -> None:
+        if all(direction.done for direction in self.directions):
+            for end in (self.client, self.upstream):
                 if end.transport is not None and not end.transport.is_closing():
                     end.transport.close()
 
     def end(self) -> None:
-        self.relays.links.pop(self, None)
-        self.relays.halves.pop(self, None)
-        for way in self.ways:
-            way.end()
-        if self._dial:
-            self._dial.cancel()
+        self.relays.connections.pop(self, None)
+        self.relays.half_closed.pop(self, None)
+        for direction in self.directions:
+            direction.end()
+        if self._connecting:
+            self._connecting.cancel()
 
     def reset(self) -> None:
-        for way in self.ways:
-            way.drop_rest()
+        for direction in self.directions:
+            direction.send_partial()
         self.relays.loop.call_later(0.001, self._reset_both)
 
     def _reset_both(self) -> None:
-        self.near.reset()
-        self.far.reset()
+        self.client.reset()
+        self.upstream.reset()
 
 
-def pair(front: str) -> tuple[str, str]:
+def pair(proxy: str) -> tuple[str, str]:
     """The directions there and back."""
-    name = front.partition("#")[0]
+    name = proxy.partition("#")[0]
     a, _, b = name.partition(">")
     return name, f"{b}>{a}"
 
 
-class Front:
+class Proxy:
     """A port at which one process meets another."""
 
-    def __init__(self, relays: Relays, front: str, target: tuple[str, int]) -> None:
+    def __init__(self, relays: Relays, proxy: str, target: tuple[str, int]) -> None:
         self.target, self.mode = target, "open"
-        self.name, self.back = pair(front)
-        self.port = Port(lambda: TcpLink(relays, self).accepted())
+        self.name, self.reverse_name = pair(proxy)
+        self.port = Port(lambda: RelayedConnection(relays, self).accepted())
 
     def set(self, mode: str) -> None:
         if mode == self.mode:
@@ -250,101 +271,105 @@
         else:
             self.port.open()
         if mode == "unanswered":
-            self.port.silence()
+            self.port.stop_answering()
 
 
-class UdpFront(asyncio.DatagramProtocol):
+class UdpProxy(asyncio.DatagramProtocol):
     """Datagrams from one process to another leave by the front of the way back, so that answers
     find it."""
 
     transport: asyncio.DatagramTransport
 
-    def __init__(self, relays: Relays, front: str, target: tuple[str, int]) -> None:
+    def __init__(self, relays: Relays, proxy: str, target: tuple[str, int]) -> None:
         self.relays, self.target = relays, target
-        self.name, self.back = pair(front)
-        self.under_way, self._shaper = 0, Shaper()
+        self.name, self.reverse_name = pair(proxy)
+        self.in_flight, self._shaper = 0, Shaper()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        loop, on = self.relays.loop, self.relays.on(self.name)
+        loop, conditions = self.relays.loop, self.relays.conditions(self.name)
         self.relays.bytes += len(data)
-        for held, copy in mangled(data, on, self.relays.rng):
-            if on.plain and not held:
+        for extra_delay_s, copy in impair(data, conditions, self.relays.rng):
+            if conditions.passes_through and not extra_delay_s:
                 self._send(copy)
-            elif self.under_way < DATAGRAMS:
-                self.under_way += 1
-                due = self._shaper.due(loop.time(), len(copy), on, self.relays.rng)
-                loop.call_at(due + held, self._later, copy)
-
-    def _later(self, data: bytes) -> None:
-        self.under_way -= 1
-        if not self.relays.on(self.name).cut:
+            elif self.in_flight < MAX_DATAGRAMS_IN_FLIGHT:
+                self.in_flight += 1
+                delivery_time = self._shaper.delivery_time(
+                    loop.time(), len(copy), conditions, self.relays.rng
+                )
+                loop.call_at(delivery_time + extra_delay_s, self._send_delayed, copy)
+
+    def _send_delayed(self, data: bytes) -> None:
+        self.in_flight -= 1
+        if not self.relays.conditions(self.name).cut:
             self._send(data)
 
     def _send(self, data: bytes) -> None:
-        back = self.relays.udp.get(self.back)
-        (back or self).transport.sendto(data, self.target)
+        backward = self.relays.udp.get(self.reverse_name)
+        (backward or self).transport.sendto(data, self.target)
 
 
 class Relays:
     def __init__(self, seed: int) -> None:
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(seed)
-        self.tcp: dict[str, Front] = {}
-        self.udp: dict[str, UdpFront] = {}
-        self.links: dict[TcpLink, None] = {}
-        self.halves: dict[TcpLink, End] = {}  # one end has gone, and the other could not be told
+        self.tcp: dict[str, Proxy] = {}
+        self.udp: dict[str, UdpProxy] = {}
+        self.connections: dict[RelayedConnection, None] = {}
+        self.half_closed: dict[
+            RelayedConnection, Side
+        ] = {}  # one end has gone, and the other could not be told
         self.bytes = 0
-        self._on: dict[str, Conditions] = {}
-
-    def on(self, name: str) -> Conditions:
-        return self._on.get(name, CLEAR)
-
-    async def heard(self, told: dict[str, Any]) -> bool:
-        if "tcp" in told or "udp" in told:
-            await self._open(told)
-        for name, raw in told.get("set", {}).items():
-            self._on[name] = msgspec.convert(raw, Conditions)
-        if "set" in told:
-            self._changed()
-        modes = told.get("connect", {})
-        for front in self.tcp.values() if modes else ():
-            if front.name in modes:
-                front.set(modes[front.name])
-        if wanted := set(told.get("reset", ())):
-            for link in list(self.links):
-                if wanted & {link.front.name, link.front.back}:
-                    link.reset()
-        return bool(told.get("end"))
-
-    async def _open(self, told: dict[str, Any]) -> None:
+        self._conditions: dict[str, Conditions] = {}
+
+    def conditions(self, name: str) -> Conditions:
+        return self._conditions.get(name, CLEAR)
+
+    async def handle_message(self, message: dict[str, Any]) -> bool:
+        if "tcp" in message or "udp" in message:
+            await self._open_proxies(message)
+        for name, raw in message.get("set", {}).items():
+            self._conditions[name] = msgspec.convert(raw, Conditions)
+        if "set" in message:
+            self._reschedule_all()
+        modes = message.get("connect", {})
+        for proxy in self.tcp.values() if modes else ():
+            if proxy.name in modes:
+                proxy.set(modes[proxy.name])
+        if wanted := set(message.get("reset", ())):
+            for connection in list(self.connections):
+                if wanted & {connection.proxy.name, connection.proxy.reverse_name}:
+                    connection.reset()
+        return bool(message.get("end"))
+
+    async def _open_proxies(self, message: dict[str, Any]) -> None:
         opened: dict[str, int] = {}
-        for name, host, port in told.get("tcp", ()):
-            front = self.tcp[name] = Front(self, name, (host, port))
-            opened[name] = front.port.number
-        for name, host, port in told.get("udp", ()):
-            made = UdpFront(self, name, (host, port))
-            transport, _ = await self.loop.create_datagram_endpoint(lambda m=made: m, (HOST, 0))  # type: ignore[misc]
-            self.udp[made.name] = made
+        for name, host, port in message.get("tcp", ()):
+            proxy = self.tcp[name] = Proxy(self, name, (host, port))
+            opened[name] = proxy.port.number
+        for name, host, port in message.get("udp", ()):
+            udp = UdpProxy(self, name, (host, port))
+            transport, _ = await self.loop.create_datagram_endpoint(lambda m=udp: m, (HOST, 0))  # type: ignore[misc]
+            self.udp[udp.name] = udp
             opened[name] = transport.get_extra_info("sockname")[1]
-        say(opened=opened)
+        send_to_tool(opened=opened)
 
-    def _changed(self) -> None:
-        for link in list(self.links):
-            for way in link.ways:
-                way.replan()
-        for link, left in list(self.halves.items()):
-            if not self.on(left.outof.name).cut:
-                del self.halves[link]
-                left.reset()
+    def _reschedule_all(self) -> None:
+        for connection in list(self.connections):
+            for direction in connection.directions:
+                direction.reschedule()
+        for connection, side in list(self.half_closed.items()):
+            if not self.conditions(side.write_direction.name).cut:
+                del self.half_closed[connection]
+                side.reset()
 
 
 async def serve() -> None:
     relays = Relays(1)
-    say(ready=True)
-    await listen_to_tool(relays.heard)
-    say(bytes=relays.bytes, cpu_s=time.process_time())
+    send_to_tool(ready=True)
+    await listen_to_tool(relays.handle_message)
+    send_to_tool(bytes=relays.bytes, cpu_s=time.process_time())
 
 
 if __name__ == "__main__":
--- a/cairndale/lab/faults/schedule.py
+++ b/cairndale/lab/faults/schedule.py
@@ -18,8 +18,8 @@
 from cairndale.lab.scenario import NonNegative, Positive, ScenarioError, Share, checked, text_at
 
 SHIPPED = Path(__file__).parent / "schedules"
-MOST = 64  # processes of a kind
-CALLERS = "wrqv"
+MAX_PROCESSES = 64  # processes of a kind
+CALLER_KINDS = "wrqv"
 
 Kind = Literal[
     "cut",
@@ -38,7 +38,7 @@
     "upgrade",
     "promote",
 ]
-DRAWN: tuple[Kind, ...] = (
+DRAWN_KINDS: tuple[Kind, ...] = (
     "cut",
     "cut",
     "flap",
@@ -55,8 +55,8 @@
     "disk",
     "upgrade",
 )
-ON_LINKS = {"cut", "flap", "slow", "datagrams", "reset", "refuse", "unanswered"}
-Count = Annotated[int, Meta(ge=0, le=MOST)]
+LINK_FAULTS = {"cut", "flap", "slow", "datagrams", "reset", "refuse", "unanswered"}
+Count = Annotated[int, Meta(ge=0, le=MAX_PROCESSES)]
 
 
 class Fleet(Struct, forbid_unknown_fields=True):
@@ -159,22 +159,22 @@
         kinds = (("w", load.writers), ("r", load.readers), ("q", load.clients), ("v", load.viewers))
         return [f"{kind}{n}" for kind, count in kinds for n in range(count)]
 
-    def chosen(self, names: list[str]) -> list[str]:
+    def select(self, names: list[str]) -> list[str]:
         """Processes and callers by name or group, in the order of the fleet; unknown ones are left
         out."""
-        every = [*self.processes(), *self.callers()]
+        names_in_order = [*self.processes(), *self.callers()]
         groups = {"lists": "l", "ingresses": "i", "servers": "s", "members": "m", "counter": "c"}
-        groups["callers"] = CALLERS
+        groups["callers"] = CALLER_KINDS
         found = set(names)
         for name in names:
-            found |= {p for p in every if name == "all" or p[0] in groups.get(name, "")}
-        return [p for p in every if p in found]
+            found |= {p for p in names_in_order if name == "all" or p[0] in groups.get(name, "")}
+        return [p for p in names_in_order if p in found]
 
-    def pairs(self, fault: Fault) -> list[tuple[str, str]]:
+    def directions(self, fault: Fault) -> list[tuple[str, str]]:
         """The directions that a fault on links lies on."""
-        ends = self.chosen(fault.from_)
+        ends = self.select(fault.from_)
         others = (
-            self.chosen(fault.to) if fault.to else [p for p in self.processes() if p not in ends]
+            self.select(fault.to) if fault.to else [p for p in self.processes() if p not in ends]
         )
         found = [(a, b) for a in ends for b in others if a != b]
         return found + [(b, a) for a, b in found if (b, a) not in found] if fault.both else found
@@ -183,43 +183,43 @@
 GROUPS = {"lists", "ingresses", "servers", "members", "counter", "callers", "all"}
 
 
-def crossed(s: Schedule) -> Iterator[str]:
+def cross_field_errors(schedule: Schedule) -> Iterator[str]:
     """What no single key shows."""
-    known = {*s.processes(), *s.callers(), *GROUPS}
-    if s.plant and s.plant not in PLANTS:
-        yield f"plant: {s.plant!r} is not known; {', '.join(PLANTS)} are"
-    if s.fleet.ingresses and not s.fleet.lists:
+    known = {*schedule.processes(), *schedule.callers(), *GROUPS}
+    if schedule.plant and schedule.plant not in PLANTS:
+        yield f"plant: {schedule.plant!r} is not known; {', '.join(PLANTS)} are"
+    if schedule.fleet.ingresses and not schedule.fleet.lists:
         yield "fleet.lists: 0 leaves the ingresses nothing to watch"
-    for number, fault in enumerate(s.fault):
-        where, links = f"fault[{number}]", fault.kind in ON_LINKS
-        if fault.at_s + fault.len_s > s.length_s:
+    for number, fault in enumerate(schedule.fault):
+        where, is_link_fault = f"fault[{number}]", fault.kind in LINK_FAULTS
+        if fault.at_s + fault.len_s > schedule.length_s:
             yield (
                 f"{where}.len_s: ends at {fault.at_s + fault.len_s:g} s, after the run's "
-                f"{s.length_s:g} s"
+                f"{schedule.length_s:g} s"
             )
-        wanted, other = ("from", "on") if links else ("on", "from")
+        expected_key, other_key = ("from", "on") if is_link_fault else ("on", "from")
         given = {"from": fault.from_, "on": fault.on}
-        if not given[wanted]:
-            yield f"{where}.{wanted}: is missing for {fault.kind}"
-        if given[other]:
-            yield f"{where}.{other}: not for {fault.kind}; {wanted} is"
+        if not given[expected_key]:
+            yield f"{where}.{expected_key}: is missing for {fault.kind}"
+        if given[other_key]:
+            yield f"{where}.{other_key}: not for {fault.kind}; {expected_key} is"
         for key, names in (("on", fault.on), ("from", fault.from_), ("to", fault.to)):
             for name in sorted(set(names) - known):
-                near = difflib.get_close_matches(name, sorted(known), 1)
+                matches = difflib.get_close_matches(name, sorted(known), 1)
                 yield f"{where}.{key}: {name!r} is not there" + (
-                    f"; {near[0]!r} is meant?" if near else ""
+                    f"; {matches[0]!r} is meant?" if matches else ""
                 )
         if fault.kind == "slow" and not (fault.delay_ms or fault.jitter_ms or fault.rate):
             yield f"{where}: slow by nothing: delay_ms, jitter_ms or rate is wanted"
         if fault.kind == "clock" and not fault.jump_s and fault.clock_rate == 1:
             yield f"{where}: clock as it is: jump_s or clock_rate is wanted"
-        for name in s.chosen(fault.on):
+        for name in schedule.select(fault.on):
             if (
                 fault.kind in ("upgrade", "promote")
                 and name[0] != {"upgrade": "i", "promote": "l"}[fault.kind]
             ):
                 yield f"{where}.on: {name} cannot {fault.kind}"
-            elif name[0] in CALLERS:
+            elif name[0] in CALLER_KINDS:
                 yield f"{where}.on: {name} is a caller of the lab, no process"
             elif name[0] in "sc" and fault.kind in ("clock", "disk"):
                 yield f"{where}.on: {name} is a stand-in: no {fault.kind} of its own"
@@ -227,10 +227,10 @@
 
 def parse(text: str, where: str) -> Schedule:
     """Raises ScenarioError with every error at once."""
-    return checked(text, where, Schedule, crossed)
+    return checked(text, where, Schedule, cross_field_errors)
 
 
-def text_of(schedule: Schedule) -> str:
+def to_toml(schedule: Schedule) -> str:
     return tomli_w.dumps(msgspec.to_builtins(schedule))
 
 
@@ -241,45 +241,47 @@
 def load(name: str, seed: int = 1) -> Schedule:
     """A shipped schedule by its name, `random` or `random:INTENSITY` drawn by the seed, or a
     file."""
-    word, _, intensity = name.partition(":")
-    if word == "random":
+    kind_name, _, intensity = name.partition(":")
+    if kind_name == "random":
         try:
-            return drawn(seed, float(intensity or 1))
+            return draw_schedule(seed, float(intensity or 1))
         except ValueError:
             raise ScenarioError([f"{name}: the intensity is a number over 0"]) from None
     path = SHIPPED / f"{name}.toml" if name in shipped() else Path(name)
     return parse(text_at(path, name, [*shipped(), "random"]), path.name)
 
 
-def drawn(seed: int, intensity: float = 1.0, base: Schedule | None = None) -> Schedule:
+def draw_schedule(seed: int, intensity: float = 1.0, base: Schedule | None = None) -> Schedule:
     """Faults drawn by a seed: `intensity` of them each 2 s, on average, over 8 s; of one intensity,
     the same seed gives the same schedule. A promotion, where one is drawn, is the operator's who
     follows the page: the leader is cut off or stopped at that moment."""
     if not intensity > 0:
         raise ValueError("intensity")
-    rng, made = random.Random(f"faults {seed} {intensity:g}"), base or Schedule("random")
-    made = msgspec.structs.replace(
-        made, name=f"random-{seed}", title=f"drawn by seed {seed}", fault=[]
+    rng, schedule = random.Random(f"faults {seed} {intensity:g}"), base or Schedule("random")
+    schedule = msgspec.structs.replace(
+        schedule, name=f"random-{seed}", title=f"drawn by seed {seed}", fault=[]
     )
     if base is None:
-        made.fleet = Fleet(lists=rng.choice((1, 2, 3)), ingresses=2, servers=3)
-    lists, ingresses = (made.chosen([group]) for group in ("lists", "ingresses"))
-    own = lists + ingresses
-    span = made.length_s
+        schedule.fleet = Fleet(lists=rng.choice((1, 2, 3)), ingresses=2, servers=3)
+    lists, ingresses = (schedule.select([group]) for group in ("lists", "ingresses"))
+    programs = lists + ingresses
+    span = schedule.length_s
     count = max(1, round(intensity * span / 2 + rng.uniform(-1, 1)))
     for _ in range(count):
         at = round(rng.uniform(0.5, span - 1.5), 2)
-        lasts = round(min(rng.expovariate(1 / 1.2) + 0.2, span - at - 0.2), 2)
-        kind = rng.choice(DRAWN)
-        fault = Fault(kind, at, lasts)
-        if kind in ON_LINKS:
-            every = made.processes()
-            fault.from_ = sorted(rng.sample(every, rng.randint(1, max(1, len(every) // 2))))
+        duration = round(min(rng.expovariate(1 / 1.2) + 0.2, span - at - 0.2), 2)
+        kind = rng.choice(DRAWN_KINDS)
+        fault = Fault(kind, at, duration)
+        if kind in LINK_FAULTS:
+            names_in_order = schedule.processes()
+            fault.from_ = sorted(
+                rng.sample(names_in_order, rng.randint(1, max(1, len(names_in_order) // 2)))
+            )
             fault.both = rng.random() < 0.7
             if rng.random() < 0.4:
-                fault.to = [rng.choice([p for p in every if p not in fault.from_])]
+                fault.to = [rng.choice([p for p in names_in_order if p not in fault.from_])]
         else:
-            fault.on = [rng.choice(ingresses if kind == "upgrade" else own)]
+            fault.on = [rng.choice(ingresses if kind == "upgrade" else programs)]
         match kind:
             case "slow":
                 fault.delay_ms, fault.jitter_ms = (
@@ -297,6 +299,6 @@
             case "disk":
                 fault.disk = rng.choice(("full", "failing", "slow"))
                 fault.on = [rng.choice(lists)]
-        made.fault.append(fault)
-    made.fault.sort(key=lambda f: f.at_s)
-    return made
+        schedule.fault.append(fault)
+    schedule.fault.sort(key=lambda f: f.at_s)
+    return schedule
--- a/cairndale/lab/faults/standins.py
+++ b/cairndale/lab/faults/standins.py
@@ -21,47 +21,49 @@
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 from cairndale.lab.live.ports import HOST
 
-WORK = (0.001, 0.03)  # s that a request takes: from, to
-FAILING = 0.03  # share of the requests whose connection breaks after the effect
-MOST_NAMES = 10_000
+WORK_S = (0.001, 0.03)  # s that a request takes: from, to
+FAILURE_SHARE = 0.03  # share of the requests whose connection breaks after the effect
+MAX_TOTALS = 10_000
 
 
-class ServerCaller(HttpConnection):
-    def __init__(self, out: int, rng: random.Random) -> None:
+class ServerProtocol(HttpConnection):
+    def __init__(self, effects_fd: int, rng: random.Random) -> None:
         super().__init__(httptools.HttpRequestParser)
-        self._out, self._rng = out, rng
+        self._effects_fd, self._rng = effects_fd, rng
 
     def received(self, message: Message) -> None:
-        id = message.headers.get(b"request-id", b"")
-        if not id:
+        request_id = message.headers.get(b"request-id", b"")
+        if not request_id:
             self.transport.write(plain(404, b""))
             return
-        asyncio.get_running_loop().call_later(self._rng.uniform(*WORK), self._work, id)
+        asyncio.get_running_loop().call_later(
+            self._rng.uniform(*WORK_S), self._apply_effect, request_id
+        )
 
-    def _work(self, id: bytes) -> None:
+    def _apply_effect(self, request_id: bytes) -> None:
         if self.transport.is_closing():  # given up before it began
             return
-        os.write(self._out, b"%b %d\n" % (id, time.monotonic_ns() // 1000))
-        if self._rng.random() < FAILING:
+        os.write(self._effects_fd, b"%b %d\n" % (request_id, time.monotonic_ns() // 1000))
+        if self._rng.random() < FAILURE_SHARE:
             self.transport.abort()
         else:
-            self.transport.write(plain(200, b"done " + id))
+            self.transport.write(plain(200, b"done " + request_id))
 
     def garbage(self, status: int) -> None:
         self.transport.abort()
 
 
-class CounterCaller(asyncio.Protocol):
+class CounterProtocol(asyncio.Protocol):
     """Lines as PROTOCOL has them; totals are bounded in number, the oldest name goes first."""
 
     def __init__(self, totals: dict[bytes, float]) -> None:
-        self._totals, self._rest = totals, b""
+        self._totals, self._partial_line = totals, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
+        *lines, self._partial_line = (self._partial_line + data).split(b"\r\n")
         for line in lines:
             self.transport.write(self._answer(line.split(b" ")) + b"\r\n")
 
@@ -69,26 +71,26 @@
         if words == [b"ping"]:
             return b"pong"
         try:
-            word, name, amount, _ = words
-            if word != b"add":
+            verb, name, amount, _ = words
+            if verb != b"add":
                 return b"error"
             total = self._totals[name] = self._totals.get(name, 0.0) + float(amount)
         except ValueError:
             return b"error"
-        if len(self._totals) > MOST_NAMES:
+        if len(self._totals) > MAX_TOTALS:
             del self._totals[next(iter(self._totals))]
         return b"ok %.6f" % total
 
 
-async def serve(what: str, port: int, path: str) -> None:
+async def serve(role: str, port: int, path: str) -> None:
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    if what == "server":
-        out = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+    if role == "server":
+        effects_fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
         rng = random.Random(port)
-        server = await loop.create_server(lambda: ServerCaller(out, rng), HOST, port)
+        server = await loop.create_server(lambda: ServerProtocol(effects_fd, rng), HOST, port)
     else:
         totals: dict[bytes, float] = {}
-        server = await loop.create_server(lambda: CounterCaller(totals), HOST, port)
+        server = await loop.create_server(lambda: CounterProtocol(totals), HOST, port)
     loop.add_signal_handler(signal.SIGTERM, stop.set)
     await stop.wait()
     server.close()
