--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -34,33 +34,35 @@
 from cairndale.lab.troubles import Step, plan
 
 HOST = "127.0.0.1"
-DRAWN_PORTS = (20_000, 32_000)  # below the ephemeral ports, which begin at 32768
-DRAWS = 100  # of a port that may be taken
-READY = 20.0  # s for a program to be ready
-LEAD = 0.5  # s between all being ready and the run's 0
-GRACE = 0.7  # s beyond the longest deadline until SIGKILL (PROTOCOL)
-LATE_MS = 20.0  # 99th percentile of the loaders' lateness from which the run is void
-OTHERS = 1.0  # cores that other programs may use before the run is void
-RENEW = 3  # a lease is renewed every third of its term
+DATAGRAM_PORT_RANGE = (20_000, 32_000)  # below the ephemeral ports, which begin at 32768
+MAX_PORT_DRAWS = 100  # of a port that may be taken
+READY_TIMEOUT_S = 20.0  # s for a program to be ready
+START_DELAY_S = 0.5  # s between all being ready and the run's 0
+KILL_GRACE_S = 0.7  # s beyond the longest deadline until SIGKILL (PROTOCOL)
+MAX_LATENESS_MS = 20.0  # 99th percentile of the loaders' lateness from which the run is void
+MAX_OTHER_CORES = 1.0  # cores that other programs may use before the run is void
+RENEWALS_PER_LEASE = 3  # a lease is renewed every third of its term
 LEASE_MS = 9000
-TOLD_AFTER = 1 * SECOND  # us after the list service holds a change that its watchers count as told
+NOTIFICATION_DELAY_US = (
+    1 * SECOND
+)  # us after the list service holds a change that its watchers count as told
 
 
 class LiveError(Exception):
     """The run could not be begun or carried out."""
 
 
-def held_port(number: int = 0) -> tuple[socket.socket, int]:
+def reserve_port(number: int = 0) -> tuple[socket.socket, int]:
     """A TCP port that stays ours between draw and bind, and over restarts of the program that
     listens on it. `number`: which; 0: any that the system gives. Raises OSError."""
-    holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    holder.bind((HOST, number))
-    return holder, holder.getsockname()[1]
+    reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    reservation.bind((HOST, number))
+    return reservation, reservation.getsockname()[1]
 
 
-def held_datagram_port() -> tuple[socket.socket, int]:
+def reserve_datagram_port() -> tuple[socket.socket, int]:
     """A port for TCP and UDP, held for TCP as `held_port` does it.
 
     Linux lets nobody hold a UDP port for another process, so it is drawn from below the ephemeral
@@ -68,19 +70,19 @@
     that draw here see that its TCP half is held.
     """
     drawn = random.Random()
-    for _ in range(DRAWS):
-        number = drawn.randrange(*DRAWN_PORTS)
+    for _ in range(MAX_PORT_DRAWS):
+        number = drawn.randrange(*DATAGRAM_PORT_RANGE)
         try:
             for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
                 with socket.socket(socket.AF_INET, kind) as free:
                     free.bind((HOST, number))
-            return held_port(number)
+            return reserve_port(number)
         except OSError:
             continue
-    raise LiveError(f"no port of {DRAWN_PORTS[0]} to {DRAWN_PORTS[1]} is free")
+    raise LiveError(f"no port of {DATAGRAM_PORT_RANGE[0]} to {DATAGRAM_PORT_RANGE[1]} is free")
 
 
-async def call(port: int, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
+async def send_request(port: int, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
     """One call; (0, b"") where nobody answers in a second."""
     try:
         async with asyncio.timeout(1.0):
@@ -107,7 +109,7 @@
     folder: Path
     process: subprocess.Popen[bytes] | None = None
     # handed over, not yet ended
-    leaving: list[subprocess.Popen[bytes]] = field(default_factory=list)
+    predecessors: list[subprocess.Popen[bytes]] = field(default_factory=list)
     expected: bool = False  # its end is the timeline's doing
     absent: int = -1  # row of the record while it is away
     starts: int = 0
@@ -124,21 +126,21 @@
     null_gateway: bool = False  # measuring the loader's own limit: nothing behind it but an answer
 
 
-class Live:
+class LiveRun:
     def __init__(self, day: Day, folder: Path, options: Options) -> None:
         self.day, self.folder, self.options = day, folder, options
         self.length_s = options.length_s or day.length / SECOND
         self.record = Record()
-        self.holders: list[socket.socket] = []
+        self.reservations: list[socket.socket] = []
         self.gateways: list[Gateway] = []
         self.loaders: list[Worker] = []
         self.standins: Worker | None = None
         self.list_service: subprocess.Popen[bytes] | None = None
         self.list_ports = (0, 0)
         self.tasks: set[asyncio.Task[None]] = set()
-        self.seen: dict[str, Any] = {"load": {}, "servers": [], "gateways": []}
+        self.latest: dict[str, Any] = {"load": {}, "servers": [], "gateways": []}
         self.finished = asyncio.Event()
-        self._through: dict[str, dict[str, Any]] = {}
+        self._loader_results: dict[str, dict[str, Any]] = {}
         self.began_ns = 0
         self.void: list[str] = []
         self._changed: dict[str, float] = {}
@@ -153,9 +155,9 @@
         """Raises LiveError if a program cannot be started. However it ends, no process is left."""
         try:
             await self._start()
-            before = self._busy()
+            before = self._cpu_usage()
             await self._play()
-            await self._gather(before)
+            await self._collect(before)
         finally:
             await self._end()
         return self.record
@@ -163,7 +165,9 @@
     def _check(self) -> None:
         """What a live run cannot do is said before anything starts."""
         gateways, servers = len(self.day.gateway_zones), len(self.day.servers)
-        if self._lists() and any(t.kind == "zone_cut" for t in self.day.scenario.trouble):
+        if self._uses_list_service() and any(
+            t.kind == "zone_cut" for t in self.day.scenario.trouble
+        ):
             raise LiveError(
                 "with the list service all gateways share addresses: zones cannot be cut off live"
             )
@@ -179,28 +183,30 @@
     async def _start(self) -> None:
         self._check()
         spec = self._spec()
-        self.standins = Worker("standins", spec, self._heard)
-        said = await self._ready(self.standins)
+        self.standins = Worker("standins", spec, self._on_standins_message)
+        message = await self._ready(self.standins)
         for index in range(len(self.day.gateway_zones)):
-            (one, port), (two, ops) = held_port(), held_port()
-            self.holders += [one, two]
+            (first, port), (second, ops) = reserve_port(), reserve_port()
+            self.reservations += [first, second]
             folder = self.folder / f"g{index}"
             folder.mkdir(parents=True, exist_ok=True)
             self.gateways.append(Gateway(index, port, ops, folder))
-        self.known = said["known"]
-        self.agents, self.counters = said["agents"], said["counters"]
-        if self._lists():
+        self.known = message["known"]
+        self.agents, self.counters = message["agents"], message["counters"]
+        if self._uses_list_service():
             await self._start_list_service()
         for gateway in self.gateways:
             self._configure(gateway)
             self._launch(gateway)
-        await asyncio.gather(*(self._until_up(g) for g in self.gateways))
+        await asyncio.gather(*(self._wait_until_up(g) for g in self.gateways))
         for number in range(self.options.loaders):
-            self.loaders.append(Worker("loader", self._spec(number), self._loader_heard(number)))
+            self.loaders.append(
+                Worker("loader", self._spec(number), self._loader_message_handler(number))
+            )
         for worker in self.loaders:
             await self._ready(worker)
 
-    def _lists(self) -> bool:
+    def _uses_list_service(self) -> bool:
         return self.day.scenario.discovery.use == "list-service"
 
     def _spec(self, number: int = 0) -> Spec:
@@ -215,18 +221,20 @@
             len(self.day.gateway_zones),
             number,
             self.options.loaders,
-            not self._lists(),
+            not self._uses_list_service(),
             self.options.rate,
             self.length_s,
         )
 
     async def _ready(self, worker: Worker) -> dict[str, Any]:
         try:
-            async with asyncio.timeout(READY):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 return await worker.ready
         except (TimeoutError, RuntimeError):
             log = (self.folder / f"{worker.name}.log").read_text()[-2000:]
-            raise LiveError(f"{worker.name} was not ready in {READY:.0f} s: {log}") from None
+            raise LiveError(
+                f"{worker.name} was not ready in {READY_TIMEOUT_S:.0f} s: {log}"
+            ) from None
 
     # Gateways.
 
@@ -246,7 +254,7 @@
             "known": {"index": len(self.day.servers), "snapshot": True, "endpoints": endpoints},
             "settings": self.day.raw_settings(gateway.index, self._changed),
         }
-        if self._lists():
+        if self._uses_list_service():
             reads = f"{HOST}:{self.list_ports[0]}"
             config |= {"discovery": reads, "directory": {"addresses": [reads]}}
         path = gateway.folder / "config.json"
@@ -256,38 +264,45 @@
 
     def _launch(self, gateway: Gateway, **env: str) -> None:
         checkout = self.options.checkout or HERE
-        kept = {
+        inherited = {
             k: v for k, v in os.environ.items() if not k.startswith("EDGE_") and k != "PYTHONPATH"
         }
-        kept |= {"EDGE_CONFIG": str(gateway.folder / "config.json"), "TMPDIR": str(gateway.folder)}
+        inherited |= {
+            "EDGE_CONFIG": str(gateway.folder / "config.json"),
+            "TMPDIR": str(gateway.folder),
+        }
         module = (
             "cairndale.lab.live.null" if self.options.null_gateway else layout_of(checkout).program
         )
         with (gateway.folder / "log.txt").open("ab") as log:
             gateway.process = spawn(
-                [sys.executable, "-m", module], cwd=checkout, env=kept | env, stdout=log, stderr=log
+                [sys.executable, "-m", module],
+                cwd=checkout,
+                env=inherited | env,
+                stdout=log,
+                stderr=log,
             )
         gateway.expected = False
         gateway.starts += 1
 
-    async def _until_up(self, gateway: Gateway) -> None:
-        end = time.monotonic() + READY
+    async def _wait_until_up(self, gateway: Gateway) -> None:
+        end = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < end:
             process = gateway.process
             if process is None or process.poll() is not None:
                 break
-            status, _ = await call(gateway.port, "GET", "/up")
+            status, _ = await send_request(gateway.port, "GET", "/up")
             if status == 200:
                 return
             await asyncio.sleep(0.02)
         log = (gateway.folder / "log.txt").read_text()[-2000:]
-        raise LiveError(f"gateway {gateway.index} was not ready in {READY:.0f} s: {log}")
+        raise LiveError(f"gateway {gateway.index} was not ready in {READY_TIMEOUT_S:.0f} s: {log}")
 
     # The list service.
 
     async def _start_list_service(self) -> None:
-        (one, reads), (two, writes) = held_port(), held_port()
-        self.holders += [one, two]
+        (first, reads), (second, writes) = reserve_port(), reserve_port()
+        self.reservations += [first, second]
         self.list_ports = (reads, writes)
         folder = self.folder / "list"
         folder.mkdir(exist_ok=True)
@@ -304,8 +319,8 @@
         with (folder / "log.txt").open("ab") as log:
             command = [sys.executable, "-m", "cairndale.discovery", str(path)]
             self.list_service = spawn(command, cwd=HERE, stdout=log, stderr=log)
-        end = time.monotonic() + READY
-        while (await call(writes, "GET", "/status"))[0] != 200:
+        end = time.monotonic() + READY_TIMEOUT_S
+        while (await send_request(writes, "GET", "/status"))[0] != 200:
             if time.monotonic() > end or self.list_service.poll() is not None:
                 raise LiveError(
                     f"the list service did not start: {(folder / 'log.txt').read_text()[-2000:]}"
@@ -322,7 +337,7 @@
         self._task(self._renew())
 
     async def _register(self, number: int) -> None:
-        await call(
+        await send_request(
             self.list_ports[1],
             "PUT",
             f"/servers/s-{number}",
@@ -331,19 +346,19 @@
 
     async def _renew(self) -> None:
         while True:
-            await asyncio.sleep(LEASE_MS / 1000 / RENEW)
+            await asyncio.sleep(LEASE_MS / 1000 / RENEWALS_PER_LEASE)
             for number in list(self._leases):
                 await self._register(number)
 
-    async def _list(self, server: int, status: str, started: int) -> None:
-        if not self._lists():
+    async def _publish_status(self, server: int, status: str, started: int) -> None:
+        if not self._uses_list_service():
             return
         writes, path = self.list_ports[1], f"/servers/s-{server}"
         if status == "removed":
             self._leases.pop(server, None)
-            await call(writes, "DELETE", path)
+            await send_request(writes, "DELETE", path)
         elif status == "draining":
-            await call(writes, "POST", f"{path}/drain")
+            await send_request(writes, "POST", f"{path}/drain")
         else:
             lease = self._leases.setdefault(server, dict(next(iter(self._leases.values()))))
             lease["address"] = self.known[server]["address"]
@@ -351,29 +366,29 @@
             await self._register(server)
         for gateway in self.gateways:
             code = rec.STATUS.index(status)
-            self.record.tells.add(self.now() + TOLD_AFTER, gateway.index, server, code)
+            self.record.tells.add(self.now() + NOTIFICATION_DELAY_US, gateway.index, server, code)
 
     # What the workers say.
 
-    def _heard(self, said: dict[str, Any]) -> None:
-        if "list" in said:
-            self._task(self._list(said["list"], said["status"], said["started"]))
-        if "servers" in said and "at" in said:
-            self.seen["servers"], self.seen["calls"] = said["servers"], said["calls"]
-
-    def _loader_heard(self, number: int) -> Callable[[dict[str, Any]], None]:
-        def heard(said: dict[str, Any]) -> None:
-            if "load" in said:
-                self.seen["load"][number] = said
-            if "finished" in said:
-                self._through[f"loader-{number}"] = said
-                if len(self._through) == self.options.loaders:
+    def _on_standins_message(self, message: dict[str, Any]) -> None:
+        if "list" in message:
+            self._task(self._publish_status(message["list"], message["status"], message["started"]))
+        if "servers" in message and "at" in message:
+            self.latest["servers"], self.latest["calls"] = message["servers"], message["calls"]
+
+    def _loader_message_handler(self, number: int) -> Callable[[dict[str, Any]], None]:
+        def on_message(message: dict[str, Any]) -> None:
+            if "load" in message:
+                self.latest["load"][number] = message
+            if "finished" in message:
+                self._loader_results[f"loader-{number}"] = message
+                if len(self._loader_results) == self.options.loaders:
                     self.finished.set()
 
-        return heard
+        return on_message
 
-    def _task(self, what: Any) -> None:
-        task = asyncio.get_running_loop().create_task(what)
+    def _task(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._task_over)
 
@@ -386,33 +401,33 @@
 
     async def _play(self) -> None:
         assert self.standins
-        self.began_ns = time.monotonic_ns() + int(LEAD * 1e9)
-        self.unix_us = time.time_ns() // 1000 + int(LEAD * SECOND)
+        self.began_ns = time.monotonic_ns() + int(START_DELAY_S * 1e9)
+        self.unix_us = time.time_ns() // 1000 + int(START_DELAY_S * SECOND)
         for gateway in self.gateways:
-            self._tell_loaders(gateway=gateway.index, port=gateway.port)
+            self._notify_loaders(gateway=gateway.index, port=gateway.port)
         for worker in [self.standins, *self.loaders]:
-            worker.tell(began_ns=self.began_ns, unix_us=self.unix_us)
+            worker.send(began_ns=self.began_ns, unix_us=self.unix_us)
         if not self.options.rate:
             for number, trouble in enumerate(self.day.scenario.trouble):
                 begin = int(trouble.at_s * SECOND)
                 self.record.marks.add(begin, begin + int(trouble.len_s * SECOND), number)
             for step in plan(self.day):
                 if step.on_gateways:
-                    self._task(self._do_at(step))
+                    self._task(self._run_step(step))
         self._task(self._watch())
         longest = max(c.deadline_us for c in self.day.classes) / SECOND
-        end = self.length_s + longest + LEAD + 5
+        end = self.length_s + longest + START_DELAY_S + 5
         try:
             async with asyncio.timeout(end):
                 await self.finished.wait()
         except TimeoutError:
             self.void.append("a loader was not through in time")
 
-    def _tell_loaders(self, **what: Any) -> None:
+    def _notify_loaders(self, **fields: Any) -> None:
         for worker in self.loaders:
-            worker.tell(**what)
+            worker.send(**fields)
 
-    async def _do_at(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         await asyncio.sleep(max(0, step.at - self.now()) / 1e6)
         if step.verb == "reload":
             self._changed |= step.settings
@@ -428,53 +443,53 @@
             case "restart":
                 await self._restart(gateway)
             case "stop":
-                self._away(gateway)
+                self._mark_absent(gateway)
                 if gateway.process:
                     gateway.process.send_signal(signal.SIGSTOP)
-                self._task(self._notice(gateway))
+                self._task(self._notify_after_detection(gateway))
             case "go_on":
                 if gateway.process:
                     gateway.process.send_signal(signal.SIGCONT)
-                self._back(gateway)
+                self._mark_present(gateway)
             case "terminate":
                 await self._terminate(gateway)
             case "upgrade":
                 await self._upgrade(gateway)
 
-    def _away(self, gateway: Gateway) -> None:
+    def _mark_absent(self, gateway: Gateway) -> None:
         gateway.absent = self.record.absent.add(gateway.index, self.now(), -1)
 
-    def _back(self, gateway: Gateway) -> None:
+    def _mark_present(self, gateway: Gateway) -> None:
         if gateway.absent >= 0:
             self.record.absent.set(gateway.absent, "to", self.now())
             gateway.absent = -1
-        self._tell_loaders(gateway=gateway.index, down=False)
+        self._notify_loaders(gateway=gateway.index, down=False)
 
-    async def _notice(self, gateway: Gateway) -> None:
+    async def _notify_after_detection(self, gateway: Gateway) -> None:
         """The front finds out that this gateway has died."""
         starts = gateway.starts
         await asyncio.sleep(self.day.network["front_notice_s"])
         if gateway.absent >= 0 and gateway.starts == starts:
-            self._tell_loaders(gateway=gateway.index, down=True)
+            self._notify_loaders(gateway=gateway.index, down=True)
 
     async def _kill(self, gateway: Gateway) -> None:
         if gateway.process is None or gateway.absent >= 0:
             return
         gateway.expected = True
-        self._away(gateway)
+        self._mark_absent(gateway)
         gateway.process.kill()
-        await self._gone(gateway.process)
-        self._task(self._notice(gateway))
+        await self._wait_for_exit(gateway.process)
+        self._task(self._notify_after_detection(gateway))
 
-    async def _gone(self, process: subprocess.Popen[bytes]) -> None:
+    async def _wait_for_exit(self, process: subprocess.Popen[bytes]) -> None:
         while process.poll() is None:
             await asyncio.sleep(0.005)
 
     async def _restart(self, gateway: Gateway) -> None:
         self._launch(gateway)
-        await self._until_up(gateway)
-        self._tell_loaders(gateway=gateway.index, port=gateway.port)
-        self._back(gateway)
+        await self._wait_until_up(gateway)
+        self._notify_loaders(gateway=gateway.index, port=gateway.port)
+        self._mark_present(gateway)
 
     async def _terminate(self, gateway: Gateway) -> None:
         """A planned restart: SIGTERM, connections for 0.3 s more, SIGKILL only after the longest
@@ -485,40 +500,40 @@
         gateway.expected = True
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.3)
-        self._tell_loaders(gateway=gateway.index, down=True)
-        await self._until_gone(process)
-        self._away(gateway)
+        self._notify_loaders(gateway=gateway.index, down=True)
+        await self._wait_or_kill(process)
+        self._mark_absent(gateway)
         await self._restart(gateway)
 
-    async def _until_gone(self, process: subprocess.Popen[bytes]) -> None:
+    async def _wait_or_kill(self, process: subprocess.Popen[bytes]) -> None:
         longest = min(3.0, max(c.deadline_us for c in self.day.classes) / SECOND)
         try:
-            async with asyncio.timeout(longest + GRACE):
-                await self._gone(process)
+            async with asyncio.timeout(longest + KILL_GRACE_S):
+                await self._wait_for_exit(process)
         except TimeoutError:
             process.kill()
-            await self._gone(process)
+            await self._wait_for_exit(process)
 
     async def _upgrade(self, gateway: Gateway) -> None:
         """The program is started again beside itself, with another `ops`; then the old one ends."""
         before = gateway.process
         if before is None or gateway.absent >= 0:
             return
-        holder, ops = held_port()
-        self.holders.append(holder)
-        gateway.leaving.append(before)
+        reservation, ops = reserve_port()
+        self.reservations.append(reservation)
+        gateway.predecessors.append(before)
         gateway.ops = ops
         self._configure(gateway)
         self._launch(gateway)
         end = time.monotonic() + 6.0
-        while (await call(ops, "GET", "/status"))[0] != 200:
+        while (await send_request(ops, "GET", "/status"))[0] != 200:
             if time.monotonic() > end:
                 self.record.faults.add(self.now(), 3, gateway.index, -1)
                 return
             await asyncio.sleep(0.02)
         before.send_signal(signal.SIGTERM)
-        await self._until_gone(before)
-        gateway.leaving.remove(before)
+        await self._wait_or_kill(before)
+        gateway.predecessors.remove(before)
 
     # What is seen of the processes.
 
@@ -533,20 +548,20 @@
                 if process.poll() is not None and not gateway.expected:
                     gateway.expected = True
                     self.record.faults.add(self.now(), 3, gateway.index, process.returncode)
-                    self._away(gateway)
-                usage = [u for p in [process, *gateway.leaving] if (u := _usage(p.pid))]
+                    self._mark_absent(gateway)
+                usage = [u for p in [process, *gateway.predecessors] if (u := _usage(p.pid))]
                 if usage:
                     cpu, memory, files = (sum(u[n] for u in usage) for n in range(3))
                     self.record.process.add(self.now(), gateway.index, cpu, memory, files)
                     rows.append((gateway.index, cpu, memory, files, gateway.absent < 0))
                 else:
                     rows.append((gateway.index, 0, 0, 0, False))
-            self.seen["gateways"] = rows
+            self.latest["gateways"] = rows
             if self.options.on_second:
-                self.options.on_second(self.seen | {"at": self.now()})
+                self.options.on_second(self.latest | {"at": self.now()})
             await asyncio.sleep(1.0)
 
-    def _busy(self) -> tuple[float, float, float]:
+    def _cpu_usage(self) -> tuple[float, float, float]:
         """s: the clock, processor time of the whole machine, and of this run's processes."""
         fields = Path("/proc/stat").read_text().split("\n")[0].split()[1:]
         ticks = os.sysconf("SC_CLK_TCK")
@@ -558,8 +573,8 @@
 
     # The end.
 
-    async def _gather(self, before: tuple[float, float, float]) -> None:
-        after = self._busy()
+    async def _collect(self, before: tuple[float, float, float]) -> None:
+        after = self._cpu_usage()
         dead = sum(self._cpu_of_ended)
         span, machine, own = (b - a for a, b in zip(before, after, strict=True))
         others = max(0.0, machine - own - dead) / max(0.1, span)
@@ -571,31 +586,32 @@
                 await worker.end()
         lateness, latency = histogram(), histogram()
         for number in range(self.options.loaders):
-            said = self._through.get(f"loader-{number}", {})
+            message = self._loader_results.get(f"loader-{number}", {})
             path = self.folder / f"loader-{number}.npz"
-            if not said or not path.exists():
+            if not message or not path.exists():
                 self.void.append(f"loader {number} did not finish")
                 continue
             self.record.merge(Record.load(path))
-            lateness.add(HdrHistogram.decode(said["lateness"].encode()))
-            latency.add(HdrHistogram.decode(said["latency"].encode()))
+            lateness.add(HdrHistogram.decode(message["lateness"].encode()))
+            latency.add(HdrHistogram.decode(message["latency"].encode()))
             figures = self.record.figures
             for key in ("asked_work", "cpu_s", "crowded"):
-                figures[key] = figures.get(key, 0) + said[key]
+                figures[key] = figures.get(key, 0) + message[key]
         path = self.folder / "standins.npz"
         if path.exists():
             self.record.merge(Record.load(path))
         else:
             self.void.append("the stand-ins left no record")
-        _useful(self.record)
+        _mark_useful_sends(self.record)
         late = lateness.get_value_at_percentile(99) / 1000
-        if late > LATE_MS:
+        if late > MAX_LATENESS_MS:
             self.void.append(
-                f"the loader was late: {late:.1f} ms at the 99th percentile, {LATE_MS:.0f} allowed"
+                f"the loader was late: {late:.1f} ms at the 99th percentile, "
+                f"{MAX_LATENESS_MS:.0f} ms allowed"
             )
         if self.record.figures.get("crowded"):
             self.void.append("the loader ran out of connections")
-        if others > OTHERS:
+        if others > MAX_OTHER_CORES:
             self.void.append(f"other programs used {others:.1f} cores meanwhile")
         self.record.figures |= {
             "late_ms": late,
@@ -625,7 +641,7 @@
         for task in list(self.tasks):
             task.cancel()
         for gateway in self.gateways:
-            for process in [gateway.process, *gateway.leaving]:
+            for process in [gateway.process, *gateway.predecessors]:
                 if process and process.poll() is None:
                     process.kill()
                     process.wait()
@@ -635,8 +651,8 @@
         if self.list_service:
             self.list_service.kill()
             self.list_service.wait()
-        for holder in self.holders:
-            holder.close()
+        for reservation in self.reservations:
+            reservation.close()
         if self.options.keep is None:
             with contextlib.suppress(OSError):
                 shutil.rmtree(self.folder)
@@ -655,7 +671,7 @@
         return None
 
 
-def _useful(record: Record) -> None:
+def _mark_useful_sends(record: Record) -> None:
     """Of a try's answers the first is the one that counts, if it was served at all; the rest was in
     vain. The gateway of a send is the one that the client gave the request to."""
     sends, tries = record.sends, record.tries
@@ -675,4 +691,4 @@
     """One live run of a drawn day. `folder` is made, and kept if `options.keep` is set."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "scenario.toml").write_text(text)
-    return await Live(day, folder, options).run()
+    return await LiveRun(day, folder, options).run()
--- a/cairndale/lab/live/null.py
+++ b/cairndale/lab/live/null.py
@@ -12,10 +12,10 @@
 
 import uvloop
 
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnull"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnull"
 
 
-class Link(asyncio.Protocol):
+class NullConnection(asyncio.Protocol):
     transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -23,14 +23,14 @@
 
     def data_received(self, data: bytes) -> None:
         if count := data.count(b"\r\n\r\n"):  # requests have no body here
-            self.transport.write(ANSWER * count)
+            self.transport.write(RESPONSE * count)
 
 
 async def main() -> None:
     config = json.loads(Path(os.environ["EDGE_CONFIG"]).read_text())
     host, _, port = config["listen"].rpartition(":")
     listening = socket.create_server((host, int(port)), backlog=1024, reuse_port=True)
-    server = await asyncio.get_running_loop().create_server(Link, sock=listening)
+    server = await asyncio.get_running_loop().create_server(NullConnection, sock=listening)
     await server.serve_forever()
 
 
--- a/cairndale/lab/live/ports.py
+++ b/cairndale/lab/live/ports.py
@@ -14,26 +14,26 @@
     """A listening socket that can refuse, or say nothing, and keeps its number all the while: a
     second socket, bound and never listening, holds it."""
 
-    def __init__(self, make: Callable[[], asyncio.Protocol]) -> None:
-        self._make, self._loop = make, asyncio.get_running_loop()
-        self._holder = self._bound(0)
-        self.number: int = self._holder.getsockname()[1]
+    def __init__(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
+        self._protocol_factory, self._loop = protocol_factory, asyncio.get_running_loop()
+        self._reservation = self._bound(0)
+        self.number: int = self._reservation.getsockname()[1]
         self._sock: socket.socket | None = None
-        self._fill: list[socket.socket] = []
+        self._backlog_fillers: list[socket.socket] = []
         self.open()
 
     @staticmethod
     def _bound(port: int) -> socket.socket:
-        made = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        made.setblocking(False)
-        made.bind((HOST, port))
-        return made
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.setblocking(False)
+        sock.bind((HOST, port))
+        return sock
 
     def open(self) -> None:
         """Accepts. What came in while it was silent is reset, as by a machine that is back."""
-        if self._fill:
+        if self._backlog_fillers:
             self.refuse()
         if self._sock is None:
             self._sock = self._bound(self.number)
@@ -46,13 +46,13 @@
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
             self._sock = None
-        for filler in self._fill:
+        for filler in self._backlog_fillers:
             filler.close()
-        self._fill = []
+        self._backlog_fillers = []
 
-    def silence(self) -> None:
+    def stop_answering(self) -> None:
         """New connections never come up: the queue is full, and nobody takes from it."""
-        if self._sock is None or self._fill:
+        if self._sock is None or self._backlog_fillers:
             return
         self._loop.remove_reader(self._sock.fileno())
         self._sock.listen(0)
@@ -61,18 +61,18 @@
             filler.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 filler.connect((HOST, self.number))
-            self._fill.append(filler)
+            self._backlog_fillers.append(filler)
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):  # no more, or it went away again
             for _ in range(64):
                 if self._sock is None:
                     return
-                made, _ = self._sock.accept()
-                made.setblocking(False)
-                made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                task = self._loop.create_task(self._connect(made))
+                sock, _ = self._sock.accept()
+                sock.setblocking(False)
+                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+                task = self._loop.create_task(self._connect(sock))
                 task.add_done_callback(lambda t: t.cancelled() or t.exception())
 
-    async def _connect(self, made: socket.socket) -> None:
-        await self._loop.connect_accepted_socket(self._make, made)
+    async def _connect(self, sock: socket.socket) -> None:
+        await self._loop.connect_accepted_socket(self._protocol_factory, sock)
--- a/cairndale/lab/live/standins.py
+++ b/cairndale/lab/live/standins.py
@@ -21,7 +21,7 @@
 from cairndale.lab import record as rec
 from cairndale.lab.draw import SECOND, Day, day
 from cairndale.lab.live.ports import HOST, Port
-from cairndale.lab.live.worker import Spec, listen_to_tool, say, spec_from_argv
+from cairndale.lab.live.worker import Spec, listen_to_tool, send_to_tool, spec_from_argv
 from cairndale.lab.record import Record
 from cairndale.lab.scenario import parse
 from cairndale.lab.troubles import Step, plan
@@ -30,14 +30,14 @@
 from cairndale.lab.world.network import Network
 from cairndale.lab.world.server import Job, Server, Verdict
 
-BEAT = 2.0  # s between empty lines of a watch (PROTOCOL)
-COUNTER_LINKS = 32  # connections of one gateway to the counter (PROTOCOL)
-HEAD = 16 << 10  # bytes of a head, of a line to the counter
+HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines of a watch (PROTOCOL)
+MAX_COUNTER_CONNECTIONS = 32  # connections of one gateway to the counter (PROTOCOL)
+MAX_HEAD_BYTES = 16 << 10  # bytes of a head, of a line to the counter
 CODES = {"up": rec.UP, "draining": rec.DRAINING, "removed": rec.REMOVED}
-SAID = list(Said)
+COUNTER_OUTCOMES = list(Said)
 
 
-class ServerLink(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection to a profile server: a request at a time."""
 
     transport: asyncio.Transport
@@ -46,7 +46,7 @@
         self.world, self.server, self.gateway = world, server, gateway
         self.job: Job | None = None
         self.row, self.first, self.since, self.free_at = -1, -1, 0, 0
-        self.counted = self.gone = False
+        self.counted = self.closed = False
         self._parser = httptools.HttpRequestParser(self)
         self._url, self._id, self._timeout = b"", b"", b""
         self._idle: asyncio.TimerHandle | None = None
@@ -55,28 +55,30 @@
         self.transport = cast(asyncio.Transport, transport)
         world, now = self.world, self.world.now()
         world.record.dials.add(now, max(0, self.gateway), self.server)
-        good, over = world.servers[self.server].open(now)
-        world.settle(self.server, over)
-        if not good:
+        accepted, finished = world.servers[self.server].open(now)
+        world.finish_jobs(self.server, finished)
+        if not accepted:
             self.transport.abort()
             return
         self.counted = True
-        world.links[self.server].add(self)
+        world.connections[self.server].add(self)
         kind = world.day.servers[self.server]
-        self.free_at = now + int(2 * world.way(self) * max(0.5, kind.handshake_rtts - 0.5))
+        self.free_at = now + int(
+            2 * world.one_way_delay(self) * max(0.5, kind.handshake_rtts - 0.5)
+        )
         self._rest()
 
     def _rest(self) -> None:
         if self._idle:
             self._idle.cancel()
-        self._idle = self.world.loop.call_later(self.world.idle_s, self._too_long)
+        self._idle = self.world.loop.call_later(self.world.idle_s, self._close_if_idle)
 
-    def _too_long(self) -> None:
+    def _close_if_idle(self) -> None:
         if self.job is None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        if self.world.cut(self):
+        if self.world.is_partitioned(self):
             return
         if self.first < 0:
             self.first = self.world.now()
@@ -114,18 +116,18 @@
         self._size, self._number = size, self._id
         self._url, self._id, self._timeout, self.first = b"", b"", b"", -1
         job = self.job = Job(self, work, now + wait, draw)
-        delay = max(world.way(self), self.free_at - now)
+        delay = max(world.one_way_delay(self), self.free_at - now)
         world.loop.call_later(delay / 1e6, self._begin, job)
 
     def _begin(self, job: Job) -> None:
         """The request's last byte is at the server, the handshake is over."""
         world, now = self.world, self.world.now()
-        if self.gone or world.cut(self):
+        if self.closed or world.is_partitioned(self):
             return
         world.record.sends.set(self.row, "whole", now)
         server = world.servers[self.server]
-        verdict, over = server.offer(now, job)
-        world.settle(self.server, over)
+        verdict, finished = server.offer(now, job)
+        world.finish_jobs(self.server, finished)
         if verdict is not None:
             self.done(job, verdict)
 
@@ -140,7 +142,7 @@
         worked = job.target > 0 and verdict in (Verdict.OK, Verdict.ERROR)
         sends.set(self.row, "work", int(job.work) if worked else 0)
         self.job = None
-        if job.orphan or self.gone or world.cut(self):
+        if job.orphan or self.closed or world.is_partitioned(self):
             return
         if verdict is Verdict.OK:
             sends.set(self.row, "useful", 1)
@@ -150,15 +152,15 @@
             self.transport.abort()
             return
         world.loop.call_later(
-            world.way(self) / 1e6, self._answer, verdict, self._number, self._size
+            world.one_way_delay(self) / 1e6, self._answer, verdict, self._number, self._size
         )
 
     def _answer(self, verdict: Verdict, number: bytes, size: int) -> None:
-        if self.gone or self.world.cut(self):
+        if self.closed or self.world.is_partitioned(self):
             return
         if verdict is Verdict.OK:
-            said = b"%b:%d;" % (number, self.server)
-            self._write(200, b"", said + b"x" * max(0, size - len(said)))
+            message = b"%b:%d;" % (number, self.server)
+            self._write(200, b"", message + b"x" * max(0, size - len(message)))
         elif verdict is Verdict.FULL:
             self._write(503, b"Not-Started: 1\r\n", b"")
         else:
@@ -171,23 +173,23 @@
         self._rest()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.gone = True
+        self.closed = True
         if self._idle:
             self._idle.cancel()
         world = self.world
-        world.links[self.server].discard(self)
+        world.connections[self.server].discard(self)
         server = world.servers[self.server]
         if self.counted and server.alive:
             server.close()
         if (job := self.job) and job.state in ("waiting", "working", "failing"):
-            stopped, over = server.cancel(world.now(), job)
-            world.settle(self.server, over)
+            stopped, finished = server.cancel(world.now(), job)
+            world.finish_jobs(self.server, finished)
             if stopped:
                 world.record.sends.set(self.row, "ended", world.now())
                 world.record.sends.set(self.row, "outcome", rec.CANCELLED)
 
 
-class CounterLink(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     transport: asyncio.Transport
 
     def __init__(self, world: World, gateway: int) -> None:
@@ -196,21 +198,21 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        links = self.world.counting[self.gateway]
-        if len(links) >= COUNTER_LINKS:
+        connections = self.world.counter_connections[self.gateway]
+        if len(connections) >= MAX_COUNTER_CONNECTIONS:
             self.transport.abort()
             return
-        links.add(self)
+        connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.world.counting[self.gateway].discard(self)
+        self.world.counter_connections[self.gateway].discard(self)
 
     def data_received(self, data: bytes) -> None:
         world = self.world
         if not world.network.linked(world.day.gateway_zones[self.gateway], 0):
             return
         *lines, self._rest = (self._rest + data).split(b"\r\n")
-        if len(self._rest) > HEAD:
+        if len(self._rest) > MAX_HEAD_BYTES:
             self.transport.abort()
         for line in lines:
             self._call(line)
@@ -218,28 +220,28 @@
     def _call(self, line: bytes) -> None:
         world, now = self.world, self.world.now()
         if line == b"ping":
-            self._say(b"pong", now)
+            self._send_in_order(b"pong", now)
             return
         parts = line.split(b" ")
         try:
-            verb, name, amount, life = parts[0], parts[1], float(parts[2]), int(parts[3])
+            verb, name, amount, lifetime_ms = parts[0], parts[1], float(parts[2]), int(parts[3])
             if verb != b"add" or len(parts) != 4 or not 1 <= len(name) <= 64 or abs(amount) > 1e9:
                 raise ValueError(line)
         except (ValueError, IndexError):
-            self._say(b"error", now)
+            self._send_in_order(b"error", now)
             return
         way = world.network.way(world.day.gateway_zones[self.gateway], 0, world.rng.random())
         key = int.from_bytes(name, "big")
-        answer = world.counter.add(now + way, key, amount, life * 1000, world.rng.random())
-        world.record.calls.add(now, SAID.index(answer.said))
+        answer = world.counter.add(now + way, key, amount, lifetime_ms * 1000, world.rng.random())
+        world.record.calls.add(now, COUNTER_OUTCOMES.index(answer.said))
         if answer.said is Said.OK:
-            self._say(b"ok %.7g" % answer.total, answer.at + way)
+            self._send_in_order(b"ok %.7g" % answer.total, answer.at + way)
         elif answer.said is Said.BUSY:
-            self._say(b"busy", answer.at + way)
+            self._send_in_order(b"busy", answer.at + way)
         elif answer.said is Said.SPOILT:
-            self._say(b"ok ?", answer.at + way)
+            self._send_in_order(b"ok ?", answer.at + way)
 
-    def _say(self, what: bytes, at: int) -> None:
+    def _send_in_order(self, what: bytes, at: int) -> None:
         """Answers keep the calls' order, whichever part was sooner."""
         self._last = max(self._last, at)
         delay = max(0, self._last - self.world.now()) / 1e6
@@ -253,7 +255,7 @@
             self.transport.write(what + b"\r\n")
 
 
-class AgentLink(asyncio.Protocol):
+class AgentConnection(asyncio.Protocol):
     """Discovery's agent on a gateway's own machine: lists and watches."""
 
     transport: asyncio.Transport
@@ -261,19 +263,19 @@
     def __init__(self, world: World, gateway: int) -> None:
         self.world, self.gateway = world, gateway
         self._head, self.watching, self.version = b"", False, 0
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.world.watches[self.gateway].discard(self)
-        if self._beat:
-            self._beat.cancel()
+        if self._heartbeat_timer:
+            self._heartbeat_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
         self._head += data
-        if len(self._head) > HEAD:
+        if len(self._head) > MAX_HEAD_BYTES:
             self.transport.abort()
         while b"\r\n\r\n" in self._head and not self.watching:
             head, _, self._head = self._head.partition(b"\r\n\r\n")
@@ -292,7 +294,7 @@
             return
         if "watch" not in query:
             body = self._line(
-                world.agents[self.gateway].version, True, world.agents[self.gateway].whole()
+                world.agents[self.gateway].version, True, world.agents[self.gateway].full_list()
             )
             self.transport.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b"
@@ -304,26 +306,30 @@
         world.watches[self.gateway].add(self)
         agent = world.agents[self.gateway]
         known = 0 < begun <= agent.version
-        self.tell(
-            agent.version, not known, agent.since(begun) if known else agent.whole(), first=True
+        self.send_entries(
+            agent.version, not known, agent.since(begun) if known else agent.full_list(), first=True
         )
-        self._beat = world.loop.call_later(BEAT, self._beaten)
+        self._heartbeat_timer = world.loop.call_later(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
 
-    def _beaten(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self.world.discovery.up:
             self._chunk(b"\n")
-        self._beat = self.world.loop.call_later(BEAT, self._beaten)
+        self._heartbeat_timer = self.world.loop.call_later(
+            HEARTBEAT_INTERVAL_S, self._send_heartbeat
+        )
 
-    def tell(self, version: int, whole: bool, entries: list[Entry], first: bool = False) -> None:
+    def send_entries(
+        self, version: int, full: bool, entries: list[Entry], first: bool = False
+    ) -> None:
         if entries or first:
-            self._chunk(self._line(version, whole, entries) + b"\n")
+            self._chunk(self._line(version, full, entries) + b"\n")
             for entry in entries:
                 code = CODES[entry.status]
                 self.world.record.tells.add(self.world.now(), self.gateway, entry.server, code)
 
-    def _line(self, version: int, whole: bool, entries: list[Entry]) -> bytes:
+    def _line(self, version: int, full: bool, entries: list[Entry]) -> bytes:
         endpoints = [self.world.endpoint(e, self.gateway) for e in entries]
-        return json.dumps({"index": version, "snapshot": whole, "endpoints": endpoints}).encode()
+        return json.dumps({"index": version, "snapshot": full, "endpoints": endpoints}).encode()
 
     def _chunk(self, data: bytes) -> None:
         if not self.transport.is_closing():
@@ -337,11 +343,11 @@
         self.version = version
         self.entries = {e.server: e for e in entries}
 
-    def take(self, version: int, entries: list[Entry]) -> None:
+    def update(self, version: int, entries: list[Entry]) -> None:
         self.version = version
         self.entries |= {e.server: e for e in entries}
 
-    def whole(self) -> list[Entry]:
+    def full_list(self) -> list[Entry]:
         return [
             self.entries[s] for s in sorted(self.entries) if self.entries[s].status != "removed"
         ]
@@ -363,36 +369,37 @@
         for server in self.servers:
             server.fall_multiple, server.fall_us = rules.fall_multiple, int(rules.fall_ms * 1000)
         self.discovery.begin(dict.fromkeys(range(len(self.servers)), -1))
-        whole = self.discovery.whole()
-        self.agents = [Agent(whole, self.discovery.version) for _ in range(count)]
-        self.links: list[set[ServerLink]] = [set() for _ in self.servers]
-        self.watches: list[set[AgentLink]] = [set() for _ in range(count)]
-        self.counting: list[set[CounterLink]] = [set() for _ in range(count)]
+        full = self.discovery.whole()
+        self.agents = [Agent(full, self.discovery.version) for _ in range(count)]
+        self.connections: list[set[ServerConnection]] = [set() for _ in self.servers]
+        self.watches: list[set[AgentConnection]] = [set() for _ in range(count)]
+        self.counter_connections: list[set[CounterConnection]] = [set() for _ in range(count)]
         self.vanished: set[int] = set()
-        self._fell: set[int] = set()
-        self._wakes: dict[int, asyncio.TimerHandle] = {}
+        self._recorded_falls: set[int] = set()
+        self._wake_timers: dict[int, asyncio.TimerHandle] = {}
         self.idle_s = drawn.scenario.server.idle_s
         each = range(count) if spec.per_gateway else (-1,)
         self.ports = [
-            [Port(partial(ServerLink, self, s, g)) for g in each] for s in range(len(self.servers))
+            [Port(partial(ServerConnection, self, s, g)) for g in each]
+            for s in range(len(self.servers))
         ]
-        self.counter_ports = [Port(partial(CounterLink, self, g)) for g in range(count)]
-        self.agent_ports = [Port(partial(AgentLink, self, g)) for g in range(count)]
+        self.counter_ports = [Port(partial(CounterConnection, self, g)) for g in range(count)]
+        self.agent_ports = [Port(partial(AgentConnection, self, g)) for g in range(count)]
 
     # What the others ask.
 
-    def way(self, link: ServerLink) -> int:
-        zone = self.day.servers[link.server].zone
-        gateway = self.day.gateway_zones[link.gateway] if link.gateway >= 0 else zone
+    def one_way_delay(self, connection: ServerConnection) -> int:
+        zone = self.day.servers[connection.server].zone
+        gateway = self.day.gateway_zones[connection.gateway] if connection.gateway >= 0 else zone
         return self.network.way(gateway, zone, self.rng.random())
 
-    def cut(self, link: ServerLink) -> bool:
+    def is_partitioned(self, connection: ServerConnection) -> bool:
         """Nothing passes between this server and that gateway."""
-        if link.server in self.vanished:
+        if connection.server in self.vanished:
             return True
         zones = self.day.gateway_zones
-        return link.gateway >= 0 and not self.network.linked(
-            zones[link.gateway], self.day.servers[link.server].zone
+        return connection.gateway >= 0 and not self.network.linked(
+            zones[connection.gateway], self.day.servers[connection.server].zone
         )
 
     def endpoint(self, entry: Entry, gateway: int) -> dict[str, Any]:
@@ -411,53 +418,55 @@
             "since_ms": started,
         }
 
-    def settle(self, number: int, over: list[tuple[Job, Verdict]]) -> None:
+    def finish_jobs(self, number: int, finished: list[tuple[Job, Verdict]]) -> None:
         server = self.servers[number]
-        if server.fallen and not server.alive and number not in self._fell:
-            self._fell.add(number)
+        if server.fallen and not server.alive and number not in self._recorded_falls:
+            self._recorded_falls.add(number)
             self.record.falls.add(self.now(), number)
-            self._gone(number)
-        for job, verdict in over:
-            cast(ServerLink, job.key).done(job, verdict)
-        if handle := self._wakes.pop(number, None):
+            self._close_server(number)
+        for job, verdict in finished:
+            cast(ServerConnection, job.key).done(job, verdict)
+        if handle := self._wake_timers.pop(number, None):
             handle.cancel()
         if due := server.next_at():
             wait = max(0, due - self.now()) / 1e6
-            self._wakes[number] = self.loop.call_later(wait, self._wake, number)
+            self._wake_timers[number] = self.loop.call_later(wait, self._wake, number)
 
     def _wake(self, number: int) -> None:
-        self._wakes.pop(number, None)
-        self.settle(number, self.servers[number].advance(self.now()))
+        self._wake_timers.pop(number, None)
+        self.finish_jobs(number, self.servers[number].advance(self.now()))
 
     # The list.
 
     def list_change(self, server: int, status: str, started: int) -> None:
-        say(list=server, status=status, started=started)  # for the list service, where one is used
+        send_to_tool(
+            list=server, status=status, started=started
+        )  # for the list service, where one is used
         for gateway, when in self.discovery.change(self.now(), server, status, started).items():
-            self.loop.call_later(max(0, when - self.now()) / 1e6, self._tell, gateway)
+            self.loop.call_later(max(0, when - self.now()) / 1e6, self._notify_watches, gateway)
 
-    def _tell(self, gateway: int) -> None:
+    def _notify_watches(self, gateway: int) -> None:
         version, entries = self.discovery.news(gateway)
         if not entries:
             return
-        self.agents[gateway].take(version, entries)
+        self.agents[gateway].update(version, entries)
         for watch in list(self.watches[gateway]):
-            watch.tell(version, False, entries)
+            watch.send_entries(version, False, entries)
 
     # Servers begin and end.
 
-    def _gone(self, number: int) -> None:
+    def _close_server(self, number: int) -> None:
         for port in self.ports[number]:
             port.refuse()
-        for link in list(self.links[number]):
-            link.transport.abort()
-        self._list_later(number, self.day.discovery["notice_s"])
+        for connection in list(self.connections[number]):
+            connection.transport.abort()
+        self._schedule_removal(number, self.day.discovery["notice_s"])
 
-    def _list_later(self, number: int, wait: float) -> None:
+    def _schedule_removal(self, number: int, wait: float) -> None:
         started = self.servers[number].started
-        self.loop.call_later(wait, self._list_end, number, started)
+        self.loop.call_later(wait, self._remove_if_dead, number, started)
 
-    def _list_end(self, number: int, started: int) -> None:
+    def _remove_if_dead(self, number: int, started: int) -> None:
         if not self.servers[number].alive and self.servers[number].started == started:
             self.list_change(number, "removed", started)
 
@@ -466,46 +475,46 @@
             return
         self.vanished.add(number)
         for port in self.ports[number]:
-            port.silence()
+            port.stop_answering()
         self.servers[number].die(self.now())
-        self._list_later(number, self.day.discovery["silent_notice_s"])
+        self._schedule_removal(number, self.day.discovery["silent_notice_s"])
 
     def begin(self, number: int) -> None:
         self.vanished.discard(number)
-        for link in list(self.links[number]):
-            link.transport.abort()
+        for connection in list(self.connections[number]):
+            connection.transport.abort()
         self.servers[number].start(self.now())
-        self._fell.discard(number)
+        self._recorded_falls.discard(number)
         for port in self.ports[number]:
             port.open()
         started = self.servers[number].started
-        self.loop.call_later(self.day.discovery["add_s"], self._list_up, number, started)
+        self.loop.call_later(self.day.discovery["add_s"], self._add_if_alive, number, started)
 
-    def _list_up(self, number: int, started: int) -> None:
+    def _add_if_alive(self, number: int, started: int) -> None:
         if self.servers[number].alive and self.servers[number].started == started:
             self.list_change(number, "up", started)
 
-    def _swap(self, number: int) -> None:
+    def _replace_when_idle(self, number: int) -> None:
         server = self.servers[number]
         if not server.alive:
             return
         if server.held():
-            self.loop.call_later(0.1, self._swap, number)
+            self.loop.call_later(0.1, self._replace_when_idle, number)
             return
         server.die(self.now())
-        for link in list(self.links[number]):
-            link.transport.abort()
+        for connection in list(self.connections[number]):
+            connection.transport.abort()
         self.begin(number)
 
-    def do(self, step: Step) -> None:
+    def apply_step(self, step: Step) -> None:
         server = self.servers[step.target] if 0 <= step.target < len(self.servers) else None
         match step.verb:
             case "cut":
                 self.network.cut.add(step.target)
-                self._links_to(step.target, Port.silence)
+                self._apply_to_zone_ports(step.target, Port.stop_answering)
             case "mend":
                 self.network.cut.discard(step.target)
-                self._links_to(step.target, Port.open)
+                self._apply_to_zone_ports(step.target, Port.open)
             case "vanish":
                 self.vanish(step.target)
             case "begin":
@@ -519,7 +528,7 @@
                 grace = (
                     self.day.discovery["period_ms"] + self.day.discovery["spread_ms"] + 500
                 ) / 1000
-                self.loop.call_later(grace, self._swap, step.target)
+                self.loop.call_later(grace, self._replace_when_idle, step.target)
             case "drain" | "undrain" if server and server.alive:
                 self.list_change(
                     step.target, "draining" if step.verb == "drain" else "up", server.started
@@ -529,14 +538,16 @@
             case "discovery_up":
                 self.discovery.up = True
                 for gateway, when in self.discovery.due(self.now()).items():
-                    self.loop.call_later(max(0, when - self.now()) / 1e6, self._tell, gateway)
+                    self.loop.call_later(
+                        max(0, when - self.now()) / 1e6, self._notify_watches, gateway
+                    )
             case "counter_down":
                 self.counter.fail()
                 for port in self.counter_ports:
                     port.refuse()
-                for links in self.counting:
-                    for link in list(links):
-                        link.transport.abort()
+                for connections in self.counter_connections:
+                    for connection in list(connections):
+                        connection.transport.abort()
             case "counter_up":
                 self.counter.back(self.now())
                 for port in self.counter_ports:
@@ -548,7 +559,7 @@
             case _:
                 pass
 
-    def _links_to(self, zone: int, act: Callable[[Port], None]) -> None:
+    def _apply_to_zone_ports(self, zone: int, act: Callable[[Port], None]) -> None:
         """Ports between that zone and the others; the connections there are read as `cut` says."""
         for server, ports in enumerate(self.ports):
             for gateway, port in enumerate(ports):
@@ -557,19 +568,23 @@
                     act(port)
         # what stood through the cut is reset once the machine is back (PROTOCOL)
         if act is Port.open:
-            for links in self.links:
-                for link in list(links):
-                    here = self.day.servers[link.server].zone
-                    there = self.day.gateway_zones[link.gateway] if link.gateway >= 0 else here
+            for connections in self.connections:
+                for connection in list(connections):
+                    here = self.day.servers[connection.server].zone
+                    there = (
+                        self.day.gateway_zones[connection.gateway]
+                        if connection.gateway >= 0
+                        else here
+                    )
                     if here != there and zone in (here, there):
-                        link.transport.abort()
+                        connection.transport.abort()
 
     # The run.
 
     def sample(self) -> None:
         now, seen = self.now(), []
         for number, server in enumerate(self.servers):
-            self.settle(number, server.advance(now))
+            self.finish_jobs(number, server.advance(now))
             row = (
                 server.held(),
                 server.connections,
@@ -578,7 +593,7 @@
             )
             self.record.servers.add(now, number, *row, int(server.alive), server.kind.slots)
             seen.append((*row, server.alive))
-        say(servers=seen, at=now, calls=self.counter.calls)
+        send_to_tool(servers=seen, at=now, calls=self.counter.calls)
         self.loop.call_later(1.0, self.sample)
 
 
@@ -586,7 +601,7 @@
     spec = spec_from_argv()
     drawn = day(parse(spec.scenario, spec.name), spec.seed)
     world = World(spec, drawn)
-    say(
+    send_to_tool(
         ready=True,
         servers=[[p.number for p in ports] for ports in world.ports],
         counters=[p.number for p in world.counter_ports],
@@ -594,18 +609,22 @@
         known=[world.endpoint(e, g) for g in range(spec.gateways) for e in world.discovery.whole()],
     )
 
-    def heard(said: dict[str, Any]) -> bool:
-        if "began_ns" in said:
-            spec.began_ns, spec.unix_us = said["began_ns"], said["unix_us"]
+    def on_message(message: dict[str, Any]) -> bool:
+        if "began_ns" in message:
+            spec.began_ns, spec.unix_us = message["began_ns"], message["unix_us"]
             for step in plan(drawn):
                 if not step.on_gateways:
-                    world.loop.call_later(max(0, step.at - world.now()) / 1e6, world.do, step)
+                    world.loop.call_later(
+                        max(0, step.at - world.now()) / 1e6, world.apply_step, step
+                    )
             world.loop.call_later(max(0, -world.now()) / 1e6, world.sample)
-        if "step" in said:
-            world.do(Step(0, said["step"], said.get("target", -1), said.get("value", 0.0)))
-        return "end" in said
+        if "step" in message:
+            world.apply_step(
+                Step(0, message["step"], message.get("target", -1), message.get("value", 0.0))
+            )
+        return "end" in message
 
-    await listen_to_tool(heard)
+    await listen_to_tool(on_message)
     world.record.save(Path(spec.folder) / "standins.npz")
 
 
--- a/cairndale/lab/live/worker.py
+++ b/cairndale/lab/live/worker.py
@@ -20,13 +20,13 @@
 import msgspec
 
 PR_SET_PDEATHSIG = 1  # <sys/prctl.h>
-LINE = 1 << 20  # bytes of a line from a worker
+MAX_LINE_BYTES = 1 << 20  # bytes of a line from a worker
 END_TIMEOUT = 10.0  # s for a worker to write its record
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
-def die_with(parent: int) -> Callable[[], None]:
+def die_with_parent(parent: int) -> Callable[[], None]:
     """Run in a child before exec: the kernel kills it once `parent` ends, however that ends."""
 
     def prepare() -> None:
@@ -38,10 +38,10 @@
     return prepare
 
 
-def spawn(command: list[str], **more: Any) -> subprocess.Popen[bytes]:
+def spawn(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
     """From the main thread only: the kernel counts the thread that started a child as its
     parent."""
-    return subprocess.Popen(command, preexec_fn=die_with(os.getpid()), **more)
+    return subprocess.Popen(command, preexec_fn=die_with_parent(os.getpid()), **options)
 
 
 class Spec(msgspec.Struct):
@@ -66,13 +66,17 @@
         return (time.monotonic_ns() - self.began_ns) // 1000
 
 
-class Piped:
+class PipedProcess:
     """The tool's end of a process that is told and heard by lines."""
 
     def __init__(
-        self, name: str, command: list[str], folder: Path, heard: Callable[[dict[str, Any]], None]
+        self,
+        name: str,
+        command: list[str],
+        folder: Path,
+        on_message: Callable[[dict[str, Any]], None],
     ) -> None:
-        self._heard, self.name = heard, name
+        self._on_message, self.name = on_message, name
         self._log: IO[bytes] = (folder / f"{name}.log").open("wb")
         self.process = spawn(
             [sys.executable, "-m", *command],
@@ -83,23 +87,23 @@
         self.ready: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
-    def tell(self, **what: Any) -> None:
+    def send(self, **fields: Any) -> None:
         """Nothing is said to one that has ended; `ended` or `ready` tell of that."""
         if self.process.stdin and self.process.poll() is None:
             with contextlib.suppress(OSError):
-                self.process.stdin.write(json.dumps(what).encode() + b"\n")
+                self.process.stdin.write(json.dumps(fields).encode() + b"\n")
                 self.process.stdin.flush()
 
     async def _read(self) -> None:
         assert self.process.stdout
-        reader = asyncio.StreamReader(limit=LINE)
+        reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         protocol = asyncio.StreamReaderProtocol(reader)
         await asyncio.get_running_loop().connect_read_pipe(lambda: protocol, self.process.stdout)
         while line := await reader.readline():
-            said = json.loads(line)
-            if "ready" in said and not self.ready.done():
-                self.ready.set_result(said)
-            self._heard(said)
+            message = json.loads(line)
+            if "ready" in message and not self.ready.done():
+                self.ready.set_result(message)
+            self._on_message(message)
         if not self.ready.done():
             self.ready.set_exception(
                 RuntimeError(f"{self.name} ended before it was ready; see its log")
@@ -107,7 +111,7 @@
 
     async def end(self) -> None:
         """Asked to write its record, then ended; killed if it does not."""
-        self.tell(end=True)
+        self.send(end=True)
         try:
             async with asyncio.timeout(END_TIMEOUT):
                 await self._reader
@@ -131,29 +135,31 @@
                     pipe.close()
 
 
-class Worker(Piped):
+class Worker(PipedProcess):
     """A worker of a live run."""
 
-    def __init__(self, module: str, spec: Spec, heard: Callable[[dict[str, Any]], None]) -> None:
+    def __init__(
+        self, module: str, spec: Spec, on_message: Callable[[dict[str, Any]], None]
+    ) -> None:
         name, folder = f"{module}-{spec.number}", Path(spec.folder)
         path = folder / f"{name}.json"
         path.write_bytes(msgspec.json.encode(spec))
-        super().__init__(name, [f"cairndale.lab.live.{module}", str(path)], folder, heard)
+        super().__init__(name, [f"cairndale.lab.live.{module}", str(path)], folder, on_message)
 
 
-def say(**what: Any) -> None:
+def send_to_tool(**fields: Any) -> None:
     """To the tool."""
-    sys.stdout.write(json.dumps(what) + "\n")
+    sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
-async def listen_to_tool(heard: Callable[[dict[str, Any]], Awaitable[bool] | bool]) -> None:
+async def listen_to_tool(on_message: Callable[[dict[str, Any]], Awaitable[bool] | bool]) -> None:
     """Calls `heard` for each line until it returns True, or the tool has closed its end."""
-    reader = asyncio.StreamReader(limit=LINE)
+    reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        result = heard(json.loads(line))
+        result = on_message(json.loads(line))
         if isinstance(result, bool):
             done = result
         else:
--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -22,14 +22,21 @@
 from hypothesis import strategies as st
 
 from cairndale.lab.faults import history, linear, links, many, schedule
-from cairndale.lab.faults.calls import Desk, Lost, NotSent, ask
-from cairndale.lab.faults.history import CONFLICT, OK, REFUSED, UNKNOWN, Call, Writer
-from cairndale.lab.faults.host import Host, result_of
-from cairndale.lab.faults.judge import BROKEN, HOLDS, UNDECIDED, Seen, judge, judge_calls
-from cairndale.lab.faults.launch import CONTROL, Clocks, Control, cut_power
-from cairndale.lab.faults.links import Conditions, Shaper, mangled, together
+from cairndale.lab.faults.calls import CallerContext, ConnectFailed, ResponseLost, send_request
+from cairndale.lab.faults.history import CONFLICT, OK, REFUSED, UNKNOWN, HistoryWriter, Operation
+from cairndale.lab.faults.host import FaultRun, result_of
+from cairndale.lab.faults.judge import (
+    BROKEN,
+    HOLDS,
+    UNDECIDED,
+    Observations,
+    check_operations,
+    check_run,
+)
+from cairndale.lab.faults.launch import CONTROL, Clocks, Control, truncate_to_synced
+from cairndale.lab.faults.links import Conditions, Shaper, combine, impair
 from cairndale.lab.faults.processes import Process, Processes
-from cairndale.lab.faults.relay import HELD, Front, Relays, UdpFront
+from cairndale.lab.faults.relay import MAX_BUFFERED_BYTES, Proxy, Relays, UdpProxy
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.scenario import ScenarioError
 from tests.testing.discovery import ROOT, STARTED
@@ -40,15 +47,15 @@
 # The judge.
 
 
-def calls(*rows: tuple[Any, ...]) -> list[Call]:
+def operations(*rows: tuple[Any, ...]) -> list[Operation]:
     """(kind, begin, end, outcome, value, ...), all on one register by one caller each."""
     return [
-        Call(f"w{n}", "l0", kind, "s0", begin, end, outcome, *more)
+        Operation(f"w{n}", "l0", kind, "s0", begin, end, outcome, *more)
         for n, (kind, begin, end, outcome, *more) in enumerate(rows)
     ]
 
 
-SOUND = calls(
+SOUND = operations(
     ("write", 0, 10, OK, 1),
     ("read", 5, 12, OK, 0),
     ("read", 13, 14, OK, 1),
@@ -82,7 +89,7 @@
 def test_a_history_breaks_the_property_that_it_breaks_and_no_other(
     more: Any, final: int, broken: list[str]
 ) -> None:
-    found = judge_calls([*SOUND, *calls(*more)], {"s0": final})
+    found = check_operations([*SOUND, *operations(*more)], {"s0": final})
     assert found.broken == broken, found.findings
     for finding in found.findings:
         assert 1 <= len(finding.events) <= 5, finding  # few enough to be read
@@ -90,23 +97,26 @@
 
 def test_effects_happen_once_at_most_once_or_not_by_the_outcome_that_was_told() -> None:
     def one(outcome: str, effects: int) -> bool:
-        call = Call("q0", "i0", "request", "q0-1", 0, 9, outcome)
-        return "once" in judge_calls([call], {}, {"q0-1": ["effect"] * effects}).broken
+        operation = Operation("q0", "i0", "request", "q0-1", 0, 9, outcome)
+        return "once" in check_operations([operation], {}, {"q0-1": ["effect"] * effects}).broken
 
     good = [(o, n) for o in (OK, UNKNOWN, REFUSED) for n in range(3) if not one(o, n)]
     assert good == [(OK, 1), (UNKNOWN, 0), (UNKNOWN, 1), (REFUSED, 0)]
     assert (
         "once"
-        in judge_calls([Call("q0", "i0", "request", "r", 0, 9, OK, 1)], {}, {"r": ["e"]}).broken
+        in check_operations(
+            [Operation("q0", "i0", "request", "r", 0, 9, OK, 1)], {}, {"r": ["e"]}
+        ).broken
     )
 
 
 def test_an_owner_that_acts_after_a_later_term_has_begun_to_act_is_named() -> None:
     def acts(*rows: tuple[str, int, int, int]) -> list[str]:
         made = [
-            Call("w", at, "act", "n", begin, end, OK, token=term) for at, term, begin, end in rows
+            Operation("w", at, "act", "n", begin, end, OK, term=term)
+            for at, term, begin, end in rows
         ]
-        return judge_calls(made, {}).broken
+        return check_operations(made, {}).broken
 
     assert acts(("l0", 1, 0, 10), ("l1", 2, 12, 20), ("l0", 3, 25, 30)) == []
     assert acts(("l1", 2, 5, 20), ("l0", 1, 10, 30)) == []  # it may have acted before: they overlap
@@ -114,41 +124,41 @@
     assert acts(("l0", 1, 0, 1), ("l1", 1, 5, 6)) == ["one-owner"]
 
 
-def played(seed: int, callers: int, count: int, unknown: float) -> list[Call]:
+def simulate_register(seed: int, callers: int, count: int, unknown: float) -> list[Operation]:
     """What callers see of a correct register under random interleaving."""
     rng, state, now = random.Random(seed), 0, 0
-    done: list[Call] = []
-    open_: dict[int, tuple[Call, int]] = {}  # a caller's call, and when it takes effect
+    done: list[Operation] = []
+    open_: dict[int, tuple[Operation, int]] = {}  # a caller's call, and when it takes effect
     value = 0
     while len(done) < count:
         now += 1
-        who = rng.randrange(callers)
-        if who not in open_:
+        caller = rng.randrange(callers)
+        if caller not in open_:
             value += 1
             kind = rng.choice(("write", "read", "cas"))
-            call = Call(
-                f"w{who}", "l0", kind, "s0", now, 0, OK, value, rng.choice((state, value - 2))
+            operation = Operation(
+                f"w{caller}", "l0", kind, "s0", now, 0, OK, value, rng.choice((state, value - 2))
             )
-            open_[who] = call, now + rng.randrange(1, 12)
+            open_[caller] = operation, now + rng.randrange(1, 12)
             continue
-        call, at = open_[who]
-        if call.end == 0 and now >= at:
-            call.end = -1  # it has taken effect
-            if call.kind == "read":
-                call.value = state
-            elif call.kind == "write" or call.expected == state:
-                state = call.value
+        operation, at = open_[caller]
+        if operation.end == 0 and now >= at:
+            operation.end = -1  # it has taken effect
+            if operation.kind == "read":
+                operation.value = state
+            elif operation.kind == "write" or operation.expected == state:
+                state = operation.value
             else:
-                call.outcome = CONFLICT
-        elif call.end == -1 or rng.random() < unknown / 10:
-            del open_[who]
-            if call.end == 0 or rng.random() < unknown:
-                call.outcome = UNKNOWN
-            call.end = now
-            done.append(call)
-    for call, _ in open_.values():
-        call.outcome, call.end = UNKNOWN, now
-        done.append(call)
+                operation.outcome = CONFLICT
+        elif operation.end == -1 or rng.random() < unknown / 10:
+            del open_[caller]
+            if operation.end == 0 or rng.random() < unknown:
+                operation.outcome = UNKNOWN
+            operation.end = now
+            done.append(operation)
+    for operation, _ in open_.values():
+        operation.outcome, operation.end = UNKNOWN, now
+        done.append(operation)
     return done
 
 
@@ -157,8 +167,8 @@
 def test_what_a_correct_register_shows_passes_and_a_stale_read_planted_in_it_fails(
     seed: int, callers: int, unknown: float
 ) -> None:
-    found = played(seed, callers, 60, unknown)
-    assert linear.first_broken(found) is None
+    found = simulate_register(seed, callers, 60, unknown)
+    assert linear.first_violation(found) is None
     writes = sorted(
         (c for c in found if c.kind == "write" and c.outcome == OK), key=lambda c: c.end
     )
@@ -166,68 +176,70 @@
         old, newer = writes[0], next((w for w in writes if w.begin > writes[0].end), None)
         if newer is not None:
             end = max(c.end for c in found) + 1
-            stale = Call("w9", "l0", "read", "s0", end, end + 1, OK, old.value)
-            broken = linear.first_broken([*found, stale])
+            stale = Operation("w9", "l0", "read", "s0", end, end + 1, OK, old.value)
+            broken = linear.first_violation([*found, stale])
             assert broken is stale
-            shown = linear.explained([*found, stale], stale)
+            shown = linear.minimal_violation([*found, stale], stale)
             assert (
                 stale in shown
                 and len(shown) < len(found)
-                and linear.first_broken(shown) is not None
+                and linear.first_violation(shown) is not None
             )
 
 
 def test_too_many_orders_are_not_decided_and_that_is_no_pass() -> None:
-    many_ = [Call(f"w{n}", "l0", "write", "s0", 0, 100, OK, n + 1) for n in range(12)]
-    many_ += [Call("r", "l0", "read", "s0", 101 + n, 102 + n, OK, 50) for n in range(2)]
+    many_ = [Operation(f"w{n}", "l0", "write", "s0", 0, 100, OK, n + 1) for n in range(12)]
+    many_ += [Operation("r", "l0", "read", "s0", 101 + n, 102 + n, OK, 50) for n in range(2)]
     with pytest.raises(linear.Undecided):
-        linear.first_broken(many_, bound=200)
-    found = judge_calls(many_, {"s0": 1}, bound=200)
+        linear.first_violation(many_, bound=200)
+    found = check_operations(many_, {"s0": 1}, bound=200)
     assert found.properties["linearizable"] == UNDECIDED and not found.passed
 
 
 def test_a_long_history_is_judged_in_parts_that_each_hold_all_of_a_key(tmp_path: Path) -> None:
-    with Writer(tmp_path) as writer:
+    with HistoryWriter(tmp_path) as writer:
         for n in range(4000):
-            writer.add(Call("w", "l0", "write", f"s{n % 40}", 10 * n, 10 * n + 5, OK, n + 1))
-        writer.add(Call("w", "l0", "read", "s7", 90_000, 90_001, OK, 8))
-    path = tmp_path / history.FILE
-    with history.parted(path, part=path.stat().st_size // 8) as paths:
+            writer.add(Operation("w", "l0", "write", f"s{n % 40}", 10 * n, 10 * n + 5, OK, n + 1))
+        writer.add(Operation("w", "l0", "read", "s7", 90_000, 90_001, OK, 8))
+    path = tmp_path / history.HISTORY_FILE
+    with history.split_by_key(path, part_bytes=path.stat().st_size // 8) as paths:
         assert len(paths) == 8
-        keys = [{c.key for c in history.read(p)} for p in paths]
+        keys = [{c.key for c in history.read_operations(p)} for p in paths]
         assert sum(map(len, keys)) == 40 == len(set.union(*keys))
     assert list(tmp_path.iterdir()) == [path]
-    found = judge(tmp_path, Seen(final={f"s{n}": 3961 + n for n in range(40)}, agreed_s=1.0))
+    found = check_run(
+        tmp_path, Observations(final={f"s{n}": 3961 + n for n in range(40)}, agreed_s=1.0)
+    )
     assert found.broken == ["linearizable"] and found.findings[0].key == "s7"
-    assert judge(tmp_path, Seen(nobody=True)).properties["agreement"] == UNDECIDED
+    assert check_run(tmp_path, Observations(nobody=True)).properties["agreement"] == UNDECIDED
 
 
 # Links and relays.
 
 
 def test_conditions_add_up_and_a_slow_link_keeps_order() -> None:
-    both = together(
+    both = combine(
         [Conditions(delay_ms=10, rate=500, loss=0.5), Conditions(delay_ms=5, rate=100, loss=0.5)]
     )
-    assert (both.delay_ms, both.rate, both.loss) == (15, 100, 0.75) and not both.plain
+    assert (both.delay_ms, both.rate, both.loss) == (15, 100, 0.75) and not both.passes_through
     rng, shaper, on = random.Random(1), Shaper(), Conditions(delay_ms=100, jitter_ms=50, rate=1000)
-    due = [shaper.due(n / 100, 100, on, rng) for n in range(50)]
+    due = [shaper.delivery_time(n / 100, 100, on, rng) for n in range(50)]
     assert due == sorted(due) and due[-1] >= 50 * 0.1 + 0.1
 
 
 def test_datagrams_are_lost_doubled_cut_and_flipped_as_often_as_stated() -> None:
     rng, data = random.Random(3), bytes(100)
-    got = [mangled(data, Conditions(loss=0.2, duplicate=0.3), rng) for _ in range(4000)]
+    got = [impair(data, Conditions(loss=0.2, duplicate=0.3), rng) for _ in range(4000)]
     assert 0.17 < sum(not g for g in got) / 4000 < 0.23
     assert 0.27 < sum(len(g) == 2 for g in got) / sum(bool(g) for g in got) < 0.33
-    ((_, flipped),) = mangled(data, Conditions(flip=1.0), rng)
+    ((_, flipped),) = impair(data, Conditions(flip=1.0), rng)
     assert sum(b.bit_count() for b in flipped) == 1 and len(flipped) == 100
-    assert len(mangled(data, Conditions(truncate=1.0), rng)[0][1]) < 100
-    assert mangled(data, Conditions(cut=True), rng) == []
-    assert any(held for held, _ in mangled(data, Conditions(reorder=1.0), rng))
+    assert len(impair(data, Conditions(truncate=1.0), rng)[0][1]) < 100
+    assert impair(data, Conditions(cut=True), rng) == []
+    assert any(held for held, _ in impair(data, Conditions(reorder=1.0), rng))
 
 
-class Ends:
+class RelayedPair:
     """A dialling end `a`, a listening end `b`, and the relay between them."""
 
     def __init__(self) -> None:
@@ -236,33 +248,33 @@
             asyncio.Queue()
         )
 
-    async def open(self) -> Ends:
+    async def open(self) -> RelayedPair:
         self.server = await asyncio.start_server(
             lambda r, w: self.taken.put_nowait((r, w)), HOST, 0
         )
-        self.front = Front(self.relays, "a>b#x", self.server.sockets[0].getsockname())
-        self.relays.tcp["a>b#x"] = self.front
+        self.proxy = Proxy(self.relays, "a>b#x", self.server.sockets[0].getsockname())
+        self.relays.tcp["a>b#x"] = self.proxy
         return self
 
-    async def tell(self, **what: Any) -> None:
-        await self.relays.heard(what)
+    async def send(self, **what: Any) -> None:
+        await self.relays.handle_message(what)
 
-    async def pair(self) -> tuple[Any, Any, Any, Any]:
-        reader, writer = await asyncio.open_connection(HOST, self.front.port.number)
+    async def open_connection(self) -> tuple[Any, Any, Any, Any]:
+        reader, writer = await asyncio.open_connection(HOST, self.proxy.port.number)
         there = await asyncio.wait_for(self.taken.get(), 10)
         return reader, writer, *there
 
     def close(self) -> None:
-        for link in list(self.relays.links):
-            link._reset_both()
-        self.front.port.refuse()
-        self.front.port._holder.close()
+        for connection in list(self.relays.connections):
+            connection._reset_both()
+        self.proxy.port.refuse()
+        self.proxy.port._reservation.close()
         self.server.close()
 
 
 @asynccontextmanager
-async def ends() -> AsyncIterator[Ends]:
-    made = await Ends().open()
+async def relayed_pair() -> AsyncIterator[RelayedPair]:
+    made = await RelayedPair().open()
     try:
         yield made
     finally:
@@ -283,53 +295,57 @@
 async def test_a_cut_of_one_direction_holds_that_one_and_what_was_under_way_comes_after_it() -> (
     None
 ):
-    async with ends() as lab:
-        a_reads, a_writes, b_reads, b_writes = await lab.pair()
-        await lab.tell(set={"a>b": {"cut": True}})
+    async with relayed_pair() as pair:
+        a_reads, a_writes, b_reads, b_writes = await pair.open_connection()
+        await pair.send(set={"a>b": {"cut": True}})
         a_writes.write(b"held")
         b_writes.write(b"free")
         assert await asyncio.wait_for(a_reads.readexactly(4), 10) == b"free"
         assert await quiet(b_reads)
         a_writes.close()  # the other end learns of it only afterwards
         assert await quiet(b_reads)
-        await lab.tell(set={"a>b": {}})
+        await pair.send(set={"a>b": {}})
         assert await asyncio.wait_for(b_reads.readexactly(4), 10) == b"held"
         assert await asyncio.wait_for(b_reads.read(), 10) == b""
 
 
 async def test_what_a_slow_link_still_holds_goes_at_once_when_it_is_slow_no_longer() -> None:
-    async with ends() as lab:
-        _, a_writes, b_reads, _ = await lab.pair()
-        await lab.tell(set={"a>b": {"rate": 10}})  # all of it would take 1,000 s
+    async with relayed_pair() as pair:
+        _, a_writes, b_reads, _ = await pair.open_connection()
+        await pair.send(set={"a>b": {"rate": 10}})  # all of it would take 1,000 s
         for n in range(100):
             a_writes.write(b"%099d" % n)
             await asyncio.sleep(0)
         assert await quiet(b_reads)
-        await lab.tell(set={"a>b": {}})
+        await pair.send(set={"a>b": {}})
         got = await asyncio.wait_for(b_reads.readexactly(9900), 10)
         assert got == b"".join(b"%099d" % n for n in range(100))
 
 
 async def test_a_half_closed_connection_goes_on_the_other_way_and_ends_with_both() -> None:
-    async with ends() as lab:
-        a_reads, a_writes, b_reads, b_writes = await lab.pair()
+    async with relayed_pair() as pair:
+        a_reads, a_writes, b_reads, b_writes = await pair.open_connection()
         a_writes.write_eof()
         assert await asyncio.wait_for(b_reads.read(), 10) == b""
         b_writes.write(b"answer")
         b_writes.close()
         assert await asyncio.wait_for(a_reads.read(), 10) == b"answer"
-        while lab.relays.links:
+        while pair.relays.connections:
             await asyncio.sleep(0.001)
 
 
 async def test_a_reset_cuts_a_message_short_at_both_ends() -> None:
-    async with ends() as lab:
-        a_reads, a_writes, b_reads, _ = await lab.pair()
-        await lab.tell(set={"a>b": {"delay_ms": 60_000}})
+    async with relayed_pair() as pair:
+        a_reads, a_writes, b_reads, _ = await pair.open_connection()
+        await pair.send(set={"a>b": {"delay_ms": 60_000}})
         a_writes.write(b"0123456789" * 10)
-        while not any(way._held for link in lab.relays.links for way in link.ways):
+        while not any(
+            direction._buffered_bytes
+            for connection in pair.relays.connections
+            for direction in connection.directions
+        ):
             await asyncio.sleep(0.001)
-        await lab.tell(reset=["a>b"])
+        await pair.send(reset=["a>b"])
         got = b""
         with pytest.raises(ConnectionResetError):
             while True:
@@ -342,34 +358,43 @@
 
 
 async def test_connects_are_refused_or_never_answered_and_come_back_at_the_same_port() -> None:
-    async with ends() as lab:
-        port = lab.front.port.number
-        await lab.tell(connect={"a>b": "refuse"})
+    async with relayed_pair() as pair:
+        port = pair.proxy.port.number
+        await pair.send(connect={"a>b": "refuse"})
         with pytest.raises(ConnectionRefusedError):
             await asyncio.open_connection(HOST, port)
-        await lab.tell(connect={"a>b": "unanswered"})
+        await pair.send(connect={"a>b": "unanswered"})
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(asyncio.open_connection(HOST, port), 0.1)
-        await lab.tell(connect={"a>b": "open"})
-        assert lab.front.port.number == port
-        _, writer, reader, _ = await lab.pair()
+        await pair.send(connect={"a>b": "open"})
+        assert pair.proxy.port.number == port
+        _, writer, reader, _ = await pair.open_connection()
         writer.write(b"x")
         assert await asyncio.wait_for(reader.readexactly(1), 10) == b"x"
 
 
 async def test_what_a_relay_holds_is_bounded_and_the_sender_feels_it() -> None:
-    async with ends() as lab:
-        _, a_writes, b_reads, _ = await lab.pair()
-        await lab.tell(set={"a>b": {"cut": True}})
+    async with relayed_pair() as pair:
+        _, a_writes, b_reads, _ = await pair.open_connection()
+        await pair.send(set={"a>b": {"cut": True}})
         a_writes.transport.set_write_buffer_limits(0)
         sent = 16 << 20
         a_writes.write(bytes(sent))
         held = 0
         for _ in range(100):
             await asyncio.sleep(0.002)
-            held = max([held, *(way._held for link in lab.relays.links for way in link.ways)])
-        assert held <= 2 * HELD and a_writes.transport.get_write_buffer_size() > 0
-        await lab.tell(set={"a>b": {}})
+            held = max(
+                [
+                    held,
+                    *(
+                        direction._buffered_bytes
+                        for connection in pair.relays.connections
+                        for direction in connection.directions
+                    ),
+                ]
+            )
+        assert held <= 2 * MAX_BUFFERED_BYTES and a_writes.transport.get_write_buffer_size() > 0
+        await pair.send(set={"a>b": {}})
         assert len(await asyncio.wait_for(b_reads.readexactly(sent), 60)) == sent
 
 
@@ -384,25 +409,30 @@
 async def test_datagrams_go_both_ways_through_fronts_that_lead_back(capsys: Any) -> None:
     relays, loop = Relays(1), asyncio.get_running_loop()
     a, b = Datagrams(), Datagrams()
-    (ta, _), (tb, _) = [
+    (transport_a, _), (transport_b, _) = [
         await loop.create_datagram_endpoint(lambda p=p: p, (HOST, 0)) for p in (a, b)
     ]  # type: ignore[misc]
-    await relays.heard(
-        {"udp": [["a>b", *tb.get_extra_info("sockname")], ["b>a", *ta.get_extra_info("sockname")]]}
+    await relays.handle_message(
+        {
+            "udp": [
+                ["a>b", *transport_b.get_extra_info("sockname")],
+                ["b>a", *transport_a.get_extra_info("sockname")],
+            ]
+        }
     )
     opened = json.loads(capsys.readouterr().out)["opened"]
-    ta.sendto(b"hello", (HOST, opened["a>b"]))
+    transport_a.sendto(b"hello", (HOST, opened["a>b"]))
     while not b.got:
         await asyncio.sleep(0.001)
     assert b.got[0] == (b"hello", (HOST, opened["b>a"]))  # as whom `b` knows `a`
-    await relays.heard({"set": {"a>b": {"cut": True}}})
-    ta.sendto(b"lost", (HOST, opened["a>b"]))
-    tb.sendto(b"back", (HOST, opened["b>a"]))
+    await relays.handle_message({"set": {"a>b": {"cut": True}}})
+    transport_a.sendto(b"lost", (HOST, opened["a>b"]))
+    transport_b.sendto(b"back", (HOST, opened["b>a"]))
     while not a.got:
         await asyncio.sleep(0.001)
     assert a.got[0][0] == b"back" and len(b.got) == 1
-    assert isinstance(relays.udp["a>b"], UdpFront)
-    for transport in (ta, tb, *(f.transport for f in relays.udp.values())):
+    assert isinstance(relays.udp["a>b"], UdpProxy)
+    for transport in (transport_a, transport_b, *(f.transport for f in relays.udp.values())):
         transport.close()
 
 
@@ -415,7 +445,7 @@
     (folder / "log").write_bytes(b"0123456789")
     (folder / "new").write_bytes(b"abc")
     synced.write_text(f"{(folder / 'log').stat().st_ino} 4\n{(folder / 'log').stat().st_ino} 6\n")
-    assert cut_power(folder, synced) == 7
+    assert truncate_to_synced(folder, synced) == 7
     assert (folder / "log").read_bytes() == b"012345" and (folder / "new").read_bytes() == b""
 
 
@@ -442,7 +472,7 @@
         '[[fault]]\nkind = "cut"\nat_s = 1\non = ["l0"]\n'
         '[[fault]]\nkind = "melt"\nat_s = -1\n'
     )
-    said = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -458,8 +488,8 @@
         text=True,
         timeout=60,
     )
-    assert said.returncode == 2 and not (tmp_path / "out").exists()
-    assert [line.split(":")[1].strip() for line in said.stderr.splitlines()] == [
+    assert completed.returncode == 2 and not (tmp_path / "out").exists()
+    assert [line.split(":")[1].strip() for line in completed.stderr.splitlines()] == [
         "fleet.list",
         "fault[2].kind",
         "fault[2].at_s",
@@ -493,35 +523,35 @@
         assert schedule.load(name).name == name and f"`{name}`" in page, name
     kinds = set()
     for seed in range(300):
-        made = schedule.drawn(seed, 1.5)
-        assert schedule.text_of(made) == schedule.text_of(schedule.load("random:1.5", seed))
+        made = schedule.draw_schedule(seed, 1.5)
+        assert schedule.to_toml(made) == schedule.to_toml(schedule.load("random:1.5", seed))
         # sound, and as a file the same
-        assert schedule.parse(schedule.text_of(made), "drawn") == made
+        assert schedule.parse(schedule.to_toml(made), "drawn") == made
         kinds |= {f.kind for f in made.fault}
-    assert kinds >= set(schedule.DRAWN)
-    counts = [sum(len(schedule.drawn(s, i).fault) for s in range(50)) for i in (0.5, 1, 4)]
+    assert kinds >= set(schedule.DRAWN_KINDS)
+    counts = [sum(len(schedule.draw_schedule(s, i).fault) for s in range(50)) for i in (0.5, 1, 4)]
     assert counts[0] * 1.5 < counts[1] and counts[1] * 3 < counts[2]
 
 
 def test_smaller_schedules_are_smaller_and_sound_or_left_out() -> None:
-    made = schedule.drawn(11, 3)
-    found = list(many.smaller(made))
+    made = schedule.draw_schedule(11, 3)
+    found = list(many.smaller_schedules(made))
     assert any(len(s.fault) <= len(made.fault) // 2 + 1 for s in found)
-    size = len(schedule.text_of(made))
+    size = len(schedule.to_toml(made))
     for one in found:
-        assert schedule.text_of(one) != schedule.text_of(made)
-        assert len(schedule.text_of(one)) <= size + 40
-        if not list(schedule.crossed(one)):
-            assert schedule.parse(schedule.text_of(one), "smaller") == one
+        assert schedule.to_toml(one) != schedule.to_toml(made)
+        assert len(schedule.to_toml(one)) <= size + 40
+        if not list(schedule.cross_field_errors(one)):
+            assert schedule.parse(schedule.to_toml(one), "smaller") == one
 
 
 def test_links_know_which_directions_a_fault_lies_on() -> None:
     made = schedule.Schedule("x")
     cut = schedule.Fault("cut", 1, from_=["l0"], to=["lists", "i0"])
-    assert made.pairs(cut) == [("l0", "l1"), ("l0", "i0"), ("l1", "l0"), ("i0", "l0")]
+    assert made.directions(cut) == [("l0", "l1"), ("l0", "i0"), ("l1", "l0"), ("i0", "l0")]
     cut.both, cut.to = False, []
-    assert made.pairs(cut) == [("l0", p) for p in made.processes() if p != "l0"]
-    assert links.CLEAR.plain
+    assert made.directions(cut) == [("l0", p) for p in made.processes() if p != "l0"]
+    assert links.CLEAR.passes_through
 
 
 async def test_a_members_port_is_one_that_no_socket_is_given_by_the_system(tmp_path: Path) -> None:
@@ -536,8 +566,8 @@
             member.bind((HOST, number))
         with socket.socket() as other, pytest.raises(OSError):
             other.bind((HOST, number))  # held for this run
-    for holder in processes.holders:
-        holder.close()
+    for reservation in processes.reservations:
+        reservation.close()
 
 
 # Runs.
@@ -550,9 +580,9 @@
     path.write_text(text)
     command = [sys.executable, *by, "faults", "run", str(path), "--json", *more]
     command += ["--out", str(tmp_path / "out")]
-    said = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    assert said.returncode == status, said.stderr + said.stdout
-    return json.loads(said.stdout)
+    completed = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, timeout=60)
+    assert completed.returncode == status, completed.stderr + completed.stdout
+    return json.loads(completed.stdout)
 
 
 SMALL = """
@@ -588,15 +618,15 @@
 
 
 def test_a_run_with_a_kill_a_cut_and_a_stop_holds_and_is_drawn(tmp_path: Path) -> None:
-    said = run(tmp_path, SMALL + POWER, status=0)
-    assert set(said["properties"].values()) == {HOLDS}
+    result = run(tmp_path, SMALL + POWER, status=0)
+    assert set(result["properties"].values()) == {HOLDS}
     assert (
-        said["calls"]["write ok"] > 5
-        and said["calls"]["request ok"] > 5
-        and said["agreed_s"] is not None
+        result["calls"]["write ok"] > 5
+        and result["calls"]["request ok"] > 5
+        and result["agreed_s"] is not None
     )
-    assert [h["fault"] for h in said["happened"]] == [0, 1, 2]
-    for happened in said["happened"]:
+    assert [h["fault"] for h in result["happened"]] == [0, 1, 2]
+    for happened in result["happened"]:
         assert 0 < happened["begin"] < happened["end"]
     out = tmp_path / "out"
     shown = subprocess.run(
@@ -630,33 +660,37 @@
     written: set[str] = set()  # before `l0` was back
     anew: set[str] = set()  # since
     ready, looked, back = asyncio.Event(), asyncio.Event(), asyncio.Event()
-    end, on_process, is_back = Desk.end, Host._on_process, Host._back
+    end, on_process, is_back = CallerContext.end, FaultRun._run_process_fault, FaultRun._restart
 
-    def ends(self: Desk, number: int, outcome: str) -> None:
-        call = self.open[number]
+    def end_and_record(self: CallerContext, number: int, outcome: str) -> None:
+        operation = self.in_flight[number]
         end(self, number, outcome)
-        if call.kind in ("write", "cas") and outcome in (OK, UNKNOWN) and back.is_set():
-            anew.add(call.key)
-        elif call.kind in ("write", "cas") and outcome == OK:
-            written.add(call.key)
+        if operation.kind in ("write", "cas") and outcome in (OK, UNKNOWN) and back.is_set():
+            anew.add(operation.key)
+        elif operation.kind in ("write", "cas") and outcome == OK:
+            written.add(operation.key)
             if written == set(self.registers):
                 ready.set()
-        elif call.kind == "read" and back.is_set() and call.key not in anew:
+        elif operation.kind == "read" and back.is_set() and operation.key not in anew:
             looked.set()
 
     async def waits(
-        self: Host, number: int, fault: schedule.Fault, it: Process, until: float
+        self: FaultRun, number: int, fault: schedule.Fault, process: Process, until: float
     ) -> None:
         if fault.power:
             await ready.wait()
-        await on_process(self, number, fault, it, until)
+        await on_process(self, number, fault, process, until)
 
-    async def comes_back(self: Host, it: Process) -> None:
-        await is_back(self, it)
+    async def comes_back(self: FaultRun, process: Process) -> None:
+        await is_back(self, process)
         back.set()
         await looked.wait()  # the load goes on until all faults are over, or 30 s longer
 
-    Desk.end, Host._on_process, Host._back = ends, waits, comes_back  # type: ignore[method-assign]
+    CallerContext.end, FaultRun._run_process_fault, FaultRun._restart = (  # type: ignore[method-assign]
+        end_and_record,
+        waits,
+        comes_back,
+    )
     runpy.run_module("cairndale.lab", run_name="__main__", alter_sys=True)
 
 
@@ -668,9 +702,9 @@
     text = SMALL.replace("writers = 2", "writers = 1").replace("servers = 2", "servers = 4")
     program = "from tests.lab.faults import test_faults as t; t.lab_that_waits_for_its_writer()"
     by = ("-c", program)
-    said = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1, by=by)
-    assert BROKEN in (said["properties"][p] for p in ("linearizable", "kept", "fresh"))
-    assert said["properties"]["once"] == HOLDS and any(f["events"] for f in said["findings"])
+    result = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1, by=by)
+    assert BROKEN in (result["properties"][p] for p in ("linearizable", "kept", "fresh"))
+    assert result["properties"]["once"] == HOLDS and any(f["events"] for f in result["findings"])
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
@@ -708,8 +742,8 @@
 async def test_a_call_that_was_not_sent_is_told_from_one_without_an_answer() -> None:
     server = await asyncio.start_server(lambda r, w: w.close(), HOST, 0)
     port = server.sockets[0].getsockname()[1]
-    with pytest.raises(Lost):
-        await ask(port, "GET", "/")
+    with pytest.raises(ResponseLost):
+        await send_request(port, "GET", "/")
     server.close()
-    with pytest.raises(NotSent):
-        await ask(port, "GET", "/")
+    with pytest.raises(ConnectFailed):
+        await send_request(port, "GET", "/")
