--- a/cairndale/lab/faults/__init__.py
+++ b/cairndale/lab/faults/__init__.py
@@ -1,2 +1,2 @@
-"""The fault lab: real processes, relays and wrappers that put faults between them, schedules, and a
-judge."""
+"""The fault laboratory: real processes, relays and wrappers that inject faults, fault schedules,
+recorded histories and their checker."""
--- a/cairndale/lab/faults/calls.py
+++ b/cairndale/lab/faults/calls.py
@@ -1,5 +1,4 @@
-"""Callers of the lab: they work against the processes all along, and note each call with its
-outcome."""
+"""Callers: they load the processes during a run and record each operation with its outcome."""
 
 from __future__ import annotations
 
@@ -13,25 +12,28 @@
 from cairndale.lab.faults.history import CONFLICT, OK, REFUSED, UNKNOWN, HistoryWriter, Operation
 from cairndale.lab.live.ports import HOST
 
-WEIGHT_STEP = 1e-6  # a register is a server's weight: 1 and so many steps
-WRITE_RETRIES = 2  # times that a write of unknown outcome is repeated with its id
+WEIGHT_STEP = 1e-6  # a register is stored as a server's weight: 1 + value * WEIGHT_STEP
+WRITE_RETRIES = 2  # retries of a write without a clear answer; each sends the same request id
 WRITE_RETRY_DELAY_S = 0.2  # s
-CAS_SHARE = 0.4  # share of the writes that are conditional
-READ_SHARE = 0.35  # share of the calls on registers that read
+CAS_SHARE = 0.4  # share of the writes that are conditional (compare-and-set)
+READ_SHARE = 0.35  # share of the operations on registers that are reads
 
 
 class ConnectFailed(Exception):
-    """The connection never came up: nothing was asked."""
+    """The connection was not established, so no request was sent."""
 
 
 class ResponseLost(Exception):
-    """It was asked, and no answer came."""
+    """The request may have been sent, but no valid response arrived."""
 
 
 async def send_request(
     port: int, method: str, path: str, body: bytes = b"", timeout: float = 1.0, **fields: str
 ) -> tuple[int, bytes]:
-    """Status and body; raises NotSent or Lost. `timeout` in s, for all of it."""
+    """Sends one HTTP request and returns the status and the body of the response.
+
+    `timeout` is in seconds and covers connecting, sending and receiving. Raises ConnectFailed or
+    ResponseLost."""
     loop = asyncio.get_running_loop()
     end = loop.time() + timeout
     try:
@@ -69,7 +71,7 @@
 
 
 class HasPorts(Protocol):
-    """A process by its own addresses."""
+    """A process with its own port numbers, not those of relays."""
 
     name: str
     ports: dict[str, int]
@@ -77,7 +79,7 @@
 
 @dataclass(slots=True)
 class Target:
-    """What callers know of a process: its ports by their names, as one caller reaches them."""
+    """A process as one caller reaches it: the relays' port numbers by port name."""
 
     name: str
     ports: dict[str, int]
@@ -85,18 +87,17 @@
 
 @dataclass(slots=True)
 class CallerContext:
-    """What callers share."""
+    """State that all callers of a run share."""
 
     history: HistoryWriter
-    now: Callable[[], int]  # us since the run's 0
+    now: Callable[[], int]  # us since the start of the run
     timeout: float  # s
-    mean_pause: float  # s, mean
-    registers: dict[str, dict[str, Any]]  # a server's name, and its registration without weight
-    names_by_address: dict[
-        str, str
-    ]  # HOST:PORT of writes, as the program knows it: the list service's name
-    last_value: int = 0  # numbers given out
-    in_flight: dict[int, Operation] = field(default_factory=dict)  # calls under way
+    mean_pause: float  # s between the operations of a caller
+    registers: dict[str, dict[str, Any]]  # server name to its registration without the weight
+    # HOST:PORT for writes, as the program knows it, to the name of the list service
+    names_by_address: dict[str, str]
+    last_value: int = 0  # the last value that `next_value` returned
+    in_flight: dict[int, Operation] = field(default_factory=dict)
     _last_number: int = 0
 
     def next_value(self) -> int:
@@ -114,28 +115,27 @@
         self.history.add(operation)
 
     def discard(self, number: int) -> None:
-        """A call that was never made."""
+        """Drops an operation that was not carried out, so that the history does not contain it."""
         del self.in_flight[number]
 
     def close(self) -> None:
-        """What is open as the run ends has an unknown outcome."""
+        """Records the operations still in flight at the end of the run with an unknown outcome."""
         for number in list(self.in_flight):
             self.end(number, UNKNOWN)
 
 
 class ListWriter:
-    """Writes to whoever leads, conditionally or not, and reads from there."""
+    """Writes to the leader of the list services, conditionally or not, and reads from it."""
 
     def __init__(
         self, name: str, context: CallerContext, targets: list[Target], rng: random.Random
     ) -> None:
         self.name, self.context, self.targets, self.rng = name, context, targets, rng
         self.target_index = 0
-        self.leader_confirmed = False  # the one at `at` has said yes to the last write
-        self.known_registers: dict[
-            str, tuple[int, int]
-        ] = {}  # register: version and value, as last heard
-        # registers to be read, as whoever leads may have forgotten something
+        self.leader_confirmed = False  # the current target accepted the last write
+        # register name to version and value, as last received
+        self.known_registers: dict[str, tuple[int, int]] = {}
+        # registers to read after a change of leader, since the new leader may lack some writes
         self.unread: list[str] = []
 
     async def run(self) -> None:
@@ -176,10 +176,10 @@
         except (ConnectFailed, ResponseLost, ValueError):
             found = {}
         if found == {}:
-            self.context.discard(number)  # a read without an answer says nothing
+            self.context.discard(number)  # a read without an answer constrains nothing
             self._switch_target()
             return
-        if found is None:  # forgotten altogether: as if nobody had written
+        if found is None:  # the register is missing: recorded as its initial value
             self.known_registers.pop(key, None)
         else:
             self.known_registers[key] = found["version"], value_of(found["weight"])
@@ -241,14 +241,14 @@
                 self.known_registers.pop(key, None)
                 context.end(number, UNKNOWN if sent else CONFLICT)
                 return
-            sent = sent or "may be" in answer["error"]  # it may yet be kept
+            sent = sent or "may be" in answer["error"]  # the write may still be committed
             self._switch_target(str(answer.get("leader") or ""))
         self.known_registers.pop(key, None)
         context.end(number, UNKNOWN if sent else REFUSED)
 
 
 class ListReader:
-    """Reads from every list service in turn, as its status says that it may be."""
+    """Reads from every list service in turn, and records the maximum age that its status states."""
 
     def __init__(
         self, name: str, context: CallerContext, targets: list[Target], rng: random.Random
@@ -291,7 +291,7 @@
 
 
 class Client:
-    """Asks ingresses for something that takes effect, once a request."""
+    """Sends requests with a side effect to the ingresses, each request once."""
 
     def __init__(
         self, name: str, context: CallerContext, ingresses: list[Target], rng: random.Random
@@ -329,12 +329,12 @@
             context.end(number, UNKNOWN)
             return
         if status == 200 and response_body != b"done " + id.encode():
-            context.in_flight[number].value = 1  # somebody else's answer
+            context.in_flight[number].value = 1  # the answer to another request
         context.end(number, {200: OK, 429: REFUSED, 503: REFUSED}.get(status, UNKNOWN))
 
 
 class Viewer:
-    """Asks members, past all relays, for their view and what they say of themselves."""
+    """Reads the membership view and status of each member directly, not through relays."""
 
     def __init__(
         self, name: str, context: CallerContext, members: Sequence[HasPorts], rng: random.Random
--- a/cairndale/lab/faults/history.py
+++ b/cairndale/lab/faults/history.py
@@ -1,5 +1,4 @@
-"""What callers did and what came of it: a file of calls, one a line, read in parts that fit into
-memory."""
+"""Histories: files of operations, one per line, read in parts that fit into memory."""
 
 from __future__ import annotations
 
@@ -13,20 +12,23 @@
 import msgspec
 
 OK, CONFLICT, REFUSED, UNKNOWN = "ok", "conflict", "refused", "unknown"
-PART_BYTES = 4 << 20  # bytes of a history that are judged at once, about 60,000 calls
+PART_BYTES = 4 << 20  # of a history that is checked at once, about 60,000 operations
 HISTORY_FILE = "history.jsonl"
 
 
 class Operation(msgspec.Struct, array_like=True):
-    """One call of the lab's. Times in us on the lab's monotonic clock.
+    """One operation of a caller. Times are in us on the lab's monotonic clock.
 
-    `write` sets a register to `value`, a number never used twice; `cas` does where it holds
-    `expected`; `read` and `aged` have found `value`, the latter stated to be `age` us old at most
-    when it began; a `request` is for an effect on a server. Outcome `unknown`: it may have been
-    carried out, or may yet be."""
+    `write` sets a register to `value`, a number that is used only once; `cas` does so if the
+    register holds `expected`. `read` and `aged` returned `value`; an `aged` read states that the
+    value was at most `age` us old when the read began. A `request` is for a side effect on a
+    server. The outcome `unknown` means that the operation may have taken effect, or may still do
+    so.
+
+    Encoded as an array: the order of the fields is the format, their names are not."""
 
     caller: str
-    process: str  # the process that it was made at
+    process: str  # that the operation was sent to
     kind: str
     key: str
     begin: int
@@ -35,7 +37,7 @@
     value: int = 0
     expected: int = 0
     age: int = 0
-    term: int = -1  # the term in which whoever answered acted, where it says so
+    term: int = -1  # of the process that answered, if it states one
 
     def describe(self) -> str:
         what = {"cas": f" {self.expected} -> {self.value}", "request": ""}.get(
@@ -52,7 +54,10 @@
 
 
 class HistoryWriter:
-    """Calls as they end. What is open as the run ends is written by whoever made it, as unknown."""
+    """Writes operations as they end.
+
+    The caller adds operations that are in flight at the end of the run with the outcome
+    `unknown`."""
 
     def __init__(self, folder: Path) -> None:
         self._encoder = msgspec.json.Encoder()
@@ -84,8 +89,9 @@
 
 @contextlib.contextmanager
 def split_by_key(path: Path, part_bytes: int = PART_BYTES) -> Iterator[list[Path]]:
-    """Files that together hold the history, all calls of a key in one of them; removed
-    afterwards."""
+    """Splits the history into files so that all operations on a key are in one of them.
+
+    The files are removed afterwards."""
     count = max(1, path.stat().st_size // part_bytes)
     if count == 1:
         yield [path]
--- a/cairndale/lab/faults/host.py
+++ b/cairndale/lab/faults/host.py
@@ -1,5 +1,5 @@
-"""One run: starts the processes and relays, lets callers work, carries the schedule out, and
-judges."""
+"""One run: starts the processes and relays, runs the callers, carries out the fault schedule and
+checks the history."""
 
 from __future__ import annotations
 
@@ -38,28 +38,28 @@
 from cairndale.lab.live.worker import PipedProcess
 from cairndale.lab.play import write
 
-START_TIMEOUT_S = 30.0  # s for all to be there
-OPEN_CALL_SLACK_S = 2.0  # s for calls that are open as the load ends
-AGREEMENT_POLL_S = 0.1  # s between looks whether all agree
-OPERATOR_DELAY_S = 1.0  # s after the load that the page's steps after a failover are taken
-RESTART_DELAY_S = 0.4  # s between starts of a process that does not come up
-BACKUP_INTERVAL_S = 1.0  # s between copies of folders that are to be put back
-MAX_LOOP_LAG_S = 2.0  # s that the lab's own loop may be late before a run says nothing
-MAX_RELAY_CPU_SHARE = 0.8  # share of a core that the relays may use before a run says nothing
+START_TIMEOUT_S = 30.0  # for all processes to be ready
+OPEN_CALL_SLACK_S = 2.0  # for operations in flight at the end of the load
+AGREEMENT_POLL_S = 0.1  # between checks whether all processes agree
+OPERATOR_DELAY_S = 1.0  # from the end of the load to the operator's steps after a failover
+RESTART_DELAY_S = 0.4  # between attempts to start a process
+BACKUP_INTERVAL_S = 1.0  # between copies of the folders that a fault restores
+MAX_LOOP_LAG_S = 2.0  # of the lab's own event loop; beyond it the run is inconclusive
+MAX_RELAY_CPU_SHARE = 0.8  # of one core; beyond it the run is inconclusive
 RESULT_FILE = "run.json"
 
 
 class FaultInterval(msgspec.Struct):
-    """A fault as it was: s from the run's 0."""
+    """A fault as it was carried out. Times are in s from the start of the run."""
 
-    fault: int  # in the schedule
+    fault: int  # index in the schedule
     what: str
     begin: float
     end: float = -1.0
 
 
 class StateInterval(msgspec.Struct):
-    """What a process did over a time."""
+    """A period during which a process was in one state."""
 
     process: str
     state: str  # up, stopped
@@ -80,6 +80,8 @@
 
 
 class FaultRun:
+    """Carries out one run of a schedule."""
+
     def __init__(self, schedule: Schedule, seed: int, folder: Path) -> None:
         self.schedule, self.seed, self.folder = schedule, seed, folder
         self.processes = Processes(schedule, seed, folder)
@@ -104,7 +106,7 @@
         return self.now() / 1e6
 
     async def run(self) -> Result:
-        """Raises LiveError if the processes cannot be started. However it ends, none is left."""
+        """Raises LiveError if the processes cannot be started. No process is left in any case."""
         with HistoryWriter(self.folder) as history:
             try:
                 async with asyncio.timeout(START_TIMEOUT_S):
@@ -185,7 +187,7 @@
             self._relay_usage = message
 
     def _record_state(self, process: Process, state: str) -> None:
-        """From now on it is in this state; empty: it is gone."""
+        """Begins a new state of the process; an empty state means that it is not running."""
         for bar in reversed(self.bars):
             if bar.process == process.name:
                 if bar.end < 0:
@@ -205,7 +207,7 @@
     def _task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            self.observations.void.append(f"the lab failed: {error!r}")
+            self.observations.void.append(f"a task of the lab failed: {error!r}")
 
     async def _play(self, history: HistoryWriter) -> None:
         self._began = time.monotonic_ns()
@@ -251,7 +253,7 @@
         if faults:
             await asyncio.wait(faults, timeout=START_TIMEOUT_S)
         for task in caller_tasks:
-            task.cancel()  # a call under way is open, and its outcome unknown
+            task.cancel()  # operations in flight stay open, with an unknown outcome
         await asyncio.gather(*caller_tasks, return_exceptions=True)
         context.close()
         for task in monitors[1:]:
@@ -260,7 +262,7 @@
             self.observations.void.append(f"the lab's own loop was {self._max_loop_lag:.1f} s late")
 
     def _target(self, caller: str, process: Process) -> Target:
-        """Its ports as this caller reaches them: through relays."""
+        """The process as this caller reaches it, through relays."""
         return Target(
             process.name,
             {p: self._opened.get(f"{caller}>{process.name}#{p}", 0) for p in process.ports},
@@ -273,7 +275,7 @@
             self._max_loop_lag = max(self._max_loop_lag, time.monotonic() - before - 0.05)
 
     async def _back_up_folders(self) -> None:
-        """Of the folders that a fault will put back."""
+        """Copies the folders that a fault will restore."""
         wanted = {
             n for f in self.schedule.fault if f.folder == "old" for n in self.schedule.select(f.on)
         }
@@ -285,7 +287,7 @@
             await asyncio.sleep(BACKUP_INTERVAL_S)
 
     async def _supervise(self) -> None:
-        """Nobody ends unasked; who does is started again, as by a supervisor."""
+        """Records processes that end unexpectedly, and restarts them as a supervisor would."""
         while True:
             await asyncio.sleep(0.05)
             for process in self.processes.all.values():
@@ -306,8 +308,8 @@
                     self._task(self._restart(process))
 
     async def _restart(self, process: Process) -> None:
-        """Starts it again until it is there: a disk may refuse that for a while, nothing else
-        may."""
+        """Restarts the process, with retries only while its disk has a fault: any other failure to
+        start is a crash."""
         while not await self.processes.start(process):
             if process.expected:
                 return
@@ -339,9 +341,9 @@
         self._last_fault = max(self._last_fault, self._now_s())
 
     def _begin_fault(self, number: int, what: str) -> FaultInterval:
-        made = FaultInterval(number, what, self._now_s())
-        self.happened.append(made)
-        return made
+        interval = FaultInterval(number, what, self._now_s())
+        self.happened.append(interval)
+        return interval
 
     async def _run_link_fault(self, number: int, fault: Fault, end: float) -> None:
         pairs = self.schedule.directions(fault)
@@ -364,7 +366,7 @@
         interval.end = self._now_s()
 
     def _set_link_fault(self, pairs: list[tuple[str, str]], fault: Fault, on: bool) -> None:
-        """Lays a fault on links, or takes it off."""
+        """Applies a fault to links, or removes it."""
         assert self.relay
         conditions = fault.conditions() if fault.kind not in ("refuse", "unanswered") else CLEAR
         for pair in pairs:
@@ -378,7 +380,8 @@
         self._update_connect_modes()
 
     def _update_connect_modes(self) -> None:
-        """What becomes of new connections: a cut answers none, a dead process refuses them."""
+        """Sets how relays treat new connections: a cut link leaves them unanswered, a process that is
+        not running refuses them."""
         assert self.relay
         changed: dict[str, str] = {}
         for a, b, _ in self.processes.proxies():
@@ -401,7 +404,7 @@
     ) -> None:
         if not process.up or process.stopped:
             self._begin_fault(
-                number, f"{fault.kind} {process.name}: skipped, it was away"
+                number, f"{fault.kind} {process.name}: skipped, the process was not running"
             ).end = self._now_s()
             return
         interval = self._begin_fault(number, f"{fault.kind} {process.name}")
@@ -492,7 +495,7 @@
     # The end.
 
     async def _await_agreement(self) -> None:
-        """Until all agree; meanwhile what the page tells an operator to do after a failover."""
+        """Waits until all processes agree, and takes the operator's steps after a failover."""
         begin, operator_acted = self._now_s(), False
         since = max(begin, self._last_fault)
         while True:
@@ -500,8 +503,8 @@
             if not any(p.kind in "lm" for p in alive):
                 self.observations.nobody = True
                 return
-            state = await asyncio.gather(*(self._query_state(p) for p in alive))
-            states = list(zip(alive, state, strict=True))
+            results = await asyncio.gather(*(self._query_state(p) for p in alive))
+            states = list(zip(alive, results, strict=True))
             differences = self._view_differences([(p, t) for p, t in states if p.kind == "m"])
             differences += self._state_differences([(p, t) for p, t in states if p.kind in "li"])
             if not differences:
@@ -512,12 +515,12 @@
                 return
             if not operator_acted and self._now_s() - begin > OPERATOR_DELAY_S:
                 operator_acted = await self._rejoin_followers(
-                    [(p, t) for p, t in zip(alive, state, strict=True) if p.kind == "l"]
+                    [(p, t) for p, t in zip(alive, results, strict=True) if p.kind == "l"]
                 )
             await asyncio.sleep(AGREEMENT_POLL_S)
 
     async def _query_state(self, process: Process) -> dict[str, Any]:
-        """What it holds, asked directly; empty if it does not say."""
+        """The state that the process reports, asked directly; empty if it does not answer."""
         try:
             if process.kind == "m":
                 _, response_body = await send_request(process.ports["ops"], "GET", "/members")
@@ -537,7 +540,7 @@
             return {}
 
     def _view_differences(self, members: list[tuple[Process, dict[str, Any]]]) -> list[str]:
-        """How members differ from one view, of just those that are up."""
+        """Differences of the members from one common view that contains exactly those running."""
         first = next((t for _, t in members if t), {})
         differences = []
         for process, state in members:
@@ -549,7 +552,8 @@
         return differences
 
     def _state_differences(self, states: list[tuple[Process, dict[str, Any]]]) -> list[str]:
-        """How they differ; and, where they do not, the registers' values are those at the end."""
+        """Differences between list services and ingresses; without any, records the final values of
+        the registers."""
         leaders = [(p, t) for p, t in states if t.get("role") == "leader"]
         if len(leaders) > 1:
             return [f"{p.name} leads epoch {t['epoch']} from {t['index']}" for p, t in leaders]
@@ -575,8 +579,8 @@
         return differences
 
     async def _rejoin_followers(self, lists: list[tuple[Process, dict[str, Any]]]) -> bool:
-        """Who was deposed, or follows one that was, is started again as a follower of the one that
-        leads."""
+        """Restarts list services that were deposed, or follow one that was, as followers of the
+        leader."""
         leaders = [p for p, t in lists if t.get("role") == "leader"]
         if len(leaders) != 1:
             return False
@@ -607,11 +611,11 @@
 
 def _last_log_line(process: Process) -> str:
     lines = [line for line in process.log.splitlines() if line.strip()]
-    return lines[-1] if lines else "it said nothing"
+    return lines[-1] if lines else "its log is empty"
 
 
 async def play(schedule: Schedule, seed: int, folder: Path) -> Result:
-    """One run in `folder`, which is made anew. Raises LiveError."""
+    """Carries out one run in `folder`, which is recreated. Raises LiveError."""
     if folder.exists():
         shutil.rmtree(folder)
     folder.mkdir(parents=True)
--- a/cairndale/lab/faults/judge.py
+++ b/cairndale/lab/faults/judge.py
@@ -1,18 +1,19 @@
-"""Judges a run by what callers and stand-ins saw, and by nothing that a process says of itself.
-
-Eight properties, each `holds`, `broken` (with the few events that show it) or `undecided`, which is
-no pass:
-
-    linearizable  conditional writes, writes and reads at whoever leads are as if done one at a time
-    kept          no write that was answered is lost
-    fresh         no read is older than the bound that came with it
-    once          an effect on a server happened once; where the outcome is unknown at most
-                  once; and not at all where it was refused
-    one-owner     nobody acts in an older term once another has acted in a later one, nor two in
-                  one term
-    agreement     after the last fault all processes agree within the time stated
-    views         a member's views go forward, and one number stands for one view everywhere
-    standing      no process ended but by a fault
+"""Checks a run by what callers and stand-ins observed, not by what a process reports on itself.
+
+Each of eight properties is `holds`, `broken` (with the few events that show it) or `undecided`,
+which does not count as a pass:
+
+    linearizable  conditional writes, writes and reads at the leader are linearizable
+    kept          no acknowledged write is lost
+    fresh         no read is older than the maximum age stated with it
+    once          a side effect on a server happened exactly once; at most once if the outcome is
+                  unknown; not at all if the request was refused
+    one-owner     no process acts in an older term after another has acted in a later one, and no
+                  two processes act in the same term
+    agreement     all processes agree within the stated time after the last fault
+    views         a member's view numbers never decrease, and a number denotes the same view at
+                  all members
+    standing      no process ended except by a fault
 """
 
 from __future__ import annotations
@@ -46,8 +47,8 @@
     "agreement",
     "standing",
 )
-MAX_EVENTS = 12  # that a finding shows
-MAX_FINDINGS = 5  # findings of a property that are told
+MAX_EVENTS = 12  # shown with a finding
+MAX_FINDINGS = 5  # reported for a property
 INFINITE_TIME = 1 << 62
 
 
@@ -73,14 +74,16 @@
 
 
 class Observations(msgspec.Struct):
-    """What the host adds to the calls: the end state, and what happened to processes."""
+    """What the run observed beside the operations: the final state and the ends of processes."""
 
-    final: dict[str, int] = {}  # each register's value once all agree
-    agreed_s: float | None = None  # s from the last fault until all agreed; None: not in time
-    differences: list[str] = []  # where they did not agree
-    nobody: bool = False  # no process of the program was left to agree
+    final: dict[str, int] = {}  # value of each register after all processes agreed
+    agreed_s: float | None = (
+        None  # s from the last fault until agreement; None: no agreement in time
+    )
+    differences: list[str] = []  # between the processes, if they did not agree
+    nobody: bool = False  # no process of the program was left running
     crashes: list[str] = []
-    void: list[str] = []  # why the run says nothing
+    void: list[str] = []  # reasons why the run is inconclusive
 
 
 class _Checker:
@@ -120,7 +123,7 @@
     if broken is not None:
         events = linear.minimal_violation(ops, broken)
         checker.add_finding(
-            "linearizable", key, f"no order explains {len(events)} calls on {key}", events
+            "linearizable", key, f"no order explains {len(events)} operations on {key}", events
         )
 
 
@@ -138,7 +141,7 @@
     answered = [c for c in operations if c.kind in ("write", "cas") and c.outcome == OK]
     if final is None:
         if answered:
-            checker.undecided["kept"] = f"what became of {key} was not seen at the end"
+            checker.undecided["kept"] = f"the final value of {key} was not observed"
         return
     writer = _writes_by_value(operations).get(final)
     if writer is None and final != 0:
@@ -165,14 +168,14 @@
 
 
 def check_fresh(checker: _Checker, key: str, operations: Sequence[Operation]) -> None:
-    """Of the writes that were over before the moment that a read vouches for, none is newer than
-    what it found."""
+    """A read that began at `begin` with maximum age `age` must not return a value older than the
+    last write that ended before `begin - age`."""
     writers = _writes_by_value(operations)
     answered = sorted(
         (c for c in operations if c.kind in ("write", "cas") and c.outcome == OK),
         key=lambda c: c.end,
     )
-    latest: list[Operation] = []  # of those over by then, the one that began last
+    latest: list[Operation] = []  # at i: of answered[: i + 1], the one that began last
     for operation in answered:
         latest.append(operation if not latest or operation.begin > latest[-1].begin else latest[-1])
     ends = [c.end for c in answered]
@@ -193,13 +196,13 @@
             checker.add_finding(
                 "fresh", key, f"a read of {key} is {staleness_s:.2f} s older than its bound", shown
             )
-            return  # one a key tells enough
+            return  # one finding for a key is enough
 
 
 def check_once(
     checker: _Checker, operations: Iterable[Operation], effects: Mapping[str, Sequence[str]]
 ) -> None:
-    """`effects`: for each request's id, what the servers noted."""
+    """`effects`: the side effects that the servers recorded, by request id."""
     for operation in operations:
         if operation.kind != "request":
             continue
@@ -217,7 +220,8 @@
 
 
 class _TermChecker:
-    """Who acted in which term, from the first act's end to the last one's beginning."""
+    """Processes by the term they acted in, with the end of the first and the begin of the last
+    operation of each term."""
 
     def __init__(self) -> None:
         self.first: dict[int, Operation] = {}
@@ -253,7 +257,7 @@
 
 
 class _ViewChecker:
-    """Of each number the view that was seen first; of each member's process the last."""
+    """The first view observed for each view number, and the last one of each member process."""
 
     def __init__(self) -> None:
         self.first: dict[int, Operation] = {}
@@ -273,7 +277,10 @@
         last = self.last.get(operation.key)
         if last is not None and last.end < operation.begin and last.value > operation.value:
             checker.add_finding(
-                "views", operation.key, f"{operation.process} went back", [last, operation]
+                "views",
+                operation.key,
+                f"the view number of {operation.process} decreased",
+                [last, operation],
             )
         self.last[operation.key] = operation
 
@@ -284,7 +291,7 @@
     effects: Mapping[str, Sequence[str]] | None = None,
     bound: int = linear.MAX_CONFIGURATIONS,
 ) -> Verdict:
-    """A history that is in memory as a whole, without what the host adds."""
+    """Checks a history that is entirely in memory, without observations of the run."""
     checker, term_checker, view_checker = _Checker(), _TermChecker(), _ViewChecker()
     for operation in operations:
         term_checker.add(operation)
@@ -314,7 +321,8 @@
 
 
 def recorded_effects(folder: Path, request_ids: set[str] | None = None) -> dict[str, list[str]]:
-    """Effects by request id, as the servers noted them; of `wanted` ids alone, if given."""
+    """Side effects that the servers recorded, by request id; only those of `request_ids`, if
+    given."""
     found: dict[str, list[str]] = {}
     for path in sorted(folder.glob("effects-*.txt")):
         with path.open() as file:
@@ -329,7 +337,7 @@
 def check_run(
     folder: Path, observations: Observations, bound: int = linear.MAX_CONFIGURATIONS
 ) -> Verdict:
-    """The history in the folder, part by part, each key as a whole."""
+    """Checks the history in the folder part by part; all operations on a key are in one part."""
     checker, term_checker, view_checker = _Checker(), _TermChecker(), _ViewChecker()
     with split_by_key(folder / HISTORY_FILE) as paths:
         for path in paths:
--- a/cairndale/lab/faults/launch.py
+++ b/cairndale/lab/faults/launch.py
@@ -1,10 +1,9 @@
 """Runs a program of this project with the lab around it: `python -m cairndale.lab.faults.launch
 SPEC`.
 
-The program itself is as it is. What it asks of the machine goes by what the lab says: where it
-connects to (routes through relays), what the clocks show, and what the disk does. None of it can be
-set in the program's own configuration. A *plant* puts a known defect into the program, so that the
-judge can be seen to find it."""
+The program itself is unchanged. The lab controls its environment: its connections (routed through
+relays), its clocks and its disk. None of this can be set in the program's own configuration. A
+*plant* is a known defect that is put into the program to show that the checker finds it."""
 
 from __future__ import annotations
 
@@ -36,22 +35,22 @@
 
 
 class LaunchSpec(msgspec.Struct):
-    """What the wrapper is told. Addresses are `HOST:PORT` as the program knows them; ports are
-    relays'."""
+    """What the wrapper is to run. Addresses are `HOST:PORT` as the program knows them, the ports of
+    `routes` and `datagrams` are those of relays."""
 
     module: str
     argv: list[str]
-    control: str  # file
-    synced: str  # file that tells which bytes of which file a power cut would leave
+    control: str  # path of the control file, see Control
+    synced: str  # path of the log of syncs: the bytes of each file that a loss of power would leave
     routes: dict[str, int]
     datagrams: dict[str, int] = {}
-    plant: str = ""  # of the list service, or MODULE:FUNCTION
-    skewed: bool = False  # a clock of this process may run fast or slow: then on a loop in Python
+    plant: str = ""  # a name in PLANTS, or MODULE:FUNCTION
+    skewed: bool = False  # the clocks may run fast or slow, which needs asyncio's own event loop
 
 
 class Control:
-    """A few words in a file that the lab writes and this process reads, with no call between
-    them."""
+    """Settings in a memory-mapped file: the lab writes them, and this process reads them without a
+    system call."""
 
     def __init__(self, path: Path, create: bool = False) -> None:
         if create:
@@ -60,9 +59,8 @@
             self._map = mmap.mmap(file.fileno(), CONTROL.size)
 
     def read(self) -> tuple[int, float, int, float, int, int]:
-        """us that the wall clock is off, rate of both clocks, what the disk does, ms of each sync,
-        and the number of syncs after which the process is killed (0: none) of those counted so
-        far."""
+        """Offset of the wall clock (us), rate of both clocks, mode of the disk, delay of each sync
+        (ms), number of syncs after which the process is killed (0: never), syncs so far."""
         return CONTROL.unpack(self._map[:])
 
     def change(self, **fields: float) -> None:
@@ -76,7 +74,9 @@
 
 
 class Clocks:
-    """Wall and monotonic time as the lab wants them; a new rate counts from where the clock is."""
+    """Wall and monotonic clocks with the offset and rate that the lab sets.
+
+    A new rate applies from the time that the clock shows."""
 
     def __init__(self, control: Control) -> None:
         self._control, self._rate = control, 1.0
@@ -100,12 +100,12 @@
 
 
 class Disk:
-    """What a full, slow or failing disk says, and a record of what it has promised to keep."""
+    """Simulates a full, slow or failing disk, and records what was synced."""
 
     def __init__(self, control: Control, synced: Path) -> None:
         self._control = control
         self._log = os.open(synced, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-        self.unsynced = False  # a plant: syncs are left out
+        self.unsynced = False  # set by a plant: syncs are omitted
 
     def write(self, fd: int, data: Any, /) -> int:
         if self._control.read()[2] == DISK_FULL and stat.S_ISREG(os.fstat(fd).st_mode):
@@ -124,7 +124,7 @@
             if stat.S_ISREG(status.st_mode):
                 _real_write(self._log, b"%d %d\n" % (status.st_ino, status.st_size))
         self._control.change(syncs=syncs + 1)
-        if die_at and syncs + 1 >= die_at:  # it is on disk, and nobody has been told
+        if die_at and syncs + 1 >= die_at:  # the data is on disk, and not acknowledged yet
             os.kill(os.getpid(), signal.SIGKILL)
 
     def install(self) -> None:
@@ -133,8 +133,9 @@
 
 
 def truncate_to_synced(folder: Path, synced: Path) -> int:
-    """What a loss of power leaves of a folder: of each file, what was synced. The bytes that were
-    lost."""
+    """Truncates each file of a folder to its synced size, as a loss of power would.
+
+    Returns the number of bytes that were lost."""
     synced_sizes = {}
     if synced.exists():
         for line in synced.read_text().splitlines():
@@ -151,8 +152,9 @@
 
 
 class RoutedDatagrams(asyncio.DatagramProtocol):
-    """A datagram endpoint of the program: it names peers by their own addresses, the wire by
-    relays'."""
+    """A datagram endpoint of the program, routed through relays.
+
+    The program uses the addresses of its peers, the socket those of the relays."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, routes: dict[str, int]) -> None:
         self._inner = inner
@@ -172,7 +174,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._inner.connection_lost(exc)
 
-    # As a transport.
+    # Methods of a DatagramTransport.
 
     def sendto(self, data: Any, addr: Any = None) -> None:
         port = self._relay_ports.get((addr[0], addr[1]))
@@ -197,7 +199,7 @@
 
 
 def loop_class(spec: LaunchSpec) -> Callable[[], asyncio.AbstractEventLoop]:
-    """Of loops whose connections go by the routes."""
+    """An event loop class whose connections and datagrams go through the relays."""
     base: Any = asyncio.SelectorEventLoop if spec.skewed else uvloop.Loop
 
     class Loop(base):  # type: ignore[misc]
@@ -228,7 +230,7 @@
         Clocks(control).install()
     disk = Disk(control, Path(spec.synced))
     disk.install()
-    if ":" in spec.plant:  # another program's: MODULE:FUNCTION
+    if ":" in spec.plant:  # a plant that another package provides
         module, _, name = spec.plant.partition(":")
         getattr(importlib.import_module(module), name)()
     elif spec.plant:
--- a/cairndale/lab/faults/linear.py
+++ b/cairndale/lab/faults/linear.py
@@ -1,12 +1,12 @@
-"""Whether the calls on one register can be put into an order that explains them all:
-linearizability.
+"""Checks whether the operations on one register are linearizable.
 
 Wing and Gong's search (Testing and Verifying Concurrent Objects, JPDC 1993) over the orders in
-which open calls may have taken effect, with Lowe's pruning (Testing for linearizability,
-Concurrency and Computation 2017): configurations met before are not searched again. It goes through
-the calls' ends in time and keeps all configurations possible so far, so that it holds no more of
-the history than what is open. Of configurations that differ only in calls of unknown outcome the
-ones that have used fewest of them are kept: they can do all that the others can."""
+which open operations may have taken effect, with Lowe's pruning (Testing for linearizability,
+Concurrency and Computation 2017): configurations visited before are not searched again. The search
+proceeds by the end times of the operations and keeps all configurations that are possible so far,
+so its memory depends on the open operations, not on the length of the history. Of configurations
+that differ only in operations of unknown outcome, those in which the fewest of these have taken
+effect are kept: every continuation of the others is possible from them too."""
 
 from __future__ import annotations
 
@@ -16,17 +16,16 @@
 
 from cairndale.lab.faults.history import CONFLICT, OK, UNKNOWN, Operation
 
-MAX_CONFIGURATIONS = 200_000  # configurations of a key that are looked at before it is not decided
-MAX_EXPLANATION = 60  # last calls that an explanation begins from
-UNREAD_VALUE = -1  # stands for every value that nobody has read
+MAX_CONFIGURATIONS = 200_000  # explored for a key before the result is undecided
+MAX_EXPLANATION = 60  # operations shown for a violation: the last ones
+UNREAD_VALUE = -1  # stands for every value that no operation has read
 
-Configuration = tuple[
-    int, int
-]  # the register's value, and a bit for each open call that has taken effect
+# the register's value, and a bit mask of the open operations that have taken effect
+Configuration = tuple[int, int]
 
 
 class Undecided(Exception):
-    """Too many orders are possible to look at them all."""
+    """Too many orders are possible to explore them all."""
 
 
 @dataclass(slots=True)
@@ -36,7 +35,7 @@
     value: int
 
     def step(self, state: int) -> int | None:
-        """The state after it, None if it cannot have taken effect then with this outcome."""
+        """The state after the operation; None if it cannot take effect with its outcome."""
         operation = self.operation
         if operation.kind == "write":
             return self.value
@@ -48,12 +47,14 @@
 
     @property
     def read_only(self) -> bool:
-        """It changes nothing: where it can take effect, it may as well do so at once."""
+        """Whether the operation changes nothing. It is then applied as soon as it is possible."""
         return self.operation.kind == "read" or self.operation.outcome == CONFLICT
 
 
 def _relevant(operations: Sequence[Operation]) -> list[tuple[Operation, int]]:
-    """The calls that say something, each with the value it writes as anybody could tell."""
+    """The operations that constrain the order, each with the value that it writes.
+
+    The value of a write with an unknown outcome is UNREAD_VALUE if no operation observed it."""
     seen = {c.value for c in operations if c.kind == "read" and c.outcome == OK}
     seen |= {c.expected for c in operations if c.kind == "cas"}
     conflicts = any(c.outcome == CONFLICT for c in operations)
@@ -73,10 +74,11 @@
 def first_violation(
     operations: Sequence[Operation], initial: int = 0, bound: int = MAX_CONFIGURATIONS
 ) -> Operation | None:
-    """The first call by whose end no order explains all calls on this key; None if one always does.
+    """The first operation at whose end no order explains all operations on this key so far; None
+    if the history is linearizable.
 
-    Raises Undecided. Refused calls must have had no effect: a value of theirs that is read breaks
-    the order."""
+    Raises Undecided. Refused operations must have had no effect: reading the value of one is a
+    violation."""
     events: list[tuple[int, int, int, Operation, int]] = []
     for number, (operation, value) in enumerate(_relevant(operations)):
         events.append((operation.begin, 0, number, operation, value))
@@ -146,9 +148,11 @@
 def minimal_violation(
     operations: Sequence[Operation], violation: Operation, initial: int = 0
 ) -> list[Operation]:
-    """Few calls that cannot be put into an order either: `broken`, and of those before its end what
-    cannot be left out. A read or a conflict can always be; a write once nobody left has seen what
-    it wrote."""
+    """A small set of operations that is not linearizable either: `violation`, and those operations
+    before its end that cannot be left out.
+
+    A read or a conflict may always be left out, a write only if no remaining operation observed
+    its value."""
     remaining = [c for c in operations if c.begin <= violation.end and c.outcome != "refused"]
     remaining.sort(key=lambda c: c.begin)
 
--- a/cairndale/lab/faults/links.py
+++ b/cairndale/lab/faults/links.py
@@ -1,4 +1,6 @@
-"""What a link does to what is sent over it. Pure: times and dice in, moments and datagrams out."""
+"""Effects of link faults on data in transit.
+
+Pure functions of times and a random generator: they return delivery times and datagrams."""
 
 from __future__ import annotations
 
@@ -10,26 +12,26 @@
 
 
 class Conditions(msgspec.Struct, frozen=True):
-    """One direction of a link. Shares are of datagrams, 0 to 1."""
+    """Conditions of one direction of a link. Shares, 0 to 1, are of datagrams."""
 
     delay_ms: float = 0.0
     jitter_ms: float = 0.0  # mean of the exponential part
-    rate: float = 0.0  # bytes a second; 0: no bound
-    cut: bool = False  # nothing passes, and nobody is told
+    rate: float = 0.0  # bytes a second; 0: unlimited
+    cut: bool = False  # nothing passes, and neither end is notified
     loss: float = 0.0
     duplicate: float = 0.0
-    reorder: float = 0.0  # held back behind what comes within the next `REORDER` seconds
+    reorder: float = 0.0  # delayed by up to REORDER_WINDOW_S, behind later datagrams
     truncate: float = 0.0
-    flip: float = 0.0  # one bit is another
+    flip: float = 0.0  # one bit is flipped
 
     @property
     def passes_through(self) -> bool:
-        """Whether bytes go on as they come."""
+        """Whether bytes are forwarded without delay."""
         return not (self.cut or self.delay_ms or self.jitter_ms or self.rate)
 
 
 CLEAR = Conditions()
-REORDER_WINDOW_S = 0.05  # s that a datagram out of order is held back at the most
+REORDER_WINDOW_S = 0.05  # maximum extra delay of a datagram that is reordered
 
 
 def _either_probability(a: float, b: float) -> float:
@@ -37,8 +39,8 @@
 
 
 def combine(parts: Iterable[Conditions]) -> Conditions:
-    """Of faults that lie on one link at once: delays add up, the narrowest rate holds, chances are
-    apart."""
+    """The joint conditions of several faults on a link: delays add up, the lowest rate applies, and
+    probabilities are independent."""
     combined = CLEAR
     for part in parts:
         combined = Conditions(
@@ -57,15 +59,15 @@
 
 @dataclass(slots=True)
 class Shaper:
-    """When each piece of one direction of one connection is through. Order is kept."""
+    """Computes delivery times for one direction of one connection. The order is kept."""
 
-    free_at: float = 0.0  # s: the slow link has sent all that came before
+    free_at: float = 0.0  # s: the time at which the link has sent all earlier data
     last_delivery_at: float = 0.0
 
     def delivery_time(
         self, now: float, size: int, conditions: Conditions, rng: random.Random
     ) -> float:
-        """`now` and the answer in s, `size` in bytes."""
+        """The delivery time in s of `size` bytes sent at `now` (s)."""
         self.free_at = max(now, self.free_at) + (size / conditions.rate if conditions.rate else 0.0)
         delay_ms = conditions.delay_ms + (
             rng.expovariate(1 / conditions.jitter_ms) if conditions.jitter_ms else 0.0
@@ -75,8 +77,9 @@
 
 
 def impair(data: bytes, conditions: Conditions, rng: random.Random) -> list[tuple[float, bytes]]:
-    """What becomes of a datagram: s that each copy is held back beside the link's delay, and its
-    bytes."""
+    """Applies loss, duplication, truncation, bit flips and reordering to a datagram.
+
+    Returns, for each copy to deliver, its delay in s beyond the link's own and its bytes."""
     if conditions.cut or rng.random() < conditions.loss:
         return []
     copies = []
--- a/cairndale/lab/faults/many.py
+++ b/cairndale/lab/faults/many.py
@@ -1,5 +1,5 @@
-"""Many runs at once: `hunt` over seeds, and `shrink` of one that failed. Each run is a process of
-its own."""
+"""Many runs in parallel: `hunt` over seeds, and `shrink` of a run that failed. Each run is a process
+of its own."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from cairndale.lab.live.worker import spawn
 from cairndale.lab.play import HERE
 
-RUN_TIMEOUT_S = 120.0  # s after which a run is given up
-# s to agree in that are tried in place of more: a run that breaks something waits them out
+RUN_TIMEOUT_S = 120.0  # after which a run is aborted
+# settle_s that shrinking tries: a run without agreement waits for all of it
 SHRINK_SETTLE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class RunSpec:
-    """A run to be made: a shipped or drawn schedule by name, or a file."""
+    """A run to carry out, of a shipped or random schedule by name, or of a file."""
 
     name: str
     seed: int
@@ -38,14 +38,16 @@
 
 @dataclass(slots=True)
 class HuntSummary:
+    """Results of the runs so far."""
+
     runs: int = 0
     passed_runs: int = 0
     undecided: int = 0
-    failed: list[Path] = field(default_factory=list)  # runs that could not be made
+    failed: list[Path] = field(default_factory=list)  # runs that could not be carried out
     broken: dict[str, list[Path]] = field(default_factory=dict)  # by property
 
     def add(self, folder: Path, result: Result | None) -> list[str]:
-        """The properties that it broke."""
+        """Adds a result, and returns the properties that the run broke."""
         self.runs += 1
         if result is None:
             self.failed.append(folder)
@@ -62,13 +64,13 @@
     def describe(self) -> str:
         text = f"{self.runs} runs: {self.passed_runs} held, {self.undecided} undecided"
         if self.failed:
-            text += f", {len(self.failed)} could not be made"
+            text += f", {len(self.failed)} could not be carried out"
         parts = [f"{len(paths)} broke {name}" for name, paths in sorted(self.broken.items())]
         return ", ".join([text, *parts])
 
 
 async def play_in_subprocess(spec: RunSpec) -> Result | None:
-    """Plays it in a process of its own; None if it could not be played."""
+    """Plays a run in a process of its own; None if it could not be played."""
     spec.folder.parent.mkdir(parents=True, exist_ok=True)
     command = [
         sys.executable,
@@ -93,7 +95,7 @@
         return None
     finally:
         if process.poll() is None:
-            process.kill()  # what it started dies with it
+            process.kill()  # the kernel ends what it started with it
         process.wait()
     with contextlib.suppress(OSError, msgspec.DecodeError):
         return result_of(spec.folder)
@@ -103,8 +105,9 @@
 async def play_all(
     specs: Iterator[RunSpec], jobs: int
 ) -> AsyncGenerator[tuple[RunSpec, Result | None], None]:
-    """Carries them out, `jobs` at a time, as they end. Whoever stops listening ends those under
-    way."""
+    """Plays runs, `jobs` at a time, and yields each with its result as it ends.
+
+    Closing the generator ends the runs in progress."""
     tasks: dict[asyncio.Task[Result | None], RunSpec] = {}
     loop = asyncio.get_running_loop()
     try:
@@ -132,8 +135,9 @@
     stop_on: str,
     progress: Callable[[HuntSummary], None],
 ) -> HuntSummary:
-    """Plays seeds until the time is over, or `stop_on` (a property) is broken. Runs that hold are
-    removed."""
+    """Plays seeds until the time is over or the property `stop_on` is broken.
+
+    Folders of runs that passed are removed."""
     loop, found = asyncio.get_running_loop(), HuntSummary()
     end = loop.time() + 60 * minutes
 
@@ -159,8 +163,8 @@
 
 
 def smaller_schedules(schedule: Schedule) -> Iterator[Schedule]:
-    """Smaller schedules, the boldest first: fewer faults, processes and callers, shorter, simpler
-    faults."""
+    """Smaller schedules, the largest reductions first: fewer faults, a shorter run, fewer processes
+    and callers, shorter and simpler faults."""
     copy = msgspec.structs.replace
     faults = schedule.fault
     if schedule.settle_s > SHRINK_SETTLE_S:
@@ -207,9 +211,9 @@
 @dataclass(slots=True)
 class Shrunk:
     schedule: Schedule
-    failed: int  # runs of it that broke one of the properties ...
+    failed: int  # runs of the schedule that broke one of the properties ...
     runs: int  # ... out of this many runs
-    tried: int  # schedules
+    tried: int  # schedules tried so far
 
 
 async def shrink(
@@ -220,15 +224,16 @@
     bound: int,
     progress: Callable[[Shrunk], None],
 ) -> Shrunk:
-    """The smallest schedule found that still breaks one of the properties that this run broke, each
-    tried `each` times; at most `bound` of them. What is smaller is tried in batches that keep the
-    cores busy."""
-    spec = set(result.verdict.broken)
+    """The smallest schedule found that still breaks one of the properties that this run broke.
+
+    At most `bound` schedules are tried, each `runs_each` times, in batches that keep the cores
+    busy."""
+    target_properties = set(result.verdict.broken)
     numbers = itertools.count()
     best = Shrunk(result.schedule, 0, 0, 0)
 
     async def fails(schedules: Sequence[Schedule]) -> list[int]:
-        """How often each of them failed."""
+        """The number of failed runs of each schedule."""
         folder = out / "tries"
         folder.mkdir(parents=True, exist_ok=True)
         specs = []
@@ -243,7 +248,7 @@
                 specs.append(run)
         async with contextlib.aclosing(play_all(iter(specs), jobs)) as results:
             async for run, found in results:
-                if found is not None and spec & set(found.verdict.broken):
+                if found is not None and target_properties & set(found.verdict.broken):
                     counts[which[run.folder]] += 1
                 shutil.rmtree(run.folder, ignore_errors=True)
         return counts
@@ -283,12 +288,12 @@
 
 
 def default_jobs() -> int:
-    """A run waits most of the time: two on a core."""
+    """Two runs for each core, since a run mostly waits."""
     return 2 * (os.cpu_count() or 1)
 
 
 def as_json(result: Result, folder: Path) -> str:
-    """What `run --json` says."""
+    """The output of `run --json`."""
     payload = {
         "schedule": result.schedule.name,
         "seed": result.seed,
--- a/cairndale/lab/faults/picture.py
+++ b/cairndale/lab/faults/picture.py
@@ -1,5 +1,5 @@
-"""A run as a picture: processes over time, faults, who acts in which term, and calls; and as a
-page."""
+"""Draws a run as a chart of processes, faults, terms and operations over time, and writes its HTML
+report."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from matplotlib.axes import Axes
     from matplotlib.figure import Figure
 
-MAX_OPERATIONS = 20_000  # calls that are drawn
+MAX_OPERATIONS = 20_000  # drawn in a chart
 MARKERS = {
     "ok": ("|", INK[2]),
     "conflict": ("|", INK[5]),
@@ -35,7 +35,7 @@
 
 
 def _term_intervals(operations: Iterable[Operation]) -> dict[tuple[str, int], tuple[int, int]]:
-    """From when to when a process acted in a term, us."""
+    """First and last time, in us, at which a process acted in a term."""
     found: dict[tuple[str, int], tuple[int, int]] = {}
     for operation in operations:
         if operation.term >= 0 and operation.outcome == OK:
@@ -110,7 +110,7 @@
     axes.set_yticks(range(len(labels)), labels)
     axes.invert_yaxis()
     axes.set_xlabel(
-        "s; ticks: calls that ended (green yes, blue conflict, cross unknown or refused)"
+        "s; ticks: operations that ended (green ok, blue conflict, cross unknown or refused)"
     )
     verdict = ", ".join(f"{n} {v}" for n, v in result.verdict.properties.items() if v != "holds")
     axes.set_title(
@@ -120,7 +120,7 @@
 
 
 def draw(result: Result, folder: Path, path: Path) -> None:
-    """As SVG or PNG, by the path's ending."""
+    """Draws the chart as SVG or PNG, by the suffix of the path."""
     chart = figure(result, folder)
     chart.savefig(
         path, bbox_inches="tight", metadata={"Date": None} if path.suffix == ".svg" else None
@@ -129,8 +129,8 @@
 
 
 def write_report(result: Result, folder: Path) -> Path:
-    """One self-contained HTML file: the verdict, the events that show it, the picture, the
-    schedule."""
+    """Writes one self-contained HTML file with the verdict, its findings, the chart and the
+    schedule, and returns its path."""
     chart, out = figure(result, folder), io.BytesIO()
     chart.savefig(out, format="svg", bbox_inches="tight", metadata={"Date": None})
     plt.close(chart)
--- a/cairndale/lab/faults/plants.py
+++ b/cairndale/lab/faults/plants.py
@@ -1,15 +1,15 @@
-"""Known defects that can be put into the program under test, to see that the judge finds them."""
+"""Known defects that can be put into the program under test, to show that the checker finds them."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 from typing import Any
 
-Plant = Callable[[Any], None]  # told the wrapper's disk
+Plant = Callable[[Any], None]  # called with the wrapper's disk
 
 
 def unsynced_answer(disk: Any) -> None:
-    """Writes are answered before they are on disk."""
+    """Acknowledges writes before they are synced to disk."""
     from cairndale.discovery.store import Store
 
     append = Store.append
@@ -25,7 +25,7 @@
 
 
 def early_follower(disk: Any) -> None:
-    """A follower says yes to writes on its own."""
+    """Lets a follower accept writes without the leader."""
     from cairndale.discovery.service import Service
 
     lead = Service.must_lead
@@ -38,7 +38,7 @@
 
 
 def unfenced_owner(disk: Any) -> None:
-    """A leader that is told of its successor says yes and goes on."""
+    """Lets a deposed leader acknowledge its successor and continue to lead."""
     from cairndale.discovery.service import Service
 
     async def ignored(self: Service, lineage: str, epoch: int, leader: str) -> None:
@@ -48,14 +48,15 @@
 
 
 def young_reads(disk: Any) -> None:
-    """A follower says of its list that it is fresh, however long it has not heard its leader."""
+    """Lets a follower report age 0 for its list, however long ago its last contact with the leader
+    was."""
     from cairndale.discovery.replica import Following
 
     Following.age = lambda self, held, now: 0.0  # type: ignore[method-assign]
 
 
 def forgotten_ids(disk: Any) -> None:
-    """A write that is repeated with its id is carried out again."""
+    """Carries out a write again that is retried with the same request id."""
     from cairndale.discovery.state import State
 
     decide = State.decide
@@ -68,7 +69,7 @@
 
 
 def sent_again(disk: Any) -> None:
-    """An ingress sends what takes effect again a second time when an attempt was reset."""
+    """Lets an ingress retry a request with a side effect after its attempt was reset."""
     from cairndale.ingress import wire
     from cairndale.ingress.policy.interface import Repeat
 
--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: what each is started with, and what can be done to it."""
+"""The processes of a run: their configuration, start, faults and folders."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from cairndale.lab.live.worker import spawn
 from cairndale.lab.play import HERE
 
-READY_TIMEOUT_S = 20.0  # s for a program to be ready
-READY_POLL_S = 0.02  # s between looks whether it is
-TERMINATE_TIMEOUT_S = 6.0  # s from SIGTERM to SIGKILL
-PROBE_PERIOD_S = 0.2  # s between a member's probes: all that it does goes with that
-MAX_SEEDS = 3  # members that others join through
-LEASE_MS = 3_600_000  # servers of a run do not renew
+READY_TIMEOUT_S = 20.0  # for a program to be ready
+READY_POLL_S = 0.02  # between checks whether a program is ready
+TERMINATE_TIMEOUT_S = 6.0  # from SIGTERM to SIGKILL
+PROBE_PERIOD_S = 0.2  # of a member; its other intervals are multiples of it
+MAX_SEEDS = 3  # members through which others join
+LEASE_MS = 3_600_000  # longer than a run: its servers do not renew their leases
 SETTINGS: dict[str, Any] = {
     "me": 0,
     "fleet_size": 1,
@@ -71,7 +71,9 @@
     "c": ("serve",),
 }
 DATAGRAM_PORTS = {"m": {"m": ("member",)}}
-DIALED_PORTS: dict[str, dict[str, tuple[str, ...]]] = {  # who meets whom, and where
+DIALED_PORTS: dict[
+    str, dict[str, tuple[str, ...]]
+] = {  # by kind of process: the ports that it connects to
     "l": {"l": ("reads", "writes")},
     "i": {"l": ("reads",), "s": ("serve",), "c": ("serve",)},
     "m": {"m": ("member",)},
@@ -87,16 +89,16 @@
     folder: Path
     ports: dict[str, int]
     popen: subprocess.Popen[bytes] | None = None
-    # handed over, not yet ended
+    # after an upgrade: processes that handed over and have not ended yet
     predecessors: list[subprocess.Popen[bytes]] = field(default_factory=list)
-    up: bool = False  # started, and not ended by a fault
+    up: bool = False  # started, and not ended since
     stopped: bool = False
-    expected: bool = False  # its end is a fault's doing
-    follow: str = ""  # a list service's leader; empty: it leads
+    expected: bool = False  # its end is expected: a fault or the operator ends it
+    follow: str = ""  # address of the leader that a list service follows; empty: it leads
     bad_disk: bool = False
     skewed: bool = False
     control: Control | None = None
-    # of its folder, and when they were made
+    # copies of its data folder, with the time in s at which each was made
     backups: list[tuple[float, Path]] = field(default_factory=list)
 
     @property
@@ -114,7 +116,7 @@
 
 
 class Processes:
-    """All processes of a schedule. Ports are drawn by the system, and held over restarts."""
+    """All processes of a schedule. Their ports are reserved for the whole run, also over restarts."""
 
     def __init__(self, schedule: Schedule, seed: int, folder: Path) -> None:
         self.schedule, self.seed, self.folder = schedule, seed, folder
@@ -133,7 +135,7 @@
                 process.control = Control(process.folder / "control", create=True)
 
     def _reserve_port(self, kind: str, port: str) -> int:
-        """The number of a process's port, by what it serves there."""
+        """Reserves the port `port` of a process of the kind `kind`, and returns its number."""
         datagram_routes = DATAGRAM_PORTS.get(kind, {}).values()
         takes_datagrams = any(port in ports for ports in datagram_routes)
         reservation, number = reserve_datagram_port() if takes_datagrams else reserve_port()
@@ -147,21 +149,21 @@
         return [p for p in self.all.values() if p.kind == kind]
 
     def proxies(self) -> Iterator[tuple[str, str, str]]:
-        """Who dials whom, and at which port: for each of them there is a relay."""
+        """Client, upstream and port of each TCP connection between processes: each has a proxy."""
         for a in [*self.all, *self.schedule.callers()]:
             for b in self.all:
                 for port in DIALED_PORTS.get(a[0], {}).get(b[0], ()) if a != b else ():
                     yield a, b, port
 
     def datagram_routes(self) -> Iterator[tuple[str, str, str]]:
-        """Who sends whom datagrams, and to which port."""
+        """Sender, recipient and port of each exchange of datagrams: each has a UDP proxy."""
         for a, process in self.all.items():
             for b in self.all:
                 for port in DATAGRAM_PORTS.get(process.kind, {}).get(b[0], ()) if a != b else ():
                     yield a, b, port
 
     def route(self, opened: dict[str, int]) -> None:
-        """`opened`: the relays' ports by front."""
+        """Sets the routes of all processes. `opened`: port numbers of the relays by proxy name."""
         for a, b, port in self.datagram_routes():
             self.udp.setdefault(a, {})[self.address(b, port)] = opened[f"{a}>{b}#{port}/udp"]
         for a, b, port in self.proxies():
@@ -255,8 +257,8 @@
             process.popen = spawn(command, cwd=HERE, env=env, stdout=log, stderr=log)
         process.expected = process.stopped = False
 
-    async def ready(self, process: Process, popen: subprocess.Popen[bytes]) -> bool:
-        """Whether that process of it is; False once it has ended, or in `READY` s."""
+    async def wait_until_ready(self, process: Process, popen: subprocess.Popen[bytes]) -> bool:
+        """Waits until the program is ready; False if it ended or took over `READY_TIMEOUT_S`."""
         path, port = {
             "l": ("/status", "writes"),
             "i": ("/status", "ops"),
@@ -277,10 +279,10 @@
         return False
 
     async def start(self, process: Process) -> bool:
-        """Starts it at its address; False if it did not come up."""
+        """Starts the program at its address; False if it did not become ready."""
         self.launch(process)
         assert process.popen
-        process.up = await self.ready(process, process.popen)
+        process.up = await self.wait_until_ready(process, process.popen)
         return process.up
 
     # Ending.
@@ -297,7 +299,7 @@
                 await self.wait_for_exit(popen)
 
     async def terminate(self, process: Process) -> None:
-        """SIGTERM; SIGKILL where that is not heard in time."""
+        """Sends SIGTERM, and SIGKILL if the program does not end within TERMINATE_TIMEOUT_S."""
         process.expected, process.up = True, False
         if process.popen:
             process.popen.send_signal(signal.SIGTERM)
@@ -314,13 +316,13 @@
                 popen.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
     async def upgrade(self, process: Process) -> bool:
-        """A new process beside it, at another ops address, that takes over; False if it did not."""
+        """Starts a new process, at another ops address, that takes over; False if it was not ready."""
         old, process.ports["ops"] = process.popen, self._reserve_port(process.name[0], "ops")
         assert old
         process.predecessors.append(old)
         self.launch(process)
         assert process.popen
-        succeeded = await self.ready(process, process.popen)
+        succeeded = await self.wait_until_ready(process, process.popen)
         old.send_signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(TERMINATE_TIMEOUT_S):
@@ -334,9 +336,9 @@
     # Folders.
 
     def back_up(self, process: Process, now: float) -> None:
-        """Puts a copy of its folder aside, as a backup taken while it runs would."""
+        """Copies the data folder while the program runs, as a backup would."""
         target = process.folder / f"copy-{len(process.backups)}"
-        # a file that was replaced meanwhile: no copy then
+        # no copy is kept if a file was replaced in the meantime
         with contextlib.suppress(OSError, shutil.Error):
             shutil.copytree(
                 process.data, target, ignore=shutil.ignore_patterns("*.new", "lock", "*.sock*")
@@ -344,7 +346,7 @@
             process.backups.append((now, target))
 
     def restore_folder(self, process: Process, contents: str, power: bool) -> int:
-        """What it finds when it starts again; the bytes lost."""
+        """Sets the data folder that the program finds at its next start; returns the bytes lost."""
         if contents != "same":
             shutil.rmtree(process.data)
             if contents == "old" and process.backups:
--- a/cairndale/lab/faults/relay.py
+++ b/cairndale/lab/faults/relay.py
@@ -1,18 +1,18 @@
 """The relays of a run, in one process of their own: `python -m cairndale.lab.faults.relay`.
 
-A front listens for one process that dials another, at one of its ports (`i0>l1#reads`), over TCP or
-UDP. What passes goes by the conditions of each direction, which the tool changes with lines of JSON
-on standard input; PAIR is a front's name up to `#`:
+A proxy listens for one process that connects to a port of another (`i0>l1#reads`), over TCP or UDP.
+It forwards data under the conditions of each direction, which the tool changes with lines of JSON
+on standard input. PAIR is the name of a proxy up to `#`:
 
-    {"tcp": [[FRONT, HOST, PORT], ...]}     answered with {"opened": {FRONT: PORT}}; "udp" alike
-    {"set": {PAIR: CONDITIONS}}         of that direction, for connections dialled from either end
+    {"tcp": [[PROXY, HOST, PORT], ...]}   answered with {"opened": {PROXY: PORT}}; "udp" likewise
+    {"set": {PAIR: CONDITIONS}}           for that direction, whichever end opened the connection
     {"connect": {PAIR: "open" | "refuse" | "unanswered"}}
-    {"reset": [PAIR, ...]}            connections both ways are reset with part of a message through
+    {"reset": [PAIR, ...]}                resets connections of either direction in mid-message
     {"end": true}
 
-A cut holds back what is under way (as a network does that loses every packet: it comes once the cut
-is over) and takes no more from the sender, whose own buffers then fill. What is held for a
-direction is bounded."""
+A cut delays TCP data that is in flight until the cut is over, as retransmission does on a network
+that loses every packet. No more is read from the sender, whose own buffers then fill. The data
+buffered for a direction is bounded."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
 from cairndale.lab.live.ports import HOST, Port
 from cairndale.lab.live.worker import listen_to_tool, send_to_tool
 
-MAX_BUFFERED_BYTES = 256 * 1024  # bytes of one direction beyond which its sender is read no more
-MAX_DATAGRAMS_IN_FLIGHT = 10_000  # under way on one front; more are lost
-RESET_PREFIX_BYTES = 7  # bytes of a message that still pass before a reset
-CONNECT_TIMEOUT_S = 2.0  # s for the other end to take a connection
+MAX_BUFFERED_BYTES = 256 * 1024  # of one direction; beyond it, reading from its sender pauses
+MAX_DATAGRAMS_IN_FLIGHT = 10_000  # on one proxy; more are dropped
+RESET_PREFIX_BYTES = 7  # of a message that are still forwarded before a reset
+CONNECT_TIMEOUT_S = 2.0  # for the upstream end to accept a connection
 
 
 class Direction:
-    """One direction of one connection, from the end that reads to the end that writes."""
+    """One direction of one relayed connection, from the side read from to the side written to."""
 
     def __init__(self, relays: Relays, name: str, source: Side, sink: Side) -> None:
         self.relays, self.name, self.source, self.sink = relays, name, source, sink
         self._shaper = Shaper()
-        self._queue: deque[tuple[float, bytes | None]] = deque()  # None: the end of what is sent
+        self._queue: deque[tuple[float, bytes | None]] = deque()  # None: end of stream
         self._buffered_bytes, self._blocked, self._paused, self._resetting = 0, False, False, False
         self._timer: asyncio.TimerHandle | None = None
-        self.done = False  # the end of what is sent has gone on
+        self.done = False  # the end of the stream has been forwarded
 
     def feed(self, data: bytes | None) -> None:
         if self._resetting:
@@ -70,7 +70,7 @@
     def _write(self, data: bytes | None) -> None:
         assert self.sink.transport is not None
         if data is None:
-            with contextlib.suppress(OSError, RuntimeError):  # it went away meanwhile
+            with contextlib.suppress(OSError, RuntimeError):  # it was closed in the meantime
                 self.sink.transport.write_eof()
             self.done = True
             self.sink.connection.on_direction_done()
@@ -78,7 +78,7 @@
             self.sink.transport.write(data)
 
     def flush(self) -> None:
-        """What is due goes on; then whether more is read."""
+        """Forwards the data that is due, and pauses or resumes reading from the source."""
         if self._timer:
             self._timer.cancel()
             self._timer = None
@@ -99,8 +99,8 @@
         )
 
     def reschedule(self) -> None:
-        """The conditions are others: what is still held goes by those of now, not by those it came
-        under."""
+        """Reschedules the buffered data after a change of conditions: the current ones apply, not
+        those at its arrival."""
         conditions, now, self._shaper = (
             self.relays.conditions(self.name),
             self.relays.loop.time(),
@@ -121,7 +121,7 @@
         self.flush()
 
     def send_partial(self) -> None:
-        """The next bytes that come are cut short, and both ends are reset."""
+        """Forwards the first bytes of the buffered data and drops the rest, before a reset."""
         conditions, self._resetting = self.relays.conditions(self.name), True
         part = b"".join(data for _, data in self._queue if data)[:RESET_PREFIX_BYTES]
         if part and not conditions.cut and self.sink.transport is not None:
@@ -133,14 +133,14 @@
 
 
 class Side(asyncio.Protocol):
-    """One of the two connections of a relayed one."""
+    """One of the two TCP connections that make up a relayed connection."""
 
     def __init__(self, connection: RelayedConnection) -> None:
         self.connection = connection
         self.transport: asyncio.Transport | None = None
         self.closed = self._reading_paused = False
-        self.read_direction: Direction  # what is read here goes there
-        self.write_direction: Direction  # what is written here comes from there
+        self.read_direction: Direction  # receives the data read from this side
+        self.write_direction: Direction  # supplies the data written to this side
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -177,12 +177,16 @@
     def reset(self) -> None:
         if self.transport is not None and not self.closed:
             sock = self.transport.get_extra_info("socket")
-            with contextlib.suppress(OSError):  # linger of 0: the kernel sends a reset, not an end
+            with contextlib.suppress(
+                OSError
+            ):  # with a linger time of 0 the kernel sends RST, not FIN
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             self.transport.abort()
 
 
 class RelayedConnection:
+    """A connection from a client through a proxy to its upstream process."""
+
     def __init__(self, relays: Relays, proxy: Proxy) -> None:
         self.relays, self.proxy = relays, proxy
         self.client, self.upstream = Side(self), Side(self)
@@ -196,8 +200,8 @@
     def accepted(self) -> Side:
         return self.client
 
-    def on_connected(self, end: Side) -> None:
-        if end is self.client:
+    def on_connected(self, side: Side) -> None:
+        if side is self.client:
             self.relays.connections[self] = None
             self._connecting = self.relays.loop.create_task(self._connect_upstream())
         for direction in self.directions:
@@ -210,13 +214,13 @@
         except OSError:  # TimeoutError is one
             self.client.reset()
 
-    def on_closed(self, end: Side, exc: Exception | None) -> None:
-        """A reset reaches the other end as one, when it can; one whose way is cut learns of it
-        afterwards."""
-        other = self.upstream if end is self.client else self.client
+    def on_closed(self, side: Side, exc: Exception | None) -> None:
+        """Closes or resets the other side as this one was; if the direction is cut, only once the
+        cut is over."""
+        other = self.upstream if side is self.client else self.client
         if other.closed or other.transport is None:
             self.end()
-        elif self.relays.conditions(end.read_direction.name).cut:
+        elif self.relays.conditions(side.read_direction.name).cut:
             self.relays.half_closed[self] = other
         elif exc is not None:
             other.reset()
@@ -225,9 +229,9 @@
 
     def on_direction_done(self) -> None:
         if all(direction.done for direction in self.directions):
-            for end in (self.client, self.upstream):
-                if end.transport is not None and not end.transport.is_closing():
-                    end.transport.close()
+            for side in (self.client, self.upstream):
+                if side.transport is not None and not side.transport.is_closing():
+                    side.transport.close()
 
     def end(self) -> None:
         self.relays.connections.pop(self, None)
@@ -248,14 +252,14 @@
 
 
 def pair(proxy: str) -> tuple[str, str]:
-    """The directions there and back."""
+    """The names of both directions of a proxy: forward and backward."""
     name = proxy.partition("#")[0]
     a, _, b = name.partition(">")
     return name, f"{b}>{a}"
 
 
 class Proxy:
-    """A port at which one process meets another."""
+    """A TCP proxy: a port at which one process reaches a port of another."""
 
     def __init__(self, relays: Relays, proxy: str, target: tuple[str, int]) -> None:
         self.target, self.mode = target, "open"
@@ -275,8 +279,8 @@
 
 
 class UdpProxy(asyncio.DatagramProtocol):
-    """Datagrams from one process to another leave by the front of the way back, so that answers
-    find it."""
+    """A UDP proxy. Datagrams leave through the socket of the proxy for the reverse direction, so
+    that answers go to that one."""
 
     transport: asyncio.DatagramTransport
 
@@ -312,14 +316,15 @@
 
 
 class Relays:
+    """All proxies of a run, and the conditions of their links."""
+
     def __init__(self, seed: int) -> None:
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(seed)
         self.tcp: dict[str, Proxy] = {}
         self.udp: dict[str, UdpProxy] = {}
         self.connections: dict[RelayedConnection, None] = {}
-        self.half_closed: dict[
-            RelayedConnection, Side
-        ] = {}  # one end has gone, and the other could not be told
+        # the side that is still open, where a cut delays the close of the other
+        self.half_closed: dict[RelayedConnection, Side] = {}
         self.bytes = 0
         self._conditions: dict[str, Conditions] = {}
 
@@ -350,7 +355,7 @@
             opened[name] = proxy.port.number
         for name, host, port in message.get("udp", ()):
             udp = UdpProxy(self, name, (host, port))
-            transport, _ = await self.loop.create_datagram_endpoint(lambda m=udp: m, (HOST, 0))  # type: ignore[misc]
+            transport, _ = await self.loop.create_datagram_endpoint(lambda u=udp: u, (HOST, 0))  # type: ignore[misc]
             self.udp[udp.name] = udp
             opened[name] = transport.get_extra_info("sockname")[1]
         send_to_tool(opened=opened)
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -523,7 +523,7 @@
             return type(error).__name__
 
     seen = [await said()]
-    for act in (port.refuse, port.open, port.silence, port.open, port.refuse):
+    for act in (port.refuse, port.open, port.stop_answering, port.open, port.refuse):
         act()
         seen.append(await said())
     assert seen == [
