--- a/cairndale/lab/faults/cli.py
+++ b/cairndale/lab/faults/cli.py
@@ -1,7 +1,7 @@
-"""`faults`: what the lab's command line has of the fault lab.
+"""`faults`: the command line of the fault laboratory.
 
-Exit status: 0 nothing broken, 1 something broken or undecided, 2 bad input (nothing was started),
-130 Ctrl-C or SIGTERM."""
+Exit status: 0 all properties hold, 1 a property is broken or undecided, 2 bad input (nothing was
+started), 130 Ctrl-C or SIGTERM."""
 
 from __future__ import annotations
 
@@ -23,26 +23,26 @@
 
 OUT = Path("lab-out/faults")
 plant_option = click.option(
-    "--plant", type=click.Choice(sorted(PLANTS)), help="a known defect to put in"
+    "--plant", type=click.Choice(sorted(PLANTS)), help="a known defect to put into the program"
 )
 
 
 @click.group()
 def faults() -> None:
-    """Several real processes, faults between them, and a judge of what they did together."""
+    """Real processes, faults between them, and a checker of what they did together."""
 
 
 @faults.command("list")
 def list_() -> None:
-    """The schedules that are shipped."""
+    """Lists the shipped schedules."""
     for name in schedules.shipped():
         click.echo(f"{name:20} {schedules.load(name).title}")
-    click.echo(f"{'random[:INTENSITY]':20} drawn by the seed; INTENSITY faults each 2 s (1)")
+    click.echo(f"{'random[:INTENSITY]':20} generated from the seed; INTENSITY faults per 2 s (1)")
 
 
 @faults.command("parameters")
 def parameters_() -> None:
-    """Every key of a schedule, its default and its unit."""
+    """Lists every key of a schedule with its default and its unit."""
     for key, default, text in parameters(schedules.Schedule):
         click.echo(f"{key:24} {default:12} {text}")
 
@@ -50,7 +50,7 @@
 @faults.command()
 @click.argument("files", nargs=-1, required=True)
 def check(files: tuple[str, ...]) -> None:
-    """Checks schedules, by name or path, and says all that is wrong with them."""
+    """Checks schedules, by name or path, and prints all their errors."""
     errors: list[str] = []
     for name in files:
         try:
@@ -68,7 +68,7 @@
 @click.option("--out", type=click.Path(path_type=Path), help=f"the run's folder; {OUT}/NAME-SEED")
 @plant_option
 def run(name: str, seed: int, as_json: bool, out: Path | None, plant: str | None) -> None:
-    """Plays a schedule once, by name or path, and judges what was seen."""
+    """Plays a schedule once, by name or path, and checks the recorded history."""
     from cairndale.lab.faults import host, many
 
     chosen = schedules.load(name, seed)
@@ -100,12 +100,14 @@
 @click.option(
     "--minutes", default=5.0, show_default=True, type=click.FloatRange(min=0, min_open=True)
 )
-@click.option("--seeds", default=0, help="at most so many; 0: as there is time for")
+@click.option("--seeds", default=0, help="maximum number; 0: as many as time allows")
 @click.option("--from", "first", default=1, show_default=True, help="the first seed")
-@click.option("--jobs", default=0, help="runs at once; 0: two for each core")
+@click.option("--jobs", default=0, help="parallel runs; 0: two for each core")
 @click.option("--out", type=click.Path(path_type=Path), default=OUT / "hunt", show_default=True)
 @click.option(
-    "--stop-on", type=click.Choice(PROPERTIES), help="end at the first run that breaks it"
+    "--stop-on",
+    type=click.Choice(PROPERTIES),
+    help="end at the first run that breaks this property",
 )
 @plant_option
 def hunt(
@@ -118,7 +120,7 @@
     stop_on: str | None,
     plant: str | None,
 ) -> None:
-    """Plays one schedule after another over seeds, on all cores, and keeps the runs that failed."""
+    """Plays a schedule over many seeds, on all cores, and keeps the runs that failed."""
     from cairndale.lab.faults import many
 
     schedules.load(name, first)
@@ -147,21 +149,23 @@
 
 @faults.command()
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
-@click.option("--times", default=3, show_default=True, help="tries of each smaller schedule")
-@click.option("--bound", default=40, show_default=True, help="schedules that are tried at the most")
-@click.option("--jobs", default=0, help="runs at once; 0: two for each core")
+@click.option("--times", default=3, show_default=True, help="runs of each smaller schedule")
+@click.option("--bound", default=40, show_default=True, help="maximum number of schedules to try")
+@click.option("--jobs", default=0, help="parallel runs; 0: two for each core")
 def shrink(folder: Path, times: int, bound: int, jobs: int) -> None:
     """Finds a smaller schedule that fails as this run did, and writes it into the run's folder."""
     from cairndale.lab.faults import many
 
     result = _result(folder)
     if not result.verdict.broken:
-        raise click.UsageError(f"{folder}: this run broke nothing")
+        raise click.UsageError(f"{folder}: this run broke no property")
     console, path = Console(stderr=True), folder / "shrunk.toml"
     with Status("trying", console=console) as status:
 
         def progress(now: many.Shrunk) -> None:
-            many.write_shrunk(now, result, path)  # whoever stops it has the best so far
+            many.write_shrunk(
+                now, result, path
+            )  # so that the best schedule so far survives an interrupt
             faults = len(now.schedule.fault)
             status.update(f"{now.tried} tried; {faults} faults, failed {now.failed} of {now.runs}")
 
@@ -182,28 +186,27 @@
     try:
         return host.result_of(folder)
     except (OSError, ValueError) as error:
-        raise click.UsageError(f"{folder}: no run: {error}") from None
+        raise click.UsageError(f"{folder}: not the folder of a run: {error}") from None
 
 
 @faults.command()
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.option("--out", type=click.Path(path_type=Path), help="an .svg or .png file; FOLDER/run.svg")
 def show(folder: Path, out: Path | None) -> None:
-    """Draws a run: processes over time, faults, who acted in which term, calls; and writes its
-    report."""
+    """Draws a run (processes over time, faults, terms, operations) and writes its report."""
     from cairndale.lab.faults.picture import draw, write_report
 
     result = _result(folder)
     path = out or folder / "run.svg"
     if path.suffix not in (".svg", ".png"):
-        raise click.BadParameter(f"{path}: .svg or .png is wanted")
+        raise click.BadParameter(f"{path}: the suffix must be .svg or .png")
     draw(result, folder, path)
     click.echo(f"{path}\n{write_report(result, folder)}")
 
 
 @faults.command()
 def cost() -> None:
-    """What a relay with no fault on it adds to a round trip, and how much it carries."""
+    """Measures the latency that a relay without faults adds, and its throughput."""
     from cairndale.lab.faults import cost as measure
 
     for row in run_until_stopped(measure.cost()):
--- a/cairndale/lab/faults/cost.py
+++ b/cairndale/lab/faults/cost.py
@@ -1,5 +1,5 @@
-"""What a relay costs: round trips and bytes a second through one with no fault on it, beside
-none."""
+"""Measures the cost of a relay: round trips and bytes a second through a relay without faults, and
+without a relay."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from cairndale.lab.live.ports import HOST
 from cairndale.lab.live.worker import PipedProcess
 
-MESSAGE_BYTES = 100  # bytes of a message
-BULK_BYTES = 64 << 20  # bytes
-MEASUREMENT_TIMEOUT_S = 60.0  # s for each measurement
+MESSAGE_BYTES = 100
+BULK_BYTES = 64 << 20
+MEASUREMENT_TIMEOUT_S = 60.0  # for each measurement
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
     path: str
-    median_us: float  # of a round trip
+    median_us: float  # round trip
     p99_us: float
     mb_per_s: float
 
@@ -69,7 +69,8 @@
 
 
 async def cost(trips: int = 3000) -> list[Cost]:
-    """Direct, and through a relay, in turns: the same ends, on this process's loop."""
+    """Measures direct and relayed connections, one after the other, to the same servers in this
+    process."""
     servers = [await asyncio.start_server(serve, HOST, 0) for serve in (_echo, _sink)]
     echo, sink = (int(server.sockets[0].getsockname()[1]) for server in servers)
     opened: asyncio.Future[dict[str, int]] = asyncio.get_running_loop().create_future()
--- a/cairndale/lab/faults/host.py
+++ b/cairndale/lab/faults/host.py
@@ -380,8 +380,8 @@
         self._update_connect_modes()
 
     def _update_connect_modes(self) -> None:
-        """Sets how relays treat new connections: a cut link leaves them unanswered, a process that is
-        not running refuses them."""
+        """Sets how relays treat new connections: a cut link leaves them unanswered, and a process
+        that is not running refuses them."""
         assert self.relay
         changed: dict[str, str] = {}
         for a, b, _ in self.processes.proxies():
--- a/cairndale/lab/faults/many.py
+++ b/cairndale/lab/faults/many.py
@@ -1,5 +1,6 @@
-"""Many runs in parallel: `hunt` over seeds, and `shrink` of a run that failed. Each run is a process
-of its own."""
+"""Many runs in parallel: `hunt` over seeds, and `shrink` of a run that failed.
+
+Each run is a process of its own."""
 
 from __future__ import annotations
 
--- a/cairndale/lab/faults/plants.py
+++ b/cairndale/lab/faults/plants.py
@@ -1,4 +1,4 @@
-"""Known defects that can be put into the program under test, to show that the checker finds them."""
+"""Known defects that are put into the program under test to show that the checker finds them."""
 
 from __future__ import annotations
 
--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -116,7 +116,7 @@
 
 
 class Processes:
-    """All processes of a schedule. Their ports are reserved for the whole run, also over restarts."""
+    """All processes of a schedule. Their ports stay reserved for the whole run."""
 
     def __init__(self, schedule: Schedule, seed: int, folder: Path) -> None:
         self.schedule, self.seed, self.folder = schedule, seed, folder
@@ -316,7 +316,7 @@
                 popen.send_signal(signal.SIGSTOP if stopped else signal.SIGCONT)
 
     async def upgrade(self, process: Process) -> bool:
-        """Starts a new process, at another ops address, that takes over; False if it was not ready."""
+        """Starts a successor at another ops address that takes over; False if it was not ready."""
         old, process.ports["ops"] = process.popen, self._reserve_port(process.name[0], "ops")
         assert old
         process.predecessors.append(old)
--- a/cairndale/lab/faults/schedule.py
+++ b/cairndale/lab/faults/schedule.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: TOML with a checked schema, shipped by name, or drawn by a seed."""
+"""Fault schedules: TOML with a checked schema; shipped by name, or generated from a seed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from cairndale.lab.scenario import NonNegative, Positive, ScenarioError, Share, checked, text_at
 
 SHIPPED = Path(__file__).parent / "schedules"
-MAX_PROCESSES = 64  # processes of a kind
+MAX_PROCESSES = 64  # of a kind
 CALLER_KINDS = "wrqv"
 
 Kind = Literal[
@@ -61,9 +61,9 @@
 
 class Fleet(Struct, forbid_unknown_fields=True):
     lists: Annotated[Count, about("list services: l0 leads, the others follow it")] = 2
-    ingresses: Annotated[Count, about("ingresses that watch them, i0 and so on")] = 2
+    ingresses: Annotated[Count, about("ingresses that watch the list services, i0 and so on")] = 2
     servers: Annotated[Count, about("stand-ins for profile servers, s0 and so on")] = 3
-    members: Annotated[Count, about("members of a fleet that know each other, m0 and so on")] = 0
+    members: Annotated[Count, about("members of a gossip fleet, m0 and so on")] = 0
     counter: Annotated[bool, about("a stand-in for the counter, c0")] = True
 
 
@@ -72,52 +72,60 @@
         Count, about("callers that write to and read from the leader, one call at a time")
     ] = 4
     readers: Annotated[
-        Count, about("callers that read from every list service, with the age it states")
+        Count, about("callers that read from every list service, with the maximum age it states")
     ] = 1
     clients: Annotated[Count, about("callers of the ingresses")] = 3
-    viewers: Annotated[Count, about("callers that ask members for their view and standing")] = 1
-    pause_ms: Annotated[NonNegative, about("ms between a caller's calls, mean")] = 30
-    timeout_ms: Annotated[Positive, about("ms after which a call's outcome is unknown")] = 1000
+    viewers: Annotated[Count, about("callers that ask members for their view and status")] = 1
+    pause_ms: Annotated[NonNegative, about("mean ms between the operations of a caller")] = 30
+    timeout_ms: Annotated[
+        Positive, about("ms after which the outcome of an operation is unknown")
+    ] = 1000
 
 
 class Fault(Struct, forbid_unknown_fields=True, omit_defaults=True):
     kind: Kind
     at_s: Annotated[NonNegative, about("s from the start")]
-    len_s: Annotated[NonNegative, about("s that it lasts; a process is back after that")] = 1.0
+    len_s: Annotated[
+        NonNegative, about("s that it lasts; a process is started again after that")
+    ] = 1.0
     on: Annotated[
         list[str], about("processes: names, or lists, ingresses, servers, members, all")
     ] = msgspec.field(default_factory=list)
-    from_: Annotated[list[str], about("links: the one end")] = msgspec.field(
+    from_: Annotated[list[str], about("links: one end")] = msgspec.field(
         name="from", default_factory=list
     )
-    to: Annotated[list[str], about("links: the other end; empty: all that are not in `from`")] = (
+    to: Annotated[list[str], about("links: the other end; empty: all processes not in `from`")] = (
         msgspec.field(default_factory=list)
     )
     both: Annotated[bool, about("both directions, or only what is sent by `from`")] = True
     delay_ms: Annotated[NonNegative, about("slow: ms added to the direction")] = 0.0
-    jitter_ms: Annotated[NonNegative, about("slow: ms added beside, exponential, mean")] = 0.0
-    rate: Annotated[NonNegative, about("slow: bytes a second; 0: no bound")] = 0.0
+    jitter_ms: Annotated[NonNegative, about("slow: mean ms of exponential jitter in addition")] = (
+        0.0
+    )
+    rate: Annotated[NonNegative, about("slow: bytes a second; 0: unlimited")] = 0.0
     loss: Annotated[Share, about("datagrams: share that is lost")] = 0.0
-    duplicate: Annotated[Share, about("datagrams: share that comes twice")] = 0.0
-    reorder: Annotated[Share, about("datagrams: share held back up to 50 ms")] = 0.0
-    truncate: Annotated[Share, about("datagrams: share that is cut short")] = 0.0
+    duplicate: Annotated[Share, about("datagrams: share that is duplicated")] = 0.0
+    reorder: Annotated[Share, about("datagrams: share delayed by up to 50 ms")] = 0.0
+    truncate: Annotated[Share, about("datagrams: share that is truncated")] = 0.0
     flip: Annotated[Share, about("datagrams: share with one bit changed")] = 0.0
-    every_s: Annotated[Positive, about("flap, starve: s of a turn, half of it bad")] = 0.6
+    every_s: Annotated[
+        Positive, about("flap, starve: s of a cycle, of which the fault takes half")
+    ] = 0.6
     folder: Annotated[
-        Literal["same", "empty", "old"], about("kill, terminate: what it finds when it is back")
+        Literal["same", "empty", "old"], about("kill, terminate: its data folder at the next start")
     ] = "same"
-    power: Annotated[bool, about("kill: what was not synced is lost, as with the power")] = False
+    power: Annotated[bool, about("kill: unsynced data is lost, as with a loss of power")] = False
     in_write: Annotated[
-        bool, about("kill: after its next sync, before it says so; else once len_s is over")
+        bool, about("kill: after its next sync, before it answers; otherwise once len_s is over")
     ] = False
-    for_good: Annotated[bool, about("kill: it does not come back")] = False
+    for_good: Annotated[bool, about("kill: it is not started again")] = False
     jump_s: Annotated[float, about("clock: s that the wall clock jumps, forwards or back")] = 0.0
-    clock_rate: Annotated[Positive, about("clock: speed of both its clocks")] = 1.0
-    disk: Annotated[Literal["full", "failing", "slow"], about("disk: what it does")] = "full"
+    clock_rate: Annotated[Positive, about("clock: rate of its wall and monotonic clocks")] = 1.0
+    disk: Annotated[Literal["full", "failing", "slow"], about("disk: its fault")] = "full"
     sync_ms: Annotated[NonNegative, about("disk slow: ms added to each sync")] = 300.0
 
     def conditions(self) -> Conditions:
-        """Of each link that it lies on."""
+        """The conditions of each link that the fault affects."""
         if self.kind in ("cut", "flap"):
             return Conditions(cut=True)
         return Conditions(
@@ -136,9 +144,11 @@
 class Schedule(Struct, forbid_unknown_fields=True):
     name: str
     title: str = ""
-    length_s: Annotated[Positive, about("s of faults and load")] = 8.0
-    settle_s: Annotated[Positive, about("s within which all agree after the last fault")] = 10.0
-    plant: Annotated[str, about("a known defect that is put into the program; empty: none")] = ""
+    length_s: Annotated[Positive, about("s that faults and load last")] = 8.0
+    settle_s: Annotated[
+        Positive, about("s after the last fault within which all processes must agree")
+    ] = 10.0
+    plant: Annotated[str, about("a known defect to put into the program; empty: none")] = ""
     fleet: Fleet = msgspec.field(default_factory=Fleet)
     load: Load = msgspec.field(default_factory=Load)
     fault: list[Fault] = msgspec.field(default_factory=list)
@@ -160,8 +170,9 @@
         return [f"{kind}{n}" for kind, count in kinds for n in range(count)]
 
     def select(self, names: list[str]) -> list[str]:
-        """Processes and callers by name or group, in the order of the fleet; unknown ones are left
-        out."""
+        """The processes and callers with these names or in these groups, in the order of the fleet.
+
+        Unknown names are ignored."""
         names_in_order = [*self.processes(), *self.callers()]
         groups = {"lists": "l", "ingresses": "i", "servers": "s", "members": "m", "counter": "c"}
         groups["callers"] = CALLER_KINDS
@@ -171,7 +182,7 @@
         return [p for p in names_in_order if p in found]
 
     def directions(self, fault: Fault) -> list[tuple[str, str]]:
-        """The directions that a fault on links lies on."""
+        """The directions of links that a fault affects."""
         ends = self.select(fault.from_)
         others = (
             self.select(fault.to) if fault.to else [p for p in self.processes() if p not in ends]
@@ -184,35 +195,35 @@
 
 
 def cross_field_errors(schedule: Schedule) -> Iterator[str]:
-    """What no single key shows."""
+    """Errors that involve more than one key."""
     known = {*schedule.processes(), *schedule.callers(), *GROUPS}
     if schedule.plant and schedule.plant not in PLANTS:
-        yield f"plant: {schedule.plant!r} is not known; {', '.join(PLANTS)} are"
+        yield f"plant: {schedule.plant!r} is unknown; known ones are {', '.join(PLANTS)}"
     if schedule.fleet.ingresses and not schedule.fleet.lists:
-        yield "fleet.lists: 0 leaves the ingresses nothing to watch"
+        yield "fleet.lists: 0 leaves the ingresses no list service to watch"
     for number, fault in enumerate(schedule.fault):
         where, is_link_fault = f"fault[{number}]", fault.kind in LINK_FAULTS
         if fault.at_s + fault.len_s > schedule.length_s:
             yield (
-                f"{where}.len_s: ends at {fault.at_s + fault.len_s:g} s, after the run's "
+                f"{where}.len_s: ends at {fault.at_s + fault.len_s:g} s, after the run's end at "
                 f"{schedule.length_s:g} s"
             )
         expected_key, other_key = ("from", "on") if is_link_fault else ("on", "from")
         given = {"from": fault.from_, "on": fault.on}
         if not given[expected_key]:
-            yield f"{where}.{expected_key}: is missing for {fault.kind}"
+            yield f"{where}.{expected_key}: required for {fault.kind}"
         if given[other_key]:
-            yield f"{where}.{other_key}: not for {fault.kind}; {expected_key} is"
+            yield f"{where}.{other_key}: not allowed for {fault.kind}; use {expected_key}"
         for key, names in (("on", fault.on), ("from", fault.from_), ("to", fault.to)):
             for name in sorted(set(names) - known):
                 matches = difflib.get_close_matches(name, sorted(known), 1)
-                yield f"{where}.{key}: {name!r} is not there" + (
-                    f"; {matches[0]!r} is meant?" if matches else ""
+                yield f"{where}.{key}: {name!r} does not exist" + (
+                    f"; did you mean {matches[0]!r}?" if matches else ""
                 )
         if fault.kind == "slow" and not (fault.delay_ms or fault.jitter_ms or fault.rate):
-            yield f"{where}: slow by nothing: delay_ms, jitter_ms or rate is wanted"
+            yield f"{where}: no effect: delay_ms, jitter_ms or rate is required"
         if fault.kind == "clock" and not fault.jump_s and fault.clock_rate == 1:
-            yield f"{where}: clock as it is: jump_s or clock_rate is wanted"
+            yield f"{where}: no effect: jump_s or clock_rate is required"
         for name in schedule.select(fault.on):
             if (
                 fault.kind in ("upgrade", "promote")
@@ -220,13 +231,13 @@
             ):
                 yield f"{where}.on: {name} cannot {fault.kind}"
             elif name[0] in CALLER_KINDS:
-                yield f"{where}.on: {name} is a caller of the lab, no process"
+                yield f"{where}.on: {name} is a caller of the lab, not a process"
             elif name[0] in "sc" and fault.kind in ("clock", "disk"):
-                yield f"{where}.on: {name} is a stand-in: no {fault.kind} of its own"
+                yield f"{where}.on: {name} is a stand-in without a {fault.kind} of its own"
 
 
 def parse(text: str, where: str) -> Schedule:
-    """Raises ScenarioError with every error at once."""
+    """Raises ScenarioError with all errors."""
     return checked(text, where, Schedule, cross_field_errors)
 
 
@@ -239,22 +250,25 @@
 
 
 def load(name: str, seed: int = 1) -> Schedule:
-    """A shipped schedule by its name, `random` or `random:INTENSITY` drawn by the seed, or a
+    """A shipped schedule by name, `random` or `random:INTENSITY` generated from the seed, or a
     file."""
     kind_name, _, intensity = name.partition(":")
     if kind_name == "random":
         try:
             return draw_schedule(seed, float(intensity or 1))
         except ValueError:
-            raise ScenarioError([f"{name}: the intensity is a number over 0"]) from None
+            raise ScenarioError(
+                [f"{name}: the intensity must be a number greater than 0"]
+            ) from None
     path = SHIPPED / f"{name}.toml" if name in shipped() else Path(name)
     return parse(text_at(path, name, [*shipped(), "random"]), path.name)
 
 
 def draw_schedule(seed: int, intensity: float = 1.0, base: Schedule | None = None) -> Schedule:
-    """Faults drawn by a seed: `intensity` of them each 2 s, on average, over 8 s; of one intensity,
-    the same seed gives the same schedule. A promotion, where one is drawn, is the operator's who
-    follows the page: the leader is cut off or stopped at that moment."""
+    """Generates faults from a seed: on average `intensity` of them per 2 s, over 8 s.
+
+    The same seed and intensity give the same schedule. A promotion, if one is drawn, is that of an
+    operator who follows the page: the leader is partitioned or stopped at that moment."""
     if not intensity > 0:
         raise ValueError("intensity")
     rng, schedule = random.Random(f"faults {seed} {intensity:g}"), base or Schedule("random")
--- a/cairndale/lab/faults/standins.py
+++ b/cairndale/lab/faults/standins.py
@@ -1,9 +1,9 @@
-"""Servers and the counter as the fault lab has them, a process each:
+"""Stand-ins of the fault laboratory for servers and the counter, a process each:
 `python -m cairndale.lab.faults.standins server|counter PORT FILE`.
 
-A server appends a line to FILE for each request that takes effect there, before it answers: what
-has happened is what the places acted upon saw. The servers of the lab's live host model work; these
-do not."""
+A server appends a line to FILE for each request that takes effect, before it answers, so that the
+checker knows the side effects from where they happened. Unlike the servers of the live host, these
+do not model work."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from cairndale.ingress.net.http import HttpConnection, Message, plain
 from cairndale.lab.live.ports import HOST
 
-WORK_S = (0.001, 0.03)  # s that a request takes: from, to
-FAILURE_SHARE = 0.03  # share of the requests whose connection breaks after the effect
+WORK_S = (0.001, 0.03)  # shortest and longest time that a request takes
+FAILURE_SHARE = 0.03  # of the requests: their connection is reset after the side effect
 MAX_TOTALS = 10_000
 
 
@@ -41,7 +41,7 @@
         )
 
     def _apply_effect(self, request_id: bytes) -> None:
-        if self.transport.is_closing():  # given up before it began
+        if self.transport.is_closing():  # the client closed the connection before the work began
             return
         os.write(self._effects_fd, b"%b %d\n" % (request_id, time.monotonic_ns() // 1000))
         if self._rng.random() < FAILURE_SHARE:
@@ -54,7 +54,8 @@
 
 
 class CounterProtocol(asyncio.Protocol):
-    """Lines as PROTOCOL has them; totals are bounded in number, the oldest name goes first."""
+    """Serves lines as PROTOCOL defines them. The number of totals is bounded: the oldest is removed
+    first."""
 
     def __init__(self, totals: dict[bytes, float]) -> None:
         self._totals, self._partial_line = totals, b""
--- a/cairndale/lab/live/__init__.py
+++ b/cairndale/lab/live/__init__.py
@@ -1,2 +1,2 @@
-"""The host of real programs: processes on loopback, stand-ins around them, a load that waits for
-nobody."""
+"""The host of real programs: processes on loopback, stand-ins around them, and an open-loop
+load."""
--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -1,5 +1,5 @@
-"""The host of real programs: starts them, carries the timeline out, ends them, and gathers what was
-seen."""
+"""The host of real programs: starts them, carries out the timeline, ends them and collects the
+record of the run."""
 
 from __future__ import annotations
 
@@ -35,26 +35,26 @@
 
 HOST = "127.0.0.1"
 DATAGRAM_PORT_RANGE = (20_000, 32_000)  # below the ephemeral ports, which begin at 32768
-MAX_PORT_DRAWS = 100  # of a port that may be taken
-READY_TIMEOUT_S = 20.0  # s for a program to be ready
-START_DELAY_S = 0.5  # s between all being ready and the run's 0
-KILL_GRACE_S = 0.7  # s beyond the longest deadline until SIGKILL (PROTOCOL)
-MAX_LATENESS_MS = 20.0  # 99th percentile of the loaders' lateness from which the run is void
-MAX_OTHER_CORES = 1.0  # cores that other programs may use before the run is void
-RENEWALS_PER_LEASE = 3  # a lease is renewed every third of its term
+MAX_PORT_DRAWS = 100  # random ports to try before giving up
+READY_TIMEOUT_S = 20.0  # for a program to be ready
+START_DELAY_S = 0.5  # between all programs being ready and the start of the run
+KILL_GRACE_S = 0.7  # beyond the longest deadline until SIGKILL (PROTOCOL)
+MAX_LATENESS_MS = 20.0  # 99th percentile of the loaders' lateness; beyond it the run is void
+MAX_OTHER_CORES = 1.0  # used by other programs; beyond it the run is void
+RENEWALS_PER_LEASE = 3  # a lease is renewed every third of its duration
 LEASE_MS = 9000
-NOTIFICATION_DELAY_US = (
-    1 * SECOND
-)  # us after the list service holds a change that its watchers count as told
+# after the list service accepts a change, until its watchers count as notified
+NOTIFICATION_DELAY_US = 1 * SECOND
 
 
 class LiveError(Exception):
-    """The run could not be begun or carried out."""
+    """The run could not be started or carried out."""
 
 
 def reserve_port(number: int = 0) -> tuple[socket.socket, int]:
-    """A TCP port that stays ours between draw and bind, and over restarts of the program that
-    listens on it. `number`: which; 0: any that the system gives. Raises OSError."""
+    """Reserves a TCP port, also over restarts of the program that listens on it.
+
+    `number` is the port, or 0 for any free port. Raises OSError."""
     reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -63,11 +63,11 @@
 
 
 def reserve_datagram_port() -> tuple[socket.socket, int]:
-    """A port for TCP and UDP, held for TCP as `held_port` does it.
+    """Draws a port for TCP and UDP, and reserves it for TCP as `reserve_port` does.
 
-    Linux lets nobody hold a UDP port for another process, so it is drawn from below the ephemeral
-    ports: the system gives it to no socket that asks for any port, as the relays' do. Other runs
-    that draw here see that its TCP half is held.
+    Linux cannot reserve a UDP port for another process. The port is therefore drawn from below the
+    ephemeral ports, which the system assigns to sockets that ask for any port, as relays do. Other
+    runs that draw here see that the TCP port is reserved.
     """
     drawn = random.Random()
     for _ in range(MAX_PORT_DRAWS):
@@ -83,7 +83,7 @@
 
 
 async def send_request(port: int, method: str, path: str, body: bytes = b"") -> tuple[int, bytes]:
-    """One call; (0, b"") where nobody answers in a second."""
+    """Sends an HTTP request and returns status and body; (0, b"") without an answer in 1 s."""
     try:
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -108,25 +108,27 @@
     ops: int
     folder: Path
     process: subprocess.Popen[bytes] | None = None
-    # handed over, not yet ended
+    # after an upgrade: processes that handed over and have not ended yet
     predecessors: list[subprocess.Popen[bytes]] = field(default_factory=list)
-    expected: bool = False  # its end is the timeline's doing
-    absent: int = -1  # row of the record while it is away
+    expected: bool = False  # the end of the process is expected: the timeline ends it
+    absent: int = -1  # row in the record while the gateway is absent
     starts: int = 0
 
 
 @dataclass(slots=True)
 class Options:
     loaders: int = 1
-    keep: Path | None = None  # folder that the logs stay in
-    checkout: Path | None = None  # another checkout of this project whose program runs
+    keep: Path | None = None  # folder to keep the logs in
+    checkout: Path | None = None  # another checkout of this project, whose program is run
     on_second: Callable[[dict[str, Any]], None] | None = None
-    rate: float = 0.0  # measuring a limit: an even load, no members
+    rate: float = 0.0  # requests a second, to measure a limit with an even load without members
     length_s: float = 0.0
-    null_gateway: bool = False  # measuring the loader's own limit: nothing behind it but an answer
+    null_gateway: bool = False  # measures the loader's own limit, see null.py
 
 
 class LiveRun:
+    """One live run: its processes, timeline and record."""
+
     def __init__(self, day: Day, folder: Path, options: Options) -> None:
         self.day, self.folder, self.options = day, folder, options
         self.length_s = options.length_s or day.length / SECOND
@@ -152,7 +154,7 @@
     # The whole run.
 
     async def run(self) -> Record:
-        """Raises LiveError if a program cannot be started. However it ends, no process is left."""
+        """Raises LiveError if a program cannot be started. No process is left in any case."""
         try:
             await self._start()
             before = self._cpu_usage()
@@ -163,7 +165,7 @@
         return self.record
 
     def _check(self) -> None:
-        """What a live run cannot do is said before anything starts."""
+        """Raises LiveError, before anything starts, if a live run cannot carry out the scenario."""
         gateways, servers = len(self.day.gateway_zones), len(self.day.servers)
         if self._uses_list_service() and any(
             t.kind == "zone_cut" for t in self.day.scenario.trouble
@@ -172,8 +174,8 @@
                 "with the list service all gateways share addresses: zones cannot be cut off live"
             )
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-        # Each address is held and listened at; each server may have a connection or two of each
-        # gateway.
+        # Each address needs a reserving and a listening socket, and each server may have one or two
+        # connections from each gateway.
         needed = 4 * gateways * servers + 200
         if most != resource.RLIM_INFINITY and needed > most:
             raise LiveError(
@@ -368,7 +370,7 @@
             code = rec.STATUS.index(status)
             self.record.tells.add(self.now() + NOTIFICATION_DELAY_US, gateway.index, server, code)
 
-    # What the workers say.
+    # Messages of the workers.
 
     def _on_standins_message(self, message: dict[str, Any]) -> None:
         if "list" in message:
@@ -421,7 +423,7 @@
             async with asyncio.timeout(end):
                 await self.finished.wait()
         except TimeoutError:
-            self.void.append("a loader was not through in time")
+            self.void.append("a loader did not finish in time")
 
     def _notify_loaders(self, **fields: Any) -> None:
         for worker in self.loaders:
@@ -466,7 +468,7 @@
         self._notify_loaders(gateway=gateway.index, down=False)
 
     async def _notify_after_detection(self, gateway: Gateway) -> None:
-        """The front finds out that this gateway has died."""
+        """Notifies the loaders that the gateway is down, after the front's detection time."""
         starts = gateway.starts
         await asyncio.sleep(self.day.network["front_notice_s"])
         if gateway.absent >= 0 and gateway.starts == starts:
@@ -492,8 +494,8 @@
         self._mark_present(gateway)
 
     async def _terminate(self, gateway: Gateway) -> None:
-        """A planned restart: SIGTERM, connections for 0.3 s more, SIGKILL only after the longest
-        deadline."""
+        """A planned restart: SIGTERM, new connections for another 0.3 s, and SIGKILL only after the
+        longest deadline."""
         process = gateway.process
         if process is None or gateway.absent >= 0:
             return
@@ -515,7 +517,7 @@
             await self._wait_for_exit(process)
 
     async def _upgrade(self, gateway: Gateway) -> None:
-        """The program is started again beside itself, with another `ops`; then the old one ends."""
+        """Starts a second process of the program, with another `ops` port, then ends the first."""
         before = gateway.process
         if before is None or gateway.absent >= 0:
             return
@@ -535,10 +537,10 @@
         await self._wait_or_kill(before)
         gateway.predecessors.remove(before)
 
-    # What is seen of the processes.
+    # Monitoring of the processes.
 
     async def _watch(self) -> None:
-        """Each second: CPU, memory, descriptors; and that nobody has ended unasked."""
+        """Records CPU, memory and descriptors each second, and processes that end unexpectedly."""
         while True:
             rows = []
             for gateway in self.gateways:
@@ -562,7 +564,7 @@
             await asyncio.sleep(1.0)
 
     def _cpu_usage(self) -> tuple[float, float, float]:
-        """s: the clock, processor time of the whole machine, and of this run's processes."""
+        """In s: the monotonic clock, processor time of the machine and of this run's processes."""
         fields = Path("/proc/stat").read_text().split("\n")[0].split()[1:]
         ticks = os.sysconf("SC_CLK_TCK")
         machine = sum(int(f) for n, f in enumerate(fields[:8]) if n not in (3, 4)) / ticks
@@ -625,7 +627,7 @@
 
     @property
     def _cpu_of_ended(self) -> list[float]:
-        """Processor time of gateways that have ended since, as last seen."""
+        """Processor time in s of gateway processes that have ended, as last measured."""
         process = self.record.process
         last: dict[int, list[int]] = {}
         for n in range(len(process)):
@@ -659,7 +661,7 @@
 
 
 def _usage(pid: int) -> tuple[int, int, int] | None:
-    """us of processor time, kB held, descriptors; None if it has ended."""
+    """Processor time in us, memory in kB and descriptors; None if the process has ended."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
         cpu = (int(stat[11]) + int(stat[12])) * SECOND // os.sysconf("SC_CLK_TCK")
@@ -672,8 +674,9 @@
 
 
 def _mark_useful_sends(record: Record) -> None:
-    """Of a try's answers the first is the one that counts, if it was served at all; the rest was in
-    vain. The gateway of a send is the one that the client gave the request to."""
+    """Marks the first answer of each served attempt as useful, and the others as wasted.
+
+    The gateway of a send is set to the one that received the request from the client."""
     sends, tries = record.sends, record.tries
     if not len(sends):
         return
@@ -688,7 +691,7 @@
 
 
 async def play(day: Day, text: str, folder: Path, options: Options) -> Record:
-    """One live run of a drawn day. `folder` is made, and kept if `options.keep` is set."""
+    """Carries out one live run of a drawn day in `folder`, kept if `options.keep` is set."""
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "scenario.toml").write_text(text)
     return await LiveRun(day, folder, options).run()
--- a/cairndale/lab/live/loader.py
+++ b/cairndale/lab/live/loader.py
@@ -1,8 +1,8 @@
-"""The load of a live run: open, drawn ahead, never waiting for answers.
+"""The load of a live run: open-loop, drawn ahead of time, never waiting for answers.
 
-Latency counts from the moment a request was due, so a late loader or a stalled gateway hides
-nothing; the loader's own lateness is kept beside it. Members are shared out over the loaders by
-their number."""
+Latency is measured from the time at which a request was due, so that neither a late loader nor a
+stalled gateway hides delays (coordinated omission). The loader's own lateness is recorded beside
+it. Members are distributed over the loaders by their number."""
 
 from __future__ import annotations
 
@@ -29,25 +29,25 @@
 from cairndale.lab.world.clients import Arrival, Clients
 
 HOST = "127.0.0.1"
-MAX_CONNECTIONS = (
-    4096  # connections of one loader; further tries count as unreached, and the run as void
-)
-DRAW_AHEAD_US = 3 * SECOND  # us of arrivals that are drawn ahead of their time
+MAX_CONNECTIONS = 4096  # of one loader; beyond it attempts are unreached, and the run is void
+DRAW_AHEAD_US = 3 * SECOND  # arrivals are drawn this long before they are due
 DRAW_BATCH = 64
-IDLE_POLL_US = 20_000  # us between looks where nothing is due
-KEEP_ALIVE_S = 20.0  # s that an idle connection is kept
-MAX_LATENCY_US = 120 * SECOND  # us that the histograms hold
+IDLE_POLL_US = 20_000  # between checks while no request is due
+KEEP_ALIVE_S = 20.0  # for which an idle connection is kept open
+MAX_LATENCY_US = 120 * SECOND  # highest value of the histograms
 
 
 def histogram() -> Any:
-    """us, three digits."""
+    """A histogram of us with three significant digits."""
     return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 class Attempt:
+    """One attempt of a client's request at one gateway."""
+
     __slots__ = (
-        "abandoned",
         "arrival",
+        "client_done",
         "connection",
         "deadline",
         "gateway",
@@ -69,7 +69,7 @@
     ):
         self.arrival, self.root, self.number, self.id = arrival, root, number, id
         self.gateway, self.deadline, self.row = gateway, deadline, row
-        self.abandoned = False
+        self.client_done = False
         self.connection: ClientConnection | None = None
 
 
@@ -99,7 +99,7 @@
     def data_received(self, data: bytes) -> None:
         if self.attempt is None:
             if data:
-                self.load.fault(2, 0, self.gateway)  # more than was asked for
+                self.load.fault(2, 0, self.gateway)  # more bytes than one response
                 self.transport.abort()
             return
         try:
@@ -156,11 +156,13 @@
             self.attempt = None
             unread = self.used and self._length == 0 and not self._complete
             if unread and self.load.resend_once(attempt):
-                return  # the close crossed the request: the client sends it once more (PROTOCOL)
+                return  # the request crossed the close: the client sends it again once (PROTOCOL)
             self.load.broken(attempt)
 
 
 class Load:
+    """The load of one loader, with its record."""
+
     def __init__(self, spec: Spec) -> None:
         self.spec, self.record, self.rate_only = spec, Record(), spec.rate > 0
         self.day = day(parse(spec.scenario, spec.name), spec.seed)
@@ -175,15 +177,15 @@
         self.outcomes: Counter[str] = Counter()
         self._ahead: deque[Arrival] = deque()
         self._all_drawn = False
-        self._pending_retries = 0  # tries that come again after a wait
+        self._pending_retries = 0  # retries that wait for their time
         self._connecting: set[asyncio.Task[None]] = set()
         self._resent: set[int] = set()
-        self._finished_ids: set[int] = set()  # tries that are through
+        self._finished_ids: set[int] = set()  # of attempts
         self._slack = int(self.day.scenario.rules.answer_slack_ms * 1000)
         self.asked_work = 0.0
         self.finished = asyncio.Event()
 
-    # What is due.
+    # Arrivals.
 
     async def run(self) -> None:
         drawing = self.loop.create_task(self._draw())
@@ -194,7 +196,7 @@
         self.finished.set()
 
     async def _draw(self) -> None:
-        """Keeps `AHEAD` of arrivals drawn, off the loop, so that drawing makes no request late."""
+        """Draws arrivals `DRAW_AHEAD_US` ahead, in a thread, so that drawing delays no request."""
         source = self._arrivals()
         while True:
             while self._ahead and self._ahead[-1].due > self.now() + DRAW_AHEAD_US:
@@ -233,7 +235,7 @@
                 yield arrival
 
     def _even_arrivals(self) -> Iterator[Arrival]:
-        """For measuring limits: requests at an even pace, of one member each, with little work."""
+        """Evenly spaced requests with little work, of random members, for measuring limits."""
         rng = self.day.stream(f"even.{self.spec.number}")
         step = SECOND * self.spec.workers / self.spec.rate
         at, plan = step * self.spec.number / self.spec.workers, len(self.day.plans) - 1
@@ -247,7 +249,7 @@
     def _record_lateness(self, us: int) -> None:
         self.lateness.record_value(max(1, min(us, MAX_LATENCY_US)))
 
-    # Tries.
+    # Attempts.
 
     def _start_attempt(self, arrival: Arrival, root: int, number: int, before: int) -> None:
         now = self.now()
@@ -324,10 +326,10 @@
                 )
         except OSError:
             self.open -= 1
-            if not attempt.abandoned:
+            if not attempt.client_done:
                 self.finish_attempt(attempt, rec.UNREACHED)
             return
-        if attempt.abandoned:
+        if attempt.client_done:
             self.release(connection)
         else:
             connection.send(attempt, self._request(attempt))
@@ -350,7 +352,7 @@
                 idle.pop(0).transport.close()
 
     def resend_once(self, attempt: Attempt) -> bool:
-        if attempt.id in self._resent or attempt.abandoned:
+        if attempt.id in self._resent or attempt.client_done:
             return False
         self._resent.add(attempt.id)
         self._send(attempt)
@@ -360,8 +362,9 @@
         self.finish_attempt(attempt, rec.BROKEN)
 
     def finish_attempt(self, attempt: Attempt, kind: int, advice: int = 0) -> None:
-        """Its final answer, or its end without one; what comes after its time is kept, and earns
-        nothing."""
+        """Records the final answer of an attempt, or its end without one.
+
+        An answer after the client stopped waiting is recorded, but has no other effect."""
         now, tries = self.now(), self.record.tries
         tries.set(attempt.row, "ended", now)
         tries.set(attempt.row, "kind", kind)
@@ -370,9 +373,9 @@
         self.outcomes[rec.KINDS[kind]] += 1
         if kind == rec.SERVED:
             self.latency.record_value(max(1, min(now - attempt.arrival.due, MAX_LATENCY_US)))
-        if attempt.abandoned:
+        if attempt.client_done:
             return
-        attempt.abandoned = True
+        attempt.client_done = True
         if kind != rec.SERVED:
             self._retry(attempt, advice)
 
@@ -394,10 +397,10 @@
         self._start_attempt(before.arrival, before.root, before.number + 1, before.gateway)
 
     def _expired(self, attempt: Attempt) -> None:
-        """The client tries elsewhere; a last word is listened for a little longer."""
-        if attempt.abandoned:
+        """The client retries elsewhere; an answer is still accepted for `answer_slack_ms`."""
+        if attempt.client_done:
             return
-        attempt.abandoned = True
+        attempt.client_done = True
         self._retry(attempt, 0)
         self.loop.call_later(self._slack / 1e6, self._stop_waiting, attempt)
 
@@ -408,8 +411,8 @@
             self._abort(attempt)
 
     def _client_quits(self, attempt: Attempt) -> None:
-        if not attempt.abandoned:
-            attempt.abandoned = True
+        if not attempt.client_done:
+            attempt.client_done = True
             self.record.tries.set(attempt.row, "kind", rec.GONE)
             self._finished_ids.add(attempt.id)
             self.outcomes["client left"] += 1
@@ -423,7 +426,7 @@
     def fault(self, code: int, a: int, b: int) -> None:
         self.record.faults.add(self.now(), code, a, b)
 
-    # The tool.
+    # Messages from and to the tool.
 
     def on_tool_message(self, message: dict[str, Any]) -> None:
         if "gateway" in message:
@@ -486,5 +489,5 @@
 
 
 if __name__ == "__main__":
-    sys.setswitchinterval(0.0005)  # s: drawing in a thread must not hold the loop
+    sys.setswitchinterval(0.0005)  # s: the thread that draws must not block the event loop
     uvloop.run(main())
--- a/cairndale/lab/live/null.py
+++ b/cairndale/lab/live/null.py
@@ -1,5 +1,4 @@
-"""A gateway that decides nothing and answers at once: what the loader's own limit is measured
-against."""
+"""A gateway that answers at once without any decision, to measure the loader's own limit."""
 
 from __future__ import annotations
 
--- a/cairndale/lab/live/ports.py
+++ b/cairndale/lab/live/ports.py
@@ -1,4 +1,4 @@
-"""Listening sockets that can refuse or say nothing."""
+"""Listening sockets that can refuse connections or leave them unanswered."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 
 
 class Port:
-    """A listening socket that can refuse, or say nothing, and keeps its number all the while: a
-    second socket, bound and never listening, holds it."""
+    """A listening socket that can refuse connections or leave them unanswered.
+
+    It keeps its port number: a second socket, bound but never listening, reserves it."""
 
     def __init__(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
         self._protocol_factory, self._loop = protocol_factory, asyncio.get_running_loop()
@@ -32,7 +33,8 @@
         return sock
 
     def open(self) -> None:
-        """Accepts. What came in while it was silent is reset, as by a machine that is back."""
+        """Accepts connections. Those that arrived while it did not answer are reset, as by a
+        machine that has restarted."""
         if self._backlog_fillers:
             self.refuse()
         if self._sock is None:
@@ -41,7 +43,7 @@
             self._loop.add_reader(self._sock.fileno(), self._accept)
 
     def refuse(self) -> None:
-        """Nobody listens; connections in the queue are reset."""
+        """Stops listening; connections in the backlog are reset."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
@@ -51,7 +53,7 @@
         self._backlog_fillers = []
 
     def stop_answering(self) -> None:
-        """New connections never come up: the queue is full, and nobody takes from it."""
+        """Leaves new connections unanswered: the backlog is full, and none is accepted."""
         if self._sock is None or self._backlog_fillers:
             return
         self._loop.remove_reader(self._sock.fileno())
@@ -64,7 +66,7 @@
             self._backlog_fillers.append(filler)
 
     def _accept(self) -> None:
-        with contextlib.suppress(OSError):  # no more, or it went away again
+        with contextlib.suppress(OSError):  # no connection is left, or it was closed again
             for _ in range(64):
                 if self._sock is None:
                     return
--- a/cairndale/lab/live/standins.py
+++ b/cairndale/lab/live/standins.py
@@ -1,8 +1,8 @@
-"""Stand-ins over real sockets: profile servers, the counter, discovery's agents. One process hosts
-them all.
+"""Stand-ins over real sockets: profile servers, the counter and discovery's agents, all in one
+process.
 
-They speak as PROTOCOL has it and decide by the world that virtual time has; what they see is
-recorded."""
+They follow PROTOCOL, take their decisions from the models that the simulation uses, and record what
+they observe."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 from cairndale.lab.world.network import Network
 from cairndale.lab.world.server import Job, Server, Verdict
 
-HEARTBEAT_INTERVAL_S = 2.0  # s between empty lines of a watch (PROTOCOL)
-MAX_COUNTER_CONNECTIONS = 32  # connections of one gateway to the counter (PROTOCOL)
-MAX_HEAD_BYTES = 16 << 10  # bytes of a head, of a line to the counter
+HEARTBEAT_INTERVAL_S = 2.0  # between empty lines of a watch (PROTOCOL)
+MAX_COUNTER_CONNECTIONS = 32  # of one gateway to the counter (PROTOCOL)
+MAX_HEAD_BYTES = 16 << 10  # of a request head, or of a line to the counter
 CODES = {"up": rec.UP, "draining": rec.DRAINING, "removed": rec.REMOVED}
 COUNTER_OUTCOMES = list(Said)
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection to a profile server: a request at a time."""
+    """One connection to a profile server, with one request at a time."""
 
     transport: asyncio.Transport
 
@@ -66,9 +66,9 @@
         self.free_at = now + int(
             2 * world.one_way_delay(self) * max(0.5, kind.handshake_rtts - 0.5)
         )
-        self._rest()
+        self._start_idle_timer()
 
-    def _rest(self) -> None:
+    def _start_idle_timer(self) -> None:
         if self._idle:
             self._idle.cancel()
         self._idle = self.world.loop.call_later(self.world.idle_s, self._close_if_idle)
@@ -120,7 +120,7 @@
         world.loop.call_later(delay / 1e6, self._begin, job)
 
     def _begin(self, job: Job) -> None:
-        """The request's last byte is at the server, the handshake is over."""
+        """The server has received the whole request, and the handshake is complete."""
         world, now = self.world, self.world.now()
         if self.closed or world.is_partitioned(self):
             return
@@ -159,8 +159,8 @@
         if self.closed or self.world.is_partitioned(self):
             return
         if verdict is Verdict.OK:
-            message = b"%b:%d;" % (number, self.server)
-            self._write(200, b"", message + b"x" * max(0, size - len(message)))
+            prefix = b"%b:%d;" % (number, self.server)
+            self._write(200, b"", prefix + b"x" * max(0, size - len(prefix)))
         elif verdict is Verdict.FULL:
             self._write(503, b"Not-Started: 1\r\n", b"")
         else:
@@ -170,7 +170,7 @@
         self.transport.write(
             b"HTTP/1.1 %d x\r\n%bContent-Length: %d\r\n\r\n%b" % (status, headers, len(body), body)
         )
-        self._rest()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
@@ -190,11 +190,13 @@
 
 
 class CounterConnection(asyncio.Protocol):
+    """One connection of a gateway to the counter."""
+
     transport: asyncio.Transport
 
     def __init__(self, world: World, gateway: int) -> None:
         self.world, self.gateway = world, gateway
-        self._rest, self._last = b"", 0
+        self._partial_line, self._last = b"", 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -211,8 +213,8 @@
         world = self.world
         if not world.network.linked(world.day.gateway_zones[self.gateway], 0):
             return
-        *lines, self._rest = (self._rest + data).split(b"\r\n")
-        if len(self._rest) > MAX_HEAD_BYTES:
+        *lines, self._partial_line = (self._partial_line + data).split(b"\r\n")
+        if len(self._partial_line) > MAX_HEAD_BYTES:
             self.transport.abort()
         for line in lines:
             self._call(line)
@@ -241,22 +243,22 @@
         elif answer.said is Said.SPOILT:
             self._send_in_order(b"ok ?", answer.at + way)
 
-    def _send_in_order(self, what: bytes, at: int) -> None:
-        """Answers keep the calls' order, whichever part was sooner."""
+    def _send_in_order(self, answer: bytes, at: int) -> None:
+        """Sends the answer at `at` or later, so that answers keep the order of the calls."""
         self._last = max(self._last, at)
         delay = max(0, self._last - self.world.now()) / 1e6
         if delay < 0.0005:
-            self._write(what)
+            self._write(answer)
         else:
-            self.world.loop.call_later(delay, self._write, what)
+            self.world.loop.call_later(delay, self._write, answer)
 
-    def _write(self, what: bytes) -> None:
+    def _write(self, answer: bytes) -> None:
         if not self.transport.is_closing():
-            self.transport.write(what + b"\r\n")
+            self.transport.write(answer + b"\r\n")
 
 
 class AgentConnection(asyncio.Protocol):
-    """Discovery's agent on a gateway's own machine: lists and watches."""
+    """A connection to discovery's agent on the machine of a gateway: lists and watches."""
 
     transport: asyncio.Transport
 
@@ -337,7 +339,7 @@
 
 
 class Agent:
-    """What one gateway's agent has been sent."""
+    """The entries that the agent of one gateway has received."""
 
     def __init__(self, entries: list[Entry], version: int) -> None:
         self.version = version
@@ -357,6 +359,8 @@
 
 
 class World:
+    """The modelled servers, counter, discovery and network, with the connections to them."""
+
     def __init__(self, spec: Spec, drawn: Day) -> None:
         self.spec, self.day, self.record = spec, drawn, Record()
         self.loop, self.rng = asyncio.get_running_loop(), random.Random(drawn.seed)
@@ -369,8 +373,8 @@
         for server in self.servers:
             server.fall_multiple, server.fall_us = rules.fall_multiple, int(rules.fall_ms * 1000)
         self.discovery.begin(dict.fromkeys(range(len(self.servers)), -1))
-        full = self.discovery.whole()
-        self.agents = [Agent(full, self.discovery.version) for _ in range(count)]
+        entries = self.discovery.whole()
+        self.agents = [Agent(entries, self.discovery.version) for _ in range(count)]
         self.connections: list[set[ServerConnection]] = [set() for _ in self.servers]
         self.watches: list[set[AgentConnection]] = [set() for _ in range(count)]
         self.counter_connections: list[set[CounterConnection]] = [set() for _ in range(count)]
@@ -386,7 +390,7 @@
         self.counter_ports = [Port(partial(CounterConnection, self, g)) for g in range(count)]
         self.agent_ports = [Port(partial(AgentConnection, self, g)) for g in range(count)]
 
-    # What the others ask.
+    # Queries of the connections.
 
     def one_way_delay(self, connection: ServerConnection) -> int:
         zone = self.day.servers[connection.server].zone
@@ -394,7 +398,7 @@
         return self.network.way(gateway, zone, self.rng.random())
 
     def is_partitioned(self, connection: ServerConnection) -> bool:
-        """Nothing passes between this server and that gateway."""
+        """Whether the server is unreachable, or the link between it and the gateway is cut."""
         if connection.server in self.vanished:
             return True
         zones = self.day.gateway_zones
@@ -436,12 +440,11 @@
         self._wake_timers.pop(number, None)
         self.finish_jobs(number, self.servers[number].advance(self.now()))
 
-    # The list.
+    # The endpoint list.
 
     def list_change(self, server: int, status: str, started: int) -> None:
-        send_to_tool(
-            list=server, status=status, started=started
-        )  # for the list service, where one is used
+        # the tool forwards the change to the list service, if one is used
+        send_to_tool(list=server, status=status, started=started)
         for gateway, when in self.discovery.change(self.now(), server, status, started).items():
             self.loop.call_later(max(0, when - self.now()) / 1e6, self._notify_watches, gateway)
 
@@ -453,7 +456,7 @@
         for watch in list(self.watches[gateway]):
             watch.send_entries(version, False, entries)
 
-    # Servers begin and end.
+    # Starts and ends of servers.
 
     def _close_server(self, number: int) -> None:
         for port in self.ports[number]:
@@ -560,13 +563,13 @@
                 pass
 
     def _apply_to_zone_ports(self, zone: int, act: Callable[[Port], None]) -> None:
-        """Ports between that zone and the others; the connections there are read as `cut` says."""
+        """Calls `act` for each port between the zone and the others."""
         for server, ports in enumerate(self.ports):
             for gateway, port in enumerate(ports):
                 here, there = self.day.servers[server].zone, self.day.gateway_zones[gateway]
                 if here != there and zone in (here, there) and server not in self.vanished:
                     act(port)
-        # what stood through the cut is reset once the machine is back (PROTOCOL)
+        # connections that lasted through the cut are reset once it is over (PROTOCOL)
         if act is Port.open:
             for connections in self.connections:
                 for connection in list(connections):
--- a/cairndale/lab/live/worker.py
+++ b/cairndale/lab/live/worker.py
@@ -1,5 +1,5 @@
-"""Processes of a live run: started so that none outlives the tool, told and heard by lines of
-JSON."""
+"""Worker processes of a live run: they do not outlive the tool, and exchange lines of JSON with
+it."""
 
 from __future__ import annotations
 
@@ -20,54 +20,59 @@
 import msgspec
 
 PR_SET_PDEATHSIG = 1  # <sys/prctl.h>
-MAX_LINE_BYTES = 1 << 20  # bytes of a line from a worker
-END_TIMEOUT = 10.0  # s for a worker to write its record
+MAX_LINE_BYTES = 1 << 20  # of a line from a worker
+END_TIMEOUT = 10.0  # for a worker to write its record
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
 
 def die_with_parent(parent: int) -> Callable[[], None]:
-    """Run in a child before exec: the kernel kills it once `parent` ends, however that ends."""
+    """Returns a function to run in a child before exec, so that the kernel kills the child once
+    `parent` ends for any reason."""
 
     def prepare() -> None:
-        os.setpgid(0, 0)  # the terminal's Ctrl-C is the tool's, which ends what it started in order
+        os.setpgid(0, 0)  # Ctrl-C reaches only the tool, which ends its children in order
         _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
-        if os.getppid() != parent:  # it ended before the call took hold
+        if os.getppid() != parent:  # the parent ended before the call took effect
             os._exit(1)
 
     return prepare
 
 
 def spawn(command: list[str], **options: Any) -> subprocess.Popen[bytes]:
-    """From the main thread only: the kernel counts the thread that started a child as its
-    parent."""
+    """Starts a child that dies with this process.
+
+    Call it from the main thread only: for the kernel, the parent is the thread that started the
+    child."""
     return subprocess.Popen(command, preexec_fn=die_with_parent(os.getpid()), **options)
 
 
 class Spec(msgspec.Struct):
-    """What every worker of a run is told."""
+    """The specification that every worker of a run receives."""
 
-    scenario: str  # its text
+    scenario: str  # the text of the scenario
     name: str
     seed: int
-    began_ns: int  # CLOCK_MONOTONIC at the run's 0, alike in every process of the machine
+    began_ns: (
+        int  # CLOCK_MONOTONIC at the start of the run; the same for all processes of the machine
+    )
     unix_us: int  # the wall clock at that moment
     folder: str
     gateways: int
-    number: int = 0  # of this worker among those of its kind
+    number: int = 0  # index of this worker among those of its kind
     workers: int = 1
-    per_gateway: bool = True  # servers listen at an address of its own for each gateway
-    # a loader that knows no members: requests a second in all, for measuring limits
+    per_gateway: bool = True  # servers listen at a separate address for each gateway
+    # requests a second in total, for measuring limits: the loader then simulates no members
     rate: float = 0.0
     length_s: float = 0.0
 
     def now(self) -> int:
-        """us since the run's 0."""
+        """us since the start of the run."""
         return (time.monotonic_ns() - self.began_ns) // 1000
 
 
 class PipedProcess:
-    """The tool's end of a process that is told and heard by lines."""
+    """The tool's end of a worker process, which exchanges lines of JSON with the tool."""
 
     def __init__(
         self,
@@ -88,7 +93,7 @@
         self._reader = asyncio.get_running_loop().create_task(self._read())
 
     def send(self, **fields: Any) -> None:
-        """Nothing is said to one that has ended; `ended` or `ready` tell of that."""
+        """Sends a message; does nothing if the process has ended."""
         if self.process.stdin and self.process.poll() is None:
             with contextlib.suppress(OSError):
                 self.process.stdin.write(json.dumps(fields).encode() + b"\n")
@@ -110,7 +115,7 @@
             )
 
     async def end(self) -> None:
-        """Asked to write its record, then ended; killed if it does not."""
+        """Asks the process to write its record and end; kills it after END_TIMEOUT."""
         self.send(end=True)
         try:
             async with asyncio.timeout(END_TIMEOUT):
@@ -130,7 +135,7 @@
             self.ready.exception()
         for pipe in (self.process.stdin, self._log):
             if pipe:
-                # what was still to be said to one that has ended
+                # flushing may fail if the process has ended
                 with contextlib.suppress(OSError):
                     pipe.close()
 
@@ -148,13 +153,13 @@
 
 
 def send_to_tool(**fields: Any) -> None:
-    """To the tool."""
+    """Sends a message to the tool."""
     sys.stdout.write(json.dumps(fields) + "\n")
     sys.stdout.flush()
 
 
 async def listen_to_tool(on_message: Callable[[dict[str, Any]], Awaitable[bool] | bool]) -> None:
-    """Calls `heard` for each line until it returns True, or the tool has closed its end."""
+    """Calls `on_message` for each line until it returns True, or the tool has closed its end."""
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -169,7 +174,7 @@
 
 
 def spec_from_argv() -> Spec:
-    """What this worker is told; all the descriptors that are allowed are its own from here on."""
+    """Reads the specification of this worker, and raises its limit of open files to the maximum."""
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
     return msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Spec)
