--- a/tests/lab/faults/test_faults.py
+++ b/tests/lab/faults/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault lab: the judge against written histories, relays against real sockets, schedules, and
+"""The fault laboratory: the checker on given histories, relays with real sockets, schedules and
 runs."""
 
 from __future__ import annotations
@@ -44,11 +44,12 @@
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 
 
-# The judge.
+# The checker.
 
 
 def operations(*rows: tuple[Any, ...]) -> list[Operation]:
-    """(kind, begin, end, outcome, value, ...), all on one register by one caller each."""
+    """Operations from rows (kind, begin, end, outcome, value, ...), all on one register, each by a
+    caller of its own."""
     return [
         Operation(f"w{n}", "l0", kind, "s0", begin, end, outcome, *more)
         for n, (kind, begin, end, outcome, *more) in enumerate(rows)
@@ -73,29 +74,37 @@
     ("more", "final", "broken"),
     [
         ((), 4, []),
-        ([("read", 82, 83, OK, 2)], 4, ["linearizable"]),  # it had been seen to be over
-        ([("read", 100, 101, OK, 5)], 4, ["linearizable"]),  # refused
-        ([("read", 100, 101, OK, 77)], 4, ["linearizable"]),  # nobody's
-        ([("cas", 100, 101, CONFLICT, 6, 4)], 4, ["linearizable"]),  # it was 4 all the while
-        ([("write", 100, 110, OK, 6)], 4, []),  # 4 may have come after all: its outcome is unknown
+        ([("read", 82, 83, OK, 2)], 4, ["linearizable"]),  # 4 had been read before
+        ([("read", 100, 101, OK, 5)], 4, ["linearizable"]),  # the value of a refused write
+        ([("read", 100, 101, OK, 77)], 4, ["linearizable"]),  # a value that nobody wrote
+        ([("cas", 100, 101, CONFLICT, 6, 4)], 4, ["linearizable"]),  # it was 4 throughout
+        (
+            [("write", 100, 110, OK, 6)],
+            4,
+            [],
+        ),  # the write of 4 has an unknown outcome: it may still take effect
         ([("write", 100, 110, OK, 6)], 2, ["kept"]),
         ([("write", 100, 110, OK, 6)], 5, ["kept"]),
         ([("write", 100, 110, OK, 6)], 6, []),
-        ([("aged", 41, 42, OK, 1, 0, 10)], 4, ["fresh"]),  # 2 was over at 30, and 31 is vouched for
+        (
+            [("aged", 41, 42, OK, 1, 0, 10)],
+            4,
+            ["fresh"],
+        ),  # 2 was written by 30; the read vouches for 31
         ([("aged", 41, 42, OK, 1, 0, 12)], 4, []),
         ([("aged", 20, 21, OK, 9)], 4, ["fresh"]),
     ],
 )
-def test_a_history_breaks_the_property_that_it_breaks_and_no_other(
+def test_a_history_breaks_exactly_the_expected_property(
     more: Any, final: int, broken: list[str]
 ) -> None:
     found = check_operations([*SOUND, *operations(*more)], {"s0": final})
     assert found.broken == broken, found.findings
     for finding in found.findings:
-        assert 1 <= len(finding.events) <= 5, finding  # few enough to be read
+        assert 1 <= len(finding.events) <= 5, finding  # few enough for a reader
 
 
-def test_effects_happen_once_at_most_once_or_not_by_the_outcome_that_was_told() -> None:
+def test_the_outcome_of_a_request_determines_how_often_its_effect_may_happen() -> None:
     def one(outcome: str, effects: int) -> bool:
         operation = Operation("q0", "i0", "request", "q0-1", 0, 9, outcome)
         return "once" in check_operations([operation], {}, {"q0-1": ["effect"] * effects}).broken
@@ -110,7 +119,7 @@
     )
 
 
-def test_an_owner_that_acts_after_a_later_term_has_begun_to_act_is_named() -> None:
+def test_acting_in_an_older_term_after_a_later_one_is_a_violation() -> None:
     def acts(*rows: tuple[str, int, int, int]) -> list[str]:
         made = [
             Operation("w", at, "act", "n", begin, end, OK, term=term)
@@ -119,16 +128,18 @@
         return check_operations(made, {}).broken
 
     assert acts(("l0", 1, 0, 10), ("l1", 2, 12, 20), ("l0", 3, 25, 30)) == []
-    assert acts(("l1", 2, 5, 20), ("l0", 1, 10, 30)) == []  # it may have acted before: they overlap
+    assert acts(("l1", 2, 5, 20), ("l0", 1, 10, 30)) == []  # they overlap: it may have acted before
     assert acts(("l1", 2, 5, 20), ("l0", 1, 21, 30)) == ["one-owner"]
     assert acts(("l0", 1, 0, 1), ("l1", 1, 5, 6)) == ["one-owner"]
 
 
 def simulate_register(seed: int, callers: int, count: int, unknown: float) -> list[Operation]:
-    """What callers see of a correct register under random interleaving."""
+    """The history that callers record of a correct register under random interleaving."""
     rng, state, now = random.Random(seed), 0, 0
     done: list[Operation] = []
-    open_: dict[int, tuple[Operation, int]] = {}  # a caller's call, and when it takes effect
+    open_: dict[
+        int, tuple[Operation, int]
+    ] = {}  # a caller's operation, and the time at which it takes effect
     value = 0
     while len(done) < count:
         now += 1
@@ -164,7 +175,7 @@
 
 @FIXED
 @given(st.integers(0, 1 << 30), st.integers(1, 6), st.sampled_from([0.0, 0.1, 0.4]))
-def test_what_a_correct_register_shows_passes_and_a_stale_read_planted_in_it_fails(
+def test_the_history_of_a_correct_register_passes_and_a_stale_read_added_to_it_fails(
     seed: int, callers: int, unknown: float
 ) -> None:
     found = simulate_register(seed, callers, 60, unknown)
@@ -187,7 +198,7 @@
             )
 
 
-def test_too_many_orders_are_not_decided_and_that_is_no_pass() -> None:
+def test_too_many_orders_are_undecided_which_is_not_a_pass() -> None:
     many_ = [Operation(f"w{n}", "l0", "write", "s0", 0, 100, OK, n + 1) for n in range(12)]
     many_ += [Operation("r", "l0", "read", "s0", 101 + n, 102 + n, OK, 50) for n in range(2)]
     with pytest.raises(linear.Undecided):
@@ -196,7 +207,7 @@
     assert found.properties["linearizable"] == UNDECIDED and not found.passed
 
 
-def test_a_long_history_is_judged_in_parts_that_each_hold_all_of_a_key(tmp_path: Path) -> None:
+def test_a_long_history_is_checked_in_parts_that_keep_each_key_together(tmp_path: Path) -> None:
     with HistoryWriter(tmp_path) as writer:
         for n in range(4000):
             writer.add(Operation("w", "l0", "write", f"s{n % 40}", 10 * n, 10 * n + 5, OK, n + 1))
@@ -227,7 +238,7 @@
     assert due == sorted(due) and due[-1] >= 50 * 0.1 + 0.1
 
 
-def test_datagrams_are_lost_doubled_cut_and_flipped_as_often_as_stated() -> None:
+def test_datagrams_are_lost_duplicated_truncated_and_flipped_at_the_stated_rates() -> None:
     rng, data = random.Random(3), bytes(100)
     got = [impair(data, Conditions(loss=0.2, duplicate=0.3), rng) for _ in range(4000)]
     assert 0.17 < sum(not g for g in got) / 4000 < 0.23
@@ -236,33 +247,33 @@
     assert sum(b.bit_count() for b in flipped) == 1 and len(flipped) == 100
     assert len(impair(data, Conditions(truncate=1.0), rng)[0][1]) < 100
     assert impair(data, Conditions(cut=True), rng) == []
-    assert any(held for held, _ in impair(data, Conditions(reorder=1.0), rng))
+    assert any(delay_s for delay_s, _ in impair(data, Conditions(reorder=1.0), rng))
 
 
 class RelayedPair:
-    """A dialling end `a`, a listening end `b`, and the relay between them."""
+    """A connecting end `a`, a listening end `b`, and the relay between them."""
 
     def __init__(self) -> None:
         self.relays = Relays(1)
-        self.taken: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = (
+        self.accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = (
             asyncio.Queue()
         )
 
     async def open(self) -> RelayedPair:
         self.server = await asyncio.start_server(
-            lambda r, w: self.taken.put_nowait((r, w)), HOST, 0
+            lambda r, w: self.accepted.put_nowait((r, w)), HOST, 0
         )
         self.proxy = Proxy(self.relays, "a>b#x", self.server.sockets[0].getsockname())
         self.relays.tcp["a>b#x"] = self.proxy
         return self
 
-    async def send(self, **what: Any) -> None:
-        await self.relays.handle_message(what)
+    async def send(self, **message: Any) -> None:
+        await self.relays.handle_message(message)
 
     async def open_connection(self) -> tuple[Any, Any, Any, Any]:
         reader, writer = await asyncio.open_connection(HOST, self.proxy.port.number)
-        there = await asyncio.wait_for(self.taken.get(), 10)
-        return reader, writer, *there
+        accepted = await asyncio.wait_for(self.accepted.get(), 10)
+        return reader, writer, *accepted
 
     def close(self) -> None:
         for connection in list(self.relays.connections):
@@ -274,15 +285,15 @@
 
 @asynccontextmanager
 async def relayed_pair() -> AsyncIterator[RelayedPair]:
-    made = await RelayedPair().open()
+    pair = await RelayedPair().open()
     try:
-        yield made
+        yield pair
     finally:
-        made.close()
+        pair.close()
 
 
-async def quiet(reader: asyncio.StreamReader) -> bool:
-    """Nothing comes while other things of this loop do."""
+async def receives_nothing(reader: asyncio.StreamReader) -> bool:
+    """Whether no data arrives for a while, in which the event loop runs."""
     waiting = asyncio.ensure_future(reader.read(1))
     for _ in range(30):
         await asyncio.sleep(0.002)
@@ -292,37 +303,35 @@
     return silent
 
 
-async def test_a_cut_of_one_direction_holds_that_one_and_what_was_under_way_comes_after_it() -> (
-    None
-):
+async def test_a_cut_delays_data_of_its_direction_only_until_the_cut_is_over() -> None:
     async with relayed_pair() as pair:
         a_reads, a_writes, b_reads, b_writes = await pair.open_connection()
         await pair.send(set={"a>b": {"cut": True}})
         a_writes.write(b"held")
         b_writes.write(b"free")
         assert await asyncio.wait_for(a_reads.readexactly(4), 10) == b"free"
-        assert await quiet(b_reads)
-        a_writes.close()  # the other end learns of it only afterwards
-        assert await quiet(b_reads)
+        assert await receives_nothing(b_reads)
+        a_writes.close()  # the other end is notified only after the cut
+        assert await receives_nothing(b_reads)
         await pair.send(set={"a>b": {}})
         assert await asyncio.wait_for(b_reads.readexactly(4), 10) == b"held"
         assert await asyncio.wait_for(b_reads.read(), 10) == b""
 
 
-async def test_what_a_slow_link_still_holds_goes_at_once_when_it_is_slow_no_longer() -> None:
+async def test_data_buffered_by_a_slow_link_is_forwarded_at_once_when_the_fault_ends() -> None:
     async with relayed_pair() as pair:
         _, a_writes, b_reads, _ = await pair.open_connection()
         await pair.send(set={"a>b": {"rate": 10}})  # all of it would take 1,000 s
         for n in range(100):
             a_writes.write(b"%099d" % n)
             await asyncio.sleep(0)
-        assert await quiet(b_reads)
+        assert await receives_nothing(b_reads)
         await pair.send(set={"a>b": {}})
         got = await asyncio.wait_for(b_reads.readexactly(9900), 10)
         assert got == b"".join(b"%099d" % n for n in range(100))
 
 
-async def test_a_half_closed_connection_goes_on_the_other_way_and_ends_with_both() -> None:
+async def test_a_half_closed_connection_stays_open_in_the_other_direction() -> None:
     async with relayed_pair() as pair:
         a_reads, a_writes, b_reads, b_writes = await pair.open_connection()
         a_writes.write_eof()
@@ -334,7 +343,7 @@
             await asyncio.sleep(0.001)
 
 
-async def test_a_reset_cuts_a_message_short_at_both_ends() -> None:
+async def test_a_reset_truncates_a_message_and_reaches_both_ends() -> None:
     async with relayed_pair() as pair:
         a_reads, a_writes, b_reads, _ = await pair.open_connection()
         await pair.send(set={"a>b": {"delay_ms": 60_000}})
@@ -357,7 +366,7 @@
             await asyncio.wait_for(a_reads.read(1), 10)
 
 
-async def test_connects_are_refused_or_never_answered_and_come_back_at_the_same_port() -> None:
+async def test_connections_are_refused_or_unanswered_and_then_accepted_at_the_same_port() -> None:
     async with relayed_pair() as pair:
         port = pair.proxy.port.number
         await pair.send(connect={"a>b": "refuse"})
@@ -373,19 +382,19 @@
         assert await asyncio.wait_for(reader.readexactly(1), 10) == b"x"
 
 
-async def test_what_a_relay_holds_is_bounded_and_the_sender_feels_it() -> None:
+async def test_the_buffer_of_a_relay_is_bounded_and_the_sender_gets_backpressure() -> None:
     async with relayed_pair() as pair:
         _, a_writes, b_reads, _ = await pair.open_connection()
         await pair.send(set={"a>b": {"cut": True}})
         a_writes.transport.set_write_buffer_limits(0)
         sent = 16 << 20
         a_writes.write(bytes(sent))
-        held = 0
+        buffered = 0
         for _ in range(100):
             await asyncio.sleep(0.002)
-            held = max(
+            buffered = max(
                 [
-                    held,
+                    buffered,
                     *(
                         direction._buffered_bytes
                         for connection in pair.relays.connections
@@ -393,7 +402,7 @@
                     ),
                 ]
             )
-        assert held <= 2 * MAX_BUFFERED_BYTES and a_writes.transport.get_write_buffer_size() > 0
+        assert buffered <= 2 * MAX_BUFFERED_BYTES and a_writes.transport.get_write_buffer_size() > 0
         await pair.send(set={"a>b": {}})
         assert len(await asyncio.wait_for(b_reads.readexactly(sent), 60)) == sent
 
@@ -406,7 +415,9 @@
         self.got.append((data, addr))
 
 
-async def test_datagrams_go_both_ways_through_fronts_that_lead_back(capsys: Any) -> None:
+async def test_datagrams_go_both_ways_and_come_from_the_proxy_of_the_reverse_direction(
+    capsys: Any,
+) -> None:
     relays, loop = Relays(1), asyncio.get_running_loop()
     a, b = Datagrams(), Datagrams()
     (transport_a, _), (transport_b, _) = [
@@ -424,7 +435,7 @@
     transport_a.sendto(b"hello", (HOST, opened["a>b"]))
     while not b.got:
         await asyncio.sleep(0.001)
-    assert b.got[0] == (b"hello", (HOST, opened["b>a"]))  # as whom `b` knows `a`
+    assert b.got[0] == (b"hello", (HOST, opened["b>a"]))  # the address at which `b` reaches `a`
     await relays.handle_message({"set": {"a>b": {"cut": True}}})
     transport_a.sendto(b"lost", (HOST, opened["a>b"]))
     transport_b.sendto(b"back", (HOST, opened["b>a"]))
@@ -439,7 +450,7 @@
 # Wrapped programs.
 
 
-def test_a_loss_of_power_leaves_of_each_file_what_was_synced(tmp_path: Path) -> None:
+def test_a_loss_of_power_truncates_each_file_to_its_synced_size(tmp_path: Path) -> None:
     folder, synced = tmp_path / "data", tmp_path / "synced"
     folder.mkdir()
     (folder / "log").write_bytes(b"0123456789")
@@ -449,7 +460,9 @@
     assert (folder / "log").read_bytes() == b"012345" and (folder / "new").read_bytes() == b""
 
 
-def test_a_clock_that_runs_fast_or_jumps_never_goes_back_where_it_must_not(tmp_path: Path) -> None:
+def test_the_monotonic_clock_never_goes_back_when_the_rate_changes_or_the_wall_clock_jumps(
+    tmp_path: Path,
+) -> None:
     control = Control(tmp_path / "control", create=True)
     assert (tmp_path / "control").stat().st_size == CONTROL.size
     clocks, seen = Clocks(control), list[int]()
@@ -464,7 +477,7 @@
 # Schedules.
 
 
-def test_every_error_of_a_schedule_is_said_at_once_and_nothing_is_started(tmp_path: Path) -> None:
+def test_all_errors_of_a_schedule_are_reported_and_nothing_is_started(tmp_path: Path) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text(
         'name = "bad"\nlength_s = 5\nplant = "nothing"\n[fleet]\nlists = 2\nlist = 3\n'
@@ -510,7 +523,7 @@
         schedule.load("partition-halfs")
 
 
-def test_shipped_schedules_are_sound_and_the_same_seed_draws_the_same_one() -> None:
+def test_shipped_schedules_are_valid_and_a_seed_always_generates_the_same_one() -> None:
     names = (
         "partition-halves partition-bridge ring one-way minority-leader flapping-link slow-link "
     )
@@ -525,7 +538,7 @@
     for seed in range(300):
         made = schedule.draw_schedule(seed, 1.5)
         assert schedule.to_toml(made) == schedule.to_toml(schedule.load("random:1.5", seed))
-        # sound, and as a file the same
+        # valid, and unchanged by writing and parsing it
         assert schedule.parse(schedule.to_toml(made), "drawn") == made
         kinds |= {f.kind for f in made.fault}
     assert kinds >= set(schedule.DRAWN_KINDS)
@@ -533,7 +546,7 @@
     assert counts[0] * 1.5 < counts[1] and counts[1] * 3 < counts[2]
 
 
-def test_smaller_schedules_are_smaller_and_sound_or_left_out() -> None:
+def test_smaller_schedules_are_smaller_and_valid_or_skipped() -> None:
     made = schedule.draw_schedule(11, 3)
     found = list(many.smaller_schedules(made))
     assert any(len(s.fault) <= len(made.fault) // 2 + 1 for s in found)
@@ -545,7 +558,7 @@
             assert schedule.parse(schedule.to_toml(one), "smaller") == one
 
 
-def test_links_know_which_directions_a_fault_lies_on() -> None:
+def test_a_link_fault_affects_the_directions_between_its_ends() -> None:
     made = schedule.Schedule("x")
     cut = schedule.Fault("cut", 1, from_=["l0"], to=["lists", "i0"])
     assert made.directions(cut) == [("l0", "l1"), ("l0", "i0"), ("l1", "l0"), ("i0", "l0")]
@@ -554,8 +567,9 @@
     assert links.CLEAR.passes_through
 
 
-async def test_a_members_port_is_one_that_no_socket_is_given_by_the_system(tmp_path: Path) -> None:
-    """A relay's UDP socket had the number of a member that was not started yet."""
+async def test_a_members_port_is_below_the_ephemeral_ports_and_reserved(tmp_path: Path) -> None:
+    """Otherwise the system may assign the port of a member that is not started yet to the UDP
+    socket of a relay."""
     five = schedule.parse('name = "five"\nlength_s = 5\n[fleet]\nmembers = 5\n', "five")
     processes = Processes(five, 1, tmp_path)
     lowest = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
@@ -565,7 +579,7 @@
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as member:
             member.bind((HOST, number))
         with socket.socket() as other, pytest.raises(OSError):
-            other.bind((HOST, number))  # held for this run
+            other.bind((HOST, number))  # reserved for this run
     for reservation in processes.reservations:
         reservation.close()
 
@@ -617,7 +631,7 @@
 """
 
 
-def test_a_run_with_a_kill_a_cut_and_a_stop_holds_and_is_drawn(tmp_path: Path) -> None:
+def test_a_run_with_a_kill_a_cut_and_a_stop_passes_and_its_chart_is_drawn(tmp_path: Path) -> None:
     result = run(tmp_path, SMALL + POWER, status=0)
     assert set(result["properties"].values()) == {HOLDS}
     assert (
@@ -653,54 +667,61 @@
     assert result_of(out).verdict.passed and not (out / "l0").exists()
 
 
-def lab_that_waits_for_its_writer() -> None:
-    """The lab's command line, with `l0` killed only once a write to each of the registers was
-    answered, and held as not yet back until one of them was read that nobody has written since:
-    however slow it all is."""
-    written: set[str] = set()  # before `l0` was back
-    anew: set[str] = set()  # since
-    ready, looked, back = asyncio.Event(), asyncio.Event(), asyncio.Event()
-    end, on_process, is_back = CallerContext.end, FaultRun._run_process_fault, FaultRun._restart
+def run_lab_synchronized_with_its_writer() -> None:
+    """Runs the lab's command line, and makes two of its steps independent of the machine's speed.
+
+    `l0` is killed only after a write to each register was acknowledged. Its restart counts as
+    complete only after a register was read that was not written since."""
+    written: set[str] = set()  # before `l0` was restarted
+    rewritten: set[str] = set()  # since then
+    all_written, stale_read, restarted = asyncio.Event(), asyncio.Event(), asyncio.Event()
+    end, run_process_fault, restart = (
+        CallerContext.end,
+        FaultRun._run_process_fault,
+        FaultRun._restart,
+    )
 
     def end_and_record(self: CallerContext, number: int, outcome: str) -> None:
         operation = self.in_flight[number]
         end(self, number, outcome)
-        if operation.kind in ("write", "cas") and outcome in (OK, UNKNOWN) and back.is_set():
-            anew.add(operation.key)
+        if operation.kind in ("write", "cas") and outcome in (OK, UNKNOWN) and restarted.is_set():
+            rewritten.add(operation.key)
         elif operation.kind in ("write", "cas") and outcome == OK:
             written.add(operation.key)
             if written == set(self.registers):
-                ready.set()
-        elif operation.kind == "read" and back.is_set() and operation.key not in anew:
-            looked.set()
+                all_written.set()
+        elif operation.kind == "read" and restarted.is_set() and operation.key not in rewritten:
+            stale_read.set()
 
-    async def waits(
+    async def kill_after_writes(
         self: FaultRun, number: int, fault: schedule.Fault, process: Process, until: float
     ) -> None:
         if fault.power:
-            await ready.wait()
-        await on_process(self, number, fault, process, until)
+            await all_written.wait()
+        await run_process_fault(self, number, fault, process, until)
 
-    async def comes_back(self: FaultRun, process: Process) -> None:
-        await is_back(self, process)
-        back.set()
-        await looked.wait()  # the load goes on until all faults are over, or 30 s longer
+    async def restart_until_read(self: FaultRun, process: Process) -> None:
+        await restart(self, process)
+        restarted.set()
+        await stale_read.wait()  # the load continues until all faults are over, or for another 30 s
 
     CallerContext.end, FaultRun._run_process_fault, FaultRun._restart = (  # type: ignore[method-assign]
         end_and_record,
-        waits,
-        comes_back,
+        kill_after_writes,
+        restart_until_read,
     )
     runpy.run_module("cairndale.lab", run_name="__main__", alter_sys=True)
 
 
-def test_a_write_that_is_answered_before_its_sync_is_found_when_the_power_goes(
+def test_a_write_acknowledged_before_its_sync_is_detected_after_a_loss_of_power(
     tmp_path: Path,
 ) -> None:
-    """The one writer there is finds, once the leader is back, all registers as they were at the
-    start: it reads them before anybody can write them anew."""
+    """After the restart of the leader, the only writer finds all registers at their initial values:
+    it reads them before they can be written again."""
     text = SMALL.replace("writers = 2", "writers = 1").replace("servers = 2", "servers = 4")
-    program = "from tests.lab.faults import test_faults as t; t.lab_that_waits_for_its_writer()"
+    program = (
+        "from tests.lab.faults import test_faults as t; t.run_lab_synchronized_with_its_writer()"
+    )
     by = ("-c", program)
     result = run(tmp_path, text + POWER, "--plant", "unsynced-answer", status=1, by=by)
     assert BROKEN in (result["properties"][p] for p in ("linearizable", "kept", "fresh"))
@@ -708,7 +729,7 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
-def test_no_process_outlives_the_tool_however_it_ends(
+def test_no_process_outlives_the_tool_after_sigint_or_sigkill(
     tmp_path: Path, number: signal.Signals
 ) -> None:
     (tmp_path / "small.toml").write_text(SMALL.replace("length_s = 4", "length_s = 50"))
@@ -726,7 +747,7 @@
                 continue
         return [pid for pid in found if pid != tool.pid]
 
-    async def scene() -> None:
+    async def interrupt_and_wait() -> None:
         async with asyncio.timeout(50):
             while len(children()) < 4 or not (tmp_path / "out/i0/config.json").exists():
                 await asyncio.sleep(0.05)
@@ -735,11 +756,11 @@
             while children():
                 await asyncio.sleep(0.05)
 
-    asyncio.run(scene())
+    asyncio.run(interrupt_and_wait())
     assert tool.returncode == (130 if number == signal.SIGINT else -number)
 
 
-async def test_a_call_that_was_not_sent_is_told_from_one_without_an_answer() -> None:
+async def test_a_failed_connection_is_distinguished_from_a_lost_response() -> None:
     server = await asyncio.start_server(lambda r, w: w.close(), HOST, 0)
     port = server.sockets[0].getsockname()[1]
     with pytest.raises(ResponseLost):
