--- a/cairndale/lab/faults/cost.py
+++ b/cairndale/lab/faults/cost.py
@@ -22,6 +22,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
+    """Round-trip times and throughput of one path."""
+
     path: str
     median_us: float  # round trip
     p99_us: float
--- a/cairndale/lab/faults/many.py
+++ b/cairndale/lab/faults/many.py
@@ -233,7 +233,7 @@
     numbers = itertools.count()
     best = Shrunk(result.schedule, 0, 0, 0)
 
-    async def fails(schedules: Sequence[Schedule]) -> list[int]:
+    async def count_failures(schedules: Sequence[Schedule]) -> list[int]:
         """The number of failed runs of each schedule."""
         folder = out / "tries"
         folder.mkdir(parents=True, exist_ok=True)
@@ -254,7 +254,7 @@
                 shutil.rmtree(run.folder, ignore_errors=True)
         return counts
 
-    (best.failed,) = await fails([best.schedule])
+    (best.failed,) = await count_failures([best.schedule])
     best.runs, best.tried = runs_each, 1
     progress(best)
     batch = max(1, jobs // runs_each)
@@ -264,12 +264,10 @@
         candidates = (
             c for c in smaller_schedules(best.schedule) if not list(cross_field_errors(c))
         )
-        while best.tried < bound and (
-            candidates_batch := list(itertools.islice(candidates, batch))
-        ):
-            counts = await fails(candidates_batch)
-            best.tried += len(candidates_batch)
-            failing = [(c, s) for c, s in zip(counts, candidates_batch, strict=True) if c]
+        while best.tried < bound and (candidate_batch := list(itertools.islice(candidates, batch))):
+            counts = await count_failures(candidate_batch)
+            best.tried += len(candidate_batch)
+            failing = [(c, s) for c, s in zip(counts, candidate_batch, strict=True) if c]
             if failing:
                 best.failed, best.schedule = max(failing, key=lambda g: g[0])
                 improved = True
--- a/cairndale/lab/faults/standins.py
+++ b/cairndale/lab/faults/standins.py
@@ -27,6 +27,8 @@
 
 
 class ServerProtocol(HttpConnection):
+    """Serves requests, and records the side effect of each before it answers."""
+
     def __init__(self, effects_fd: int, rng: random.Random) -> None:
         super().__init__(httptools.HttpRequestParser)
         self._effects_fd, self._rng = effects_fd, rng
--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -103,6 +103,8 @@
 
 @dataclass(slots=True)
 class Gateway:
+    """A gateway of the run and its processes."""
+
     index: int
     port: int
     ops: int
@@ -117,6 +119,8 @@
 
 @dataclass(slots=True)
 class Options:
+    """Options of a live run."""
+
     loaders: int = 1
     keep: Path | None = None  # folder to keep the logs in
     checkout: Path | None = None  # another checkout of this project, whose program is run
@@ -151,7 +155,7 @@
     def now(self) -> int:
         return (time.monotonic_ns() - self.began_ns) // 1000
 
-    # The whole run.
+    # The run as a whole.
 
     async def run(self) -> Record:
         """Raises LiveError if a program cannot be started. No process is left in any case."""
@@ -171,7 +175,7 @@
             t.kind == "zone_cut" for t in self.day.scenario.trouble
         ):
             raise LiveError(
-                "with the list service all gateways share addresses: zones cannot be cut off live"
+                "with the list service all gateways share addresses: a live run cannot cut off zones"
             )
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         # Each address needs a reserving and a listening socket, and each server may have one or two
@@ -179,22 +183,23 @@
         needed = 4 * gateways * servers + 200
         if most != resource.RLIM_INFINITY and needed > most:
             raise LiveError(
-                f"{gateways} x {servers} needs some {needed} descriptors live, {most} are allowed"
+                f"{gateways} x {servers} needs about {needed} file descriptors in a live run, "
+                f"{most} are allowed"
             )
 
     async def _start(self) -> None:
         self._check()
         spec = self._spec()
         self.standins = Worker("standins", spec, self._on_standins_message)
-        message = await self._ready(self.standins)
+        ready = await self._ready(self.standins)
         for index in range(len(self.day.gateway_zones)):
             (first, port), (second, ops) = reserve_port(), reserve_port()
             self.reservations += [first, second]
             folder = self.folder / f"g{index}"
             folder.mkdir(parents=True, exist_ok=True)
             self.gateways.append(Gateway(index, port, ops, folder))
-        self.known = message["known"]
-        self.agents, self.counters = message["agents"], message["counters"]
+        self.known = ready["known"]
+        self.agents, self.counters = ready["agents"], ready["counters"]
         if self._uses_list_service():
             await self._start_list_service()
         for gateway in self.gateways:
--- a/cairndale/lab/live/loader.py
+++ b/cairndale/lab/live/loader.py
@@ -105,7 +105,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
-            self.load.broken(self.attempt)
+            self.load.finish_broken(self.attempt)
             self.transport.abort()
             return
         if self._complete:
@@ -156,8 +156,8 @@
             self.attempt = None
             unread = self.used and self._length == 0 and not self._complete
             if unread and self.load.resend_once(attempt):
-                return  # the request crossed the close: the client sends it again once (PROTOCOL)
-            self.load.broken(attempt)
+                return  # the request crossed the close: the client resends it once (PROTOCOL)
+            self.load.finish_broken(attempt)
 
 
 class Load:
@@ -175,7 +175,7 @@
         self.open = self.most_open = self.count = self.crowded = 0
         self.lateness, self.latency = histogram(), histogram()
         self.outcomes: Counter[str] = Counter()
-        self._ahead: deque[Arrival] = deque()
+        self._drawn_arrivals: deque[Arrival] = deque()
         self._all_drawn = False
         self._pending_retries = 0  # retries that wait for their time
         self._connecting: set[asyncio.Task[None]] = set()
@@ -199,16 +199,18 @@
         """Draws arrivals `DRAW_AHEAD_US` ahead, in a thread, so that drawing delays no request."""
         source = self._arrivals()
         while True:
-            while self._ahead and self._ahead[-1].due > self.now() + DRAW_AHEAD_US:
+            while (
+                self._drawn_arrivals and self._drawn_arrivals[-1].due > self.now() + DRAW_AHEAD_US
+            ):
                 await asyncio.sleep(0.05)
             drawn = await asyncio.to_thread(lambda: list(itertools.islice(source, DRAW_BATCH)))
             if not drawn:
                 break
-            self._ahead.extend(drawn)
+            self._drawn_arrivals.extend(drawn)
         self._all_drawn = True
 
     async def _send_due(self) -> None:
-        ahead = self._ahead
+        ahead = self._drawn_arrivals
         while (
             ahead
             or not self._all_drawn
@@ -358,7 +360,7 @@
         self._send(attempt)
         return True
 
-    def broken(self, attempt: Attempt) -> None:
+    def finish_broken(self, attempt: Attempt) -> None:
         self.finish_attempt(attempt, rec.BROKEN)
 
     def finish_attempt(self, attempt: Attempt, kind: int, advice: int = 0) -> None:
@@ -380,15 +382,15 @@
             self._retry(attempt, advice)
 
     def _retry(self, attempt: Attempt, advice: int) -> None:
-        again = (
+        retry_at = (
             0
             if self.rate_only
             else self.clients.again(attempt.arrival, self.now(), attempt.number + 1, advice)
         )
-        if again:
+        if retry_at:
             self._pending_retries += 1
             self.loop.call_later(
-                max(0, again - self.now()) / 1e6, self._start_retry, again, attempt
+                max(0, retry_at - self.now()) / 1e6, self._start_retry, retry_at, attempt
             )
 
     def _start_retry(self, due: int, before: Attempt) -> None:
--- a/cairndale/lab/live/worker.py
+++ b/cairndale/lab/live/worker.py
@@ -21,7 +21,7 @@
 
 PR_SET_PDEATHSIG = 1  # <sys/prctl.h>
 MAX_LINE_BYTES = 1 << 20  # of a line from a worker
-END_TIMEOUT = 10.0  # for a worker to write its record
+END_TIMEOUT_S = 10.0  # for a worker to write its record
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
@@ -115,10 +115,10 @@
             )
 
     async def end(self) -> None:
-        """Asks the process to write its record and end; kills it after END_TIMEOUT."""
+        """Asks the process to write its record and end; kills it after END_TIMEOUT_S."""
         self.send(end=True)
         try:
-            async with asyncio.timeout(END_TIMEOUT):
+            async with asyncio.timeout(END_TIMEOUT_S):
                 await self._reader
                 while self.process.poll() is None:
                     await asyncio.sleep(0.01)
