--- a/cairndale/lab/live/host.py
+++ b/cairndale/lab/live/host.py
@@ -175,7 +175,7 @@
             t.kind == "zone_cut" for t in self.day.scenario.trouble
         ):
             raise LiveError(
-                "with the list service all gateways share addresses: a live run cannot cut off zones"
+                "with the list service all gateways share addresses: zones cannot be cut off live"
             )
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         # Each address needs a reserving and a listening socket, and each server may have one or two
