--- a/cairndale/lab/faults/host.py
+++ b/cairndale/lab/faults/host.py
@@ -276,11 +276,11 @@
 
     async def _back_up_folders(self) -> None:
         """Copies the folders that a fault will restore."""
-        wanted = {
+        names = {
             n for f in self.schedule.fault if f.folder == "old" for n in self.schedule.select(f.on)
         }
-        while wanted:
-            for name in wanted:
+        while names:
+            for name in names:
                 process = self.processes.all[name]
                 if process.up and not process.stopped:
                     await asyncio.to_thread(self.processes.back_up, process, self._now_s())
--- a/cairndale/lab/faults/processes.py
+++ b/cairndale/lab/faults/processes.py
@@ -71,9 +71,8 @@
     "c": ("serve",),
 }
 DATAGRAM_PORTS = {"m": {"m": ("member",)}}
-DIALED_PORTS: dict[
-    str, dict[str, tuple[str, ...]]
-] = {  # by kind of process: the ports that it connects to
+# by kind of process: the kinds and ports that it connects to
+DIALED_PORTS: dict[str, dict[str, tuple[str, ...]]] = {
     "l": {"l": ("reads", "writes")},
     "i": {"l": ("reads",), "s": ("serve",), "c": ("serve",)},
     "m": {"m": ("member",)},
@@ -85,6 +84,8 @@
 
 @dataclass(slots=True)
 class Process:
+    """A process of the run, over its restarts."""
+
     name: str
     folder: Path
     ports: dict[str, int]
--- a/cairndale/lab/faults/relay.py
+++ b/cairndale/lab/faults/relay.py
@@ -342,9 +342,9 @@
         for proxy in self.tcp.values() if modes else ():
             if proxy.name in modes:
                 proxy.set(modes[proxy.name])
-        if wanted := set(message.get("reset", ())):
+        if pairs := set(message.get("reset", ())):
             for connection in list(self.connections):
-                if wanted & {connection.proxy.name, connection.proxy.reverse_name}:
+                if pairs & {connection.proxy.name, connection.proxy.reverse_name}:
                     connection.reset()
         return bool(message.get("end"))
 
--- a/cairndale/lab/faults/schedule.py
+++ b/cairndale/lab/faults/schedule.py
@@ -252,8 +252,8 @@
 def load(name: str, seed: int = 1) -> Schedule:
     """A shipped schedule by name, `random` or `random:INTENSITY` generated from the seed, or a
     file."""
-    kind_name, _, intensity = name.partition(":")
-    if kind_name == "random":
+    prefix, _, intensity = name.partition(":")
+    if prefix == "random":
         try:
             return draw_schedule(seed, float(intensity or 1))
         except ValueError:
@@ -287,13 +287,13 @@
         kind = rng.choice(DRAWN_KINDS)
         fault = Fault(kind, at, duration)
         if kind in LINK_FAULTS:
-            names_in_order = schedule.processes()
+            process_names = schedule.processes()
             fault.from_ = sorted(
-                rng.sample(names_in_order, rng.randint(1, max(1, len(names_in_order) // 2)))
+                rng.sample(process_names, rng.randint(1, max(1, len(process_names) // 2)))
             )
             fault.both = rng.random() < 0.7
             if rng.random() < 0.4:
-                fault.to = [rng.choice([p for p in names_in_order if p not in fault.from_])]
+                fault.to = [rng.choice([p for p in process_names if p not in fault.from_])]
         else:
             fault.on = [rng.choice(ingresses if kind == "upgrade" else programs)]
         match kind:
--- a/cairndale/lab/live/ports.py
+++ b/cairndale/lab/live/ports.py
@@ -17,14 +17,14 @@
 
     def __init__(self, protocol_factory: Callable[[], asyncio.Protocol]) -> None:
         self._protocol_factory, self._loop = protocol_factory, asyncio.get_running_loop()
-        self._reservation = self._bound(0)
+        self._reservation = self._bound_socket(0)
         self.number: int = self._reservation.getsockname()[1]
         self._sock: socket.socket | None = None
         self._backlog_fillers: list[socket.socket] = []
         self.open()
 
     @staticmethod
-    def _bound(port: int) -> socket.socket:
+    def _bound_socket(port: int) -> socket.socket:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -38,7 +38,7 @@
         if self._backlog_fillers:
             self.refuse()
         if self._sock is None:
-            self._sock = self._bound(self.number)
+            self._sock = self._bound_socket(self.number)
             self._sock.listen(1024)
             self._loop.add_reader(self._sock.fileno(), self._accept)
 
--- a/cairndale/lab/live/standins.py
+++ b/cairndale/lab/live/standins.py
@@ -232,16 +232,18 @@
         except (ValueError, IndexError):
             self._send_in_order(b"error", now)
             return
-        way = world.network.way(world.day.gateway_zones[self.gateway], 0, world.rng.random())
+        one_way = world.network.way(world.day.gateway_zones[self.gateway], 0, world.rng.random())
         key = int.from_bytes(name, "big")
-        answer = world.counter.add(now + way, key, amount, lifetime_ms * 1000, world.rng.random())
+        answer = world.counter.add(
+            now + one_way, key, amount, lifetime_ms * 1000, world.rng.random()
+        )
         world.record.calls.add(now, COUNTER_OUTCOMES.index(answer.said))
         if answer.said is Said.OK:
-            self._send_in_order(b"ok %.7g" % answer.total, answer.at + way)
+            self._send_in_order(b"ok %.7g" % answer.total, answer.at + one_way)
         elif answer.said is Said.BUSY:
-            self._send_in_order(b"busy", answer.at + way)
+            self._send_in_order(b"busy", answer.at + one_way)
         elif answer.said is Said.SPOILT:
-            self._send_in_order(b"ok ?", answer.at + way)
+            self._send_in_order(b"ok ?", answer.at + one_way)
 
     def _send_in_order(self, answer: bytes, at: int) -> None:
         """Sends the answer at `at` or later, so that answers keep the order of the calls."""
