--- a/cairndale/chaos/relayed.py
+++ b/cairndale/chaos/relayed.py
@@ -16,9 +16,9 @@
 import msgspec
 
 from cairndale.chaos.world import ROOT, Machine, World
-from cairndale.lab.faults.launch import Control, Launch
+from cairndale.lab.faults.launch import Control, LaunchSpec
 from cairndale.lab.faults.links import CLEAR, Conditions
-from cairndale.lab.live.worker import Piped, spawn
+from cairndale.lab.live.worker import PipedProcess, spawn
 
 Links = list[tuple[str, str]]  # from the first machine to the second
 
@@ -31,7 +31,7 @@
 
     def __post_init__(self) -> None:
         super().__post_init__()
-        self.relay: Piped | None = None
+        self.relay: PipedProcess | None = None
         self.relay_ports: dict[str, int] = {}
         self.relay_opened: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._partition_counts: dict[str, int] = {}  # by link: partitions that include it now
@@ -46,7 +46,7 @@
         return f"{machine.ip}:{self.port_base + (0 if machine.core else 1)}"
 
     async def begin(self) -> None:
-        self.relay = Piped(
+        self.relay = PipedProcess(
             "relay", ["cairndale.lab.faults.relay"], self.folder, self._handle_relay_message
         )
         await self.relay.ready
@@ -56,7 +56,7 @@
         addresses = {
             f"{a.name}>{b.name}": self.peer_address(b).rpartition(":") for a, b in machine_pairs
         }
-        self.relay.tell(
+        self.relay.send(
             tcp=[[pair, host, int(port)] for pair, (host, _, port) in addresses.items()]
         )
         await self.relay_opened
@@ -79,7 +79,7 @@
             for m in self.machines.values()
             if m.name != name
         }
-        launch = Launch(
+        launch = LaunchSpec(
             "cairndale",
             [],
             str(control),
@@ -108,14 +108,14 @@
         link_names = [f"{a}>{b}" for a, b in links]
         for link_name in link_names:
             self._partition_counts[link_name] = self._partition_counts.get(link_name, 0) + 1
-        self.relay.tell(
+        self.relay.send(
             set={link_name: msgspec.to_builtins(Conditions(cut=True)) for link_name in link_names}
         )
-        self.relay.tell(
+        self.relay.send(
             connect={link_name: "unanswered" if silent else "refuse" for link_name in link_names}
         )
         if not silent:
-            self.relay.tell(reset=link_names)
+            self.relay.send(reset=link_names)
 
     def heal(self, links: Links) -> None:
         """Reopen those of these links that no other partition includes."""
@@ -124,8 +124,8 @@
         for link_name in (f"{a}>{b}" for a, b in links):
             self._partition_counts[link_name] -= 1
             restored += [link_name] * (not self._partition_counts[link_name])
-        self.relay.tell(set={link_name: msgspec.to_builtins(CLEAR) for link_name in restored})
-        self.relay.tell(connect={link_name: "open" for link_name in restored}, reset=restored)
+        self.relay.send(set={link_name: msgspec.to_builtins(CLEAR) for link_name in restored})
+        self.relay.send(connect={link_name: "open" for link_name in restored}, reset=restored)
 
     def links_between(
         self, nodes: Iterable[str], others: Iterable[str], direction: str = "both"
--- a/cairndale/lab/faults/history.py
+++ b/cairndale/lab/faults/history.py
@@ -1,5 +1,4 @@
-"""What callers did and what came of it: a file of calls, one a line, read in parts that fit into
-memory."""
+"""Histories: files of operations, one per line, read in parts that fit into memory."""
 
 from __future__ import annotations
 
@@ -13,20 +12,23 @@
 import msgspec
 
 OK, CONFLICT, REFUSED, UNKNOWN = "ok", "conflict", "refused", "unknown"
-PART = 4 << 20  # bytes of a history that are judged at once, about 60,000 calls
-FILE = "history.jsonl"
+PART_BYTES = 4 << 20  # of a history that is checked at once, about 60,000 operations
+HISTORY_FILE = "history.jsonl"
 
 
-class Call(msgspec.Struct, array_like=True):
-    """One call of the lab's. Times in us on the lab's monotonic clock.
+class Operation(msgspec.Struct, array_like=True):
+    """One operation of a caller. Times are in us on the lab's monotonic clock.
 
-    `write` sets a register to `value`, a number never used twice; `cas` does where it holds
-    `expected`; `read` and `aged` have found `value`, the latter stated to be `age` us old at most
-    when it began; a `request` is for an effect on a server. Outcome `unknown`: it may have been
-    carried out, or may yet be."""
+    `write` sets a register to `value`, a number that is used only once; `cas` does so if the
+    register holds `expected`. `read` and `aged` returned `value`; an `aged` read states that the
+    value was at most `age` us old when the read began. A `request` is for a side effect on a
+    server. The outcome `unknown` means that the operation may have taken effect, or may still do
+    so.
 
-    who: str
-    at: str  # the process that it was made at
+    Encoded as an array: the order of the fields is the format, their names are not."""
+
+    caller: str
+    process: str  # that the operation was sent to
     kind: str
     key: str
     begin: int
@@ -35,35 +37,38 @@
     value: int = 0
     expected: int = 0
     age: int = 0
-    token: int = -1  # the term in which whoever answered acted, where it says so
+    term: int = -1  # of the process that answered, if it states one
 
-    def told(self) -> str:
+    def describe(self) -> str:
         what = {"cas": f" {self.expected} -> {self.value}", "request": ""}.get(
             self.kind, f" {self.value}"
         )
         age = f", at most {self.age / 1e6:.2f} s old" if self.kind == "aged" else ""
-        token = f", term {self.token}" if self.token >= 0 else ""
+        term = f", term {self.term}" if self.term >= 0 else ""
         end = "open" if self.outcome == UNKNOWN else f"{self.end / 1e6:.3f}"
         return (
-            f"{self.begin / 1e6:.3f} to {end} s: {self.who} at {self.at}: {self.kind} "
+            f"{self.begin / 1e6:.3f} to {end} s: {self.caller} at {self.process}: {self.kind} "
             f"{self.key}{what}: "
-            f"{self.outcome}{age}{token}"
+            f"{self.outcome}{age}{term}"
         )
 
 
-class Writer:
-    """Calls as they end. What is open as the run ends is written by whoever made it, as unknown."""
+class HistoryWriter:
+    """Writes operations as they end.
+
+    The caller adds operations that are in flight at the end of the run with the outcome
+    `unknown`."""
 
     def __init__(self, folder: Path) -> None:
         self._encoder = msgspec.json.Encoder()
-        self._file: IO[bytes] = (folder / FILE).open("wb")
+        self._file: IO[bytes] = (folder / HISTORY_FILE).open("wb")
         self.count = 0
 
-    def add(self, call: Call) -> None:
-        self._file.write(self._encoder.encode(call) + b"\n")
+    def add(self, operation: Operation) -> None:
+        self._file.write(self._encoder.encode(operation) + b"\n")
         self.count += 1
 
-    def __enter__(self) -> Writer:
+    def __enter__(self) -> HistoryWriter:
         return self
 
     def __exit__(
@@ -75,18 +80,19 @@
         self._file.close()
 
 
-def read(path: Path) -> Iterator[Call]:
-    decoder = msgspec.json.Decoder(Call)
+def read_operations(path: Path) -> Iterator[Operation]:
+    decoder = msgspec.json.Decoder(Operation)
     with path.open("rb") as file:
         for line in file:
             yield decoder.decode(line)
 
 
 @contextlib.contextmanager
-def parted(path: Path, part: int = PART) -> Iterator[list[Path]]:
-    """Files that together hold the history, all calls of a key in one of them; removed
-    afterwards."""
-    count = max(1, path.stat().st_size // part)
+def split_by_key(path: Path, part_bytes: int = PART_BYTES) -> Iterator[list[Path]]:
+    """Splits the history into files so that all operations on a key are in one of them.
+
+    The files are removed afterwards."""
+    count = max(1, path.stat().st_size // part_bytes)
     if count == 1:
         yield [path]
         return
@@ -95,16 +101,18 @@
         with contextlib.ExitStack() as stack:
             files = [stack.enter_context(p.open("wb")) for p in paths]
             encoder = msgspec.json.Encoder()
-            for call in read(path):
-                files[crc32(call.key.encode()) % count].write(encoder.encode(call) + b"\n")
+            for operation in read_operations(path):
+                files[crc32(operation.key.encode()) % count].write(
+                    encoder.encode(operation) + b"\n"
+                )
         yield paths
     finally:
         for p in paths:
             p.unlink(missing_ok=True)
 
 
-def by_key(calls: Iterable[Call]) -> dict[str, list[Call]]:
-    found: dict[str, list[Call]] = {}
-    for call in calls:
-        found.setdefault(call.key, []).append(call)
+def by_key(operations: Iterable[Operation]) -> dict[str, list[Operation]]:
+    found: dict[str, list[Operation]] = {}
+    for operation in operations:
+        found.setdefault(operation.key, []).append(operation)
     return found
--- a/cairndale/lab/faults/launch.py
+++ b/cairndale/lab/faults/launch.py
@@ -1,10 +1,9 @@
 """Runs a program of this project with the lab around it: `python -m cairndale.lab.faults.launch
 SPEC`.
 
-The program itself is as it is. What it asks of the machine goes by what the lab says: where it
-connects to (routes through relays), what the clocks show, and what the disk does. None of it can be
-set in the program's own configuration. A *plant* puts a known defect into the program, so that the
-judge can be seen to find it."""
+The program itself is unchanged. The lab controls its environment: its connections (routed through
+relays), its clocks and its disk. None of this can be set in the program's own configuration. A
+*plant* is a known defect that is put into the program to show that the checker finds it."""
 
 from __future__ import annotations
 
@@ -30,28 +29,28 @@
 from cairndale.lab.live.ports import HOST
 
 CONTROL = struct.Struct("<qdqdqq")  # see Control
-FULL, FAILING = 1, 2
+DISK_FULL, DISK_FAILING = 1, 2
 _real_time, _real_monotonic = time.time_ns, time.monotonic_ns
 _real_write, _real_fsync = os.write, os.fsync
 
 
-class Launch(msgspec.Struct):
-    """What the wrapper is told. Addresses are `HOST:PORT` as the program knows them; ports are
-    relays'."""
+class LaunchSpec(msgspec.Struct):
+    """What the wrapper is to run. Addresses are `HOST:PORT` as the program knows them, the ports of
+    `routes` and `datagrams` are those of relays."""
 
     module: str
     argv: list[str]
-    control: str  # file
-    synced: str  # file that tells which bytes of which file a power cut would leave
+    control: str  # path of the control file, see Control
+    synced: str  # path of the log of syncs: the bytes of each file that a loss of power would leave
     routes: dict[str, int]
     datagrams: dict[str, int] = {}
-    plant: str = ""  # of the list service, or MODULE:FUNCTION
-    skewed: bool = False  # a clock of this process may run fast or slow: then on a loop in Python
+    plant: str = ""  # a name in PLANTS, or MODULE:FUNCTION
+    skewed: bool = False  # the clocks may run fast or slow, which needs asyncio's own event loop
 
 
 class Control:
-    """A few words in a file that the lab writes and this process reads, with no call between
-    them."""
+    """Settings in a memory-mapped file: the lab writes them, and this process reads them without a
+    system call."""
 
     def __init__(self, path: Path, create: bool = False) -> None:
         if create:
@@ -60,9 +59,8 @@
             self._map = mmap.mmap(file.fileno(), CONTROL.size)
 
     def read(self) -> tuple[int, float, int, float, int, int]:
-        """us that the wall clock is off, rate of both clocks, what the disk does, ms of each sync,
-        and the number of syncs after which the process is killed (0: none) of those counted so
-        far."""
+        """Offset of the wall clock (us), rate of both clocks, mode of the disk, delay of each sync
+        (ms), number of syncs after which the process is killed (0: never), syncs so far."""
         return CONTROL.unpack(self._map[:])
 
     def change(self, **fields: float) -> None:
@@ -76,7 +74,9 @@
 
 
 class Clocks:
-    """Wall and monotonic time as the lab wants them; a new rate counts from where the clock is."""
+    """Wall and monotonic clocks with the offset and rate that the lab sets.
+
+    A new rate applies from the time that the clock shows."""
 
     def __init__(self, control: Control) -> None:
         self._control, self._rate = control, 1.0
@@ -100,15 +100,15 @@
 
 
 class Disk:
-    """What a full, slow or failing disk says, and a record of what it has promised to keep."""
+    """Simulates a full, slow or failing disk, and records what was synced."""
 
     def __init__(self, control: Control, synced: Path) -> None:
         self._control = control
         self._log = os.open(synced, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
-        self.unsynced = False  # a plant: syncs are left out
+        self.unsynced = False  # set by a plant: syncs are omitted
 
     def write(self, fd: int, data: Any, /) -> int:
-        if self._control.read()[2] == FULL and stat.S_ISREG(os.fstat(fd).st_mode):
+        if self._control.read()[2] == DISK_FULL and stat.S_ISREG(os.fstat(fd).st_mode):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return _real_write(fd, data)
 
@@ -116,15 +116,15 @@
         _, _, disk, sync_ms, die_at, syncs = self._control.read()
         if sync_ms:
             time.sleep(sync_ms / 1000)
-        if disk == FAILING:
+        if disk == DISK_FAILING:
             raise OSError(errno.EIO, os.strerror(errno.EIO))
         if not self.unsynced:
             _real_fsync(fd)
-            found = os.fstat(fd)
-            if stat.S_ISREG(found.st_mode):
-                _real_write(self._log, b"%d %d\n" % (found.st_ino, found.st_size))
+            status = os.fstat(fd)
+            if stat.S_ISREG(status.st_mode):
+                _real_write(self._log, b"%d %d\n" % (status.st_ino, status.st_size))
         self._control.change(syncs=syncs + 1)
-        if die_at and syncs + 1 >= die_at:  # it is on disk, and nobody has been told
+        if die_at and syncs + 1 >= die_at:  # the data is on disk, and not acknowledged yet
             os.kill(os.getpid(), signal.SIGKILL)
 
     def install(self) -> None:
@@ -132,39 +132,41 @@
         os.fsync = self.fsync  # type: ignore[assignment]
 
 
-def cut_power(folder: Path, synced: Path) -> int:
-    """What a loss of power leaves of a folder: of each file, what was synced. The bytes that were
-    lost."""
-    kept = {}
+def truncate_to_synced(folder: Path, synced: Path) -> int:
+    """Truncates each file of a folder to its synced size, as a loss of power would.
+
+    Returns the number of bytes that were lost."""
+    synced_sizes = {}
     if synced.exists():
         for line in synced.read_text().splitlines():
             inode, synced_size = line.split()
-            kept[int(inode)] = int(synced_size)
-    lost = 0
+            synced_sizes[int(inode)] = int(synced_size)
+    lost_bytes = 0
     for path in folder.rglob("*"):
         if path.is_file() and path.name != "lock":
-            found = path.stat()
-            size = min(found.st_size, kept.get(found.st_ino, 0))
-            lost += found.st_size - size
+            status = path.stat()
+            size = min(status.st_size, synced_sizes.get(status.st_ino, 0))
+            lost_bytes += status.st_size - size
             os.truncate(path, size)
-    return lost
+    return lost_bytes
+
 
+class RoutedDatagrams(asyncio.DatagramProtocol):
+    """A datagram endpoint of the program, routed through relays.
 
-class Routed(asyncio.DatagramProtocol):
-    """A datagram endpoint of the program: it names peers by their own addresses, the wire by
-    relays'."""
+    The program uses the addresses of its peers, the socket those of the relays."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, routes: dict[str, int]) -> None:
         self._inner = inner
-        self._out = {_split(a): port for a, port in routes.items()}
-        self._back = {port: address for address, port in self._out.items()}
+        self._relay_ports = {_split_address(a): port for a, port in routes.items()}
+        self._peers_by_relay_port = {port: address for address, port in self._relay_ports.items()}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
         self._inner.connection_made(cast(asyncio.DatagramTransport, self))
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._inner.datagram_received(data, self._back.get(addr[1], addr))
+        self._inner.datagram_received(data, self._peers_by_relay_port.get(addr[1], addr))
 
     def error_received(self, exc: Exception) -> None:
         self._inner.error_received(exc)
@@ -172,10 +174,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._inner.connection_lost(exc)
 
-    # As a transport.
+    # Methods of a DatagramTransport.
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        port = self._out.get((addr[0], addr[1]))
+        port = self._relay_ports.get((addr[0], addr[1]))
         self._transport.sendto(data, (addr[0], port) if port else addr)
 
     def close(self) -> None:
@@ -191,29 +193,29 @@
         return self._transport.get_extra_info(name, default)
 
 
-def _split(address: str) -> tuple[str, int]:
+def _split_address(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def loops(told: Launch) -> Callable[[], asyncio.AbstractEventLoop]:
-    """Of loops whose connections go by the routes."""
-    base: Any = asyncio.SelectorEventLoop if told.skewed else uvloop.Loop
+def loop_class(spec: LaunchSpec) -> Callable[[], asyncio.AbstractEventLoop]:
+    """An event loop class whose connections and datagrams go through the relays."""
+    base: Any = asyncio.SelectorEventLoop if spec.skewed else uvloop.Loop
 
     class Loop(base):  # type: ignore[misc]
         async def create_connection(
-            self, factory: Any, host: Any = None, port: Any = None, **more: Any
+            self, factory: Any, host: Any = None, port: Any = None, **options: Any
         ) -> Any:
-            if way := told.routes.get(f"{host}:{port}"):
-                host, port = HOST, way
-            return await super().create_connection(factory, host, port, **more)
+            if relay_port := spec.routes.get(f"{host}:{port}"):
+                host, port = HOST, relay_port
+            return await super().create_connection(factory, host, port, **options)
 
-        async def create_datagram_endpoint(self, factory: Any, *args: Any, **more: Any) -> Any:
-            made = Routed(factory(), told.datagrams)
-            await super().create_datagram_endpoint(lambda: made, *args, **more)
-            return made, made._inner
+        async def create_datagram_endpoint(self, factory: Any, *args: Any, **options: Any) -> Any:
+            endpoint = RoutedDatagrams(factory(), spec.datagrams)
+            await super().create_datagram_endpoint(lambda: endpoint, *args, **options)
+            return endpoint, endpoint._inner
 
-        if told.skewed:
+        if spec.skewed:
 
             def time(self) -> float:
                 return time.monotonic()
@@ -222,25 +224,25 @@
 
 
 def main() -> None:
-    told = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Launch)
-    control, make = Control(Path(told.control)), loops(told)
-    if told.skewed:
+    spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=LaunchSpec)
+    control, make = Control(Path(spec.control)), loop_class(spec)
+    if spec.skewed:
         Clocks(control).install()
-    disk = Disk(control, Path(told.synced))
+    disk = Disk(control, Path(spec.synced))
     disk.install()
-    if ":" in told.plant:  # another program's: MODULE:FUNCTION
-        module, _, name = told.plant.partition(":")
+    if ":" in spec.plant:  # a plant that another package provides
+        module, _, name = spec.plant.partition(":")
         getattr(importlib.import_module(module), name)()
-    elif told.plant:
-        PLANTS[told.plant](disk)
+    elif spec.plant:
+        PLANTS[spec.plant](disk)
 
     def run(main: Coroutine[Any, Any, Any]) -> Any:
         with asyncio.Runner(loop_factory=make) as runner:
             return runner.run(main)
 
     uvloop.run = cast(Any, run)
-    sys.argv = [told.module, *told.argv]
-    runpy.run_module(told.module, run_name="__main__", alter_sys=True)
+    sys.argv = [spec.module, *spec.argv]
+    runpy.run_module(spec.module, run_name="__main__", alter_sys=True)
 
 
 if __name__ == "__main__":
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -533,7 +533,7 @@
             return type(error).__name__
 
     results = [await connect_result()]
-    for act in (port.refuse, port.open, port.silence, port.open, port.refuse):
+    for act in (port.refuse, port.open, port.stop_answering, port.open, port.refuse):
         act()
         results.append(await connect_result())
     assert results == [
