--- a/cairndale/ingress/observability/logs.py
+++ b/cairndale/ingress/observability/logs.py
@@ -15,8 +15,10 @@
 import sys
 import threading
 import time
+from collections.abc import Mapping
 from dataclasses import dataclass
 from hashlib import blake2b
+from types import MappingProxyType
 from typing import IO, Any
 
 import structlog
@@ -31,6 +33,23 @@
 MAX_LINES_PER_WINDOW = 20
 FLUSH_INTERVAL_S = 0.2  # between checks for coalesced records that are due
 STOP_TIMEOUT_S = 2.0  # for writing the queued records at the end
+# Names of events by what event_name() derives from their templates now: event names are part of
+# the log format and stay when a message is reworded.
+STABLE_EVENT_NAMES: Mapping[str, str] = MappingProxyType(
+    {
+        "backend_invalid_response": "backend_answer_not_understood",
+        "process_suspended_for_s_closing_all": "stood_still_for_s_idle_connections",
+        "backend_response_stalled_connection_closed": "backend_silent_in_the_middle_of",
+        "counter_invalid_answer_connection_closed": "counter_answer_not_understood",
+        "counter_no_answer_for_s_reconnecting": "counter_silent_for_s_connecting_anew",
+        "discovery_lineage_replaces": "discovery_list_in_place_of",
+        "discovery_removed_servers_missing_from_the": "discovery_servers_that_the_list_lacks",
+        "discovery_receiving_updates_from": "discovery_told_by",
+        "discovery_endpoint_list_is_s_old": "discovery_the_list_is_s_old",
+        "discovery_no_data_for_s_reconnecting": "discovery_silent_for_s_watching_anew",
+        "action_ignored": "not_for_real_ingresses",
+    }
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,9 +67,11 @@
 
 def event_name(template: str) -> str:
     """The stable name of an event, made of the first words of its message template:
-    `maintenance_is` for `maintenance: %s is %s`."""
+    `maintenance_is` for `maintenance: %s is %s`. A name in `STABLE_EVENT_NAMES` is replaced by the
+    one that the event had before its message was reworded."""
     words = re.findall(r"[A-Za-z]+", re.sub(r"%[-+ #0-9.]*[a-zA-Z]|'[^']*'", " ", template))
-    return "_".join(w.lower() for w in words[:6]) or "event"
+    name = "_".join(w.lower() for w in words[:6]) or "event"
+    return STABLE_EVENT_NAMES.get(name, name)
 
 
 class Writer:
--- a/tests/ingress/cli/test_cli.py
+++ b/tests/ingress/cli/test_cli.py
@@ -3,6 +3,7 @@
 
 from __future__ import annotations
 
+import ast
 import json
 import logging
 import os
@@ -41,7 +42,13 @@
 from cairndale.ingress.cli.schema import EXAMPLE_CONFIG, json_schema, reference_page
 from cairndale.ingress.net.config import config_from
 from cairndale.ingress.net.requests import FieldError, read_timeout
-from cairndale.ingress.observability.logs import Handler, Options, Writer, event_name
+from cairndale.ingress.observability.logs import (
+    STABLE_EVENT_NAMES,
+    Handler,
+    Options,
+    Writer,
+    event_name,
+)
 from tests.testing.ingress import RAW
 
 ROOT = Path(__file__).parents[3]
@@ -535,6 +542,55 @@
     assert event_name("maintenance: %s is %s") == "maintenance_is" and event_name("%s") == "event"
 
 
+# Templates in cairndale/ingress/net that were reworded, and the event names that had to stay.
+REWORDED_TEMPLATES = [
+    ("backend %s: invalid response: %s", "backend_answer_not_understood"),
+    (
+        "process suspended for %.0f s: closing all idle connections",
+        "stood_still_for_s_idle_connections",
+    ),
+    ("backend %s: response stalled, connection closed", "backend_silent_in_the_middle_of"),
+    ("counter: invalid answer, connection closed", "counter_answer_not_understood"),
+    ("counter: no answer for %.0f s, reconnecting", "counter_silent_for_s_connecting_anew"),
+    ("discovery: lineage %s replaces %s", "discovery_list_in_place_of"),
+    (
+        "discovery: removed %d servers missing from the list",
+        "discovery_servers_that_the_list_lacks",
+    ),
+    ("discovery: receiving updates from %s:%d", "discovery_told_by"),
+    ("discovery: endpoint list is %.0f s old and still in use", "discovery_the_list_is_s_old"),
+    ("discovery: no data for %.0f s, reconnecting", "discovery_silent_for_s_watching_anew"),
+    ("action ignored: %s", "not_for_real_ingresses"),
+]
+
+
+def net_log_templates() -> set[str]:
+    return {
+        call.args[0].value
+        for path in (ROOT / "cairndale/ingress/net").rglob("*.py")
+        for call in ast.walk(ast.parse(path.read_text()))
+        if isinstance(call, ast.Call)
+        and ast.unparse(call.func).startswith("log.")
+        and call.args
+        and isinstance(call.args[0], ast.Constant)
+    }
+
+
+@pytest.mark.parametrize(("template", "name"), REWORDED_TEMPLATES)
+def test_reworded_template_keeps_its_event_name(template: str, name: str) -> None:
+    assert event_name(template) == name
+
+
+def test_every_stable_event_name_is_tested() -> None:
+    names = [name for _, name in REWORDED_TEMPLATES]
+    assert sorted(names) == sorted(STABLE_EVENT_NAMES.values())
+
+
+@pytest.mark.parametrize("template", [template for template, _ in REWORDED_TEMPLATES])
+def test_reworded_template_stands_in_the_sources(template: str) -> None:
+    assert template in net_log_templates()
+
+
 def test_stuck_log_reader_costs_records_and_blocks_nobody(tmp_path: Path) -> None:
     os.mkfifo(tmp_path / "log")
     reader = os.open(tmp_path / "log", os.O_RDONLY | os.O_NONBLOCK)  # never reads
