--- a/cairndale/scale/__init__.py
+++ b/cairndale/scale/__init__.py
@@ -1,2 +1,2 @@
-"""A scale run: hollow ingresses and servers beside real core processes, and what each role costs by
-size."""
+"""Scale runs: simulated ("hollow") ingresses and servers load real core processes, to measure what
+each role costs by size."""
--- a/cairndale/scale/content.py
+++ b/cairndale/scale/content.py
@@ -6,13 +6,15 @@
 from typing import Any
 
 
-def key(tenant: int) -> str:
-    """As little to be packed as a real one."""
+def api_key(tenant: int) -> str:
+    """Return an API key that compresses as badly as a real one."""
     return blake2b(b"%d" % tenant, digest_size=12).hexdigest()
 
 
-def content(gen: int, routes: int, tenants: int, services: int, turn: int = 0) -> dict[str, Any]:
-    """A sound configuration; `turn` changes one route."""
+def content(
+    gen: int, routes: int, tenants: int, services: int, revision: int = 0
+) -> dict[str, Any]:
+    """Return a valid configuration; each `revision` differs in one route."""
     return {
         "gen": gen,
         "routes": [
@@ -22,7 +24,7 @@
                 "pathPrefix": f"/p{n}/",
                 "kind": "idempotent" if n % 3 else "mutating",
                 "deadline": "4000ms",
-                "target_time": f"{1000 + turn % 1000 if n == turn % routes else 1000}ms",
+                "target_time": f"{1000 + revision % 1000 if n == revision % routes else 1000}ms",
                 "tries": 2,
                 "prio": n % 3,
                 "backend": f"s{n % services}",
@@ -34,18 +36,20 @@
         ],
         "limits": {"headerTimeout": "3000ms", "idleTimeout": "15000ms"},
         "tenants": [
-            {"name": f"t{n}", "apiKeys": [key(n)], "ratePerS": 100, "burst": 100}
+            {"name": f"t{n}", "apiKeys": [api_key(n)], "ratePerS": 100, "burst": 100}
             for n in range(tenants)
         ],
     }
 
 
-def turned(gen: int, parent: int, routes: int, services: int, turn: int) -> dict[str, Any]:
-    """An update of one route, on top of `parent`."""
-    whole = content(gen, routes, 0, services, turn)
+def route_update(
+    gen: int, parent: int, routes: int, services: int, revision: int
+) -> dict[str, Any]:
+    """Return an update of one route on top of the version `parent`."""
+    full = content(gen, routes, 0, services, revision)
     return {
         "gen": gen,
         "parent": parent,
-        "upsert": {"routes": [whole["routes"][turn % routes]]},
+        "upsert": {"routes": [full["routes"][revision % routes]]},
         "remove": {},
     }
--- a/cairndale/scale/floor.py
+++ b/cairndale/scale/floor.py
@@ -1,5 +1,4 @@
-"""`python -m cairndale.scale.floor FILE`: what the gauge itself costs a process that does nothing
-else."""
+"""`python -m cairndale.scale.floor FILE`: measures what the gauge itself costs an idle process."""
 
 from __future__ import annotations
 
@@ -10,27 +9,29 @@
 import tempfile
 from pathlib import Path
 
-from cairndale.scale.node import Node
+from cairndale.scale.node import WorkerProcess
 
-SPAN = 10.0  # s
+SPAN_S = 10.0
 
 
-async def floor(folder: Path) -> dict[str, float]:
-    """Cores and MB."""
-    node = await Node.begin("idle", folder, [], {"PATH": os.environ.get("PATH", "")})
+async def measure_floor(folder: Path) -> dict[str, float]:
+    """Return the cores and MB that an idle process uses, and the load average."""
+    node = await WorkerProcess.begin("idle", folder, [], {"PATH": os.environ.get("PATH", "")})
     try:
-        await node.say({"seed": 1, "cores": [], "control": [], "beat": 1.0, "life": 1.0})
-        await node.say({"do": "count"})
-        await asyncio.sleep(SPAN)
-        told = await node.say({"do": "count"})
+        await node.request({"seed": 1, "cores": [], "control": [], "beat": 1.0, "life": 1.0})
+        await node.request({"do": "count"})
+        await asyncio.sleep(SPAN_S)
+        usage = await node.request({"do": "count"})
     finally:
         await node.end()
-    return {"cpu": told["cpu"], "mb": told["mb"], "load": os.getloadavg()[0]}
+    return {"cpu": usage["cpu"], "mb": usage["mb"], "load": os.getloadavg()[0]}
 
 
 def main() -> int:
     with tempfile.TemporaryDirectory() as folder:
-        Path(sys.argv[1]).write_text(json.dumps(asyncio.run(floor(Path(folder))), indent=1) + "\n")
+        Path(sys.argv[1]).write_text(
+            json.dumps(asyncio.run(measure_floor(Path(folder))), indent=1) + "\n"
+        )
     return 0
 
 
--- a/cairndale/scale/node.py
+++ b/cairndale/scale/node.py
@@ -1,4 +1,4 @@
-"""A process of a scale run, as the one that runs it sees it."""
+"""Handle of a process of a scale run."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from cairndale.chaos.world import ROOT
 
 
-class Node:
-    """A process that is spoken to over its standard streams, an object a line each way."""
+class WorkerProcess:
+    """A worker process, controlled over its standard streams by one JSON object a line each way."""
 
     def __init__(self, name: str, process: Process) -> None:
         self.name, self.process = name, process
-        self._turn, self._killed = asyncio.Lock(), False
+        self._lock, self._is_killed = asyncio.Lock(), False
 
     @classmethod
     async def begin(
         cls, name: str, folder: Path, arguments: list[str], env: dict[str, str]
-    ) -> Node:
+    ) -> WorkerProcess:
         with open(folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -38,28 +38,29 @@
             )
         return cls(name, process)
 
-    async def say(self, order: dict[str, Any], within: float = 30.0) -> dict[str, Any]:
-        """The answer. Raises OSError where there is none in so many seconds."""
+    async def request(self, order: dict[str, Any], within: float = 30.0) -> dict[str, Any]:
+        """Send an order and return the answer. Raises OSError if none comes within that time."""
         assert self.process.stdin
-        async with self._turn:
+        async with self._lock:
             self.process.stdin.write(json.dumps(order).encode() + b"\n")
-            return await self.heard(within)
+            return await self.read_answer(within)
 
-    async def heard(self, within: float = 30.0) -> dict[str, Any]:
+    async def read_answer(self, within: float = 30.0) -> dict[str, Any]:
+        """Return the next answer. Raises OSError if none comes within that time."""
         assert self.process.stdout
         try:
             async with asyncio.timeout(within):
                 line = await self.process.stdout.readline()
         except TimeoutError:
-            raise OSError(f"{self.name} does not answer") from None
+            raise OSError(f"{self.name} did not answer within {within:.0f} s") from None
         if not line:
-            raise OSError(f"{self.name} has ended")
-        told: dict[str, Any] = json.loads(line)
-        return told
+            raise OSError(f"{self.name} has exited")
+        answer: dict[str, Any] = json.loads(line)
+        return answer
 
     def kill(self) -> None:
-        if self.process.returncode is None and not self._killed:
-            self._killed = True
+        if self.process.returncode is None and not self._is_killed:
+            self._is_killed = True
             self.process.kill()
 
     async def end(self) -> None:
--- a/cairndale/scale/planned.py
+++ b/cairndale/scale/planned.py
@@ -1,5 +1,5 @@
-"""Tables of what was not run: sums for the size, what would carry it, and what the sweep
-measured."""
+"""Tables beyond the runs: estimates for the target size, mechanisms that would support it, and a
+comparison with the sweep. Their texts are part of `docs/CAPACITY.md`."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from cairndale.rpc.compression import compress_lists
 from cairndale.rpc.lease_timing import long_poll_timeout
 from cairndale.scale import sums
-from cairndale.scale.content import key
-from cairndale.scale.run import BEAT, LEASES
-from cairndale.scale.sums import TARGET, Contents, Told
+from cairndale.scale.content import api_key
+from cairndale.scale.run import HEARTBEAT_INTERVAL_S, QUOTA_LEASES_PER_S
+from cairndale.scale.sums import TARGET, Contents, RunResult
 from cairndale.scale.sweeps import sweeps
 from cairndale.scale.tables import UNITS, format_number, ranged, table
 
 FOLDER = ROOT / "docs" / "capacity"
-RENEWED = 1.5  # s between renewals of a lease, as it might be with a lease of 4.5
+RENEWAL_INTERVAL_S = 1.5  # assumed between renewals of a lease of 4.5 s
 
 
-def plain_table(kept: dict[str, Told]) -> str:
-    """Sums that need no slope: what one of each costs, times how many there will be."""
+def plain_table(kept: dict[str, RunResult]) -> str:
+    """Return estimates that need no slope: the cost of one of each, times their number."""
     base = kept[sums.BASE]
-    asks = sums.value(base, "hollow ingresses", "messages_out")
+    requests_per_s = sums.value(base, "hollow ingresses", "messages_out")
     rows = []
     gauge = json.loads((FOLDER / "gauge.json").read_text())
     rows.append(
@@ -37,50 +37,66 @@
         )
     )
     contents = Contents.of(TARGET)
-    n = TARGET["ingresses"]
-    a_second = sums.CHANGES_A_DAY / sums.DAY
+    ingress_count = TARGET["ingresses"]
+    changes_per_s = sums.CHANGES_A_DAY / sums.DAY
     rows.append(
         (
             "one configuration of the size, MB (packed)",
-            f"{contents.raw / 1e6:.1f} ({contents.told / 1e6:.1f})",
+            f"{contents.raw / 1e6:.1f} ({contents.compressed / 1e6:.1f})",
             "made up here and packed",
         )
     )
     rows.append(
         (
             "it told whole to every ingress, GB a change",
-            format_number(contents.told * n / 1e9),
-            f"times {n:,}",
+            format_number(contents.compressed * ingress_count / 1e9),
+            f"times {ingress_count:,}",
         )
     )
     rows.append(
         (
             "so in bytes a second and ingress, KB/s, at the day's mean",
-            format_number(contents.told * a_second / 1e3),
-            f"times {a_second:.2f} changes a second; 15 are allowed",
+            format_number(contents.compressed * changes_per_s / 1e3),
+            f"times {changes_per_s:.2f} changes a second; 15 are allowed",
         )
     )
-    beats = sums.value(base, "hollow servers", "messages_out")
-    each = sums.value(base, "hollow servers", "bytes_out") / beats
-    back = sums.value(base, "hollow servers", "bytes_in") / beats
-    rate = sums.beats_per_s(TARGET["servers"])
+    messages_per_s = sums.value(base, "hollow servers", "messages_out")
+    bytes_sent = sums.value(base, "hollow servers", "bytes_out") / messages_per_s
+    bytes_received = sums.value(base, "hollow servers", "bytes_in") / messages_per_s
+    heartbeats_per_s = sums.heartbeats_per_s(TARGET["servers"])
     rows.append(
-        ("one heartbeat, bytes out and back", f"{each:.0f} and {back:.0f}", f"`{sums.BASE}`")
+        (
+            "one heartbeat, bytes out and back",
+            f"{bytes_sent:.0f} and {bytes_received:.0f}",
+            f"`{sums.BASE}`",
+        )
+    )
+    rows.append(
+        (
+            "heartbeats a second of all servers",
+            format_number(heartbeats_per_s),
+            f"one each {HEARTBEAT_INTERVAL_S} s",
+        )
+    )
+    rows.append(
+        ("so in at all cores, MB/s", format_number(bytes_sent * heartbeats_per_s / 1e6), "")
     )
-    rows.append(("heartbeats a second of all servers", format_number(rate), f"one each {BEAT} s"))
-    rows.append(("so in at all cores, MB/s", format_number(each * rate / 1e6), ""))
     rows.append(
-        ("messages a second out of one hollow ingress", format_number(asks), f"`{sums.BASE}`")
+        (
+            "messages a second out of one hollow ingress",
+            format_number(requests_per_s),
+            f"`{sums.BASE}`",
+        )
     )
-    for edges in (30, 100, 300, 1000, n):
+    for count in (30, 100, 300, 1000, ingress_count):
         rows.append(
             (
-                f"an ask's hold at {edges:,} ingresses, s",
-                format_number(long_poll_timeout(edges)),
+                f"an ask's hold at {count:,} ingresses, s",
+                format_number(long_poll_timeout(count)),
                 "by its rule; a lease is 4.5",
             )
         )
-    failures = sums.a_day([sums.FAILED_A_DAY, sums.RESTARTS_A_DAY])
+    failures = sums.per_second([sums.FAILURES_A_DAY, sums.RESTARTS_A_DAY])
     rows.append(
         (
             "processes that come or go, one each so many seconds",
@@ -91,21 +107,21 @@
     rows.append(
         (
             "words of it to all ingresses, messages/s",
-            format_number(2 * failures * n),
+            format_number(2 * failures * ingress_count),
             "gone and back, told to each",
         )
     )
     rows.append(
         (
             "ingresses that a zone takes along",
-            format_number(n / sums.ZONES),
+            format_number(ingress_count / sums.ZONES),
             f"of {sums.ZONES} zones",
         )
     )
     rows.append(
         (
             "ingresses that a region takes along",
-            format_number(n / sums.REGIONS),
+            format_number(ingress_count / sums.REGIONS),
             f"of {sums.REGIONS} regions",
         )
     )
@@ -115,13 +131,13 @@
 
 
 def _lists_of_all() -> list[tuple[str, str, str]]:
-    """What a return of all costs: who has nothing is told of all others."""
+    """Return the cost of sending full endpoint lists when all ingresses reconnect."""
     rows = []
     for count in (1000, 3000, TARGET["ingresses"]):
         nodes = [
             pb.Node(
                 name=f"hollow-{n}",
-                incarnation=key(n)[:12],
+                incarnation=api_key(n)[:12],
                 address=f"10.{n // 250}.{n % 250}.1:7601",
                 http_address=f"10.{n // 250}.{n % 250}.1:7602",
                 zone=f"z{n % 26}",
@@ -145,116 +161,133 @@
     return rows
 
 
-def _look_ups(kept: dict[str, Told]) -> list[tuple[str, str, str]]:
-    """At the size, if each client makes one request a second and looks up as it is told
-    to."""
-    n, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
-    found = sums.look_ups(kept)
+def _look_ups(kept: dict[str, RunResult]) -> list[tuple[str, str, str]]:
+    """Return the look-up load at the target size, if each client makes one request a second and
+    looks up again after the ttl that it is given."""
+    ingress_count, rows = TARGET["ingresses"], list[tuple[str, str, str]]()
+    slope = sums.lookup_slope(kept)
     for ttl, what in ((MAX_TTL_S, "as it is told now"), (5.0, "the most that counts")):
-        rate = sums.REQUESTS_PER_S / ttl
-        rows.append((f"look-ups a second with a ttl of {ttl:g} s", format_number(rate), what))
-        rows.append(("... at each ingress, evenly spread", format_number(rate / n), f"by {n:,}"))
-        if found:
-            cores = ranged(found.fit.at(n), rate / n)
+        lookups_per_s = sums.REQUESTS_PER_S / ttl
+        rows.append(
+            (f"look-ups a second with a ttl of {ttl:g} s", format_number(lookups_per_s), what)
+        )
+        rows.append(
+            (
+                "... at each ingress, evenly spread",
+                format_number(lookups_per_s / ingress_count),
+                f"by {ingress_count:,}",
+            )
+        )
+        if slope:
+            cores = ranged(slope.fit.predict(ingress_count), lookups_per_s / ingress_count)
             rows.append(
                 ("... in cores of each ingress", cores, "by the slope of one's cost; extrapolated")
             )
     return rows
 
 
-def mechanisms_table(kept: dict[str, Told]) -> str:
-    """What would carry the size, by the same slopes and sums."""
-    n, a_second, rows = (
+def mechanisms_table(kept: dict[str, RunResult]) -> str:
+    """Return what mechanisms for the target size would cost, by the same slopes and estimates."""
+    ingress_count, changes_per_s, rows = (
         TARGET["ingresses"],
         sums.CHANGES_A_DAY / sums.DAY,
         list[tuple[str, str, str]](),
     )
-    whole, route = Contents.of(TARGET).told, sums.changed_route_bytes()
+    full_bytes, route_bytes = Contents.of(TARGET).compressed, sums.changed_route_bytes()
     rows.append(
         (
             "differences: one changed route, bytes packed",
-            format_number(route),
-            f"instead of {format_number(whole)}",
+            format_number(route_bytes),
+            f"instead of {format_number(full_bytes)}",
         )
     )
     rows.append(
         (
             "... to every ingress, MB a change",
-            format_number(route * n / 1e6),
-            f"instead of {format_number(whole * n / 1e6)}",
+            format_number(route_bytes * ingress_count / 1e6),
+            f"instead of {format_number(full_bytes * ingress_count / 1e6)}",
         )
     )
     rows.append(
-        ("... KB/s an ingress at the day's mean", f"{route * a_second / 1e3:.3f}", "15 are allowed")
+        (
+            "... KB/s an ingress at the day's mean",
+            f"{route_bytes * changes_per_s / 1e3:.3f}",
+            "15 are allowed",
+        )
     )
-    for regions, what in ((sums.REGIONS, "one relay a region"), (sums.ZONES, "one relay a zone")):
+    for regions, label in ((sums.REGIONS, "one relay a region"), (sums.ZONES, "one relay a zone")):
         for role, cost in (("leader", "cpu"), ("leader", "bytes_out")):
-            found = sums.furthest(kept, role, cost)
-            if found is None:
+            slope = sums.widest_slope(kept, role, cost)
+            if slope is None:
                 continue
             unit, scale = UNITS[cost]
-            each = n / regions
+            ingresses_per_relay = ingress_count / regions
             rows.append(
                 (
-                    f"{what}: the leader, {unit}",
-                    ranged(found.fit.at(regions), scale),
+                    f"{label}: the leader, {unit}",
+                    ranged(slope.fit.predict(regions), scale),
                     f"as with {regions} ingresses, extrapolated downwards",
                 )
             )
             rows.append(
                 (
-                    f"{what}: each relay, {unit}",
-                    ranged(found.fit.at(each), scale),
-                    f"as a leader with {each:.0f} ingresses",
+                    f"{label}: each relay, {unit}",
+                    ranged(slope.fit.predict(ingresses_per_relay), scale),
+                    f"as a leader with {ingresses_per_relay:.0f} ingresses",
                 )
             )
     rows.append(
         (
             "asks a second at the leader, each ingress by itself",
-            format_number(n / RENEWED),
-            f"leases renewed each {RENEWED} s",
+            format_number(ingress_count / RENEWAL_INTERVAL_S),
+            f"leases renewed each {RENEWAL_INTERVAL_S} s",
         )
     )
     rows.append(
-        ("... renewed in groups, one a zone", format_number(sums.ZONES / RENEWED), "the same")
+        (
+            "... renewed in groups, one a zone",
+            format_number(sums.ZONES / RENEWAL_INTERVAL_S),
+            "the same",
+        )
     )
-    leases = LEASES * n
+    leases = QUOTA_LEASES_PER_S * ingress_count
     rows.append(
         (
             "leases of units a second, in one counter",
             format_number(leases),
-            f"{LEASES:g} an ingress, assumed",
+            f"{QUOTA_LEASES_PER_S:g} an ingress, assumed",
         )
     )
     rows.append(("... in eleven shards, each", format_number(leases / sums.MACHINES), "by tenant"))
-    beats = sums.beats_per_s(TARGET["servers"])
+    heartbeats_per_s = sums.heartbeats_per_s(TARGET["servers"])
     rows.append(
         (
             "heartbeats a second at each of eleven machines",
-            format_number(beats / sums.MACHINES),
+            format_number(heartbeats_per_s / sums.MACHINES),
             "evenly spread",
         )
     )
-    if found := sums.slope(kept, "servers", "follower", "cpu"):
+    if slope := sums.slope(kept, "servers", "follower", "cpu"):
         share = (kept[sums.BASE]["size"]["cores"] - 1) / sums.MACHINES
         rows.append(
             (
                 "... in cores, each",
-                ranged(found.fit.at(TARGET["servers"]), share),
+                ranged(slope.fit.predict(TARGET["servers"]), share),
                 "a follower's slope over servers, by four followers, in eleven parts; extrapolated",
             )
         )
     return table(("what", "sum", "from"), rows)
 
 
-def sweep_table(kept: dict[str, Told]) -> str:
-    """What both measured, side by side: the scale run's busiest core machine is its leader."""
+def sweep_table(kept: dict[str, RunResult]) -> str:
+    """Return what scale runs and sweeps both measured, side by side. The busiest core machine of a
+    scale run is its leader."""
     shared = (
         (
             "busiest core machine, cores",
             "core: processor %",
             0.01,
-            lambda t: t["roles"]["leader"]["cpu"],
+            lambda result: result["roles"]["leader"]["cpu"],
         ),
         ("busiest core machine, KB/s both ways", "core: kB a second", 1.0, _both_ways),
         ("an order acknowledged, s, longest", "config acked, ms", 1e-3, _acked),
@@ -262,18 +295,18 @@
     )
     others = sweeps(FOLDER)
     rows: list[list[Any]] = []
-    for what, line, scale, found in shared:
+    for what, line, scale, measured in shared:
         for size in (30, 100, 300):
-            told = (kept.get(f"{cause}-{size}") for cause in ("ingresses", *sums.LATERS))
-            cells = [s.at(line, size) for s in others]
+            results = (kept.get(f"{cause}-{size}") for cause in ("ingresses", *sums.LATER_SERIES))
+            cells = [sweep.at(line, size) for sweep in others]
             row = [
                 what,
                 size,
-                *(found(one) if one else "not run" for one in told),
-                *(_cell(c, scale) for c in cells),
+                *(measured(result) if result else "not run" for result in results),
+                *(_cell(cell, scale) for cell in cells),
             ]
-            rows.append([format_number(c) if isinstance(c, float) else c for c in row])
-    heads = [f"sweep {s.name} (`{s.head}`, journal `{s.journal}`)" for s in others]
+            rows.append([format_number(cell) if isinstance(cell, float) else cell for cell in row])
+    heads = [f"sweep {sweep.name} (`{sweep.head}`, journal `{sweep.journal}`)" for sweep in others]
     return table(
         (
             "what",
@@ -291,17 +324,17 @@
     return "none or not played" if value is None else value * scale
 
 
-def _acked(told: Told) -> float | str:
-    return float(told["changes"]["acked_last"]) if told["changes"]["count"] else "none"
+def _acked(result: RunResult) -> float | str:
+    return float(result["changes"]["acked_last"]) if result["changes"]["count"] else "none"
 
 
-def _both_ways(told: Told) -> float:
-    leader = told["roles"]["leader"]
+def _both_ways(result: RunResult) -> float:
+    leader = result["roles"]["leader"]
     return float(leader["bytes_out"] + leader["bytes_in"]) / 1000
 
 
-def _after_all(told: Told) -> float | str:
-    if not told["troubles"]:
+def _after_all(result: RunResult) -> float | str:
+    if not result["troubles"]:
         return "not run"
-    last = float(told["troubles"]["core restarts"]["last"])
-    return last if last >= 0 else f"none in {told['troubles'].get('waited', 60.0):.0f}"
+    last = float(result["troubles"]["core restarts"]["last"])
+    return last if last >= 0 else f"none in {result['troubles'].get('waited', 60.0):.0f}"
--- a/cairndale/scale/sums.py
+++ b/cairndale/scale/sums.py
@@ -1,5 +1,5 @@
-"""What the runs that are kept say of sizes that nobody has run: a slope for each cause, and plain
-sums."""
+"""Extrapolates the kept runs to sizes that were not run: a power-law slope for each cause, and
+plain estimates."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from pathlib import Path
 from typing import Any
 
-from cairndale.scale.content import content, turned
-from cairndale.scale.fit import Fit, fitted
-from cairndale.scale.run import BEAT
+from cairndale.scale.content import content, route_update
+from cairndale.scale.fit import Fit, fit_power_law
+from cairndale.scale.run import HEARTBEAT_INTERVAL_S
 
-BASE = "ingresses-30"  # the run that each cause's runs share
+BASE = "ingresses-30"  # the run that the series of all causes share
 CAUSES = ("ingresses", "servers", "tenants", "routes")
-# Runs of ingresses alone after the leader was mended, oldest first, each with a slope of its own:
-# news in rounds; connections taken, calls begun and long differences made for many at once.
-LATERS = ("rounds", "batches")
+# Later series that vary only the ingresses, oldest first, each with a slope of its own. They were
+# run after changes to the leader: "rounds" sends updates in rounds; "batches" also accepts
+# connections, starts calls and computes long deltas in batches.
+LATER_SERIES = ("rounds", "batches")
 TARGET = {
     "ingresses": 6300,
     "servers": 20_000,
@@ -26,57 +27,65 @@
     "routes": 12_000,
     "services": 350,
 }
-LOOK_UPS = ("batches-30", "batches-100", "lookups-300")  # runs after answers to look-ups were kept
+LOOKUP_RUNS = ("batches-30", "batches-100", "lookups-300")  # since look-up answers are cached
 REQUESTS_PER_S = 390_000
-CHANGES_A_DAY, FAILED_A_DAY, RESTARTS_A_DAY, ZONES, REGIONS = 21_000, 57, 10_000, 26, 8
-MACHINES = 11  # of control, that are allowed
+CHANGES_A_DAY, FAILURES_A_DAY, RESTARTS_A_DAY, ZONES, REGIONS = 21_000, 57, 10_000, 26, 8
+MACHINES = 11  # allowed for the control plane
 DAY = 86_400.0  # s
-# share of the time with a lease, under which a run's costs are those of what does not work
-LEASED = 0.99
+# A run whose ingresses held a lease for a smaller share of the time did not work, so its costs do
+# not count.
+MIN_LEASE_SHARE = 0.99
 
-Told = dict[str, Any]
+RunResult = dict[str, Any]
 
 
-def runs(folder: Path) -> dict[str, Told]:
-    """Those that are kept, by name, from small to large."""
-    read = {file.stem: json.loads(file.read_text()) for file in folder.glob("*.json")}
-    whole = {name: told for name, told in read.items() if "size" in told}
-    return {name: whole[name] for name in sorted(whole, key=_order)}
+def load_runs(folder: Path) -> dict[str, RunResult]:
+    """Return the kept runs by name, in order of cause and size."""
+    results = {file.stem: json.loads(file.read_text()) for file in folder.glob("*.json")}
+    kept = {name: result for name, result in results.items() if "size" in result}
+    return {name: kept[name] for name in sorted(kept, key=_sort_key)}
 
 
-def _order(name: str) -> tuple[str, int]:
+def _sort_key(name: str) -> tuple[str, int]:
     cause, _, size = name.rpartition("-")
     return cause, int(size)
 
 
-def of_cause(kept: dict[str, Told], cause: str) -> list[tuple[str, Told]]:
-    """The runs in which only this one grows, from the base on."""
-    base = "" if cause in LATERS else BASE
-    return [(n, told) for n, told in kept.items() if n == base or n.startswith(f"{cause}-")]
+def runs_of_cause(kept: dict[str, RunResult], cause: str) -> list[tuple[str, RunResult]]:
+    """Return the runs in which only this cause varies, with the base run."""
+    base = "" if cause in LATER_SERIES else BASE
+    return [
+        (name, result)
+        for name, result in kept.items()
+        if name == base or name.startswith(f"{cause}-")
+    ]
 
 
-def grown(cause: str) -> str:
-    """What of its size a cause's runs differ in."""
-    return "ingresses" if cause in LATERS else cause
+def varied_dimension(cause: str) -> str:
+    """Return the field of `Size` in which the runs of a cause differ."""
+    return "ingresses" if cause in LATER_SERIES else cause
 
 
-def holds(told: Told) -> bool:
-    return bool(told["hollow"]["with a lease"] >= LEASED and told["changes"]["count"])
+def is_valid(result: RunResult) -> bool:
+    return bool(result["hollow"]["with a lease"] >= MIN_LEASE_SHARE and result["changes"]["count"])
 
 
-def value(told: Told, role: str, what: str) -> float:
-    """Of one process of a role; of one ingress where it is hollow ones that share processes."""
-    row = told["roles"][role]
-    found = float(row[what])
+def value(result: RunResult, role: str, what: str) -> float:
+    """Return the cost of one process of a role, or of one simulated ingress or server, which share
+    processes."""
+    row = result["roles"][role]
+    cost = float(row[what])
     if role == "hollow ingresses":
-        found *= row["processes"] / told["size"]["ingresses"]
+        cost *= row["processes"] / result["size"]["ingresses"]
     if role == "hollow servers":
-        found *= row["processes"] / told["size"]["servers"]
-    return found
+        cost *= row["processes"] / result["size"]["servers"]
+    return cost
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
+    """How a cost of a role grows with a cause."""
+
     cause: str
     role: str
     what: str
@@ -85,67 +94,81 @@
 
     @property
     def added(self) -> tuple[float, float, float]:
-        """What growing from the base to the target adds: the middle, and from where to where."""
-        before = self.fit.at(self.points[0][1])[0]
-        middle, low, high = self.fit.at(TARGET[grown(self.cause)])
-        return middle - before, low - before, high - before
+        """Return what growing from the base to the target adds: value, lower and upper bound."""
+        base = self.fit.predict(self.points[0][1])[0]
+        middle, low, high = self.fit.predict(TARGET[varied_dimension(self.cause)])
+        return middle - base, low - base, high - base
 
 
-def slope(kept: dict[str, Told], cause: str, role: str, what: str) -> Slope | None:
-    """Over the runs that hold; None where there are not two, or what is counted was nothing."""
+def slope(kept: dict[str, RunResult], cause: str, role: str, what: str) -> Slope | None:
+    """Fit the valid runs of a cause; None for fewer than two runs or a cost of zero."""
     points = tuple(
-        (name, float(told["size"][grown(cause)]), value(told, role, what))
-        for name, told in of_cause(kept, cause)
-        if holds(told)
+        (name, float(result["size"][varied_dimension(cause)]), value(result, role, what))
+        for name, result in runs_of_cause(kept, cause)
+        if is_valid(result)
     )
     points = tuple(sorted(points, key=lambda point: point[1]))
     if len(points) < 2 or any(v <= 0 for _, _, v in points):
         return None
     return Slope(
-        cause, role, what, points, fitted([s for _, s, _ in points], [v for _, _, v in points])
+        cause,
+        role,
+        what,
+        points,
+        fit_power_law([s for _, s, _ in points], [v for _, _, v in points]),
     )
 
 
-def furthest(kept: dict[str, Told], role: str, what: str) -> Slope | None:
-    """Of ingresses alone, by the runs that reach furthest; of those, by the newest."""
-    found = [made for cause in ("ingresses", *LATERS) if (made := slope(kept, cause, role, what))]
-    return max(reversed(found), key=lambda made: made.points[-1][1], default=None)
+def widest_slope(kept: dict[str, RunResult], role: str, what: str) -> Slope | None:
+    """Return the slope over ingresses from the series with the largest run, the newest of equal
+    ones."""
+    found = [
+        slope_found
+        for cause in ("ingresses", *LATER_SERIES)
+        if (slope_found := slope(kept, cause, role, what))
+    ]
+    return max(reversed(found), key=lambda slope_found: slope_found.points[-1][1], default=None)
 
 
-def look_ups(kept: dict[str, Told]) -> Slope | None:
-    """What one costs a real ingress, in s of a core, over ingresses."""
+def lookup_slope(kept: dict[str, RunResult]) -> Slope | None:
+    """Return what one look-up costs a real ingress, in core seconds, over the ingresses."""
     points = sorted(
-        (float(told["size"]["ingresses"]), float(found["cpu_each"]), name)
-        for name, told in kept.items()
-        if name in LOOK_UPS and (found := told.get("look-ups")) and found["cpu_each"] > 0
+        (float(result["size"]["ingresses"]), float(lookups["cpu_each"]), name)
+        for name, result in kept.items()
+        if name in LOOKUP_RUNS and (lookups := result.get("look-ups")) and lookups["cpu_each"] > 0
     )
     if len(points) < 2:
         return None
-    made = fitted([s for s, _, _ in points], [v for _, v, _ in points])
-    return Slope(LATERS[-1], "real ingress", "cpu", tuple((n, s, v) for s, v, n in points), made)
+    fit = fit_power_law([s for s, _, _ in points], [v for _, v, _ in points])
+    return Slope(
+        LATER_SERIES[-1], "real ingress", "cpu", tuple((n, s, v) for s, v, n in points), fit
+    )
 
 
-def slopes(kept: dict[str, Told], role: str, what: str) -> list[Slope]:
-    """Of each cause; of ingresses by those that reach furthest."""
-    found = [furthest(kept, role, what), *(slope(kept, cause, role, what) for cause in CAUSES[1:])]
-    return [made for made in found if made]
+def slopes(kept: dict[str, RunResult], role: str, what: str) -> list[Slope]:
+    """Return the slope of each cause; that of ingresses is `widest_slope`."""
+    found = [
+        widest_slope(kept, role, what),
+        *(slope(kept, cause, role, what) for cause in CAUSES[1:]),
+    ]
+    return [slope_found for slope_found in found if slope_found]
 
 
-def at_target(kept: dict[str, Told], role: str, what: str) -> tuple[float, float, float]:
-    """The base run's, and what each cause adds by itself: middle, low, high. Products of causes are
-    left out: they are counted apart."""
+def at_target(kept: dict[str, RunResult], role: str, what: str) -> tuple[float, float, float]:
+    """Return the cost at the target: that of the base run plus what each cause adds by itself, with
+    lower and upper bound. Products of causes are left out, and estimated separately."""
     base = value(kept[BASE], role, what)
-    added = [found.added for found in slopes(kept, role, what)]
-    low, high = (base + sum(a[n] for a in added) for n in (1, 2))
-    return base + sum(a[0] for a in added), max(0.0, low), high
+    additions = [found.added for found in slopes(kept, role, what)]
+    low, high = (base + sum(addition[n] for addition in additions) for n in (1, 2))
+    return base + sum(addition[0] for addition in additions), max(0.0, low), high
 
 
 @dataclass(frozen=True, slots=True)
 class Contents:
-    """One configuration of the target size, as it is made up here."""
+    """The size of one generated configuration, in bytes."""
 
-    raw: int  # bytes
-    told: int  # bytes, packed
+    raw: int
+    compressed: int
 
     @classmethod
     def of(cls, size: dict[str, int]) -> Contents:
@@ -154,16 +177,18 @@
 
 
 def changed_route_bytes() -> int:
-    """Of an update of one route at the target size, packed."""
+    """Return the compressed size of an update of one route at the target size."""
     return len(
-        zlib.compress(json.dumps(turned(2, 1, TARGET["routes"], TARGET["services"], 7)).encode())
+        zlib.compress(
+            json.dumps(route_update(2, 1, TARGET["routes"], TARGET["services"], 7)).encode()
+        )
     )
 
 
-def beats_per_s(servers: int) -> float:
-    return servers / BEAT
+def heartbeats_per_s(servers: int) -> float:
+    return servers / HEARTBEAT_INTERVAL_S
 
 
-def a_day(events: Iterable[float]) -> float:
-    """Events a second, of counts a day."""
-    return sum(events) / DAY
+def per_second(daily_counts: Iterable[float]) -> float:
+    """Convert counts a day to their sum a second."""
+    return sum(daily_counts) / DAY
--- a/cairndale/scale/sweeps.py
+++ b/cairndale/scale/sweeps.py
@@ -1,5 +1,4 @@
-"""What `fleetbench sweep` said of the same things, by sizes, read from the digests that are kept of
-it."""
+"""Reads the kept digests of `fleetbench sweep`, which measured some of the same costs by size."""
 
 from __future__ import annotations
 
@@ -13,21 +12,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
+    """One sweep over the number of machines."""
+
     name: str
-    head: str  # the commit it was run at
-    journal: str  # the entry that holds it
-    sizes: tuple[int, ...]  # own machines
-    busiest: dict[str, tuple[float | None, ...]]  # by what, of the busiest or longest
+    head: str  # the commit at which it was run
+    journal: str  # the journal entry that contains it
+    sizes: tuple[int, ...]  # numbers of machines
+    busiest: dict[str, tuple[float | None, ...]]  # maximum by metric, for each size
 
     def at(self, what: str, size: int) -> float | None:
-        """None: not played, or it had none."""
+        """Return the maximum of a metric at a size; None if it was not run or has no value."""
         return self.busiest[what][self.sizes.index(size)] if size in self.sizes else None
 
 
 def sweeps(folder: Path) -> list[Sweep]:
     raw = json.loads((folder / FILE).read_text())
     return [
-        _sweep(name, told["head"], told["journal"], told["digest"]) for name, told in raw.items()
+        _sweep(name, entry["head"], entry["journal"], entry["digest"])
+        for name, entry in raw.items()
     ]
 
 
@@ -36,10 +38,12 @@
     sizes = tuple(int(word) for word in digest[start + 1].split() if word.isdigit())
     busiest = {}
     for line in digest[start + 2 :]:
-        if found := re.match(r"(\S.*?)(?:\s{2,}|$)", line):
-            told = re.findall(r"[\d.]+ / ([\d.]+)|(?<=\s)(-)(?=\s)", line[found.end() :])[
+        if label := re.match(r"(\S.*?)(?:\s{2,}|$)", line):
+            cells = re.findall(r"[\d.]+ / ([\d.]+)|(?<=\s)(-)(?=\s)", line[label.end() :])[
                 : len(sizes)
             ]
-            if len(told) == len(sizes):
-                busiest[found[1]] = tuple(None if dash else float(value) for value, dash in told)
+            if len(cells) == len(sizes):
+                busiest[label[1]] = tuple(
+                    None if is_dash else float(value) for value, is_dash in cells
+                )
     return Sweep(name, head, journal, sizes, busiest)
--- a/cairndale/scale/tables.py
+++ b/cairndale/scale/tables.py
@@ -1,4 +1,5 @@
-"""Tables of what was measured, and of the slopes through it."""
+"""Tables of the measured costs and the slopes fitted to them. Their texts are part of
+`docs/CAPACITY.md`."""
 
 from __future__ import annotations
 
@@ -7,9 +8,9 @@
 from typing import Any
 
 from cairndale.scale import sums
-from cairndale.scale.sums import TARGET, Told
+from cairndale.scale.sums import TARGET, RunResult
 
-FAR = 100  # times the middle, beyond which an upper end says nothing
+MAX_RANGE_FACTOR = 100  # a range whose upper end exceeds the value by more says nothing
 SLOPES = (
     ("leader", "cpu"),
     ("leader", "bytes_out"),
@@ -38,7 +39,7 @@
 
 
 def format_number(value: float) -> str:
-    """Three digits."""
+    """Format a number with three significant digits, or more before the point."""
     if isinf(value):
         return "no bound"
     if value == 0:
@@ -47,12 +48,13 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[Any]]) -> str:
+    """Return a Markdown table."""
     lines = ["| " + " | ".join(head) + " |", "|" + "---|" * len(head)]
     lines += ["| " + " | ".join(str(cell) for cell in row) + " |" for row in rows]
     return "\n".join(lines)
 
 
-def name_of(role: str, what: str) -> str:
+def label_of(role: str, what: str) -> str:
     role = "one hollow ingress" if role == "hollow ingresses" else role
     return f"{role}, {UNITS[what][0]}"
 
@@ -61,35 +63,35 @@
     return "/".join(f"{1000 * row[f'late_{at}']:.1f}" for at in ("p50", "p99", "most"))
 
 
-def _orders(made: dict[str, Any], kind: str) -> str:
+def _orders(changes: dict[str, Any], kind: str) -> str:
     return (
-        "/".join(format_number(made[f"{kind}_{at}"]) for at in ("p50", "p99", "last"))
-        if made["count"]
+        "/".join(format_number(changes[f"{kind}_{at}"]) for at in ("p50", "p99", "last"))
+        if changes["count"]
         else "none"
     )
 
 
-def runs_table(kept: dict[str, Told]) -> str:
+def runs_table(kept: dict[str, RunResult]) -> str:
     rows = []
-    for name, told in kept.items():
-        size, leader, made = told["size"], told["roles"]["leader"], told["changes"]
-        machine = told["machine"]
+    for name, result in kept.items():
+        size, leader, changes = result["size"], result["roles"]["leader"], result["changes"]
+        machine = result["machine"]
         rows.append(
             (
                 f"`{name}`",
-                told["commit"],
+                result["commit"],
                 f"{machine['load_before']:.0f}/{machine['load_after']:.0f}",
                 "/".join(str(size[c]) for c in ("ingresses", "servers", "tenants", "routes")),
-                f"{100 * told['hollow']['with a lease']:.1f}%",
+                f"{100 * result['hollow']['with a lease']:.1f}%",
                 format_number(leader["cpu"]),
                 format_number(leader["waited"]) if "waited" in leader else "not counted",
                 format_number(leader["bytes_out"] / 1000),
                 format_number(leader["bytes_in"] / 1000),
                 format_number(leader["messages_out"]),
                 _late(leader),
-                f"{made['count']}+{told['refused']}",
-                _orders(made, "acked"),
-                _orders(made, "served"),
+                f"{changes['count']}+{result['refused']}",
+                _orders(changes, "acked"),
+                _orders(changes, "served"),
             )
         )
     return table(
@@ -113,23 +115,23 @@
     )
 
 
-def roles_table(kept: dict[str, Told]) -> str:
+def roles_table(kept: dict[str, RunResult]) -> str:
     rows = []
-    for name, told in kept.items():
-        for role in told["roles"]:
+    for name, result in kept.items():
+        for role in result["roles"]:
             value = {
-                what: sums.value(told, role, what)
+                what: sums.value(result, role, what)
                 for what in ("cpu", "bytes_out", "bytes_in", "messages_out")
             }
-            row = told["roles"][role]
-            one = {
+            row = result["roles"][role]
+            label = {
                 "hollow ingresses": "one hollow ingress",
                 "hollow servers": "one hollow server",
             }.get(role, role)
             rows.append(
                 (
                     f"`{name}`",
-                    one,
+                    label,
                     format_number(value["messages_out"]),
                     format_number(value["bytes_out"] / 1000),
                     format_number(value["bytes_in"] / 1000),
@@ -153,28 +155,30 @@
     )
 
 
-def _times(trouble: Told, what: str) -> str:
-    waited = trouble.get("waited", 60.0)
-    if not (times := trouble.get(what)):
-        return f"not run: {trouble['given up']}"
+def _times(faults: RunResult, kind: str) -> str:
+    waited = faults.get("waited", 60.0)
+    if not (times := faults.get(kind)):
+        return f"not run: {faults['given up']}"
     if times["last"] < 0:
         return f"{100 * times['share']:.0f}% there after {waited:.0f} s"
     return "/".join(format_number(times[at]) for at in ("p50", "p99", "last"))
 
 
-def returns_table(kept: dict[str, Told]) -> str:
+def returns_table(kept: dict[str, RunResult]) -> str:
     rows = []
     kinds = ("leases of the new leader", "fleet restarts", "core restarts", "region returns")
-    for name, told in kept.items():
-        if trouble := told["troubles"]:
-            first = trouble.get("new leader", -1.0)
+    for name, result in kept.items():
+        if faults := result["troubles"]:
+            new_leader = faults.get("new leader", -1.0)
             leader = (
-                format_number(first)
-                if first >= 0
-                else f"none in {trouble.get('waited', 60.0):.0f} s"
+                format_number(new_leader)
+                if new_leader >= 0
+                else f"none in {faults.get('waited', 60.0):.0f} s"
+            )
+            partitioned_for = f"{faults.get('cut for', 0.0):.0f}"
+            rows.append(
+                (f"`{name}`", leader, *(_times(faults, kind) for kind in kinds), partitioned_for)
             )
-            cut = f"{trouble.get('cut for', 0.0):.0f}"
-            rows.append((f"`{name}`", leader, *(_times(trouble, kind) for kind in kinds), cut))
     heads = (
         "all hold its leases",
         "all ingresses restart",
@@ -184,20 +188,20 @@
     return table(("run", "new leader, s", *(f"{head}, s" for head in heads), "cut for, s"), rows)
 
 
-def lookups_table(kept: dict[str, Told]) -> str:
+def lookups_table(kept: dict[str, RunResult]) -> str:
     rows = [
         (
             f"`{name}`",
-            told["size"]["ingresses"],
-            format_number(found["per_s"]),
-            found["failed"],
-            format_number(1e6 * found["cpu_each"]),
-            f"{format_number(found['bytes_out'])}/{format_number(found['bytes_in'])}",
-            found["addresses"],
-            f"{format_number(1000 * found['p50'])}/{format_number(1000 * found['p99'])}",
+            result["size"]["ingresses"],
+            format_number(lookups["per_s"]),
+            lookups["failed"],
+            format_number(1e6 * lookups["cpu_each"]),
+            f"{format_number(lookups['bytes_out'])}/{format_number(lookups['bytes_in'])}",
+            lookups["addresses"],
+            f"{format_number(1000 * lookups['p50'])}/{format_number(1000 * lookups['p99'])}",
         )
-        for name, told in kept.items()
-        if (found := told.get("look-ups"))
+        for name, result in kept.items()
+        if (lookups := result.get("look-ups"))
     ]
     heads = (
         "look-ups a second",
@@ -209,30 +213,30 @@
     return table(("run", "hollow ingresses", *heads, "ms at the client p50/p99"), rows)
 
 
-def ranged(found: tuple[float, float, float], scale: float) -> str:
-    middle, low, high = (max(0.0, value) * scale for value in found)
-    if high > FAR * max(middle, 1e-9):
-        return f"{format_number(middle)} (the range is beyond a factor of {FAR})"
+def ranged(estimate: tuple[float, float, float], scale: float) -> str:
+    middle, low, high = (max(0.0, value) * scale for value in estimate)
+    if high > MAX_RANGE_FACTOR * max(middle, 1e-9):
+        return f"{format_number(middle)} (the range is beyond a factor of {MAX_RANGE_FACTOR})"
     return f"{format_number(middle)} ({format_number(low)} to {format_number(high)})"
 
 
-def slopes_table(kept: dict[str, Told]) -> str:
+def slopes_table(kept: dict[str, RunResult]) -> str:
     rows = []
-    for cause in (*sums.CAUSES, *sums.LATERS):
-        target = TARGET[sums.grown(cause)]
+    for cause in (*sums.CAUSES, *sums.LATER_SERIES):
+        target = TARGET[sums.varied_dimension(cause)]
         for role, what in SLOPES:
-            if found := sums.slope(kept, cause, role, what):
+            if slope := sums.slope(kept, cause, role, what):
                 scale = UNITS[what][1]
                 rows.append(
                     (
                         cause,
-                        name_of(role, what),
-                        ", ".join(f"{s:g}: {format_number(v * scale)}" for _, s, v in found.points),
-                        f"{found.fit.power:.2f} ± {2 * found.fit.error:.2f}"
-                        if len(found.points) > 2
-                        else f"{found.fit.power:.2f}, of two points",
-                        ", ".join(f"{100 * r:+.0f}%" for r in found.fit.residuals),
-                        f"{target:,}: {ranged(found.fit.at(target), scale)}",
+                        label_of(role, what),
+                        ", ".join(f"{s:g}: {format_number(v * scale)}" for _, s, v in slope.points),
+                        f"{slope.fit.power:.2f} ± {2 * slope.fit.error:.2f}"
+                        if len(slope.points) > 2
+                        else f"{slope.fit.power:.2f}, of two points",
+                        ", ".join(f"{100 * r:+.0f}%" for r in slope.fit.residuals),
+                        f"{target:,}: {ranged(slope.fit.predict(target), scale)}",
                     )
                 )
     return table(
@@ -240,8 +244,8 @@
     )
 
 
-def size_table(kept: dict[str, Told]) -> str:
-    """Sums of causes at the target."""
+def size_table(kept: dict[str, RunResult]) -> str:
+    """Return the extrapolated costs at the target size, with their budgets."""
     limits = {
         ("real ingress", "cpu"): "0.023",
         ("real ingress", "mb"): "64",
@@ -250,15 +254,15 @@
     }
     rows = []
     for role, what in SLOPES:
-        found = sums.at_target(kept, role, what)
+        estimate = sums.at_target(kept, role, what)
         base = sums.value(kept[sums.BASE], role, what)
         scale = UNITS[what][1]
         causes = [s.cause for s in sums.slopes(kept, role, what)]
         rows.append(
             (
-                name_of(role, what),
+                label_of(role, what),
                 format_number(base * scale),
-                ranged(found, scale),
+                ranged(estimate, scale),
                 limits.get((role, what), ""),
                 ", ".join(causes),
             )
--- a/cairndale/scale/worker.py
+++ b/cairndale/scale/worker.py
@@ -1,8 +1,8 @@
-"""A process of a scale run: hollow ingresses, hollow servers, or a real process of the system under
-a gauge.
+"""A process of a scale run: simulated ingresses, simulated servers, or a real process of the system
+with a gauge.
 
-`python -m cairndale.scale.worker` reads orders on standard input and writes what it counts on
-standard output, an object of JSON a line each way. It ends when its input does."""
+`python -m cairndale.scale.worker` reads commands from standard input and writes counts to standard
+output, one JSON object a line each way. It exits at the end of its input."""
 
 from __future__ import annotations
 
@@ -19,134 +19,139 @@
 
 from cairndale.events import set_up_logging
 from cairndale.scale.gauge import Gauge
-from cairndale.scale.simulated import Ingress, Server, Shared, look_up
+from cairndale.scale.simulated import SharedContents, SimulatedIngress, SimulatedServer, look_up
 
-PACE = 0.05  # s between the first starts of hollow ingresses: all at once is one of the troubles
+# Between the first starts of simulated ingresses: starting all at once is one of the faults.
+START_INTERVAL_S = 0.05
 
 
 class Worker:
-    def __init__(self, made: dict[str, Any]) -> None:
-        self.made, self.gauge, self.shared = made, Gauge(), Shared()
-        self.rng = random.Random(made["seed"])
+    """The simulated ingresses and servers of one process."""
+
+    def __init__(self, parameters: dict[str, Any]) -> None:
+        self.parameters, self.gauge, self.shared = parameters, Gauge(), SharedContents()
+        self.rng = random.Random(parameters["seed"])
         self.ingresses = [
-            Ingress(
+            SimulatedIngress(
                 i["name"],
                 (i["ip"], i["port"]),
                 (i["zone"], i["region"]),
-                made["cores"],
+                parameters["cores"],
                 self.shared,
                 self.gauge,
                 self.rng,
             )
-            for i in made.get("ingresses", ())
+            for i in parameters.get("ingresses", ())
         ]
         self.servers = [
-            Server(
+            SimulatedServer(
                 s["number"],
                 s["service"],
                 s["zone"],
-                made["control"],
-                made["beat"],
+                parameters["control"],
+                parameters["beat"],
                 self.rng,
                 self.gauge,
             )
-            for s in made.get("servers", ())
+            for s in parameters.get("servers", ())
         ]
         self._tasks: list[asyncio.Task[None]] = []
 
     async def begin(self) -> None:
         loop = asyncio.get_running_loop()
         self._tasks = [loop.create_task(self.gauge.watch())]
-        self._tasks += [loop.create_task(s.run(self.made["life"])) for s in self.servers]
+        self._tasks += [loop.create_task(s.run(self.parameters["life"])) for s in self.servers]
         for ingress in self.ingresses:
-            await ingress.start(self.made["lease_per_s"])
-            await asyncio.sleep(PACE)
+            await ingress.start(self.parameters["lease_per_s"])
+            await asyncio.sleep(START_INTERVAL_S)
 
-    async def obey(self, order: dict[str, Any]) -> dict[str, Any]:
-        match order["do"]:
+    async def handle(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Execute a command and return the answer."""
+        match command["do"]:
             case "count":
-                told = self.gauge.read() | self._told()
+                usage = self.gauge.read() | self._status()
                 self.gauge.restart()
-                self.shared.told = 0
+                self.shared.received_contents = 0
                 for ingress in self.ingresses:
-                    ingress.lapsed, ingress.counted_at = 0.0, time.monotonic()
-                    ingress.failed.clear()
+                    ingress.lease_gap_s, ingress.counted_at = 0.0, time.monotonic()
+                    ingress.failures.clear()
                 for server in self.servers:
-                    server.beats = server.lost = 0
-                return told
+                    server.heartbeats = server.failed_heartbeats = 0
+                return usage
             case "served":
                 return {"served": [i.served_at for i in self.ingresses]}
             case "look up":
                 return await look_up(
-                    order["door"], order["per_s"], order["span"], order["regions"], self.rng
+                    command["door"], command["per_s"], command["span"], command["regions"], self.rng
                 )
             case "restart":  # all at once, as after a loss of power
                 for ingress in self.ingresses:
                     ingress.stop()
                 for ingress in self.ingresses:
-                    await ingress.start(self.made["lease_per_s"])
-            case "cut":  # those of a region hear nobody and are not heard
+                    await ingress.start(self.parameters["lease_per_s"])
+            case "cut":  # partitions all ingresses of a region
                 for ingress in self.ingresses:
-                    if ingress.place[1] == order["region"]:
+                    if ingress.location[1] == command["region"]:
                         ingress.stop()
             case "heal":
                 for ingress in self.ingresses:
                     if ingress.rpc_peer is None:
-                        await ingress.start(self.made["lease_per_s"])
-        return self._told()
+                        await ingress.start(self.parameters["lease_per_s"])
+        return self._status()
 
-    def _told(self) -> dict[str, Any]:
+    def _status(self) -> dict[str, Any]:
         now = time.monotonic()
-        here = [i for i in self.ingresses if i.rpc_peer]
-        well = [i for i in here if i.well_at and i.lease_end > now]
-        lapsed = sum(
-            i.lapsed + max(0.0, now - max(i.lease_end, i.began, i.counted_at))
+        running = [i for i in self.ingresses if i.rpc_peer]
+        ready = [i for i in running if i.ready_at and i.lease_end > now]
+        lease_gap_s = sum(
+            i.lease_gap_s + max(0.0, now - max(i.lease_end, i.started_at, i.counted_at))
             for i in self.ingresses
         )
         return {
-            "ingresses": len(here),
-            "well": [[i.term, max(i.well_at, i.term_at)] for i in well],
-            "lapsed": lapsed,
-            "tenants": sum(i.tenants for i in here),
+            "ingresses": len(running),
+            "well": [[i.term, max(i.ready_at, i.term_at)] for i in ready],
+            "lapsed": lease_gap_s,
+            "tenants": sum(i.tenants for i in running),
             "servers": len(self.servers),
-            "failed": sum(i.failed.total() for i in self.ingresses),
-            "failures": dict(sum((i.failed for i in self.ingresses), Counter())),
-            "contents": self.shared.told,
-            "beats": sum(s.beats for s in self.servers),
-            "beats_lost": sum(s.lost for s in self.servers),
+            "failed": sum(i.failures.total() for i in self.ingresses),
+            "failures": dict(sum((i.failures for i in self.ingresses), Counter())),
+            "contents": self.shared.received_contents,
+            "beats": sum(s.heartbeats for s in self.servers),
+            "beats_lost": sum(s.failed_heartbeats for s in self.servers),
         }
 
 
-async def simulated(made: dict[str, Any]) -> None:
-    worker = Worker(made)
+async def run_simulated(parameters: dict[str, Any]) -> None:
+    """Run simulated ingresses and servers until the end of standard input."""
+    worker = Worker(parameters)
     await worker.begin()
     print(json.dumps({"begun": len(worker.ingresses) + len(worker.servers)}), flush=True)
     loop, reader = asyncio.get_running_loop(), asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        print(json.dumps(await worker.obey(json.loads(line))), flush=True)
+        print(json.dumps(await worker.handle(json.loads(line))), flush=True)
     for ingress in worker.ingresses:
         ingress.stop()
 
 
-async def real() -> None:
-    """A process of the system, with a line of what it costs for each line that comes in."""
+async def run_real() -> None:
+    """Run a real process of the system, and write its costs for each line of standard input."""
     from cairndale import process as system
     from cairndale.rpc.peer import RpcPeer
     from cairndale.settings import read_settings
 
     gauge = Gauge()
-    begin = RpcPeer.listen
+    listen = RpcPeer.listen
 
-    async def counted(self: RpcPeer) -> None:
+    async def listen_counted(self: RpcPeer) -> None:
         gauge.count_frames(self)
-        await begin(self)
+        await listen(self)
 
-    RpcPeer.listen = counted  # type: ignore[method-assign]
+    RpcPeer.listen = listen_counted  # type: ignore[method-assign]
     loop, reader = asyncio.get_running_loop(), asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    watch = loop.create_task(gauge.watch())
-    playing = loop.create_task(
+    watch_task = loop.create_task(gauge.watch())
+    serve_task = loop.create_task(
         system.serve(
             read_settings(os.environ.get(system.SETTINGS_VARIABLE, "")),
             sighup_received=lambda: False,
@@ -156,16 +161,16 @@
     while await reader.readline():
         print(json.dumps(gauge.read()), flush=True)
         gauge.restart()
-    watch.cancel()
-    playing.cancel()
+    watch_task.cancel()
+    serve_task.cancel()
 
 
 def main() -> int:
     set_up_logging()
     if sys.argv[1:] == ["real"]:
-        uvloop.run(real())
+        uvloop.run(run_real())
     else:
-        uvloop.run(simulated(json.loads(sys.stdin.buffer.readline())))
+        uvloop.run(run_simulated(json.loads(sys.stdin.buffer.readline())))
     return 0
 
 
